--- a/crates/cloverfold_settings/tests/settings.rs
+++ b/crates/common/cloverfold_settings/tests/settings.rs
@@ -9,12 +9,12 @@
     LeasedEntrySettings, LeasedGuardSettings, hash_caller_key, parse_settings, verify_caller_key,
 };
 
-const CELL: &str = include_str!("../../../examples/settings/cell.jsonc");
-const GUARD: &str = include_str!("../../../examples/settings/guard.jsonc");
-const LEASED_ENTRY: &str = include_str!("../../../examples/settings/leased-entry.jsonc");
-const LEASED_GUARD: &str = include_str!("../../../examples/settings/leased-guard.jsonc");
-const CONTROL: &str = include_str!("../../../examples/settings/control.jsonc");
-const ENTRY: &str = include_str!("../../../examples/settings/entry.jsonc");
+const CELL: &str = include_str!("../../../../examples/settings/cell.jsonc");
+const GUARD: &str = include_str!("../../../../examples/settings/guard.jsonc");
+const LEASED_ENTRY: &str = include_str!("../../../../examples/settings/leased-entry.jsonc");
+const LEASED_GUARD: &str = include_str!("../../../../examples/settings/leased-guard.jsonc");
+const CONTROL: &str = include_str!("../../../../examples/settings/control.jsonc");
+const ENTRY: &str = include_str!("../../../../examples/settings/entry.jsonc");
 
 /// Returns the example with one text replaced, and the line on which it stood.
 fn spoil(example: &str, from: &str, to: &str) -> (String, usize) {
