--- a/benches/benches/decisions.rs
+++ b/benches/benches/decisions.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use cloverfold_core::{
+use cloverfold_claims_core::{
     Admission, Capacity, Cell, Flow, Location, MemberPhase, MemberReport, MemberTable, Placement,
     PlacementPolicy, Ticket,
 };
--- a/crates/claims/cloverfold_app/src/clock.rs
+++ b/crates/claims/cloverfold_app/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use cloverfold_core::UnixTime;
+use cloverfold_claims_core::UnixTime;
 
 /// Returns the wall-clock time; a clock before 1970 counts as 1970.
 pub fn unix_now() -> UnixTime {
--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cloverfold_app::{ControlState, random_u64, unix_now};
-use cloverfold_core::{
+use cloverfold_claims_core::{
     Cell, Claim, ClaimReply, ClaimRequest, GuardId, Placement, Proposer, ProposerStep, Replica,
     Reply, Submission, SubmissionKey,
 };
--- a/crates/claims/cloverfold_claim/src/found.rs
+++ b/crates/claims/cloverfold_claim/src/found.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use cloverfold_core::Standing;
+use cloverfold_claims_core::Standing;
 use cloverfold_net::{CallError, Network, PeerAddress};
 
 use crate::messages::{FoundCall, StandingCall, StandingReport};
--- a/crates/claims/cloverfold_claim/src/lib.rs
+++ b/crates/claims/cloverfold_claim/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! [`Claims::agree`] has the replica group of a key agree on a claim before any task starts. A restarted
 //! guard recovers in the background, and votes only where it can have forgotten nothing
-//! (see [`cloverfold_core::Replica`]).
+//! (see [`cloverfold_claims_core::Replica`]).
 //!
 //! ```no_run
-//! # async fn show(claims: cloverfold_claim::Claims, submission: cloverfold_core::Submission,
-//! #     wanted: cloverfold_core::Claim) -> Result<(), cloverfold_claim::ClaimError> {
+//! # async fn show(claims: cloverfold_claim::Claims, submission: cloverfold_claims_core::Submission,
+//! #     wanted: cloverfold_claims_core::Claim) -> Result<(), cloverfold_claim::ClaimError> {
 //! let agreed = claims.agree(submission, wanted).await?;
 //! println!("{} tasks have their places", agreed.tasks.len());
 //! # Ok(())
--- a/crates/claims/cloverfold_claim/src/messages.rs
+++ b/crates/claims/cloverfold_claim/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between replicas.
 
-use cloverfold_core::{
+use cloverfold_claims_core::{
     ClaimRequest, MemberReport, Placement, RecoveryPage, Reply, Standing, Submission, SubmissionKey,
 };
 use cloverfold_net::Message;
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cloverfold_app::{App, BuildError, Plugin, unix_now};
-use cloverfold_core::{Placement, Replica};
+use cloverfold_claims_core::{Placement, Replica};
 use cloverfold_membership::{Directory, Membership, OwnState};
 use cloverfold_net::{Peer, PeerRole};
 use cloverfold_settings::CellSettings;
--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cloverfold_app::{Lifecycle, Phase, random_u64, unix_now};
-use cloverfold_core::{GuardId, Standing};
+use cloverfold_claims_core::{GuardId, Standing};
 use cloverfold_net::CallError;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -107,7 +107,7 @@
                 .clone();
             let has_more = page.has_more;
             call.after = page.records.last().map(|(key, _)| *key);
-            let absorb = move |replica: &mut cloverfold_core::Replica| {
+            let absorb = move |replica: &mut cloverfold_claims_core::Replica| {
                 replica.absorb_page(source, standing, page);
             };
             self.inner.replica.with(absorb).await;
--- a/crates/claims/cloverfold_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -4,7 +4,7 @@
 //! tested without a network. Times and random numbers are arguments.
 //!
 //! ```
-//! use cloverfold_core::{Cell, Location, derive_submission_key};
+//! use cloverfold_claims_core::{Cell, Location, derive_submission_key};
 //!
 //! let place = |guard: u16, hall: &str| Location { guard, hall: hall.into(), rack: "r1".into() };
 //! let cell = Cell::new(vec![place(1, "a"), place(2, "b"), place(3, "b"), place(4, "c")], 3);
--- a/crates/claims/cloverfold_core/tests/claims.rs
+++ b/crates/claims/cloverfold_claims_core/tests/claims.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use cloverfold_core::{
+use cloverfold_claims_core::{
     Cell, Claim, ClaimRequest, GuardId, Location, Placement, Proposer, ProposerStep, RecoveryPage,
     Replica, Reply, Submission, SubmissionKey,
 };
--- a/crates/claims/cloverfold_core/tests/jobs.rs
+++ b/crates/claims/cloverfold_claims_core/tests/jobs.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use cloverfold_core::{
+use cloverfold_claims_core::{
     AssignVerdict, Claim, Fence, FenceLimits, Flow, GuardId, JobAction, JobEvent, JobOptions,
     JobProgress, Outcome, Placement, QueuedTask, ReasonCode, ReleaseVerdict, Repeat, TaskEnd,
     TaskId, TaskIndex, TaskState,
--- a/crates/claims/cloverfold_core/tests/members.rs
+++ b/crates/claims/cloverfold_claims_core/tests/members.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cloverfold_core::{MemberPhase, MemberReport, MemberTable, Placement};
+use cloverfold_claims_core::{MemberPhase, MemberReport, MemberTable, Placement};
 
 const SILENCE: Duration = Duration::from_millis(1_600);
 
--- a/crates/claims/cloverfold_core/tests/queueing.rs
+++ b/crates/claims/cloverfold_claims_core/tests/queueing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cloverfold_core::{
+use cloverfold_claims_core::{
     Admission, Candidate, Capacity, Cell, FairQueue, Fence, FenceLimits, Flow, Location, Placement,
     PlacementPolicy, QueuedTask, RetryBudget, TaskEnd, TaskId, Ticket, choose_placements,
 };
--- a/crates/claims/cloverfold_coordinate/src/admitter.rs
+++ b/crates/claims/cloverfold_coordinate/src/admitter.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use cloverfold_app::{ControlState, unix_now};
-use cloverfold_core::{Admission, Flow, PlacementPolicy, ReasonCode, Ticket, TicketId, UnixTime};
+use cloverfold_claims_core::{
+    Admission, Flow, PlacementPolicy, ReasonCode, Ticket, TicketId, UnixTime,
+};
 use cloverfold_membership::{Charge, Membership};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::timeout;
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cloverfold_app::random_u64;
-use cloverfold_core::{GuardId, JobEvent, Placement, TaskEnd, TaskIndex};
+use cloverfold_claims_core::{GuardId, JobEvent, Placement, TaskEnd, TaskIndex};
 use cloverfold_execute::{Assign, AssignReply, AssignedTask, Release};
 use cloverfold_membership::Charge;
 use cloverfold_net::CallError;
--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -5,7 +5,7 @@
 
 use cloverfold_app::{ControlState, Lifecycle, Phase, unix_now};
 use cloverfold_claim::Claims;
-use cloverfold_core::{
+use cloverfold_claims_core::{
     Outcome, ReasonCode, RetryBudget, Submission, SubmissionKey, UnixTime, format_key,
 };
 use cloverfold_membership::{Directory, Membership};
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -6,7 +6,7 @@
 
 use cloverfold_app::{draw_below, unix_now};
 use cloverfold_claim::ClaimError;
-use cloverfold_core::{
+use cloverfold_claims_core::{
     Claim, JobAction, JobEvent, JobOptions, JobProgress, Outcome, Placement, ReasonCode, TaskEnd,
     TaskIndex, rank_by_load,
 };
--- a/crates/claims/cloverfold_coordinate/src/lib.rs
+++ b/crates/claims/cloverfold_coordinate/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A guard that gets a [`Submit`] for a key it holds has the key's group agree on a claim, gives the tasks to
 //! the guards named there, and answers with the whole outcome. The decisions are those of
-//! [`cloverfold_core::JobProgress`]; [`Coordinator`] carries them out. Any member of the group may drive a
+//! [`cloverfold_claims_core::JobProgress`]; [`Coordinator`] carries them out. Any member of the group may drive a
 //! job, also beside another: the claim and the start fences keep each task to one start.
 
 mod admitter;
--- a/crates/claims/cloverfold_coordinate/src/messages.rs
+++ b/crates/claims/cloverfold_coordinate/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages from an entry to the coordinator of a job.
 
-use cloverfold_core::{
+use cloverfold_claims_core::{
     BodyDigest, CustomerId, Outcome, ReasonCode, Repeat, ServiceId, Submission, SubmissionKey,
     UnixTime,
 };
--- a/crates/claims/cloverfold_coordinate/src/plugin.rs
+++ b/crates/claims/cloverfold_coordinate/src/plugin.rs
@@ -4,7 +4,7 @@
 
 use cloverfold_app::{App, BuildError, Plugin};
 use cloverfold_claim::Claims;
-use cloverfold_core::{Outcome, RetryBudget};
+use cloverfold_claims_core::{Outcome, RetryBudget};
 use cloverfold_membership::{Directory, Membership};
 use cloverfold_net::{Peer, PeerRole};
 use cloverfold_settings::CellSettings;
--- a/crates/claims/cloverfold_entry/src/answer.rs
+++ b/crates/claims/cloverfold_entry/src/answer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cloverfold_core::{Outcome, ReasonCode};
+use cloverfold_claims_core::{Outcome, ReasonCode};
 use http::StatusCode;
 use serde::Serialize;
 use serde_json::value::RawValue;
--- a/crates/claims/cloverfold_entry/src/api.rs
+++ b/crates/claims/cloverfold_entry/src/api.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use cloverfold_app::{Lifecycle, Phase, random_u64, unix_now};
+use cloverfold_claims_core::{ReasonCode, derive_submission_key};
 use cloverfold_coordinate::{JobState, Submit};
-use cloverfold_core::{ReasonCode, derive_submission_key};
 use cloverfold_settings::{CellSettings, EntrySettings};
 use http::StatusCode;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
--- a/crates/claims/cloverfold_entry/src/routing.rs
+++ b/crates/claims/cloverfold_entry/src/routing.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use cloverfold_app::{random_u64, unix_now};
-use cloverfold_coordinate::{JobState, Query, Submit, SubmitReply, Verdict};
-use cloverfold_core::{
+use cloverfold_claims_core::{
     Cell, GuardId, Outcome, ReasonCode, SubmissionKey, derive_submission_key, format_key,
 };
+use cloverfold_coordinate::{JobState, Query, Submit, SubmitReply, Verdict};
 use cloverfold_membership::{Directory, Membership};
 use cloverfold_net::{CallError, Network};
 use tokio::time::sleep;
--- a/crates/claims/cloverfold_entry/src/submission.rs
+++ b/crates/claims/cloverfold_entry/src/submission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cloverfold_core::{
+use cloverfold_claims_core::{
     BodyDigest, Repeat, Submission, UnixTime, derive_submission_key, hash_parts,
 };
 use http::StatusCode;
--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use cloverfold_app::draw_below;
-use cloverfold_core::{
+use cloverfold_claims_core::{
     AssignVerdict, Candidate, Fence, FenceLimits, Flow, Incarnation, QueuedTask, ReasonCode,
     ReleaseVerdict, TaskEnd, TaskId, TaskState, UnixTime, choose_free_place,
 };
--- a/crates/claims/cloverfold_execute/src/lib.rs
+++ b/crates/claims/cloverfold_execute/src/lib.rs
@@ -1,7 +1,7 @@
 //! The start fence, the queue and the HTTP client of one target.
 //!
 //! Coordinators send [`Assign`] and hear how each task ended; [`Release`] takes back what has not started.
-//! The decisions are those of [`cloverfold_core::Fence`]; this crate carries them out at the target.
+//! The decisions are those of [`cloverfold_claims_core::Fence`]; this crate carries them out at the target.
 
 mod execution;
 mod messages;
--- a/crates/claims/cloverfold_execute/src/messages.rs
+++ b/crates/claims/cloverfold_execute/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages from a coordinator to the guard of a target.
 
-use cloverfold_core::{
+use cloverfold_claims_core::{
     CustomerId, GuardId, Incarnation, MemberReport, Placement, ReleaseVerdict, ServiceId,
     SubmissionKey, TaskEnd, TaskIndex, UnixTime,
 };
--- a/crates/claims/cloverfold_execute/src/plugin.rs
+++ b/crates/claims/cloverfold_execute/src/plugin.rs
@@ -1,7 +1,7 @@
 //! Registers the execution of tasks with a guard.
 
 use cloverfold_app::{App, BuildError, Plugin};
-use cloverfold_core::{FenceLimits, Placement};
+use cloverfold_claims_core::{FenceLimits, Placement};
 use cloverfold_membership::{Membership, OwnState};
 use cloverfold_net::{Peer, PeerRole, ReplySink};
 use cloverfold_settings::{CellSettings, GuardSettings};
--- a/crates/claims/cloverfold_execute/src/runner.rs
+++ b/crates/claims/cloverfold_execute/src/runner.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use cloverfold_app::{ControlState, unix_now};
-use cloverfold_core::{
+use cloverfold_claims_core::{
     Candidate, Placement, QueuedTask, ReasonCode, ReleaseVerdict, TaskEnd, TaskId, format_key,
 };
 use cloverfold_membership::Membership;
--- a/crates/claims/cloverfold_execute/src/target_client.rs
+++ b/crates/claims/cloverfold_execute/src/target_client.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cloverfold_core::{TaskId, format_key};
+use cloverfold_claims_core::{TaskId, format_key};
 use cloverfold_settings::TargetSettings;
 use http::{Method, StatusCode};
 use http_body_util::{BodyExt, Limited};
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use cloverfold_app::{Control, ControlState, Lifecycle, Phase, draw_below};
-use cloverfold_core::{
+use cloverfold_claims_core::{
     Candidate, Capacity, GuardId, MemberPhase, MemberReport, MemberTable, Placement,
     PlacementPolicy,
 };
--- a/crates/claims/cloverfold_membership/src/messages.rs
+++ b/crates/claims/cloverfold_membership/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between processes about who is alive.
 
-use cloverfold_core::MemberReport;
+use cloverfold_claims_core::MemberReport;
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
 
--- a/crates/claims/cloverfold_membership/src/plugin.rs
+++ b/crates/claims/cloverfold_membership/src/plugin.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cloverfold_app::{App, BuildError, Lifecycle, Phase, Plugin, draw_below};
-use cloverfold_core::{GuardId, Placement};
+use cloverfold_claims_core::{GuardId, Placement};
 use cloverfold_net::{Network, Peer, PeerRole};
 use cloverfold_settings::CellSettings;
 use prometheus_client::metrics::gauge::Gauge;
--- a/crates/claims/cloverfold_process/src/guard.rs
+++ b/crates/claims/cloverfold_process/src/guard.rs
@@ -2,8 +2,8 @@
 
 use cloverfold_app::{App, Running, unix_now};
 use cloverfold_claim::ClaimPlugin;
+use cloverfold_claims_core::Placement;
 use cloverfold_coordinate::CoordinatePlugin;
-use cloverfold_core::Placement;
 use cloverfold_execute::ExecutePlugin;
 use cloverfold_membership::MembershipPlugin;
 use cloverfold_settings::{CellSettings, GuardSettings, read_settings};
--- a/crates/cloverfold/src/bin/cloverfold-guard.rs
+++ b/crates/cloverfold/src/bin/cloverfold-guard.rs
@@ -6,9 +6,9 @@
 
 use argh::FromArgs;
 use cloverfold_app::start_logging;
+use cloverfold_leased_guard::start_leased_guard;
 use cloverfold_platform::Platform;
 use cloverfold_process::{SettingsWatch, report_outcome, start_guard, start_leased_runtime};
-use cloverfold_runner::start_leased_guard;
 use cloverfold_settings::{GuardSettings, LeasedGuardSettings};
 use eyre::{Result, WrapErr};
 
--- a/crates/cloverfold/src/bin/cloverfold/leased.rs
+++ b/crates/cloverfold/src/bin/cloverfold/leased.rs
@@ -6,7 +6,7 @@
 use argh::FromArgs;
 use cloverfold_app::start_logging;
 use cloverfold_control::start_control;
-use cloverfold_gateway::start_gateway;
+use cloverfold_leased_entry::start_gateway;
 use cloverfold_platform::Platform;
 use cloverfold_process::{SettingsWatch, start_leased_runtime};
 use cloverfold_settings::{ControlSettings, LeasedEntrySettings};
--- a/crates/cloverfold/src/bin/cloverfold/operator.rs
+++ b/crates/cloverfold/src/bin/cloverfold/operator.rs
@@ -5,7 +5,7 @@
 
 use argh::FromArgs;
 use cloverfold_claim::{StandingCall, found_cell};
-use cloverfold_core::Standing;
+use cloverfold_claims_core::Standing;
 use cloverfold_membership::Leave;
 use cloverfold_net::Network;
 use cloverfold_process::{list_guard_addresses, open_operator_network};
--- a/crates/common/cloverfold_settings/src/cell.rs
+++ b/crates/common/cloverfold_settings/src/cell.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cloverfold_core::{Cell, Flow, GuardId, Location, PlacementPolicy};
+use cloverfold_claims_core::{Cell, Flow, GuardId, Location, PlacementPolicy};
 use serde::Deserialize;
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq;
--- a/crates/common/cloverfold_settings/src/guard.rs
+++ b/crates/common/cloverfold_settings/src/guard.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use cloverfold_core::GuardId;
+use cloverfold_claims_core::GuardId;
 use serde::Deserialize;
 
 use crate::common::{KeySettings, LogSettings, ProcessSettings, read_process_settings};
