--- a/crates/claims/cloverfold_app/src/app.rs
+++ b/crates/claims/cloverfold_app/src/app.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinSet;
 use volo_http::server::route::Router as HttpRouter;
 
-use crate::control::Control;
+use crate::control::ControlThread;
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::ops_http::{HttpServer, OpsState, build_ops_router};
 use crate::resources::Resources;
@@ -54,7 +54,7 @@
 pub struct App {
     name: String,
     network: Network,
-    control: Control,
+    control: ControlThread,
     lifecycle: Lifecycle,
     resources: Resources,
     router: Router,
@@ -72,7 +72,7 @@
     ///
     /// Says that the system gave no thread for control state.
     pub fn new(name: &str, network: Network) -> Result<Self, BuildError> {
-        let control = Control::start(name).map_err(|cause| BuildError::System {
+        let control = ControlThread::start(name).map_err(|cause| BuildError::System {
             what: "starting the control thread".into(),
             cause,
         })?;
@@ -128,7 +128,7 @@
     }
 
     /// Returns the control thread.
-    pub fn control(&self) -> Control {
+    pub fn control(&self) -> ControlThread {
         self.control.clone()
     }
 
--- a/crates/claims/cloverfold_app/src/control.rs
+++ b/crates/claims/cloverfold_app/src/control.rs
@@ -12,18 +12,18 @@
 
 /// Handle of the control thread.
 #[derive(Clone)]
-pub struct Control {
+pub struct ControlThread {
     tx: mpsc::Sender<Job>,
 }
 
 /// A state that only the control thread touches.
-pub struct ControlState<S> {
-    control: Control,
+pub struct ThreadState<S> {
+    control: ControlThread,
     /// Never contended: it only shows the compiler what the control thread guarantees.
     state: Arc<Mutex<S>>,
 }
 
-impl<S> Clone for ControlState<S> {
+impl<S> Clone for ThreadState<S> {
     fn clone(&self) -> Self {
         Self {
             control: self.control.clone(),
@@ -43,7 +43,7 @@
     }
 }
 
-impl Control {
+impl ControlThread {
     /// Starts the control thread; it ends with the last handle.
     ///
     /// # Errors
@@ -62,15 +62,15 @@
     }
 
     /// Puts a state under the control thread.
-    pub fn own<S: Send + 'static>(&self, state: S) -> ControlState<S> {
-        ControlState {
+    pub fn own<S: Send + 'static>(&self, state: S) -> ThreadState<S> {
+        ThreadState {
             control: self.clone(),
             state: Arc::new(Mutex::new(state)),
         }
     }
 }
 
-impl<S: Send + 'static> ControlState<S> {
+impl<S: Send + 'static> ThreadState<S> {
     /// Runs a decision on the control thread and returns what it decided.
     ///
     /// # Panics
--- a/crates/claims/cloverfold_app/src/lib.rs
+++ b/crates/claims/cloverfold_app/src/lib.rs
@@ -32,7 +32,7 @@
 pub use bounded_log::count_dropped_lines;
 pub use cause_gauges::CauseGauges;
 pub use clock::{draw_below, random_u64, unix_now};
-pub use control::{Control, ControlState};
+pub use control::{ControlThread, ThreadState};
 pub use lifecycle::{Lifecycle, Phase};
 pub use logging::{LoggingError, start_logging};
 pub use ops_http::{HttpServer, OpsState, build_ops_router, write_metrics};
--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use cloverfold_app::{ControlState, random_u64, unix_now};
+use cloverfold_app::{ThreadState, random_u64, unix_now};
 use cloverfold_claims_core::{
     Cell, Claim, ClaimReply, ClaimRequest, GuardId, Placement, Proposer, ProposerStep, Replica,
     Reply, Submission, SubmissionKey,
@@ -33,7 +33,7 @@
     pub(crate) directory: Arc<Directory>,
     pub(crate) network: Network,
     pub(crate) membership: Membership,
-    pub(crate) replica: ControlState<Replica>,
+    pub(crate) replica: ThreadState<Replica>,
     /// Number of the next attempt of this life.
     pub(crate) attempts: AtomicU64,
 }
--- a/crates/claims/cloverfold_coordinate/src/admitter.rs
+++ b/crates/claims/cloverfold_coordinate/src/admitter.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use cloverfold_app::{ControlState, unix_now};
+use cloverfold_app::{ThreadState, unix_now};
 use cloverfold_claims_core::{
     Admission, Flow, PlacementPolicy, ReasonCode, Ticket, TicketId, UnixTime,
 };
@@ -35,7 +35,7 @@
 
 /// The tasks of an admitted job, counted to its flow until dropped.
 pub(crate) struct FlowHold {
-    room: ControlState<WaitingRoom>,
+    room: ThreadState<WaitingRoom>,
     flow: Flow,
     tasks: usize,
 }
@@ -65,7 +65,7 @@
 /// Admits jobs in fair order as slots come free.
 #[derive(Clone)]
 pub(crate) struct Admitter {
-    room: ControlState<WaitingRoom>,
+    room: ThreadState<WaitingRoom>,
     membership: Membership,
     policy: PlacementPolicy,
     arrived: Arc<Notify>,
@@ -76,7 +76,7 @@
 
 impl Admitter {
     pub(crate) fn new(
-        room: ControlState<WaitingRoom>,
+        room: ThreadState<WaitingRoom>,
         membership: Membership,
         policy: PlacementPolicy,
     ) -> Self {
--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use cloverfold_app::{ControlState, Lifecycle, Phase, unix_now};
+use cloverfold_app::{Lifecycle, Phase, ThreadState, unix_now};
 use cloverfold_claim::Claims;
 use cloverfold_claims_core::{
     Outcome, ReasonCode, RetryBudget, Submission, SubmissionKey, UnixTime, format_key,
@@ -36,7 +36,7 @@
     pub(crate) network: Network,
     pub(crate) cell: Arc<CellSettings>,
     pub(crate) lifecycle: Lifecycle,
-    pub(crate) jobs: ControlState<Jobs>,
+    pub(crate) jobs: ThreadState<Jobs>,
     pub(crate) retry_budget: Mutex<RetryBudget>,
     pub(crate) metrics: CoordinateMetrics,
 }
--- a/crates/claims/cloverfold_execute/src/runner.rs
+++ b/crates/claims/cloverfold_execute/src/runner.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cloverfold_app::{ControlState, unix_now};
+use cloverfold_app::{ThreadState, unix_now};
 use cloverfold_claims_core::{
     Candidate, Placement, QueuedTask, ReasonCode, ReleaseVerdict, TaskEnd, TaskId, format_key,
 };
@@ -26,7 +26,7 @@
 /// The parts that work on tasks, shared by all handlers.
 #[derive(Clone)]
 pub(crate) struct Runner {
-    pub(crate) execution: ControlState<Execution>,
+    pub(crate) execution: ThreadState<Execution>,
     pub(crate) target: TargetClient,
     pub(crate) membership: Membership,
     pub(crate) cell: Arc<CellSettings>,
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use cloverfold_app::{Control, ControlState, Lifecycle, Phase, draw_below};
+use cloverfold_app::{ControlThread, Lifecycle, Phase, ThreadState, draw_below};
 use cloverfold_claims_core::{
     Candidate, Capacity, GuardId, MemberPhase, MemberReport, MemberTable, Placement,
     PlacementPolicy,
@@ -90,7 +90,7 @@
 /// A task that this process has at a place; dropped when the task has ended there.
 pub struct Charge {
     place: Placement,
-    table: ControlState<MemberTable>,
+    table: ThreadState<MemberTable>,
     changed: Arc<Notify>,
 }
 
@@ -116,7 +116,7 @@
 #[derive(Clone)]
 pub struct Membership {
     started: Instant,
-    table: ControlState<MemberTable>,
+    table: ThreadState<MemberTable>,
     network: Network,
     directory: Arc<Directory>,
     changed: Arc<Notify>,
@@ -126,7 +126,7 @@
 
 impl Membership {
     pub(crate) fn new(
-        control: &Control,
+        control: &ControlThread,
         network: Network,
         directory: Arc<Directory>,
         own: Option<Arc<OwnMember>>,
--- a/crates/cloverfold/src/bin/cloverfold/leased.rs
+++ b/crates/cloverfold/src/bin/cloverfold/leased.rs
@@ -6,7 +6,7 @@
 use argh::FromArgs;
 use cloverfold_app::start_logging;
 use cloverfold_control::start_control;
-use cloverfold_leased_entry::start_gateway;
+use cloverfold_leased_entry::start_leased_entry;
 use cloverfold_platform::Platform;
 use cloverfold_process::{SettingsWatch, start_leased_runtime};
 use cloverfold_settings::{ControlSettings, LeasedEntrySettings};
@@ -26,7 +26,7 @@
         let settings = LeasedEntrySettings::read(&self.settings)?;
         start_logging(&settings.log)?;
         start_leased_runtime()?.block_on(async {
-            let process = start_gateway(&settings, Arc::new(Platform::default()))?;
+            let process = start_leased_entry(&settings, Arc::new(Platform::default()))?;
             let watch = SettingsWatch::start(&self.settings)?;
             let take = |settings| process.reload(&settings);
             watch.run_until_stop(LeasedEntrySettings::read, take).await;
--- a/crates/leased/cloverfold_control/src/metrics.rs
+++ b/crates/leased/cloverfold_control/src/metrics.rs
@@ -6,7 +6,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use crate::core::ControlCore;
+use crate::state::ControlState;
 
 /// Gauges that are read off the state when they are asked for.
 pub(crate) struct ControlMetrics {
@@ -35,12 +35,12 @@
     }
 
     /// Writes the metrics as text.
-    pub(crate) fn write(&self, core: &Arc<Mutex<ControlCore>>) -> String {
+    pub(crate) fn write(&self, state: &Arc<Mutex<ControlState>>) -> String {
         {
-            let core = core.lock().unwrap_or_else(PoisonError::into_inner);
-            self.version.set(core.held_version() as i64);
-            self.term.set(core.term() as i64);
-            self.fresh.set(i64::from(core.is_fresh()));
+            let state = state.lock().unwrap_or_else(PoisonError::into_inner);
+            self.version.set(state.held_version() as i64);
+            self.term.set(state.term() as i64);
+            self.fresh.set(i64::from(state.is_fresh()));
         }
         self.dropped_lines.set(count_dropped_lines() as i64);
         write_metrics(&self.registry)
--- a/crates/leased/cloverfold_control/src/operators.rs
+++ b/crates/leased/cloverfold_control/src/operators.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
-use crate::core::ControlCore;
+use crate::state::ControlState;
 
 /// How long an order may take until it is left without a clear answer.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -42,19 +42,19 @@
 
 /// Answers operators.
 pub(crate) struct Operators {
-    core: Arc<Mutex<ControlCore>>,
+    state: Arc<Mutex<ControlState>>,
     interface: Arc<dyn OperatorInterface>,
     name: String,
 }
 
 impl Operators {
     pub(crate) fn new(
-        core: Arc<Mutex<ControlCore>>,
+        state: Arc<Mutex<ControlState>>,
         interface: Arc<dyn OperatorInterface>,
         name: String,
     ) -> Self {
         Self {
-            core,
+            state,
             interface,
             name,
         }
@@ -118,7 +118,7 @@
             }
             self.lock().offer(&offer);
             let change = committed.wait_for(|held| *held >= offer.configuration.version);
-            // The sender lives as long as the core.
+            // The sender lives as long as the state.
             if timeout(OFFER_REPEAT, change).await.is_ok() {
                 return;
             }
@@ -141,7 +141,7 @@
             // A read that is given up counts as failed.
             if let Ok(Some(index)) = proof.await {
                 let mut applied = self.lock().follow_applied();
-                // The sender lives as long as the core.
+                // The sender lives as long as the state.
                 let _ = applied.wait_for(|held| *held >= index).await;
                 return self.lock().current_text();
             }
@@ -159,8 +159,8 @@
         json_response(StatusCode::OK, body)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, ControlCore> {
-        self.core.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, ControlState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -15,11 +15,11 @@
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::core::{ControlCore, Founding};
 use crate::disk::Disk;
 use crate::error::ControlError;
 use crate::metrics::ControlMetrics;
 use crate::operators::{OperatorInterface, Operators};
+use crate::state::{ControlState, Founding};
 
 const TICK: Duration = Duration::from_millis(25);
 const LINK_EVENTS: usize = 1_024;
@@ -28,7 +28,7 @@
 
 /// A control process that runs.
 pub struct ControlProcess {
-    core: Arc<Mutex<ControlCore>>,
+    state: Arc<Mutex<ControlState>>,
     operators: Serving,
     _metrics: Option<Serving>,
     /// Aborted on drop.
@@ -43,8 +43,8 @@
 
     /// Takes what may change under way: the seeds. The rest holds for the life of the process.
     pub fn reload(&self, settings: &ControlSettings) {
-        let mut core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
-        core.dial_seeds(&settings.peer.seed_addresses());
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        state.dial_seeds(&settings.peer.seed_addresses());
     }
 
     /// Answers what is under way and stops.
@@ -102,8 +102,8 @@
     let (disk_tx, mut disk_rx) = mpsc::unbounded_channel();
     let disk = Disk::start(store, disk_tx).map_err(ControlError::Thread)?;
     let dialed = DialedPeers::new(own_address, link_tx.clone());
-    let core = ControlCore::new(own, replica_id, replica, disk, dialed, founding);
-    let core = Arc::new(Mutex::new(core));
+    let state = ControlState::new(own, replica_id, replica, disk, dialed, founding);
+    let state = Arc::new(Mutex::new(state));
     log::info!(
         name = settings.peer.name.as_str(), replica = format!("{replica_id:016x}").as_str(),
         is_blank, may_found, is_founder;
@@ -111,27 +111,27 @@
     );
 
     let listener = listen_at("peer.port", own_address)?;
-    let operators = start_operators(settings, &core, interface)?;
+    let operators = start_operators(settings, &state, interface)?;
     let metrics = ControlMetrics::new();
     let metrics = serve_operations(
         settings.peer.metrics_address(),
         {
-            let core = core.clone();
-            move || metrics.write(&core)
+            let state = state.clone();
+            move || metrics.write(&state)
         },
         {
-            let core = core.clone();
+            let state = state.clone();
             move || {
-                let core = core.lock().unwrap_or_else(PoisonError::into_inner);
-                (!core.is_fresh()).then_some("out of touch with the majority")
+                let state = state.lock().unwrap_or_else(PoisonError::into_inner);
+                (!state.is_fresh()).then_some("out of touch with the majority")
             }
         },
     )?;
     let mut tasks = JoinSet::new();
     tasks.spawn(accept_links(listener, link_tx));
-    let shared = core.clone();
+    let shared = state.clone();
     tasks.spawn(async move {
-        let lock = || core.lock().unwrap_or_else(PoisonError::into_inner);
+        let lock = || state.lock().unwrap_or_else(PoisonError::into_inner);
         lock().begin(&seeds);
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -144,7 +144,7 @@
         }
     });
     Ok(ControlProcess {
-        core: shared,
+        state: shared,
         operators,
         _metrics: metrics,
         _tasks: tasks,
@@ -153,12 +153,12 @@
 
 fn start_operators(
     settings: &ControlSettings,
-    core: &Arc<Mutex<ControlCore>>,
+    state: &Arc<Mutex<ControlState>>,
     interface: Arc<dyn OperatorInterface>,
 ) -> Result<Serving, ControlError> {
     let address = settings.operator_address;
     let name = settings.peer.name.clone();
-    let operators = Arc::new(Operators::new(core.clone(), interface, name));
+    let operators = Arc::new(Operators::new(state.clone(), interface, name));
     let limits = || HttpLimits {
         body_bytes: MAX_CONFIGURATION,
         ..HttpLimits::default()
--- a/crates/leased/cloverfold_control/src/core/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -6,10 +6,10 @@
 use cloverfold_consensus::{Entry, Member, Members, Payload};
 use cloverfold_peer::{PeerMessage, PeerRole};
 
-use super::{ControlCore, SLOW_WRITE};
+use super::{ControlState, SLOW_WRITE};
 use crate::disk::DiskEvent;
 
-impl ControlCore {
+impl ControlState {
     pub(super) fn log_slow_writes(&mut self, now: Duration) {
         for (batch, since) in &mut self.writes {
             if now > *since + SLOW_WRITE {
--- a/crates/leased/cloverfold_control/src/core/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -46,7 +46,7 @@
 }
 
 /// What a control process believes.
-pub(crate) struct ControlCore {
+pub(crate) struct ControlState {
     clock: ProcessClock,
     own: Hello,
     replica_id: ReplicaId,
@@ -73,7 +73,7 @@
     believed: (u64, Role, Option<ReplicaId>),
 }
 
-impl ControlCore {
+impl ControlState {
     pub(crate) fn new(
         own: Hello,
         replica_id: ReplicaId,
--- a/crates/leased/cloverfold_control/src/core/orders.rs
+++ b/crates/leased/cloverfold_control/src/state/orders.rs
@@ -5,9 +5,9 @@
 use cloverfold_peer::PeerMessage;
 use tokio::sync::oneshot;
 
-use super::ControlCore;
+use super::ControlState;
 
-impl ControlCore {
+impl ControlState {
     /// Appends an offer if this process leads, and passes it to the leader otherwise.
     pub(crate) fn offer(&mut self, offer: &Offer) {
         let version = offer.configuration.version;
--- a/crates/leased/cloverfold_control/src/core/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -6,9 +6,9 @@
 use cloverfold_link::{LinkEvent, LinkId};
 use cloverfold_peer::{Directory, Hello, PeerMessage, PeerRole};
 
-use super::{ControlCore, KnownEntry, Link};
+use super::{ControlState, KnownEntry, Link};
 
-impl ControlCore {
+impl ControlState {
     /// Takes an event of a link.
     pub(crate) fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
         match event {
--- a/crates/leased/cloverfold_leased_entry/src/callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/callers.rs
@@ -8,17 +8,17 @@
 use cloverfold_lease::{JobAnswer, JobNumber, JobRequest};
 use http::{HeaderValue, StatusCode};
 
-use crate::core::GatewayCore;
-use crate::metrics::GatewayMetrics;
+use crate::metrics::EntryMetrics;
 use crate::protocol::{JobForm, JobProtocol, JobState, QueueCall};
+use crate::state::EntryState;
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Answers callers.
 pub(crate) struct Callers {
-    pub(crate) core: Arc<Mutex<GatewayCore>>,
+    pub(crate) state: Arc<Mutex<EntryState>>,
     pub(crate) protocol: Arc<dyn JobProtocol>,
-    pub(crate) metrics: GatewayMetrics,
+    pub(crate) metrics: EntryMetrics,
 }
 
 /// Stops a job if its caller leaves before the answer.
@@ -39,8 +39,8 @@
 }
 
 impl Callers {
-    pub(crate) fn lock(&self) -> MutexGuard<'_, GatewayCore> {
-        self.core.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn lock(&self) -> MutexGuard<'_, EntryState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Answers one request.
@@ -106,7 +106,7 @@
         self.metrics.observe(took);
         match answer {
             JobAnswer::Completed => log::debug!(job = id, route, took_ms; "completed"),
-            // The dispatcher has logged the refusal with what decided it, but for one after a stall, which the core has.
+            // The dispatcher has logged the refusal with what decided it, but for one after a stall, which the state has.
             JobAnswer::Refused { .. } => {}
             JobAnswer::Failed | JobAnswer::GivenUp => {
                 log::info!(job = id, route, took_ms, outcome; "a job is answered");
--- a/crates/leased/cloverfold_leased_entry/src/lib.rs
+++ b/crates/leased/cloverfold_leased_entry/src/lib.rs
@@ -4,13 +4,13 @@
 //! bodies and paths look like is a [`JobProtocol`]'s matter.
 
 mod callers;
-mod core;
 mod event_log;
 mod in_force;
 mod metrics;
 mod process;
 mod protocol;
+mod state;
 
 pub use in_force::InForce;
-pub use process::{GatewayProcess, start_gateway};
+pub use process::{LeasedEntry, start_leased_entry};
 pub use protocol::{JobForm, JobProtocol, JobState, MalformedJob, QueueCall};
--- a/crates/leased/cloverfold_leased_entry/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_entry/src/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-use crate::core::GatewayCore;
+use crate::state::EntryState;
 
 /// Bounds of the first bucket, in seconds, and how many double it.
 const FIRST_BUCKET: f64 = 0.005;
@@ -22,7 +22,7 @@
 }
 
 /// Counters and histograms of answers, and gauges that are read off the state when they are asked for.
-pub(crate) struct GatewayMetrics {
+pub(crate) struct EntryMetrics {
     registry: Registry,
     answers: Family<OutcomeLabel, Counter>,
     seconds: Histogram,
@@ -33,7 +33,7 @@
     dropped_lines: Gauge,
 }
 
-impl GatewayMetrics {
+impl EntryMetrics {
     pub(crate) fn new() -> Self {
         let mut registry = Registry::with_prefix("cloverfold_entry");
         let answers = Family::<OutcomeLabel, Counter>::default();
@@ -68,8 +68,8 @@
     }
 
     /// Writes the metrics as text.
-    pub(crate) fn write(&self, core: &GatewayCore) -> String {
-        let counts = core.counts();
+    pub(crate) fn write(&self, state: &EntryState) -> String {
+        let counts = state.counts();
         self.runs.set(&[
             ("assigned", counts.assigned),
             ("given_back", counts.given_back),
@@ -82,9 +82,9 @@
             ("stalled", counts.stalled),
             ("target_pauses", counts.pauses),
         ]);
-        self.version.set(core.version() as i64);
-        self.targets.set(core.ready_targets() as i64);
-        self.open_jobs.set(core.dispatcher.open_jobs() as i64);
+        self.version.set(state.version() as i64);
+        self.targets.set(state.ready_targets() as i64);
+        self.open_jobs.set(state.dispatcher.open_jobs() as i64);
         self.dropped_lines.set(count_dropped_lines() as i64);
         write_metrics(&self.registry)
     }
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -19,15 +19,15 @@
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
 use crate::callers::Callers;
-use crate::core::GatewayCore;
-use crate::metrics::GatewayMetrics;
+use crate::metrics::EntryMetrics;
 use crate::protocol::JobProtocol;
+use crate::state::EntryState;
 
 const TICK: Duration = Duration::from_millis(20);
 const LINK_EVENTS: usize = 1_024;
 
 /// An entry that runs.
-pub struct GatewayProcess {
+pub struct LeasedEntry {
     callers: Arc<Callers>,
     clients: Serving,
     readiness: Serving,
@@ -38,7 +38,7 @@
     _tasks: JoinSet<()>,
 }
 
-impl GatewayProcess {
+impl LeasedEntry {
     /// Returns the address at which callers are served.
     pub fn client_address(&self) -> SocketAddr {
         self.clients.address()
@@ -75,10 +75,10 @@
 /// # Errors
 ///
 /// Says which address cannot be used.
-pub fn start_gateway(
+pub fn start_leased_entry(
     settings: &LeasedEntrySettings,
     protocol: Arc<dyn JobProtocol>,
-) -> Result<GatewayProcess, ListenError> {
+) -> Result<LeasedEntry, ListenError> {
     let own_address = settings.peer.address();
     let own = Hello {
         name: settings.peer.name.clone(),
@@ -92,12 +92,12 @@
     let (link_tx, mut link_rx) = mpsc::channel(LINK_EVENTS);
     let dialed = DialedPeers::new(own_address, link_tx.clone());
     let controls = ControlLinks::new(settings.peer.seed_addresses(), dialed);
-    let core = GatewayCore::new(own, protocol.clone(), dispatcher, controls);
-    let core = Arc::new(Mutex::new(core));
+    let state = EntryState::new(own, protocol.clone(), dispatcher, controls);
+    let state = Arc::new(Mutex::new(state));
     let callers = Arc::new(Callers {
-        core: core.clone(),
+        state: state.clone(),
         protocol,
-        metrics: GatewayMetrics::new(),
+        metrics: EntryMetrics::new(),
     });
     log::info!(name = settings.peer.name.as_str(); "an entry starts");
 
@@ -118,7 +118,7 @@
     let mut tasks = JoinSet::new();
     tasks.spawn(accept_links(listener, link_tx));
     tasks.spawn(async move {
-        let lock = || core.lock().unwrap_or_else(PoisonError::into_inner);
+        let lock = || state.lock().unwrap_or_else(PoisonError::into_inner);
         lock().begin();
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -129,7 +129,7 @@
             }
         }
     });
-    Ok(GatewayProcess {
+    Ok(LeasedEntry {
         callers,
         clients,
         readiness,
--- a/crates/leased/cloverfold_leased_entry/src/core.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state.rs
@@ -41,7 +41,7 @@
 }
 
 /// What an entry believes.
-pub(crate) struct GatewayCore {
+pub(crate) struct EntryState {
     clock: ProcessClock,
     own: Hello,
     protocol: Arc<dyn JobProtocol>,
@@ -58,7 +58,7 @@
     was_ready: bool,
 }
 
-impl GatewayCore {
+impl EntryState {
     pub(crate) fn new(
         own: Hello,
         protocol: Arc<dyn JobProtocol>,
--- a/crates/leased/cloverfold_leased_guard/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_guard/src/metrics.rs
@@ -4,7 +4,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use crate::core::GuardCore;
+use crate::state::GuardState;
 
 /// Gauges that are read off the state when they are asked for.
 pub(crate) struct GuardMetrics {
@@ -35,8 +35,8 @@
     }
 
     /// Writes the metrics as text.
-    pub(crate) fn write(&self, core: &GuardCore) -> String {
-        let counts = core.counts();
+    pub(crate) fn write(&self, state: &GuardState) -> String {
+        let counts = state.counts();
         self.runs.set(&[
             ("started", counts.started),
             ("repeated_starts", counts.repeated_starts),
@@ -48,8 +48,8 @@
             ("stuck", counts.stuck),
             ("target_pauses", counts.pauses),
         ]);
-        self.held.set(core.held() as i64);
-        self.ready.set(i64::from(core.has_ready_target()));
+        self.held.set(state.held() as i64);
+        self.ready.set(i64::from(state.has_ready_target()));
         self.dropped_lines.set(count_dropped_lines() as i64);
         write_metrics(&self.registry)
     }
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -18,9 +18,9 @@
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-use crate::core::{GuardCore, TargetOrder};
 use crate::interface::{RegistrationRefusal, TargetInterface};
 use crate::metrics::GuardMetrics;
+use crate::state::{GuardState, TargetOrder};
 
 const TICK: Duration = Duration::from_millis(20);
 const LINK_EVENTS: usize = 1_024;
@@ -31,11 +31,11 @@
 /// Pause while no target is known.
 const NO_TARGET_PAUSE: Duration = Duration::from_millis(200);
 
-type SharedCore = Arc<Mutex<GuardCore>>;
+type SharedState = Arc<Mutex<GuardState>>;
 
 /// A guard that runs.
-pub struct GuardProcess {
-    core: SharedCore,
+pub struct LeasedGuard {
+    state: SharedState,
     registrations: Serving,
     _metrics: Option<Serving>,
     drain_timeout: Duration,
@@ -43,7 +43,7 @@
     _tasks: JoinSet<()>,
 }
 
-impl GuardProcess {
+impl LeasedGuard {
     /// Returns the address at which the target registers.
     pub fn registration_address(&self) -> SocketAddr {
         self.registrations.address()
@@ -51,16 +51,16 @@
 
     /// Takes what may change under way: the seeds. The rest holds for the life of the process.
     pub fn reload(&self, settings: &LeasedGuardSettings) {
-        lock(&self.core).set_seeds(settings.peer.seed_addresses());
+        lock(&self.state).set_seeds(settings.peer.seed_addresses());
     }
 
     /// Stops as planned: no new run is taken, and those that are held end.
     pub async fn stop(self) {
         const PAUSE: Duration = Duration::from_millis(20);
         log::info!("draining");
-        lock(&self.core).leave();
+        lock(&self.state).leave();
         let drained = async {
-            while lock(&self.core).held() > 0 {
+            while lock(&self.state).held() > 0 {
                 sleep(PAUSE).await;
             }
         };
@@ -77,7 +77,7 @@
 pub fn start_leased_guard(
     settings: &LeasedGuardSettings,
     interface: Arc<dyn TargetInterface>,
-) -> Result<GuardProcess, ListenError> {
+) -> Result<LeasedGuard, ListenError> {
     let own_address = settings.peer.address();
     let own = Hello {
         name: settings.peer.name.clone(),
@@ -92,7 +92,7 @@
     let (link_tx, mut link_rx) = mpsc::channel(LINK_EVENTS);
     let (order_tx, order_rx) = mpsc::unbounded_channel();
     let hold_now = Arc::new(Notify::new());
-    let core = GuardCore::new(
+    let state = GuardState::new(
         own,
         runner,
         ControlLinks::new(
@@ -103,43 +103,43 @@
         order_tx,
         hold_now.clone(),
     );
-    let core = Arc::new(Mutex::new(core));
+    let state = Arc::new(Mutex::new(state));
     log::info!(name = settings.peer.name.as_str(); "a guard starts");
 
     let listener = listen_at("peer.port", own_address)?;
-    let registrations = start_registrations(settings.registration_address, &core, &interface)?;
+    let registrations = start_registrations(settings.registration_address, &state, &interface)?;
     let metrics = GuardMetrics::new();
     let metrics = serve_operations(
         settings.peer.metrics_address(),
         {
-            let core = core.clone();
-            move || metrics.write(&lock(&core))
+            let state = state.clone();
+            move || metrics.write(&lock(&state))
         },
         {
-            let core = core.clone();
-            move || (!lock(&core).has_ready_target()).then_some("no target takes work")
+            let state = state.clone();
+            move || (!lock(&state).has_ready_target()).then_some("no target takes work")
         },
     )?;
     let mut tasks = JoinSet::new();
     tasks.spawn(accept_links(listener, link_tx));
-    tasks.spawn(carry_out_orders(core.clone(), order_rx, interface.clone()));
-    tasks.spawn(keep_holding(core.clone(), interface, hold_now));
+    tasks.spawn(carry_out_orders(state.clone(), order_rx, interface.clone()));
+    tasks.spawn(keep_holding(state.clone(), interface, hold_now));
     tasks.spawn({
-        let core = core.clone();
+        let state = state.clone();
         async move {
-            lock(&core).begin();
+            lock(&state).begin();
             let mut ticks = interval(TICK);
             ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
             loop {
                 tokio::select! {
-                    Some(event) = link_rx.recv() => lock(&core).link_event(event),
-                    _ = ticks.tick() => lock(&core).tick(),
+                    Some(event) = link_rx.recv() => lock(&state).link_event(event),
+                    _ = ticks.tick() => lock(&state).tick(),
                 }
             }
         }
     });
-    Ok(GuardProcess {
-        core,
+    Ok(LeasedGuard {
+        state,
         registrations,
         _metrics: metrics,
         drain_timeout: settings.drain_timeout(),
@@ -147,13 +147,13 @@
     })
 }
 
-fn lock(core: &SharedCore) -> std::sync::MutexGuard<'_, GuardCore> {
-    core.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &SharedState) -> std::sync::MutexGuard<'_, GuardState> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Sends each order to the target by itself: none waits for the answer to another.
 async fn carry_out_orders(
-    core: SharedCore,
+    state: SharedState,
     mut orders: mpsc::UnboundedReceiver<TargetOrder>,
     interface: Arc<dyn TargetInterface>,
 ) {
@@ -161,10 +161,10 @@
         match order {
             TargetOrder::Start(order) => {
                 let answer = interface.start(order.clone());
-                let core = core.clone();
+                let state = state.clone();
                 tokio::spawn(async move {
                     let answer = answer.await;
-                    lock(&core).start_answered(&order, answer);
+                    lock(&state).start_answered(&order, answer);
                 });
             }
             TargetOrder::Stop(order) => {
@@ -179,9 +179,9 @@
 }
 
 /// Renews the lease again and again; each answer tells what runs and what has ended.
-async fn keep_holding(core: SharedCore, interface: Arc<dyn TargetInterface>, now: Arc<Notify>) {
+async fn keep_holding(state: SharedState, interface: Arc<dyn TargetInterface>, now: Arc<Notify>) {
     loop {
-        let order = lock(&core).plan_hold();
+        let order = lock(&state).plan_hold();
         let Some(order) = order else {
             // Whether it is told or not, it looks again.
             let _ = timeout(NO_TARGET_PAUSE, now.notified()).await;
@@ -189,9 +189,9 @@
         };
         let answer = interface.hold(order.clone()).await;
         let is_listed = matches!(answer, HoldAnswer::Listed { .. });
-        lock(&core).hold_answered(&order, answer);
+        lock(&state).hold_answered(&order, answer);
         if !is_listed {
-            let is_silent = !lock(&core).has_ready_target();
+            let is_silent = !lock(&state).has_ready_target();
             sleep(if is_silent { SILENT_PAUSE } else { HOLD_PAUSE }).await;
         } else if order.deadline.is_none() {
             // What is not ours is being stopped.
@@ -202,15 +202,15 @@
 
 fn start_registrations(
     address: SocketAddr,
-    core: &SharedCore,
+    state: &SharedState,
     interface: &Arc<dyn TargetInterface>,
 ) -> Result<Serving, ListenError> {
-    let core = core.clone();
+    let state = state.clone();
     let interface = interface.clone();
     let answer = move |request: Request| {
         let response = match interface.read_registration(&request) {
             Ok(call) => {
-                lock(&core).registration(call);
+                lock(&state).registration(call);
                 json_response(StatusCode::OK, interface.write_acknowledgement())
             }
             Err(RegistrationRefusal::Unknown) => {
--- a/crates/leased/cloverfold_leased_guard/src/core.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -37,7 +37,7 @@
 }
 
 /// What a guard believes.
-pub(crate) struct GuardCore {
+pub(crate) struct GuardState {
     clock: ProcessClock,
     own: Hello,
     runner: Runner,
@@ -51,7 +51,7 @@
     unfitness: Option<TargetUnfitness>,
 }
 
-impl GuardCore {
+impl GuardState {
     pub(crate) fn new(
         own: Hello,
         runner: Runner,
