--- a/crates/claims/cloverfold_app/src/lib.rs
+++ b/crates/claims/cloverfold_app/src/lib.rs
@@ -1,4 +1,4 @@
-//! Plugin registry, telemetry and life cycle shared by every process.
+//! Plugin registry and life cycle shared by the processes of a claims installation.
 //!
 //! A process is an [`App`] to which each capability adds itself as a [`Plugin`]: its resources, message
 //! handlers, metrics, background tasks, readiness checks and what it does when the process stops. The
@@ -18,22 +18,14 @@
 //! ```
 
 mod app;
-mod bounded_log;
-mod cause_gauges;
-mod clock;
 mod control;
 mod lifecycle;
-mod logging;
 mod ops_http;
 mod resources;
 mod traffic;
 
 pub use app::{App, BuildError, Plugin, Running};
-pub use bounded_log::count_dropped_lines;
-pub use cause_gauges::CauseGauges;
-pub use clock::{draw_below, random_u64, unix_now};
 pub use control::{ControlThread, ThreadState};
 pub use lifecycle::{Lifecycle, Phase};
-pub use logging::{LoggingError, start_logging};
-pub use ops_http::{HttpServer, OpsState, build_ops_router, write_metrics};
+pub use ops_http::{HttpServer, OpsState, build_ops_router};
 pub use resources::Resources;
--- a/crates/claims/cloverfold_app/src/ops_http.rs
+++ b/crates/claims/cloverfold_app/src/ops_http.rs
@@ -17,15 +17,6 @@
 
 type ReadyCheck = Box<dyn Fn() -> Result<(), String> + Send + Sync>;
 
-/// Writes all metrics of a registry as text.
-pub fn write_metrics(registry: &Registry) -> String {
-    let mut text = String::new();
-    match encode(&mut text, registry) {
-        Ok(()) => text,
-        Err(cause) => format!("# {cause}\n"),
-    }
-}
-
 /// What the operations routes show.
 pub struct OpsState {
     lifecycle: Lifecycle,
--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -4,7 +4,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use cloverfold_app::{ThreadState, random_u64, unix_now};
+use cloverfold_app::ThreadState;
+use cloverfold_base::{random_u64, unix_now};
 use cloverfold_claims_core::{
     Cell, Claim, ClaimReply, ClaimRequest, GuardId, Placement, Proposer, ProposerStep, Replica,
     Reply, Submission, SubmissionKey,
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -4,7 +4,8 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-use cloverfold_app::{App, BuildError, Plugin, unix_now};
+use cloverfold_app::{App, BuildError, Plugin};
+use cloverfold_base::unix_now;
 use cloverfold_claims_core::{Placement, Replica};
 use cloverfold_membership::{Directory, Membership, OwnState};
 use cloverfold_net::{Peer, PeerRole};
--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 
-use cloverfold_app::{Lifecycle, Phase, random_u64, unix_now};
+use cloverfold_app::{Lifecycle, Phase};
+use cloverfold_base::{random_u64, unix_now};
 use cloverfold_claims_core::{GuardId, Standing};
 use cloverfold_net::CallError;
 use tokio::task::JoinSet;
--- a/crates/claims/cloverfold_claims_core/src/fence.rs
+++ b/crates/claims/cloverfold_claims_core/src/fence.rs
@@ -8,11 +8,12 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
+use cloverfold_base::UnixTime;
 use serde::{Deserialize, Serialize};
 
 use crate::fair_queue::{FairQueue, Flow};
 use crate::outcome::ReasonCode;
-use crate::{Incarnation, Placement, SubmissionKey, TaskIndex, UnixTime};
+use crate::{Incarnation, Placement, SubmissionKey, TaskIndex};
 
 /// Every task takes one slot.
 const TASK_COST: f64 = 1.0;
--- a/crates/claims/cloverfold_claims_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -33,8 +33,8 @@
     AssignVerdict, Fence, FenceLimits, QueuedTask, ReleaseVerdict, TaskEnd, TaskId, TaskState,
 };
 pub use ids::{
-    BodyDigest, CustomerId, GuardId, HASH_LEN, Incarnation, Placement, ServiceId, SubmissionKey,
-    TaskIndex, UnixTime, derive_submission_key, format_key, hash_parts,
+    BodyDigest, CustomerId, GuardId, Incarnation, Placement, ServiceId, SubmissionKey, TaskIndex,
+    derive_submission_key, format_key,
 };
 pub use job::{JobAction, JobEvent, JobOptions, JobProgress};
 pub use members::{MemberPhase, MemberReport, MemberTable};
--- a/crates/claims/cloverfold_claims_core/src/replica.rs
+++ b/crates/claims/cloverfold_claims_core/src/replica.rs
@@ -10,12 +10,13 @@
 use std::ops::Bound;
 use std::time::Duration;
 
+use cloverfold_base::UnixTime;
 use serde::{Deserialize, Serialize};
 
 use crate::cell::Cell;
 use crate::outcome::ReasonCode;
 use crate::proposer::Proposer;
-use crate::{BodyDigest, GuardId, Incarnation, Placement, SubmissionKey, TaskIndex, UnixTime};
+use crate::{BodyDigest, GuardId, Incarnation, Placement, SubmissionKey, TaskIndex};
 
 /// Order of attempts to fix a claim; a larger ballot overrules a smaller one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/claims/cloverfold_coordinate/src/admitter.rs
+++ b/crates/claims/cloverfold_coordinate/src/admitter.rs
@@ -5,10 +5,9 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use cloverfold_app::{ThreadState, unix_now};
-use cloverfold_claims_core::{
-    Admission, Flow, PlacementPolicy, ReasonCode, Ticket, TicketId, UnixTime,
-};
+use cloverfold_app::ThreadState;
+use cloverfold_base::{UnixTime, unix_now};
+use cloverfold_claims_core::{Admission, Flow, PlacementPolicy, ReasonCode, Ticket, TicketId};
 use cloverfold_membership::{Charge, Membership};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::timeout;
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use cloverfold_app::random_u64;
+use cloverfold_base::random_u64;
 use cloverfold_claims_core::{GuardId, JobEvent, Placement, TaskEnd, TaskIndex};
 use cloverfold_execute::{Assign, AssignReply, AssignedTask, Release};
 use cloverfold_membership::Charge;
--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -3,10 +3,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use cloverfold_app::{Lifecycle, Phase, ThreadState, unix_now};
+use cloverfold_app::{Lifecycle, Phase, ThreadState};
+use cloverfold_base::{UnixTime, unix_now};
 use cloverfold_claim::Claims;
 use cloverfold_claims_core::{
-    Outcome, ReasonCode, RetryBudget, Submission, SubmissionKey, UnixTime, format_key,
+    Outcome, ReasonCode, RetryBudget, Submission, SubmissionKey, format_key,
 };
 use cloverfold_membership::{Directory, Membership};
 use cloverfold_net::Network;
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_app::{draw_below, unix_now};
+use cloverfold_base::{draw_below, unix_now};
 use cloverfold_claim::ClaimError;
 use cloverfold_claims_core::{
     Claim, JobAction, JobEvent, JobOptions, JobProgress, Outcome, Placement, ReasonCode, TaskEnd,
--- a/crates/claims/cloverfold_coordinate/src/jobs.rs
+++ b/crates/claims/cloverfold_coordinate/src/jobs.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_claims_core::{BodyDigest, Outcome, SubmissionKey, UnixTime};
+use cloverfold_base::UnixTime;
+use cloverfold_claims_core::{BodyDigest, Outcome, SubmissionKey};
 use tokio::sync::watch;
 
 /// Bytes of results that are kept for callers that ask again.
--- a/crates/claims/cloverfold_coordinate/src/messages.rs
+++ b/crates/claims/cloverfold_coordinate/src/messages.rs
@@ -1,8 +1,8 @@
 //! Messages from an entry to the coordinator of a job.
 
+use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
     BodyDigest, CustomerId, Outcome, ReasonCode, Repeat, ServiceId, Submission, SubmissionKey,
-    UnixTime,
 };
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
--- a/crates/claims/cloverfold_entry/src/api.rs
+++ b/crates/claims/cloverfold_entry/src/api.rs
@@ -4,7 +4,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use cloverfold_app::{Lifecycle, Phase, random_u64, unix_now};
+use cloverfold_app::{Lifecycle, Phase};
+use cloverfold_base::{random_u64, unix_now};
 use cloverfold_claims_core::{ReasonCode, derive_submission_key};
 use cloverfold_coordinate::{JobState, Submit};
 use cloverfold_settings::{CellSettings, EntrySettings};
--- a/crates/claims/cloverfold_entry/src/routing.rs
+++ b/crates/claims/cloverfold_entry/src/routing.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_app::{random_u64, unix_now};
+use cloverfold_base::{random_u64, unix_now};
 use cloverfold_claims_core::{
     Cell, GuardId, Outcome, ReasonCode, SubmissionKey, derive_submission_key, format_key,
 };
--- a/crates/claims/cloverfold_entry/src/submission.rs
+++ b/crates/claims/cloverfold_entry/src/submission.rs
@@ -2,9 +2,8 @@
 
 use std::time::Duration;
 
-use cloverfold_claims_core::{
-    BodyDigest, Repeat, Submission, UnixTime, derive_submission_key, hash_parts,
-};
+use cloverfold_base::{UnixTime, hash_parts};
+use cloverfold_claims_core::{BodyDigest, Repeat, Submission, derive_submission_key};
 use http::StatusCode;
 use serde::Deserialize;
 use serde_json::value::RawValue;
--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cloverfold_app::draw_below;
+use cloverfold_base::{UnixTime, draw_below};
 use cloverfold_claims_core::{
     AssignVerdict, Candidate, Fence, FenceLimits, Flow, Incarnation, QueuedTask, ReasonCode,
-    ReleaseVerdict, TaskEnd, TaskId, TaskState, UnixTime, choose_free_place,
+    ReleaseVerdict, TaskEnd, TaskId, TaskState, choose_free_place,
 };
 use cloverfold_membership::OwnState;
 use tokio::sync::mpsc;
--- a/crates/claims/cloverfold_execute/src/messages.rs
+++ b/crates/claims/cloverfold_execute/src/messages.rs
@@ -1,8 +1,9 @@
 //! Messages from a coordinator to the guard of a target.
 
+use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
     CustomerId, GuardId, Incarnation, MemberReport, Placement, ReleaseVerdict, ServiceId,
-    SubmissionKey, TaskEnd, TaskIndex, UnixTime,
+    SubmissionKey, TaskEnd, TaskIndex,
 };
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
--- a/crates/claims/cloverfold_execute/src/runner.rs
+++ b/crates/claims/cloverfold_execute/src/runner.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cloverfold_app::{ThreadState, unix_now};
+use cloverfold_app::ThreadState;
+use cloverfold_base::unix_now;
 use cloverfold_claims_core::{
     Candidate, Placement, QueuedTask, ReasonCode, ReleaseVerdict, TaskEnd, TaskId, format_key,
 };
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -5,7 +5,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use cloverfold_app::{ControlThread, Lifecycle, Phase, ThreadState, draw_below};
+use cloverfold_app::{ControlThread, Lifecycle, Phase, ThreadState};
+use cloverfold_base::draw_below;
 use cloverfold_claims_core::{
     Candidate, Capacity, GuardId, MemberPhase, MemberReport, MemberTable, Placement,
     PlacementPolicy,
--- a/crates/claims/cloverfold_membership/src/plugin.rs
+++ b/crates/claims/cloverfold_membership/src/plugin.rs
@@ -4,7 +4,8 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-use cloverfold_app::{App, BuildError, Lifecycle, Phase, Plugin, draw_below};
+use cloverfold_app::{App, BuildError, Lifecycle, Phase, Plugin};
+use cloverfold_base::draw_below;
 use cloverfold_claims_core::{GuardId, Placement};
 use cloverfold_net::{Network, Peer, PeerRole};
 use cloverfold_settings::CellSettings;
--- a/crates/claims/cloverfold_process/src/guard.rs
+++ b/crates/claims/cloverfold_process/src/guard.rs
@@ -1,6 +1,7 @@
 //! The guard process.
 
-use cloverfold_app::{App, Running, unix_now};
+use cloverfold_app::{App, Running};
+use cloverfold_base::unix_now;
 use cloverfold_claim::ClaimPlugin;
 use cloverfold_claims_core::Placement;
 use cloverfold_coordinate::CoordinatePlugin;
--- a/crates/cloverfold/src/bin/cloverfold/entry.rs
+++ b/crates/cloverfold/src/bin/cloverfold/entry.rs
@@ -3,9 +3,9 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use cloverfold_app::start_logging;
 use cloverfold_process::start_entry;
 use cloverfold_settings::EntrySettings;
+use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
 /// Serve callers on an entry box.
--- a/crates/cloverfold/src/bin/cloverfold/leased.rs
+++ b/crates/cloverfold/src/bin/cloverfold/leased.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 
 use argh::FromArgs;
-use cloverfold_app::start_logging;
 use cloverfold_control::start_control;
 use cloverfold_leased_entry::start_leased_entry;
 use cloverfold_platform::Platform;
 use cloverfold_process::{SettingsWatch, start_leased_runtime};
 use cloverfold_settings::{ControlSettings, LeasedEntrySettings};
+use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
 /// Serve callers whose jobs may be repeated, on targets that lease their runs.
--- a/crates/cloverfold/src/bin/cloverfold/solo.rs
+++ b/crates/cloverfold/src/bin/cloverfold/solo.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use argh::FromArgs;
-use cloverfold_app::start_logging;
 use cloverfold_settings::LogSettings;
 use cloverfold_solo::{SoloConfig, SoloLoad, SoloSystem, measure_load};
+use cloverfold_telemetry::start_logging;
 use eyre::{Result, bail};
 
 /// Run every role in this process, put sample jobs on, and report.
--- a/crates/leased/cloverfold_configuration/src/state.rs
+++ b/crates/leased/cloverfold_configuration/src/state.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_claims_core::hash_parts;
+use cloverfold_base::hash_parts;
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::Version;
--- a/crates/leased/cloverfold_control/src/metrics.rs
+++ b/crates/leased/cloverfold_control/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use cloverfold_app::{count_dropped_lines, write_metrics};
+use cloverfold_telemetry::{count_dropped_lines, write_metrics};
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
--- a/crates/leased/cloverfold_control/src/operators.rs
+++ b/crates/leased/cloverfold_control/src/operators.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use cloverfold_app::unix_now;
+use cloverfold_base::unix_now;
 use cloverfold_configuration::{
     AuditRecord, ConfigurationFault, ConfigurationFormat, Offer, StoredConfiguration,
 };
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use cloverfold_app::random_u64;
+use cloverfold_base::random_u64;
 use cloverfold_consensus::{Record, Replica, ReplicaConfig, Store};
 use cloverfold_http::{
     HttpLimits, Request, Serving, StopPhase, listen_at, serve_at, serve_operations,
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -8,10 +8,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use cloverfold_base::ProcessClock;
 use cloverfold_configuration::{AuditRecord, ConfigurationState, Version};
 use cloverfold_consensus::{LogIndex, Outgoing, Replica, ReplicaId, Role};
 use cloverfold_link::{LinkId, LinkSender};
-use cloverfold_peer::{DialedPeers, Hello, PeerMessage, PeerRole, ProcessClock};
+use cloverfold_peer::{DialedPeers, Hello, PeerMessage, PeerRole};
 use serde_json::json;
 use tokio::sync::{oneshot, watch};
 
--- a/crates/leased/cloverfold_leased_entry/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_entry/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cloverfold_app::{CauseGauges, count_dropped_lines, write_metrics};
+use cloverfold_telemetry::{CauseGauges, count_dropped_lines, write_metrics};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/crates/leased/cloverfold_leased_entry/src/state.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state.rs
@@ -5,13 +5,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_app::unix_now;
+use cloverfold_base::{ProcessClock, unix_now};
 use cloverfold_configuration::Configuration;
 use cloverfold_lease::{
     Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRequest, RefusalCause,
 };
 use cloverfold_link::{LinkEvent, LinkId, LinkSender, send_once};
-use cloverfold_peer::{ControlLinks, Hello, PeerMessage, PeerRole, ProcessClock};
+use cloverfold_peer::{ControlLinks, Hello, PeerMessage, PeerRole};
 use tokio::sync::oneshot;
 
 use crate::event_log::log_event;
--- a/crates/leased/cloverfold_leased_guard/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_guard/src/metrics.rs
@@ -1,6 +1,6 @@
 //! What a guard counts.
 
-use cloverfold_app::{CauseGauges, count_dropped_lines, write_metrics};
+use cloverfold_telemetry::{CauseGauges, count_dropped_lines, write_metrics};
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use cloverfold_app::unix_now;
+use cloverfold_base::unix_now;
 use cloverfold_http::{
     HttpLimits, ListenError, Request, Serving, json_response, listen_at, plain_response, serve_at,
     serve_operations,
--- a/crates/leased/cloverfold_leased_guard/src/state.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -5,15 +5,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use cloverfold_base::ProcessClock;
 use cloverfold_configuration::StoredConfiguration;
 use cloverfold_lease::{
     HoldAnswer, HoldOrder, Runner, RunnerAction, RunnerCounts, RunnerMessage, StartAnswer,
     StartOrder, StopOrder, TargetUnfitness,
 };
 use cloverfold_link::{LinkEvent, LinkId, LinkSender};
-use cloverfold_peer::{
-    ControlLinks, DialedPeers, Directory, Hello, PeerMessage, PeerRole, ProcessClock,
-};
+use cloverfold_peer::{ControlLinks, DialedPeers, Directory, Hello, PeerMessage, PeerRole};
 use tokio::sync::{Notify, mpsc};
 
 use crate::interface::RegistrationCall;
--- a/crates/leased/cloverfold_peer/src/lib.rs
+++ b/crates/leased/cloverfold_peer/src/lib.rs
@@ -5,9 +5,7 @@
 //! that the two find each other again while no control process can be reached.
 
 mod addresses;
-mod clock;
 mod messages;
 
 pub use addresses::{ControlLinks, DialedPeers};
-pub use clock::ProcessClock;
 pub use messages::{Directory, Hello, PeerMessage, PeerRole};
