--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -7,9 +7,9 @@
 use cloverfold_app::{App, BuildError, Plugin};
 use cloverfold_base::unix_now;
 use cloverfold_claims_core::{Placement, Replica};
+use cloverfold_claims_settings::CellSettings;
 use cloverfold_membership::{Directory, Membership, OwnState};
 use cloverfold_net::{Peer, PeerRole};
-use cloverfold_settings::CellSettings;
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::time::sleep;
 
--- a/crates/common/cloverfold_settings/src/cell.rs
+++ b/crates/claims/cloverfold_claims_settings/src/cell.rs
@@ -5,12 +5,11 @@
 use std::time::Duration;
 
 use cloverfold_claims_core::{Cell, Flow, GuardId, Location, PlacementPolicy};
+use cloverfold_settings::{Check, FaultList};
 use serde::Deserialize;
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq;
 
-use crate::document::{Check, FaultList};
-
 const KEY_HASH_LEN: usize = 32;
 const ALLOWED_REPLICAS: [usize; 3] = [1, 3, 5];
 
--- a/crates/common/cloverfold_settings/src/entry.rs
+++ b/crates/claims/cloverfold_claims_settings/src/entry.rs
@@ -4,10 +4,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+use cloverfold_settings::{
+    Check, FaultList, KeySettings, LogSettings, ProcessSettings, SettingsError,
+    read_process_settings,
+};
 use serde::Deserialize;
 
-use crate::common::{KeySettings, LogSettings, ProcessSettings, read_process_settings};
-use crate::document::{Check, FaultList, SettingsError};
 use crate::guard::default_drain_ms;
 
 /// Settings of one `cloverfold entry`.
@@ -79,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// As [`crate::read_settings`].
+    /// As [`cloverfold_settings::read_settings`].
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         read_process_settings(file)
     }
--- a/crates/common/cloverfold_settings/src/guard.rs
+++ b/crates/claims/cloverfold_claims_settings/src/guard.rs
@@ -5,11 +5,12 @@
 use std::time::Duration;
 
 use cloverfold_claims_core::GuardId;
+use cloverfold_settings::{
+    Check, FaultList, KeySettings, LogSettings, ProcessSettings, SettingsError,
+    read_process_settings,
+};
 use serde::Deserialize;
 
-use crate::common::{KeySettings, LogSettings, ProcessSettings, read_process_settings};
-use crate::document::{Check, FaultList, SettingsError};
-
 /// Settings of one `cloverfold-guard`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -82,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// As [`crate::read_settings`].
+    /// As [`cloverfold_settings::read_settings`].
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         read_process_settings(file)
     }
--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -9,9 +9,9 @@
 use cloverfold_claims_core::{
     Outcome, ReasonCode, RetryBudget, Submission, SubmissionKey, format_key,
 };
+use cloverfold_claims_settings::CellSettings;
 use cloverfold_membership::{Directory, Membership};
 use cloverfold_net::Network;
-use cloverfold_settings::CellSettings;
 use tokio::time::sleep;
 
 use crate::admitter::Admitter;
--- a/crates/claims/cloverfold_entry/src/auth.rs
+++ b/crates/claims/cloverfold_entry/src/auth.rs
@@ -1,6 +1,6 @@
 //! Who a caller is.
 
-use cloverfold_settings::{CellSettings, CustomerSettings, verify_caller_key};
+use cloverfold_claims_settings::{CellSettings, CustomerSettings, verify_caller_key};
 use http::{HeaderMap, StatusCode};
 
 use crate::submission::Refusal;
--- a/crates/claims/cloverfold_entry/src/plugin.rs
+++ b/crates/claims/cloverfold_entry/src/plugin.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cloverfold_app::{App, BuildError, Plugin};
+use cloverfold_claims_settings::{CellSettings, EntrySettings};
 use cloverfold_membership::{Directory, Membership};
-use cloverfold_settings::{CellSettings, EntrySettings};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/crates/claims/cloverfold_execute/src/plugin.rs
+++ b/crates/claims/cloverfold_execute/src/plugin.rs
@@ -2,9 +2,9 @@
 
 use cloverfold_app::{App, BuildError, Plugin};
 use cloverfold_claims_core::{FenceLimits, Placement};
+use cloverfold_claims_settings::{CellSettings, GuardSettings};
 use cloverfold_membership::{Membership, OwnState};
 use cloverfold_net::{Peer, PeerRole, ReplySink};
-use cloverfold_settings::{CellSettings, GuardSettings};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 
--- a/crates/claims/cloverfold_execute/src/runner.rs
+++ b/crates/claims/cloverfold_execute/src/runner.rs
@@ -9,9 +9,9 @@
 use cloverfold_claims_core::{
     Candidate, Placement, QueuedTask, ReasonCode, ReleaseVerdict, TaskEnd, TaskId, format_key,
 };
+use cloverfold_claims_settings::CellSettings;
 use cloverfold_membership::Membership;
 use cloverfold_net::ReplySink;
-use cloverfold_settings::CellSettings;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
--- a/crates/claims/cloverfold_execute/src/target_client.rs
+++ b/crates/claims/cloverfold_execute/src/target_client.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use cloverfold_claims_core::{TaskId, format_key};
-use cloverfold_settings::TargetSettings;
+use cloverfold_claims_settings::TargetSettings;
 use http::{Method, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use serde::Deserialize;
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -11,8 +11,8 @@
     Candidate, Capacity, GuardId, MemberPhase, MemberReport, MemberTable, Placement,
     PlacementPolicy,
 };
+use cloverfold_claims_settings::CellSettings;
 use cloverfold_net::{Network, PeerAddress};
-use cloverfold_settings::CellSettings;
 use tokio::sync::{Notify, watch};
 
 /// A guard from which nothing was heard for this long gets no new task.
--- a/crates/claims/cloverfold_membership/src/plugin.rs
+++ b/crates/claims/cloverfold_membership/src/plugin.rs
@@ -7,8 +7,8 @@
 use cloverfold_app::{App, BuildError, Lifecycle, Phase, Plugin};
 use cloverfold_base::draw_below;
 use cloverfold_claims_core::{GuardId, Placement};
+use cloverfold_claims_settings::CellSettings;
 use cloverfold_net::{Network, Peer, PeerRole};
-use cloverfold_settings::CellSettings;
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::time::sleep;
 
--- a/crates/claims/cloverfold_process/src/entry.rs
+++ b/crates/claims/cloverfold_process/src/entry.rs
@@ -1,9 +1,10 @@
 //! The entry process.
 
 use cloverfold_app::{App, Running};
+use cloverfold_claims_settings::{CellSettings, EntrySettings};
 use cloverfold_entry::EntryPlugin;
 use cloverfold_membership::MembershipPlugin;
-use cloverfold_settings::{CellSettings, EntrySettings, read_settings};
+use cloverfold_settings::read_settings;
 
 use crate::endpoint::open_network;
 use crate::error::ProcessError;
--- a/crates/claims/cloverfold_process/src/guard.rs
+++ b/crates/claims/cloverfold_process/src/guard.rs
@@ -4,10 +4,11 @@
 use cloverfold_base::unix_now;
 use cloverfold_claim::ClaimPlugin;
 use cloverfold_claims_core::Placement;
+use cloverfold_claims_settings::{CellSettings, GuardSettings};
 use cloverfold_coordinate::CoordinatePlugin;
 use cloverfold_execute::ExecutePlugin;
 use cloverfold_membership::MembershipPlugin;
-use cloverfold_settings::{CellSettings, GuardSettings, read_settings};
+use cloverfold_settings::read_settings;
 
 use crate::endpoint::open_network;
 use crate::error::ProcessError;
--- a/crates/claims/cloverfold_process/src/operator.rs
+++ b/crates/claims/cloverfold_process/src/operator.rs
@@ -3,8 +3,8 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
 
+use cloverfold_claims_settings::CellSettings;
 use cloverfold_net::{KeyFiles, Network, NetworkConfig, PeerAddress};
-use cloverfold_settings::CellSettings;
 
 use crate::error::ProcessError;
 
--- a/crates/cloverfold/src/bin/cloverfold/check.rs
+++ b/crates/cloverfold/src/bin/cloverfold/check.rs
@@ -3,10 +3,9 @@
 use std::path::{Path, PathBuf};
 
 use argh::{FromArgValue, FromArgs};
-use cloverfold_settings::{
-    CellSettings, ControlSettings, EntrySettings, GuardSettings, LeasedEntrySettings,
-    LeasedGuardSettings, read_settings,
-};
+use cloverfold_claims_settings::{CellSettings, EntrySettings, GuardSettings};
+use cloverfold_leased_settings::{ControlSettings, LeasedEntrySettings, LeasedGuardSettings};
+use cloverfold_settings::read_settings;
 use eyre::{Result, bail};
 
 /// Check a settings file, and the cell's file that it names.
--- a/crates/cloverfold/src/bin/cloverfold/keys.rs
+++ b/crates/cloverfold/src/bin/cloverfold/keys.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
+use cloverfold_claims_settings::hash_caller_key;
 use cloverfold_net::{PeerRole, make_key_set};
-use cloverfold_settings::hash_caller_key;
 use eyre::{Result, bail};
 
 /// Make certificates and private keys for processes.
--- a/crates/common/cloverfold_settings/src/common.rs
+++ b/crates/common/cloverfold_settings/src/common.rs
@@ -21,7 +21,7 @@
 
 impl KeySettings {
     /// Makes the paths absolute or relative to the working folder.
-    pub(crate) fn resolve(&mut self, folder: &Path) {
+    pub fn resolve(&mut self, folder: &Path) {
         self.authority = folder.join(&self.authority);
         self.certificate = folder.join(&self.certificate);
         self.private_key = folder.join(&self.private_key);
@@ -29,13 +29,17 @@
 }
 
 /// Settings of a process, which name other files.
-pub(crate) trait ProcessSettings: DeserializeOwned + Check {
+pub trait ProcessSettings: DeserializeOwned + Check {
     /// Makes the paths relative to the working folder instead of the settings file's folder.
     fn resolve_paths(&mut self, folder: &Path);
 }
 
 /// Reads the settings of a process.
-pub(crate) fn read_process_settings<T: ProcessSettings>(file: &Path) -> Result<T, SettingsError> {
+///
+/// # Errors
+///
+/// As [`read_settings`].
+pub fn read_process_settings<T: ProcessSettings>(file: &Path) -> Result<T, SettingsError> {
     let mut settings: T = read_settings(file)?;
     settings.resolve_paths(file.parent().unwrap_or(Path::new("")));
     Ok(settings)
--- a/crates/common/cloverfold_settings/tests/settings.rs
+++ b/crates/common/cloverfold_settings/tests/settings.rs
@@ -4,10 +4,12 @@
 
 use std::path::Path;
 
-use cloverfold_settings::{
-    CellSettings, ControlSettings, CustomerSettings, EntrySettings, GuardSettings,
-    LeasedEntrySettings, LeasedGuardSettings, hash_caller_key, parse_settings, verify_caller_key,
+use cloverfold_claims_settings::{
+    CellSettings, CustomerSettings, EntrySettings, GuardSettings, hash_caller_key,
+    verify_caller_key,
 };
+use cloverfold_leased_settings::{ControlSettings, LeasedEntrySettings, LeasedGuardSettings};
+use cloverfold_settings::parse_settings;
 
 const CELL: &str = include_str!("../../../../examples/settings/cell.jsonc");
 const GUARD: &str = include_str!("../../../../examples/settings/guard.jsonc");
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -8,9 +8,9 @@
 use cloverfold_http::{
     HttpLimits, Request, Serving, StopPhase, listen_at, serve_at, serve_operations,
 };
+use cloverfold_leased_settings::ControlSettings;
 use cloverfold_link::accept_links;
 use cloverfold_peer::{DialedPeers, Hello, PeerRole};
-use cloverfold_settings::ControlSettings;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval};
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -10,9 +10,9 @@
     serve_at, serve_operations,
 };
 use cloverfold_lease::{Dispatcher, HealthLimits, Timings};
+use cloverfold_leased_settings::LeasedEntrySettings;
 use cloverfold_link::accept_links;
 use cloverfold_peer::{ControlLinks, DialedPeers, Hello, PeerRole};
-use cloverfold_settings::LeasedEntrySettings;
 use http::StatusCode;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -10,9 +10,9 @@
     serve_operations,
 };
 use cloverfold_lease::{HoldAnswer, Runner, Timings};
+use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_link::accept_links;
 use cloverfold_peer::{ControlLinks, DialedPeers, Hello, PeerRole};
-use cloverfold_settings::LeasedGuardSettings;
 use http::StatusCode;
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinSet;
--- a/crates/common/cloverfold_settings/src/leased.rs
+++ b/crates/leased/cloverfold_leased_settings/src/leased.rs
@@ -4,11 +4,9 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+use cloverfold_settings::{Check, FaultList, LogSettings, SettingsError, read_settings};
 use serde::Deserialize;
 
-use crate::common::LogSettings;
-use crate::document::{Check, FaultList, SettingsError, read_settings};
-
 /// Most control processes that may be lost at once.
 const MAX_TOLERATED_LOSSES: usize = 4;
 /// Shortest lease that leaves time for a lost renewal, in milliseconds.
@@ -199,7 +197,7 @@
     ///
     /// # Errors
     ///
-    /// As [`crate::read_settings`].
+    /// As [`cloverfold_settings::read_settings`].
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         read_settings(file)
     }
@@ -220,7 +218,7 @@
     ///
     /// # Errors
     ///
-    /// As [`crate::read_settings`].
+    /// As [`cloverfold_settings::read_settings`].
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         read_settings(file)
     }
@@ -236,7 +234,7 @@
     ///
     /// # Errors
     ///
-    /// As [`crate::read_settings`].
+    /// As [`cloverfold_settings::read_settings`].
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         read_settings(file)
     }
--- a/crates/tools/cloverfold_solo/src/installation.rs
+++ b/crates/tools/cloverfold_solo/src/installation.rs
@@ -4,9 +4,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+use cloverfold_claims_settings::{CellSettings, hash_caller_key};
 use cloverfold_load::CallerKey;
 use cloverfold_net::make_key_set;
-use cloverfold_settings::{CellSettings, hash_caller_key, read_settings};
+use cloverfold_settings::read_settings;
 use serde_json::{Value, json};
 
 use crate::error::SoloError;
