--- a/benches/src/process_system.rs
+++ b/benches/src/process_system.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use cloverfold_claim::found_cell;
+use cloverfold_claims_process::{list_guard_addresses, open_operator_network};
 use cloverfold_load::{CallerClient, CallerKey, read_metrics};
-use cloverfold_process::{list_guard_addresses, open_operator_network};
 use cloverfold_solo::{GuardAddresses, Installation, OPERATOR, SoloCustomer, find_free_addresses};
 use cloverfold_target::SampleTarget;
 use eyre::{Result, bail};
--- a/crates/cloverfold/src/bin/cloverfold-guard.rs
+++ b/crates/cloverfold/src/bin/cloverfold-guard.rs
@@ -5,11 +5,13 @@
 use std::sync::Arc;
 
 use argh::FromArgs;
+use cloverfold_claims_process::start_guard;
 use cloverfold_claims_settings::GuardSettings;
 use cloverfold_leased_guard::start_leased_guard;
+use cloverfold_leased_process::{SettingsWatch, start_leased_runtime};
 use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_platform::Platform;
-use cloverfold_process::{SettingsWatch, report_outcome, start_guard, start_leased_runtime};
+use cloverfold_programs::report_outcome;
 use cloverfold_telemetry::start_logging;
 use eyre::{Result, WrapErr};
 
--- a/crates/cloverfold/src/bin/cloverfold/entry.rs
+++ b/crates/cloverfold/src/bin/cloverfold/entry.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
+use cloverfold_claims_process::start_entry;
 use cloverfold_claims_settings::EntrySettings;
-use cloverfold_process::start_entry;
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
--- a/crates/cloverfold/src/bin/cloverfold/leased.rs
+++ b/crates/cloverfold/src/bin/cloverfold/leased.rs
@@ -6,9 +6,9 @@
 use argh::FromArgs;
 use cloverfold_control::start_control;
 use cloverfold_leased_entry::start_leased_entry;
+use cloverfold_leased_process::{SettingsWatch, start_leased_runtime};
 use cloverfold_leased_settings::{ControlSettings, LeasedEntrySettings};
 use cloverfold_platform::Platform;
-use cloverfold_process::{SettingsWatch, start_leased_runtime};
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
--- a/crates/cloverfold/src/bin/cloverfold/main.rs
+++ b/crates/cloverfold/src/bin/cloverfold/main.rs
@@ -38,7 +38,7 @@
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    cloverfold_process::report_outcome(run(args.command))
+    cloverfold_programs::report_outcome(run(args.command))
 }
 
 fn run(command: Command) -> Result<()> {
--- a/crates/cloverfold/src/bin/cloverfold/operator.rs
+++ b/crates/cloverfold/src/bin/cloverfold/operator.rs
@@ -6,10 +6,10 @@
 use argh::FromArgs;
 use cloverfold_claim::{StandingCall, found_cell};
 use cloverfold_claims_core::Standing;
+use cloverfold_claims_process::{list_guard_addresses, open_operator_network};
 use cloverfold_claims_settings::CellSettings;
 use cloverfold_membership::Leave;
 use cloverfold_net::Network;
-use cloverfold_process::{list_guard_addresses, open_operator_network};
 use cloverfold_settings::read_settings;
 use eyre::{Result, bail};
 
--- a/crates/cloverfold/tests/system/cluster.rs
+++ b/crates/cloverfold/tests/system/cluster.rs
@@ -8,10 +8,10 @@
 
 use cloverfold_claim::found_cell;
 use cloverfold_claims_core::{Cell, derive_submission_key};
+use cloverfold_claims_process::{list_guard_addresses, open_operator_network};
 use cloverfold_claims_settings::CellSettings;
 use cloverfold_faults::{Faults, TcpProxy, UdpProxy};
 use cloverfold_load::{CallerClient, CallerKey, JobAnswer, JobRequest, LoadError};
-use cloverfold_process::{list_guard_addresses, open_operator_network};
 use cloverfold_solo::{
     GuardAddresses, Installation, OPERATOR, SERVICE, SoloCustomer, find_free_addresses,
 };
--- /dev/null
+++ b/crates/leased/cloverfold_leased_process/src/runtime.rs
@@ -0,0 +1,15 @@
+//! The runtime of a leased process.
+
+use tokio::runtime::Runtime;
+
+/// Starts the runtime of a leased process: one thread. The boxes have a fraction of one core, where each further thread costs
+/// wake-ups, and control state and traffic are both served in microseconds.
+///
+/// # Errors
+///
+/// Returns the system's error.
+pub fn start_leased_runtime() -> std::io::Result<Runtime> {
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+}
--- a/crates/claims/cloverfold_process/src/leased.rs
+++ b/crates/leased/cloverfold_leased_process/src/settings_watch.rs
@@ -1,28 +1,15 @@
-//! What the processes of a leased installation share: their runtime, their signals, and settings that change under way.
+//! The signals of a process, and settings that change while it runs.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
 use cloverfold_settings::SettingsError;
-use tokio::runtime::Runtime;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::{Interval, MissedTickBehavior, interval};
 
 /// How often the settings file is looked at: it may change without a signal.
 const LOOK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts the runtime of a leased process: one thread. The boxes have a fraction of one core, where each further thread costs
-/// wake-ups, and control state and traffic are both served in microseconds.
-///
-/// # Errors
-///
-/// Returns the system's error.
-pub fn start_leased_runtime() -> std::io::Result<Runtime> {
-    tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-}
-
 /// Follows a settings file and the signals of the process.
 pub struct SettingsWatch {
     file: PathBuf,
--- a/crates/tools/cloverfold_solo/src/error.rs
+++ b/crates/tools/cloverfold_solo/src/error.rs
@@ -1,9 +1,9 @@
 //! Why the solo system could not start or be measured.
 
 use cloverfold_claim::FoundError;
+use cloverfold_claims_process::ProcessError;
 use cloverfold_load::LoadError;
 use cloverfold_net::KeyError;
-use cloverfold_process::ProcessError;
 use cloverfold_settings::SettingsError;
 
 /// Why the solo system could not start or be measured.
--- a/crates/tools/cloverfold_solo/src/system.rs
+++ b/crates/tools/cloverfold_solo/src/system.rs
@@ -6,9 +6,11 @@
 
 use cloverfold_app::Running;
 use cloverfold_claim::found_cell;
+use cloverfold_claims_process::{
+    list_guard_addresses, open_operator_network, start_entry, start_guard,
+};
 use cloverfold_claims_settings::{CellSettings, EntrySettings, GuardSettings};
 use cloverfold_load::{CallerClient, read_metrics};
-use cloverfold_process::{list_guard_addresses, open_operator_network, start_entry, start_guard};
 use cloverfold_target::SampleTarget;
 use serde_json::json;
 use tempfile::TempDir;
