--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -2,6 +2,7 @@
 
 use std::collections::HashMap;
 use std::sync::Arc;
+use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use cloverfold_base::{UnixTime, draw_below};
@@ -14,12 +15,21 @@
 
 use crate::messages::{Assign, Release, TaskReport};
 
+/// A leaving guard answers coordinators until none has asked for this long.
+///
+/// A task that is returned runs elsewhere only after its release was answered here; without an answer the
+/// job fails with `guard_lost`. The time has to cover what a coordinator may need for an assignment that it
+/// placed before it heard of the stop, and for the release after it. Chosen, not measured.
+const DRAIN_QUIET: Duration = Duration::from_secs(1);
+
 /// Control state of the target: decisions go through here on the control thread.
 pub(crate) struct Execution {
     fence: Fence<Bytes>,
     /// Coordinators that wait for a task; each channel has room for all tasks that it was made for.
     watchers: HashMap<TaskId, Vec<mpsc::Sender<TaskReport>>>,
     load: Arc<OwnState>,
+    /// When a coordinator last assigned or released tasks here, or when the guard began to leave.
+    last_request_at: Instant,
 }
 
 /// What the guard is to do after an assignment.
@@ -39,11 +49,13 @@
             fence: Fence::new(incarnation, limits),
             watchers: HashMap::new(),
             load,
+            last_request_at: Instant::now(),
         }
     }
 
-    pub(crate) fn fence(&self) -> &Fence<Bytes> {
-        &self.fence
+    /// Returns whether a leaving guard has nothing left that runs or that a coordinator may still ask for.
+    pub(crate) fn is_drained(&self) -> bool {
+        self.fence.running() == 0 && self.last_request_at.elapsed() >= DRAIN_QUIET
     }
 
     /// Takes an assignment in and starts what has a slot.
@@ -57,6 +69,7 @@
         mut others: Vec<Candidate>,
         now: UnixTime,
     ) -> Assigned {
+        self.last_request_at = Instant::now();
         let (tx, reports) = mpsc::channel(assign.tasks.len().max(1));
         for task in assign.tasks {
             let id = TaskId {
@@ -112,6 +125,7 @@
 
     /// Gives up a task that has not started.
     pub(crate) fn release(&mut self, release: &Release) -> ReleaseVerdict {
+        self.last_request_at = Instant::now();
         let id = TaskId {
             key: release.key,
             index: release.index,
@@ -131,6 +145,7 @@
 
     /// Returns all that waits, because the guard leaves.
     pub(crate) fn begin_leaving(&mut self) {
+        self.last_request_at = Instant::now();
         for id in self.fence.begin_leaving() {
             self.notify(&id, &TaskEnd::Returned(ReasonCode::Leaving));
         }
--- a/crates/claims/cloverfold_execute/src/runner.rs
+++ b/crates/claims/cloverfold_execute/src/runner.rs
@@ -151,11 +151,11 @@
         }
     }
 
-    /// Returns what waits and ends what runs.
+    /// Returns what waits, ends what runs, and answers coordinators until none asks any more.
     pub(crate) async fn drain(self) {
         self.execution.with(Execution::begin_leaving).await;
-        let count_running = |execution: &mut Execution| execution.fence().running();
-        while self.execution.with(count_running).await > 0 {
+        let is_drained = |execution: &mut Execution| execution.is_drained();
+        while !self.execution.with(is_drained).await {
             sleep(DRAIN_POLL).await;
         }
     }
--- a/crates/cloverfold/tests/system/cluster.rs
+++ b/crates/cloverfold/tests/system/cluster.rs
@@ -370,6 +370,21 @@
         }
     }
 
+    /// Slows the link between two guards, both ways.
+    pub fn delay_between(&self, one: usize, other: usize, delay: Duration) {
+        let faults = Faults {
+            delay,
+            ..Faults::default()
+        };
+        let set = |from: usize, to: usize| {
+            self.guard_links[to]
+                .faults()
+                .set_for(self.peers[from], faults);
+        };
+        set(one, other);
+        set(other, one);
+    }
+
     /// Returns the guards that hold a job's key, first choice first, counted from 0.
     pub fn group_of(&self, job: &TestJob) -> Vec<usize> {
         let key = derive_submission_key(&self.caller.customer, &job.name);
--- a/crates/cloverfold/tests/system/drain.rs
+++ b/crates/cloverfold/tests/system/drain.rs
@@ -43,6 +43,29 @@
     cluster.check_promises();
 }
 
+#[tokio::test(flavor = "multi_thread")]
+async fn a_job_placed_before_the_lead_knows_of_a_stop_runs_elsewhere() {
+    let mut cluster = Cluster::start(Shape::default()).await;
+    let (lead, victim) = (0, 4);
+    let jobs: Vec<_> = (0..15)
+        .map(|number| TestJob::new(&format!("late-{number}"), 2, 100))
+        .collect();
+    cluster.delay_between(lead, victim, Duration::from_millis(150));
+
+    cluster.signal_guard(victim, Signal::TERM);
+    let requests = jobs.iter().map(|job| cluster.submit(0, job));
+    let answers = futures_util::future::join_all(requests).await;
+    let ended_well = cluster.wait_guard_end(victim).await;
+
+    assert!(ended_well);
+    for answer in answers {
+        let answer = answer.unwrap();
+        assert_eq!(answer.outcome, "complete", "{answer:?}");
+    }
+    assert_eq!(cluster.targets[victim].journal().count_starts(), 0);
+    cluster.check_promises();
+}
+
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_guard_hands_back_what_it_has_not_started() {
     let shape = Shape {
