--- /dev/null
+++ b/compatibility/tests/leased_messages.rs
@@ -0,0 +1,527 @@
+//! Link frames of every message between entries, guards and control processes, against their recorded bytes.
+
+#![allow(clippy::unwrap_used)]
+
+#[path = "support/samples.rs"]
+mod samples;
+mod support;
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::BytesMut;
+use cloverfold_configuration::{Offer, StoredConfiguration};
+use cloverfold_consensus::{
+    Append, AppendReply, Entry, InstallSnapshot, Member, Members, Message, Payload, Snapshot, Vote,
+    VoteReply,
+};
+use cloverfold_lease::{
+    Assignment, DispatcherMessage, Refusal, Resources, Room, RunOutcome, RunnerMessage,
+    TargetDescription, TaskId,
+};
+use cloverfold_link::{decode_frame, encode_frame};
+use cloverfold_peer::{Directory, Hello, PeerMessage, PeerRole};
+
+use crate::samples::{Sample, each_variant, one, several, wrap};
+use crate::support::{assert_recorded, fixture_path, read_or_record};
+
+/// Where these fixtures are, below `fixtures/`.
+const DIRECTORY: &str = "leased-messages";
+
+/// A frame without a message.
+const SIGN_OF_LIFE: &str = "sign-of-life";
+
+/// Returns the name of a fixture below `fixtures/`.
+fn file_name(name: &str) -> String {
+    format!("{DIRECTORY}/{name}.bin")
+}
+
+/// Encodes a message as a whole frame.
+fn to_frame(message: &PeerMessage) -> BytesMut {
+    let mut frame = BytesMut::new();
+    encode_frame(message, &mut frame).unwrap();
+    frame
+}
+
+/// Asserts that a message is encoded as it was recorded, and that the recorded frame is decoded to it and used up.
+fn assert_frame(name: &str, message: &PeerMessage) {
+    let file = file_name(name);
+    let frame = to_frame(message);
+
+    assert_recorded(&file, &frame);
+
+    let mut recorded = BytesMut::from(&read_or_record(&file, &frame)[..]);
+    let decoded: Option<PeerMessage> = decode_frame(&mut recorded).unwrap();
+    assert_eq!(decoded.as_ref(), Some(message), "{name}");
+    assert!(recorded.is_empty(), "{name}: bytes are left over");
+}
+
+/// Asserts the same of each sample.
+fn assert_frames(messages: &[Sample<PeerMessage>]) {
+    for (name, message) in messages {
+        assert_frame(name, message);
+    }
+}
+
+/// Returns an IPv4 address that ends in a number.
+fn v4(last: u8, port: u16) -> SocketAddr {
+    SocketAddr::from(([10, 20, 30, last], port))
+}
+
+/// Returns an IPv6 address that ends in a number.
+fn v6(last: u16, port: u16) -> SocketAddr {
+    SocketAddr::from(([0xfd00, 0x1234, 0, 0, 0, 0, 0x56, last], port))
+}
+
+/// Returns amounts that differ from each other, one of them negative.
+fn resources(base: i64) -> Resources {
+    Resources {
+        cpu_milli: base * 1_000 + 1,
+        memory_mb: -(base * 100 + 2),
+        accelerators: base + 3,
+    }
+}
+
+/// Returns a room whose numbers differ from each other.
+fn room(base: i64) -> Room {
+    Room {
+        free: resources(base),
+        assignments_seen: 70_001,
+        slowness_permille: 1_234,
+    }
+}
+
+/// Returns a task whose numbers differ from each other.
+fn task(job: &str) -> TaskId {
+    TaskId {
+        job: job.to_owned(),
+        repetition: 11,
+        step: 222,
+        index: 3_333,
+    }
+}
+
+/// Returns an assignment whose numbers differ from each other.
+fn assignment() -> Assignment {
+    Assignment {
+        task: task("order-41"),
+        run: 5_000_000_001,
+        spec: r#"{"lift":"left arm"}"#.to_owned(),
+        demand: resources(4),
+        priority: 7,
+        wait_ms: 150,
+        estimate_ms: 820,
+        valid_until: Duration::new(12_345, 678_000_009),
+    }
+}
+
+/// Returns a target with some labels.
+fn target() -> TargetDescription {
+    TargetDescription {
+        instance: "life-19".to_owned(),
+        service: "sorter".to_owned(),
+        capacity: resources(8),
+        labels: vec!["small".to_owned(), "rack-2".to_owned(), String::new()],
+    }
+}
+
+/// Returns the end of a run.
+fn ended(outcome: RunOutcome) -> RunnerMessage {
+    RunnerMessage::Ended {
+        task: task("order-42"),
+        run: 6_000_000_002,
+        outcome,
+        ran_ms: 431,
+        room: room(5),
+    }
+}
+
+/// Returns a configuration; its text needn't be valid here.
+fn configuration(version: u64, text: &[u8]) -> StoredConfiguration {
+    StoredConfiguration {
+        version,
+        text: text.into(),
+    }
+}
+
+/// Returns three voters.
+fn members() -> Members {
+    let voter = |id, address| Member { id, address };
+    Members {
+        voters: vec![
+            voter(0x0102_0304_0506_0708, v4(1, 4_001)),
+            voter(u64::MAX, v6(2, 4_002)),
+            voter(3, v4(3, 4_003)),
+        ],
+    }
+}
+
+/// Returns an append of some entries.
+fn append(entries: Vec<Entry>) -> Message {
+    Message::Append(Append {
+        term: 21,
+        previous_index: 1_022,
+        previous_term: 19,
+        entries,
+        commit: 1_020,
+        round: 90_024,
+    })
+}
+
+/// Returns an entry of the log.
+fn entry(index: u64, payload: Payload) -> Entry {
+    Entry {
+        index,
+        term: 20,
+        payload,
+    }
+}
+
+fn refusals() -> Vec<Sample<Refusal>> {
+    each_variant!(Refusal {
+        Refusal::NoRoom => one("no-room", Refusal::NoRoom),
+        Refusal::NoTarget => one("no-target", Refusal::NoTarget),
+        Refusal::Draining => one("draining", Refusal::Draining),
+        Refusal::Expired => one("expired", Refusal::Expired),
+        Refusal::Held => one("held", Refusal::Held),
+        Refusal::Stale => one("stale", Refusal::Stale),
+        Refusal::Unanswered => one("unanswered", Refusal::Unanswered),
+        Refusal::Unhealthy => one("unhealthy", Refusal::Unhealthy),
+        Refusal::Rejected => one("rejected", Refusal::Rejected),
+        Refusal::Withdrawn => one("withdrawn", Refusal::Withdrawn),
+    })
+}
+
+fn run_outcomes() -> Vec<Sample<RunOutcome>> {
+    each_variant!(RunOutcome {
+        RunOutcome::Done => one("done", RunOutcome::Done),
+        RunOutcome::Failed => one("failed", RunOutcome::Failed),
+        RunOutcome::Stopped => one("stopped", RunOutcome::Stopped),
+        RunOutcome::Stuck => one("stuck", RunOutcome::Stuck),
+        RunOutcome::Lost => one("lost", RunOutcome::Lost),
+        RunOutcome::NotStarted(_) => wrap("not-started", refusals(), RunOutcome::NotStarted),
+    })
+}
+
+fn runner_messages() -> Vec<Sample<RunnerMessage>> {
+    let heartbeat = RunnerMessage::Heartbeat {
+        clock: Duration::new(98, 700_000_001),
+        room: room(6),
+    };
+    each_variant!(RunnerMessage {
+        RunnerMessage::Heartbeat { .. } => one("heartbeat", heartbeat),
+        RunnerMessage::Room(_) => one("room", RunnerMessage::Room(room(7))),
+        RunnerMessage::Target(_) => several([
+            ("target", RunnerMessage::Target(Some(target()))),
+            ("no-target", RunnerMessage::Target(None)),
+        ]),
+        RunnerMessage::Ended { .. } => wrap("ended", run_outcomes(), ended),
+    })
+}
+
+fn dispatcher_messages() -> Vec<Sample<DispatcherMessage>> {
+    let echo = DispatcherMessage::Echo {
+        clock: Duration::new(5_000_000_000, 999_999_999),
+    };
+    let withdraw = DispatcherMessage::Withdraw {
+        task: task("order-43"),
+        run: 303,
+    };
+    each_variant!(DispatcherMessage {
+        DispatcherMessage::Echo { .. } => one("echo", echo),
+        DispatcherMessage::Assign(_) => one("assign", DispatcherMessage::Assign(assignment())),
+        DispatcherMessage::Withdraw { .. } => one("withdraw", withdraw),
+    })
+}
+
+fn payloads() -> Vec<Sample<Payload>> {
+    each_variant!(Payload {
+        Payload::Empty => one("empty", Payload::Empty),
+        Payload::Command(_) => one("command", Payload::Command(vec![0, 1, 127, 128, 255])),
+        Payload::Members(_) => one("members", Payload::Members(members())),
+    })
+}
+
+fn votes() -> Vec<Sample<Message>> {
+    let vote = |is_trial| {
+        Message::Vote(Vote {
+            term: 31,
+            is_trial,
+            last_index: 3_200,
+            last_term: 30,
+        })
+    };
+    several([("vote", vote(false)), ("vote-trial", vote(true))])
+}
+
+fn vote_replies() -> Vec<Sample<Message>> {
+    let reply = |is_trial, is_granted| {
+        Message::VoteReply(VoteReply {
+            term: 33,
+            is_trial,
+            is_granted,
+        })
+    };
+    several([
+        ("vote-reply-granted", reply(false, true)),
+        ("vote-reply-trial-not-granted", reply(true, false)),
+    ])
+}
+
+fn appends() -> Vec<Sample<Message>> {
+    let one_of_each = vec![
+        entry(1_023, Payload::Empty),
+        entry(1_024, Payload::Command(vec![9, 8, 7])),
+        entry(1_025, Payload::Members(members())),
+    ];
+    let mut all = wrap("append", payloads(), |payload| {
+        append(vec![entry(1_023, payload)])
+    });
+    all.extend(several([
+        ("append-no-entry", append(Vec::new())),
+        ("append-three-entries", append(one_of_each)),
+    ]));
+    all
+}
+
+fn append_replies() -> Vec<Sample<Message>> {
+    let reply = |is_matching| {
+        Message::AppendReply(AppendReply {
+            term: 34,
+            is_matching,
+            index: 3_500,
+            round: 90_036,
+        })
+    };
+    several([
+        ("append-reply-matching", reply(true)),
+        ("append-reply-not-matching", reply(false)),
+    ])
+}
+
+fn install_snapshots() -> Vec<Sample<Message>> {
+    let snapshot = Snapshot {
+        index: 1_038,
+        term: 36,
+        members: members(),
+        state: vec![4, 0, 200],
+    };
+    let install = |snapshot| {
+        Message::InstallSnapshot(InstallSnapshot {
+            term: 37,
+            snapshot,
+            round: 90_039,
+        })
+    };
+    let empty = Snapshot {
+        index: 0,
+        term: 0,
+        members: Members { voters: Vec::new() },
+        state: Vec::new(),
+    };
+    several([
+        ("install-snapshot", install(snapshot)),
+        ("install-snapshot-empty", install(empty)),
+    ])
+}
+
+fn consensus_messages() -> Vec<Sample<Message>> {
+    each_variant!(Message {
+        Message::Vote(_) => votes(),
+        Message::VoteReply(_) => vote_replies(),
+        Message::Append(_) => appends(),
+        Message::AppendReply(_) => append_replies(),
+        Message::InstallSnapshot(_) => install_snapshots(),
+    })
+}
+
+fn peer_roles() -> Vec<Sample<PeerRole>> {
+    let control = |is_blank| PeerRole::Control {
+        replica: 0x1122_3344_5566_7788,
+        is_blank,
+    };
+    each_variant!(PeerRole {
+        PeerRole::Entry => one("entry", PeerRole::Entry),
+        PeerRole::Guard => one("guard", PeerRole::Guard),
+        PeerRole::Control { .. } => several([
+            ("control", control(false)),
+            ("control-blank", control(true)),
+        ]),
+    })
+}
+
+fn hellos() -> Vec<Sample<PeerMessage>> {
+    let hello = |role, address| {
+        PeerMessage::Hello(Hello {
+            name: "process-51".to_owned(),
+            role,
+            address,
+            version: 52_000,
+        })
+    };
+    let mut all = wrap("hello", peer_roles(), |role| hello(role, v4(53, 5_400)));
+    all.extend(one("hello-ipv6", hello(PeerRole::Guard, v6(55, 5_600))));
+    all
+}
+
+fn holdings() -> Vec<Sample<PeerMessage>> {
+    let holding = |is_fresh| PeerMessage::Holding {
+        version: 61_000,
+        is_fresh,
+    };
+    several([
+        ("holding-fresh", holding(true)),
+        ("holding-not-fresh", holding(false)),
+    ])
+}
+
+fn configurations() -> Vec<Sample<PeerMessage>> {
+    let message = |version, text: &[u8]| PeerMessage::Configuration(configuration(version, text));
+    several([
+        ("configuration", message(62_000, br#"{"version": 62000}"#)),
+        ("configuration-empty", message(0, b"")),
+        ("configuration-long", message(u64::MAX, &[b'x'; 300])),
+    ])
+}
+
+fn directories() -> Vec<Sample<PeerMessage>> {
+    let message = |entries, controls| PeerMessage::Directory(Directory { entries, controls });
+    let entries = vec![v4(63, 6_301), v6(64, 6_402)];
+    several([
+        ("directory", message(entries, vec![v4(65, 6_503)])),
+        ("directory-empty", message(Vec::new(), Vec::new())),
+    ])
+}
+
+fn invites() -> Vec<Sample<PeerMessage>> {
+    let invite = |entry| PeerMessage::Invite { entry };
+    several([
+        ("invite", invite(v4(66, 6_600))),
+        ("invite-ipv6", invite(v6(67, 6_700))),
+    ])
+}
+
+fn offers() -> Vec<Sample<PeerMessage>> {
+    let offer = Offer {
+        configuration: configuration(68_000, b"text of an offer"),
+        source: "control-3".to_owned(),
+        received_at: Duration::new(1_790_000_000, 123_456_789),
+    };
+    one("offer", PeerMessage::Offer(offer))
+}
+
+fn read_replies() -> Vec<Sample<PeerMessage>> {
+    let reply = |index| PeerMessage::ReadReply {
+        token: 71_000_000_000,
+        index,
+    };
+    several([
+        ("read-reply", reply(Some(72_000))),
+        ("read-reply-not-proved", reply(None)),
+    ])
+}
+
+fn peer_messages() -> Vec<Sample<PeerMessage>> {
+    let read = PeerMessage::Read {
+        token: 69_000_000_000,
+    };
+    each_variant!(PeerMessage {
+        PeerMessage::Hello(_) => hellos(),
+        PeerMessage::ToRunner(_) => wrap("to-runner", dispatcher_messages(), PeerMessage::ToRunner),
+        PeerMessage::ToDispatcher(_) => wrap("to-dispatcher", runner_messages(), PeerMessage::ToDispatcher),
+        PeerMessage::Holding { .. } => holdings(),
+        PeerMessage::Fetch => one("fetch", PeerMessage::Fetch),
+        PeerMessage::Configuration(_) => configurations(),
+        PeerMessage::Directory(_) => directories(),
+        PeerMessage::Invite { .. } => invites(),
+        PeerMessage::Consensus(_) => wrap("consensus", consensus_messages(), PeerMessage::Consensus),
+        PeerMessage::Offer(_) => offers(),
+        PeerMessage::Read { .. } => one("read", read),
+        PeerMessage::ReadReply { .. } => read_replies(),
+    })
+}
+
+/// Returns the samples whose names begin with a word.
+fn messages_named(word: &str) -> Vec<Sample<PeerMessage>> {
+    let mut messages = peer_messages();
+    messages.retain(|(name, _)| name.starts_with(word));
+    assert!(!messages.is_empty(), "no message is named {word}");
+    messages
+}
+
+#[test]
+fn every_hello_is_as_recorded() {
+    assert_frames(&messages_named("hello"));
+}
+
+#[test]
+fn every_message_to_a_runner_is_as_recorded() {
+    assert_frames(&messages_named("to-runner"));
+}
+
+#[test]
+fn every_message_to_a_dispatcher_is_as_recorded() {
+    assert_frames(&messages_named("to-dispatcher"));
+}
+
+#[test]
+fn every_consensus_message_is_as_recorded() {
+    assert_frames(&messages_named("consensus"));
+}
+
+#[test]
+fn every_message_about_the_configuration_is_as_recorded() {
+    for word in ["holding", "fetch", "configuration", "offer", "read"] {
+        assert_frames(&messages_named(word));
+    }
+}
+
+#[test]
+fn every_message_about_addresses_is_as_recorded() {
+    for word in ["directory", "invite"] {
+        assert_frames(&messages_named(word));
+    }
+}
+
+#[test]
+fn every_message_of_the_list_is_as_recorded() {
+    assert_frames(&peer_messages());
+}
+
+#[test]
+fn a_recorded_sign_of_life_is_passed_over() {
+    // Only the link itself writes signs of life, so just the reading of one is tested here.
+    let file = file_name(SIGN_OF_LIFE);
+    let hello = &messages_named("hello-entry")[0].1;
+    let mut bytes = BytesMut::from(&read_or_record(&file, &[0; 4])[..]);
+    bytes.extend_from_slice(&to_frame(hello));
+
+    let decoded: Option<PeerMessage> = decode_frame(&mut bytes).unwrap();
+
+    assert_eq!(decoded.as_ref(), Some(hello));
+    assert!(bytes.is_empty());
+}
+
+#[test]
+fn names_of_samples_are_unique() {
+    let messages = peer_messages();
+    let names: BTreeSet<&String> = messages.iter().map(|(name, _)| name).collect();
+    assert_eq!(names.len(), messages.len());
+}
+
+#[test]
+fn every_recorded_file_has_a_sample() {
+    let messages = peer_messages();
+    let mut known: BTreeSet<String> = messages
+        .iter()
+        .map(|(name, _)| format!("{name}.bin"))
+        .collect();
+    known.insert(format!("{SIGN_OF_LIFE}.bin"));
+
+    for file in fs::read_dir(fixture_path(DIRECTORY)).unwrap() {
+        let name = file.unwrap().file_name().into_string().unwrap();
+        assert!(known.contains(&name), "{name} is of no sample");
+    }
+}
