--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -15,12 +15,12 @@
 use std::time::Duration;
 
 use cloverfold_claim::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
-use cloverfold_coordinate::{JobState, Query, QueryReply, Submit, SubmitReply, Verdict};
-use cloverfold_core::{
+use cloverfold_claims_core::{
     Accepted, Ballot, Claim, ClaimReply, ClaimRequest, Incarnations, MemberPhase, MemberReport,
     Outcome, Placement, ReasonCode, RecoveryPage, ReleaseVerdict, Repeat, ReplicaRecord, Reply,
     Standing, Submission, SubmissionKey, TaskEnd,
 };
+use cloverfold_coordinate::{JobState, Query, QueryReply, Submit, SubmitReply, Verdict};
 use cloverfold_execute::{Assign, AssignReply, AssignedTask, Release, ReleaseReply, TaskReport};
 use cloverfold_membership::{Heartbeat, Leave};
 use cloverfold_net::Message;
--- a/crates/cloverfold_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -4,7 +4,7 @@
 //! tested without a network. Times and random numbers are arguments.
 //!
 //! ```
-//! use cloverfold_core::{Cell, Location, derive_submission_key};
+//! use cloverfold_claims_core::{Cell, Location, derive_submission_key};
 //!
 //! let place = |guard: u16, hall: &str| Location { guard, hall: hall.into(), rack: "r1".into() };
 //! let cell = Cell::new(vec![place(1, "a"), place(2, "b"), place(3, "b"), place(4, "c")], 3);
@@ -33,8 +33,8 @@
     AssignVerdict, Fence, FenceLimits, QueuedTask, ReleaseVerdict, TaskEnd, TaskId, TaskState,
 };
 pub use ids::{
-    BodyDigest, CustomerId, GuardId, HASH_LEN, Incarnation, Placement, ServiceId, SubmissionKey,
-    TaskIndex, UnixTime, derive_submission_key, format_key, hash_parts,
+    BodyDigest, CustomerId, GuardId, Incarnation, Placement, ServiceId, SubmissionKey, TaskIndex,
+    derive_submission_key, format_key,
 };
 pub use job::{JobAction, JobEvent, JobOptions, JobProgress};
 pub use members::{MemberPhase, MemberReport, MemberTable};
--- a/crates/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -3,14 +3,15 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use cloverfold_app::{ControlState, Lifecycle, Phase, unix_now};
+use cloverfold_app::{Lifecycle, Phase, ThreadState};
+use cloverfold_base::{UnixTime, unix_now};
 use cloverfold_claim::Claims;
-use cloverfold_core::{
-    Outcome, ReasonCode, RetryBudget, Submission, SubmissionKey, UnixTime, format_key,
+use cloverfold_claims_core::{
+    Outcome, ReasonCode, RetryBudget, Submission, SubmissionKey, format_key,
 };
+use cloverfold_claims_settings::CellSettings;
 use cloverfold_membership::{Directory, Membership};
 use cloverfold_net::Network;
-use cloverfold_settings::CellSettings;
 use tokio::time::sleep;
 
 use crate::admitter::Admitter;
@@ -36,7 +37,7 @@
     pub(crate) network: Network,
     pub(crate) cell: Arc<CellSettings>,
     pub(crate) lifecycle: Lifecycle,
-    pub(crate) jobs: ControlState<Jobs>,
+    pub(crate) jobs: ThreadState<Jobs>,
     pub(crate) retry_budget: Mutex<RetryBudget>,
     pub(crate) metrics: CoordinateMetrics,
 }
--- a/crates/cloverfold_membership/src/plugin.rs
+++ b/crates/claims/cloverfold_membership/src/plugin.rs
@@ -4,10 +4,11 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-use cloverfold_app::{App, BuildError, Lifecycle, Phase, Plugin, draw_below};
-use cloverfold_core::{GuardId, Placement};
+use cloverfold_app::{App, BuildError, Lifecycle, Phase, Plugin};
+use cloverfold_base::draw_below;
+use cloverfold_claims_core::{GuardId, Placement};
+use cloverfold_claims_settings::CellSettings;
 use cloverfold_net::{Network, Peer, PeerRole};
-use cloverfold_settings::CellSettings;
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::time::sleep;
 
--- a/crates/cloverfold_settings/tests/settings.rs
+++ b/crates/common/cloverfold_settings/tests/settings.rs
@@ -4,17 +4,19 @@
 
 use std::path::Path;
 
-use cloverfold_settings::{
-    CellSettings, ControlSettings, CustomerSettings, EntrySettings, GuardSettings,
-    LeasedEntrySettings, LeasedGuardSettings, hash_caller_key, parse_settings, verify_caller_key,
+use cloverfold_claims_settings::{
+    CellSettings, CustomerSettings, EntrySettings, GuardSettings, hash_caller_key,
+    verify_caller_key,
 };
-
-const CELL: &str = include_str!("../../../examples/settings/cell.jsonc");
-const GUARD: &str = include_str!("../../../examples/settings/guard.jsonc");
-const LEASED_ENTRY: &str = include_str!("../../../examples/settings/leased-entry.jsonc");
-const LEASED_GUARD: &str = include_str!("../../../examples/settings/leased-guard.jsonc");
-const CONTROL: &str = include_str!("../../../examples/settings/control.jsonc");
-const ENTRY: &str = include_str!("../../../examples/settings/entry.jsonc");
+use cloverfold_leased_settings::{ControlSettings, LeasedEntrySettings, LeasedGuardSettings};
+use cloverfold_settings::parse_settings;
+
+const CELL: &str = include_str!("../../../../examples/settings/cell.jsonc");
+const GUARD: &str = include_str!("../../../../examples/settings/guard.jsonc");
+const LEASED_ENTRY: &str = include_str!("../../../../examples/settings/leased-entry.jsonc");
+const LEASED_GUARD: &str = include_str!("../../../../examples/settings/leased-guard.jsonc");
+const CONTROL: &str = include_str!("../../../../examples/settings/control.jsonc");
+const ENTRY: &str = include_str!("../../../../examples/settings/entry.jsonc");
 
 /// Returns the example with one text replaced, and the line on which it stood.
 fn spoil(example: &str, from: &str, to: &str) -> (String, usize) {
--- a/crates/cloverfold_control/src/core/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -8,10 +8,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use cloverfold_base::ProcessClock;
 use cloverfold_configuration::{AuditRecord, ConfigurationState, Version};
 use cloverfold_consensus::{LogIndex, Outgoing, Replica, ReplicaId, Role};
 use cloverfold_link::{LinkId, LinkSender};
-use cloverfold_peer::{DialedPeers, Hello, PeerMessage, PeerRole, ProcessClock};
+use cloverfold_peer::{DialedPeers, Hello, PeerMessage, PeerRole};
 use serde_json::json;
 use tokio::sync::{oneshot, watch};
 
@@ -46,7 +47,7 @@
 }
 
 /// What a control process believes.
-pub(crate) struct ControlCore {
+pub(crate) struct ControlState {
     clock: ProcessClock,
     own: Hello,
     replica_id: ReplicaId,
@@ -73,7 +74,7 @@
     believed: (u64, Role, Option<ReplicaId>),
 }
 
-impl ControlCore {
+impl ControlState {
     pub(crate) fn new(
         own: Hello,
         replica_id: ReplicaId,
--- a/crates/cloverfold_runner/src/core.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -5,15 +5,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use cloverfold_base::ProcessClock;
 use cloverfold_configuration::StoredConfiguration;
 use cloverfold_lease::{
     HoldAnswer, HoldOrder, Runner, RunnerAction, RunnerCounts, RunnerMessage, StartAnswer,
     StartOrder, StopOrder, TargetUnfitness,
 };
 use cloverfold_link::{LinkEvent, LinkId, LinkSender};
-use cloverfold_peer::{
-    ControlLinks, DialedPeers, Directory, Hello, PeerMessage, PeerRole, ProcessClock,
-};
+use cloverfold_peer::{ControlLinks, DialedPeers, Directory, Hello, PeerMessage, PeerRole};
 use tokio::sync::{Notify, mpsc};
 
 use crate::interface::RegistrationCall;
@@ -37,7 +36,7 @@
 }
 
 /// What a guard believes.
-pub(crate) struct GuardCore {
+pub(crate) struct GuardState {
     clock: ProcessClock,
     own: Hello,
     runner: Runner,
@@ -51,7 +50,7 @@
     unfitness: Option<TargetUnfitness>,
 }
 
-impl GuardCore {
+impl GuardState {
     pub(crate) fn new(
         own: Hello,
         runner: Runner,
