--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -17,8 +17,8 @@
 use cloverfold_claim::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
 use cloverfold_claims_core::{
     Accepted, Ballot, Claim, ClaimReply, ClaimRequest, Incarnations, MemberPhase, MemberReport,
-    Outcome, Placement, ReasonCode, RecoveryPage, ReleaseVerdict, Repeat, ReplicaRecord, Reply,
-    Standing, Submission, SubmissionKey, TaskEnd,
+    Outcome, Placement, ReasonCode, RecoveryPage, ReleaseVerdict, Repeat, ReplicaRecord,
+    ReplicaReply, Standing, Submission, SubmissionKey, TaskEnd,
 };
 use cloverfold_coordinate::{JobState, Query, QueryReply, Submit, SubmitReply, Verdict};
 use cloverfold_execute::{Assign, AssignReply, AssignedTask, Release, ReleaseReply, TaskReport};
@@ -176,7 +176,7 @@
 fn lives(guards: &[u16]) -> Incarnations {
     let mut known = Incarnations::default();
     for guard in guards {
-        known.note(*guard, place(*guard).incarnation);
+        known.record(*guard, place(*guard).incarnation);
     }
     known
 }
@@ -384,7 +384,7 @@
 
 fn claim_answers() -> Vec<Sample<ClaimAnswer>> {
     let answer = |known, body, member| ClaimAnswer {
-        reply: Reply {
+        reply: ReplicaReply {
             from: place(81),
             known,
             body,
--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -7,8 +7,8 @@
 use cloverfold_app::ThreadState;
 use cloverfold_base::{random_u64, unix_now};
 use cloverfold_claims_core::{
-    Cell, Claim, ClaimReply, ClaimRequest, GuardId, Placement, Proposer, ProposerStep, Replica,
-    Reply, Submission, SubmissionKey,
+    Cell, Claim, ClaimReplica, ClaimReply, ClaimRequest, GuardId, Placement, Proposer,
+    ProposerStep, ReplicaReply, Submission, SubmissionKey,
 };
 use cloverfold_membership::{Directory, Membership};
 use cloverfold_net::Network;
@@ -34,7 +34,7 @@
     pub(crate) directory: Arc<Directory>,
     pub(crate) network: Network,
     pub(crate) membership: Membership,
-    pub(crate) replica: ThreadState<Replica>,
+    pub(crate) replica: ThreadState<ClaimReplica>,
     /// Number of the next attempt of this life.
     pub(crate) attempts: AtomicU64,
 }
@@ -122,7 +122,7 @@
         let fast = {
             let (submission, group, claim) = (*submission, group.to_vec(), wanted.clone());
             let (attempt, now) = (self.next_attempt(), unix_now());
-            let propose = move |replica: &mut Replica| {
+            let propose = move |replica: &mut ClaimReplica| {
                 replica.propose_fast(&submission, &group, attempt, claim, now)
             };
             self.inner.replica.with(propose).await
@@ -170,7 +170,7 @@
         submission: Submission,
         group: &[GuardId],
         request: &ClaimRequest,
-    ) -> mpsc::Receiver<Reply> {
+    ) -> mpsc::Receiver<ReplicaReply> {
         let (tx, rx) = mpsc::channel(group.len());
         for guard in group {
             let claims = self.clone();
@@ -191,7 +191,7 @@
         rx
     }
 
-    async fn ask(&self, guard: GuardId, call: ClaimCall) -> Option<Reply> {
+    async fn ask(&self, guard: GuardId, call: ClaimCall) -> Option<ReplicaReply> {
         if guard == self.inner.own.guard {
             return Some(self.handle(call).await);
         }
@@ -217,7 +217,7 @@
     }
 
     /// Answers a request as this guard's replica.
-    pub(crate) async fn handle(&self, call: ClaimCall) -> Reply {
+    pub(crate) async fn handle(&self, call: ClaimCall) -> ReplicaReply {
         let group = self.group_of(&call.submission.key);
         let now = unix_now();
         self.inner
--- a/crates/claims/cloverfold_claim/src/lib.rs
+++ b/crates/claims/cloverfold_claim/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Claims::agree`] has the replica group of a key agree on a claim before any task starts. A restarted
 //! guard recovers in the background, and votes only where it can have forgotten nothing
-//! (see [`cloverfold_claims_core::Replica`]).
+//! (see [`cloverfold_claims_core::ClaimReplica`]).
 //!
 //! ```no_run
 //! # async fn show(claims: cloverfold_claim::Claims, submission: cloverfold_claims_core::Submission,
--- a/crates/claims/cloverfold_claim/src/messages.rs
+++ b/crates/claims/cloverfold_claim/src/messages.rs
@@ -1,7 +1,8 @@
 //! Messages between replicas.
 
 use cloverfold_claims_core::{
-    ClaimRequest, MemberReport, Placement, RecoveryPage, Reply, Standing, Submission, SubmissionKey,
+    ClaimRequest, MemberReport, Placement, RecoveryPage, ReplicaReply, Standing, Submission,
+    SubmissionKey,
 };
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
@@ -21,7 +22,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClaimAnswer {
     /// The reply.
-    pub reply: Reply,
+    pub reply: ReplicaReply,
     /// The replica's guard.
     pub member: Option<MemberReport>,
 }
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -6,7 +6,7 @@
 
 use cloverfold_app::{App, BuildError, Plugin};
 use cloverfold_base::unix_now;
-use cloverfold_claims_core::{Placement, Replica};
+use cloverfold_claims_core::{ClaimReplica, Placement};
 use cloverfold_claims_settings::CellSettings;
 use cloverfold_membership::{Directory, Membership, OwnState};
 use cloverfold_net::{Peer, PeerRole};
@@ -30,7 +30,7 @@
 impl Plugin for ClaimPlugin {
     fn build(self, app: &mut App) -> Result<(), BuildError> {
         let cell = app.resource::<CellSettings>()?;
-        let replica = Replica::new(self.own, unix_now(), cell.retention(), CLOCK_MARGIN);
+        let replica = ClaimReplica::new(self.own, unix_now(), cell.retention(), CLOCK_MARGIN);
         let claims = Claims {
             inner: Arc::new(Inner {
                 own: self.own,
--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -108,7 +108,7 @@
                 .clone();
             let has_more = page.has_more;
             call.after = page.records.last().map(|(key, _)| *key);
-            let absorb = move |replica: &mut cloverfold_claims_core::Replica| {
+            let absorb = move |replica: &mut cloverfold_claims_core::ClaimReplica| {
                 replica.absorb_page(source, standing, page);
             };
             self.inner.replica.with(absorb).await;
--- /dev/null
+++ b/crates/claims/cloverfold_claims_core/src/claim_records.rs
@@ -0,0 +1,169 @@
+//! What a replica holds of each key: votes on ballots and claims, and the rules of their change.
+//!
+//! [`Records`] owns the records and knows neither groups nor incarnations: whether the replica may vote at all is
+//! decided by [`crate::ClaimReplica`] before it asks here.
+
+use std::collections::BTreeMap;
+use std::ops::Bound;
+use std::time::Duration;
+
+use cloverfold_base::UnixTime;
+use serde::{Deserialize, Serialize};
+
+use crate::SubmissionKey;
+use crate::claim::{Accepted, Ballot, ClaimReply, ClaimRequest, Submission};
+
+/// What a replica holds for one key.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ReplicaRecord {
+    /// Largest ballot promised or accepted.
+    pub promised: Ballot,
+    /// The claim accepted last.
+    pub accepted: Option<Accepted>,
+    /// When the caller first submitted; the record is kept for the retention after it.
+    pub submitted_at: UnixTime,
+}
+/// How long records are kept.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Keeping {
+    /// How long a key is known after its first submission.
+    pub(crate) retention: Duration,
+    /// Allowance for clocks that disagree.
+    pub(crate) margin: Duration,
+}
+
+impl Keeping {
+    /// Returns how long a record is kept after its first submission.
+    pub(crate) fn span(self) -> Duration {
+        self.retention + self.margin
+    }
+}
+
+/// The records of one replica, in the order of their keys.
+#[derive(Clone, Debug)]
+pub(crate) struct Records {
+    keeping: Keeping,
+    by_key: BTreeMap<SubmissionKey, ReplicaRecord>,
+}
+
+impl Records {
+    /// Returns a collection without a record.
+    pub(crate) fn new(keeping: Keeping) -> Self {
+        Self {
+            keeping,
+            by_key: BTreeMap::new(),
+        }
+    }
+
+    /// Returns the number of records.
+    pub(crate) fn len(&self) -> usize {
+        self.by_key.len()
+    }
+
+    /// Returns whether a record of the key is held.
+    pub(crate) fn contains(&self, key: &SubmissionKey) -> bool {
+        self.by_key.contains_key(key)
+    }
+
+    /// Votes on a request by the rules of single-decree Paxos.
+    ///
+    /// A key that is past its retention gets no new record, since an earlier one may have been dropped.
+    pub(crate) fn vote(
+        &mut self,
+        submission: &Submission,
+        req: ClaimRequest,
+        now: UnixTime,
+    ) -> ClaimReply {
+        let held = self.by_key.get(&submission.key);
+        let is_new = held.is_none() && req != ClaimRequest::Read;
+        if is_new && now >= submission.submitted_at + self.keeping.retention {
+            return ClaimReply::Expired;
+        }
+        match req {
+            ClaimRequest::Read => ClaimReply::Value(held.and_then(|one| one.accepted.clone())),
+            ClaimRequest::Prepare(ballot) => self.promise(submission, ballot),
+            ClaimRequest::Accept(accepted) => self.accept(submission, accepted),
+        }
+    }
+
+    fn promise(&mut self, submission: &Submission, ballot: Ballot) -> ClaimReply {
+        let record = self.by_key.entry(submission.key);
+        let record = record.or_insert_with(|| ReplicaRecord {
+            promised: ballot,
+            accepted: None,
+            submitted_at: submission.submitted_at,
+        });
+        if record.promised > ballot {
+            return ClaimReply::Rejected(record.promised);
+        }
+        record.promised = ballot;
+        ClaimReply::Promised(record.accepted.clone())
+    }
+
+    fn accept(&mut self, submission: &Submission, accepted: Accepted) -> ClaimReply {
+        let ballot = accepted.ballot;
+        match self.by_key.get_mut(&submission.key) {
+            // The fast ballot skipped the prepare phase, so it is good only where nothing stands.
+            Some(record) if ballot.is_fast() && record.promised != ballot => {
+                ClaimReply::Rejected(record.promised)
+            }
+            Some(record) if record.promised > ballot => ClaimReply::Rejected(record.promised),
+            Some(record) => {
+                record.promised = ballot;
+                record.accepted = Some(accepted);
+                ClaimReply::Accepted(ballot)
+            }
+            None => {
+                let record = ReplicaRecord {
+                    promised: ballot,
+                    submitted_at: submission.submitted_at,
+                    accepted: Some(accepted),
+                };
+                self.by_key.insert(submission.key, record);
+                ClaimReply::Accepted(ballot)
+            }
+        }
+    }
+    /// Lists up to `limit` records after a key for which `is_wanted` holds, and whether more follow.
+    pub(crate) fn list_page(
+        &self,
+        after: Option<SubmissionKey>,
+        limit: usize,
+        is_wanted: impl Fn(&SubmissionKey) -> bool,
+    ) -> (Vec<(SubmissionKey, ReplicaRecord)>, bool) {
+        let lower = after.map_or(Bound::Unbounded, Bound::Excluded);
+        let mut wanted = self
+            .by_key
+            .range((lower, Bound::Unbounded))
+            .filter(|(key, _)| is_wanted(key));
+        let page = wanted
+            .by_ref()
+            .take(limit)
+            .map(|(key, record)| (*key, record.clone()))
+            .collect();
+        let has_more = wanted.next().is_some();
+        (page, has_more)
+    }
+
+    /// Merges a record of another replica: the larger ballot wins.
+    pub(crate) fn merge(&mut self, key: SubmissionKey, record: ReplicaRecord) {
+        let held = self.by_key.entry(key).or_insert_with(|| record.clone());
+        held.promised = held.promised.max(record.promised);
+        let is_newer = match (&held.accepted, &record.accepted) {
+            (Some(own), Some(other)) => other.ballot > own.ballot,
+            (None, Some(_)) => true,
+            _ => false,
+        };
+        if is_newer {
+            held.accepted = record.accepted;
+        }
+    }
+    /// Drops the records whose retention, with its margin, has passed; returns how many.
+    pub(crate) fn collect_expired(&mut self, now: UnixTime) -> usize {
+        let before = self.by_key.len();
+        let kept_for = self.keeping.span();
+        self.by_key
+            .retain(|_, record| now < record.submitted_at + kept_for);
+        before - self.by_key.len()
+    }
+}
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -4,9 +4,9 @@
 //! [`JobEvent`]s. Several drivers may run one job at a time, on several guards: a task starts where its
 //! fence says, whoever asks.
 
+use crate::claim::Claim;
 use crate::fence::{ReleaseVerdict, TaskEnd};
 use crate::outcome::{Outcome, ReasonCode, Repeat};
-use crate::replica::Claim;
 use crate::{GuardId, Placement, TaskIndex};
 
 /// How often one task may be moved before the job gives up.
--- a/crates/claims/cloverfold_claims_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -15,19 +15,25 @@
 mod admission;
 mod cell;
 mod choice;
+mod claim;
+mod claim_records;
 mod fair_queue;
 mod fence;
 mod ids;
+mod incarnations;
 mod job;
 mod members;
 mod outcome;
 mod proposer;
 mod replica;
 mod retry_budget;
+mod standing;
 
 pub use admission::{Admission, Capacity, Ticket, TicketId};
 pub use cell::{Cell, Location, quorum_of};
 pub use choice::{Candidate, PlacementPolicy, choose_free_place, choose_placements, rank_by_load};
+pub use claim::{Accepted, Ballot, Claim, ClaimReply, ClaimRequest, ReplicaReply, Submission};
+pub use claim_records::ReplicaRecord;
 pub use fair_queue::{FairQueue, Flow};
 pub use fence::{
     AssignVerdict, Fence, FenceLimits, QueuedTask, ReleaseVerdict, TaskEnd, TaskId, TaskState,
@@ -36,12 +42,11 @@
     BodyDigest, CustomerId, GuardId, Incarnation, Placement, ServiceId, SubmissionKey, TaskIndex,
     derive_submission_key, format_key,
 };
+pub use incarnations::Incarnations;
 pub use job::{JobAction, JobEvent, JobOptions, JobProgress};
 pub use members::{MemberPhase, MemberReport, MemberTable};
 pub use outcome::{Outcome, ReasonCode, Repeat};
 pub use proposer::{Proposer, ProposerStep};
-pub use replica::{
-    Accepted, Ballot, Claim, ClaimReply, ClaimRequest, Incarnations, RecoveryPage, Replica,
-    ReplicaRecord, Reply, Standing, Submission,
-};
+pub use replica::ClaimReplica;
 pub use retry_budget::RetryBudget;
+pub use standing::{RecoveryPage, Standing};
--- a/crates/claims/cloverfold_claims_core/src/proposer.rs
+++ b/crates/claims/cloverfold_claims_core/src/proposer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::replica::{Accepted, Ballot, Claim, ClaimReply, ClaimRequest, Reply};
+use crate::claim::{Accepted, Ballot, Claim, ClaimReply, ClaimRequest, ReplicaReply};
 use crate::{GuardId, Placement, quorum_of};
 
 /// What the proposer does after a reply.
@@ -36,13 +36,13 @@
     ballot: Ballot,
     claim: Claim,
     phase: Phase,
-    replies: BTreeMap<GuardId, Reply>,
+    replies: BTreeMap<GuardId, ReplicaReply>,
 }
 
 impl Proposer {
     /// Begins the attempt of the group's first choice, which needs one round trip.
     ///
-    /// Only [`crate::Replica::propose_fast`] may begin one, after the proposer's own vote.
+    /// Only [`crate::ClaimReplica::propose_fast`] may begin one, after the proposer's own vote.
     /// `attempt` differs for every proposer of one life.
     pub(crate) fn fast(group: Vec<GuardId>, own: Placement, attempt: u64, claim: Claim) -> Self {
         let ballot = make_ballot(own, 0, attempt);
@@ -84,7 +84,7 @@
     }
 
     /// Takes in one reply and says what to do next.
-    pub fn absorb(&mut self, reply: Reply) -> ProposerStep {
+    pub fn absorb(&mut self, reply: ReplicaReply) -> ProposerStep {
         if !self.group.contains(&reply.from.guard) {
             return ProposerStep::Wait;
         }
@@ -105,7 +105,7 @@
         }
     }
 
-    fn count(&mut self, reply: Reply) -> ProposerStep {
+    fn count(&mut self, reply: ReplicaReply) -> ProposerStep {
         let held = self.replies.get(&reply.from.guard);
         if held.is_none_or(|held| held.from.incarnation <= reply.from.incarnation) {
             self.replies.insert(reply.from.guard, reply);
@@ -138,8 +138,8 @@
 }
 
 /// Keeps the replies of lives that no other reply knows to have ended.
-fn list_current_replies(replies: &BTreeMap<GuardId, Reply>) -> Vec<&Reply> {
-    let is_current = |reply: &&Reply| {
+fn list_current_replies(replies: &BTreeMap<GuardId, ReplicaReply>) -> Vec<&ReplicaReply> {
+    let is_current = |reply: &&ReplicaReply| {
         let from = reply.from;
         let newest = replies.values().map(|other| other.known.newest(from.guard));
         newest.max().unwrap_or(0) <= from.incarnation
@@ -147,7 +147,7 @@
     replies.values().filter(is_current).collect()
 }
 
-fn find_newest_claim(replies: &[&Reply]) -> Option<Claim> {
+fn find_newest_claim(replies: &[&ReplicaReply]) -> Option<Claim> {
     let accepted = replies.iter().filter_map(|reply| match &reply.body {
         ClaimReply::Promised(accepted) => accepted.as_ref(),
         _ => None,
--- a/crates/claims/cloverfold_claims_core/tests/claims.rs
+++ b/crates/claims/cloverfold_claims_core/tests/claims.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cloverfold_claims_core::{
-    Cell, Claim, ClaimRequest, GuardId, Location, Placement, Proposer, ProposerStep, RecoveryPage,
-    Replica, Reply, Submission, SubmissionKey,
+    Cell, Claim, ClaimReplica, ClaimRequest, GuardId, Location, Placement, Proposer, ProposerStep,
+    RecoveryPage, ReplicaReply, Submission, SubmissionKey,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -37,7 +37,7 @@
     },
     Reply {
         proposer: usize,
-        reply: Reply,
+        reply: ReplicaReply,
     },
     Recover {
         asking: Placement,
@@ -59,7 +59,7 @@
 struct World {
     cell: Cell,
     group: Vec<GuardId>,
-    replicas: Vec<Replica>,
+    replicas: Vec<ClaimReplica>,
     proposers: Vec<ActiveProposer>,
     packets: Vec<Packet>,
     chosen: Vec<Claim>,
@@ -96,7 +96,7 @@
             incarnation: 1,
         })
         .collect();
-    let mut replicas: Vec<Replica> = lives.iter().map(|own| new_replica(*own)).collect();
+    let mut replicas: Vec<ClaimReplica> = lives.iter().map(|own| new_replica(*own)).collect();
     for replica in &mut replicas {
         assert!(replica.found(&lives));
     }
@@ -110,8 +110,8 @@
     }
 }
 
-fn new_replica(own: Placement) -> Replica {
-    Replica::new(own, NOW, RETENTION, Duration::ZERO)
+fn new_replica(own: Placement) -> ClaimReplica {
+    ClaimReplica::new(own, NOW, RETENTION, Duration::ZERO)
 }
 
 impl World {
@@ -223,7 +223,7 @@
         }
     }
 
-    fn absorb(&mut self, number: usize, reply: Reply) {
+    fn absorb(&mut self, number: usize, reply: ReplicaReply) {
         let active = &mut self.proposers[number];
         let life = self.replicas[usize::from(active.owner.guard) - 1].own();
         if active.is_over || life != active.owner {
