--- a/crates/claims/cloverfold_app/src/lib.rs
+++ b/crates/claims/cloverfold_app/src/lib.rs
@@ -27,5 +27,3 @@
 pub use app::{App, BuildError, Plugin, Running};
 pub use control::{ControlThread, ThreadState};
 pub use lifecycle::{Lifecycle, Phase};
-pub use ops_http::{HttpServer, OpsState, build_ops_router};
-pub use resources::Resources;
--- a/crates/claims/cloverfold_app/src/ops_http.rs
+++ b/crates/claims/cloverfold_app/src/ops_http.rs
@@ -18,7 +18,7 @@
 type ReadyCheck = Box<dyn Fn() -> Result<(), String> + Send + Sync>;
 
 /// What the operations routes show.
-pub struct OpsState {
+pub(crate) struct OpsState {
     lifecycle: Lifecycle,
     registry: Registry,
     ready_checks: Vec<ReadyCheck>,
@@ -39,7 +39,7 @@
     }
 
     /// Says why the process should get no new work, if there is a reason.
-    pub fn find_unreadiness(&self) -> Option<String> {
+    pub(crate) fn find_unreadiness(&self) -> Option<String> {
         if self.lifecycle.phase() != Phase::Serving {
             return Some("the process is stopping".into());
         }
@@ -54,7 +54,7 @@
 }
 
 /// Builds the routes `/healthz`, `/readyz` and `/metrics`.
-pub fn build_ops_router(state: Arc<OpsState>) -> Router {
+pub(crate) fn build_ops_router(state: Arc<OpsState>) -> Router {
     let ready = state.clone();
     let metrics = state;
     Router::new()
@@ -86,7 +86,7 @@
 }
 
 /// A listening HTTP server that has not started to serve.
-pub struct HttpServer {
+pub(crate) struct HttpServer {
     listener: TcpListener,
 }
 
@@ -96,7 +96,7 @@
     /// # Errors
     ///
     /// Returns the system's error.
-    pub async fn bind(address: SocketAddr) -> std::io::Result<Self> {
+    pub(crate) async fn bind(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         Ok(Self { listener })
     }
@@ -106,12 +106,12 @@
     /// # Errors
     ///
     /// Returns the system's error.
-    pub fn address(&self) -> std::io::Result<SocketAddr> {
+    pub(crate) fn address(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
     /// Serves routes until the process has stopped.
-    pub async fn serve(self, routes: Router, lifecycle: Lifecycle) {
+    pub(crate) async fn serve(self, routes: Router, lifecycle: Lifecycle) {
         let hook = lifecycle.clone();
         let server = Server::new(routes)
             .http1_only()
--- a/crates/claims/cloverfold_app/src/resources.rs
+++ b/crates/claims/cloverfold_app/src/resources.rs
@@ -6,18 +6,18 @@
 
 /// At most one shared value of each type.
 #[derive(Clone, Default)]
-pub struct Resources {
+pub(crate) struct Resources {
     values: HashMap<TypeId, Arc<dyn Any + Send + Sync>>,
 }
 
 impl Resources {
     /// Adds a value, in place of an earlier one of the same type.
-    pub fn insert<T: Send + Sync + 'static>(&mut self, value: Arc<T>) {
+    pub(crate) fn insert<T: Send + Sync + 'static>(&mut self, value: Arc<T>) {
         self.values.insert(TypeId::of::<T>(), value);
     }
 
     /// Finds the value of a type.
-    pub fn get<T: Send + Sync + 'static>(&self) -> Option<Arc<T>> {
+    pub(crate) fn get<T: Send + Sync + 'static>(&self) -> Option<Arc<T>> {
         let value = self.values.get(&TypeId::of::<T>())?;
         value.clone().downcast::<T>().ok()
     }
--- a/crates/tools/cloverfold_load/src/lib.rs
+++ b/crates/tools/cloverfold_load/src/lib.rs
@@ -1,7 +1,7 @@
 //! Open-loop load and its report.
 //!
 //! Arrivals follow a schedule that does not wait for answers, so that a slow system cannot hide its slowness.
-//! Each answer's time is set against the ideal: the longest of the job's tasks plus the network's delay.
+//! Each answer's time is set against the ideal: the longest of the job's tasks.
 
 mod client;
 mod metrics_reader;
--- a/crates/tools/cloverfold_load/src/plan.rs
+++ b/crates/tools/cloverfold_load/src/plan.rs
@@ -27,8 +27,6 @@
     pub customers: Vec<LoadCustomer>,
     /// Least and longest duration of a task, all durations alike.
     pub task_duration: (Duration, Duration),
-    /// Network delay that the ideal includes.
-    pub network_delay: Duration,
     /// How long jobs arrive.
     pub length: Duration,
     /// Arrivals in this time at the beginning are not reported.
@@ -77,7 +75,6 @@
             service: self.service,
             customers: Vec::new(),
             task_duration: (SHORTEST_TASK, LONGEST_TASK),
-            network_delay: Duration::ZERO,
             length: self.length,
             warm_up: WARM_UP,
             seed: self.seed,
--- a/crates/tools/cloverfold_load/src/run.rs
+++ b/crates/tools/cloverfold_load/src/run.rs
@@ -110,7 +110,7 @@
         tasks: job.request.tasks.len(),
         // From the time at which the job was due, so that a late start counts as waiting.
         response: arrival.due.elapsed(),
-        ideal: answer.as_ref().map_or(job.longest, find_longest_run) + plan.network_delay,
+        ideal: answer.as_ref().map_or(job.longest, find_longest_run),
         outcome: answer.map_or_else(|_| "no_answer".into(), |answer| answer.outcome),
     };
     // The report outlives every submission.
