--- a/benches/src/process_system.rs
+++ b/benches/src/process_system.rs
@@ -8,7 +8,7 @@
 use cloverfold_claim::found_cell;
 use cloverfold_claims_process::{list_guard_addresses, open_operator_network};
 use cloverfold_load::{CallerClient, CallerKey, read_metrics};
-use cloverfold_solo::{GuardAddresses, Installation, OPERATOR, SoloCustomer, find_free_addresses};
+use cloverfold_solo::{GuardAddresses, Installation, OPERATOR, SoloWorkspace, find_free_addresses};
 use cloverfold_target::SampleTarget;
 use eyre::{Result, bail};
 use rustix::process::{Pid, Signal, kill_process};
@@ -18,7 +18,7 @@
 
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 const SLOTS: usize = 8;
-const CUSTOMERS: [&str; 4] = ["pharmacy", "clinic", "station", "depot"];
+const WORKSPACES: [&str; 4] = ["pharmacy", "clinic", "station", "depot"];
 
 /// What a process does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,11 +64,11 @@
         let folder = tempfile::tempdir()?;
         let installation = Installation::create(folder.path(), guards, entries)?;
         let peers = find_free_addresses(guards)?;
-        let customers: Vec<_> = CUSTOMERS
+        let workspaces: Vec<_> = WORKSPACES
             .iter()
-            .map(|name| SoloCustomer::named(name))
+            .map(|name| SoloWorkspace::named(name))
             .collect();
-        let cell = installation.write_cell(&peers, &customers, json!({}))?;
+        let cell = installation.write_cell(&peers, &workspaces, json!({}))?;
         let mut targets = Vec::new();
         let mut processes = Vec::new();
         for (index, peer) in peers.into_iter().enumerate() {
@@ -116,11 +116,11 @@
         self.guards * SLOTS
     }
 
-    /// Lists the customers.
+    /// Lists the workspaces that submit.
     pub fn callers(&self) -> Vec<CallerKey> {
-        let customers = CUSTOMERS.iter();
-        customers
-            .map(|name| SoloCustomer::named(name).caller)
+        let workspaces = WORKSPACES.iter();
+        workspaces
+            .map(|name| SoloWorkspace::named(name).caller)
             .collect()
     }
 
--- a/crates/claims/cloverfold_claims_settings/src/cell.rs
+++ b/crates/claims/cloverfold_claims_settings/src/cell.rs
@@ -13,7 +13,7 @@
 const KEY_HASH_LEN: usize = 32;
 const ALLOWED_REPLICAS: [usize; 3] = [1, 3, 5];
 
-/// Guards, services and customers of one cell.
+/// Guards, services and workspaces of one cell.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CellSettings {
@@ -41,15 +41,16 @@
     pub guards: Vec<GuardPlace>,
     /// The services.
     pub services: Vec<ServiceSettings>,
-    /// The customers.
-    pub customers: Vec<CustomerSettings>,
+    /// The workspaces; `customers` in the file.
+    #[serde(rename = "customers")]
+    pub workspaces: Vec<WorkspaceSettings>,
 }
 
 /// In which order waiting work goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Queueing {
-    /// In proportion to the customers' weights.
+    /// In proportion to the workspaces' weights.
     #[default]
     Fair,
     /// In the order of arrival, as a baseline.
@@ -62,8 +63,9 @@
 pub struct GuardPlace {
     /// Number of the guard, unique in the cell; its certificate names `guard-<id>`.
     pub id: GuardId,
-    /// Name of the data hall.
-    pub hall: String,
+    /// Name of the data hall; `hall` in the file.
+    #[serde(rename = "hall")]
+    pub data_hall: String,
     /// Name of the rack.
     pub rack: String,
     /// UDP address at which other processes reach it.
@@ -78,15 +80,15 @@
     pub name: String,
 }
 
-/// A customer that may submit.
+/// A workspace that may submit jobs.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CustomerSettings {
-    /// Name of the customer.
+pub struct WorkspaceSettings {
+    /// Name of the workspace.
     pub name: String,
-    /// SHA-256 of the customer's key, in hexadecimal.
+    /// SHA-256 of the workspace's key, in hexadecimal.
     pub key_sha256: String,
-    /// Share of the slots relative to other customers when all wait.
+    /// Share of the slots relative to other workspaces when all wait.
     #[serde(default = "default_weight")]
     pub weight: f64,
 }
@@ -112,7 +114,7 @@
     pub fn build_cell(&self) -> Cell {
         let locate = |place: &GuardPlace| Location {
             guard: place.id,
-            hall: place.hall.clone(),
+            hall: place.data_hall.clone(),
             rack: place.rack.clone(),
         };
         let cell = Cell::new(self.guards.iter().map(locate).collect(), self.replicas);
@@ -148,12 +150,12 @@
         std::iter::once(lead).chain(others).collect()
     }
 
-    /// Returns the flow in which a customer's work at a service waits.
-    pub fn flow_of(&self, service: &str, customer: &str) -> Flow {
+    /// Returns the flow in which a workspace's work at a service waits.
+    pub fn flow_of(&self, service: &str, workspace: &str) -> Flow {
         match self.queueing {
             Queueing::Fair => Flow {
                 service: service.into(),
-                customer: customer.into(),
+                customer: workspace.into(),
             },
             // One flow for all is a queue in the order of arrival.
             Queueing::Fifo => Flow {
@@ -163,17 +165,17 @@
         }
     }
 
-    /// Returns the weight of a customer's flow.
-    pub fn weight_of(&self, customer: &str) -> f64 {
+    /// Returns the weight of a workspace's flow.
+    pub fn weight_of(&self, workspace: &str) -> f64 {
         match self.queueing {
-            Queueing::Fair => self.find_customer(customer).map_or(1.0, |one| one.weight),
+            Queueing::Fair => self.find_workspace(workspace).map_or(1.0, |one| one.weight),
             Queueing::Fifo => 1.0,
         }
     }
 
-    /// Finds a customer by name.
-    pub fn find_customer(&self, name: &str) -> Option<&CustomerSettings> {
-        self.customers.iter().find(|one| one.name == name)
+    /// Finds a workspace by name.
+    pub fn find_workspace(&self, name: &str) -> Option<&WorkspaceSettings> {
+        self.workspaces.iter().find(|one| one.name == name)
     }
 
     /// Finds a service by name.
@@ -215,8 +217,8 @@
         );
         self.check_guards(faults);
         self.check_names(faults);
-        for (index, customer) in self.customers.iter().enumerate() {
-            customer.check(&format!("customers[{index}]"), faults);
+        for (index, workspace) in self.workspaces.iter().enumerate() {
+            workspace.check(&format!("customers[{index}]"), faults);
         }
     }
 }
@@ -231,7 +233,11 @@
             faults.add_if(is_known, field("id"), "is used by another guard");
             let is_known = !addresses.insert(guard.address);
             faults.add_if(is_known, field("address"), "is used by another guard");
-            faults.add_if(guard.hall.is_empty(), field("hall"), "must name a hall");
+            faults.add_if(
+                guard.data_hall.is_empty(),
+                field("hall"),
+                "must name a hall",
+            );
             faults.add_if(guard.rack.is_empty(), field("rack"), "must name a rack");
         }
     }
@@ -244,15 +250,15 @@
             faults.add_if(is_wrong, field, "must be unique and not empty");
         }
         let mut names = BTreeSet::new();
-        for (index, customer) in self.customers.iter().enumerate() {
-            let is_wrong = customer.name.is_empty() || !names.insert(customer.name.as_str());
+        for (index, workspace) in self.workspaces.iter().enumerate() {
+            let is_wrong = workspace.name.is_empty() || !names.insert(workspace.name.as_str());
             let field = format!("customers[{index}].name");
             faults.add_if(is_wrong, field, "must be unique and not empty");
         }
     }
 }
 
-impl CustomerSettings {
+impl WorkspaceSettings {
     fn check(&self, field: &str, faults: &mut FaultList) {
         faults.add_if(
             decode_key_hash(&self.key_sha256).is_none(),
@@ -273,9 +279,9 @@
     hash.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Tells whether a key is the customer's, in a time that does not depend on where they differ.
-pub fn verify_caller_key(customer: &CustomerSettings, key: &str) -> bool {
-    let Some(expected) = decode_key_hash(&customer.key_sha256) else {
+/// Returns whether a key is the workspace's, in a time that does not depend on where they differ.
+pub fn verify_caller_key(workspace: &WorkspaceSettings, key: &str) -> bool {
+    let Some(expected) = decode_key_hash(&workspace.key_sha256) else {
         return false;
     };
     let given: [u8; KEY_HASH_LEN] = Sha256::digest(key.as_bytes()).into();
--- a/crates/claims/cloverfold_claims_settings/src/lib.rs
+++ b/crates/claims/cloverfold_claims_settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! Settings of the processes of a claims installation: entry and guard, and the cell's file that they share.
 //!
-//! The guards, services and customers that all processes share stand in one [`CellSettings`] file. Owns the checks of values. Relies on
+//! The guards, services and workspaces that all processes share stand in one [`CellSettings`] file. Owns the checks of values. Relies on
 //! `cloverfold_settings` for reading files and placing faults.
 //!
 //! ```
@@ -17,7 +17,7 @@
 mod guard;
 
 pub use cell::{
-    CellSettings, CustomerSettings, GuardPlace, Queueing, ServiceSettings, hash_caller_key,
+    CellSettings, GuardPlace, Queueing, ServiceSettings, WorkspaceSettings, hash_caller_key,
     verify_caller_key,
 };
 pub use entry::EntrySettings;
--- a/crates/claims/cloverfold_entry/src/auth.rs
+++ b/crates/claims/cloverfold_entry/src/auth.rs
@@ -1,6 +1,6 @@
 //! Who a caller is.
 
-use cloverfold_claims_settings::{CellSettings, CustomerSettings, verify_caller_key};
+use cloverfold_claims_settings::{CellSettings, WorkspaceSettings, verify_caller_key};
 use http::{HeaderMap, StatusCode};
 
 use crate::submission::Refusal;
@@ -12,7 +12,7 @@
 pub(crate) fn authenticate<'a>(
     cell: &'a CellSettings,
     headers: &HeaderMap,
-) -> Result<&'a CustomerSettings, Refusal> {
+) -> Result<&'a WorkspaceSettings, Refusal> {
     let name = read_header(headers, CUSTOMER_HEADER);
     let key = read_header(headers, "authorization").and_then(|one| one.strip_prefix("Bearer "));
     let (Some(name), Some(key)) = (name, key) else {
@@ -23,7 +23,7 @@
     // One message for both, so that nobody learns which names exist.
     let wrong = "the customer or its key is wrong";
     let customer = cell
-        .find_customer(name)
+        .find_workspace(name)
         .ok_or_else(|| unauthorized(wrong))?;
     if verify_caller_key(customer, key) {
         Ok(customer)
--- a/crates/cloverfold/src/bin/cloverfold/keys.rs
+++ b/crates/cloverfold/src/bin/cloverfold/keys.rs
@@ -38,11 +38,11 @@
     }
 }
 
-/// Print the hash of a customer's key, as the cell's file holds it.
+/// Print the hash of a workspace's key, as the cell's file holds it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hash-key")]
 pub(crate) struct HashKey {
-    /// the customer's key
+    /// the workspace's key
     #[argh(positional)]
     key: String,
 }
--- a/crates/cloverfold/src/bin/cloverfold/solo.rs
+++ b/crates/cloverfold/src/bin/cloverfold/solo.rs
@@ -33,7 +33,7 @@
     /// spread the jobs' coordination over all guards, as a baseline
     #[argh(switch)]
     no_lead: bool,
-    /// how many times its part the first customer submits
+    /// how many times its part the first workspace submits
     #[argh(option, default = "1.0")]
     overload: f64,
     /// serve waiting work in the order of arrival, as a baseline
@@ -111,7 +111,7 @@
 
 async fn serve(system: &SoloSystem) -> Result<()> {
     let entries = system.entry_addresses();
-    let caller = &system.config().customers[0].caller;
+    let caller = &system.config().workspaces[0].caller;
     println!(
         "entries: {entries:?}; settings and keys: {}",
         system.folder().display()
@@ -120,7 +120,7 @@
     println!("try, and end with Ctrl-C:");
     println!(
         "  curl -s http://{}/v1/jobs -H 'Cloverfold-Customer: {}' -H 'Authorization: Bearer {}' \\",
-        entries[0], caller.customer, caller.key
+        entries[0], caller.workspace, caller.key
     );
     println!("    -d '{{\"service\":\"sample\",\"tasks\":[{{\"duration_ms\":100}}]}}'");
     tokio::signal::ctrl_c().await?;
--- a/crates/cloverfold/tests/system/bad_input.rs
+++ b/crates/cloverfold/tests/system/bad_input.rs
@@ -155,7 +155,7 @@
 
     for (customer, key) in [("pharmacy", "clinic-key"), ("nobody", "pharmacy-key")] {
         let caller = CallerKey {
-            customer: customer.into(),
+            workspace: customer.into(),
             key: key.into(),
         };
         let answer = submit_raw(&cluster, &caller, &case).await;
@@ -163,7 +163,7 @@
         assert_eq!(answer.error_code(), Some("unauthorized"));
     }
     let other = CallerKey {
-        customer: "clinic".into(),
+        workspace: "clinic".into(),
         key: "clinic-key".into(),
     };
     let state = cluster.client.query(cluster.entry_https[0], &other, "mine");
@@ -235,7 +235,7 @@
     let mut slow = TcpStream::connect(entry).await.unwrap();
     let head = format!(
         "POST /v1/jobs HTTP/1.1\r\nHost: entry\r\nCloverfold-Customer: {}\r\nAuthorization: Bearer {}\r\nContent-Length: 500\r\n\r\n{{",
-        cluster.caller.customer, cluster.caller.key
+        cluster.caller.workspace, cluster.caller.key
     );
     slow.write_all(head.as_bytes()).await.unwrap();
 
--- a/crates/cloverfold/tests/system/cluster.rs
+++ b/crates/cloverfold/tests/system/cluster.rs
@@ -13,7 +13,7 @@
 use cloverfold_faults::{Faults, TcpProxy, UdpProxy};
 use cloverfold_load::{CallerClient, CallerKey, JobAnswer, JobRequest, LoadError};
 use cloverfold_solo::{
-    GuardAddresses, Installation, OPERATOR, SERVICE, SoloCustomer, find_free_addresses,
+    GuardAddresses, Installation, OPERATOR, SERVICE, SoloWorkspace, find_free_addresses,
 };
 use cloverfold_target::{Journal, SampleTarget};
 use rustix::process::{Pid, Signal, kill_process};
@@ -178,7 +178,10 @@
             targets.push(target);
         }
         let public: Vec<_> = guard_links.iter().map(UdpProxy::address).collect();
-        let customers = [SoloCustomer::named(CUSTOMER), SoloCustomer::named("clinic")];
+        let customers = [
+            SoloWorkspace::named(CUSTOMER),
+            SoloWorkspace::named("clinic"),
+        ];
         let cell = installation
             .write_cell(&public, &customers, shape.cell)
             .unwrap();
@@ -372,7 +375,7 @@
 
     /// Returns the guards that hold a job's key, first choice first, counted from 0.
     pub fn group_of(&self, job: &TestJob) -> Vec<usize> {
-        let key = derive_submission_key(&self.caller.customer, &job.name);
+        let key = derive_submission_key(&self.caller.workspace, &job.name);
         let cell: Cell = self.cell.build_cell();
         let group = cell.choose_replica_group(&key);
         group.iter().map(|id| usize::from(*id) - 1).collect()
--- a/crates/common/cloverfold_settings/tests/settings.rs
+++ b/crates/common/cloverfold_settings/tests/settings.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use cloverfold_claims_settings::{
-    CellSettings, CustomerSettings, EntrySettings, GuardSettings, hash_caller_key,
+    CellSettings, EntrySettings, GuardSettings, WorkspaceSettings, hash_caller_key,
     verify_caller_key,
 };
 use cloverfold_leased_settings::{ControlSettings, LeasedEntrySettings, LeasedGuardSettings};
@@ -193,7 +193,7 @@
 
 #[test]
 fn only_the_right_key_is_taken() {
-    let customer = CustomerSettings {
+    let customer = WorkspaceSettings {
         name: "pharmacy".into(),
         key_sha256: hash_caller_key("right"),
         weight: 1.0,
--- a/crates/tools/cloverfold_load/src/client.rs
+++ b/crates/tools/cloverfold_load/src/client.rs
@@ -13,9 +13,9 @@
 /// Who calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerKey {
-    /// Name of the customer.
-    pub customer: String,
-    /// The customer's key.
+    /// Name of the workspace.
+    pub workspace: String,
+    /// The workspace's key.
     pub key: String,
 }
 
@@ -129,7 +129,7 @@
         let mut req = self
             .client
             .post(format!("http://{entry}/v1/jobs"))
-            .header("cloverfold-customer", caller.customer.as_str())
+            .header("cloverfold-customer", caller.workspace.as_str())
             .header("authorization", format!("Bearer {}", caller.key));
         if let Some(key) = idempotency_key {
             req = req.header("idempotency-key", key);
@@ -152,7 +152,7 @@
         let response = self
             .client
             .get(format!("http://{entry}/v1/jobs/{key}"))
-            .header("cloverfold-customer", caller.customer.as_str())
+            .header("cloverfold-customer", caller.workspace.as_str())
             .header("authorization", format!("Bearer {}", caller.key))
             .body(Body::empty())
             .send()
--- a/crates/tools/cloverfold_load/src/lib.rs
+++ b/crates/tools/cloverfold_load/src/lib.rs
@@ -11,6 +11,6 @@
 
 pub use client::{CallerClient, CallerKey, JobAnswer, JobRequest, LoadError};
 pub use metrics_reader::{MetricsTotals, read_metrics};
-pub use plan::{EvenLoad, LoadCustomer, LoadPlan};
-pub use report::{CustomerReport, LoadReport, WasteReport};
+pub use plan::{EvenLoad, LoadPlan, LoadWorkspace};
+pub use report::{LoadReport, WasteReport, WorkspaceReport};
 pub use run::run_load;
--- a/crates/tools/cloverfold_load/src/plan.rs
+++ b/crates/tools/cloverfold_load/src/plan.rs
@@ -5,9 +5,9 @@
 
 use crate::client::CallerKey;
 
-/// One customer's part of the load.
+/// One workspace's part of the load.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LoadCustomer {
+pub struct LoadWorkspace {
     /// Who submits.
     pub caller: CallerKey,
     /// Jobs per second, with exponential gaps.
@@ -23,8 +23,8 @@
     pub entries: Vec<SocketAddr>,
     /// Service to run at.
     pub service: String,
-    /// The customers.
-    pub customers: Vec<LoadCustomer>,
+    /// The workspaces.
+    pub workspaces: Vec<LoadWorkspace>,
     /// Least and longest duration of a task, all durations alike.
     pub task_duration: (Duration, Duration),
     /// How long jobs arrive.
@@ -46,12 +46,12 @@
 const LONGEST_TASK: Duration = Duration::from_millis(500);
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// Load on a system as a share of its slots, spread evenly over customers, of tasks of 50 to 500 ms.
+/// Load on a system as a share of its slots, spread evenly over workspaces, of tasks of 50 to 500 ms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EvenLoad {
     /// Entries, used in turn.
     pub entries: Vec<SocketAddr>,
-    /// The customers.
+    /// The workspaces that submit.
     pub callers: Vec<CallerKey>,
     /// Service to run at.
     pub service: String,
@@ -68,12 +68,12 @@
 }
 
 impl EvenLoad {
-    /// Works out each customer's rate.
+    /// Works out each workspace's rate.
     pub fn make_plan(self) -> LoadPlan {
         let mut plan = LoadPlan {
             entries: self.entries,
             service: self.service,
-            customers: Vec::new(),
+            workspaces: Vec::new(),
             task_duration: (SHORTEST_TASK, LONGEST_TASK),
             length: self.length,
             warm_up: WARM_UP,
@@ -82,12 +82,12 @@
         let tasks_per_s = self.share * self.slots as f64 / plan.mean_duration().as_secs_f64();
         let mean_size = (self.job_size.0 + self.job_size.1) as f64 / 2.0;
         let jobs_per_s = tasks_per_s / mean_size / self.callers.len() as f64;
-        let customers = self.callers.into_iter().map(|caller| LoadCustomer {
+        let workspaces = self.callers.into_iter().map(|caller| LoadWorkspace {
             caller,
             jobs_per_s,
             job_size: self.job_size,
         });
-        plan.customers = customers.collect();
+        plan.workspaces = workspaces.collect();
         plan
     }
 }
--- a/crates/tools/cloverfold_load/src/report.rs
+++ b/crates/tools/cloverfold_load/src/report.rs
@@ -15,7 +15,7 @@
 
 /// One answered or failed job.
 pub(crate) struct Sample {
-    pub(crate) customer: usize,
+    pub(crate) workspace: usize,
     pub(crate) is_counted: bool,
     pub(crate) tasks: usize,
     pub(crate) response: Duration,
@@ -23,11 +23,11 @@
     pub(crate) outcome: String,
 }
 
-/// What one customer got.
+/// What one workspace got.
 #[derive(Clone, Debug)]
-pub struct CustomerReport {
-    /// Name of the customer.
-    pub customer: String,
+pub struct WorkspaceReport {
+    /// Name of the workspace.
+    pub workspace: String,
     /// Jobs by outcome.
     pub outcomes: BTreeMap<String, u64>,
     /// Tasks of complete jobs.
@@ -36,11 +36,11 @@
     ratios: Histogram<u64>,
 }
 
-impl CustomerReport {
-    fn new(customer: String) -> Self {
+impl WorkspaceReport {
+    fn new(workspace: String) -> Self {
         let ratios = Histogram::new_with_max(LARGEST_RATIO, SIGNIFICANT_DIGITS);
         Self {
-            customer,
+            workspace,
             outcomes: BTreeMap::new(),
             useful_tasks: 0,
             ratios: ratios.expect("the bounds are valid"),
@@ -85,32 +85,32 @@
     }
 }
 
-/// What a run showed, by customer.
+/// What a run showed, by workspace.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
-    /// The customers.
-    pub customers: Vec<CustomerReport>,
+    /// The workspaces.
+    pub workspaces: Vec<WorkspaceReport>,
     /// How long the run took, to its last answer.
     pub length: Duration,
 }
 
 impl LoadReport {
-    pub(crate) fn new(customers: Vec<String>) -> Self {
+    pub(crate) fn new(workspaces: Vec<String>) -> Self {
         Self {
-            customers: customers.into_iter().map(CustomerReport::new).collect(),
+            workspaces: workspaces.into_iter().map(WorkspaceReport::new).collect(),
             length: Duration::ZERO,
         }
     }
 
     pub(crate) fn note(&mut self, sample: &Sample) {
-        self.customers[sample.customer].note(sample);
+        self.workspaces[sample.workspace].note(sample);
     }
 
-    /// Adds up all customers.
-    pub fn total(&self) -> CustomerReport {
-        let mut total = CustomerReport::new("all".into());
-        for customer in &self.customers {
-            total.add(customer);
+    /// Adds up all workspaces.
+    pub fn total(&self) -> WorkspaceReport {
+        let mut total = WorkspaceReport::new("all".into());
+        for workspace in &self.workspaces {
+            total.add(workspace);
         }
         total
     }
@@ -124,12 +124,12 @@
             "customer", "jobs", "other", "p50", "p99", "max"
         )?;
         let total = self.total();
-        for report in self.customers.iter().chain([&total]) {
+        for report in self.workspaces.iter().chain([&total]) {
             let complete = report.outcomes.get("complete").copied().unwrap_or(0);
             writeln!(
                 f,
                 "{:<14} {:>7} {:>7} {:>8.3} {:>8.3} {:>8.3}",
-                report.customer,
+                report.workspace,
                 report.jobs(),
                 report.jobs() - complete,
                 report.ratio_at(0.5),
--- a/crates/tools/cloverfold_load/src/run.rs
+++ b/crates/tools/cloverfold_load/src/run.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::client::{CallerClient, JobAnswer, JobRequest, LoadError};
-use crate::plan::{LoadCustomer, LoadPlan};
+use crate::plan::{LoadPlan, LoadWorkspace};
 use crate::report::{LoadReport, Sample};
 
 /// Answers that may wait to be noted.
@@ -27,8 +27,8 @@
     let plan = Arc::new(plan.clone());
     let (tx, mut samples) = mpsc::channel(SAMPLE_QUEUE);
     let began = Instant::now();
-    for index in 0..plan.customers.len() {
-        tokio::spawn(submit_as_customer(
+    for index in 0..plan.workspaces.len() {
+        tokio::spawn(submit_as_workspace(
             plan.clone(),
             index,
             client.clone(),
@@ -37,8 +37,8 @@
         ));
     }
     drop(tx);
-    let names = plan.customers.iter();
-    let names = names.map(|one| one.caller.customer.clone()).collect();
+    let names = plan.workspaces.iter();
+    let names = names.map(|one| one.caller.workspace.clone()).collect();
     let mut report = LoadReport::new(names);
     while let Some(sample) = samples.recv().await {
         report.note(&sample);
@@ -47,8 +47,8 @@
     Ok(report)
 }
 
-/// Submits one customer's jobs on schedule, whether or not earlier ones are answered.
-async fn submit_as_customer(
+/// Submits one workspace's jobs on schedule, whether or not earlier ones are answered.
+async fn submit_as_workspace(
     plan: Arc<LoadPlan>,
     index: usize,
     client: CallerClient,
@@ -56,22 +56,22 @@
     tx: mpsc::Sender<Sample>,
 ) {
     let mut rng = StdRng::seed_from_u64(plan.seed.wrapping_add(index as u64));
-    let customer = &plan.customers[index];
+    let workspace = &plan.workspaces[index];
     let mut at = Duration::ZERO;
     let mut turn = index;
     loop {
-        at += draw_gap(&mut rng, customer.jobs_per_s);
+        at += draw_gap(&mut rng, workspace.jobs_per_s);
         if at >= plan.length {
             return;
         }
         let arrival = Arrival {
-            customer: index,
+            workspace: index,
             is_counted: at >= plan.warm_up,
             due: began + at,
             entry: plan.entries[turn % plan.entries.len()],
         };
         turn += 1;
-        let job = draw_job(&mut rng, &plan, customer);
+        let job = draw_job(&mut rng, &plan, workspace);
         sleep_until(arrival.due).await;
         tokio::spawn(submit_one(
             plan.clone(),
@@ -84,7 +84,7 @@
 }
 
 struct Arrival {
-    customer: usize,
+    workspace: usize,
     is_counted: bool,
     due: Instant,
     entry: SocketAddr,
@@ -102,10 +102,10 @@
     job: DrawnJob,
     tx: mpsc::Sender<Sample>,
 ) {
-    let caller = &plan.customers[arrival.customer].caller;
+    let caller = &plan.workspaces[arrival.workspace].caller;
     let answer = client.submit(arrival.entry, caller, &job.request).await;
     let sample = Sample {
-        customer: arrival.customer,
+        workspace: arrival.workspace,
         is_counted: arrival.is_counted,
         tasks: job.request.tasks.len(),
         // From the time at which the job was due, so that a late start counts as waiting.
@@ -129,8 +129,8 @@
     Duration::from_secs_f64(-uniform.ln() / per_s)
 }
 
-fn draw_job(rng: &mut StdRng, plan: &LoadPlan, customer: &LoadCustomer) -> DrawnJob {
-    let (least, most) = customer.job_size;
+fn draw_job(rng: &mut StdRng, plan: &LoadPlan, workspace: &LoadWorkspace) -> DrawnJob {
+    let (least, most) = workspace.job_size;
     let size = rng.random_range(least..=most);
     let (shortest, longest) = plan.task_duration;
     let mut job_longest = 0;
--- a/crates/tools/cloverfold_solo/src/installation.rs
+++ b/crates/tools/cloverfold_solo/src/installation.rs
@@ -17,24 +17,24 @@
 /// Name of the operator that its keys are made for.
 pub const OPERATOR: &str = "operator-solo";
 
-const HALLS: usize = 3;
+const DATA_HALLS: usize = 3;
 const BOXES_PER_RACK: usize = 3;
 
-/// A customer of an installation.
+/// A workspace of an installation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SoloCustomer {
+pub struct SoloWorkspace {
     /// Who it is.
     pub caller: CallerKey,
     /// Its weight.
     pub weight: f64,
 }
 
-impl SoloCustomer {
-    /// Builds a customer of weight 1 whose key is `<name>-key`.
+impl SoloWorkspace {
+    /// Builds a workspace of weight 1 whose key is `<name>-key`.
     pub fn named(name: &str) -> Self {
         Self {
             caller: CallerKey {
-                customer: name.into(),
+                workspace: name.into(),
                 key: format!("{name}-key"),
             },
             weight: 1.0,
@@ -96,20 +96,20 @@
     pub fn write_cell(
         &self,
         guards: &[SocketAddr],
-        customers: &[SoloCustomer],
+        workspaces: &[SoloWorkspace],
         extra: Value,
     ) -> Result<CellSettings, SoloError> {
         let place = |(index, address): (usize, &SocketAddr)| {
             json!({
                 "id": index + 1,
-                "hall": format!("hall-{}", index % HALLS + 1),
-                "rack": format!("rack-{}", index / (HALLS * BOXES_PER_RACK) + 1),
+                "hall": format!("hall-{}", index % DATA_HALLS + 1),
+                "rack": format!("rack-{}", index / (DATA_HALLS * BOXES_PER_RACK) + 1),
                 "address": address,
             })
         };
-        let customer = |one: &SoloCustomer| {
+        let workspace = |one: &SoloWorkspace| {
             json!({
-                "name": one.caller.customer,
+                "name": one.caller.workspace,
                 "key_sha256": hash_caller_key(&one.caller.key),
                 "weight": one.weight,
             })
@@ -118,7 +118,7 @@
             "replicas": if guards.len() < 3 { 1 } else { 3 },
             "guards": guards.iter().enumerate().map(place).collect::<Vec<_>>(),
             "services": [{ "name": SERVICE }],
-            "customers": customers.iter().map(customer).collect::<Vec<_>>(),
+            "customers": workspaces.iter().map(workspace).collect::<Vec<_>>(),
         });
         self.write_file("cell.jsonc", cell, extra)?;
         Ok(read_settings(&self.cell_file())?)
--- a/crates/tools/cloverfold_solo/src/lib.rs
+++ b/crates/tools/cloverfold_solo/src/lib.rs
@@ -10,7 +10,7 @@
 mod system;
 
 pub use error::SoloError;
-pub use installation::{GuardAddresses, Installation, OPERATOR, SERVICE, SoloCustomer};
+pub use installation::{GuardAddresses, Installation, OPERATOR, SERVICE, SoloWorkspace};
 pub use measure::{Measurement, SoloLoad, measure_load};
 pub use ports::find_free_addresses;
 pub use system::{SoloConfig, SoloSystem};
--- a/crates/tools/cloverfold_solo/src/measure.rs
+++ b/crates/tools/cloverfold_solo/src/measure.rs
@@ -16,7 +16,7 @@
 /// What a load showed.
 #[derive(Clone, Debug)]
 pub struct Measurement {
-    /// Answers by customer.
+    /// Answers by workspace.
     pub load: LoadReport,
     /// Messages by kind.
     pub waste: WasteReport,
@@ -25,9 +25,9 @@
 /// Load on a solo system.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SoloLoad {
-    /// Share of the system's capacity, spread evenly over its customers.
+    /// Share of the system's capacity, spread evenly over its workspaces.
     pub share: f64,
-    /// How many times its part the first customer submits.
+    /// How many times its part the first workspace submits.
     pub overload: f64,
     /// Least and most tasks of a job.
     pub job_size: (usize, usize),
@@ -61,10 +61,10 @@
 
 fn build_plan(system: &SoloSystem, load: &SoloLoad) -> LoadPlan {
     let config = system.config();
-    let callers = config.customers.iter();
+    let callers = config.workspaces.iter();
     let even = EvenLoad {
         entries: system.entry_addresses(),
-        callers: callers.map(|customer| customer.caller.clone()).collect(),
+        callers: callers.map(|workspace| workspace.caller.clone()).collect(),
         service: SERVICE.into(),
         slots: config.guards * config.slots,
         share: load.share,
@@ -73,7 +73,7 @@
         seed: load.seed,
     };
     let mut plan = even.make_plan();
-    if let Some(first) = plan.customers.first_mut() {
+    if let Some(first) = plan.workspaces.first_mut() {
         first.jobs_per_s *= load.overload;
     }
     plan
--- a/crates/tools/cloverfold_solo/src/system.rs
+++ b/crates/tools/cloverfold_solo/src/system.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinSet;
 
 use crate::error::SoloError;
-use crate::installation::{GuardAddresses, Installation, OPERATOR, SoloCustomer};
+use crate::installation::{GuardAddresses, Installation, OPERATOR, SoloWorkspace};
 use crate::ports::find_free_addresses;
 
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -33,8 +33,8 @@
     pub slots: usize,
     /// Number of entries.
     pub entries: usize,
-    /// The customers.
-    pub customers: Vec<SoloCustomer>,
+    /// The workspaces.
+    pub workspaces: Vec<SoloWorkspace>,
     /// How tasks are placed, as in the cell's settings.
     pub placement: &'static str,
     /// Whether one guard coordinates all jobs.
@@ -50,7 +50,7 @@
             guards: 11,
             slots: 8,
             entries: 3,
-            customers: names.map(SoloCustomer::named).into(),
+            workspaces: names.map(SoloWorkspace::named).into(),
             placement: "packed",
             has_lead: true,
             queueing: "fair",
@@ -148,7 +148,7 @@
         });
         let cell = self
             .installation
-            .write_cell(&peers, &self.config.customers, extra)?;
+            .write_cell(&peers, &self.config.workspaces, extra)?;
         for (index, target) in self.targets.iter().enumerate() {
             let addresses = GuardAddresses {
                 public: peers[index],
