--- /dev/null
+++ b/crates/leased/cloverfold_peer/src/links.rs
@@ -0,0 +1,115 @@
+//! The open links of one process, and who is at the other end of each.
+//!
+//! Every process of a leased installation keeps one [`PeerLinks`]. It owns the senders of the links and the peers' introductions
+//! ([`Hello`]); it takes no decision. Relies on `cloverfold_link`, which reports when a link opens, brings a message, or closes.
+
+use std::collections::HashMap;
+
+use cloverfold_configuration::Version;
+use cloverfold_link::{LinkId, LinkSender};
+
+use crate::messages::{Hello, PeerMessage, PeerRole};
+
+/// One open link.
+#[derive(Debug)]
+struct PeerLink {
+    sender: LinkSender<PeerMessage>,
+    /// Whether this process opened the connection.
+    is_dialed: bool,
+    /// `None` until the peer has introduced itself.
+    hello: Option<Hello>,
+}
+
+/// All open links of a process.
+#[derive(Debug, Default)]
+pub struct PeerLinks {
+    links: HashMap<LinkId, PeerLink>,
+}
+
+impl PeerLinks {
+    /// Adds a link that has just opened, and introduces this process to the peer with `own`.
+    pub fn open(
+        &mut self,
+        link: LinkId,
+        is_dialed: bool,
+        sender: LinkSender<PeerMessage>,
+        own: &Hello,
+    ) {
+        // A link that closes at once reports it with an event of its own.
+        let _ = sender.send(&PeerMessage::Hello(own.clone()));
+        let opened = PeerLink {
+            sender,
+            is_dialed,
+            hello: None,
+        };
+        self.links.insert(link, opened);
+    }
+
+    /// Records who is at the other end. Returns `false` if the link is closed already.
+    pub fn record_hello(&mut self, link: LinkId, hello: Hello) -> bool {
+        let Some(open) = self.links.get_mut(&link) else {
+            return false;
+        };
+        open.hello = Some(hello);
+        true
+    }
+
+    /// Records the version of the configuration that is now in force at a peer.
+    pub fn record_version(&mut self, link: LinkId, version: Version) {
+        let open = self.links.get_mut(&link);
+        if let Some(hello) = open.and_then(|open| open.hello.as_mut()) {
+            hello.version = version;
+        }
+    }
+
+    /// Removes a link, which closes it if it is still open. Returns who was at the other end; `None` if the link was removed before or
+    /// the peer never introduced itself.
+    pub fn close(&mut self, link: LinkId) -> Option<Hello> {
+        let hello = self.links.remove(&link)?.hello?;
+        log::info!(peer = hello.name.as_str(), link; "peer disconnected");
+        Some(hello)
+    }
+
+    /// Returns who is at the other end of a link, once it has introduced itself.
+    pub fn hello(&self, link: LinkId) -> Option<&Hello> {
+        self.links.get(&link)?.hello.as_ref()
+    }
+
+    /// Returns whether this process opened the connection; `false` for a link that is closed.
+    pub fn is_dialed(&self, link: LinkId) -> bool {
+        self.links.get(&link).is_some_and(|open| open.is_dialed)
+    }
+
+    /// Returns all peers that have introduced themselves, in no order. A peer with two links is returned twice.
+    pub fn peers(&self) -> impl Iterator<Item = &Hello> {
+        self.links.values().filter_map(|open| open.hello.as_ref())
+    }
+
+    /// Queues a message. Returns `false` if the link is closed or its queue is full.
+    pub fn send(&self, link: LinkId, message: &PeerMessage) -> bool {
+        self.links
+            .get(&link)
+            .is_some_and(|open| open.sender.send(message))
+    }
+
+    /// Queues a message to each peer whose role is selected. A link whose queue is full misses it: what is sent this way is sent again
+    /// at regular intervals or asked for.
+    pub fn send_to_roles(&self, is_selected: impl Fn(PeerRole) -> bool, message: &PeerMessage) {
+        for open in self.links.values() {
+            if open
+                .hello
+                .as_ref()
+                .is_some_and(|hello| is_selected(hello.role))
+            {
+                open.sender.send(message);
+            }
+        }
+    }
+
+    /// Queues a message on every link, also where the peer has not introduced itself yet. A link whose queue is full misses it.
+    pub fn send_to_all(&self, message: &PeerMessage) {
+        for open in self.links.values() {
+            open.sender.send(message);
+        }
+    }
+}
--- /dev/null
+++ b/crates/leased/cloverfold_peer/tests/links.rs
@@ -0,0 +1,136 @@
+//! The table of open links, between two processes on a loopback address.
+
+#![allow(clippy::unwrap_used)]
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use cloverfold_link::{DialBackoff, Dialer, LinkEvent, LinkId, accept_links, listen};
+use cloverfold_peer::{Hello, PeerLinks, PeerMessage, PeerRole};
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+const PATIENCE: Duration = Duration::from_secs(5);
+
+/// One end: its links, and the events that wait to be handled.
+struct End {
+    own: Hello,
+    links: PeerLinks,
+    events: mpsc::Receiver<LinkEvent<PeerMessage>>,
+}
+
+impl End {
+    fn new(own: Hello, events: mpsc::Receiver<LinkEvent<PeerMessage>>) -> Self {
+        Self {
+            own,
+            links: PeerLinks::default(),
+            events,
+        }
+    }
+
+    async fn next(&mut self) -> LinkEvent<PeerMessage> {
+        timeout(PATIENCE, self.events.recv())
+            .await
+            .unwrap()
+            .unwrap()
+    }
+
+    /// Opens the next link and records who is at its other end.
+    async fn greet(&mut self) -> LinkId {
+        let LinkEvent::Opened {
+            link,
+            dialed,
+            sender,
+            ..
+        } = self.next().await
+        else {
+            panic!("expected a link to open");
+        };
+        self.links.open(link, dialed, sender, &self.own);
+        let PeerMessage::Hello(hello) = self.receive().await else {
+            panic!("expected an introduction");
+        };
+        assert!(self.links.record_hello(link, hello));
+        link
+    }
+
+    async fn receive(&mut self) -> PeerMessage {
+        match self.next().await {
+            LinkEvent::Received { message, .. } => message,
+            other => panic!("expected a message, got {other:?}"),
+        }
+    }
+}
+
+fn hello(name: &str, role: PeerRole, address: SocketAddr) -> Hello {
+    Hello {
+        name: name.into(),
+        role,
+        address,
+        version: 0,
+    }
+}
+
+/// Connects a guard, which dials, with an entry.
+async fn connect() -> (End, LinkId, End, LinkId, Dialer) {
+    let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
+    let address = listener.local_addr().unwrap();
+    let (entry_tx, entry_rx) = mpsc::channel(16);
+    let (guard_tx, guard_rx) = mpsc::channel(16);
+    let mut entry = End::new(hello("entry", PeerRole::Entry, address), entry_rx);
+    let mut guard = End::new(hello("guard", PeerRole::Guard, address), guard_rx);
+    tokio::spawn(accept_links(listener, entry_tx));
+    let dialer = Dialer::start(address, DialBackoff::default(), guard_tx);
+    let (entry_link, guard_link) = tokio::join!(entry.greet(), guard.greet());
+    (entry, entry_link, guard, guard_link, dialer)
+}
+
+#[tokio::test]
+async fn both_ends_of_a_link_know_each_other_and_who_dialed() {
+    let (entry, entry_link, guard, guard_link, _dialer) = connect().await;
+
+    assert_eq!(entry.links.hello(entry_link), Some(&guard.own));
+    assert_eq!(guard.links.hello(guard_link), Some(&entry.own));
+    assert!(guard.links.is_dialed(guard_link));
+    assert!(!entry.links.is_dialed(entry_link));
+}
+
+#[tokio::test]
+async fn a_message_to_a_role_reaches_only_peers_of_that_role() {
+    let (entry, entry_link, mut guard, _, _dialer) = connect().await;
+    let invite = PeerMessage::Invite {
+        entry: entry.own.address,
+    };
+
+    let is_entry = |role| role == PeerRole::Entry;
+    entry.links.send_to_roles(is_entry, &invite);
+    let is_guard = |role| role == PeerRole::Guard;
+    entry.links.send_to_roles(is_guard, &PeerMessage::Fetch);
+    assert!(entry.links.send(entry_link, &invite));
+
+    assert_eq!(guard.receive().await, PeerMessage::Fetch);
+    assert_eq!(guard.receive().await, invite);
+}
+
+#[tokio::test]
+async fn a_recorded_version_replaces_that_of_the_introduction() {
+    let (mut entry, entry_link, _guard, _, _dialer) = connect().await;
+
+    entry.links.record_version(entry_link, 7);
+
+    let versions: Vec<_> = entry.links.peers().map(|peer| peer.version).collect();
+    assert_eq!(versions, [7]);
+}
+
+#[tokio::test]
+async fn a_link_that_is_closed_is_closed_for_the_peer_and_for_every_later_call() {
+    let (mut entry, entry_link, mut guard, guard_link, _dialer) = connect().await;
+
+    assert_eq!(entry.links.close(entry_link), Some(guard.own.clone()));
+
+    assert_eq!(entry.links.close(entry_link), None);
+    assert!(!entry.links.record_hello(entry_link, guard.own.clone()));
+    assert!(!entry.links.send(entry_link, &PeerMessage::Fetch));
+    assert_eq!(entry.links.peers().count(), 0);
+    assert!(matches!(guard.next().await, LinkEvent::Closed { link } if link == guard_link));
+}
