--- a/crates/leased/cloverfold_leased_entry/src/callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/callers.rs
@@ -1,11 +1,12 @@
 //! Callers' requests.
 
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, MutexGuard};
 use std::time::{Duration, Instant};
 
 use cloverfold_configuration::Route;
 use cloverfold_http::{Request, Response, json_response, plain_response};
 use cloverfold_lease::{JobAnswer, JobNumber, JobRequest};
+use cloverfold_leased_process::Shared;
 use http::{HeaderValue, StatusCode};
 
 use crate::metrics::EntryMetrics;
@@ -16,9 +17,9 @@
 
 /// Answers callers.
 pub(crate) struct Callers {
-    pub(crate) state: Arc<Mutex<EntryState>>,
+    state: Shared<EntryState>,
     pub(crate) protocol: Arc<dyn JobProtocol>,
-    pub(crate) metrics: EntryMetrics,
+    pub(crate) metrics: Arc<EntryMetrics>,
 }
 
 /// Stops a job if its caller leaves before the answer.
@@ -39,8 +40,16 @@
 }
 
 impl Callers {
+    pub(crate) fn new(state: Shared<EntryState>, protocol: Arc<dyn JobProtocol>) -> Self {
+        Self {
+            state,
+            protocol,
+            metrics: Arc::new(EntryMetrics::new()),
+        }
+    }
+
     pub(crate) fn lock(&self) -> MutexGuard<'_, EntryState> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock()
     }
 
     /// Answers one request.
--- a/crates/leased/cloverfold_leased_entry/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_entry/src/metrics.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use cloverfold_telemetry::{CauseGauges, count_dropped_lines, write_metrics};
+use cloverfold_leased_process::{MetricsBuilder, ProcessMetrics};
+use cloverfold_telemetry::CauseGauges;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
-use prometheus_client::registry::Registry;
 
 use crate::state::EntryState;
 
@@ -23,39 +23,32 @@
 
 /// Counters and histograms of answers, and gauges that are read off the state when they are asked for.
 pub(crate) struct EntryMetrics {
-    registry: Registry,
+    metrics: ProcessMetrics,
     answers: Family<OutcomeLabel, Counter>,
     seconds: Histogram,
     runs: CauseGauges,
     version: Gauge,
     targets: Gauge,
     open_jobs: Gauge,
-    dropped_lines: Gauge,
 }
 
 impl EntryMetrics {
     pub(crate) fn new() -> Self {
-        let mut registry = Registry::with_prefix("cloverfold_entry");
-        let answers = Family::<OutcomeLabel, Counter>::default();
-        registry.register("answers", "Submissions by outcome", answers.clone());
+        let mut metrics = MetricsBuilder::new("cloverfold_entry");
+        let answers = Family::default();
+        let answers = metrics.add("answers", "Submissions by outcome", answers);
         let seconds = Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS));
-        registry.register("answer_seconds", "Time to the answer", seconds.clone());
+        let seconds = metrics.add("answer_seconds", "Time to the answer", seconds);
         let help = "Runs since the start, by what became of them";
-        let runs = CauseGauges::register(&mut registry, "runs", help);
-        let mut add = |name: &str, help: &str| {
-            let gauge = Gauge::default();
-            registry.register(name, help, gauge.clone());
-            gauge
-        };
+        let runs = metrics.add_cause_gauges("runs", help);
         Self {
-            version: add("configuration_version", "Version in force here"),
-            targets: add("ready_targets", "Targets that take work"),
-            open_jobs: add("open_jobs", "Jobs without an answer yet"),
-            dropped_lines: add("dropped_log_lines", "Log lines dropped since the start"),
+            version: metrics.add_gauge("configuration_version", "Version in force here"),
+            targets: metrics.add_gauge("ready_targets", "Targets that take work"),
+            open_jobs: metrics.add_gauge("open_jobs", "Jobs without an answer yet"),
             answers,
             seconds,
             runs,
-            registry,
+            metrics: metrics.finish(),
         }
     }
 
@@ -85,7 +78,6 @@
         self.version.set(state.version() as i64);
         self.targets.set(state.ready_targets() as i64);
         self.open_jobs.set(state.dispatcher.open_jobs() as i64);
-        self.dropped_lines.set(count_dropped_lines() as i64);
-        write_metrics(&self.registry)
+        self.metrics.write()
     }
 }
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -1,37 +1,34 @@
 //! The entry process, put together.
 
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 
 use cloverfold_base::random_u64;
 use cloverfold_http::{
-    HttpLimits, ListenError, Request, Serving, StopPhase, json_response, listen_at, plain_response,
-    serve_at, serve_operations,
+    HttpLimits, ListenError, Request, Serving, StopPhase, json_response, plain_response, serve_at,
 };
 use cloverfold_lease::{Dispatcher, HealthLimits, Timings};
+use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
 use cloverfold_leased_settings::LeasedEntrySettings;
-use cloverfold_link::accept_links;
-use cloverfold_peer::{ControlLinks, DialedPeers, Hello, PeerRole};
+use cloverfold_peer::{ControlLinks, Hello, PeerRole};
 use http::StatusCode;
-use tokio::sync::mpsc;
 use tokio::task::JoinSet;
-use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
+use tokio::time::{sleep, timeout};
 
 use crate::callers::Callers;
-use crate::metrics::EntryMetrics;
 use crate::protocol::JobProtocol;
 use crate::state::EntryState;
 
+/// How often the entry looks what has fallen due. Chosen, not measured.
 const TICK: Duration = Duration::from_millis(20);
-const LINK_EVENTS: usize = 1_024;
 
 /// An entry that runs.
 pub struct LeasedEntry {
     callers: Arc<Callers>,
     clients: Serving,
     readiness: Serving,
-    _metrics: Option<Serving>,
+    _operations: Option<Serving>,
     linger: Duration,
     drain_timeout: Duration,
     /// Aborted on drop.
@@ -79,67 +76,52 @@
     settings: &LeasedEntrySettings,
     protocol: Arc<dyn JobProtocol>,
 ) -> Result<LeasedEntry, ListenError> {
-    let own_address = settings.peer.address();
-    let own = Hello {
-        name: settings.peer.name.clone(),
-        role: PeerRole::Entry,
-        address: own_address,
-        version: 0,
-    };
-    let lease = &settings.lease;
-    let timings = Timings::with_bounds(lease.session(), lease.lease(), lease.stop());
-    let dispatcher = Dispatcher::new(timings, HealthLimits::default(), random_u64());
-    let (link_tx, mut link_rx) = mpsc::channel(LINK_EVENTS);
-    let dialed = DialedPeers::new(own_address, link_tx.clone());
-    let controls = ControlLinks::new(settings.peer.seed_addresses(), dialed);
-    let state = EntryState::new(own, protocol.clone(), dispatcher, controls);
-    let state = Arc::new(Mutex::new(state));
-    let callers = Arc::new(Callers {
-        state: state.clone(),
-        protocol,
-        metrics: EntryMetrics::new(),
-    });
+    let port = PeerPort::new(settings.peer.address());
+    let state = Shared::new(build_state(settings, &port, protocol.clone()));
+    let callers = Arc::new(Callers::new(state.clone(), protocol));
     log::info!(name = settings.peer.name.as_str(); "an entry starts");
 
-    let listener = listen_at("peer.port", own_address)?;
+    let port = port.listen()?;
     let clients = start_clients(settings.client_address, &callers)?;
     let readiness = start_readiness(settings.ready_address, &callers)?;
-    let metrics = serve_operations(
+    let metrics = callers.metrics.clone();
+    let operations = serve_state_operations(
         settings.peer.metrics_address(),
-        {
-            let callers = callers.clone();
-            move || callers.metrics.write(&callers.lock())
-        },
-        {
-            let callers = callers.clone();
-            move || callers.lock().find_unreadiness()
-        },
+        &state,
+        move |state| metrics.write(state),
+        EntryState::find_unreadiness,
     )?;
     let mut tasks = JoinSet::new();
-    tasks.spawn(accept_links(listener, link_tx));
-    tasks.spawn(async move {
-        let lock = || state.lock().unwrap_or_else(PoisonError::into_inner);
-        lock().begin();
-        let mut ticks = interval(TICK);
-        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        loop {
-            tokio::select! {
-                Some(event) = link_rx.recv() => lock().link_event(event),
-                _ = ticks.tick() => lock().tick(),
-            }
-        }
-    });
+    port.run(state, TICK, &mut tasks);
     Ok(LeasedEntry {
         callers,
         clients,
         readiness,
-        _metrics: metrics,
+        _operations: operations,
         linger: settings.linger(),
         drain_timeout: settings.drain_timeout(),
         _tasks: tasks,
     })
 }
 
+fn build_state(
+    settings: &LeasedEntrySettings,
+    port: &PeerPort,
+    protocol: Arc<dyn JobProtocol>,
+) -> EntryState {
+    let own = Hello {
+        name: settings.peer.name.clone(),
+        role: PeerRole::Entry,
+        address: settings.peer.address(),
+        version: 0,
+    };
+    let lease = &settings.lease;
+    let timings = Timings::with_bounds(lease.session(), lease.lease(), lease.stop());
+    let dispatcher = Dispatcher::new(timings, HealthLimits::default(), random_u64());
+    let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dial_peers());
+    EntryState::new(own, protocol, dispatcher, controls)
+}
+
 fn start_clients(address: SocketAddr, callers: &Arc<Callers>) -> Result<Serving, ListenError> {
     let limits = {
         let callers = callers.clone();
--- a/crates/leased/cloverfold_leased_entry/src/state.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state.rs
@@ -10,8 +10,9 @@
 use cloverfold_lease::{
     Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRequest, RefusalCause,
 };
-use cloverfold_link::{LinkEvent, LinkId, LinkSender, send_once};
-use cloverfold_peer::{ControlLinks, Hello, PeerMessage, PeerRole};
+use cloverfold_leased_process::LeasedState;
+use cloverfold_link::{LinkEvent, LinkId, send_once};
+use cloverfold_peer::{ControlLinks, Hello, PeerLinks, PeerMessage, PeerRole};
 use tokio::sync::oneshot;
 
 use crate::event_log::log_event;
@@ -29,11 +30,6 @@
 const RUN_EPOCH: Duration = Duration::from_secs(1_767_225_600);
 const RUN_UNIT_MS: u128 = 100;
 
-struct Link {
-    sender: LinkSender<PeerMessage>,
-    hello: Option<Hello>,
-}
-
 /// A guard that was in touch.
 struct KnownGuard {
     links: usize,
@@ -48,7 +44,7 @@
     pub(crate) dispatcher: Dispatcher,
     in_force: InForce,
     fetching: Option<(u64, Duration)>,
-    links: HashMap<LinkId, Link>,
+    links: PeerLinks,
     controls: ControlLinks,
     guards: BTreeMap<SocketAddr, KnownGuard>,
     invited_at: Duration,
@@ -58,6 +54,46 @@
     was_ready: bool,
 }
 
+impl LeasedState for EntryState {
+    fn begin(&mut self) {
+        self.controls.dial();
+    }
+
+    fn tick(&mut self) {
+        let now = self.clock.now();
+        let gap = now.saturating_sub(self.ticked_at);
+        if gap > STALL {
+            log::warn!(gap_ms = gap.as_millis() as u64; "the process stood still");
+        }
+        self.ticked_at = now;
+        self.dispatcher.tick(now);
+        self.invite_guards(now);
+        self.advance();
+        let unreadiness = self.find_unreadiness();
+        if unreadiness.is_none() != self.was_ready {
+            self.was_ready = unreadiness.is_none();
+            log::info!(ready = self.was_ready, reason = unreadiness.unwrap_or_default(), version = self.version(); "readiness has changed");
+        }
+    }
+
+    fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
+        match event {
+            LinkEvent::Opened {
+                link,
+                dialed,
+                sender,
+                ..
+            } => {
+                self.own.version = self.in_force.version();
+                self.links.open(link, dialed, sender, &self.own);
+            }
+            LinkEvent::Received { link, message } => self.receive(link, message),
+            LinkEvent::Closed { link } => self.link_closed(link),
+        }
+        self.advance();
+    }
+}
+
 impl EntryState {
     pub(crate) fn new(
         own: Hello,
@@ -72,7 +108,7 @@
             dispatcher,
             in_force: InForce::default(),
             fetching: None,
-            links: HashMap::new(),
+            links: PeerLinks::default(),
             controls,
             guards: BTreeMap::new(),
             invited_at: Duration::ZERO,
@@ -83,16 +119,9 @@
         }
     }
 
-    /// Dials the seeds.
-    pub(crate) fn begin(&mut self) {
-        self.controls.dial();
-    }
-
-    /// Takes other seeds; control processes that are in touch stay so.
+    /// Replaces the seeds; links to control processes that are still wanted stay open.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
-        if self.controls.take_seeds(seeds) {
-            log::info!("the seeds have changed");
-        }
+        self.controls.set_seeds(seeds);
     }
 
     pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
@@ -176,44 +205,6 @@
         is_open
     }
 
-    /// Does what has fallen due.
-    pub(crate) fn tick(&mut self) {
-        let now = self.clock.now();
-        let gap = now.saturating_sub(self.ticked_at);
-        if gap > STALL {
-            log::warn!(gap_ms = gap.as_millis() as u64; "the process stood still");
-        }
-        self.ticked_at = now;
-        self.dispatcher.tick(now);
-        self.invite_guards(now);
-        self.advance();
-        let unreadiness = self.find_unreadiness();
-        if unreadiness.is_none() != self.was_ready {
-            self.was_ready = unreadiness.is_none();
-            log::info!(ready = self.was_ready, reason = unreadiness.unwrap_or_default(), version = self.version(); "readiness has changed");
-        }
-    }
-
-    /// Takes an event of a link.
-    pub(crate) fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
-        match event {
-            LinkEvent::Opened { link, sender, .. } => {
-                self.own.version = self.in_force.version();
-                sender.send(&PeerMessage::Hello(self.own.clone()));
-                self.links.insert(
-                    link,
-                    Link {
-                        sender,
-                        hello: None,
-                    },
-                );
-            }
-            LinkEvent::Received { link, message } => self.receive(link, message),
-            LinkEvent::Closed { link } => self.link_closed(link),
-        }
-        self.advance();
-    }
-
     fn receive(&mut self, link: LinkId, message: PeerMessage) {
         let now = self.clock.now();
         match message {
@@ -222,7 +213,7 @@
             PeerMessage::Holding { version, .. } => self.fetch(link, version),
             PeerMessage::Fetch => {
                 if let Some(stored) = self.in_force.stored().cloned() {
-                    self.send(link, &PeerMessage::Configuration(stored));
+                    self.links.send(link, &PeerMessage::Configuration(stored));
                 }
             }
             PeerMessage::Configuration(stored) => {
@@ -250,12 +241,8 @@
             version: self.in_force.version(),
             is_fresh: false,
         };
-        for link in self.links.values() {
-            let role = link.hello.as_ref().map(|hello| hello.role);
-            if matches!(role, Some(PeerRole::Control { .. })) {
-                link.sender.send(&holding);
-            }
-        }
+        let is_control = |role| matches!(role, PeerRole::Control { .. });
+        self.links.send_to_roles(is_control, &holding);
     }
 
     /// Asks a peer for its configuration if it is newer and nobody was asked just now.
@@ -272,12 +259,12 @@
             return;
         }
         self.fetching = Some((version, now));
-        self.send(link, &PeerMessage::Fetch);
+        self.links.send(link, &PeerMessage::Fetch);
     }
 
     fn greet(&mut self, link: LinkId, hello: Hello) {
         let now = self.clock.now();
-        log::info!(peer = hello.name.as_str(), link, version = hello.version; "a peer is in touch");
+        log::info!(peer = hello.name.as_str(), link, version = hello.version; "peer connected");
         if hello.role == PeerRole::Guard {
             self.dispatcher.open_session(link, &hello.name, now);
             let known = self.guards.entry(hello.address).or_insert(KnownGuard {
@@ -287,21 +274,15 @@
             known.links += 1;
         }
         let version = hello.version;
-        if let Some(held) = self.links.get_mut(&link) {
-            held.hello = Some(hello);
-        }
+        self.links.record_hello(link, hello);
         self.fetch(link, version);
     }
 
     fn link_closed(&mut self, link: LinkId) {
         let now = self.clock.now();
-        let Some(held) = self.links.remove(&link) else {
-            return;
-        };
-        let Some(hello) = held.hello else {
+        let Some(hello) = self.links.close(link) else {
             return;
         };
-        log::info!(peer = hello.name.as_str(), link; "a peer is out of touch");
         if hello.role == PeerRole::Guard {
             self.dispatcher.close_session(link, now);
             if let Some(known) = self.guards.get_mut(&hello.address) {
@@ -331,18 +312,12 @@
         }
     }
 
-    fn send(&self, link: LinkId, message: &PeerMessage) {
-        if let Some(link) = self.links.get(&link) {
-            link.sender.send(message);
-        }
-    }
-
     /// Carries out what the dispatcher wants.
     fn advance(&mut self) {
         for action in self.dispatcher.take_actions() {
             match action {
                 DispatcherAction::Send(session, message) => {
-                    self.send(session, &PeerMessage::ToRunner(message));
+                    self.links.send(session, &PeerMessage::ToRunner(message));
                 }
                 DispatcherAction::CloseSession(session) => {
                     log::warn!(link = session; "a guard is silent; its link is closed");
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -1,29 +1,28 @@
 //! The guard process, put together.
 
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 
 use cloverfold_base::unix_now;
 use cloverfold_http::{
-    HttpLimits, ListenError, Request, Serving, json_response, listen_at, plain_response, serve_at,
-    serve_operations,
+    HttpLimits, ListenError, Request, Serving, json_response, plain_response, serve_at,
 };
 use cloverfold_lease::{HoldAnswer, Runner, Timings};
+use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
 use cloverfold_leased_settings::LeasedGuardSettings;
-use cloverfold_link::accept_links;
-use cloverfold_peer::{ControlLinks, DialedPeers, Hello, PeerRole};
+use cloverfold_peer::{ControlLinks, Hello, PeerRole};
 use http::StatusCode;
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinSet;
-use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
+use tokio::time::{sleep, timeout};
 
 use crate::interface::{RegistrationRefusal, TargetInterface};
 use crate::metrics::GuardMetrics;
 use crate::state::{GuardState, TargetOrder};
 
+/// How often the guard looks what has fallen due. Chosen, not measured.
 const TICK: Duration = Duration::from_millis(20);
-const LINK_EVENTS: usize = 1_024;
 /// Pause after a hold that was not answered at all.
 const HOLD_PAUSE: Duration = Duration::from_millis(10);
 /// The same while the target has been silent for some time: each hold that is not answered costs a connection.
@@ -31,13 +30,11 @@
 /// Pause while no target is known.
 const NO_TARGET_PAUSE: Duration = Duration::from_millis(200);
 
-type SharedState = Arc<Mutex<GuardState>>;
-
 /// A guard that runs.
 pub struct LeasedGuard {
-    state: SharedState,
+    state: Shared<GuardState>,
     registrations: Serving,
-    _metrics: Option<Serving>,
+    _operations: Option<Serving>,
     drain_timeout: Duration,
     /// Aborted on drop.
     _tasks: JoinSet<()>,
@@ -51,16 +48,16 @@
 
     /// Takes what may change under way: the seeds. The rest holds for the life of the process.
     pub fn reload(&self, settings: &LeasedGuardSettings) {
-        lock(&self.state).set_seeds(settings.peer.seed_addresses());
+        self.state.lock().set_seeds(settings.peer.seed_addresses());
     }
 
     /// Stops as planned: no new run is taken, and those that are held end.
     pub async fn stop(self) {
         const PAUSE: Duration = Duration::from_millis(20);
         log::info!("draining");
-        lock(&self.state).leave();
+        self.state.lock().leave();
         let drained = async {
-            while lock(&self.state).held() > 0 {
+            while self.state.lock().held() > 0 {
                 sleep(PAUSE).await;
             }
         };
@@ -78,82 +75,62 @@
     settings: &LeasedGuardSettings,
     interface: Arc<dyn TargetInterface>,
 ) -> Result<LeasedGuard, ListenError> {
-    let own_address = settings.peer.address();
-    let own = Hello {
-        name: settings.peer.name.clone(),
-        role: PeerRole::Guard,
-        address: own_address,
-        version: 0,
-    };
-    let lease = &settings.lease;
-    let timings = Timings::with_bounds(lease.session(), lease.lease(), lease.stop());
-    // A later life begins at a later time; should the clock have gone back, the target's refusals raise the token.
-    let runner = Runner::new(timings, unix_now().as_millis() as u64);
-    let (link_tx, mut link_rx) = mpsc::channel(LINK_EVENTS);
-    let (order_tx, order_rx) = mpsc::unbounded_channel();
+    let port = PeerPort::new(settings.peer.address());
+    let (orders_tx, orders_rx) = mpsc::unbounded_channel();
     let hold_now = Arc::new(Notify::new());
-    let state = GuardState::new(
-        own,
-        runner,
-        ControlLinks::new(
-            settings.peer.seed_addresses(),
-            DialedPeers::new(own_address, link_tx.clone()),
-        ),
-        DialedPeers::new(own_address, link_tx.clone()),
-        order_tx,
-        hold_now.clone(),
-    );
-    let state = Arc::new(Mutex::new(state));
+    let state = build_state(settings, &port, orders_tx, hold_now.clone());
+    let state = Shared::new(state);
     log::info!(name = settings.peer.name.as_str(); "a guard starts");
 
-    let listener = listen_at("peer.port", own_address)?;
+    let port = port.listen()?;
     let registrations = start_registrations(settings.registration_address, &state, &interface)?;
     let metrics = GuardMetrics::new();
-    let metrics = serve_operations(
+    let operations = serve_state_operations(
         settings.peer.metrics_address(),
-        {
-            let state = state.clone();
-            move || metrics.write(&lock(&state))
-        },
-        {
-            let state = state.clone();
-            move || (!lock(&state).has_ready_target()).then_some("no target takes work")
-        },
+        &state,
+        move |state| metrics.write(state),
+        |state| (!state.has_ready_target()).then_some("no target takes work"),
     )?;
     let mut tasks = JoinSet::new();
-    tasks.spawn(accept_links(listener, link_tx));
-    tasks.spawn(carry_out_orders(state.clone(), order_rx, interface.clone()));
+    tasks.spawn(carry_out_orders(
+        state.clone(),
+        orders_rx,
+        interface.clone(),
+    ));
     tasks.spawn(keep_holding(state.clone(), interface, hold_now));
-    tasks.spawn({
-        let state = state.clone();
-        async move {
-            lock(&state).begin();
-            let mut ticks = interval(TICK);
-            ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-            loop {
-                tokio::select! {
-                    Some(event) = link_rx.recv() => lock(&state).link_event(event),
-                    _ = ticks.tick() => lock(&state).tick(),
-                }
-            }
-        }
-    });
+    port.run(state.clone(), TICK, &mut tasks);
     Ok(LeasedGuard {
         state,
         registrations,
-        _metrics: metrics,
+        _operations: operations,
         drain_timeout: settings.drain_timeout(),
         _tasks: tasks,
     })
 }
 
-fn lock(state: &SharedState) -> std::sync::MutexGuard<'_, GuardState> {
-    state.lock().unwrap_or_else(PoisonError::into_inner)
+fn build_state(
+    settings: &LeasedGuardSettings,
+    port: &PeerPort,
+    orders: mpsc::UnboundedSender<TargetOrder>,
+    hold_now: Arc<Notify>,
+) -> GuardState {
+    let own = Hello {
+        name: settings.peer.name.clone(),
+        role: PeerRole::Guard,
+        address: settings.peer.address(),
+        version: 0,
+    };
+    let lease = &settings.lease;
+    let timings = Timings::with_bounds(lease.session(), lease.lease(), lease.stop());
+    // A later life begins at a later time; should the clock have gone back, the target's refusals raise the token.
+    let runner = Runner::new(timings, unix_now().as_millis() as u64);
+    let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dial_peers());
+    GuardState::new(own, runner, controls, port.dial_peers(), orders, hold_now)
 }
 
 /// Sends each order to the target by itself: none waits for the answer to another.
 async fn carry_out_orders(
-    state: SharedState,
+    state: Shared<GuardState>,
     mut orders: mpsc::UnboundedReceiver<TargetOrder>,
     interface: Arc<dyn TargetInterface>,
 ) {
@@ -164,7 +141,7 @@
                 let state = state.clone();
                 tokio::spawn(async move {
                     let answer = answer.await;
-                    lock(&state).start_answered(&order, answer);
+                    state.lock().start_answered(&order, answer);
                 });
             }
             TargetOrder::Stop(order) => {
@@ -179,9 +156,13 @@
 }
 
 /// Renews the lease again and again; each answer tells what runs and what has ended.
-async fn keep_holding(state: SharedState, interface: Arc<dyn TargetInterface>, now: Arc<Notify>) {
+async fn keep_holding(
+    state: Shared<GuardState>,
+    interface: Arc<dyn TargetInterface>,
+    now: Arc<Notify>,
+) {
     loop {
-        let order = lock(&state).plan_hold();
+        let order = state.lock().plan_hold();
         let Some(order) = order else {
             // Whether it is told or not, it looks again.
             let _ = timeout(NO_TARGET_PAUSE, now.notified()).await;
@@ -189,9 +170,9 @@
         };
         let answer = interface.hold(order.clone()).await;
         let is_listed = matches!(answer, HoldAnswer::Listed { .. });
-        lock(&state).hold_answered(&order, answer);
+        state.lock().hold_answered(&order, answer);
         if !is_listed {
-            let is_silent = !lock(&state).has_ready_target();
+            let is_silent = !state.lock().has_ready_target();
             sleep(if is_silent { SILENT_PAUSE } else { HOLD_PAUSE }).await;
         } else if order.deadline.is_none() {
             // What is not ours is being stopped.
@@ -202,7 +183,7 @@
 
 fn start_registrations(
     address: SocketAddr,
-    state: &SharedState,
+    state: &Shared<GuardState>,
     interface: &Arc<dyn TargetInterface>,
 ) -> Result<Serving, ListenError> {
     let state = state.clone();
@@ -210,7 +191,7 @@
     let answer = move |request: Request| {
         let response = match interface.read_registration(&request) {
             Ok(call) => {
-                lock(&state).registration(call);
+                state.lock().registration(call);
                 json_response(StatusCode::OK, interface.write_acknowledgement())
             }
             Err(RegistrationRefusal::Unknown) => {
--- a/crates/leased/cloverfold_leased_guard/src/state.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -1,6 +1,5 @@
 //! The state of a guard.
 
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,8 +10,11 @@
     HoldAnswer, HoldOrder, Runner, RunnerAction, RunnerCounts, RunnerMessage, StartAnswer,
     StartOrder, StopOrder, TargetUnfitness,
 };
-use cloverfold_link::{LinkEvent, LinkId, LinkSender};
-use cloverfold_peer::{ControlLinks, DialedPeers, Directory, Hello, PeerMessage, PeerRole};
+use cloverfold_leased_process::LeasedState;
+use cloverfold_link::{LinkEvent, LinkId};
+use cloverfold_peer::{
+    ControlLinks, DialedPeers, Directory, Hello, PeerLinks, PeerMessage, PeerRole,
+};
 use tokio::sync::{Notify, mpsc};
 
 use crate::interface::RegistrationCall;
@@ -21,11 +23,6 @@
 /// burst of changes is fetched once.
 const FETCH_DELAY: Duration = Duration::from_millis(1_000);
 
-struct Link {
-    sender: LinkSender<PeerMessage>,
-    hello: Option<Hello>,
-}
-
 /// An order to the target.
 #[derive(Debug)]
 pub(crate) enum TargetOrder {
@@ -42,7 +39,7 @@
     runner: Runner,
     configuration: Option<StoredConfiguration>,
     fetch: Option<(LinkId, Duration)>,
-    links: HashMap<LinkId, Link>,
+    links: PeerLinks,
     controls: ControlLinks,
     entries: DialedPeers,
     orders: mpsc::UnboundedSender<TargetOrder>,
@@ -50,6 +47,41 @@
     unfitness: Option<TargetUnfitness>,
 }
 
+impl LeasedState for GuardState {
+    fn begin(&mut self) {
+        self.controls.dial();
+    }
+
+    fn tick(&mut self) {
+        let now = self.clock.now();
+        self.runner.tick(now);
+        if let Some((link, at)) = self.fetch
+            && now >= at
+        {
+            self.fetch = None;
+            self.links.send(link, &PeerMessage::Fetch);
+        }
+        self.advance();
+    }
+
+    fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
+        match event {
+            LinkEvent::Opened {
+                link,
+                dialed,
+                sender,
+                ..
+            } => {
+                self.own.version = self.version();
+                self.links.open(link, dialed, sender, &self.own);
+            }
+            LinkEvent::Received { link, message } => self.receive(link, message),
+            LinkEvent::Closed { link } => self.link_closed(link),
+        }
+        self.advance();
+    }
+}
+
 impl GuardState {
     pub(crate) fn new(
         own: Hello,
@@ -65,7 +97,7 @@
             runner,
             configuration: None,
             fetch: None,
-            links: HashMap::new(),
+            links: PeerLinks::default(),
             controls,
             entries,
             orders,
@@ -74,16 +106,9 @@
         }
     }
 
-    /// Dials the seeds.
-    pub(crate) fn begin(&mut self) {
-        self.controls.dial();
-    }
-
-    /// Takes other seeds; control processes that are in touch stay so.
+    /// Replaces the seeds; links to control processes that are still wanted stay open.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
-        if self.controls.take_seeds(seeds) {
-            log::info!("the seeds have changed");
-        }
+        self.controls.set_seeds(seeds);
     }
 
     pub(crate) fn counts(&self) -> RunnerCounts {
@@ -104,19 +129,6 @@
         self.advance();
     }
 
-    /// Does what has fallen due.
-    pub(crate) fn tick(&mut self) {
-        let now = self.clock.now();
-        self.runner.tick(now);
-        if let Some((link, at)) = self.fetch
-            && now >= at
-        {
-            self.fetch = None;
-            self.send(link, &PeerMessage::Fetch);
-        }
-        self.advance();
-    }
-
     /// Takes a call of the target; it is acknowledged afterwards.
     pub(crate) fn registration(&mut self, call: RegistrationCall) {
         let now = self.clock.now();
@@ -157,26 +169,6 @@
         self.advance();
     }
 
-    /// Takes an event of a link.
-    pub(crate) fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
-        match event {
-            LinkEvent::Opened { link, sender, .. } => {
-                self.own.version = self.version();
-                sender.send(&PeerMessage::Hello(self.own.clone()));
-                self.links.insert(
-                    link,
-                    Link {
-                        sender,
-                        hello: None,
-                    },
-                );
-            }
-            LinkEvent::Received { link, message } => self.receive(link, message),
-            LinkEvent::Closed { link } => self.link_closed(link),
-        }
-        self.advance();
-    }
-
     fn version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |held| held.version)
     }
@@ -185,21 +177,19 @@
         let now = self.clock.now();
         match message {
             PeerMessage::Hello(hello) => {
-                log::info!(peer = hello.name.as_str(), link, version = hello.version; "a peer is in touch");
+                log::info!(peer = hello.name.as_str(), link, version = hello.version; "peer connected");
                 if hello.role == PeerRole::Entry {
                     self.runner.open_session(link, now);
                 }
                 let version = hello.version;
-                if let Some(held) = self.links.get_mut(&link) {
-                    held.hello = Some(hello);
-                }
+                self.links.record_hello(link, hello);
                 self.plan_fetch(link, version);
             }
             PeerMessage::ToRunner(message) => self.runner.receive(link, message, now),
             PeerMessage::Holding { version, .. } => self.plan_fetch(link, version),
             PeerMessage::Fetch => {
                 if let Some(held) = self.configuration.clone() {
-                    self.send(link, &PeerMessage::Configuration(held));
+                    self.links.send(link, &PeerMessage::Configuration(held));
                 }
             }
             PeerMessage::Configuration(stored) => self.take_configuration(stored),
@@ -229,15 +219,13 @@
             is_fresh: false,
         };
         self.configuration = Some(stored);
-        for link in self.links.values() {
-            link.sender.send(&notice);
-        }
+        self.links.send_to_all(&notice);
     }
 
     fn take_directory(&mut self, directory: Directory) {
         // Entries that are gone for good are dialed no more; whoever is in touch or invites stays.
         let mut entries = directory.entries;
-        let linked = self.links.values().filter_map(|link| link.hello.as_ref());
+        let linked = self.links.peers();
         let linked = linked.filter(|hello| hello.role == PeerRole::Entry);
         entries.extend(linked.map(|hello| hello.address));
         self.entries.set(&entries);
@@ -246,20 +234,11 @@
 
     fn link_closed(&mut self, link: LinkId) {
         let now = self.clock.now();
-        let Some(held) = self.links.remove(&link) else {
+        let Some(hello) = self.links.close(link) else {
             return;
         };
-        if let Some(hello) = held.hello {
-            log::info!(peer = hello.name.as_str(), link; "a peer is out of touch");
-            if hello.role == PeerRole::Entry {
-                self.runner.close_session(link, now);
-            }
-        }
-    }
-
-    fn send(&self, link: LinkId, message: &PeerMessage) {
-        if let Some(link) = self.links.get(&link) {
-            link.sender.send(message);
+        if hello.role == PeerRole::Entry {
+            self.runner.close_session(link, now);
         }
     }
 
@@ -269,7 +248,8 @@
             match action {
                 RunnerAction::Send(session, message) => {
                     log_end(&message);
-                    self.send(session, &PeerMessage::ToDispatcher(message));
+                    self.links
+                        .send(session, &PeerMessage::ToDispatcher(message));
                 }
                 RunnerAction::CloseSession(session) => {
                     log::warn!(link = session; "an entry is silent; its runs are stopped");
--- a/crates/leased/cloverfold_leased_process/src/lib.rs
+++ b/crates/leased/cloverfold_leased_process/src/lib.rs
@@ -1,10 +1,20 @@
-//! What the processes of a leased installation share when they start and run: their runtime, their signals, and settings that change
-//! under way.
+//! What the processes of a leased installation share when they start and run: their runtime, their signals, settings that change
+//! under way, the state that their tasks share, its links and ticks, their metrics and pages for operators.
 //!
-//! Owns the watch on the settings file. Relies on `cloverfold_settings` for the errors of reading one.
+//! Owns the watch on the settings file and the channel on which the links of a process report. Relies on `cloverfold_settings` for the
+//! errors of reading a file, on `cloverfold_link` and `cloverfold_peer` for links, on `cloverfold_http` for pages and on
+//! `cloverfold_telemetry` for metrics.
 
+mod metrics;
+mod operations;
+mod peer_port;
 mod runtime;
 mod settings_watch;
+mod shared;
 
+pub use metrics::{MetricsBuilder, ProcessMetrics};
+pub use operations::serve_state_operations;
+pub use peer_port::{LeasedState, ListeningPeerPort, PeerPort, start_ticks};
 pub use runtime::start_leased_runtime;
 pub use settings_watch::SettingsWatch;
+pub use shared::Shared;
--- /dev/null
+++ b/crates/leased/cloverfold_leased_process/src/metrics.rs
@@ -0,0 +1,61 @@
+//! The metrics that every leased process has, and the way they are written.
+
+use cloverfold_telemetry::{CauseGauges, count_dropped_lines, write_metrics};
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::registry::{Metric, Registry};
+
+/// Metrics that are being declared; they are written in the order of their declaration.
+#[derive(Debug)]
+pub struct MetricsBuilder {
+    registry: Registry,
+}
+
+impl MetricsBuilder {
+    /// Declares metrics whose names begin with `prefix`.
+    pub fn new(prefix: &str) -> Self {
+        Self {
+            registry: Registry::with_prefix(prefix),
+        }
+    }
+
+    /// Declares a metric of any kind; returns it to count with.
+    pub fn add<M: Metric + Clone>(&mut self, name: &str, help: &str, metric: M) -> M {
+        self.registry.register(name, help, metric.clone());
+        metric
+    }
+
+    /// Declares a gauge.
+    pub fn add_gauge(&mut self, name: &str, help: &str) -> Gauge {
+        self.add(name, help, Gauge::default())
+    }
+
+    /// Declares a gauge for each cause.
+    pub fn add_cause_gauges(&mut self, name: &str, help: &str) -> CauseGauges {
+        CauseGauges::register(&mut self.registry, name, help)
+    }
+
+    /// Adds what every process counts.
+    pub fn finish(mut self) -> ProcessMetrics {
+        let help = "Log lines dropped since the start";
+        let dropped_lines = self.add_gauge("dropped_log_lines", help);
+        ProcessMetrics {
+            registry: self.registry,
+            dropped_lines,
+        }
+    }
+}
+
+/// All metrics of a process.
+#[derive(Debug)]
+pub struct ProcessMetrics {
+    registry: Registry,
+    dropped_lines: Gauge,
+}
+
+impl ProcessMetrics {
+    /// Writes all metrics as text, in the format of Prometheus.
+    pub fn write(&self) -> String {
+        self.dropped_lines.set(count_dropped_lines() as i64);
+        write_metrics(&self.registry)
+    }
+}
--- a/crates/leased/cloverfold_peer/src/addresses.rs
+++ b/crates/leased/cloverfold_peer/src/addresses.rs
@@ -83,11 +83,12 @@
         self.dial();
     }
 
-    /// Takes other seeds; returns whether they differ.
-    pub fn take_seeds(&mut self, seeds: Vec<SocketAddr>) -> bool {
-        let differ = seeds != self.seeds;
+    /// Replaces the seeds and dials; links to addresses that are still wanted stay open.
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
+        if seeds != self.seeds {
+            log::info!("the seeds have changed");
+        }
         self.seeds = seeds;
         self.dial();
-        differ
     }
 }
