--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -367,9 +367,9 @@
 }
 
 fn holdings() -> Vec<Sample<PeerMessage>> {
-    let holding = |is_fresh| PeerMessage::Holding {
+    let holding = |has_quorum| PeerMessage::VersionNotice {
         version: 61_000,
-        is_fresh,
+        has_quorum,
     };
     several([
         ("holding-fresh", holding(true)),
@@ -431,7 +431,7 @@
         PeerMessage::Hello(_) => hellos(),
         PeerMessage::ToRunner(_) => wrap("to-runner", dispatcher_messages(), PeerMessage::ToRunner),
         PeerMessage::ToDispatcher(_) => wrap("to-dispatcher", runner_messages(), PeerMessage::ToDispatcher),
-        PeerMessage::Holding { .. } => holdings(),
+        PeerMessage::VersionNotice { .. } => holdings(),
         PeerMessage::Fetch => one("fetch", PeerMessage::Fetch),
         PeerMessage::Configuration(_) => configurations(),
         PeerMessage::Directory(_) => directories(),
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -69,7 +69,7 @@
                 self.replica.begin_read(own, now);
             }
             PeerMessage::ReadReply { token, index } => self.finish_read(token, index),
-            PeerMessage::Holding { version, .. } => {
+            PeerMessage::VersionNotice { version, .. } => {
                 let held = self
                     .links
                     .get_mut(&link)
@@ -214,9 +214,9 @@
     }
 
     pub(super) fn notice(&self) -> PeerMessage {
-        PeerMessage::Holding {
+        PeerMessage::VersionNotice {
             version: self.state.version(),
-            is_fresh: self.is_fresh(),
+            has_quorum: self.is_fresh(),
         }
     }
 
--- a/crates/leased/cloverfold_leased_entry/src/state.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state.rs
@@ -210,7 +210,7 @@
         match message {
             PeerMessage::Hello(hello) => self.greet(link, hello),
             PeerMessage::ToDispatcher(message) => self.dispatcher.receive(link, message, now),
-            PeerMessage::Holding { version, .. } => self.fetch(link, version),
+            PeerMessage::VersionNotice { version, .. } => self.fetch(link, version),
             PeerMessage::Fetch => {
                 if let Some(stored) = self.in_force.stored().cloned() {
                     self.links.send(link, &PeerMessage::Configuration(stored));
@@ -237,9 +237,9 @@
 
     /// Tells the control processes which version is in force here, for operators who ask them.
     fn tell_controls(&self) {
-        let holding = PeerMessage::Holding {
+        let holding = PeerMessage::VersionNotice {
             version: self.in_force.version(),
-            is_fresh: false,
+            has_quorum: false,
         };
         let is_control = |role| matches!(role, PeerRole::Control { .. });
         self.links.send_to_roles(is_control, &holding);
--- a/crates/leased/cloverfold_leased_guard/src/state.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -186,7 +186,7 @@
                 self.plan_fetch(link, version);
             }
             PeerMessage::ToRunner(message) => self.runner.receive(link, message, now),
-            PeerMessage::Holding { version, .. } => self.plan_fetch(link, version),
+            PeerMessage::VersionNotice { version, .. } => self.plan_fetch(link, version),
             PeerMessage::Fetch => {
                 if let Some(held) = self.configuration.clone() {
                     self.links.send(link, &PeerMessage::Configuration(held));
@@ -214,9 +214,9 @@
             return;
         }
         log::info!(version = stored.version, before = self.version(); "a configuration is kept");
-        let notice = PeerMessage::Holding {
+        let notice = PeerMessage::VersionNotice {
             version: stored.version,
-            is_fresh: false,
+            has_quorum: false,
         };
         self.configuration = Some(stored);
         self.links.send_to_all(&notice);
--- a/crates/leased/cloverfold_peer/src/messages.rs
+++ b/crates/leased/cloverfold_peer/src/messages.rs
@@ -54,12 +54,12 @@
     ToRunner(DispatcherMessage),
     /// From a guard to an entry.
     ToDispatcher(RunnerMessage),
-    /// The sender has this version. `is_fresh` is said by control processes that are in touch with their leader.
-    Holding {
+    /// Announces the version in force at the sender; a receiver whose version is older may fetch it.
+    VersionNotice {
         /// The version in force at the sender.
         version: Version,
-        /// Whether the sender is in touch with a majority of the control processes.
-        is_fresh: bool,
+        /// Whether the sender is a control process that is connected to a quorum; always `false` from entries and guards.
+        has_quorum: bool,
     },
     /// Asks for the configuration.
     Fetch,
