--- a/crates/common/cloverfold_link/src/dial.rs
+++ b/crates/common/cloverfold_link/src/dial.rs
@@ -1,4 +1,7 @@
-//! Links that this process opens and opens again.
+//! Connections that this process opens.
+//!
+//! For peers whose address is known: [`Dialer`] keeps one link to a peer open and dials again whenever it is lost; [`send_once`] sends
+//! a single message without keeping a link. Owns the task of each dialer. Relies on `link` to run a connection that stands.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,17 +17,37 @@
 
 use crate::frame::encode_frame;
 use crate::link::{LinkEvent, run_link};
-use crate::socket::tune;
+use crate::socket::tune_socket;
 
-/// How long the one message of [`send_once`] may take.
+/// How long [`send_once`] may take. Chosen, not measured.
 const SEND_ONCE_TIMEOUT: Duration = Duration::from_millis(250);
 
+/// Attempts that are quick after a link was lost or the process has started. Chosen, not measured: with [`QUICK_ATTEMPT`] they cover
+/// about 1.2 s.
+const QUICK_ATTEMPTS: u32 = 12;
+
+/// A tenth of a second in all. Measured on `trouble-1` of textovka-sk-grown, where all power is lost for a second: with attempts of
+/// 250 ms throughout, jobs refused after its return were 686, with these 510 (commit c872f27).
+const QUICK_ATTEMPT: DialAttempt = DialAttempt {
+    connect_timeout: Duration::from_millis(70),
+    pause: Duration::from_millis(30),
+};
+
+/// Attempts to reach peers that stay away or are far. Chosen, not measured.
+const SLOW_ATTEMPT: DialAttempt = DialAttempt {
+    connect_timeout: Duration::from_millis(250),
+    pause: Duration::from_millis(200),
+};
+
+/// Factors by which a pause is varied, so that processes that lost a peer together don't dial it together. Chosen, not measured.
+const JITTER: std::ops::Range<f64> = 0.75..1.25;
+
 /// One attempt to reach a peer, and the pause after it if it fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DialAttempt {
-    /// How long the connection may take to stand.
-    pub patience: Duration,
-    /// How long to wait before the next attempt.
+    /// How long the connection may take to be established.
+    pub connect_timeout: Duration,
+    /// How long to wait before the next attempt, on average.
     pub pause: Duration,
 }
 
@@ -45,15 +68,9 @@
 impl Default for DialBackoff {
     fn default() -> Self {
         Self {
-            quick: DialAttempt {
-                patience: Duration::from_millis(70),
-                pause: Duration::from_millis(30),
-            },
-            quick_attempts: 12,
-            slow: DialAttempt {
-                patience: Duration::from_millis(250),
-                pause: Duration::from_millis(200),
-            },
+            quick: QUICK_ATTEMPT,
+            quick_attempts: QUICK_ATTEMPTS,
+            slow: SLOW_ATTEMPT,
         }
     }
 }
@@ -69,7 +86,7 @@
     }
 }
 
-/// Keeps a link to an address standing until it is dropped.
+/// Keeps a link to an address open until it is dropped; then the link closes.
 #[derive(Debug)]
 pub struct Dialer {
     task: JoinHandle<()>,
@@ -82,7 +99,11 @@
 }
 
 impl Dialer {
-    /// Starts to dial.
+    /// Starts to dial; the link reports to `events`.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside a tokio runtime.
     pub fn start<M>(
         address: SocketAddr,
         backoff: DialBackoff,
@@ -91,33 +112,43 @@
     where
         M: Serialize + DeserializeOwned + Send + 'static,
     {
-        let task = tokio::spawn(async move {
-            let mut failures = 0;
-            loop {
-                let attempt = backoff.attempt_after(failures);
-                match timeout(attempt.patience, TcpStream::connect(address)).await {
-                    Ok(Ok(stream)) => {
-                        failures = 0;
-                        run_link(stream, address, true, &events).await;
-                    }
-                    Ok(Err(_)) | Err(_) => failures = failures.saturating_add(1),
-                }
-                sleep(add_jitter(attempt.pause)).await;
-            }
-        });
+        let task = tokio::spawn(keep_dialing(address, backoff, events));
         Self { task }
     }
 }
 
-/// Sends one message over a connection of its own.
+async fn keep_dialing<M>(
+    address: SocketAddr,
+    backoff: DialBackoff,
+    events: mpsc::Sender<LinkEvent<M>>,
+) where
+    M: Serialize + DeserializeOwned + Send + 'static,
+{
+    let mut failures = 0;
+    loop {
+        let attempt = backoff.attempt_after(failures);
+        match timeout(attempt.connect_timeout, TcpStream::connect(address)).await {
+            Ok(Ok(stream)) => {
+                failures = 0;
+                run_link(stream, address, true, &events).await;
+            }
+            // Not logged: peers that are away are dialed several times a second, and the state logs which peers are connected.
+            Ok(Err(_)) | Err(_) => failures = failures.saturating_add(1),
+        }
+        sleep(add_jitter(attempt.pause)).await;
+    }
+}
+
+/// Sends one message over a connection of its own, and closes it.
 ///
 /// # Errors
 ///
-/// Returns the system's error, or that the peer took too long.
+/// Returns the system's error, [`std::io::ErrorKind::TimedOut`] after 250 ms, or [`crate::FrameError`] within an error of kind `Other`.
+/// A message that was sent may still be lost.
 pub async fn send_once<M: Serialize>(address: SocketAddr, message: &M) -> std::io::Result<()> {
     let attempt = async {
         let mut stream = TcpStream::connect(address).await?;
-        tune(&stream);
+        tune_socket(&stream);
         let mut buf = BytesMut::new();
         encode_frame(message, &mut buf).map_err(std::io::Error::other)?;
         stream.write_all(&buf).await?;
@@ -129,5 +160,5 @@
 }
 
 fn add_jitter(pause: Duration) -> Duration {
-    pause.mul_f64(rand::random_range(0.75..1.25))
+    pause.mul_f64(rand::random_range(JITTER))
 }
--- a/crates/common/cloverfold_link/src/frame.rs
+++ b/crates/common/cloverfold_link/src/frame.rs
@@ -1,12 +1,18 @@
 //! Length-prefixed frames.
+//!
+//! The form of every message on a link: four bytes of length, little-endian, then the message in postcard's encoding. A frame of
+//! length 0 is a heartbeat and carries no message. Owns nothing; relies on `postcard`.
 
 use bytes::{Buf, BufMut, BytesMut};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Longest encoded message, in bytes.
+/// Longest encoded message, in bytes. Chosen, not measured.
 pub const MAX_FRAME_LEN: usize = 8 * 1024 * 1024;
+/// Length of a frame's prefix, in bytes.
 const PREFIX_LEN: usize = 4;
+/// The length that a heartbeat names.
+const HEARTBEAT_LEN: u32 = 0;
 
 /// Why a frame cannot be used; the link it came over is closed.
 #[derive(Debug, thiserror::Error)]
@@ -23,7 +29,8 @@
 ///
 /// # Errors
 ///
-/// Says that the message cannot be encoded or is too long.
+/// Returns [`FrameError::Codec`] if the message cannot be encoded and [`FrameError::TooLong`] if it takes over [`MAX_FRAME_LEN`] bytes;
+/// nothing is appended then.
 pub fn encode_frame<M: Serialize>(message: &M, out: &mut BytesMut) -> Result<(), FrameError> {
     let body = postcard::to_stdvec(message)?;
     if body.len() > MAX_FRAME_LEN {
@@ -35,23 +42,24 @@
     Ok(())
 }
 
-/// Appends a sign of life: a frame without a message.
-pub(crate) fn encode_sign_of_life(out: &mut BytesMut) {
-    out.put_u32_le(0);
+/// Appends a heartbeat: a frame without a message.
+pub(crate) fn encode_heartbeat(out: &mut BytesMut) {
+    out.put_u32_le(HEARTBEAT_LEN);
 }
 
-/// Takes the first whole message off a buffer; `None` while more bytes are wanted. Signs of life are passed over.
+/// Takes the first whole message off a buffer, and the heartbeats before it; `None` while more bytes are needed.
 ///
 /// # Errors
 ///
-/// Says that the frame is too long or no message.
+/// Returns [`FrameError::TooLong`] if the frame names over [`MAX_FRAME_LEN`] bytes and [`FrameError::Codec`] if it holds no message of
+/// this type; the stream cannot be read any further.
 pub fn decode_frame<M: DeserializeOwned>(buf: &mut BytesMut) -> Result<Option<M>, FrameError> {
     let len = loop {
         let Some(prefix) = buf.first_chunk::<PREFIX_LEN>() else {
             return Ok(None);
         };
         match u32::from_le_bytes(*prefix) {
-            0 => buf.advance(PREFIX_LEN),
+            HEARTBEAT_LEN => buf.advance(PREFIX_LEN),
             len => break len as usize,
         }
     };
--- a/crates/common/cloverfold_link/src/lib.rs
+++ b/crates/common/cloverfold_link/src/lib.rs
@@ -2,8 +2,10 @@
 //!
 //! A link carries typed messages both ways, in order, over one TCP connection. Messages are one-way: a reply is a
 //! message of its own. Every link of a process reports to one channel of [`LinkEvent`]s, so that the state
-//! that reacts to them needs no lock. A peer that is gone without a word is noticed by the messages'
-//! own heartbeats; the transport only bounds how long unacknowledged bytes may wait.
+//! that reacts to them is driven from one place. Both ends send heartbeats while they have nothing else to send, and close a link on
+//! which nothing arrives for a second.
+//!
+//! Owns the connections and the queues of messages that wait to be sent. Relies on the system's TCP and on `postcard` for the encoding.
 
 mod dial;
 mod frame;
--- a/crates/common/cloverfold_link/src/link.rs
+++ b/crates/common/cloverfold_link/src/link.rs
@@ -1,4 +1,7 @@
 //! One connection: its reader, its writer, and the events they raise.
+//!
+//! Carries typed messages over a TCP connection from either side and notices when it is over. Owns the queue of messages that wait to
+//! be sent, and the numbers of links. Relies on `frame` for the form of messages and on `socket` for the options.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,28 +14,33 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use tokio::time::timeout;
+use tokio::time::{sleep, timeout};
 
-use crate::frame::{decode_frame, encode_frame, encode_sign_of_life};
-use crate::socket::tune;
+use crate::frame::{decode_frame, encode_frame, encode_heartbeat};
+use crate::socket::tune_socket;
 
-/// Messages that may wait for a slow peer before its link is given up.
+/// Messages that may wait for a slow peer; further ones are refused. Chosen, not measured.
 const SEND_QUEUE: usize = 4_096;
-/// Messages that are written with one system call at the most.
+/// Messages that are written with one system call at the most. Chosen, not measured.
 const WRITE_BATCH: usize = 64;
-/// How long a link may be idle before a sign of life is sent.
-const SIGN_OF_LIFE: Duration = Duration::from_millis(300);
-/// Without any byte for this long the peer counts as gone: it may have lost power or be cut off.
-const SILENCE: Duration = Duration::from_millis(1_000);
+/// How long a link may be idle before a heartbeat is sent: a third of [`SILENCE_TIMEOUT`], so that one that is late closes nothing.
+/// Chosen, not measured.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+/// Without any byte for this long the peer counts as lost: it may have no power or be cut off. Why there is a bound:
+/// docs/incidents/1-half-open-links.md; its length is chosen, not measured.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Room made for each read, in bytes. Chosen, not measured.
 const READ_BUFFER: usize = 4 * 1024;
+/// Pause after a connection could not be accepted, for instance because the process has no file descriptor left. Chosen, not measured.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Number of one connection within this process.
+/// Number of one connection within this process, from 1; never used again.
 pub type LinkId = u64;
 
 /// What happens on the links of a process.
 #[derive(Debug)]
 pub enum LinkEvent<M> {
-    /// A connection stands.
+    /// A connection is established.
     Opened {
         /// The connection.
         link: LinkId,
@@ -40,7 +48,7 @@
         address: SocketAddr,
         /// Whether this process opened it.
         dialed: bool,
-        /// The way to the peer.
+        /// Sends to the peer.
         sender: LinkSender<M>,
     },
     /// The peer sent a message.
@@ -74,7 +82,8 @@
 }
 
 impl<M: Serialize> LinkSender<M> {
-    /// Queues a message without waiting; returns whether there was room and the link stands.
+    /// Queues a message without waiting. Returns `false` if the link is closed, the queue is full, or the message cannot be encoded (which
+    /// is logged).
     pub fn send(&self, message: &M) -> bool {
         let mut buf = BytesMut::new();
         if let Err(cause) = encode_frame(message, &mut buf) {
@@ -85,7 +94,7 @@
     }
 }
 
-/// Accepts links until the listener fails.
+/// Accepts links for as long as the future is polled; each reports to `events`.
 pub async fn accept_links<M>(listener: TcpListener, events: mpsc::Sender<LinkEvent<M>>)
 where
     M: Serialize + DeserializeOwned + Send + 'static,
@@ -98,7 +107,7 @@
             }
             Err(cause) => {
                 log::warn!("a link cannot be accepted: {cause}");
-                tokio::time::sleep(std::time::Duration::from_millis(50)).await;
+                sleep(ACCEPT_PAUSE).await;
             }
         }
     }
@@ -114,7 +123,7 @@
     M: Serialize + DeserializeOwned + Send + 'static,
 {
     static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
-    tune(&stream);
+    tune_socket(&stream);
     let link = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
     let (reader, writer) = stream.into_split();
     let (tx, rx) = mpsc::channel(SEND_QUEUE);
@@ -135,7 +144,7 @@
         () = read_messages(reader, link, events) => {}
         () = write_messages(writer, rx) => {}
     }
-    // The process is ending when nobody listens any more.
+    // Nobody receives events any more only while the process ends.
     let _ = events.send(LinkEvent::Closed { link }).await;
 }
 
@@ -161,11 +170,11 @@
             }
         }
         buf.reserve(READ_BUFFER);
-        match timeout(SILENCE, reader.read_buf(&mut buf)).await {
+        match timeout(SILENCE_TIMEOUT, reader.read_buf(&mut buf)).await {
             Ok(Ok(0) | Err(_)) => return,
             Ok(Ok(_)) => {}
             Err(_) => {
-                log::info!(link; "the peer is silent");
+                log::info!(link; "peer is silent, closing its link");
                 return;
             }
         }
@@ -176,10 +185,10 @@
     let mut batch = Vec::with_capacity(WRITE_BATCH);
     let mut buf = BytesMut::new();
     loop {
-        match timeout(SIGN_OF_LIFE, rx.recv_many(&mut batch, WRITE_BATCH)).await {
+        match timeout(HEARTBEAT_INTERVAL, rx.recv_many(&mut batch, WRITE_BATCH)).await {
             Ok(0) => return,
             Ok(_) => {}
-            Err(_) => encode_sign_of_life(&mut buf),
+            Err(_) => encode_heartbeat(&mut buf),
         }
         for frame in batch.drain(..) {
             buf.extend_from_slice(&frame);
--- a/crates/common/cloverfold_link/src/socket.rs
+++ b/crates/common/cloverfold_link/src/socket.rs
@@ -1,4 +1,6 @@
 //! Socket options of links.
+//!
+//! Owns nothing; relies on the system's TCP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,15 +8,16 @@
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// How long sent bytes may stay unacknowledged before the connection counts as lost.
+/// How long sent bytes may stay unacknowledged before the connection counts as lost. Chosen, not measured.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Connections that may wait to be accepted. Chosen, not measured.
 const BACKLOG: u32 = 1_024;
 
 /// Listens on an address, also right after an earlier process has left it.
 ///
 /// # Errors
 ///
-/// Returns the system's error.
+/// Returns the system's error if the address cannot be bound.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -25,8 +28,9 @@
     socket.listen(BACKLOG)
 }
 
-/// Sets what every link wants; an option that the system refuses is left at its default.
-pub(crate) fn tune(stream: &TcpStream) {
+/// Sets the options that every link needs: no delay of small messages, and a bound on unacknowledged bytes. An option that the system
+/// refuses stays at its default, with a log line.
+pub(crate) fn tune_socket(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let outcomes = [
         socket.set_tcp_nodelay(true),
--- a/crates/common/cloverfold_link/tests/links.rs
+++ b/crates/common/cloverfold_link/tests/links.rs
@@ -72,7 +72,7 @@
     let backoff = DialBackoff::default();
     let span = |failures| {
         let attempt = backoff.attempt_after(failures);
-        attempt.patience + attempt.pause
+        attempt.connect_timeout + attempt.pause
     };
 
     let first_second: Duration = (0..10).map(span).sum();
