--- a/crates/common/cloverfold_link/src/dial.rs
+++ b/crates/common/cloverfold_link/src/dial.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// Keeps a link to an address open until it is dropped; then the link closes.
+/// Keeps a link to an address open until it is dropped; then the link closes without a [`LinkEvent::Closed`].
 #[derive(Debug)]
 pub struct Dialer {
     task: JoinHandle<()>,
--- a/crates/leased/cloverfold_leased_entry/src/protocol.rs
+++ b/crates/leased/cloverfold_leased_entry/src/protocol.rs
@@ -1,4 +1,6 @@
-//! How callers write what they ask.
+//! How callers write requests and read answers.
+//!
+//! The boundary to the platform's forms: `platform/` implements [`JobProtocol`], and nothing else here knows them. Owns nothing.
 
 use std::time::Duration;
 
@@ -6,25 +8,25 @@
 use cloverfold_lease::JobRequest;
 use http::{HeaderMap, Method};
 
-/// What a caller asks of a queue.
+/// A call to a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueueCall {
-    /// Run the job in the body under this name.
+    /// Submits the job in the body under this id.
     Submit(String),
-    /// How does this job stand?
+    /// Asks for the state of the job with this id.
     Show(String),
-    /// Stop this job.
+    /// Cancels the job with this id.
     Cancel(String),
-    /// How many jobs wait?
+    /// Asks how many jobs wait.
     Count,
 }
 
-/// A job that was read.
+/// A job that could be read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobForm {
-    /// All of it may run again if its answer is lost.
+    /// A job whose tasks may all run again if an answer is lost.
     Repeatable(JobRequest),
-    /// It asks for something that is not carried yet.
+    /// A job that needs what is not implemented; the text names it.
     Unsupported(&'static str),
 }
 
@@ -33,12 +35,12 @@
 #[error("{0}")]
 pub struct MalformedJob(pub String);
 
-/// How a job stands.
+/// The state of a job, as callers see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// It is open.
+    /// It has no answer yet.
     Running,
-    /// All its tasks are done.
+    /// All its tasks have succeeded.
     Completed,
     /// A task has failed as often as it may.
     Failed,
@@ -46,25 +48,25 @@
 
 /// How callers' requests and answers are written.
 pub trait JobProtocol: ConfigurationFormat {
-    /// Tells what a request to a queue asks; `rest` is its path after the queue's prefix.
+    /// Returns the call that a request to a queue makes, `None` if it makes none; `rest` is its path after the queue's prefix.
     fn classify(&self, method: &Method, rest: &str) -> Option<QueueCall>;
 
     /// Reads a job.
     ///
     /// # Errors
     ///
-    /// Names the field that cannot be read.
+    /// Returns [`MalformedJob`] with the field that cannot be read.
     fn read_job(&self, id: &str, route: &Route, body: &[u8]) -> Result<JobForm, MalformedJob>;
 
-    /// Returns how long the caller waits, where it says so.
+    /// Returns how long the caller waits for the answer, if its request names a bound.
     fn read_patience(&self, headers: &HeaderMap) -> Option<Duration>;
 
-    /// Writes how a job stands.
+    /// Writes the state of a job.
     fn write_state(&self, state: JobState) -> Vec<u8>;
 
     /// Writes how many jobs wait.
     fn write_count(&self, waiting: usize) -> Vec<u8>;
 
-    /// Says whether a request at the balancer's address asks for readiness.
+    /// Returns whether a request at the balancer's address asks for readiness.
     fn asks_readiness(&self, method: &Method, path: &str) -> bool;
 }
--- a/crates/leased/cloverfold_leased_entry/src/state.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state.rs
@@ -15,8 +15,8 @@
 use cloverfold_peer::{ControlLinks, Hello, PeerLinks, PeerMessage, PeerRole};
 use tokio::sync::oneshot;
 
+use crate::configuration::ConfigurationInForce;
 use crate::event_log::log_event;
-use crate::in_force::InForce;
 use crate::protocol::JobProtocol;
 
 /// A gap between two ticks from which this process has stood still: what it reads then may be old.
@@ -42,7 +42,7 @@
     own: Hello,
     protocol: Arc<dyn JobProtocol>,
     pub(crate) dispatcher: Dispatcher,
-    in_force: InForce,
+    in_force: ConfigurationInForce,
     fetching: Option<(u64, Duration)>,
     links: PeerLinks,
     controls: ControlLinks,
@@ -106,7 +106,7 @@
             own,
             protocol,
             dispatcher,
-            in_force: InForce::default(),
+            in_force: ConfigurationInForce::default(),
             fetching: None,
             links: PeerLinks::default(),
             controls,
@@ -125,7 +125,7 @@
     }
 
     pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
-        self.in_force.configuration()
+        self.in_force.decoded()
     }
 
     pub(crate) fn version(&self) -> u64 {
@@ -219,12 +219,12 @@
             PeerMessage::Configuration(stored) => {
                 self.fetching = None;
                 let format = self.protocol.clone();
-                if self.in_force.take(stored, format.as_ref()) {
+                if self.in_force.replace(stored, format.as_ref()) {
                     self.tell_controls();
                 }
             }
             PeerMessage::Directory(directory) => {
-                self.controls.take_named(directory.controls);
+                self.controls.set_listed(directory.controls);
             }
             PeerMessage::ToRunner(_)
             | PeerMessage::Invite { .. }
--- a/crates/leased/cloverfold_leased_guard/src/state.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -229,7 +229,7 @@
         let linked = linked.filter(|hello| hello.role == PeerRole::Entry);
         entries.extend(linked.map(|hello| hello.address));
         self.entries.set(&entries);
-        self.controls.take_named(directory.controls);
+        self.controls.set_listed(directory.controls);
     }
 
     fn link_closed(&mut self, link: LinkId) {
--- a/crates/leased/cloverfold_leased_process/src/runtime.rs
+++ b/crates/leased/cloverfold_leased_process/src/runtime.rs
@@ -3,11 +3,11 @@
 use tokio::runtime::Runtime;
 
 /// Starts the runtime of a leased process: one thread. The boxes have a fraction of one core, where each further thread costs
-/// wake-ups, and control state and traffic are both served in microseconds.
+/// wake-ups, and state and traffic are both served in microseconds (docs/design/6-leased-runs.md, "Transport").
 ///
 /// # Errors
 ///
-/// Returns the system's error.
+/// Returns the system's error if it has no resources for an event queue.
 pub fn start_leased_runtime() -> std::io::Result<Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/leased/cloverfold_leased_process/src/settings_watch.rs
+++ b/crates/leased/cloverfold_leased_process/src/settings_watch.rs
@@ -1,4 +1,6 @@
 //! The signals of a process, and settings that change while it runs.
+//!
+//! Owns the signal handlers and what is known of the settings file. Relies on the caller to read the settings and to apply them.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
@@ -7,72 +9,82 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::{Interval, MissedTickBehavior, interval};
 
-/// How often the settings file is looked at: it may change without a signal.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the settings file is checked: it may change without a signal. Chosen, not measured.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Follows a settings file and the signals of the process.
+/// When a file was last modified, and its length in bytes: tells one content from another without reading the file.
+type FileStamp = (SystemTime, u64);
+
+/// Watches a settings file and the signals of the process.
 pub struct SettingsWatch {
     file: PathBuf,
-    seen: Option<(SystemTime, u64)>,
+    last_stamp: Option<FileStamp>,
     term: Signal,
     int: Signal,
     hup: Signal,
-    looks: Interval,
+    checks: Interval,
 }
 
 impl SettingsWatch {
-    /// Begins to follow.
+    /// Starts to watch.
     ///
     /// # Errors
     ///
-    /// Says that the system takes no signal handler.
+    /// Returns the system's error if a signal handler cannot be installed.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside a tokio runtime.
     pub fn start(file: &Path) -> std::io::Result<Self> {
-        let mut looks = interval(LOOK_INTERVAL);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut checks = interval(CHECK_INTERVAL);
+        checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         Ok(Self {
             file: file.into(),
-            seen: stamp(file),
+            last_stamp: read_stamp(file),
             term: signal(SignalKind::terminate())?,
             int: signal(SignalKind::interrupt())?,
             hup: signal(SignalKind::hangup())?,
-            looks,
+            checks,
         })
     }
 
-    /// Waits for SIGTERM or SIGINT. On SIGHUP and when the file has changed, reads it anew and hands sound settings to
-    /// `take`; unsound ones are logged with file, line and field, and change nothing.
+    /// Waits for SIGTERM or SIGINT. On SIGHUP and when the file has changed, reads the file again and passes valid settings to
+    /// `apply`; invalid ones are logged with file, line and field, and change nothing.
     pub async fn run_until_stop<T>(
         mut self,
         read: impl Fn(&Path) -> Result<T, SettingsError>,
-        take: impl Fn(T),
+        apply: impl Fn(T),
     ) {
         loop {
             tokio::select! {
                 _ = self.term.recv() => return,
                 _ = self.int.recv() => return,
                 _ = self.hup.recv() => {}
-                _ = self.looks.tick() => {
-                    let found = stamp(&self.file);
-                    if found == self.seen {
+                _ = self.checks.tick() => {
+                    if read_stamp(&self.file) == self.last_stamp {
                         continue;
                     }
                 }
             }
-            self.seen = stamp(&self.file);
-            match read(&self.file) {
-                Ok(settings) => {
-                    let file = self.file.display().to_string();
-                    log::info!(file = file.as_str(); "settings are read anew");
-                    take(settings);
-                }
-                Err(fault) => log::error!("changed settings are not taken: {fault}"),
+            self.last_stamp = read_stamp(&self.file);
+            self.reload(&read, &apply);
+        }
+    }
+
+    fn reload<T>(&self, read: impl Fn(&Path) -> Result<T, SettingsError>, apply: impl Fn(T)) {
+        match read(&self.file) {
+            Ok(settings) => {
+                let file = self.file.display().to_string();
+                log::info!(file = file.as_str(); "settings are read anew");
+                apply(settings);
             }
+            Err(fault) => log::error!("changed settings are not taken: {fault}"),
         }
     }
 }
 
-/// Tells one content of a file from another without reading it.
-fn stamp(file: &Path) -> Option<(SystemTime, u64)> {
-    let found = std::fs::metadata(file).ok()?;
-    Some((found.modified().ok()?, found.len()))
+/// Returns the stamp of a file; `None` if the file is missing or can't be looked at, which reading it then reports.
+fn read_stamp(file: &Path) -> Option<FileStamp> {
+    let metadata = std::fs::metadata(file).ok()?;
+    Some((metadata.modified().ok()?, metadata.len()))
 }
--- a/crates/leased/cloverfold_peer/src/addresses.rs
+++ b/crates/leased/cloverfold_peer/src/addresses.rs
@@ -1,4 +1,7 @@
 //! Addresses that a process keeps links to.
+//!
+//! Owns one dialer for each address, and for entries and guards which control processes they dial. Relies on `cloverfold_link` to dial
+//! and to dial again.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,7 +20,7 @@
 }
 
 impl DialedPeers {
-    /// Begins without any; the process's own address is never dialed.
+    /// Creates an empty set whose links report to `events`. The process's own address is never dialed.
     pub fn new(own: SocketAddr, events: mpsc::Sender<LinkEvent<PeerMessage>>) -> Self {
         Self {
             own,
@@ -27,6 +30,10 @@
     }
 
     /// Keeps a link to one more address.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside a tokio runtime.
     pub fn add(&mut self, address: SocketAddr) {
         if address != self.own && !self.dialers.contains_key(&address) {
             let dialer = Dialer::start(address, DialBackoff::default(), self.events.clone());
@@ -34,7 +41,11 @@
         }
     }
 
-    /// Keeps links to these addresses and no others.
+    /// Keeps links to these addresses and no others: other links close, without an event of their own (see [`Dialer`]).
+    ///
+    /// # Panics
+    ///
+    /// Panics outside a tokio runtime.
     pub fn set(&mut self, addresses: &[SocketAddr]) {
         self.dialers
             .retain(|address, _| addresses.contains(address));
@@ -44,30 +55,34 @@
     }
 }
 
-/// Control processes that are dialed at the most.
+/// Control processes that are dialed at the most. Chosen, not measured: any of them will do.
 const MAX_CONTROLS: usize = 5;
 
-/// Links to control processes: those that were named last, and seeds as far as there is place.
+/// Links to control processes: to those in the newest directory, then to seeds, up to five in all.
 #[derive(Debug)]
 pub struct ControlLinks {
     seeds: Vec<SocketAddr>,
-    named: Vec<SocketAddr>,
+    listed: Vec<SocketAddr>,
     dialed: DialedPeers,
 }
 
 impl ControlLinks {
-    /// Begins with the seeds; nothing is dialed before [`ControlLinks::dial`].
+    /// Starts with the seeds; nothing is dialed before [`ControlLinks::dial`].
     pub fn new(seeds: Vec<SocketAddr>, dialed: DialedPeers) -> Self {
         Self {
             seeds,
-            named: Vec::new(),
+            listed: Vec::new(),
             dialed,
         }
     }
 
-    /// Dials; must be called within a runtime.
+    /// Dials the control processes that are wanted, and no others.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside a tokio runtime.
     pub fn dial(&mut self) {
-        let mut wanted = self.named.clone();
+        let mut wanted = self.listed.clone();
         wanted.truncate(MAX_CONTROLS);
         for seed in &self.seeds {
             if wanted.len() < MAX_CONTROLS && !wanted.contains(seed) {
@@ -77,9 +92,9 @@
         self.dialed.set(&wanted);
     }
 
-    /// Takes the control processes that one of them has named.
-    pub fn take_named(&mut self, named: Vec<SocketAddr>) {
-        self.named = named;
+    /// Replaces the control processes by those of a newer directory, and dials them.
+    pub fn set_listed(&mut self, controls: Vec<SocketAddr>) {
+        self.listed = controls;
         self.dial();
     }
 
--- a/crates/leased/cloverfold_peer/src/messages.rs
+++ b/crates/leased/cloverfold_peer/src/messages.rs
@@ -1,4 +1,8 @@
-//! What processes say to each other.
+//! Messages between processes, as they stand on the wire.
+//!
+//! The bytes are postcard's: variants are told apart by their position and fields by their order, so neither is ever changed
+//! (`compatibility/` holds recorded bytes of each message). Owns nothing; relies on the message types of `cloverfold_lease`,
+//! `cloverfold_consensus` and `cloverfold_configuration`.
 
 use std::net::SocketAddr;
 
@@ -7,14 +11,14 @@
 use cloverfold_lease::{DispatcherMessage, RunnerMessage};
 use serde::{Deserialize, Serialize};
 
-/// What a process does.
+/// The part that a process plays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerRole {
-    /// It serves callers.
+    /// A leased entry: serves callers.
     Entry,
-    /// It stands beside a target.
+    /// A leased guard: runs tasks on one target.
     Guard,
-    /// It keeps the configuration.
+    /// A control process: keeps the configuration.
     Control {
         /// The identity of its disk.
         replica: ReplicaId,
@@ -23,20 +27,20 @@
     },
 }
 
-/// Who speaks; the first message each way.
+/// A process introduces itself; the first message each way on a link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Name of the process, the same over its lives.
+    /// Name of the process, the same after a restart.
     pub name: String,
-    /// What it does.
+    /// The part that it plays.
     pub role: PeerRole,
-    /// Where it listens to peers.
+    /// The address on which it accepts links.
     pub address: SocketAddr,
-    /// The configuration in force there.
+    /// Version of the configuration in force there; 0 before the first.
     pub version: Version,
 }
 
-/// Where processes are reached.
+/// Addresses at which processes accept links.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directory {
     /// The entries.
@@ -48,7 +52,7 @@
 /// A message between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Who speaks.
+    /// The sender introduces itself.
     Hello(Hello),
     /// From an entry to a guard.
     ToRunner(DispatcherMessage),
@@ -61,15 +65,15 @@
         /// Whether the sender is a control process that is connected to a quorum; always `false` from entries and guards.
         has_quorum: bool,
     },
-    /// Asks for the configuration.
+    /// Asks for the configuration in force at the receiver; one that has none doesn't answer.
     Fetch,
     /// The configuration in force at the sender.
     Configuration(StoredConfiguration),
-    /// Where processes are reached.
+    /// Addresses that a control process knows.
     Directory(Directory),
-    /// From an entry to a guard that it has lost: dial me.
+    /// From an entry to a guard that is no longer connected to it: asks to be dialed.
     Invite {
-        /// Where the entry listens.
+        /// The address on which the entry accepts links.
         entry: SocketAddr,
     },
     /// Between control processes.
