--- a/benches/benches/decisions.rs
+++ b/benches/benches/decisions.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use cloverfold_claims_core::{
-    Admission, Capacity, Cell, Flow, Location, MemberPhase, MemberReport, MemberTable, Placement,
+    Admission, Capacity, Cell, Flow, GuardPhase, GuardReport, GuardTable, Location, Placement,
     PlacementPolicy, Ticket,
 };
 
@@ -66,22 +66,22 @@
 fn make_cell(boxes: usize) -> Cell {
     let place = |index: usize| Location {
         guard: index as u16,
-        hall: format!("hall-{}", index % 12),
+        data_hall: format!("hall-{}", index % 12),
         rack: format!("rack-{}", index / 36),
     };
     Cell::new((0..boxes).map(place).collect(), 3)
 }
 
-fn make_table(boxes: usize) -> MemberTable {
-    let mut table = MemberTable::default();
+fn make_table(boxes: usize) -> GuardTable {
+    let mut table = GuardTable::default();
     for index in 0..boxes {
-        let report = MemberReport {
+        let report = GuardReport {
             placement: Placement {
                 guard: index as u16,
                 incarnation: 1,
             },
             sequence: 1,
-            phase: MemberPhase::Live,
+            phase: GuardPhase::Live,
             is_whole: true,
             running: index as u32 % 8,
             queued: 0,
@@ -93,7 +93,7 @@
     table
 }
 
-fn place(table: &mut MemberTable, count: usize, round: u32) {
+fn place(table: &mut GuardTable, count: usize, round: u32) {
     let policy = PlacementPolicy::LeastLoaded;
     let silence = Duration::from_secs(2);
     let draw = |bound: usize| round as usize % bound;
@@ -107,7 +107,7 @@
         id,
         flow: Flow {
             service: "sms".into(),
-            customer: format!("team-{}", id as usize % TEAMS),
+            workspace: format!("team-{}", id as usize % TEAMS),
         },
         weight: 1.0,
         tasks: 4,
--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -16,7 +16,7 @@
 
 use cloverfold_claim::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
 use cloverfold_claims_core::{
-    Accepted, Ballot, Claim, ClaimReply, ClaimRequest, Incarnations, MemberPhase, MemberReport,
+    Accepted, Ballot, Claim, ClaimReply, ClaimRequest, GuardPhase, GuardReport, Incarnations,
     Outcome, Placement, ReasonCode, RecoveryPage, ReleaseVerdict, Repeat, ReplicaRecord,
     ReplicaReply, Standing, Submission, SubmissionKey, TaskEnd,
 };
@@ -117,8 +117,8 @@
 }
 
 /// Returns what a guard says of itself.
-fn report(guard: u16, phase: MemberPhase, is_whole: bool) -> MemberReport {
-    MemberReport {
+fn report(guard: u16, phase: GuardPhase, is_whole: bool) -> GuardReport {
+    GuardReport {
         placement: place(guard),
         sequence: 70_001,
         phase,
@@ -131,8 +131,8 @@
 }
 
 /// Returns the state of a sender that rides along.
-fn member() -> Option<MemberReport> {
-    Some(report(9, MemberPhase::Live, true))
+fn guard_report() -> Option<GuardReport> {
+    Some(report(9, GuardPhase::Live, true))
 }
 
 /// Returns a ballot whose numbers differ from each other.
@@ -181,11 +181,11 @@
     known
 }
 
-fn member_phases() -> Vec<Sample<MemberPhase>> {
-    each_variant!(MemberPhase {
-        MemberPhase::Joining => one("joining", MemberPhase::Joining),
-        MemberPhase::Live => one("live", MemberPhase::Live),
-        MemberPhase::Leaving => one("leaving", MemberPhase::Leaving),
+fn guard_phases() -> Vec<Sample<GuardPhase>> {
+    each_variant!(GuardPhase {
+        GuardPhase::Joining => one("joining", GuardPhase::Joining),
+        GuardPhase::Live => one("live", GuardPhase::Live),
+        GuardPhase::Leaving => one("leaving", GuardPhase::Leaving),
     })
 }
 
@@ -333,13 +333,13 @@
 }
 
 /// Lists reports of guards in every phase, each alone, together, and none.
-fn report_lists(word: &str) -> Vec<Sample<Vec<MemberReport>>> {
-    let all: Vec<MemberReport> = member_phases()
+fn report_lists(word: &str) -> Vec<Sample<Vec<GuardReport>>> {
+    let all: Vec<GuardReport> = guard_phases()
         .into_iter()
         .zip(71..)
         .map(|((_, phase), guard)| report(guard, phase, guard % 2 == 0))
         .collect();
-    let mut lists = wrap(word, member_phases(), |phase| {
+    let mut lists = wrap(word, guard_phases(), |phase| {
         vec![report(700, phase, false)]
     });
     lists.push((format!("{word}-every-phase"), all));
@@ -354,7 +354,7 @@
         .collect()
 }
 
-fn heartbeat_replies() -> Vec<Sample<Vec<MemberReport>>> {
+fn heartbeat_replies() -> Vec<Sample<Vec<GuardReport>>> {
     report_lists("heartbeat-reply")
 }
 
@@ -367,13 +367,13 @@
 }
 
 fn claim_calls() -> Vec<Sample<ClaimCall>> {
-    let call = |request, member| ClaimCall {
+    let call = |request, guard_report| ClaimCall {
         submission: submission(),
         request,
-        member,
+        guard_report,
     };
     let mut all = wrap("claim-request", claim_requests(), |request| {
-        call(request, member())
+        call(request, guard_report())
     });
     all.extend(one(
         "claim-request-no-member",
@@ -383,16 +383,16 @@
 }
 
 fn claim_answers() -> Vec<Sample<ClaimAnswer>> {
-    let answer = |known, body, member| ClaimAnswer {
+    let answer = |known, body, guard_report| ClaimAnswer {
         reply: ReplicaReply {
             from: place(81),
             known,
             body,
         },
-        member,
+        guard_report,
     };
     let mut all = wrap("claim-reply", claim_replies(), |body| {
-        answer(lives(&[82, 830, 84]), body, member())
+        answer(lives(&[82, 830, 84]), body, guard_report())
     });
     all.extend(one(
         "claim-reply-no-lives-no-member",
@@ -464,7 +464,7 @@
 }
 
 fn found_requests() -> Vec<Sample<FoundCall>> {
-    let call = |lives| FoundCall { lives };
+    let call = |incarnations| FoundCall { incarnations };
     several([
         ("found-request", call(vec![place(93), place(940)])),
         ("found-request-none", call(Vec::new())),
@@ -484,46 +484,46 @@
         AssignedTask {
             index: 0,
             payload: vec![1, 128, 255],
-            left: vec![95, 960],
+            previous_guards: vec![95, 960],
             may_pass_on: true,
         },
         AssignedTask {
             index: 970,
             payload: Vec::new(),
-            left: Vec::new(),
+            previous_guards: Vec::new(),
             may_pass_on: false,
         },
     ]
 }
 
 fn assign_requests() -> Vec<Sample<Assign>> {
-    let assign = |tasks, member| Assign {
+    let assign = |tasks, guard_report| Assign {
         place: place(98),
         key: key(0x99),
-        customer: "pharmacy-7".to_owned(),
+        workspace: "pharmacy-7".to_owned(),
         service: "sorter".to_owned(),
         deadline: time(100),
         keep_until: time(101),
         tasks,
-        member,
+        guard_report,
     };
     several([
-        ("assign-request", assign(assigned_tasks(), member())),
+        ("assign-request", assign(assigned_tasks(), guard_report())),
         ("assign-request-no-member", assign(assigned_tasks(), None)),
-        ("assign-request-no-task", assign(Vec::new(), member())),
+        ("assign-request-no-task", assign(Vec::new(), guard_report())),
     ])
 }
 
 fn assign_replies() -> Vec<Sample<AssignReply>> {
     let one_end = |end| AssignReply::Ended {
         reports: vec![TaskReport { index: 1_020, end }],
-        member: member(),
+        guard_report: guard_report(),
     };
     let every_end = task_ends().into_iter().zip(103..);
     let every_end = every_end.map(|((_, end), index)| TaskReport { index, end });
     let ended = |reports| AssignReply::Ended {
         reports,
-        member: None,
+        guard_report: None,
     };
     let mut ends = wrap("ended", task_ends(), one_end);
     ends.extend(several([
@@ -555,9 +555,12 @@
 }
 
 fn release_replies() -> Vec<Sample<ReleaseReply>> {
-    let reply = |verdict, member| ReleaseReply { verdict, member };
+    let reply = |verdict, guard_report| ReleaseReply {
+        verdict,
+        guard_report,
+    };
     let mut all = wrap("release-reply", release_verdicts(), |verdict| {
-        reply(verdict, member())
+        reply(verdict, guard_report())
     });
     let alone = reply(ReleaseVerdict::Started, None);
     all.extend(one("release-reply-no-member", alone));
@@ -569,7 +572,7 @@
         submission: submission(),
         attempt: 70_110,
         is_sole_attempt,
-        customer: "pharmacy-8".to_owned(),
+        workspace: "pharmacy-8".to_owned(),
         service: "picker".to_owned(),
         digest: key(0x6f),
         deadline: time(112),
--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -177,7 +177,7 @@
             let call = ClaimCall {
                 submission,
                 request: request.clone(),
-                member: self.inner.membership.own_report(),
+                guard_report: self.inner.membership.own_report(),
             };
             let tx = tx.clone();
             let guard = *guard;
@@ -198,7 +198,7 @@
         let address = self.inner.directory.address_of(guard)?;
         match self.inner.network.call(address, &call, CALL_TIMEOUT).await {
             Ok(answer) => {
-                self.inner.membership.absorb(answer.member);
+                self.inner.membership.absorb(answer.guard_report);
                 Some(answer.reply)
             }
             Err(cause) => {
@@ -210,10 +210,13 @@
 
     /// Answers another guard's request.
     pub(crate) async fn serve(&self, call: ClaimCall) -> ClaimAnswer {
-        self.inner.membership.absorb(call.member);
+        self.inner.membership.absorb(call.guard_report);
         let reply = self.handle(call).await;
-        let member = self.inner.membership.own_report();
-        ClaimAnswer { reply, member }
+        let guard_report = self.inner.membership.own_report();
+        ClaimAnswer {
+            reply,
+            guard_report,
+        }
     }
 
     /// Answers a request as this guard's replica.
--- a/crates/claims/cloverfold_claim/src/found.rs
+++ b/crates/claims/cloverfold_claim/src/found.rs
@@ -50,10 +50,10 @@
             return Err(FoundError::FoundedBefore(guard.name.clone()));
         }
     }
-    let lives: Vec<_> = reports.iter().map(|report| report.own).collect();
+    let incarnations: Vec<_> = reports.iter().map(|report| report.own).collect();
     for guard in guards {
         let call = FoundCall {
-            lives: lives.clone(),
+            incarnations: incarnations.clone(),
         };
         let is_whole = network
             .call(guard, &call, CALL_TIMEOUT)
--- a/crates/claims/cloverfold_claim/src/messages.rs
+++ b/crates/claims/cloverfold_claim/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between replicas.
 
 use cloverfold_claims_core::{
-    ClaimRequest, MemberReport, Placement, RecoveryPage, ReplicaReply, Standing, Submission,
+    ClaimRequest, GuardReport, Placement, RecoveryPage, ReplicaReply, Standing, Submission,
     SubmissionKey,
 };
 use cloverfold_net::Message;
@@ -15,7 +15,7 @@
     /// What is asked.
     pub request: ClaimRequest,
     /// The sender's state, which rides along.
-    pub member: Option<MemberReport>,
+    pub guard_report: Option<GuardReport>,
 }
 
 /// A replica's reply with the state of its guard.
@@ -24,7 +24,7 @@
     /// The reply.
     pub reply: ReplicaReply,
     /// The replica's guard.
-    pub member: Option<MemberReport>,
+    pub guard_report: Option<GuardReport>,
 }
 
 impl Message for ClaimCall {
@@ -69,11 +69,11 @@
     type Reply = StandingReport;
 }
 
-/// Declares the named lives to be the first of their guards.
+/// Declares the named incarnations to be the first of their guards.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FoundCall {
-    /// The lives.
-    pub lives: Vec<Placement>,
+    /// The guards with their incarnations.
+    pub incarnations: Vec<Placement>,
 }
 
 impl Message for FoundCall {
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -101,7 +101,7 @@
                 log::info!(operator = peer.name; "the cell is being founded");
                 let replica = &claims.inner.replica;
                 replica
-                    .with(move |replica| replica.found(&call.lives))
+                    .with(move |replica| replica.found(&call.incarnations))
                     .await
             }
         });
--- a/crates/claims/cloverfold_claims_core/src/admission.rs
+++ b/crates/claims/cloverfold_claims_core/src/admission.rs
@@ -30,7 +30,7 @@
 pub struct Ticket {
     /// Number of the job.
     pub id: TicketId,
-    /// Customer and service.
+    /// Workspace and service.
     pub flow: Flow,
     /// Weight of the flow, above 0.
     pub weight: f64,
--- a/crates/claims/cloverfold_claims_core/src/cell.rs
+++ b/crates/claims/cloverfold_claims_core/src/cell.rs
@@ -7,14 +7,14 @@
 
 use crate::{GuardId, SubmissionKey};
 
-/// Where a guard's box stands; boxes that share a hall or a rack can fail together.
+/// Where a guard's box stands; boxes that share a data hall or a rack can fail together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Location {
     /// Number of the guard on the box.
     pub guard: GuardId,
     /// Name of the data hall.
-    pub hall: String,
-    /// Name of the rack, unique in its hall.
+    pub data_hall: String,
+    /// Name of the rack, unique in its data hall.
     pub rack: String,
 }
 
@@ -55,7 +55,7 @@
     /// Chooses the guards that hold a key, first choice first.
     ///
     /// The lead, where the cell has one, is the first choice. The other guards are ranked by rendezvous hashing, so the loss or arrival of one guard moves only that guard's share
-    /// of keys. From the ranking each next member is taken from a hall not yet used, then from a rack not
+    /// of keys. From the ranking each next member is taken from a data hall not yet used, then from a rack not
     /// yet used, then from what is left.
     pub fn choose_replica_group(&self, key: &SubmissionKey) -> Vec<GuardId> {
         let ranked = self.rank_guards(key);
@@ -93,16 +93,18 @@
 
 fn choose_most_separate<'a>(ranked: &[&'a Location], chosen: &[&Location]) -> Option<&'a Location> {
     let is_free = |one: &Location| chosen.iter().all(|other| other.guard != one.guard);
-    let in_new_hall = |one: &Location| chosen.iter().all(|other| other.hall != one.hall);
+    let in_new_data_hall =
+        |one: &Location| chosen.iter().all(|other| other.data_hall != one.data_hall);
     let in_new_rack = |one: &Location| {
-        let shares_rack = |other: &&Location| other.hall == one.hall && other.rack == one.rack;
+        let shares_rack =
+            |other: &&Location| other.data_hall == one.data_hall && other.rack == one.rack;
         !chosen.iter().any(shares_rack)
     };
     let find = |wanted: &dyn Fn(&Location) -> bool| {
         let mut candidates = ranked.iter().copied();
         candidates.find(|one| is_free(one) && wanted(one))
     };
-    find(&in_new_hall)
+    find(&in_new_data_hall)
         .or_else(|| find(&in_new_rack))
         .or_else(|| find(&|_| true))
 }
--- a/crates/claims/cloverfold_claims_core/src/fair_queue.rs
+++ b/crates/claims/cloverfold_claims_core/src/fair_queue.rs
@@ -4,15 +4,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{CustomerId, ServiceId};
+use crate::{ServiceId, WorkspaceId};
 
-/// What is kept apart in the queue: the work of one customer at one service.
+/// What is kept apart in the queue: the work of one workspace at one service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Flow {
     /// The service.
     pub service: ServiceId,
-    /// The customer.
-    pub customer: CustomerId,
+    /// The workspace.
+    pub workspace: WorkspaceId,
 }
 
 #[derive(Clone, Debug)]
--- a/crates/claims/cloverfold_claims_core/src/members.rs
+++ b/crates/claims/cloverfold_claims_core/src/guard_table.rs
@@ -11,7 +11,7 @@
 
 /// Phase of a guard's life as it reports it itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum MemberPhase {
+pub enum GuardPhase {
     /// It runs but takes no work yet.
     Joining,
     /// It takes work.
@@ -22,13 +22,13 @@
 
 /// What a guard says of itself; a later report has a larger `(incarnation, sequence)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberReport {
+pub struct GuardReport {
     /// The guard and its life.
     pub placement: Placement,
     /// Number of the report in that life.
     pub sequence: u64,
     /// Phase of the guard.
-    pub phase: MemberPhase,
+    pub phase: GuardPhase,
     /// Whether its memory of claims is whole, so that it can lead.
     pub is_whole: bool,
     /// Tasks at the target.
@@ -41,7 +41,7 @@
     pub age: Duration,
 }
 
-impl MemberReport {
+impl GuardReport {
     fn order(&self) -> (Incarnation, u64) {
         (self.placement.incarnation, self.sequence)
     }
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Member {
-    report: MemberReport,
+    report: GuardReport,
     /// When the guard made the report, by this process's monotonic clock.
     heard_at: Duration,
     /// Tasks that the report shows beyond those that this process had there when it came.
@@ -63,14 +63,14 @@
 /// Its own tasks are known exactly; reports only show the tasks of other coordinators. So a process that places
 /// all tasks of a cell needs no report to know the load.
 #[derive(Clone, Debug, Default)]
-pub struct MemberTable {
+pub struct GuardTable {
     members: BTreeMap<GuardId, Member>,
     in_flight: BTreeMap<GuardId, u32>,
 }
 
-impl MemberTable {
+impl GuardTable {
     /// Takes in a report; an older one than known changes nothing. Returns whether the guard has restarted.
-    pub fn absorb(&mut self, report: MemberReport, now: Duration) -> bool {
+    pub fn absorb(&mut self, report: GuardReport, now: Duration) -> bool {
         let guard = report.placement.guard;
         let held = self.members.get(&guard);
         if held.is_some_and(|held| held.report.order() >= report.order()) {
@@ -91,10 +91,10 @@
     }
 
     /// Lists the newest report of each guard with its present age.
-    pub fn reports(&self, now: Duration) -> Vec<MemberReport> {
+    pub fn reports(&self, now: Duration) -> Vec<GuardReport> {
         let members = self.members.values();
         members
-            .map(|member| MemberReport {
+            .map(|member| GuardReport {
                 age: now.saturating_sub(member.heard_at),
                 ..member.report
             })
@@ -102,7 +102,7 @@
     }
 
     /// Returns the newest report of a guard.
-    pub fn report_of(&self, guard: GuardId) -> Option<&MemberReport> {
+    pub fn report_of(&self, guard: GuardId) -> Option<&GuardReport> {
         self.members.get(&guard).map(|member| &member.report)
     }
 
@@ -180,7 +180,7 @@
     /// Lists the live guards that were heard within the given silence.
     pub fn list_candidates(&self, now: Duration, silence: Duration) -> Vec<Candidate> {
         let usable = self.members.values().filter(|member| {
-            member.report.phase == MemberPhase::Live
+            member.report.phase == GuardPhase::Live
                 && !member.is_suspected
                 && now.saturating_sub(member.heard_at) <= silence
         });
--- a/crates/claims/cloverfold_claims_core/src/ids.rs
+++ b/crates/claims/cloverfold_claims_core/src/ids.rs
@@ -12,13 +12,13 @@
 /// Place of a task within its job, from 0.
 pub type TaskIndex = u16;
 
-/// Name of a customer, as in the table.
-pub type CustomerId = String;
+/// Name of a workspace, as in the table.
+pub type WorkspaceId = String;
 
 /// Name of a service, as in the table.
 pub type ServiceId = String;
 
-/// Hash of a customer and that customer's idempotency key; the identity of one submission.
+/// Hash of a workspace and that workspace's idempotency key; the identity of one submission.
 pub type SubmissionKey = [u8; HASH_LEN];
 
 /// Hash of what a submission asks for, used to refuse the same key with another body.
@@ -33,9 +33,9 @@
     pub incarnation: Incarnation,
 }
 
-/// Derives the [`SubmissionKey`] of a customer's idempotency key.
-pub fn derive_submission_key(customer: &str, idempotency_key: &str) -> SubmissionKey {
-    hash_parts(&[customer.as_bytes(), idempotency_key.as_bytes()])
+/// Derives the [`SubmissionKey`] of a workspace's idempotency key.
+pub fn derive_submission_key(workspace: &str, idempotency_key: &str) -> SubmissionKey {
+    hash_parts(&[workspace.as_bytes(), idempotency_key.as_bytes()])
 }
 
 /// Writes a key as lower-case hexadecimal, the form used in logs and towards targets.
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -22,7 +22,7 @@
         /// The place.
         place: Placement,
         /// Guards that had the task before; the place may pass it on to others.
-        left: Vec<GuardId>,
+        previous_guards: Vec<GuardId>,
         /// Whether the place may pass the task on.
         may_pass_on: bool,
     },
@@ -93,7 +93,7 @@
     place: Placement,
     status: TaskStatus,
     /// Places that gave the task up, none of which will ever start it.
-    left: Vec<Placement>,
+    previous_places: Vec<Placement>,
 }
 
 impl TaskProgress {
@@ -102,23 +102,28 @@
         JobAction::Assign {
             task,
             place: self.place,
-            left: self.left.iter().map(|place| place.guard).collect(),
-            may_pass_on: self.left.len() < MAX_MOVES,
+            previous_guards: self
+                .previous_places
+                .iter()
+                .map(|place| place.guard)
+                .collect(),
+            may_pass_on: self.previous_places.len() < MAX_MOVES,
         }
     }
 
     fn go_to(&mut self, place: Placement, status: TaskStatus) {
-        self.left.push(self.place);
+        self.previous_places.push(self.place);
         self.place = place;
         self.status = status;
     }
 
     /// Chooses a place that has not had the task, as long as it has not been moved too often.
     fn choose_next(&self, places: &[Placement]) -> Option<Placement> {
-        if self.left.len() >= MAX_MOVES {
+        if self.previous_places.len() >= MAX_MOVES {
             return None;
         }
-        let is_new = |place: &&Placement| **place != self.place && !self.left.contains(place);
+        let is_new =
+            |place: &&Placement| **place != self.place && !self.previous_places.contains(place);
         places.iter().find(is_new).copied()
     }
 }
@@ -147,7 +152,7 @@
             .map(|place| TaskProgress {
                 place,
                 status: TaskStatus::Assigned,
-                left: Vec::new(),
+                previous_places: Vec::new(),
             })
             .collect();
         let assign = |(task, progress): (usize, &TaskProgress)| progress.assign(task as TaskIndex);
@@ -262,7 +267,7 @@
             self.fail(ReasonCode::SiblingFailed, "the job was given up", actions);
             return;
         };
-        if progress.left.contains(&place) || progress.place == place {
+        if progress.previous_places.contains(&place) || progress.place == place {
             // Each place on the way has passed the task on to the next, so none will ever start it.
             progress.status = TaskStatus::NeverStarted;
             self.fail(ReasonCode::Unavailable, "no place kept a task", actions);
@@ -317,7 +322,7 @@
         self.fail(reason, detail, actions);
     }
 
-    /// A task is repeated only where its customer allows it and its place, not the task itself, failed.
+    /// A task is repeated only where its workspace allows it and its place, not the task itself, failed.
     fn can_repeat(&self, reason: ReasonCode) -> bool {
         let is_place_at_fault = matches!(reason, ReasonCode::GuardLost | ReasonCode::TargetLost);
         self.repeat == Repeat::Allowed && is_place_at_fault && self.failure.is_none()
--- a/crates/claims/cloverfold_claims_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```
 //! use cloverfold_claims_core::{Cell, Location, derive_submission_key};
 //!
-//! let place = |guard: u16, hall: &str| Location { guard, hall: hall.into(), rack: "r1".into() };
+//! let place = |guard: u16, data_hall: &str| Location { guard, data_hall: data_hall.into(), rack: "r1".into() };
 //! let cell = Cell::new(vec![place(1, "a"), place(2, "b"), place(3, "b"), place(4, "c")], 3);
 //! let key = derive_submission_key("pharmacy-7", "order-1");
 //! assert_eq!(cell.choose_replica_group(&key).len(), 3);
@@ -19,10 +19,11 @@
 mod claim_records;
 mod fair_queue;
 mod fence;
+mod guard_table;
 mod ids;
 mod incarnations;
 mod job;
-mod members;
+
 mod outcome;
 mod proposer;
 mod replica;
@@ -38,13 +39,14 @@
 pub use fence::{
     AssignVerdict, Fence, FenceLimits, QueuedTask, ReleaseVerdict, TaskEnd, TaskId, TaskState,
 };
+pub use guard_table::{GuardPhase, GuardReport, GuardTable};
 pub use ids::{
-    BodyDigest, CustomerId, GuardId, Incarnation, Placement, ServiceId, SubmissionKey, TaskIndex,
+    BodyDigest, GuardId, Incarnation, Placement, ServiceId, SubmissionKey, TaskIndex, WorkspaceId,
     derive_submission_key, format_key,
 };
 pub use incarnations::Incarnations;
 pub use job::{JobAction, JobEvent, JobOptions, JobProgress};
-pub use members::{MemberPhase, MemberReport, MemberTable};
+
 pub use outcome::{Outcome, ReasonCode, Repeat};
 pub use proposer::{Proposer, ProposerStep};
 pub use replica::ClaimReplica;
--- a/crates/claims/cloverfold_claims_core/tests/claims.rs
+++ b/crates/claims/cloverfold_claims_core/tests/claims.rs
@@ -86,7 +86,7 @@
 fn make_world(size: usize) -> World {
     let locations = (1..=size as GuardId).map(|guard| Location {
         guard,
-        hall: format!("hall-{guard}"),
+        data_hall: format!("hall-{guard}"),
         rack: "rack".into(),
     });
     let cell = Cell::new(locations.collect(), size);
--- a/crates/claims/cloverfold_claims_core/tests/members.rs
+++ b/crates/claims/cloverfold_claims_core/tests/guard_table.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use cloverfold_claims_core::{MemberPhase, MemberReport, MemberTable, Placement};
+use cloverfold_claims_core::{GuardPhase, GuardReport, GuardTable, Placement};
 
 const SILENCE: Duration = Duration::from_millis(1_600);
 
-fn report(sequence: u64, running: u32) -> MemberReport {
-    MemberReport {
+fn report(sequence: u64, running: u32) -> GuardReport {
+    GuardReport {
         placement: Placement {
             guard: 1,
             incarnation: 1,
         },
         sequence,
-        phase: MemberPhase::Live,
+        phase: GuardPhase::Live,
         is_whole: true,
         running,
         queued: 0,
@@ -28,8 +28,8 @@
 
 #[test]
 fn a_report_that_is_passed_on_keeps_its_age() {
-    let mut first = MemberTable::default();
-    let mut second = MemberTable::default();
+    let mut first = GuardTable::default();
+    let mut second = GuardTable::default();
     first.absorb(report(1, 0), at(0));
 
     for passed_on in first.reports(at(1_500)) {
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_suspected_guard_gets_nothing_until_it_reports_anew() {
-    let mut table = MemberTable::default();
+    let mut table = GuardTable::default();
     table.absorb(report(1, 0), at(0));
     table.suspect(1);
     table.absorb(report(1, 0), at(10));
@@ -57,7 +57,7 @@
 
 #[test]
 fn own_tasks_are_counted_once_and_foreign_ones_are_added() {
-    let mut table = MemberTable::default();
+    let mut table = GuardTable::default();
     table.charge(1);
     table.charge(1);
     table.absorb(report(1, 5), at(0));
--- a/crates/claims/cloverfold_claims_core/tests/jobs.rs
+++ b/crates/claims/cloverfold_claims_core/tests/jobs.rs
@@ -170,9 +170,9 @@
             JobAction::Assign {
                 task,
                 place,
-                left,
+                previous_guards,
                 may_pass_on,
-            } => self.assign(driver, task, place, &left, may_pass_on),
+            } => self.assign(driver, task, place, &previous_guards, may_pass_on),
             JobAction::Release { task, place, to } => {
                 let guard = usize::from(place.guard);
                 let id = task_id(task);
@@ -200,19 +200,19 @@
         driver: usize,
         task: TaskIndex,
         place: Placement,
-        left: &[GuardId],
+        previous_guards: &[GuardId],
         may_pass_on: bool,
     ) {
         self.turn += 1;
         let other = self.lives[self.turn % GUARDS];
-        let is_other = other.guard != place.guard && !left.contains(&other.guard);
+        let is_other = other.guard != place.guard && !previous_guards.contains(&other.guard);
         let pass_to = (may_pass_on && is_other).then_some(other);
         let guard = usize::from(place.guard);
         let queued = QueuedTask {
             id: task_id(task),
             flow: Flow {
                 service: "s".into(),
-                customer: "c".into(),
+                workspace: "w".into(),
             },
             weight: 1.0,
             deadline: LATER,
@@ -305,7 +305,7 @@
             let action = JobAction::Assign {
                 task,
                 place,
-                left: Vec::new(),
+                previous_guards: Vec::new(),
                 may_pass_on: true,
             };
             self.packets.push(Packet::Action { driver, action });
--- a/crates/claims/cloverfold_claims_core/tests/queueing.rs
+++ b/crates/claims/cloverfold_claims_core/tests/queueing.rs
@@ -12,10 +12,10 @@
 /// The same cases at every run.
 const SEED: u64 = 20_261_202;
 
-fn flow(customer: usize) -> Flow {
+fn flow(workspace: usize) -> Flow {
     Flow {
         service: "sms".into(),
-        customer: format!("customer-{customer}"),
+        workspace: format!("workspace-{workspace}"),
     }
 }
 
@@ -30,9 +30,9 @@
     fn backlogged_flows_share_by_weight(weights in prop::collection::vec(1_u32..8, 2..6)) {
         const TAKEN: usize = 2_000;
         let mut queue = FairQueue::default();
-        for (customer, weight) in weights.iter().enumerate() {
+        for (workspace, weight) in weights.iter().enumerate() {
             for _ in 0..TAKEN {
-                queue.push(flow(customer), f64::from(*weight), 1.0, customer);
+                queue.push(flow(workspace), f64::from(*weight), 1.0, workspace);
             }
         }
 
@@ -57,38 +57,38 @@
         const ADMITTED_TASKS: usize = 4_000;
         let mut admission = Admission::default();
         let mut next = 0;
-        let mut push = |admission: &mut Admission, customer: usize| {
+        let mut push = |admission: &mut Admission, workspace: usize| {
             let ticket = Ticket {
                 id: next,
-                flow: flow(customer),
-                weight: f64::from(weights[customer]),
-                tasks: sizes[customer],
+                flow: flow(workspace),
+                weight: f64::from(weights[workspace]),
+                tasks: sizes[workspace],
             };
             next += 1;
             admission.push(ticket, usize::MAX).expect("there is no limit");
         };
-        for customer in 0..sizes.len() {
-            push(&mut admission, customer);
-            push(&mut admission, customer);
+        for workspace in 0..sizes.len() {
+            push(&mut admission, workspace);
+            push(&mut admission, workspace);
         }
 
         let capacity = Capacity { free: SLOTS, total: SLOTS, backlog: 0 };
         let mut tasks = vec![0_f64; sizes.len()];
         while tasks.iter().sum::<f64>() < ADMITTED_TASKS as f64 {
             let ticket = admission.admit_next(capacity).expect("slots are free");
-            let customer = (0..sizes.len()).find(|one| flow(*one) == ticket.flow);
-            let customer = customer.expect("the flow is one of ours");
-            tasks[customer] += ticket.tasks as f64;
+            let workspace = (0..sizes.len()).find(|one| flow(*one) == ticket.flow);
+            let workspace = workspace.expect("the flow is one of ours");
+            tasks[workspace] += ticket.tasks as f64;
             admission.note_ended(&ticket.flow, ticket.tasks);
-            push(&mut admission, customer);
+            push(&mut admission, workspace);
         }
 
         let sum: u32 = weights[..sizes.len()].iter().sum();
-        for customer in 0..sizes.len() {
-            let share = f64::from(weights[customer]) / f64::from(sum);
+        for workspace in 0..sizes.len() {
+            let share = f64::from(weights[workspace]) / f64::from(sum);
             let due = ADMITTED_TASKS as f64 * share;
             let allowed = 0.05 * due + 12.0;
-            prop_assert!((tasks[customer] - due).abs() <= allowed, "{tasks:?} {weights:?} {sizes:?}");
+            prop_assert!((tasks[workspace] - due).abs() <= allowed, "{tasks:?} {weights:?} {sizes:?}");
         }
     }
 
@@ -141,7 +141,7 @@
     ) {
         let place = |index: usize| Location {
             guard: index as u16,
-            hall: format!("hall-{}", index % 3),
+            data_hall: format!("hall-{}", index % 3),
             rack: format!("rack-{}", index / 9),
         };
         let all: Vec<Location> = (0..11).map(place).collect();
@@ -151,10 +151,10 @@
         let group = Cell::new(all.clone(), 3).choose_replica_group(&key);
         let without = Cell::new(fewer, 3).choose_replica_group(&key);
 
-        let mut halls: Vec<_> = group.iter().map(|guard| &all[usize::from(*guard)].hall).collect();
-        halls.sort();
-        halls.dedup();
-        prop_assert_eq!(halls.len(), 3);
+        let mut data_halls: Vec<_> = group.iter().map(|guard| &all[usize::from(*guard)].data_hall).collect();
+        data_halls.sort();
+        data_halls.dedup();
+        prop_assert_eq!(data_halls.len(), 3);
         if !group.contains(&(lost as u16)) {
             prop_assert_eq!(group, without);
         }
--- a/crates/claims/cloverfold_claims_settings/src/cell.rs
+++ b/crates/claims/cloverfold_claims_settings/src/cell.rs
@@ -114,7 +114,7 @@
     pub fn build_cell(&self) -> Cell {
         let locate = |place: &GuardPlace| Location {
             guard: place.id,
-            hall: place.data_hall.clone(),
+            data_hall: place.data_hall.clone(),
             rack: place.rack.clone(),
         };
         let cell = Cell::new(self.guards.iter().map(locate).collect(), self.replicas);
@@ -155,12 +155,12 @@
         match self.queueing {
             Queueing::Fair => Flow {
                 service: service.into(),
-                customer: workspace.into(),
+                workspace: workspace.into(),
             },
             // One flow for all is a queue in the order of arrival.
             Queueing::Fifo => Flow {
                 service: String::new(),
-                customer: String::new(),
+                workspace: String::new(),
             },
         }
     }
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -36,7 +36,7 @@
     pub(crate) _charge: Charge,
     pub(crate) index: TaskIndex,
     /// Guards that had the task before.
-    pub(crate) left: Vec<GuardId>,
+    pub(crate) previous_guards: Vec<GuardId>,
     /// Whether the place may pass the task on.
     pub(crate) may_pass_on: bool,
 }
@@ -110,9 +110,12 @@
                 Ok(None) if open.is_empty() => return None,
                 Ok(None) => return Some(Break::Link("the replies ended early".into())),
                 Ok(Some(AssignReply::WrongIncarnation(_))) => return Some(Break::Superseded),
-                Ok(Some(AssignReply::Ended { reports, member })) => {
+                Ok(Some(AssignReply::Ended {
+                    reports,
+                    guard_report,
+                })) => {
                     *reached_at = Instant::now();
-                    self.coordinator.membership().absorb(member);
+                    self.coordinator.membership().absorb(guard_report);
                     for report in reports {
                         open.remove(&report.index);
                         self.report_end(report.index, place, report.end).await;
@@ -130,18 +133,18 @@
         let tasks = open.values().map(|task| AssignedTask {
             index: task.index,
             payload: submit.tasks[usize::from(task.index)].clone(),
-            left: task.left.clone(),
+            previous_guards: task.previous_guards.clone(),
             may_pass_on: task.may_pass_on,
         });
         Assign {
             place,
             key: submit.submission.key,
-            customer: submit.customer.clone(),
+            workspace: submit.workspace.clone(),
             service: submit.service.clone(),
             deadline: submit.deadline,
             keep_until: self.coordinator.keep_until(&submit.submission),
             tasks: tasks.collect(),
-            member: self.coordinator.membership().own_report(),
+            guard_report: self.coordinator.membership().own_report(),
         }
     }
 
@@ -177,7 +180,7 @@
             match network.call(address, &release, RELEASE_TIMEOUT).await {
                 Ok(reply) => {
                     let verdict = reply.verdict;
-                    self.coordinator.membership().absorb(reply.member);
+                    self.coordinator.membership().absorb(reply.guard_report);
                     let event = JobEvent::Verdict {
                         task,
                         place,
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -85,8 +85,8 @@
     }
     let flow = coordinator
         .cell()
-        .flow_of(&submit.service, &submit.customer);
-    let weight = coordinator.cell().weight_of(&submit.customer);
+        .flow_of(&submit.service, &submit.workspace);
+    let weight = coordinator.cell().weight_of(&submit.workspace);
     let admitter = coordinator.admitter();
     let grant = admitter
         .admit(flow, weight, submit.tasks.len(), submit.deadline)
@@ -190,16 +190,16 @@
             JobAction::Assign {
                 task,
                 place,
-                left,
+                previous_guards,
                 may_pass_on,
             } => {
-                if !left.is_empty() {
+                if !previous_guards.is_empty() {
                     link.coordinator.metrics().moves.inc();
                 }
                 let placed = PlacedTask {
                     _charge: take_charge(link, planned, task, place),
                     index: task,
-                    left,
+                    previous_guards,
                     may_pass_on: may_pass_on && !link.is_lead,
                 };
                 batches.entry(place).or_default().push(placed);
--- a/crates/claims/cloverfold_coordinate/src/messages.rs
+++ b/crates/claims/cloverfold_coordinate/src/messages.rs
@@ -2,7 +2,7 @@
 
 use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
-    BodyDigest, CustomerId, Outcome, ReasonCode, Repeat, ServiceId, Submission, SubmissionKey,
+    BodyDigest, Outcome, ReasonCode, Repeat, ServiceId, Submission, SubmissionKey, WorkspaceId,
 };
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
@@ -17,8 +17,8 @@
     /// Whether no other guard can have this submission: the entry made the key itself, and no earlier try
     /// was lost.
     pub is_sole_attempt: bool,
-    /// Customer that submits.
-    pub customer: CustomerId,
+    /// Workspace that submits.
+    pub workspace: WorkspaceId,
     /// Service that runs the tasks.
     pub service: ServiceId,
     /// Hash of the body.
--- a/crates/claims/cloverfold_entry/src/api.rs
+++ b/crates/claims/cloverfold_entry/src/api.rs
@@ -74,7 +74,7 @@
 
     async fn run_submission(&self, req: Request) -> Result<Answer, Refusal> {
         let (parts, body) = req.into_parts();
-        let customer = authenticate(&self.cell, &parts.headers)?;
+        let workspace = authenticate(&self.cell, &parts.headers)?;
         let headers = RequestHeaders {
             idempotency_key: read_header(&parts.headers, IDEMPOTENCY_HEADER).map(str::to_owned),
         };
@@ -87,9 +87,9 @@
             default_deadline: Duration::from_millis(self.settings.default_deadline_ms),
             max_deadline: Duration::from_millis(self.settings.max_deadline_ms),
         };
-        let fresh = self.routing.draw_fresh_key(&customer.name).await;
+        let fresh = self.routing.draw_fresh_key(&workspace.name).await;
         let now = unix_now();
-        let checked = check_submission(&customer.name, &headers, &body, fresh, limits, now)?;
+        let checked = check_submission(&workspace.name, &headers, &body, fresh, limits, now)?;
         if self.cell.find_service(&checked.service).is_none() {
             let message = format!("no service is named {:?}", checked.service);
             return Err(Refusal::of_field("unknown_service", "service", message));
@@ -100,7 +100,7 @@
         let key = checked.caller_key.clone();
         let outcome = self
             .routing
-            .submit(build_submit(&customer.name, checked))
+            .submit(build_submit(&workspace.name, checked))
             .await;
         Ok(Answer::from_outcome(outcome, key))
     }
@@ -149,10 +149,10 @@
     }
 
     async fn find_job(&self, req: &Request) -> Result<Answer, Refusal> {
-        let customer = authenticate(&self.cell, req.headers())?;
+        let workspace = authenticate(&self.cell, req.headers())?;
         let path = req.uri().path();
         let caller_key = path.rsplit('/').next().unwrap_or_default().to_owned();
-        let key = derive_submission_key(&customer.name, &caller_key);
+        let key = derive_submission_key(&workspace.name, &caller_key);
         let state = self.routing.query(key).await;
         Ok(describe_state(state, caller_key))
     }
@@ -168,12 +168,12 @@
     }
 }
 
-fn build_submit(customer: &str, checked: CheckedSubmission) -> Submit {
+fn build_submit(workspace: &str, checked: CheckedSubmission) -> Submit {
     Submit {
         submission: checked.submission,
         attempt: random_u64(),
         is_sole_attempt: checked.is_fresh_key,
-        customer: customer.to_owned(),
+        workspace: workspace.to_owned(),
         service: checked.service,
         digest: checked.digest,
         deadline: checked.deadline,
--- a/crates/claims/cloverfold_entry/src/auth.rs
+++ b/crates/claims/cloverfold_entry/src/auth.rs
@@ -1,37 +1,44 @@
-//! Who a caller is.
+//! Which workspace a caller belongs to.
+//!
+//! Owns nothing: workspaces and the hashes of their keys are in the cell's settings.
 
 use cloverfold_claims_settings::{CellSettings, WorkspaceSettings, verify_caller_key};
 use http::{HeaderMap, StatusCode};
 
 use crate::submission::Refusal;
 
-/// Header that names the customer.
-pub(crate) const CUSTOMER_HEADER: &str = "cloverfold-customer";
+/// Header that names the workspace; on the wire it keeps its first name.
+pub(crate) const WORKSPACE_HEADER: &str = "cloverfold-customer";
 
-/// Finds the customer that the headers prove.
+/// Finds the workspace whose key the headers carry.
+///
+/// # Errors
+///
+/// Returns a refusal with status 401 when a header is missing, the workspace is unknown, or the key is wrong.
 pub(crate) fn authenticate<'a>(
     cell: &'a CellSettings,
     headers: &HeaderMap,
 ) -> Result<&'a WorkspaceSettings, Refusal> {
-    let name = read_header(headers, CUSTOMER_HEADER);
+    let name = read_header(headers, WORKSPACE_HEADER);
     let key = read_header(headers, "authorization").and_then(|one| one.strip_prefix("Bearer "));
     let (Some(name), Some(key)) = (name, key) else {
         return Err(unauthorized(
             "name the customer in Cloverfold-Customer and its key in Authorization: Bearer …",
         ));
     };
-    // One message for both, so that nobody learns which names exist.
+    // The same message for an unknown name and a wrong key, so that callers cannot find out which names exist.
     let wrong = "the customer or its key is wrong";
-    let customer = cell
+    let workspace = cell
         .find_workspace(name)
         .ok_or_else(|| unauthorized(wrong))?;
-    if verify_caller_key(customer, key) {
-        Ok(customer)
+    if verify_caller_key(workspace, key) {
+        Ok(workspace)
     } else {
         Err(unauthorized(wrong))
     }
 }
 
+/// Returns a header's value, if it is there and ASCII text.
 pub(crate) fn read_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/claims/cloverfold_entry/src/routing.rs
+++ b/crates/claims/cloverfold_entry/src/routing.rs
@@ -70,13 +70,13 @@
     }
 
     /// Draws a key for a caller that names none, if possible one whose whole group takes work now.
-    pub(crate) async fn draw_fresh_key(&self, customer: &str) -> String {
+    pub(crate) async fn draw_fresh_key(&self, workspace: &str) -> String {
         const DRAWS: usize = 8;
         let mut key = draw_key();
         for _ in 0..DRAWS {
             let group = self
                 .cell
-                .choose_replica_group(&derive_submission_key(customer, &key));
+                .choose_replica_group(&derive_submission_key(workspace, &key));
             let usable = self.membership.keep_usable(group.clone()).await;
             if usable.len() == group.len() {
                 break;
--- a/crates/claims/cloverfold_entry/src/submission.rs
+++ b/crates/claims/cloverfold_entry/src/submission.rs
@@ -97,7 +97,7 @@
 ///
 /// Names the field and the fix.
 pub fn check_submission(
-    customer: &str,
+    workspace: &str,
     headers: &RequestHeaders,
     body: &[u8],
     fresh_key: String,
@@ -120,7 +120,7 @@
         .collect();
     Ok(CheckedSubmission {
         submission: Submission {
-            key: derive_submission_key(customer, &caller_key),
+            key: derive_submission_key(workspace, &caller_key),
             submitted_at,
         },
         caller_key,
--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -85,7 +85,7 @@
                 payload: Bytes::from(task.payload),
             };
             let pass_to = if task.may_pass_on && !self.fence.can_start_now() {
-                choose_free_place(&mut others, &task.left, draw_below)
+                choose_free_place(&mut others, &task.previous_guards, draw_below)
             } else {
                 None
             };
--- a/crates/claims/cloverfold_execute/src/messages.rs
+++ b/crates/claims/cloverfold_execute/src/messages.rs
@@ -2,8 +2,8 @@
 
 use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
-    CustomerId, GuardId, Incarnation, MemberReport, Placement, ReleaseVerdict, ServiceId,
-    SubmissionKey, TaskEnd, TaskIndex,
+    GuardId, GuardReport, Incarnation, Placement, ReleaseVerdict, ServiceId, SubmissionKey,
+    TaskEnd, TaskIndex, WorkspaceId,
 };
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     /// What the target is given.
     pub payload: Vec<u8>,
     /// Guards that had the task before.
-    pub left: Vec<GuardId>,
+    pub previous_guards: Vec<GuardId>,
     /// Whether the guard may pass the task on rather than let it wait.
     pub may_pass_on: bool,
 }
@@ -28,8 +28,8 @@
     pub place: Placement,
     /// Key of the submission.
     pub key: SubmissionKey,
-    /// Customer that submitted.
-    pub customer: CustomerId,
+    /// Workspace that submitted.
+    pub workspace: WorkspaceId,
     /// Service that runs the tasks.
     pub service: ServiceId,
     /// No start at or after this time.
@@ -39,7 +39,7 @@
     /// The tasks.
     pub tasks: Vec<AssignedTask>,
     /// The coordinator's state, which rides along.
-    pub member: Option<MemberReport>,
+    pub guard_report: Option<GuardReport>,
 }
 
 impl Message for Assign {
@@ -66,7 +66,7 @@
         /// The tasks.
         reports: Vec<TaskReport>,
         /// The guard's state.
-        member: Option<MemberReport>,
+        guard_report: Option<GuardReport>,
     },
     /// The assignment was meant for another life of the guard; nothing was done.
     WrongIncarnation(Incarnation),
@@ -99,5 +99,5 @@
     /// The verdict.
     pub verdict: ReleaseVerdict,
     /// The guard's state.
-    pub member: Option<MemberReport>,
+    pub guard_report: Option<GuardReport>,
 }
--- a/crates/claims/cloverfold_execute/src/runner.rs
+++ b/crates/claims/cloverfold_execute/src/runner.rs
@@ -37,9 +37,9 @@
 impl Runner {
     /// Handles an assignment until each of its tasks has ended here.
     pub(crate) async fn handle_assign(self, assign: Assign, mut sink: ReplySink) {
-        self.membership.absorb(assign.member);
-        let flow = self.cell.flow_of(&assign.service, &assign.customer);
-        let weight = self.cell.weight_of(&assign.customer);
+        self.membership.absorb(assign.guard_report);
+        let flow = self.cell.flow_of(&assign.service, &assign.workspace);
+        let weight = self.cell.weight_of(&assign.workspace);
         let others = self.list_others(assign.place).await;
         let now = unix_now();
         let assigned = self
@@ -59,7 +59,7 @@
         while let Some(batch) = receive_batch(&mut reports).await {
             let reply = AssignReply::Ended {
                 reports: batch,
-                member: self.membership.own_report(),
+                guard_report: self.membership.own_report(),
             };
             if !sink.send(&reply).await {
                 return;
@@ -92,7 +92,7 @@
         }
         ReleaseReply {
             verdict,
-            member: self.membership.own_report(),
+            guard_report: self.membership.own_report(),
         }
     }
 
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -8,8 +8,7 @@
 use cloverfold_app::{ControlThread, Lifecycle, Phase, ThreadState};
 use cloverfold_base::draw_below;
 use cloverfold_claims_core::{
-    Candidate, Capacity, GuardId, MemberPhase, MemberReport, MemberTable, Placement,
-    PlacementPolicy,
+    Candidate, Capacity, GuardId, GuardPhase, GuardReport, GuardTable, Placement, PlacementPolicy,
 };
 use cloverfold_claims_settings::CellSettings;
 use cloverfold_net::{Network, PeerAddress};
@@ -91,7 +90,7 @@
 /// A task that this process has at a place; dropped when the task has ended there.
 pub struct Charge {
     place: Placement,
-    table: ThreadState<MemberTable>,
+    table: ThreadState<GuardTable>,
     changed: Arc<Notify>,
 }
 
@@ -117,7 +116,7 @@
 #[derive(Clone)]
 pub struct Membership {
     started: Instant,
-    table: ThreadState<MemberTable>,
+    table: ThreadState<GuardTable>,
     network: Network,
     directory: Arc<Directory>,
     changed: Arc<Notify>,
@@ -134,7 +133,7 @@
     ) -> Self {
         Self {
             started: Instant::now(),
-            table: control.own(MemberTable::default()),
+            table: control.own(GuardTable::default()),
             network,
             directory,
             changed: Arc::default(),
@@ -144,13 +143,13 @@
     }
 
     /// Makes a fresh report of this guard; `None` in a process that is no guard.
-    pub fn own_report(&self) -> Option<MemberReport> {
+    pub fn own_report(&self) -> Option<GuardReport> {
         let own = self.own.as_ref()?;
         let phase = match own.lifecycle.phase() {
-            Phase::Serving => MemberPhase::Live,
-            Phase::Draining | Phase::Stopped => MemberPhase::Leaving,
+            Phase::Serving => GuardPhase::Live,
+            Phase::Draining | Phase::Stopped => GuardPhase::Leaving,
         };
-        Some(MemberReport {
+        Some(GuardReport {
             placement: own.placement,
             sequence: own.sequence.fetch_add(1, Ordering::Relaxed) + 1,
             phase,
@@ -165,8 +164,8 @@
     /// Takes in reports, from heartbeats or from messages that carried them.
     ///
     /// The connection to a guard that turns out to have restarted is forgotten, since nothing answers on it.
-    pub fn absorb(&self, reports: impl IntoIterator<Item = MemberReport>) {
-        let reports: Vec<MemberReport> = reports.into_iter().collect();
+    pub fn absorb(&self, reports: impl IntoIterator<Item = GuardReport>) {
+        let reports: Vec<GuardReport> = reports.into_iter().collect();
         if reports.is_empty() {
             return;
         }
@@ -193,7 +192,7 @@
     async fn look<R, F>(&self, decide: F) -> R
     where
         R: Send + 'static,
-        F: FnOnce(&mut MemberTable, Duration) -> R + Send + 'static,
+        F: FnOnce(&mut GuardTable, Duration) -> R + Send + 'static,
     {
         let own = self.own_report();
         let now = self.started.elapsed();
@@ -208,7 +207,7 @@
     }
 
     /// Lists what is known of every guard, this one freshly.
-    pub async fn list_reports(&self) -> Vec<MemberReport> {
+    pub async fn list_reports(&self) -> Vec<GuardReport> {
         self.look(|table, now| table.reports(now)).await
     }
 
@@ -231,7 +230,7 @@
 
     /// Places tasks by the cell's policy, one charge for each.
     pub async fn place_tasks(&self, policy: PlacementPolicy, count: usize) -> Vec<Charge> {
-        let place = move |table: &mut MemberTable, now| {
+        let place = move |table: &mut GuardTable, now| {
             table.place(policy, count, now, SILENCE_LIMIT, draw_below)
         };
         let places = self.look(place).await;
@@ -268,7 +267,7 @@
     }
 
     async fn is_superseded(&self, place: Placement) -> bool {
-        let find = move |table: &mut MemberTable| {
+        let find = move |table: &mut GuardTable| {
             let report = table.report_of(place.guard);
             report.is_some_and(|report| report.placement.incarnation > place.incarnation)
         };
--- a/crates/claims/cloverfold_membership/src/messages.rs
+++ b/crates/claims/cloverfold_membership/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between processes about who is alive.
 
-use cloverfold_claims_core::MemberReport;
+use cloverfold_claims_core::GuardReport;
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
 
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The newest report of each guard that the sender heard of.
-    pub reports: Vec<MemberReport>,
+    pub reports: Vec<GuardReport>,
 }
 
 impl Message for Heartbeat {
     const KIND: u16 = 1;
     const NAME: &'static str = "heartbeat";
-    type Reply = Vec<MemberReport>;
+    type Reply = Vec<GuardReport>;
 }
 
 /// Tells a guard to stop as planned: it takes no new work, ends what is in flight, and exits.
