--- a/crates/leased/cloverfold_configuration/src/state.rs
+++ b/crates/leased/cloverfold_configuration/src/state.rs
@@ -45,6 +45,18 @@
     Conflicting,
 }
 
+impl OfferOutcome {
+    /// Returns the name that log lines and the audit trail use; it never changes.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Taken => "Taken",
+            Self::Repeated => "Repeated",
+            Self::Outdated => "Outdated",
+            Self::Conflicting => "Conflicting",
+        }
+    }
+}
+
 /// One decision on an offer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
--- a/crates/leased/cloverfold_consensus/src/replica/mod.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/mod.rs
@@ -72,6 +72,18 @@
     Leader,
 }
 
+impl Role {
+    /// Returns the name that log lines and operators' answers use; it never changes.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Follower => "Follower",
+            Self::Trial => "Trial",
+            Self::Candidate => "Candidate",
+            Self::Leader => "Leader",
+        }
+    }
+}
+
 /// A message on its way.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
--- a/crates/leased/cloverfold_control/src/operators.rs
+++ b/crates/leased/cloverfold_control/src/operators.rs
@@ -184,7 +184,7 @@
     json!({
         "version": record.version,
         "held_before": record.held_before,
-        "outcome": format!("{:?}", record.outcome).to_lowercase(),
+        "outcome": record.outcome.as_str().to_lowercase(),
         "source": record.source,
         "unix_ms": record.received_at.as_millis() as u64,
         "digest": digest,
--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -125,7 +125,7 @@
                     let outcome = self.state.apply(offer);
                     log::info!(
                         version, before, index, source = source.as_str(),
-                        outcome = format!("{outcome:?}").as_str();
+                        outcome = outcome.as_str();
                         "a configuration is decided on"
                     );
                 }
@@ -163,7 +163,7 @@
             .map(|id| format!("{id:016x}"))
             .unwrap_or_default();
         log::info!(
-            term = status.term, role = format!("{:?}", status.role).as_str(),
+            term = status.term, role = status.role.as_str(),
             leader = leader.as_str(), commit = status.commit;
             "the group has changed"
         );
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -162,7 +162,7 @@
         json!({
             "name": self.own.name,
             "replica": format!("{:016x}", status.id),
-            "role": format!("{:?}", status.role).to_lowercase(),
+            "role": status.role.as_str().to_lowercase(),
             "term": status.term,
             "leader": status.leader.map(|id| format!("{id:016x}")),
             "is_fresh": self.is_fresh(),
