--- a/crates/leased/cloverfold_configuration/src/lib.rs
+++ b/crates/leased/cloverfold_configuration/src/lib.rs
@@ -11,4 +11,4 @@
     Configuration, ConfigurationFault, Route, Service, TrafficLimits, Version,
 };
 pub use format::ConfigurationFormat;
-pub use state::{AuditRecord, ConfigurationState, Offer, OfferOutcome, StoredConfiguration};
+pub use state::{AuditRecord, ConfigurationState, Proposal, ProposalOutcome, StoredConfiguration};
--- a/crates/leased/cloverfold_configuration/src/state.rs
+++ b/crates/leased/cloverfold_configuration/src/state.rs
@@ -23,7 +23,7 @@
 
 /// A valid configuration that an operator wants to hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Offer {
+pub struct Proposal {
     /// The configuration.
     pub configuration: StoredConfiguration,
     /// The control process that took it.
@@ -32,9 +32,9 @@
     pub received_at: Duration,
 }
 
-/// What became of an offer.
+/// What became of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OfferOutcome {
+pub enum ProposalOutcome {
     /// It holds.
     Taken,
     /// It held already.
@@ -45,7 +45,7 @@
     Conflicting,
 }
 
-impl OfferOutcome {
+impl ProposalOutcome {
     /// Returns the name that log lines and the audit trail use; it never changes.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -57,15 +57,15 @@
     }
 }
 
-/// One decision on an offer.
+/// One decision on a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// The version offered.
+    /// The version proposed.
     pub version: Version,
     /// The version that held before.
     pub held_before: Version,
     /// What became of it.
-    pub outcome: OfferOutcome,
+    pub outcome: ProposalOutcome,
     /// The control process that took it.
     pub source: String,
     /// When it did, as the span since the Unix epoch.
@@ -120,36 +120,36 @@
         self.audit.iter()
     }
 
-    /// Says what would become of an offer.
-    pub fn judge(&self, offered: &StoredConfiguration) -> OfferOutcome {
+    /// Says what would become of a proposal.
+    pub fn judge(&self, proposed: &StoredConfiguration) -> ProposalOutcome {
         match &self.current {
-            Some(held) if held.version > offered.version => OfferOutcome::Outdated,
-            Some(held) if held.version == offered.version && held.text == offered.text => {
-                OfferOutcome::Repeated
+            Some(held) if held.version > proposed.version => ProposalOutcome::Outdated,
+            Some(held) if held.version == proposed.version && held.text == proposed.text => {
+                ProposalOutcome::Repeated
             }
-            Some(held) if held.version == offered.version => OfferOutcome::Conflicting,
-            _ => OfferOutcome::Taken,
+            Some(held) if held.version == proposed.version => ProposalOutcome::Conflicting,
+            _ => ProposalOutcome::Taken,
         }
     }
 
-    /// Takes an offer and notes what became of it.
-    pub fn apply(&mut self, offer: Offer) -> OfferOutcome {
-        let outcome = self.judge(&offer.configuration);
+    /// Takes a proposal and notes what became of it.
+    pub fn apply(&mut self, proposal: Proposal) -> ProposalOutcome {
+        let outcome = self.judge(&proposal.configuration);
         let held = self.current.as_ref().map_or(0, |held| held.text.len());
         self.audit.push_back(AuditRecord {
-            version: offer.configuration.version,
+            version: proposal.configuration.version,
             held_before: self.version(),
             outcome,
-            source: offer.source,
-            received_at: offer.received_at,
-            digest: hash_parts(&[&offer.configuration.text]),
-            lengths: (offer.configuration.text.len() as u32, held as u32),
+            source: proposal.source,
+            received_at: proposal.received_at,
+            digest: hash_parts(&[&proposal.configuration.text]),
+            lengths: (proposal.configuration.text.len() as u32, held as u32),
         });
         if self.audit.len() > MAX_AUDIT_RECORDS {
             self.audit.pop_front();
         }
-        if outcome == OfferOutcome::Taken {
-            self.current = Some(offer.configuration);
+        if outcome == ProposalOutcome::Taken {
+            self.current = Some(proposal.configuration);
         }
         outcome
     }
--- a/crates/leased/cloverfold_control/src/operators.rs
+++ b/crates/leased/cloverfold_control/src/operators.rs
@@ -5,7 +5,7 @@
 
 use cloverfold_base::unix_now;
 use cloverfold_configuration::{
-    AuditRecord, ConfigurationFault, ConfigurationFormat, Offer, StoredConfiguration,
+    AuditRecord, ConfigurationFault, ConfigurationFormat, Proposal, StoredConfiguration,
 };
 use cloverfold_http::{Request, Response, json_response, plain_response};
 use http::{HeaderValue, Method, StatusCode};
@@ -15,9 +15,9 @@
 use crate::state::ControlState;
 
 /// How long an order may take until it is left without a clear answer.
-const OFFER_TIMEOUT: Duration = Duration::from_millis(2_500);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How often an order is given to the leader again, whoever that is then.
-const OFFER_REPEAT: Duration = Duration::from_millis(250);
+const PROPOSAL_RESEND_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a read may take to be proved.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
@@ -83,7 +83,7 @@
         if !faults.is_empty() {
             return self.refuse(configuration.version, &faults);
         }
-        let offer = Offer {
+        let proposal = Proposal {
             configuration: StoredConfiguration {
                 version: configuration.version,
                 text: text.to_vec().into(),
@@ -92,8 +92,8 @@
             received_at: unix_now(),
         };
         let version = configuration.version;
-        let taking = self.wait_until_taken(offer);
-        let is_taken = timeout(OFFER_TIMEOUT, taking).await.is_ok();
+        let taking = self.wait_until_committed(proposal);
+        let is_taken = timeout(PROPOSAL_TIMEOUT, taking).await.is_ok();
         log::info!(version, is_taken; "an operator's configuration");
         if is_taken {
             json_response(StatusCode::OK, "{}")
@@ -109,17 +109,17 @@
         json_response(StatusCode::BAD_REQUEST, body)
     }
 
-    /// Gives the offer to the leader until a version as high is committed.
-    async fn wait_until_taken(&self, offer: Offer) {
+    /// Gives the proposal to the leader until a version as high is committed.
+    async fn wait_until_committed(&self, proposal: Proposal) {
         let mut committed = self.lock().follow_version();
         loop {
-            if *committed.borrow_and_update() >= offer.configuration.version {
+            if *committed.borrow_and_update() >= proposal.configuration.version {
                 return;
             }
-            self.lock().offer(&offer);
-            let change = committed.wait_for(|held| *held >= offer.configuration.version);
+            self.lock().submit_proposal(&proposal);
+            let change = committed.wait_for(|held| *held >= proposal.configuration.version);
             // The sender lives as long as the state.
-            if timeout(OFFER_REPEAT, change).await.is_ok() {
+            if timeout(PROPOSAL_RESEND_INTERVAL, change).await.is_ok() {
                 return;
             }
         }
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -80,12 +80,12 @@
         voters: 2 * settings.tolerated_losses + 1,
         ..ReplicaConfig::default()
     };
-    let is_blank = state.entries.is_empty() && state.snapshot.index == 0;
+    let has_empty_log = state.entries.is_empty() && state.snapshot.index == 0;
     let replica = Replica::new(replica_id, config, state, random_u64(), Duration::ZERO);
 
     let own_address = settings.peer.address();
     let seeds = settings.peer.seed_addresses();
-    let is_founder = may_found && is_blank && seeds.first() == Some(&own_address);
+    let is_founder = may_found && has_empty_log && seeds.first() == Some(&own_address);
     let founding = is_founder.then(|| Founding {
         seeds: seeds.clone(),
     });
@@ -93,7 +93,7 @@
         name: settings.peer.name.clone(),
         role: PeerRole::Control {
             replica: replica_id,
-            is_blank,
+            has_empty_log,
         },
         address: own_address,
         version: 0,
@@ -106,7 +106,7 @@
     let state = Arc::new(Mutex::new(state));
     log::info!(
         name = settings.peer.name.as_str(), replica = format!("{replica_id:016x}").as_str(),
-        is_blank, may_found, is_founder;
+        is_blank = has_empty_log, may_found, is_founder;
         "a control process starts"
     );
 
--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cloverfold_configuration::{ConfigurationState, Offer};
+use cloverfold_configuration::{ConfigurationState, Proposal};
 use cloverfold_consensus::{Entry, Member, Members, Payload};
 use cloverfold_peer::{PeerMessage, PeerRole};
 
@@ -59,7 +59,7 @@
             match hello.map(|hello| hello.role) {
                 Some(PeerRole::Control {
                     replica,
-                    is_blank: true,
+                    has_empty_log: true,
                 }) => {
                     voters.push(Member {
                         id: replica,
@@ -117,12 +117,12 @@
     pub(super) fn apply(&mut self, entry: Entry) {
         let index = entry.index;
         match entry.payload {
-            Payload::Command(command) => match postcard::from_bytes::<Offer>(&command) {
-                Ok(offer) => {
-                    let version = offer.configuration.version;
-                    let source = offer.source.clone();
+            Payload::Command(command) => match postcard::from_bytes::<Proposal>(&command) {
+                Ok(proposal) => {
+                    let version = proposal.configuration.version;
+                    let source = proposal.source.clone();
                     let before = self.state.version();
-                    let outcome = self.state.apply(offer);
+                    let outcome = self.state.apply(proposal);
                     log::info!(
                         version, before, index, source = source.as_str(),
                         outcome = outcome.as_str();
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -63,7 +63,7 @@
     /// Messages that wait for a batch to be synced.
     held_messages: BTreeMap<u64, Vec<Outgoing>>,
     writes: BTreeMap<u64, Duration>,
-    offered: HashMap<Version, LogIndex>,
+    proposed: HashMap<Version, LogIndex>,
     next_token: u64,
     own_reads: HashMap<u64, oneshot::Sender<Option<LogIndex>>>,
     peer_reads: HashMap<u64, (LinkId, u64)>,
@@ -99,7 +99,7 @@
             founding,
             held_messages: BTreeMap::new(),
             writes: BTreeMap::new(),
-            offered: HashMap::new(),
+            proposed: HashMap::new(),
             next_token: 1,
             own_reads: HashMap::new(),
             peer_reads: HashMap::new(),
--- a/crates/leased/cloverfold_control/src/state/orders.rs
+++ b/crates/leased/cloverfold_control/src/state/orders.rs
@@ -1,6 +1,6 @@
 //! Orders and reads of operators, here and at the leader.
 
-use cloverfold_configuration::Offer;
+use cloverfold_configuration::Proposal;
 use cloverfold_consensus::{LogIndex, Role};
 use cloverfold_peer::PeerMessage;
 use tokio::sync::oneshot;
@@ -8,30 +8,30 @@
 use super::ControlState;
 
 impl ControlState {
-    /// Appends an offer if this process leads, and passes it to the leader otherwise.
-    pub(crate) fn offer(&mut self, offer: &Offer) {
-        let version = offer.configuration.version;
+    /// Appends a proposal if this process leads, and passes it to the leader otherwise.
+    pub(crate) fn submit_proposal(&mut self, proposal: &Proposal) {
+        let version = proposal.configuration.version;
         let status = self.replica.status();
         if status.role != Role::Leader {
             if let Some(leader) = status.leader.filter(|id| *id != self.replica_id) {
-                self.send_to_replica(leader, &PeerMessage::Offer(offer.clone()));
+                self.send_to_replica(leader, &PeerMessage::Proposal(proposal.clone()));
             }
             return;
         }
         let is_under_way = self
-            .offered
+            .proposed
             .get(&version)
             .is_some_and(|&index| index > status.commit);
         if version <= self.state.version() || is_under_way {
             return;
         }
-        let Ok(command) = postcard::to_stdvec(offer) else {
-            log::error!(version; "an offer cannot be encoded");
+        let Ok(command) = postcard::to_stdvec(proposal) else {
+            log::error!(version; "a proposal cannot be encoded");
             return;
         };
         if let Ok(index) = self.replica.propose(command, self.clock.now()) {
-            self.offered.retain(|_, held| *held > status.commit);
-            self.offered.insert(version, index);
+            self.proposed.retain(|_, held| *held > status.commit);
+            self.proposed.insert(version, index);
         }
         self.advance();
     }
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -40,7 +40,7 @@
     pub(super) fn own_role(&self) -> PeerRole {
         PeerRole::Control {
             replica: self.replica_id,
-            is_blank: self.replica.status().last_index == 0,
+            has_empty_log: self.replica.status().last_index == 0,
         }
     }
 
@@ -58,9 +58,9 @@
                     self.replica.receive(from, message, now);
                 }
             }
-            PeerMessage::Offer(offer) => {
+            PeerMessage::Proposal(proposal) => {
                 if self.replica.status().role == Role::Leader {
-                    self.offer(&offer);
+                    self.submit_proposal(&proposal);
                 }
             }
             PeerMessage::Read { token } => {
--- a/crates/leased/cloverfold_leased_entry/src/state.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state.rs
@@ -238,7 +238,7 @@
             PeerMessage::ToRunner(_)
             | PeerMessage::Invite { .. }
             | PeerMessage::Consensus(_)
-            | PeerMessage::Offer(_)
+            | PeerMessage::Proposal(_)
             | PeerMessage::Read { .. }
             | PeerMessage::ReadReply { .. } => {}
         }
--- a/crates/leased/cloverfold_leased_guard/src/state.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -207,7 +207,7 @@
             PeerMessage::Invite { entry } => self.entries.add(entry),
             PeerMessage::ToDispatcher(_)
             | PeerMessage::Consensus(_)
-            | PeerMessage::Offer(_)
+            | PeerMessage::Proposal(_)
             | PeerMessage::Read { .. }
             | PeerMessage::ReadReply { .. } => {}
         }
--- a/crates/leased/cloverfold_peer/src/messages.rs
+++ b/crates/leased/cloverfold_peer/src/messages.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use cloverfold_configuration::{Offer, StoredConfiguration, Version};
+use cloverfold_configuration::{Proposal, StoredConfiguration, Version};
 use cloverfold_consensus::{LogIndex, Message, ReplicaId};
 use cloverfold_lease::{DispatcherMessage, RunnerMessage};
 use serde::{Deserialize, Serialize};
@@ -18,8 +18,8 @@
     Control {
         /// The identity of its disk.
         replica: ReplicaId,
-        /// Whether it has never been part of a group.
-        is_blank: bool,
+        /// Whether its log is empty: it has never been part of a group.
+        has_empty_log: bool,
     },
 }
 
@@ -75,7 +75,7 @@
     /// Between control processes.
     Consensus(Message),
     /// From a control process to the leader.
-    Offer(Offer),
+    Proposal(Proposal),
     /// From a control process to the leader: prove that you lead and say up to where all is committed.
     Read {
         /// To be echoed.
