--- a/crates/leased/cloverfold_consensus/src/lib.rs
+++ b/crates/leased/cloverfold_consensus/src/lib.rs
@@ -11,13 +11,13 @@
 //! - a replica that starts with an empty disk gets a new identity ([`ReplicaId`]) and is no member before it was added.
 
 mod log_entries;
-mod membership;
+mod members;
 mod messages;
 mod replica;
 mod store;
 
 pub use log_entries::{Entry, LogIndex, Payload, Snapshot, Term};
-pub use membership::{Member, Members, ReplicaId};
+pub use members::{Member, Members, ReplicaId};
 pub use messages::{Append, AppendReply, InstallSnapshot, Message, Vote, VoteReply};
 pub use replica::{Outgoing, ProposeError, Ready, Replica, ReplicaConfig, ReplicaStatus, Role};
 pub use store::{Record, RecoveredState, Store, StoreError};
--- a/crates/leased/cloverfold_consensus/src/log_entries.rs
+++ b/crates/leased/cloverfold_consensus/src/log_entries.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::membership::Members;
+use crate::members::Members;
 
 /// Number of one leader's time; rises.
 pub type Term = u64;
--- a/crates/leased/cloverfold_consensus/src/membership.rs
+++ b/crates/leased/cloverfold_consensus/src/members.rs
@@ -35,7 +35,7 @@
     }
 
     /// Finds the voter at an address.
-    pub fn at(&self, address: SocketAddr) -> Option<&Member> {
+    pub fn find_by_address(&self, address: SocketAddr) -> Option<&Member> {
         self.voters.iter().find(|member| member.address == address)
     }
 
--- a/crates/leased/cloverfold_consensus/src/messages.rs
+++ b/crates/leased/cloverfold_consensus/src/messages.rs
@@ -10,7 +10,7 @@
     /// The candidate's term; of a pre-vote, the term that it would begin.
     pub term: Term,
     /// Whether nothing is promised yet.
-    pub is_trial: bool,
+    pub is_pre_vote: bool,
     /// Place of the candidate's last entry.
     pub last_index: LogIndex,
     /// Term of that entry.
@@ -23,7 +23,7 @@
     /// The term that was asked for if granted, else the voter's.
     pub term: Term,
     /// As asked.
-    pub is_trial: bool,
+    pub is_pre_vote: bool,
     /// Whether the vote is given.
     pub is_granted: bool,
 }
--- a/crates/leased/cloverfold_consensus/src/replica/election.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/election.rs
@@ -1,43 +1,47 @@
 //! How a leader is found.
 
 use crate::log_entries::Payload;
-use crate::membership::ReplicaId;
+use crate::members::ReplicaId;
 use crate::messages::{Message, Vote, VoteReply};
 use crate::replica::{Moment, Replica, Role};
 
 impl Replica {
     /// Asks whether an election would be won, without disturbing a group that has a leader.
-    pub(super) fn begin_trial(&mut self, now: Moment) {
-        self.role = Role::Trial;
+    pub(super) fn begin_pre_vote(&mut self, now: Moment) {
+        self.role = Role::PreCandidate;
         self.leader = None;
         self.votes = vec![self.id];
         self.defer_election(now);
-        self.ask_for_votes(true);
+        self.request_votes(true);
         self.count_votes(now);
     }
 
-    fn begin_candidacy(&mut self, now: Moment) {
+    fn begin_election(&mut self, now: Moment) {
         self.role = Role::Candidate;
         self.term += 1;
         self.voted_for = Some(self.id);
         self.write_hard_state();
         self.votes = vec![self.id];
         self.defer_election(now);
-        self.ask_for_votes(false);
+        self.request_votes(false);
         self.count_votes(now);
     }
 
     /// Requests leave after the own vote is synced, so that replies imply it.
-    fn ask_for_votes(&mut self, is_trial: bool) {
+    fn request_votes(&mut self, is_pre_vote: bool) {
         let vote = Vote {
-            term: if is_trial { self.term + 1 } else { self.term },
-            is_trial,
+            term: if is_pre_vote {
+                self.term + 1
+            } else {
+                self.term
+            },
+            is_pre_vote,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
         let others: Vec<ReplicaId> = self.other_voters();
         for to in others {
-            self.send(to, Message::Vote(vote.clone()), !is_trial);
+            self.send(to, Message::Vote(vote.clone()), !is_pre_vote);
         }
     }
 
@@ -49,15 +53,15 @@
             .collect()
     }
 
-    pub(super) fn take_vote(&mut self, from: ReplicaId, vote: &Vote, now: Moment) {
+    pub(super) fn receive_vote_request(&mut self, from: ReplicaId, vote: &Vote, now: Moment) {
         let is_current =
             (vote.last_term, vote.last_index) >= (self.log.last_term(), self.log.last_index());
-        if vote.is_trial {
+        if vote.is_pre_vote {
             let has_leader = self.has_recent_leader(now);
             let is_granted = vote.term > self.term && is_current && !has_leader;
             let reply = VoteReply {
                 term: if is_granted { vote.term } else { self.term },
-                is_trial: true,
+                is_pre_vote: true,
                 is_granted,
             };
             self.send(from, Message::VoteReply(reply), false);
@@ -76,7 +80,7 @@
         }
         let reply = VoteReply {
             term: self.term,
-            is_trial: false,
+            is_pre_vote: false,
             is_granted,
         };
         self.send(from, Message::VoteReply(reply), true);
@@ -90,7 +94,7 @@
                 .is_some_and(|at| now < at + self.config.election_min)
     }
 
-    pub(super) fn take_vote_reply(&mut self, from: ReplicaId, reply: &VoteReply, now: Moment) {
+    pub(super) fn receive_vote_reply(&mut self, from: ReplicaId, reply: &VoteReply, now: Moment) {
         if !reply.is_granted {
             if reply.term > self.term {
                 self.follow(reply.term, None, now);
@@ -98,8 +102,8 @@
             return;
         }
         let is_meant = match self.role {
-            Role::Trial => reply.is_trial && reply.term == self.term + 1,
-            Role::Candidate => !reply.is_trial && reply.term == self.term,
+            Role::PreCandidate => reply.is_pre_vote && reply.term == self.term + 1,
+            Role::Candidate => !reply.is_pre_vote && reply.term == self.term,
             Role::Follower | Role::Leader => false,
         };
         if is_meant && !self.votes.contains(&from) {
@@ -119,7 +123,7 @@
             return;
         }
         match self.role {
-            Role::Trial => self.begin_candidacy(now),
+            Role::PreCandidate => self.begin_election(now),
             Role::Candidate => self.lead(now),
             Role::Follower | Role::Leader => {}
         }
@@ -130,7 +134,7 @@
         self.leader = Some(self.id);
         self.led_since = now;
         self.progress.clear();
-        self.follow_progress();
-        self.append_own(Payload::Empty, now);
+        self.track_progress();
+        self.append_entry(Payload::Empty, now);
     }
 }
--- a/crates/leased/cloverfold_consensus/src/replica/mod.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/mod.rs
@@ -2,8 +2,8 @@
 
 mod election;
 mod reads;
+mod replacement;
 mod replication;
-mod roster;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::log_entries::{Entry, Log, LogIndex, Payload, Snapshot, Term};
-use crate::membership::{Member, Members, ReplicaId};
+use crate::members::{Member, Members, ReplicaId};
 use crate::messages::Message;
 use crate::store::{Record, RecoveredState};
 use reads::PendingRead;
@@ -64,8 +64,8 @@
 pub enum Role {
     /// It follows a leader or waits for one.
     Follower,
-    /// It asks whether it would be elected.
-    Trial,
+    /// It asks in a pre-vote whether it would be elected; "Trial" in log lines and answers.
+    PreCandidate,
     /// It asks for votes.
     Candidate,
     /// It leads.
@@ -77,7 +77,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Follower => "Follower",
-            Self::Trial => "Trial",
+            Self::PreCandidate => "Trial",
             Self::Candidate => "Candidate",
             Self::Leader => "Leader",
         }
@@ -172,7 +172,7 @@
     votes: Vec<ReplicaId>,
     /// Of a leader: the other voters and those that only listen.
     progress: BTreeMap<ReplicaId, Progress>,
-    listeners: BTreeMap<ReplicaId, Member>,
+    learners: BTreeMap<ReplicaId, Member>,
     heartbeat_at: Moment,
     led_since: Moment,
     round: u64,
@@ -218,7 +218,7 @@
             election_at: now,
             votes: Vec::new(),
             progress: BTreeMap::new(),
-            listeners: BTreeMap::new(),
+            learners: BTreeMap::new(),
             heartbeat_at: now,
             led_since: now,
             round: 0,
@@ -234,8 +234,8 @@
         replica
     }
 
-    /// Founds a group: only on one replica of an installation, and only if no group was ever founded there.
-    pub fn found(&mut self, members: Members, state: Vec<u8>) {
+    /// Bootstraps a group: only on one replica of an installation, and only if it never had a group.
+    pub fn bootstrap(&mut self, members: Members, state: Vec<u8>) {
         if self.log.last_index() > 0 {
             return;
         }
@@ -295,7 +295,7 @@
     pub fn tick(&mut self, now: Moment) {
         self.now = now;
         if self.role == Role::Leader {
-            if self.has_lost_majority(now) {
+            if self.has_lost_quorum(now) {
                 self.follow(self.term, None, now);
                 return;
             }
@@ -305,7 +305,7 @@
             self.manage_members(now);
         } else if now >= self.election_at && self.is_voter() && self.unsynced.is_empty() {
             // A disk that is busy could not keep up with a leader's duties, and a vote on its way to it must not be overtaken.
-            self.begin_trial(now);
+            self.begin_pre_vote(now);
         }
     }
 
@@ -313,11 +313,11 @@
     pub fn receive(&mut self, from: ReplicaId, message: Message, now: Moment) {
         self.now = now;
         match message {
-            Message::Vote(vote) => self.take_vote(from, &vote, now),
-            Message::VoteReply(reply) => self.take_vote_reply(from, &reply, now),
-            Message::Append(append) => self.take_append(from, append, now),
-            Message::AppendReply(reply) => self.take_append_reply(from, &reply, now),
-            Message::InstallSnapshot(install) => self.take_snapshot(from, install, now),
+            Message::Vote(vote) => self.receive_vote_request(from, &vote, now),
+            Message::VoteReply(reply) => self.receive_vote_reply(from, &reply, now),
+            Message::Append(append) => self.receive_append(from, append, now),
+            Message::AppendReply(reply) => self.receive_append_reply(from, &reply, now),
+            Message::InstallSnapshot(install) => self.receive_snapshot(from, install, now),
         }
     }
 
@@ -330,11 +330,11 @@
         if self.role != Role::Leader {
             return Err(ProposeError::NotLeader(self.leader));
         }
-        Ok(self.append_own(Payload::Command(command), now))
+        Ok(self.append_entry(Payload::Command(command), now))
     }
 
     /// Replaces the log's beginning by the state after `index`, if the log has become long.
-    pub fn offer_snapshot(&mut self, index: LogIndex, state: impl FnOnce() -> Vec<u8>) {
+    pub fn maybe_compact(&mut self, index: LogIndex, state: impl FnOnce() -> Vec<u8>) {
         if self.log.len() < self.config.keep_entries || index <= self.log.snapshot.index {
             return;
         }
@@ -374,9 +374,9 @@
     }
 
     /// Says whether this replica was in touch with its group within `span`, as a leader with a majority of it.
-    pub fn is_fresh(&self, span: Duration, now: Moment) -> bool {
+    pub fn has_quorum_contact(&self, span: Duration, now: Moment) -> bool {
         match self.role {
-            Role::Leader => self.count_heard(span, now) >= self.members().majority(),
+            Role::Leader => self.count_recently_heard(span, now) >= self.members().majority(),
             _ => self.heard_leader_at.is_some_and(|at| now < at + span),
         }
     }
@@ -456,7 +456,7 @@
     }
 
     /// A replica that starts may be one of many that start together: waiting long serves nobody, and a leader that lives is not
-    /// disturbed by a trial.
+    /// disturbed by a pre-vote.
     fn defer_first_election(&mut self, now: Moment) {
         self.defer_election(now);
         let wait = self.election_at.saturating_sub(now);
--- a/crates/leased/cloverfold_consensus/src/replica/reads.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/reads.rs
@@ -58,7 +58,7 @@
     }
 
     /// Counts the voters, this one included, that were heard of within `span`.
-    pub(super) fn count_heard(&self, span: Duration, now: Moment) -> usize {
+    pub(super) fn count_recently_heard(&self, span: Duration, now: Moment) -> usize {
         let is_heard = |id| {
             id == self.id
                 || self
@@ -71,8 +71,9 @@
         voters.filter(|member| is_heard(member.id)).count()
     }
 
-    pub(super) fn has_lost_majority(&self, now: Moment) -> bool {
+    pub(super) fn has_lost_quorum(&self, now: Moment) -> bool {
         let span = self.config.election_max * 2;
-        now > self.led_since + span && self.count_heard(span, now) < self.members().majority()
+        now > self.led_since + span
+            && self.count_recently_heard(span, now) < self.members().majority()
     }
 }
--- a/crates/leased/cloverfold_consensus/src/replica/roster.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/replacement.rs
@@ -1,31 +1,31 @@
 //! How voters are taken in and out, one at a time, without an operator.
 
 use crate::log_entries::Payload;
-use crate::membership::{Member, Members, ReplicaId};
+use crate::members::{Member, Members, ReplicaId};
 use crate::replica::{Moment, Replica, Role};
 
-/// How far a listener may be behind when it becomes a voter.
+/// How far a learner may be behind when it becomes a voter.
 const CAUGHT_UP: u64 = 2;
 
 impl Replica {
     /// Says that a replica that is no voter wants the log.
-    pub fn add_listener(&mut self, member: Member) {
+    pub fn add_learner(&mut self, member: Member) {
         if member.id == self.id {
             return;
         }
-        self.listeners
+        self.learners
             .retain(|_, held| held.address != member.address);
-        self.listeners.insert(member.id, member);
+        self.learners.insert(member.id, member);
         if self.role == Role::Leader {
-            self.follow_progress();
+            self.track_progress();
         }
     }
 
-    /// Forgets a listener whose link is gone.
-    pub fn remove_listener(&mut self, id: ReplicaId) {
-        self.listeners.remove(&id);
+    /// Forgets a learner whose link is gone.
+    pub fn remove_learner(&mut self, id: ReplicaId) {
+        self.learners.remove(&id);
         if self.role == Role::Leader {
-            self.follow_progress();
+            self.track_progress();
         }
     }
 
@@ -36,39 +36,39 @@
             return;
         }
         let members = members.clone();
-        if let Some(next) = self.choose_members(&members, now) {
-            self.append_own(Payload::Members(next), now);
+        if let Some(next) = self.choose_next_members(&members, now) {
+            self.append_entry(Payload::Members(next), now);
         }
     }
 
-    fn choose_members(&self, members: &Members, now: Moment) -> Option<Members> {
-        if let Some(gone) = self.find_erased_voter(members) {
-            return self.remove_if_safe(members, gone, now);
+    fn choose_next_members(&self, members: &Members, now: Moment) -> Option<Members> {
+        if let Some(gone) = self.find_reidentified_voter(members) {
+            return self.remove_if_rest_can_commit(members, gone, now);
         }
-        let ready = self.find_caught_up_listener(members, now)?;
+        let ready = self.find_caught_up_learner(members, now)?;
         if members.voters.len() < self.config.voters {
             return Some(members.with(ready));
         }
         let silent = self.find_silent_voter(members, now)?;
-        self.remove_if_safe(members, silent, now)
+        self.remove_if_rest_can_commit(members, silent, now)
     }
 
     /// Finds a voter whose address another identity uses now: its disk is gone for good.
-    fn find_erased_voter(&self, members: &Members) -> Option<ReplicaId> {
-        let mut listeners = self.listeners.values();
-        let voter = listeners.find_map(|listener| {
-            let voter = members.at(listener.address)?;
-            (voter.id != listener.id && voter.id != self.id).then_some(voter)
+    fn find_reidentified_voter(&self, members: &Members) -> Option<ReplicaId> {
+        let mut learners = self.learners.values();
+        let voter = learners.find_map(|learner| {
+            let voter = members.find_by_address(learner.address)?;
+            (voter.id != learner.id && voter.id != self.id).then_some(voter)
         });
         voter.map(|voter| voter.id)
     }
 
-    fn find_caught_up_listener(&self, members: &Members, now: Moment) -> Option<Member> {
+    fn find_caught_up_learner(&self, members: &Members, now: Moment) -> Option<Member> {
         let span = self.config.election_max;
-        let mut listeners = self.listeners.values();
-        let ready = listeners.find(|listener| {
-            let progress = self.progress.get(&listener.id);
-            !members.contains(listener.id)
+        let mut learners = self.learners.values();
+        let ready = learners.find(|learner| {
+            let progress = self.progress.get(&learner.id);
+            !members.contains(learner.id)
                 && progress.is_some_and(|progress| {
                     let is_heard = progress.heard_at.is_some_and(|at| now < at + span);
                     is_heard
@@ -94,7 +94,12 @@
     }
 
     /// Removes a voter only if the rest can commit that.
-    fn remove_if_safe(&self, members: &Members, gone: ReplicaId, now: Moment) -> Option<Members> {
+    fn remove_if_rest_can_commit(
+        &self,
+        members: &Members,
+        gone: ReplicaId,
+        now: Moment,
+    ) -> Option<Members> {
         let next = members.without(gone);
         let span = self.config.election_max;
         let is_heard = |member: &&Member| {
--- a/crates/leased/cloverfold_consensus/src/replica/replication.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/replication.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::log_entries::{Entry, LogIndex, Payload};
-use crate::membership::ReplicaId;
+use crate::members::ReplicaId;
 use crate::messages::{Append, AppendReply, InstallSnapshot, Message};
 use crate::replica::{Moment, Replica, Role};
 use crate::store::Record;
@@ -25,10 +25,10 @@
 
 impl Replica {
     /// Begins to track everybody that entries go to, and forgets the others.
-    pub(super) fn follow_progress(&mut self) {
+    pub(super) fn track_progress(&mut self) {
         let next = self.log.last_index() + 1;
         let mut meant = self.other_voters();
-        meant.extend(self.listeners.keys().copied());
+        meant.extend(self.learners.keys().copied());
         self.progress.retain(|id, _| meant.contains(id));
         for id in meant {
             self.progress.entry(id).or_insert(Progress {
@@ -42,14 +42,14 @@
     }
 
     /// Says that the link to a replica is new: what was under way may be lost.
-    pub fn link_renewed(&mut self, id: ReplicaId) {
+    pub fn link_reopened(&mut self, id: ReplicaId) {
         if let Some(progress) = self.progress.get_mut(&id) {
             progress.next = progress.matching + 1;
             progress.snapshot_sent_at = None;
         }
     }
 
-    pub(super) fn append_own(&mut self, payload: Payload, now: Moment) -> LogIndex {
+    pub(super) fn append_entry(&mut self, payload: Payload, now: Moment) -> LogIndex {
         let entry = Entry {
             index: self.log.last_index() + 1,
             term: self.term,
@@ -58,7 +58,7 @@
         let index = entry.index;
         self.ready.records.push(Record::Entry(entry.clone()));
         self.log.push(entry);
-        self.follow_progress();
+        self.track_progress();
         self.broadcast(now);
         index
     }
@@ -132,7 +132,7 @@
         true
     }
 
-    pub(super) fn take_append(&mut self, from: ReplicaId, append: Append, now: Moment) {
+    pub(super) fn receive_append(&mut self, from: ReplicaId, append: Append, now: Moment) {
         if !self.accept_leader(from, append.term, now) {
             return;
         }
@@ -152,7 +152,7 @@
         }
         let last_new = previous + append.entries.len() as u64;
         for entry in append.entries {
-            self.take_entry(entry);
+            self.store_entry(entry);
         }
         self.matched = self.matched.max(last_new);
         let known = append.commit.min(self.matched);
@@ -160,20 +160,20 @@
         self.reply_matching(from);
     }
 
-    fn take_entry(&mut self, entry: Entry) {
+    fn store_entry(&mut self, entry: Entry) {
         if entry.index <= self.log.snapshot.index {
             return;
         }
         match self.log.term_at(entry.index) {
             Some(term) if term == entry.term => return,
-            Some(_) => self.drop_from(entry.index),
+            Some(_) => self.truncate_log(entry.index),
             None => {}
         }
         self.ready.records.push(Record::Entry(entry.clone()));
         self.log.push(entry);
     }
 
-    fn drop_from(&mut self, index: LogIndex) {
+    fn truncate_log(&mut self, index: LogIndex) {
         self.log.truncate(index);
         self.ready.records.push(Record::Truncate { from: index });
         self.synced = self.synced.min(index - 1);
@@ -199,7 +199,12 @@
         }
     }
 
-    pub(super) fn take_snapshot(&mut self, from: ReplicaId, install: InstallSnapshot, now: Moment) {
+    pub(super) fn receive_snapshot(
+        &mut self,
+        from: ReplicaId,
+        install: InstallSnapshot,
+        now: Moment,
+    ) {
         if !self.accept_leader(from, install.term, now) {
             return;
         }
@@ -217,7 +222,12 @@
         self.reply_matching(from);
     }
 
-    pub(super) fn take_append_reply(&mut self, from: ReplicaId, reply: &AppendReply, now: Moment) {
+    pub(super) fn receive_append_reply(
+        &mut self,
+        from: ReplicaId,
+        reply: &AppendReply,
+        now: Moment,
+    ) {
         if reply.term > self.term {
             self.follow(reply.term, None, now);
             return;
--- a/crates/leased/cloverfold_consensus/src/store.rs
+++ b/crates/leased/cloverfold_consensus/src/store.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::log_entries::{Entry, LogIndex, Snapshot, Term};
-use crate::membership::ReplicaId;
+use crate::members::ReplicaId;
 
 const LOG_FILE: &str = "replica.log";
 const NEW_LOG_FILE: &str = "replica.log.new";
--- a/crates/leased/cloverfold_consensus/tests/group.rs
+++ b/crates/leased/cloverfold_consensus/tests/group.rs
@@ -56,7 +56,7 @@
 }
 
 impl Group {
-    fn found(size: usize) -> Self {
+    fn bootstrap(size: usize) -> Self {
         let mut group = Self {
             boxes: Vec::new(),
             network: Vec::new(),
@@ -84,7 +84,7 @@
             .process
             .as_mut()
             .unwrap()
-            .found(members, Vec::new());
+            .bootstrap(members, Vec::new());
         group.settle(0);
         // A founder that dies before this founds anew; that is the process's part.
         group.sync(0);
@@ -146,11 +146,11 @@
             };
             if index == place {
                 for member in &known {
-                    process.add_listener(member.clone());
+                    process.add_learner(member.clone());
                 }
             } else {
-                process.link_renewed(newcomer.id);
-                process.add_listener(newcomer.clone());
+                process.link_reopened(newcomer.id);
+                process.add_learner(newcomer.clone());
             }
         }
         for index in 0..self.boxes.len() {
@@ -168,7 +168,7 @@
             .retain(|(from, to, _)| *from != id && *to != id);
         for other in &mut self.boxes {
             if let Some(process) = &mut other.process {
-                process.remove_listener(id);
+                process.remove_learner(id);
             }
         }
     }
@@ -232,7 +232,7 @@
         }
         let process = held.process.as_mut().unwrap();
         if last > 0 {
-            process.offer_snapshot(last, || last.to_le_bytes().to_vec());
+            process.maybe_compact(last, || last.to_le_bytes().to_vec());
         }
         for (token, index) in ready.reads {
             let Some(at_least) = self.reads.remove(&token) else {
@@ -448,7 +448,7 @@
     );
     runner(300)
         .run(&schedules, |(size, schedule)| {
-            let mut group = Group::found(size);
+            let mut group = Group::bootstrap(size);
             play(&mut group, schedule);
             prop_assert!(group.recover_all(), "the group commits again");
             Ok(())
@@ -462,7 +462,7 @@
     let schedules = prop::collection::vec((0..3_usize, schedule(), schedule()), 1..4);
     runner(250)
         .run(&schedules, |rounds| {
-            let mut group = Group::found(3);
+            let mut group = Group::bootstrap(3);
             prop_assert!(group.recover_all());
             for (place, before, after) in rounds {
                 play(&mut group, before);
@@ -488,7 +488,7 @@
 
 #[test]
 fn a_replacement_at_another_address_takes_the_place_of_a_voter_that_is_gone() {
-    let mut group = Group::found(3);
+    let mut group = Group::bootstrap(3);
     assert!(group.recover_all());
     group.add_box(3);
     let newcomer = group.boxes[3].id;
@@ -505,7 +505,7 @@
 
 #[test]
 fn a_replica_that_was_cut_off_does_not_disturb_the_leader_when_it_returns() {
-    let mut group = Group::found(3);
+    let mut group = Group::bootstrap(3);
     assert!(group.recover_all());
     let leader = |group: &Group| {
         let leads = |held: &&Box_| held.process.as_ref().unwrap().status().role == Role::Leader;
@@ -535,7 +535,7 @@
 
 #[test]
 fn a_blank_replica_never_elects_itself() {
-    let mut group = Group::found(3);
+    let mut group = Group::bootstrap(3);
     assert!(group.recover_all());
     group.wipe(0);
     group.start(0);
@@ -554,7 +554,7 @@
 fn a_group_whose_disks_take_a_second_to_sync_still_elects_a_leader() {
     const SYNC_STEPS: usize = 50;
     const STEPS: usize = 3_000;
-    let mut group = Group::found(3);
+    let mut group = Group::bootstrap(3);
     assert!(group.recover_all());
     for place in 0..3 {
         group.crash(place);
--- a/crates/leased/cloverfold_consensus/tests/rules.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules.rs
@@ -69,10 +69,10 @@
     })
 }
 
-fn vote(term: Term, last: (LogIndex, Term), is_trial: bool) -> Message {
+fn vote(term: Term, last: (LogIndex, Term), is_pre_vote: bool) -> Message {
     Message::Vote(Vote {
         term,
-        is_trial,
+        is_pre_vote,
         last_index: last.0,
         last_term: last.1,
     })
@@ -108,12 +108,15 @@
     let term = replica.status().term + 1;
     assert!(matches!(
         asked.messages[0].message,
-        Message::Vote(Vote { is_trial: true, .. })
+        Message::Vote(Vote {
+            is_pre_vote: true,
+            ..
+        })
     ));
-    let granted = |is_trial| {
+    let granted = |is_pre_vote| {
         Message::VoteReply(VoteReply {
             term,
-            is_trial,
+            is_pre_vote,
             is_granted: true,
         })
     };
@@ -158,9 +161,9 @@
         ((9, 2), false),
         ((1, 1), false),
     ] {
-        for is_trial in [true, false] {
+        for is_pre_vote in [true, false] {
             let mut replica = replica(3, &[3]);
-            replica.receive(2, vote(4, last, is_trial), NOW);
+            replica.receive(2, vote(4, last, is_pre_vote), NOW);
             assert_eq!(
                 vote_reply(&replica.take_ready()).0.is_granted,
                 is_granted,
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn no_trial_vote_while_a_leader_lives() {
+fn no_pre_vote_while_a_leader_lives() {
     let mut replica = replica(3, &[3]);
     replica.receive(2, append(3, (2, 3), Vec::new(), 1), NOW);
     replica.take_ready();
@@ -327,8 +330,8 @@
         id,
         address: format!("10.0.0.{at}:7000").parse().unwrap(),
     };
-    replica.add_listener(newcomer(33, 3));
-    replica.add_listener(newcomer(44, 4));
+    replica.add_learner(newcomer(33, 3));
+    replica.add_learner(newcomer(44, 4));
     let mut now = NOW + Duration::from_millis(50);
     for id in [2, 33, 44] {
         replica.receive(id, matching(term, last, 2), now);
--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -73,7 +73,7 @@
         log::info!(voters = voters.len(); "the group is founded");
         self.founding = None;
         let state = self.state.encode();
-        self.replica.found(Members { voters }, state);
+        self.replica.bootstrap(Members { voters }, state);
         self.advance();
     }
 
@@ -146,7 +146,7 @@
             Payload::Empty => {}
         }
         let state = &self.state;
-        self.replica.offer_snapshot(index, || state.encode());
+        self.replica.maybe_compact(index, || state.encode());
         self.applied.send_replace(index);
     }
 
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -150,7 +150,8 @@
     }
 
     pub(crate) fn is_fresh(&self) -> bool {
-        self.replica.is_fresh(FRESH_SPAN, self.clock.now())
+        self.replica
+            .has_quorum_contact(FRESH_SPAN, self.clock.now())
     }
 
     pub(crate) fn describe(&self) -> serde_json::Value {
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -109,8 +109,8 @@
                 self.dialed.add(address);
                 if dialed {
                     self.replica_links.insert(replica, link);
-                    self.replica.link_renewed(replica);
-                    self.replica.add_listener(Member {
+                    self.replica.link_reopened(replica);
+                    self.replica.add_learner(Member {
                         id: replica,
                         address,
                     });
@@ -147,7 +147,7 @@
                 if self.replica_links.get(&replica) == Some(&link) =>
             {
                 self.replica_links.remove(&replica);
-                self.replica.remove_listener(replica);
+                self.replica.remove_learner(replica);
             }
             PeerRole::Entry => {
                 if let Some(entry) = self.entries.get_mut(&hello.address) {
