--- a/compatibility/tests/control_disk.rs
+++ b/compatibility/tests/control_disk.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use cloverfold_configuration::{
-    AuditRecord, ConfigurationState, Offer, OfferOutcome, StoredConfiguration,
+    AuditRecord, ConfigurationState, Proposal, ProposalOutcome, StoredConfiguration,
 };
 use cloverfold_consensus::{
     Entry, Member, Members, Payload, Record, RecoveredState, Snapshot, Store,
@@ -69,22 +69,22 @@
 
 /// Returns the fixture of a decision with this outcome. A new variant stops the build here: name a fixture for it and add it to
 /// [`outcomes`].
-fn fixture_of_outcome(outcome: OfferOutcome) -> &'static str {
+fn fixture_of_outcome(outcome: ProposalOutcome) -> &'static str {
     match outcome {
-        OfferOutcome::Taken => "control-disk/audit-taken.bin",
-        OfferOutcome::Repeated => "control-disk/audit-repeated.bin",
-        OfferOutcome::Outdated => "control-disk/audit-outdated.bin",
-        OfferOutcome::Conflicting => "control-disk/audit-conflicting.bin",
+        ProposalOutcome::Taken => "control-disk/audit-taken.bin",
+        ProposalOutcome::Repeated => "control-disk/audit-repeated.bin",
+        ProposalOutcome::Outdated => "control-disk/audit-outdated.bin",
+        ProposalOutcome::Conflicting => "control-disk/audit-conflicting.bin",
     }
 }
 
 /// Returns every outcome.
-fn outcomes() -> [OfferOutcome; 4] {
+fn outcomes() -> [ProposalOutcome; 4] {
     [
-        OfferOutcome::Taken,
-        OfferOutcome::Repeated,
-        OfferOutcome::Outdated,
-        OfferOutcome::Conflicting,
+        ProposalOutcome::Taken,
+        ProposalOutcome::Repeated,
+        ProposalOutcome::Outdated,
+        ProposalOutcome::Conflicting,
     ]
 }
 
@@ -108,8 +108,8 @@
     three_members().without(u64::MAX)
 }
 
-fn offer(version: u64, text: &str) -> Offer {
-    Offer {
+fn offer(version: u64, text: &str) -> Proposal {
+    Proposal {
         configuration: StoredConfiguration {
             version,
             text: text.as_bytes().into(),
@@ -120,7 +120,7 @@
 }
 
 /// Returns offers that come to every outcome, one after the other.
-fn offers() -> [Offer; 5] {
+fn offers() -> [Proposal; 5] {
     [
         offer(1, r#"{"Version":1}"#),
         offer(300, r#"{"Version":300}"#),
@@ -131,7 +131,7 @@
 }
 
 /// Returns the state after these offers.
-fn state_after(offers: &[Offer]) -> ConfigurationState {
+fn state_after(offers: &[Proposal]) -> ConfigurationState {
     let mut state = ConfigurationState::default();
     for offer in offers {
         state.apply(offer.clone());
@@ -139,7 +139,7 @@
     state
 }
 
-fn audit_record(outcome: OfferOutcome) -> AuditRecord {
+fn audit_record(outcome: ProposalOutcome) -> AuditRecord {
     AuditRecord {
         version: 300,
         held_before: 299,
@@ -163,7 +163,7 @@
     }
 }
 
-fn command(index: u64, term: u64, offer: &Offer) -> Entry {
+fn command(index: u64, term: u64, offer: &Proposal) -> Entry {
     entry(index, term, Payload::Command(encode(offer)))
 }
 
@@ -482,7 +482,7 @@
     let mut state = ConfigurationState::decode(&held.snapshot.state).unwrap();
     for entry in &held.entries {
         if let Payload::Command(command) = &entry.payload {
-            state.apply(postcard::from_bytes::<Offer>(command).unwrap());
+            state.apply(postcard::from_bytes::<Proposal>(command).unwrap());
         }
     }
 
@@ -491,7 +491,7 @@
 
 #[test]
 fn offers_are_encoded_as_recorded() {
-    let without_text = Offer {
+    let without_text = Proposal {
         configuration: StoredConfiguration {
             version: u64::MAX,
             text: [].into(),
@@ -543,11 +543,11 @@
         .map(|record| (record.version, record.held_before, record.outcome))
         .collect();
     let expected = [
-        (1, 0, OfferOutcome::Taken),
-        (300, 1, OfferOutcome::Taken),
-        (300, 300, OfferOutcome::Repeated),
-        (2, 300, OfferOutcome::Outdated),
-        (300, 300, OfferOutcome::Conflicting),
+        (1, 0, ProposalOutcome::Taken),
+        (300, 1, ProposalOutcome::Taken),
+        (300, 300, ProposalOutcome::Repeated),
+        (2, 300, ProposalOutcome::Outdated),
+        (300, 300, ProposalOutcome::Conflicting),
     ];
     assert_eq!(decisions, expected);
     assert_eq!(state.current(), Some(&offers()[1].configuration));
--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use cloverfold_configuration::{Offer, StoredConfiguration};
+use cloverfold_configuration::{Proposal, StoredConfiguration};
 use cloverfold_consensus::{
     Append, AppendReply, Entry, InstallSnapshot, Member, Members, Message, Payload, Snapshot, Vote,
     VoteReply,
@@ -245,10 +245,10 @@
 }
 
 fn votes() -> Vec<Sample<Message>> {
-    let vote = |is_trial| {
+    let vote = |is_pre_vote| {
         Message::Vote(Vote {
             term: 31,
-            is_trial,
+            is_pre_vote,
             last_index: 3_200,
             last_term: 30,
         })
@@ -257,10 +257,10 @@
 }
 
 fn vote_replies() -> Vec<Sample<Message>> {
-    let reply = |is_trial, is_granted| {
+    let reply = |is_pre_vote, is_granted| {
         Message::VoteReply(VoteReply {
             term: 33,
-            is_trial,
+            is_pre_vote,
             is_granted,
         })
     };
@@ -338,9 +338,9 @@
 }
 
 fn peer_roles() -> Vec<Sample<PeerRole>> {
-    let control = |is_blank| PeerRole::Control {
+    let control = |has_empty_log| PeerRole::Control {
         replica: 0x1122_3344_5566_7788,
-        is_blank,
+        has_empty_log,
     };
     each_variant!(PeerRole {
         PeerRole::Entry => one("entry", PeerRole::Entry),
@@ -404,12 +404,12 @@
 }
 
 fn offers() -> Vec<Sample<PeerMessage>> {
-    let offer = Offer {
+    let offer = Proposal {
         configuration: configuration(68_000, b"text of an offer"),
         source: "control-3".to_owned(),
         received_at: Duration::new(1_790_000_000, 123_456_789),
     };
-    one("offer", PeerMessage::Offer(offer))
+    one("offer", PeerMessage::Proposal(offer))
 }
 
 fn read_replies() -> Vec<Sample<PeerMessage>> {
@@ -437,7 +437,7 @@
         PeerMessage::Directory(_) => directories(),
         PeerMessage::Invite { .. } => invites(),
         PeerMessage::Consensus(_) => wrap("consensus", consensus_messages(), PeerMessage::Consensus),
-        PeerMessage::Offer(_) => offers(),
+        PeerMessage::Proposal(_) => offers(),
         PeerMessage::Read { .. } => one("read", read),
         PeerMessage::ReadReply { .. } => read_replies(),
     })
