--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -63,7 +63,7 @@
     /// Messages that wait for a batch to be synced.
     held_messages: BTreeMap<u64, Vec<Outgoing>>,
     writes: BTreeMap<u64, Duration>,
-    offered: HashMap<Version, LogIndex>,
+    proposed: HashMap<Version, LogIndex>,
     next_token: u64,
     own_reads: HashMap<u64, oneshot::Sender<Option<LogIndex>>>,
     peer_reads: HashMap<u64, (LinkId, u64)>,
@@ -99,7 +99,7 @@
             founding,
             held_messages: BTreeMap::new(),
             writes: BTreeMap::new(),
-            offered: HashMap::new(),
+            proposed: HashMap::new(),
             next_token: 1,
             own_reads: HashMap::new(),
             peer_reads: HashMap::new(),
@@ -150,7 +150,8 @@
     }
 
     pub(crate) fn is_fresh(&self) -> bool {
-        self.replica.is_fresh(FRESH_SPAN, self.clock.now())
+        self.replica
+            .has_quorum_contact(FRESH_SPAN, self.clock.now())
     }
 
     pub(crate) fn describe(&self) -> serde_json::Value {
@@ -162,7 +163,7 @@
         json!({
             "name": self.own.name,
             "replica": format!("{:016x}", status.id),
-            "role": format!("{:?}", status.role).to_lowercase(),
+            "role": status.role.as_str().to_lowercase(),
             "term": status.term,
             "leader": status.leader.map(|id| format!("{id:016x}")),
             "is_fresh": self.is_fresh(),
