--- a/crates/leased/cloverfold_leased_entry/src/callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/callers.rs
@@ -1,20 +1,21 @@
-//! Callers' requests.
+//! Callers' requests: finds the queue and the call, and answers it.
+//!
+//! Owns the counts of answers; the jobs themselves are the state's. Relies on a [`JobProtocol`] to read requests, on the configuration in
+//! force for the queues, and on the dispatcher within [`EntryState`] for every decision.
 
 use std::sync::{Arc, MutexGuard};
-use std::time::{Duration, Instant};
 
-use cloverfold_configuration::Route;
+use cloverfold_configuration::{Configuration, Route};
 use cloverfold_http::{Request, Response, json_response, plain_response};
-use cloverfold_lease::{JobAnswer, JobNumber, JobRequest};
+use cloverfold_lease::JobRequest;
 use cloverfold_leased_process::Shared;
-use http::{HeaderValue, StatusCode};
+use http::StatusCode;
 
 use crate::metrics::EntryMetrics;
-use crate::protocol::{JobForm, JobProtocol, JobState, QueueCall};
+use crate::protocol::{JobProtocol, JobState, QueueCall};
+use crate::responses::{RETRY_AFTER, job_state_response, no_such_job_response, refusal_response};
 use crate::state::EntryState;
 
-const RETRY_AFTER: Duration = Duration::from_secs(1);
-
 /// Answers callers.
 pub(crate) struct Callers {
     state: Shared<EntryState>,
@@ -22,23 +23,6 @@
     pub(crate) metrics: Arc<EntryMetrics>,
 }
 
-/// Stops a job if its caller leaves before the answer.
-struct CancelOnDrop<'a> {
-    callers: &'a Callers,
-    job: &'a str,
-    number: Option<JobNumber>,
-}
-
-impl Drop for CancelOnDrop<'_> {
-    fn drop(&mut self) {
-        if let Some(number) = self.number {
-            log::info!(job = self.job, number; "the caller left; its job is stopped");
-            self.callers.metrics.count_answer("caller_left");
-            self.callers.lock().cancel(number);
-        }
-    }
-}
-
 impl Callers {
     pub(crate) fn new(state: Shared<EntryState>, protocol: Arc<dyn JobProtocol>) -> Self {
         Self {
@@ -54,19 +38,26 @@
 
     /// Answers one request.
     pub(crate) async fn answer(&self, request: Request) -> Response {
-        let Some(configuration) = self.lock().configuration() else {
-            let path = request.uri.path();
-            log::info!(path, cause = "NoConfiguration"; "a request is refused");
-            return refuse("no configuration is in force here\n", RETRY_AFTER);
-        };
+        let configuration = self.lock().configuration();
+        match configuration {
+            Some(configuration) => self.answer_with(&configuration, &request).await,
+            None => {
+                let path = request.uri.path();
+                log::info!(path, cause = "NoConfiguration"; "a request is refused");
+                refusal_response("no configuration is in force here\n", RETRY_AFTER)
+            }
+        }
+    }
+
+    async fn answer_with(&self, configuration: &Configuration, request: &Request) -> Response {
         let path = request.uri.path();
         let Some(route) = configuration.find_route(request.host(), path) else {
-            log::info!(host = request.host(), path, version = configuration.version; "no queue takes a request");
+            log::info!(host = request.host(), path, version = configuration.version; "no queue matches a request");
             return plain_response(StatusCode::NOT_FOUND, "no such queue\n");
         };
         let rest = &path[route.path_prefix.len()..];
         match self.protocol.classify(&request.method, rest) {
-            Some(QueueCall::Submit(id)) => self.submit(&id, route, &request).await,
+            Some(QueueCall::Submit(id)) => self.submit(&id, route, request).await,
             Some(QueueCall::Show(id)) => self.show(&id),
             Some(QueueCall::Cancel(id)) => self.cancel(&id),
             Some(QueueCall::Count) => self.count(route),
@@ -74,72 +65,11 @@
         }
     }
 
-    async fn submit(&self, id: &str, route: &Route, request: &Request) -> Response {
-        let job = match self.protocol.read_job(id, route, &request.body) {
-            Ok(JobForm::Repeatable(job)) => job,
-            Ok(JobForm::Unsupported(what)) => {
-                log::warn!(job = id, route = route.name.as_str(), what; "a job of this form is not carried");
-                return refuse(&format!("not carried: {what}\n"), RETRY_AFTER);
-            }
-            Err(fault) => {
-                log::warn!(job = id, route = route.name.as_str(); "a job cannot be read: {fault}");
-                return plain_response(StatusCode::BAD_REQUEST, format!("{fault}\n"));
-            }
-        };
-        let patience = self.protocol.read_patience(&request.headers);
-        let job = JobRequest { patience, ..job };
-        let began = Instant::now();
-        let (number, answer) = self.lock().submit(job);
-        let mut guard = CancelOnDrop {
-            callers: self,
-            job: id,
-            number: Some(number),
-        };
-        // The sender is dropped only with the process.
-        let answer = answer.await.unwrap_or(JobAnswer::GivenUp);
-        guard.number = None;
-        self.note_answer(id, route, answer, began.elapsed());
-        self.write_answer(answer)
-    }
-
-    fn note_answer(&self, id: &str, route: &Route, answer: JobAnswer, took: Duration) {
-        let took_ms = took.as_millis() as u64;
-        let route = route.name.as_str();
-        let outcome = match answer {
-            JobAnswer::Completed => "completed",
-            JobAnswer::Failed => "failed",
-            JobAnswer::Refused { .. } => "refused",
-            JobAnswer::GivenUp => "given_up",
-        };
-        self.metrics.count_answer(outcome);
-        self.metrics.observe(took);
-        match answer {
-            JobAnswer::Completed => log::debug!(job = id, route, took_ms; "completed"),
-            // The dispatcher has logged the refusal with what decided it, but for one after a stall, which the state has.
-            JobAnswer::Refused { .. } => {}
-            JobAnswer::Failed | JobAnswer::GivenUp => {
-                log::info!(job = id, route, took_ms, outcome; "a job is answered");
-            }
-        }
-    }
-
-    fn write_answer(&self, answer: JobAnswer) -> Response {
-        let state = |state| json_response(StatusCode::OK, self.protocol.write_state(state));
-        match answer {
-            JobAnswer::Completed => state(JobState::Completed),
-            JobAnswer::Failed => state(JobState::Failed),
-            JobAnswer::Refused { cause, retry_after } => {
-                refuse(&format!("not run: {cause:?}\n"), retry_after)
-            }
-            JobAnswer::GivenUp => plain_response(StatusCode::GATEWAY_TIMEOUT, "given up\n"),
-        }
-    }
-
     fn show(&self, id: &str) -> Response {
-        if self.lock().dispatcher.is_open(id) {
-            json_response(StatusCode::OK, self.protocol.write_state(JobState::Running))
+        if self.lock().is_open(id) {
+            job_state_response(self.protocol.as_ref(), JobState::Running)
         } else {
-            plain_response(StatusCode::GONE, "no such job\n")
+            no_such_job_response()
         }
     }
 
@@ -147,22 +77,13 @@
         if self.lock().cancel_named(id) {
             json_response(StatusCode::OK, "{}")
         } else {
-            plain_response(StatusCode::GONE, "no such job\n")
+            no_such_job_response()
         }
     }
 
     fn count(&self, route: &Route) -> Response {
-        let is_meant = |job: &JobRequest| job.queue == route.name;
-        let waiting = self.lock().dispatcher.count_unbegun(is_meant);
-        json_response(StatusCode::OK, self.protocol.write_count(waiting))
+        let is_in_queue = |job: &JobRequest| job.queue == route.name;
+        let queued = self.lock().count_queued(is_in_queue);
+        json_response(StatusCode::OK, self.protocol.write_count(queued))
     }
 }
-
-fn refuse(text: &str, retry_after: Duration) -> Response {
-    let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, text);
-    let seconds = HeaderValue::from(retry_after.as_secs().max(1));
-    response
-        .headers_mut()
-        .insert(http::header::RETRY_AFTER, seconds);
-    response
-}
--- a/crates/leased/cloverfold_leased_entry/src/configuration.rs
+++ b/crates/leased/cloverfold_leased_entry/src/configuration.rs
@@ -4,6 +4,7 @@
 //! texts.
 
 use std::sync::Arc;
+use std::time::Duration;
 
 use cloverfold_configuration::{Configuration, ConfigurationFormat, StoredConfiguration, Version};
 
@@ -62,3 +63,41 @@
         }
     }
 }
+
+/// How long an answer to a fetch is awaited before another peer may be asked. Chosen, not measured.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// A fetch that was sent and not answered yet.
+#[derive(Clone, Copy)]
+struct OpenFetch {
+    /// The version that the asked peer has.
+    version: Version,
+    asked_at: Duration,
+}
+
+/// Bounds how often the configuration is fetched: many peers announce a new version at once, and one of them is enough.
+#[derive(Default)]
+pub(crate) struct FetchLimiter {
+    open: Option<OpenFetch>,
+}
+
+impl FetchLimiter {
+    /// Returns whether a peer that has `version` is to be asked now, and if so counts it as asked.
+    pub(crate) fn try_begin(&mut self, version: Version, in_force: Version, now: Duration) -> bool {
+        let is_asked =
+            |open: OpenFetch| open.version >= version && now < open.asked_at + FETCH_TIMEOUT;
+        if version <= in_force || self.open.is_some_and(is_asked) {
+            return false;
+        }
+        self.open = Some(OpenFetch {
+            version,
+            asked_at: now,
+        });
+        true
+    }
+
+    /// Counts the fetch as answered.
+    pub(crate) fn finish(&mut self) {
+        self.open = None;
+    }
+}
--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -1,96 +1,130 @@
 //! One log line for each decision of the dispatcher, with what decided it.
+//!
+//! Operators read these lines at night; docs/OPERATIONS.md explains them by their texts and keys, so that keys never change. Owns
+//! nothing; relies on the dispatcher to report its decisions.
 
 use std::time::Duration;
 
 use cloverfold_configuration::Version;
 use cloverfold_lease::DispatcherEvent;
 
-fn ms(span: &Duration) -> u64 {
-    span.as_millis() as u64
-}
-
 /// Logs a decision; `version` is that of the configuration in force.
 pub(crate) fn log_event(event: &DispatcherEvent, version: Version) {
     match event {
-        DispatcherEvent::Refused {
-            job,
-            cause,
-            held,
-            targets,
-            waiting,
-            oldest_report,
-        } => {
-            let cause = format!("{cause:?}");
-            log::info!(
-                job = job.as_str(), cause = cause.as_str(), held_ms = ms(held),
-                ready_targets = targets.0, targets = targets.1, waiting,
-                oldest_report_ms = ms(oldest_report), version;
-                "a job is refused"
-            );
-        }
-        DispatcherEvent::GivenUp {
-            job,
-            age,
-            open_tasks,
-        } => {
-            log::info!(job = job.as_str(), age_ms = ms(age), open_tasks, version; "a job is given up");
-        }
-        DispatcherEvent::RunEnded {
-            task,
-            run,
-            runner,
-            outcome,
-            failures,
-        } => {
-            let outcome = format!("{outcome:?}");
-            log::info!(
-                job = task.job.as_str(), step = task.step, index = task.index, run,
-                runner = runner.as_str(), outcome = outcome.as_str(), failures;
-                "a run is over and not done"
-            );
-        }
-        DispatcherEvent::RunOverdue {
-            task,
-            run,
-            runner,
-            age,
-            estimate,
-        } => {
-            log::info!(
-                job = task.job.as_str(), step = task.step, index = task.index, run,
-                runner = runner.as_str(), age_ms = ms(age), estimate_ms = ms(estimate);
-                "a run is overdue and withdrawn"
-            );
-        }
-        DispatcherEvent::RunMoved {
-            task,
-            run,
-            runner,
-            age,
-            slowness_permille,
-            report_age,
-        } => {
-            log::info!(
-                job = task.job.as_str(), step = task.step, index = task.index, run,
-                runner = runner.as_str(), age_ms = ms(age), slowness_permille,
-                report_age_ms = ms(report_age);
-                "a run is withdrawn from a slow target"
-            );
-        }
-        DispatcherEvent::SessionLost {
-            runner,
-            runs,
-            jobs,
-            last_echo,
-        } => {
-            log::warn!(
-                runner = runner.as_str(), runs, jobs = jobs.join(",").as_str(),
-                last_echo_ms = ms(last_echo);
-                "a session is lost with runs under way"
-            );
-        }
+        DispatcherEvent::Refused { .. } => log_refused(event, version),
+        DispatcherEvent::GivenUp { .. } => log_given_up(event, version),
+        DispatcherEvent::RunEnded { .. } => log_run_ended(event),
+        DispatcherEvent::RunOverdue { .. } => log_run_overdue(event),
+        DispatcherEvent::RunMoved { .. } => log_run_moved(event),
+        DispatcherEvent::SessionLost { .. } => log_session_lost(event),
         DispatcherEvent::TargetPaused { runner } => {
             log::warn!(runner = runner.as_str(); "a target gets no work for a while");
         }
     }
 }
+
+fn log_refused(event: &DispatcherEvent, version: Version) {
+    if let DispatcherEvent::Refused {
+        job,
+        cause,
+        held,
+        targets,
+        waiting,
+        oldest_report,
+    } = event
+    {
+        let cause = format!("{cause:?}");
+        log::info!(
+            job = job.as_str(), cause = cause.as_str(), held_ms = millis(held),
+            ready_targets = targets.0, targets = targets.1, waiting,
+            oldest_report_ms = millis(oldest_report), version;
+            "a job is refused"
+        );
+    }
+}
+
+fn log_given_up(event: &DispatcherEvent, version: Version) {
+    if let DispatcherEvent::GivenUp {
+        job,
+        age,
+        open_tasks,
+    } = event
+    {
+        log::info!(job = job.as_str(), age_ms = millis(age), open_tasks, version; "a job is given up");
+    }
+}
+
+fn log_run_ended(event: &DispatcherEvent) {
+    if let DispatcherEvent::RunEnded {
+        task,
+        run,
+        runner,
+        outcome,
+        failures,
+    } = event
+    {
+        let outcome = format!("{outcome:?}");
+        log::info!(
+            job = task.job.as_str(), step = task.step, index = task.index, run,
+            runner = runner.as_str(), outcome = outcome.as_str(), failures;
+            "a run is over and not done"
+        );
+    }
+}
+
+fn log_run_overdue(event: &DispatcherEvent) {
+    if let DispatcherEvent::RunOverdue {
+        task,
+        run,
+        runner,
+        age,
+        estimate,
+    } = event
+    {
+        log::info!(
+            job = task.job.as_str(), step = task.step, index = task.index, run,
+            runner = runner.as_str(), age_ms = millis(age), estimate_ms = millis(estimate);
+            "a run is overdue and withdrawn"
+        );
+    }
+}
+
+fn log_run_moved(event: &DispatcherEvent) {
+    if let DispatcherEvent::RunMoved {
+        task,
+        run,
+        runner,
+        age,
+        slowness_permille,
+        report_age,
+    } = event
+    {
+        log::info!(
+            job = task.job.as_str(), step = task.step, index = task.index, run,
+            runner = runner.as_str(), age_ms = millis(age), slowness_permille,
+            report_age_ms = millis(report_age);
+            "a run is withdrawn from a slow target"
+        );
+    }
+}
+
+fn log_session_lost(event: &DispatcherEvent) {
+    if let DispatcherEvent::SessionLost {
+        runner,
+        runs,
+        jobs,
+        last_echo,
+    } = event
+    {
+        let jobs = jobs.join(",");
+        log::warn!(
+            runner = runner.as_str(), runs, jobs = jobs.as_str(),
+            last_echo_ms = millis(last_echo);
+            "a session is lost with runs under way"
+        );
+    }
+}
+
+fn millis(span: &Duration) -> u64 {
+    span.as_millis() as u64
+}
--- a/crates/leased/cloverfold_leased_entry/src/lib.rs
+++ b/crates/leased/cloverfold_leased_entry/src/lib.rs
@@ -10,10 +10,14 @@
 mod callers;
 mod configuration;
 mod event_log;
+mod known_guards;
 mod metrics;
 mod process;
 mod protocol;
+mod responses;
+mod run_numbers;
 mod state;
+mod submission;
 
 pub use process::{LeasedEntry, start_leased_entry};
 pub use protocol::{JobForm, JobProtocol, JobState, MalformedJob, QueueCall};
--- a/crates/leased/cloverfold_leased_entry/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_entry/src/metrics.rs
@@ -1,4 +1,7 @@
-//! What an entry counts.
+//! The metrics of an entry.
+//!
+//! Owns the counts of answers and the histogram of their times; everything else is read off [`EntryState`] when it is asked for. Relies
+//! on [`ProcessMetrics`] for what every leased process counts.
 
 use std::time::Duration;
 
@@ -12,8 +15,11 @@
 
 use crate::state::EntryState;
 
-/// Bounds of the first bucket, in seconds, and how many double it.
+/// Upper bound of the first bucket of answer times, in seconds. Chosen, not measured.
 const FIRST_BUCKET: f64 = 0.005;
+/// Each bucket's upper bound over that of the one before. Chosen, not measured.
+const BUCKET_GROWTH: f64 = 2.0;
+/// Buckets: the last ends at 10.24 s. Chosen, not measured.
 const BUCKETS: u16 = 12;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -37,7 +43,7 @@
         let mut metrics = MetricsBuilder::new("cloverfold_entry");
         let answers = Family::default();
         let answers = metrics.add("answers", "Submissions by outcome", answers);
-        let seconds = Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS));
+        let seconds = Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_GROWTH, BUCKETS));
         let seconds = metrics.add("answer_seconds", "Time to the answer", seconds);
         let help = "Runs since the start, by what became of them";
         let runs = metrics.add_cause_gauges("runs", help);
@@ -56,7 +62,7 @@
         self.answers.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    pub(crate) fn observe(&self, took: Duration) {
+    pub(crate) fn observe_answer_time(&self, took: Duration) {
         self.seconds.observe(took.as_secs_f64());
     }
 
@@ -77,7 +83,7 @@
         ]);
         self.version.set(state.version() as i64);
         self.targets.set(state.ready_targets() as i64);
-        self.open_jobs.set(state.dispatcher.open_jobs() as i64);
+        self.open_jobs.set(state.open_jobs() as i64);
         self.metrics.write()
     }
 }
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -1,4 +1,7 @@
-//! The entry process, put together.
+//! The entry process: how it starts, what changes while it runs, and how it stops.
+//!
+//! Owns the addresses that it serves and its tasks. Relies on `cloverfold_leased_process` for links, ticks and the pages for operators, and
+//! on `cloverfold_http` to serve callers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,7 +9,8 @@
 
 use cloverfold_base::random_u64;
 use cloverfold_http::{
-    HttpLimits, ListenError, Request, Serving, StopPhase, json_response, plain_response, serve_at,
+    HttpLimits, ListenError, Request, Response, Serving, StopPhase, json_response, plain_response,
+    serve_at,
 };
 use cloverfold_lease::{Dispatcher, HealthLimits, Timings};
 use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
@@ -20,14 +24,15 @@
 use crate::protocol::JobProtocol;
 use crate::state::EntryState;
 
-/// How often the entry looks what has fallen due. Chosen, not measured.
+/// How often the entry does what has fallen due. Chosen, not measured.
 const TICK: Duration = Duration::from_millis(20);
 
-/// An entry that runs.
+/// A running entry; dropping it stops it at once.
 pub struct LeasedEntry {
     callers: Arc<Callers>,
     clients: Serving,
     readiness: Serving,
+    /// Serves until it is dropped.
     _operations: Option<Serving>,
     linger: Duration,
     drain_timeout: Duration,
@@ -41,37 +46,55 @@
         self.clients.address()
     }
 
-    /// Returns the address at which readiness is told.
+    /// Returns the address at which the balancer asks for readiness.
     pub fn ready_address(&self) -> SocketAddr {
         self.readiness.address()
     }
 
-    /// Takes what may change under way: the seeds. The rest holds for the life of the process.
+    /// Applies what may change while the entry runs: the seeds. The rest stays until the next start.
     pub fn reload(&self, settings: &LeasedEntrySettings) {
-        self.callers
-            .lock()
-            .set_seeds(settings.peer.seed_addresses());
+        let seeds = settings.peer.seed_addresses();
+        self.callers.lock().set_seeds(seeds);
     }
 
-    /// Stops as planned: the balancer is told, then no new job is taken, then what is open is answered.
+    /// Stops as planned: tells the balancer, goes on for the linger time, then accepts no new job and waits until open ones are answered,
+    /// at most for the drain time in all.
     pub async fn stop(self) {
+        self.begin_draining();
+        sleep(self.linger).await;
+        self.stop_accepting_jobs();
+        let is_drained = self.wait_until_answered().await;
+        log::info!(is_drained; "stopped");
+    }
+
+    /// Shows the entry as not ready and asks clients to connect elsewhere; jobs are still accepted.
+    fn begin_draining(&self) {
         log::info!("draining");
-        self.callers.lock().begin_leaving();
+        self.callers.lock().begin_draining();
         self.clients.advance(StopPhase::Turning);
-        sleep(self.linger).await;
-        self.callers.lock().refuse_jobs();
+    }
+
+    fn stop_accepting_jobs(&self) {
+        self.callers.lock().stop_accepting_jobs();
         self.clients.advance(StopPhase::Closing);
+    }
+
+    /// Returns whether all open jobs were answered in time.
+    async fn wait_until_answered(&self) -> bool {
         let left = self.drain_timeout.saturating_sub(self.linger);
-        let is_drained = timeout(left, self.clients.wait_closed()).await.is_ok();
-        log::info!(is_drained; "stopped");
+        timeout(left, self.clients.wait_closed()).await.is_ok()
     }
 }
 
-/// Starts an entry; must be called within a runtime.
+/// Starts an entry.
 ///
 /// # Errors
 ///
-/// Says which address cannot be used.
+/// Returns the first address that cannot be bound, with its setting and the system's error.
+///
+/// # Panics
+///
+/// Panics outside a tokio runtime.
 pub fn start_leased_entry(
     settings: &LeasedEntrySettings,
     protocol: Arc<dyn JobProtocol>,
@@ -135,6 +158,7 @@
     serve_at("client_address", address, limits, answer)
 }
 
+/// Returns the limits of the configuration in force, or the default ones before the first.
 fn read_limits(callers: &Callers) -> HttpLimits {
     let configuration = callers.lock().configuration();
     let Some(configuration) = configuration else {
@@ -152,15 +176,19 @@
 fn start_readiness(address: SocketAddr, callers: &Arc<Callers>) -> Result<Serving, ListenError> {
     let callers = callers.clone();
     let answer = move |request: Request| {
-        let is_meant = callers
-            .protocol
-            .asks_readiness(&request.method, request.uri.path());
-        let response = match callers.lock().find_unreadiness() {
-            _ if !is_meant => plain_response(StatusCode::NOT_FOUND, "no such call\n"),
-            None => json_response(StatusCode::OK, "{}"),
-            Some(why) => plain_response(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
-        };
+        let response = answer_readiness(&callers, &request);
         async move { response }
     };
     serve_at("ready_address", address, HttpLimits::default, answer)
 }
+
+fn answer_readiness(callers: &Callers, request: &Request) -> Response {
+    let path = request.uri.path();
+    if !callers.protocol.asks_readiness(&request.method, path) {
+        return plain_response(StatusCode::NOT_FOUND, "no such call\n");
+    }
+    match callers.lock().find_unreadiness() {
+        None => json_response(StatusCode::OK, "{}"),
+        Some(reason) => plain_response(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n")),
+    }
+}
--- /dev/null
+++ b/crates/leased/cloverfold_leased_entry/src/responses.rs
@@ -0,0 +1,44 @@
+//! Responses to callers about their jobs.
+//!
+//! Status codes are the same for every protocol; a [`JobProtocol`] writes the bodies. Owns nothing.
+
+use std::time::Duration;
+
+use cloverfold_http::{Response, json_response, plain_response};
+use cloverfold_lease::JobAnswer;
+use http::{HeaderValue, StatusCode, header};
+
+use crate::protocol::{JobProtocol, JobState};
+
+/// When a caller may try again whose job was refused before the dispatcher saw it. Chosen, not measured.
+pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
+
+/// Returns the response to a job that is answered.
+pub(crate) fn answer_response(protocol: &dyn JobProtocol, answer: JobAnswer) -> Response {
+    match answer {
+        JobAnswer::Completed => job_state_response(protocol, JobState::Completed),
+        JobAnswer::Failed => job_state_response(protocol, JobState::Failed),
+        JobAnswer::Refused { cause, retry_after } => {
+            refusal_response(&format!("not run: {cause:?}\n"), retry_after)
+        }
+        JobAnswer::GivenUp => plain_response(StatusCode::GATEWAY_TIMEOUT, "given up\n"),
+    }
+}
+
+/// Returns the state of a job.
+pub(crate) fn job_state_response(protocol: &dyn JobProtocol, state: JobState) -> Response {
+    json_response(StatusCode::OK, protocol.write_state(state))
+}
+
+/// Returns that no job of this name is open here.
+pub(crate) fn no_such_job_response() -> Response {
+    plain_response(StatusCode::GONE, "no such job\n")
+}
+
+/// Returns that a job was refused and has not run; `Retry-After` names whole seconds, at least one.
+pub(crate) fn refusal_response(text: &str, retry_after: Duration) -> Response {
+    let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, text);
+    let seconds = HeaderValue::from(retry_after.as_secs().max(1));
+    response.headers_mut().insert(header::RETRY_AFTER, seconds);
+    response
+}
--- /dev/null
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -0,0 +1,114 @@
+//! The entry's peers: who is connected, what they announce, and whom the entry invites.
+
+use cloverfold_configuration::{StoredConfiguration, Version};
+use cloverfold_link::{LinkEvent, LinkId, send_once};
+use cloverfold_peer::{Hello, PeerMessage, PeerRole};
+use std::time::Duration;
+
+use super::EntryState;
+
+impl EntryState {
+    pub(super) fn handle_link_event(&mut self, event: LinkEvent<PeerMessage>) {
+        match event {
+            LinkEvent::Opened {
+                link,
+                dialed,
+                sender,
+                ..
+            } => {
+                self.own.version = self.version();
+                self.links.open(link, dialed, sender, &self.own);
+            }
+            LinkEvent::Received { link, message } => self.receive(link, message),
+            LinkEvent::Closed { link } => self.close_link(link),
+        }
+    }
+
+    fn receive(&mut self, link: LinkId, message: PeerMessage) {
+        let now = self.clock.now();
+        match message {
+            PeerMessage::Hello(hello) => self.receive_hello(link, hello),
+            PeerMessage::ToDispatcher(message) => self.dispatcher.receive(link, message, now),
+            PeerMessage::VersionNotice { version, .. } => self.fetch_if_newer(link, version),
+            PeerMessage::Fetch => self.send_configuration(link),
+            PeerMessage::Configuration(stored) => self.receive_configuration(stored),
+            PeerMessage::Directory(directory) => self.controls.set_listed(directory.controls),
+            // Never sent to an entry.
+            PeerMessage::ToRunner(_)
+            | PeerMessage::Invite { .. }
+            | PeerMessage::Consensus(_)
+            | PeerMessage::Offer(_)
+            | PeerMessage::Read { .. }
+            | PeerMessage::ReadReply { .. } => {}
+        }
+    }
+
+    fn receive_hello(&mut self, link: LinkId, hello: Hello) {
+        let now = self.clock.now();
+        let version = hello.version;
+        log::info!(peer = hello.name.as_str(), link, version; "peer connected");
+        if hello.role == PeerRole::Guard {
+            self.dispatcher.open_session(link, &hello.name, now);
+            self.guards.record_connected(hello.address, now);
+        }
+        self.links.record_hello(link, hello);
+        self.fetch_if_newer(link, version);
+    }
+
+    /// Removes a link that has closed or is to be closed, and with it a guard's session.
+    pub(super) fn close_link(&mut self, link: LinkId) {
+        let now = self.clock.now();
+        let Some(hello) = self.links.close(link) else {
+            return;
+        };
+        if hello.role == PeerRole::Guard {
+            self.dispatcher.close_session(link, now);
+            self.guards.record_disconnected(hello.address, now);
+        }
+    }
+
+    /// Asks a peer for its configuration if it is newer and no other peer was asked just now.
+    fn fetch_if_newer(&mut self, link: LinkId, version: Version) {
+        let now = self.clock.now();
+        if self.fetches.try_begin(version, self.version(), now) {
+            self.links.send(link, &PeerMessage::Fetch);
+        }
+    }
+
+    fn send_configuration(&self, link: LinkId) {
+        if let Some(stored) = self.configuration.stored().cloned() {
+            self.links.send(link, &PeerMessage::Configuration(stored));
+        }
+    }
+
+    fn receive_configuration(&mut self, stored: StoredConfiguration) {
+        self.fetches.finish();
+        if self.configuration.replace(stored, self.protocol.as_ref()) {
+            self.announce_version();
+        }
+    }
+
+    /// Tells the control processes which version is in force here, for operators who ask them.
+    fn announce_version(&self) {
+        let notice = PeerMessage::VersionNotice {
+            version: self.version(),
+            has_quorum: false,
+        };
+        let is_control = |role| matches!(role, PeerRole::Control { .. });
+        self.links.send_to_roles(is_control, &notice);
+    }
+
+    /// Invites guards that are no longer connected: they may have restarted and know no entry.
+    pub(super) fn invite_guards(&mut self, now: Duration) {
+        if self.is_draining {
+            return;
+        }
+        let entry = self.own.address;
+        for guard in self.guards.take_due_invitations(now) {
+            tokio::spawn(async move {
+                // Harmless if it fails: the guard is invited again as long as it isn't connected.
+                let _ = send_once(guard, &PeerMessage::Invite { entry }).await;
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -0,0 +1,247 @@
+//! The state of an entry: the dispatcher, what surrounds it, and the callers that wait.
+//!
+//! Translates between the outside (requests, links, time) and the dispatcher, which takes every decision. Owns the open jobs, the channels
+//! on which callers wait, and the entry's view of its peers. Relies on `cloverfold_lease` for the dispatcher and on being locked by one
+//! task at a time.
+
+mod links;
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use cloverfold_base::{ProcessClock, unix_now};
+use cloverfold_configuration::{Configuration, Version};
+use cloverfold_lease::{
+    Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRequest, RefusalCause,
+};
+use cloverfold_leased_process::LeasedState;
+use cloverfold_link::LinkEvent;
+use cloverfold_peer::{ControlLinks, Hello, PeerLinks, PeerMessage};
+use tokio::sync::oneshot;
+
+use crate::configuration::{ConfigurationInForce, FetchLimiter};
+use crate::event_log::log_event;
+use crate::known_guards::KnownGuards;
+use crate::protocol::JobProtocol;
+use crate::responses::RETRY_AFTER;
+use crate::run_numbers::first_run_number;
+
+/// A gap between two ticks from which this process counts as stalled: requests that it reads then may be so old that their callers have
+/// asked elsewhere. Chosen, not measured: well above a tick of a busy box, and below the 700 ms after which the dispatcher gives up its
+/// open jobs (docs/design/6-leased-runs.md, docs/incidents/4-stalled-dispatcher.md).
+const STALL: Duration = Duration::from_millis(300);
+
+/// The state of an entry.
+pub(crate) struct EntryState {
+    clock: ProcessClock,
+    own: Hello,
+    protocol: Arc<dyn JobProtocol>,
+    dispatcher: Dispatcher,
+    configuration: ConfigurationInForce,
+    fetches: FetchLimiter,
+    links: PeerLinks,
+    controls: ControlLinks,
+    guards: KnownGuards,
+    /// Where the callers of open jobs wait for their answers.
+    answers: HashMap<JobNumber, oneshot::Sender<JobAnswer>>,
+    ticked_at: Duration,
+    is_draining: bool,
+    was_ready: bool,
+}
+
+impl LeasedState for EntryState {
+    fn begin(&mut self) {
+        self.controls.dial();
+    }
+
+    fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
+        self.handle_link_event(event);
+        self.advance();
+    }
+
+    fn tick(&mut self) {
+        let now = self.clock.now();
+        let gap = now.saturating_sub(self.ticked_at);
+        if gap > STALL {
+            log::warn!(gap_ms = gap.as_millis() as u64; "the process stood still");
+        }
+        self.ticked_at = now;
+        self.dispatcher.tick(now);
+        self.invite_guards(now);
+        self.advance();
+        self.log_readiness();
+    }
+}
+
+impl EntryState {
+    pub(crate) fn new(
+        own: Hello,
+        protocol: Arc<dyn JobProtocol>,
+        dispatcher: Dispatcher,
+        controls: ControlLinks,
+    ) -> Self {
+        Self {
+            clock: ProcessClock::default(),
+            own,
+            protocol,
+            dispatcher,
+            configuration: ConfigurationInForce::default(),
+            fetches: FetchLimiter::default(),
+            links: PeerLinks::default(),
+            controls,
+            guards: KnownGuards::default(),
+            answers: HashMap::new(),
+            ticked_at: Duration::ZERO,
+            is_draining: false,
+            was_ready: false,
+        }
+    }
+
+    /// Replaces the seeds; links to control processes that are still wanted stay open.
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
+        self.controls.set_seeds(seeds);
+    }
+
+    pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
+        self.configuration.decoded()
+    }
+
+    /// Returns the version of the configuration in force; 0 before the first.
+    pub(crate) fn version(&self) -> Version {
+        self.configuration.version()
+    }
+
+    pub(crate) fn counts(&self) -> DispatcherCounts {
+        self.dispatcher.counts()
+    }
+
+    pub(crate) fn ready_targets(&self) -> usize {
+        self.dispatcher.ready_targets(self.clock.now())
+    }
+
+    /// Returns how many jobs have no answer yet.
+    pub(crate) fn open_jobs(&self) -> usize {
+        self.dispatcher.open_jobs()
+    }
+
+    /// Returns whether a job of this name has no answer yet.
+    pub(crate) fn is_open(&self, id: &str) -> bool {
+        self.dispatcher.is_open(id)
+    }
+
+    /// Counts the jobs that match and of which nothing has started.
+    pub(crate) fn count_queued(&self, matches: impl Fn(&JobRequest) -> bool) -> usize {
+        self.dispatcher.count_unbegun(matches)
+    }
+
+    /// Returns why this entry should get no new connections; `None` if it is ready.
+    pub(crate) fn find_unreadiness(&self) -> Option<&'static str> {
+        if self.is_draining {
+            Some("the entry is stopping")
+        } else if self.version() == 0 {
+            Some("no configuration is in force")
+        } else if self.ready_targets() == 0 {
+            Some("no target is in touch")
+        } else {
+            None
+        }
+    }
+
+    /// Begins the planned stop: the entry is no longer ready and invites no guards. Jobs are still accepted.
+    pub(crate) fn begin_draining(&mut self) {
+        self.is_draining = true;
+    }
+
+    /// Accepts no further job; open ones are still answered.
+    pub(crate) fn stop_accepting_jobs(&mut self) {
+        self.dispatcher.leave();
+    }
+
+    /// Submits a job; its one answer comes through the channel.
+    pub(crate) fn submit(
+        &mut self,
+        request: JobRequest,
+    ) -> (JobNumber, oneshot::Receiver<JobAnswer>) {
+        let (tx, rx) = oneshot::channel();
+        let now = self.clock.now();
+        if now > self.ticked_at + STALL {
+            let gap = now - self.ticked_at;
+            log::warn!(job = request.id.as_str(), gap_ms = gap.as_millis() as u64; "a job is refused after a stall");
+            refuse_stalled(tx);
+            return (0, rx);
+        }
+        let first_run = first_run_number(unix_now());
+        self.dispatcher.set_first_run(first_run);
+        let number = self.dispatcher.submit(request, now);
+        self.answers.insert(number, tx);
+        self.advance();
+        (number, rx)
+    }
+
+    /// Cancels a job whose caller has disconnected.
+    pub(crate) fn cancel(&mut self, number: JobNumber) {
+        if self.answers.remove(&number).is_some() {
+            self.dispatcher.cancel(number);
+            self.advance();
+        }
+    }
+
+    /// Cancels a job by its name; returns whether it was open.
+    pub(crate) fn cancel_named(&mut self, id: &str) -> bool {
+        let was_open = self.dispatcher.cancel_named(id);
+        self.advance();
+        was_open
+    }
+
+    /// Carries out the actions that the dispatcher has decided on.
+    fn advance(&mut self) {
+        for action in self.dispatcher.take_actions() {
+            self.carry_out(action);
+        }
+    }
+
+    fn carry_out(&mut self, action: DispatcherAction) {
+        match action {
+            DispatcherAction::Send(session, message) => {
+                // A full queue or a closed link loses the message; the dispatcher settles it when it hears nothing from the guard.
+                self.links.send(session, &PeerMessage::ToRunner(message));
+            }
+            DispatcherAction::CloseSession(session) => {
+                log::warn!(link = session; "a guard is silent; its link is closed");
+                self.close_link(session);
+            }
+            DispatcherAction::Report(event) => log_event(&event, self.version()),
+            DispatcherAction::Answer(number, answer) => self.answer(number, answer),
+        }
+    }
+
+    fn answer(&mut self, number: JobNumber, answer: JobAnswer) {
+        if let Some(caller) = self.answers.remove(&number) {
+            // Harmless: a caller that has disconnected needs no answer.
+            let _ = caller.send(answer);
+        }
+    }
+
+    fn log_readiness(&mut self) {
+        let unreadiness = self.find_unreadiness();
+        let is_ready = unreadiness.is_none();
+        if is_ready != self.was_ready {
+            self.was_ready = is_ready;
+            // An entry that is ready has no reason not to be: the key is empty then.
+            let reason = unreadiness.unwrap_or_default();
+            log::info!(ready = is_ready, reason, version = self.version(); "readiness has changed");
+        }
+    }
+}
+
+/// Answers a job that the dispatcher never sees.
+fn refuse_stalled(caller: oneshot::Sender<JobAnswer>) {
+    let answer = JobAnswer::Refused {
+        cause: RefusalCause::Stalled,
+        retry_after: RETRY_AFTER,
+    };
+    // Can't fail: the receiver is returned to the caller afterwards.
+    let _ = caller.send(answer);
+}
