--- a/crates/common/cloverfold_base/src/clock.rs
+++ b/crates/common/cloverfold_base/src/clock.rs
@@ -1,7 +1,13 @@
 //! The steady clock of a process and the wall clock.
+//!
+//! [`ProcessClock`] owns the instant at which the process started; it relies on the system's steady clock. Code that decides
+//! without I/O gets a [`Timestamp`] as an argument and reads no clock.
 
+use std::ops::{Add, AddAssign, Sub};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use serde::{Deserialize, Serialize};
+
 /// Wall-clock time as the span since the Unix epoch.
 pub type UnixTime = Duration;
 
@@ -12,6 +18,60 @@
         .unwrap_or_default()
 }
 
+/// A point in time on one process's steady clock, as the span since that clock started.
+///
+/// Timestamps of different processes can't be compared. On the wire a timestamp is the span alone.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
+#[serde(transparent)]
+pub struct Timestamp(Duration);
+
+impl Timestamp {
+    /// The start of the clock.
+    pub const ZERO: Self = Self(Duration::ZERO);
+
+    /// Returns the point in time that lies `span` after the start of the clock.
+    pub const fn from_start(span: Duration) -> Self {
+        Self(span)
+    }
+
+    /// Returns the span from the start of the clock to this point in time.
+    pub const fn since_start(self) -> Duration {
+        self.0
+    }
+
+    /// Returns the span from `earlier` to this point in time, zero if `earlier` is the later one.
+    pub const fn saturating_duration_since(self, earlier: Self) -> Duration {
+        self.0.saturating_sub(earlier.0)
+    }
+}
+
+impl Add<Duration> for Timestamp {
+    type Output = Self;
+
+    fn add(self, span: Duration) -> Self {
+        Self(self.0 + span)
+    }
+}
+
+impl AddAssign<Duration> for Timestamp {
+    fn add_assign(&mut self, span: Duration) {
+        self.0 += span;
+    }
+}
+
+impl Sub<Duration> for Timestamp {
+    type Output = Self;
+
+    /// # Panics
+    ///
+    /// If the result lies before the start of the clock.
+    fn sub(self, span: Duration) -> Self {
+        Self(self.0 - span)
+    }
+}
+
 /// A steady clock that measures from its creation, usually the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
@@ -27,8 +87,8 @@
 }
 
 impl ProcessClock {
-    /// Returns the time since the start.
-    pub fn now(&self) -> Duration {
-        self.started_at.elapsed()
+    /// Returns the present point in time.
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_start(self.started_at.elapsed())
     }
 }
--- a/crates/common/cloverfold_base/src/lib.rs
+++ b/crates/common/cloverfold_base/src/lib.rs
@@ -7,6 +7,6 @@
 mod hash;
 mod random;
 
-pub use clock::{ProcessClock, UnixTime, unix_now};
+pub use clock::{ProcessClock, Timestamp, UnixTime, unix_now};
 pub use hash::{HASH_LEN, hash_parts};
 pub use random::{draw_below, random_u64};
--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -23,7 +23,8 @@
     pub(crate) fn disk_event(&mut self, event: DiskEvent) {
         match event {
             DiskEvent::Synced(batch) => {
-                self.replica.persisted(batch, self.clock.now());
+                self.replica
+                    .persisted(batch, self.clock.now().since_start());
                 self.writes = self.writes.split_off(&(batch + 1));
                 let later = self.held_messages.split_off(&(batch + 1));
                 let due = std::mem::replace(&mut self.held_messages, later);
@@ -81,7 +82,7 @@
     pub(super) fn advance(&mut self) {
         let ready = self.replica.take_ready();
         if let Some(batch) = ready.batch {
-            self.writes.insert(batch, self.clock.now());
+            self.writes.insert(batch, self.clock.now().since_start());
             self.disk.write(batch, ready.records);
         }
         for outgoing in ready.messages {
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -150,7 +150,8 @@
     }
 
     pub(crate) fn is_fresh(&self) -> bool {
-        self.replica.is_fresh(FRESH_SPAN, self.clock.now())
+        self.replica
+            .is_fresh(FRESH_SPAN, self.clock.now().since_start())
     }
 
     pub(crate) fn describe(&self) -> serde_json::Value {
@@ -192,7 +193,7 @@
 
     /// Does what has fallen due.
     pub(crate) fn tick(&mut self) {
-        let now = self.clock.now();
+        let now = self.clock.now().since_start();
         self.replica.tick(now);
         self.try_to_found();
         self.advance();
--- a/crates/leased/cloverfold_control/src/state/orders.rs
+++ b/crates/leased/cloverfold_control/src/state/orders.rs
@@ -29,7 +29,10 @@
             log::error!(version; "an offer cannot be encoded");
             return;
         };
-        if let Ok(index) = self.replica.propose(command, self.clock.now()) {
+        if let Ok(index) = self
+            .replica
+            .propose(command, self.clock.now().since_start())
+        {
             self.offered.retain(|_, held| *held > status.commit);
             self.offered.insert(version, index);
         }
@@ -49,7 +52,8 @@
                 }
             }
             _ => {
-                self.replica.begin_read(token, self.clock.now());
+                self.replica
+                    .begin_read(token, self.clock.now().since_start());
                 self.advance();
             }
         }
--- a/crates/leased/cloverfold_lease/src/dispatcher/ending.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/ending.rs
@@ -1,15 +1,16 @@
 //! How jobs end before they are done, and runs that are not worth waiting for.
 
+use cloverfold_base::Timestamp;
+
 use crate::dispatcher::job::{Job, TaskPhase};
 use crate::dispatcher::{
     Dispatcher, DispatcherAction, EndingRun, JobAnswer, JobNumber, RefusalCause, refuse,
 };
 use crate::messages::DispatcherMessage;
-use crate::timings::Moment;
 
 impl Dispatcher {
     /// Refuses what was held as long as it may be, and gives up what is too late.
-    pub(super) fn end_hopeless_jobs(&mut self, now: Moment) {
+    pub(super) fn end_hopeless_jobs(&mut self, now: Timestamp) {
         let is_unoffered = |job: &Job| !job.may_have_run() && now >= job.hold_until;
         let refused: Vec<JobNumber> = self
             .waiting
@@ -36,15 +37,18 @@
         }
     }
 
-    fn refuse_held(&mut self, number: JobNumber, now: Moment) {
+    fn refuse_held(&mut self, number: JobNumber, now: Timestamp) {
         if let Some(job) = self.jobs.get(&number) {
-            let (id, held) = (job.request.id.clone(), now.saturating_sub(job.submitted_at));
+            let (id, held) = (
+                job.request.id.clone(),
+                now.saturating_duration_since(job.submitted_at),
+            );
             self.report_refusal(&id, RefusalCause::NoRoom, held, now);
         }
         self.give_up(number, refuse(RefusalCause::NoRoom));
     }
 
-    pub(super) fn withdraw_overdue_runs(&mut self, now: Moment) {
+    pub(super) fn withdraw_overdue_runs(&mut self, now: Timestamp) {
         let usual = self.usual_ratio;
         let mut overdue = Vec::new();
         let mut stragglers = Vec::new();
@@ -60,7 +64,7 @@
                     continue;
                 };
                 let limit = job.overdue_after(task.step, usual);
-                let age = now.saturating_sub(since);
+                let age = now.saturating_duration_since(since);
                 if age > limit {
                     overdue.push((*number, index, session));
                 } else if let Some(view) = self.targets.get(&session)
--- a/crates/leased/cloverfold_lease/src/dispatcher/events.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/events.rs
@@ -2,9 +2,10 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::dispatcher::{Dispatcher, DispatcherAction, JobNumber, RefusalCause, TaskPhase};
 use crate::messages::{RunOutcome, SessionId, TaskId};
-use crate::timings::Moment;
 
 /// A decision and its inputs.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -102,7 +103,7 @@
         job: &str,
         cause: RefusalCause,
         held: Duration,
-        now: Moment,
+        now: Timestamp,
     ) {
         let ages = self.targets.values().map(|view| view.report_age(now));
         self.report(DispatcherEvent::Refused {
@@ -115,14 +116,14 @@
         });
     }
 
-    pub(super) fn report_late(&mut self, number: JobNumber, now: Moment) {
+    pub(super) fn report_late(&mut self, number: JobNumber, now: Timestamp) {
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
         let is_open = |phase: &TaskPhase| *phase != TaskPhase::Done;
         self.report(DispatcherEvent::GivenUp {
             job: job.request.id.clone(),
-            age: now.saturating_sub(job.submitted_at),
+            age: now.saturating_duration_since(job.submitted_at),
             open_tasks: job.tasks.iter().filter(|task| is_open(&task.phase)).count(),
         });
     }
@@ -132,7 +133,7 @@
         number: JobNumber,
         index: usize,
         session: SessionId,
-        now: Moment,
+        now: Timestamp,
     ) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -143,14 +144,14 @@
                 task: task.id.clone(),
                 run,
                 runner: self.name_runner(session),
-                age: now.saturating_sub(since),
+                age: now.saturating_duration_since(since),
                 estimate: job.step(task).estimate,
             };
             self.report(event);
         }
     }
 
-    pub(super) fn report_moved(&mut self, number: JobNumber, index: usize, now: Moment) {
+    pub(super) fn report_moved(&mut self, number: JobNumber, index: usize, now: Timestamp) {
         let Some(task) = self.jobs.get(&number).map(|job| &job.tasks[index]) else {
             return;
         };
@@ -170,7 +171,7 @@
             task: task.id.clone(),
             run,
             runner: view.runner.clone(),
-            age: now.saturating_sub(since),
+            age: now.saturating_duration_since(since),
             slowness_permille: view.slowness_permille(),
             report_age: view.report_age(now),
         };
--- a/crates/leased/cloverfold_lease/src/dispatcher/job.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/job.rs
@@ -2,9 +2,10 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{SessionId, TaskId};
 use crate::request::{JobRequest, StepRequest};
-use crate::timings::Moment;
 
 /// Share of the objective for which a job may wait for its first task to be offered to a target. With more, jobs wait in a
 /// long queue whenever there is too much work, and then end late instead of being refused at once.
@@ -36,7 +37,7 @@
     Assigned {
         session: SessionId,
         run: u64,
-        since: Moment,
+        since: Timestamp,
         is_withdrawn: bool,
     },
     /// The session that had it was lost; it may still run.
@@ -62,17 +63,17 @@
 pub(crate) struct Job {
     pub(crate) request: JobRequest,
     pub(crate) tasks: Vec<Task>,
-    pub(crate) submitted_at: Moment,
+    pub(crate) submitted_at: Timestamp,
     /// Unless a task is offered by then, the job is refused.
-    pub(crate) hold_until: Moment,
+    pub(crate) hold_until: Timestamp,
     /// The job is given up then.
-    pub(crate) give_up_at: Moment,
+    pub(crate) give_up_at: Timestamp,
     /// Whether a run ended in another way than by not being started, or its end was never told.
     pub(crate) has_run: bool,
 }
 
 impl Job {
-    pub(crate) fn new(request: JobRequest, first_run: u64, now: Moment) -> Self {
+    pub(crate) fn new(request: JobRequest, first_run: u64, now: Timestamp) -> Self {
         let work = request.estimate_work();
         let hold = request.objective.span(work).mul_f64(HOLD_SHARE);
         let longest = request.objective.span(work.mul_f64(ESTIMATE_MARGIN));
--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -10,13 +10,14 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 use crate::health::HealthLimits;
 use crate::messages::{Assignment, DispatcherMessage, SessionId, TaskId};
 use crate::request::JobRequest;
-use crate::timings::{Moment, Timings};
+use crate::timings::Timings;
 pub use events::DispatcherEvent;
 
 use job::{Job, TaskPhase};
@@ -124,7 +125,7 @@
     /// Runs of jobs that are closed; until they are over, no task of the same name is started.
     ending: HashMap<TaskId, EndingRun>,
     next_job: JobNumber,
-    active_at: Moment,
+    active_at: Timestamp,
     first_run: u64,
     /// Duration of ended runs against their estimates, over all targets.
     usual_ratio: f64,
@@ -147,7 +148,7 @@
             waiting: BTreeSet::new(),
             ending: HashMap::new(),
             next_job: 1,
-            active_at: Moment::ZERO,
+            active_at: Timestamp::ZERO,
             first_run: 1,
             usual_ratio: 1.0,
             is_leaving: false,
@@ -190,7 +191,7 @@
     }
 
     /// Counts the targets that take work.
-    pub fn ready_targets(&self, now: Moment) -> usize {
+    pub fn ready_targets(&self, now: Timestamp) -> usize {
         let views = self.targets.values();
         views.filter(|view| view.takes_work(now)).count()
     }
@@ -202,7 +203,7 @@
 
     /// Takes a job and returns its number; a job of the same name that is open is given up first, since its caller has turned
     /// to a new request.
-    pub fn submit(&mut self, request: JobRequest, now: Moment) -> JobNumber {
+    pub fn submit(&mut self, request: JobRequest, now: Timestamp) -> JobNumber {
         self.notice_stall(now);
         if let Some(&earlier) = self.numbers.get(&request.id) {
             self.give_up(earlier, JobAnswer::GivenUp);
@@ -240,7 +241,7 @@
     }
 
     /// Does what has fallen due; call it every few tens of milliseconds.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         self.notice_stall(now);
         self.close_silent_sessions(now);
         self.settle_lost_sessions(now);
@@ -251,8 +252,8 @@
 
     /// Gives up all open jobs after the process stood still: a caller may have left meanwhile and asked elsewhere, and nothing
     /// may be started for it any more.
-    pub(crate) fn notice_stall(&mut self, now: Moment) {
-        let gap = now.saturating_sub(self.active_at);
+    pub(crate) fn notice_stall(&mut self, now: Timestamp) {
+        let gap = now.saturating_duration_since(self.active_at);
         self.active_at = now;
         if gap <= self.timings.stall {
             return;
@@ -264,7 +265,7 @@
         }
     }
 
-    fn find_refusal(&self, request: &JobRequest, now: Moment) -> Option<RefusalCause> {
+    fn find_refusal(&self, request: &JobRequest, now: Timestamp) -> Option<RefusalCause> {
         if self.is_leaving {
             return Some(RefusalCause::Leaving);
         }
--- a/crates/leased/cloverfold_lease/src/dispatcher/outcomes.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/outcomes.rs
@@ -2,10 +2,11 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::dispatcher::job::TaskPhase;
 use crate::dispatcher::{Dispatcher, EndingRun, JobAnswer, JobNumber};
 use crate::messages::{Refusal, RunOutcome, SessionId, TaskId};
-use crate::timings::Moment;
 
 /// How far the run number rises when a target has seen a later run: above what another submission can have used.
 const STALE_RUN_STEP: u64 = 50;
@@ -22,7 +23,7 @@
         run: u64,
         outcome: RunOutcome,
         ran: Duration,
-        now: Moment,
+        now: Timestamp,
     ) {
         if self.ending.get(id) == Some(&EndingRun::At { session, run }) {
             self.ending.remove(id);
@@ -89,7 +90,7 @@
         }
     }
 
-    fn run_failed(&mut self, number: JobNumber, index: usize, session: SessionId, now: Moment) {
+    fn run_failed(&mut self, number: JobNumber, index: usize, session: SessionId, now: Timestamp) {
         self.counts.failed += 1;
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -125,7 +126,7 @@
         index: usize,
         session: SessionId,
         refusal: Refusal,
-        now: Moment,
+        now: Timestamp,
     ) {
         match refusal {
             Refusal::NoRoom | Refusal::NoTarget | Refusal::Draining => {
--- a/crates/leased/cloverfold_lease/src/dispatcher/placing.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placing.rs
@@ -1,12 +1,12 @@
 //! Where waiting tasks go.
 
+use cloverfold_base::Timestamp;
 use rand::RngExt;
 
 use crate::dispatcher::job::{Job, Task, TaskPhase};
 use crate::dispatcher::{Dispatcher, JobNumber};
 use crate::messages::{Assignment, SessionId};
 use crate::request::StepRequest;
-use crate::timings::Moment;
 
 /// How many targets with room are drawn, of which the emptiest is taken: dispatchers that choose at the same moment from the
 /// same reports should not all choose the same one.
@@ -18,7 +18,7 @@
 
 impl Dispatcher {
     /// Assigns waiting tasks in order while targets have room.
-    pub(super) fn place_waiting(&mut self, now: Moment) {
+    pub(super) fn place_waiting(&mut self, now: Timestamp) {
         let order: Vec<(u32, JobNumber)> = self.waiting.iter().copied().collect();
         let mut stuck = 0;
         for key in order {
@@ -36,7 +36,7 @@
     }
 
     /// Assigns the waiting tasks of one job; returns whether the next job may be tried.
-    fn place_job(&mut self, number: JobNumber, now: Moment) -> bool {
+    fn place_job(&mut self, number: JobNumber, now: Timestamp) -> bool {
         let Some(job) = self.jobs.get(&number) else {
             return true;
         };
@@ -53,7 +53,12 @@
         true
     }
 
-    fn choose_target(&mut self, number: JobNumber, index: usize, now: Moment) -> Option<SessionId> {
+    fn choose_target(
+        &mut self,
+        number: JobNumber,
+        index: usize,
+        now: Timestamp,
+    ) -> Option<SessionId> {
         let job = self.jobs.get(&number)?;
         let task = &job.tasks[index];
         let fitting = self.list_fitting(job, task, now);
@@ -81,7 +86,12 @@
     }
 
     /// Says whether a target that is not slow has room for a task.
-    pub(super) fn has_faster_target(&self, number: JobNumber, index: usize, now: Moment) -> bool {
+    pub(super) fn has_faster_target(
+        &self,
+        number: JobNumber,
+        index: usize,
+        now: Timestamp,
+    ) -> bool {
         let Some(job) = self.jobs.get(&number) else {
             return false;
         };
@@ -94,7 +104,7 @@
         pool.iter().copied().filter(|&id| is_kept(id)).collect()
     }
 
-    fn list_fitting(&self, job: &Job, task: &Task, now: Moment) -> Vec<SessionId> {
+    fn list_fitting(&self, job: &Job, task: &Task, now: Timestamp) -> Vec<SessionId> {
         let step = job.step(task);
         let is_fitting = |id: &SessionId| {
             let view = &self.targets[id];
@@ -110,7 +120,7 @@
         self.targets.keys().copied().filter(is_fitting).collect()
     }
 
-    fn assign(&mut self, number: JobNumber, index: usize, session: SessionId, now: Moment) {
+    fn assign(&mut self, number: JobNumber, index: usize, session: SessionId, now: Timestamp) {
         let session_span = self.timings.session;
         let (Some(job), Some(view)) = (self.jobs.get_mut(&number), self.targets.get_mut(&session))
         else {
--- a/crates/leased/cloverfold_lease/src/dispatcher/targets.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/targets.rs
@@ -3,6 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::dispatcher::{
     Dispatcher, DispatcherAction, DispatcherEvent, EndingRun, JobNumber, TaskPhase,
 };
@@ -11,7 +13,6 @@
     DispatcherMessage, Room, RunnerMessage, SessionId, TargetDescription, TaskId,
 };
 use crate::resources::Resources;
-use crate::timings::Moment;
 
 /// Jobs that the report of a lost session names.
 const MAX_NAMED_JOBS: usize = 24;
@@ -30,9 +31,9 @@
     unseen: VecDeque<Resources>,
     assignments_sent: u64,
     /// The runner's clock reading that was echoed last.
-    pub(crate) echoed_clock: Option<Moment>,
-    echoed_at: Moment,
-    heard_at: Moment,
+    pub(crate) echoed_clock: Option<Timestamp>,
+    echoed_at: Timestamp,
+    heard_at: Timestamp,
     pub(crate) health: TargetHealth,
 }
 
@@ -41,13 +42,13 @@
 pub(crate) struct LostSession {
     runner: String,
     /// After this all its runs are surely over.
-    over_at: Moment,
+    over_at: Timestamp,
     /// With the number of their job, 0 if it is closed.
     tasks: Vec<(JobNumber, TaskId)>,
 }
 
 impl TargetView {
-    pub(crate) fn takes_work(&self, now: Moment) -> bool {
+    pub(crate) fn takes_work(&self, now: Timestamp) -> bool {
         self.description.is_some() && self.echoed_clock.is_some() && self.health.takes_work(now)
     }
 
@@ -95,8 +96,8 @@
     }
 
     /// Returns how old the newest message of the runner is.
-    pub(crate) fn report_age(&self, now: Moment) -> Duration {
-        now.saturating_sub(self.heard_at)
+    pub(crate) fn report_age(&self, now: Timestamp) -> Duration {
+        now.saturating_duration_since(self.heard_at)
     }
 
     pub(crate) fn note_assignment(&mut self, demand: Resources) {
@@ -120,7 +121,7 @@
 
 impl Dispatcher {
     /// Begins a session with a runner's process.
-    pub fn open_session(&mut self, session: SessionId, runner: &str, now: Moment) {
+    pub fn open_session(&mut self, session: SessionId, runner: &str, now: Timestamp) {
         let held = self.targets.values().find(|view| view.runner == runner);
         let health = match held {
             Some(view) => view.health.clone(),
@@ -141,7 +142,7 @@
     }
 
     /// Ends a session whose link is gone.
-    pub fn close_session(&mut self, session: SessionId, now: Moment) {
+    pub fn close_session(&mut self, session: SessionId, now: Timestamp) {
         self.notice_stall(now);
         let Some(view) = self.targets.remove(&session) else {
             return;
@@ -169,7 +170,7 @@
                 runner: view.runner.clone(),
                 runs: tasks.len(),
                 jobs: name_jobs(&tasks),
-                last_echo: now.saturating_sub(view.echoed_at),
+                last_echo: now.saturating_duration_since(view.echoed_at),
             });
             self.lost_sessions.push(LostSession {
                 runner: view.runner,
@@ -180,7 +181,7 @@
     }
 
     /// Takes a message of a runner.
-    pub fn receive(&mut self, session: SessionId, message: RunnerMessage, now: Moment) {
+    pub fn receive(&mut self, session: SessionId, message: RunnerMessage, now: Timestamp) {
         self.notice_stall(now);
         let Some(view) = self.targets.get_mut(&session) else {
             return;
@@ -230,7 +231,7 @@
         }
     }
 
-    pub(super) fn note_trouble(&mut self, session: SessionId, now: Moment) {
+    pub(super) fn note_trouble(&mut self, session: SessionId, now: Timestamp) {
         if let Some(view) = self.targets.get_mut(&session)
             && view.health.note_trouble(now)
         {
@@ -241,7 +242,7 @@
     }
 
     /// Closes sessions whose runner says nothing: it may be frozen or cut off.
-    pub(super) fn close_silent_sessions(&mut self, now: Moment) {
+    pub(super) fn close_silent_sessions(&mut self, now: Timestamp) {
         let limit = self.timings.session;
         let silent: Vec<SessionId> = self
             .targets
@@ -256,7 +257,7 @@
     }
 
     /// Lets the tasks wait again whose lost sessions are surely over.
-    pub(super) fn settle_lost_sessions(&mut self, now: Moment) {
+    pub(super) fn settle_lost_sessions(&mut self, now: Timestamp) {
         let (over, open) = std::mem::take(&mut self.lost_sessions)
             .into_iter()
             .partition(|lost| now >= lost.over_at);
--- a/crates/leased/cloverfold_lease/src/health.rs
+++ b/crates/leased/cloverfold_lease/src/health.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::timings::Moment;
+use cloverfold_base::Timestamp;
 
 /// Bounds of the judgement on targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,7 +33,7 @@
 pub struct TargetHealth {
     limits: HealthLimits,
     trouble: f64,
-    paused_until: Moment,
+    paused_until: Timestamp,
     pause: Duration,
 }
 
@@ -43,7 +43,7 @@
         Self {
             limits,
             trouble: 0.0,
-            paused_until: Moment::ZERO,
+            paused_until: Timestamp::ZERO,
             pause: limits.first_pause,
         }
     }
@@ -57,7 +57,7 @@
     }
 
     /// Notes a run that failed, hung or was never answered; returns whether the target is paused by it.
-    pub fn note_trouble(&mut self, now: Moment) -> bool {
+    pub fn note_trouble(&mut self, now: Timestamp) -> bool {
         let weight = self.limits.weight;
         self.trouble += weight * (1.0 - self.trouble);
         if self.trouble < self.limits.troubled_share || now < self.paused_until {
@@ -71,7 +71,7 @@
     }
 
     /// Says whether the target gets work.
-    pub fn takes_work(&self, now: Moment) -> bool {
+    pub fn takes_work(&self, now: Timestamp) -> bool {
         now >= self.paused_until
     }
 }
--- a/crates/leased/cloverfold_lease/src/lib.rs
+++ b/crates/leased/cloverfold_lease/src/lib.rs
@@ -35,4 +35,4 @@
     EndCause, EndedRun, HeldRun, HoldAnswer, HoldOrder, Runner, RunnerAction, RunnerCounts,
     StartAnswer, StartOrder, StartRefusal, StopOrder, TargetRegistration, TargetUnfitness,
 };
-pub use timings::{Moment, TargetTime, Timings};
+pub use timings::{TargetTime, Timings};
--- a/crates/leased/cloverfold_lease/src/messages.rs
+++ b/crates/leased/cloverfold_lease/src/messages.rs
@@ -2,8 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
+use cloverfold_base::Timestamp;
+
 use crate::resources::Resources;
-use crate::timings::Moment;
 
 /// Number of one session, that is of one link between a dispatcher and a runner, in the process that uses it.
 pub type SessionId = u64;
@@ -39,7 +40,7 @@
     /// How long it is expected to run, in milliseconds.
     pub estimate_ms: u32,
     /// On the runner's clock: after this the assignment is void. It is the end of the session as the dispatcher knows it.
-    pub valid_until: Moment,
+    pub valid_until: Timestamp,
 }
 
 /// From a dispatcher to a runner.
@@ -48,7 +49,7 @@
     /// Echoes the runner's newest clock reading, which prolongs the session.
     Echo {
         /// The reading.
-        clock: Moment,
+        clock: Timestamp,
     },
     /// Run this.
     Assign(Assignment),
@@ -133,7 +134,7 @@
     /// The runner lives.
     Heartbeat {
         /// Its clock, to be echoed.
-        clock: Moment,
+        clock: Timestamp,
         /// What is left at its target.
         room: Room,
     },
--- a/crates/leased/cloverfold_lease/src/runner/held.rs
+++ b/crates/leased/cloverfold_lease/src/runner/held.rs
@@ -2,10 +2,12 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Assignment, RunOutcome, SessionId};
 use crate::resources::Resources;
 use crate::runner::progress::ProgressWatch;
-use crate::timings::{Moment, TargetTime};
+use crate::timings::TargetTime;
 
 /// How far a run has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,32 +15,32 @@
     /// It waits for room.
     Waiting {
         /// After this it is given back.
-        until: Moment,
+        until: Timestamp,
     },
     /// Its start was sent and is not acknowledged.
     Starting {
         /// On the target's clock: a start carried out later is refused by the target.
         deadline: TargetTime,
         /// When the first start was sent.
-        since: Moment,
+        since: Timestamp,
         /// When the newest start was sent.
-        sent_at: Moment,
+        sent_at: Timestamp,
         /// How many starts were sent.
         attempts: u32,
     },
     /// The target has acknowledged or shown it.
     Running {
         /// When it was acknowledged.
-        since: Moment,
+        since: Timestamp,
     },
     /// It must end; until it surely has, it keeps its room.
     Stopping {
         /// On the target's clock: a start that is still under way is refused after this.
         start_deadline: Option<TargetTime>,
         /// When the first stop was sent.
-        ordered_at: Moment,
+        ordered_at: Timestamp,
         /// When the newest stop was sent.
-        sent_at: Moment,
+        sent_at: Timestamp,
         /// What to report if it turns out that it never ran.
         unstarted: RunOutcome,
     },
@@ -55,7 +57,7 @@
     pub(crate) demand: Resources,
     pub(crate) priority: u32,
     pub(crate) state: HeldState,
-    pub(crate) started_at: Option<Moment>,
+    pub(crate) started_at: Option<Timestamp>,
     pub(crate) estimate: Duration,
     pub(crate) progress: ProgressWatch,
     /// Whether it is being stopped because it stands still.
@@ -67,7 +69,7 @@
         session: SessionId,
         order: u64,
         assignment: &Assignment,
-        now: Moment,
+        now: Timestamp,
     ) -> Self {
         let wait = Duration::from_millis(u64::from(assignment.wait_ms));
         Self {
@@ -89,8 +91,10 @@
         matches!(self.state, HeldState::Waiting { .. })
     }
 
-    pub(crate) fn ran_for(&self, now: Moment) -> Duration {
-        let span = self.started_at.map(|since| now.saturating_sub(since));
+    pub(crate) fn ran_for(&self, now: Timestamp) -> Duration {
+        let span = self
+            .started_at
+            .map(|since| now.saturating_duration_since(since));
         span.unwrap_or_default()
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/holds.rs
+++ b/crates/leased/cloverfold_lease/src/runner/holds.rs
@@ -2,17 +2,19 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Refusal, RunOutcome, TaskId};
 use crate::runner::Runner;
 use crate::runner::held::HeldState;
 use crate::runner::orders::{EndCause, EndedRun, HeldRun, HoldAnswer, HoldOrder};
-use crate::timings::{Moment, TargetTime};
+use crate::timings::TargetTime;
 
 impl Runner {
     /// Makes the next order that renews the lease; `None` without a target.
     ///
     /// An unclean target gets no longer lease, so that what nobody vouches for may lapse.
-    pub fn plan_hold(&mut self, now: Moment) -> Option<HoldOrder> {
+    pub fn plan_hold(&mut self, now: Timestamp) -> Option<HoldOrder> {
         let lease = self.timings.lease;
         let slack = self.timings.answer_slack;
         let wait = self.timings.hold_wait;
@@ -37,7 +39,7 @@
     }
 
     /// Takes the answer to a hold.
-    pub fn hold_answered(&mut self, order: &HoldOrder, answer: HoldAnswer, now: Moment) {
+    pub fn hold_answered(&mut self, order: &HoldOrder, answer: HoldAnswer, now: Timestamp) {
         self.expire_sessions(now);
         let Some(target) = &mut self.target else {
             return;
@@ -70,7 +72,7 @@
         }
     }
 
-    fn take_ends(&mut self, ended: Vec<EndedRun>, now: Moment) {
+    fn take_ends(&mut self, ended: Vec<EndedRun>, now: Timestamp) {
         for end in ended {
             let Some(target) = &mut self.target else {
                 return;
@@ -103,10 +105,10 @@
     /// Compares what the target runs with what is held here.
     fn compare_runs(
         &mut self,
-        asked_at: Moment,
+        asked_at: Timestamp,
         clock: TargetTime,
         running: &[HeldRun],
-        now: Moment,
+        now: Timestamp,
     ) {
         for row in running {
             let held = self.tasks.get_mut(&row.task);
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -15,11 +15,13 @@
     StopOrder, TargetRegistration,
 };
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{
     Assignment, DispatcherMessage, Refusal, RunOutcome, RunnerMessage, SessionId, TaskId,
 };
 use crate::resources::Resources;
-use crate::timings::{Moment, Timings};
+use crate::timings::Timings;
 use held::{HeldState, HeldTask};
 use sessions::Session;
 use target::TargetLife;
@@ -125,14 +127,14 @@
     }
 
     /// Takes no further work; what runs goes on.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.is_leaving = true;
         self.give_back_waiting(Refusal::Draining, now);
         self.announce_target();
     }
 
     /// Begins a session with a dispatcher's process.
-    pub fn open_session(&mut self, session: SessionId, now: Moment) {
+    pub fn open_session(&mut self, session: SessionId, now: Timestamp) {
         let valid_until = now + self.timings.session;
         self.sessions.insert(session, Session::new(valid_until));
         self.send_heartbeat(session, now);
@@ -140,14 +142,14 @@
     }
 
     /// Ends a session whose link is gone; its runs are stopped.
-    pub fn close_session(&mut self, session: SessionId, now: Moment) {
+    pub fn close_session(&mut self, session: SessionId, now: Timestamp) {
         if self.sessions.remove(&session).is_some() {
             self.stop_session_tasks(session, now);
         }
     }
 
     /// Takes a message of a dispatcher.
-    pub fn receive(&mut self, session: SessionId, message: DispatcherMessage, now: Moment) {
+    pub fn receive(&mut self, session: SessionId, message: DispatcherMessage, now: Timestamp) {
         self.expire_sessions(now);
         match message {
             DispatcherMessage::Echo { clock } => {
@@ -161,7 +163,7 @@
     }
 
     /// Does what has fallen due; call it every few tens of milliseconds.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         self.expire_sessions(now);
         self.watch_target(now);
         self.end_target_pause(now);
@@ -172,7 +174,7 @@
         self.report_room(now);
     }
 
-    fn assign(&mut self, session: SessionId, assignment: Assignment, now: Moment) {
+    fn assign(&mut self, session: SessionId, assignment: Assignment, now: Timestamp) {
         let Some(held) = self.sessions.get_mut(&session) else {
             return;
         };
@@ -200,7 +202,7 @@
         &self,
         session: SessionId,
         assignment: &Assignment,
-        now: Moment,
+        now: Timestamp,
     ) -> Option<Refusal> {
         let is_valid = self.sessions.get(&session).is_some_and(|s| !s.is_over(now));
         if !is_valid || now > assignment.valid_until {
@@ -224,7 +226,7 @@
         (!fits).then_some(Refusal::NoRoom)
     }
 
-    fn withdraw(&mut self, session: SessionId, task: &TaskId, run: u64, now: Moment) {
+    fn withdraw(&mut self, session: SessionId, task: &TaskId, run: u64, now: Timestamp) {
         let Some(held) = self.tasks.get(task) else {
             return;
         };
@@ -239,7 +241,7 @@
     }
 
     /// Gives a waiting run back at once, and stops one that may run.
-    fn stop_task(&mut self, task: TaskId, unstarted: RunOutcome, now: Moment) {
+    fn stop_task(&mut self, task: TaskId, unstarted: RunOutcome, now: Timestamp) {
         let Some(held) = self.tasks.get_mut(&task) else {
             return;
         };
@@ -264,7 +266,7 @@
     }
 
     /// Forgets a run that is surely over and tells its dispatcher.
-    fn end_task(&mut self, task: &TaskId, outcome: RunOutcome, now: Moment) {
+    fn end_task(&mut self, task: &TaskId, outcome: RunOutcome, now: Timestamp) {
         let Some(held) = self.tasks.remove(task) else {
             return;
         };
@@ -293,7 +295,7 @@
         run: u64,
         outcome: RunOutcome,
         ran_ms: u32,
-        now: Moment,
+        now: Timestamp,
     ) {
         let room = self.room_for(session, now);
         let message = RunnerMessage::Ended {
@@ -324,7 +326,7 @@
     }
 
     /// Starts waiting runs in order of priority, then of arrival, while there is room.
-    fn start_waiting(&mut self, now: Moment) {
+    fn start_waiting(&mut self, now: Timestamp) {
         if !self.has_ready_target() {
             return;
         }
@@ -350,7 +352,7 @@
         waiting.into_iter().map(|(_, _, task)| task).collect()
     }
 
-    fn expire_waiting(&mut self, now: Moment) {
+    fn expire_waiting(&mut self, now: Timestamp) {
         let is_late =
             |held: &HeldTask| matches!(held.state, HeldState::Waiting { until } if now > until);
         let late: Vec<TaskId> = self
@@ -364,7 +366,7 @@
         }
     }
 
-    fn give_back_waiting(&mut self, refusal: Refusal, now: Moment) {
+    fn give_back_waiting(&mut self, refusal: Refusal, now: Timestamp) {
         for task in self.waiting_in_order() {
             self.end_task(&task, RunOutcome::NotStarted(refusal), now);
         }
--- a/crates/leased/cloverfold_lease/src/runner/orders.rs
+++ b/crates/leased/cloverfold_lease/src/runner/orders.rs
@@ -2,9 +2,11 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::TaskId;
 use crate::resources::Resources;
-use crate::timings::{Moment, TargetTime};
+use crate::timings::TargetTime;
 
 /// What a target says of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -85,7 +87,7 @@
     /// How long the answer is waited for in all.
     pub limit: Duration,
     /// When it was sent.
-    pub sent_at: Moment,
+    pub sent_at: Timestamp,
 }
 
 /// Why a target did not start a run.
--- a/crates/leased/cloverfold_lease/src/runner/progress.rs
+++ b/crates/leased/cloverfold_lease/src/runner/progress.rs
@@ -3,12 +3,13 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::health::{HealthLimits, TargetHealth};
 use crate::messages::{Refusal, RunOutcome, TaskId};
 use crate::resources::Resources;
 use crate::runner::Runner;
 use crate::runner::held::HeldState;
-use crate::timings::Moment;
 
 /// A run that is seen at the same percent for this long stands still, whatever its length.
 const SHORTEST_STALL: Duration = Duration::from_millis(100);
@@ -38,11 +39,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ProgressWatch {
     percent: Option<u8>,
-    advanced_at: Moment,
+    advanced_at: Timestamp,
     /// How often it was seen since without having advanced.
     sightings: u32,
     /// The sighting from which its speed is measured.
-    measured_from: Option<(u8, Moment)>,
+    measured_from: Option<(u8, Timestamp)>,
 }
 
 impl ProgressWatch {
@@ -51,14 +52,14 @@
         &mut self,
         percent: Option<u8>,
         estimate: Duration,
-        now: Moment,
+        now: Timestamp,
     ) -> Option<f64> {
         let percent = percent?;
         let Some((from, since)) = self.measured_from else {
             self.measured_from = Some((percent, now));
             return None;
         };
-        let span = now.saturating_sub(since);
+        let span = now.saturating_duration_since(since);
         if span < SPEED_SPAN {
             return None;
         }
@@ -71,7 +72,7 @@
     }
 
     /// Notes what the target tells; returns whether the run has advanced since it was seen last.
-    pub(crate) fn note(&mut self, percent: Option<u8>, now: Moment) -> bool {
+    pub(crate) fn note(&mut self, percent: Option<u8>, now: Timestamp) -> bool {
         let before = self.percent;
         if percent.is_some() && percent == before {
             self.sightings += 1;
@@ -84,7 +85,7 @@
     }
 
     /// Says whether a run of this estimated duration stands still.
-    pub(crate) fn stands_still(&self, estimate: Duration, now: Moment) -> bool {
+    pub(crate) fn stands_still(&self, estimate: Duration, now: Timestamp) -> bool {
         let limit = estimate.mul_f64(STALL_SHARE).max(SHORTEST_STALL);
         self.sightings >= MIN_SIGHTINGS && now >= self.advanced_at + limit
     }
@@ -97,7 +98,7 @@
     /// Whether it gets no work at present.
     is_paused: bool,
     /// Until then it is offered in part.
-    trial_until: Option<Moment>,
+    trial_until: Option<Timestamp>,
     /// Whether a run was ever seen to advance: some targets tell nothing of progress, or always the same.
     tells_progress: bool,
     /// Speeds of its newest runs, oldest measurement first.
@@ -111,7 +112,7 @@
     order: u64,
     /// 1 is as fast as estimated.
     speed: f64,
-    at: Moment,
+    at: Timestamp,
 }
 
 impl TargetConduct {
@@ -131,7 +132,7 @@
     }
 
     /// Takes a measurement of one run's speed, which replaces the one before.
-    pub(crate) fn note_speed(&mut self, order: u64, speed: f64, at: Moment) {
+    pub(crate) fn note_speed(&mut self, order: u64, speed: f64, at: Timestamp) {
         self.speeds
             .retain(|held| held.order != order && at < held.at + SPEED_MEMORY);
         if self.speeds.len() == MEASURED_RUNS {
@@ -141,7 +142,7 @@
     }
 
     /// Returns the usual duration of runs against their estimates, in thousandths; 0 while it is not known.
-    pub(crate) fn slowness_permille(&self, now: Moment) -> u32 {
+    pub(crate) fn slowness_permille(&self, now: Timestamp) -> u32 {
         const SLOWEST: f64 = 0.02;
         let is_new = |held: &&MeasuredSpeed| now < held.at + SPEED_MEMORY;
         let mut speeds: Vec<f64> = self.speeds.iter().filter(is_new).map(|s| s.speed).collect();
@@ -173,14 +174,14 @@
     }
 
     /// Notes a run that stood still; returns whether the target is paused by it.
-    fn note_stuck(&mut self, now: Moment) -> bool {
+    fn note_stuck(&mut self, now: Timestamp) -> bool {
         let is_new = self.health.note_trouble(now);
         self.is_paused |= is_new;
         is_new
     }
 
     /// Ends a pause or a trial whose time is over; returns whether a pause ended.
-    fn end_pause(&mut self, now: Moment) -> bool {
+    fn end_pause(&mut self, now: Timestamp) -> bool {
         if self.trial_until.is_some_and(|until| now >= until) {
             self.trial_until = None;
         }
@@ -195,7 +196,7 @@
 
 impl Runner {
     /// Stops the runs that stand still, and gives a target no work for a while that lets them.
-    pub(super) fn stop_stuck_runs(&mut self, now: Moment) {
+    pub(super) fn stop_stuck_runs(&mut self, now: Timestamp) {
         let target = self.target.as_ref();
         if !target.is_some_and(|target| target.conduct.tells_progress) {
             return;
@@ -224,7 +225,7 @@
     }
 
     /// Offers the target again whose pause is over.
-    pub(super) fn end_target_pause(&mut self, now: Moment) {
+    pub(super) fn end_target_pause(&mut self, now: Timestamp) {
         let target = self.target.as_mut();
         if target.is_some_and(|target| target.conduct.end_pause(now)) {
             self.announce_target();
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -1,16 +1,17 @@
 //! Sessions with dispatchers: how long they are valid and what ends with them.
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Refusal, Room, RunOutcome, RunnerMessage, SessionId, TaskId};
 use crate::resources::Resources;
 use crate::runner::{Runner, RunnerAction};
-use crate::timings::Moment;
 
 /// A session with one dispatcher.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
-    valid_until: Moment,
+    valid_until: Timestamp,
     pub(crate) assignments_seen: u64,
-    pub(crate) heartbeat_at: Moment,
+    pub(crate) heartbeat_at: Timestamp,
     /// What was reported as free last.
     reported: Resources,
     /// The description that the dispatcher was told last: none before the first.
@@ -18,28 +19,28 @@
 }
 
 impl Session {
-    pub(crate) fn new(valid_until: Moment) -> Self {
+    pub(crate) fn new(valid_until: Timestamp) -> Self {
         Self {
             valid_until,
             assignments_seen: 0,
-            heartbeat_at: Moment::ZERO,
+            heartbeat_at: Timestamp::ZERO,
             reported: Resources::default(),
             announced: None,
         }
     }
 
-    pub(crate) fn prolong(&mut self, valid_until: Moment) {
+    pub(crate) fn prolong(&mut self, valid_until: Timestamp) {
         self.valid_until = self.valid_until.max(valid_until);
     }
 
-    pub(crate) fn is_over(&self, now: Moment) -> bool {
+    pub(crate) fn is_over(&self, now: Timestamp) -> bool {
         now > self.valid_until
     }
 }
 
 impl Runner {
     /// Ends the sessions that no dispatcher vouches for any more.
-    pub(super) fn expire_sessions(&mut self, now: Moment) {
+    pub(super) fn expire_sessions(&mut self, now: Timestamp) {
         let over: Vec<SessionId> = self
             .sessions
             .iter()
@@ -54,7 +55,7 @@
     }
 
     /// Stops all that a session has assigned; nobody is told of these ends.
-    pub(super) fn stop_session_tasks(&mut self, session: SessionId, now: Moment) {
+    pub(super) fn stop_session_tasks(&mut self, session: SessionId, now: Timestamp) {
         let tasks: Vec<TaskId> = self
             .tasks
             .iter()
@@ -69,7 +70,7 @@
         }
     }
 
-    pub(super) fn send_heartbeats(&mut self, now: Moment) {
+    pub(super) fn send_heartbeats(&mut self, now: Timestamp) {
         let interval = self.timings.heartbeat;
         let due: Vec<SessionId> = self
             .sessions
@@ -83,7 +84,7 @@
     }
 
     /// Tells every session of room that has changed since it was told: entries that know little refuse work which would fit.
-    pub(super) fn report_room(&mut self, now: Moment) {
+    pub(super) fn report_room(&mut self, now: Timestamp) {
         let free = self.free_after_waiting();
         let stale: Vec<SessionId> = self
             .sessions
@@ -97,7 +98,7 @@
         }
     }
 
-    pub(super) fn send_heartbeat(&mut self, session: SessionId, now: Moment) {
+    pub(super) fn send_heartbeat(&mut self, session: SessionId, now: Timestamp) {
         let room = self.room_for(session, now);
         if let Some(held) = self.sessions.get_mut(&session) {
             held.heartbeat_at = now;
@@ -133,7 +134,7 @@
 
 impl Runner {
     /// Makes the report for a session.
-    pub(super) fn room_for(&mut self, session: SessionId, now: Moment) -> Room {
+    pub(super) fn room_for(&mut self, session: SessionId, now: Timestamp) -> Room {
         let free = self.free_after_waiting();
         let held = self.sessions.get_mut(&session);
         let assignments_seen = held.map_or(0, |held| {
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -2,11 +2,13 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Refusal, RunOutcome, TaskId};
 use crate::runner::held::HeldState;
 use crate::runner::orders::{StartAnswer, StartOrder, StartRefusal, StopOrder};
 use crate::runner::{Runner, RunnerAction};
-use crate::timings::{Moment, TargetTime};
+use crate::timings::TargetTime;
 
 /// Starts of one run that are sent at the most.
 const MAX_START_ATTEMPTS: u32 = 6;
@@ -14,7 +16,7 @@
 const STOP_REPEAT: Duration = Duration::from_millis(120);
 
 impl Runner {
-    pub(super) fn start_task(&mut self, task: &TaskId, now: Moment) {
+    pub(super) fn start_task(&mut self, task: &TaskId, now: Timestamp) {
         let lease = self.timings.lease;
         let (Some(target), Some(held)) = (&mut self.target, self.tasks.get_mut(task)) else {
             return;
@@ -66,7 +68,7 @@
     }
 
     /// Takes the answer to a start.
-    pub fn start_answered(&mut self, order: &StartOrder, answer: StartAnswer, now: Moment) {
+    pub fn start_answered(&mut self, order: &StartOrder, answer: StartAnswer, now: Timestamp) {
         self.expire_sessions(now);
         let Some(target) = &mut self.target else {
             return;
@@ -115,7 +117,7 @@
         order: &StartOrder,
         refusal: StartRefusal,
         attempts: u32,
-        now: Moment,
+        now: Timestamp,
     ) {
         let reason = match refusal {
             StartRefusal::Fenced | StartRefusal::Late if attempts < MAX_START_ATTEMPTS => {
@@ -145,7 +147,7 @@
     }
 
     /// Sends a start anew whose only predecessor was refused and so can do nothing later.
-    fn restart_with_new_deadline(&mut self, task: &TaskId, now: Moment) {
+    fn restart_with_new_deadline(&mut self, task: &TaskId, now: Timestamp) {
         let lease = self.timings.lease;
         let (Some(target), Some(held)) = (&mut self.target, self.tasks.get_mut(task)) else {
             return;
@@ -170,7 +172,7 @@
     }
 
     /// Sends the same start again: the target takes a run that is there as started.
-    fn repeat_start(&mut self, task: &TaskId, now: Moment) {
+    fn repeat_start(&mut self, task: &TaskId, now: Timestamp) {
         let Some(held) = self.tasks.get_mut(task) else {
             return;
         };
@@ -193,7 +195,7 @@
     }
 
     /// Sends starts and stops again whose effect has not shown.
-    pub(super) fn repeat_orders(&mut self, now: Moment) {
+    pub(super) fn repeat_orders(&mut self, now: Timestamp) {
         let patience = self.timings.start_timeout;
         // A target that answers nothing at all answers no further start either.
         let is_silent = self.target.as_ref().is_some_and(|target| target.is_silent);
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -2,13 +2,15 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Refusal, RunOutcome, TargetDescription, TaskId};
 use crate::resources::Resources;
 use crate::runner::held::HeldState;
 use crate::runner::orders::TargetRegistration;
 use crate::runner::progress::TargetConduct;
 use crate::runner::{Runner, RunnerAction};
-use crate::timings::{Moment, TargetTime};
+use crate::timings::TargetTime;
 
 /// How much the token rises after the target has refused one.
 const TOKEN_STEP: u64 = 10_000;
@@ -36,7 +38,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     pub(super) clock: TargetTime,
-    received_at: Moment,
+    received_at: Timestamp,
 }
 
 /// One life of the target.
@@ -49,8 +51,8 @@
     /// The latest deadline that any order to it has carried.
     pub(super) latest_deadline: TargetTime,
     pub(super) last_noted: u64,
-    pub(super) newest_hold: Moment,
-    pub(super) answered_at: Moment,
+    pub(super) newest_hold: Timestamp,
+    pub(super) answered_at: Timestamp,
     /// Whether the newest answer to a hold listed nothing that is not ours.
     pub(super) is_clean: bool,
     pub(super) is_silent: bool,
@@ -58,7 +60,7 @@
 }
 
 impl TargetLife {
-    fn new(registration: TargetRegistration, number: u64, token: u64, now: Moment) -> Self {
+    fn new(registration: TargetRegistration, number: u64, token: u64, now: Timestamp) -> Self {
         let reading = registration.clock.map(|clock| ClockReading {
             clock,
             received_at: now,
@@ -70,7 +72,7 @@
             clock: reading,
             latest_deadline: 0,
             last_noted: 0,
-            newest_hold: Moment::ZERO,
+            newest_hold: Timestamp::ZERO,
             answered_at: now,
             is_clean: false,
             is_silent: false,
@@ -125,7 +127,7 @@
         }
     }
 
-    pub(super) fn read_clock(&mut self, clock: TargetTime, now: Moment) {
+    pub(super) fn read_clock(&mut self, clock: TargetTime, now: Timestamp) {
         self.clock = Some(ClockReading {
             clock,
             received_at: now,
@@ -133,9 +135,9 @@
     }
 
     /// Returns the end of a lease from now; not past what the target allows, since its clock is estimated from below.
-    pub(super) fn next_deadline(&self, now: Moment, lease: Duration) -> Option<TargetTime> {
+    pub(super) fn next_deadline(&self, now: Timestamp, lease: Duration) -> Option<TargetTime> {
         let reading = self.clock?;
-        let since = now.saturating_sub(reading.received_at);
+        let since = now.saturating_duration_since(reading.received_at);
         Some(reading.clock + (since + lease).as_millis() as u64)
     }
 
@@ -148,7 +150,7 @@
 
 impl Runner {
     /// Takes what the target says of itself; what comes late from an earlier life of it changes nothing.
-    pub fn register(&mut self, registration: TargetRegistration, now: Moment) {
+    pub fn register(&mut self, registration: TargetRegistration, now: Timestamp) {
         if self.ended_lives.contains(&registration.instance) {
             return;
         }
@@ -171,7 +173,7 @@
     }
 
     /// Forgets the target that says that it is gone.
-    pub fn unregister(&mut self, instance: &str, now: Moment) {
+    pub fn unregister(&mut self, instance: &str, now: Timestamp) {
         let is_present = |target: &TargetLife| target.registration.instance == instance;
         if self.target.as_ref().is_some_and(is_present) {
             self.end_target_life(now);
@@ -180,7 +182,7 @@
     }
 
     /// The present life is over, and with it all that ran there.
-    fn end_target_life(&mut self, now: Moment) {
+    fn end_target_life(&mut self, now: Timestamp) {
         if let Some(target) = self.target.take() {
             self.ended_lives.push_back(target.registration.instance);
             if self.ended_lives.len() > ENDED_LIVES {
@@ -190,7 +192,7 @@
         self.end_all_runs(now);
     }
 
-    fn begin_target_life(&mut self, registration: TargetRegistration, now: Moment) {
+    fn begin_target_life(&mut self, registration: TargetRegistration, now: Timestamp) {
         self.end_target_life(now);
         self.next_order += 1;
         let life = TargetLife::new(registration, self.next_order, self.first_token, now);
@@ -199,7 +201,7 @@
         self.actions.push(RunnerAction::HoldNow);
     }
 
-    fn end_all_runs(&mut self, now: Moment) {
+    fn end_all_runs(&mut self, now: Timestamp) {
         let tasks: Vec<TaskId> = self.tasks.keys().cloned().collect();
         for task in tasks {
             let outcome = match self.tasks[&task].state {
@@ -211,7 +213,7 @@
     }
 
     /// Notices a target that does not answer: it gets no new work, and its runs end with its lease.
-    pub(super) fn watch_target(&mut self, now: Moment) {
+    pub(super) fn watch_target(&mut self, now: Timestamp) {
         let silence = self.timings.silence + self.timings.hold_wait;
         let Some(target) = &mut self.target else {
             return;
@@ -233,7 +235,7 @@
     }
 
     /// Says whether every lease that the target may hold is surely over.
-    fn has_lease_lapsed(&self, now: Moment) -> bool {
+    fn has_lease_lapsed(&self, now: Timestamp) -> bool {
         let Some(target) = &self.target else {
             return true;
         };
--- a/crates/leased/cloverfold_lease/src/timings.rs
+++ b/crates/leased/cloverfold_lease/src/timings.rs
@@ -2,9 +2,6 @@
 
 use std::time::Duration;
 
-/// Time on this process's steady clock, as the span since some fixed moment.
-pub type Moment = Duration;
-
 /// Time on a target's own steady clock, in milliseconds.
 pub type TargetTime = u64;
 
--- a/crates/leased/cloverfold_lease/tests/dispatcher.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher.rs
@@ -4,6 +4,7 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
 use cloverfold_lease::{
     Assignment, Dispatcher, DispatcherAction, DispatcherEvent, DispatcherMessage, HealthLimits,
     JobAnswer, JobNumber, JobRequest, Objective, Refusal, RefusalCause, Resources, Room,
@@ -25,6 +26,11 @@
     Duration::from_millis(value)
 }
 
+/// The point in time `value` milliseconds after the start of the clock.
+fn at(value: u64) -> Timestamp {
+    Timestamp::from_start(ms(value))
+}
+
 fn step(count: u32, depends_on: Vec<usize>) -> StepRequest {
     StepRequest {
         count,
@@ -56,7 +62,7 @@
 
 struct Bench {
     dispatcher: Dispatcher,
-    now: Duration,
+    now: Timestamp,
 }
 
 impl Bench {
@@ -65,7 +71,7 @@
         let dispatcher = Dispatcher::new(Timings::default(), HealthLimits::default(), 3);
         let mut bench = Self {
             dispatcher,
-            now: ms(1_000),
+            now: at(1_000),
         };
         bench.dispatcher.tick(bench.now);
         for session in 1..=targets {
@@ -455,7 +461,7 @@
         assert!(
             bench.assigned().is_empty(),
             "{:?} after the last echo",
-            bench.now - echoed_at
+            bench.now.saturating_duration_since(echoed_at)
         );
     }
 
--- a/crates/leased/cloverfold_lease/tests/runner.rs
+++ b/crates/leased/cloverfold_lease/tests/runner.rs
@@ -4,6 +4,7 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
 use cloverfold_lease::{
     Assignment, DispatcherMessage, EndCause, EndedRun, HeldRun, HoldAnswer, Refusal, Resources,
     RunOutcome, Runner, RunnerAction, RunnerMessage, StartAnswer, StartOrder, StartRefusal,
@@ -16,6 +17,11 @@
     Duration::from_millis(value)
 }
 
+/// The point in time `value` milliseconds after the start of the clock.
+fn at(value: u64) -> Timestamp {
+    Timestamp::from_start(ms(value))
+}
+
 fn registration(life: u32) -> TargetRegistration {
     TargetRegistration {
         instance: format!("life-{life}"),
@@ -42,7 +48,7 @@
     }
 }
 
-fn assign(index: u32, valid_until: Duration) -> DispatcherMessage {
+fn assign(index: u32, valid_until: Timestamp) -> DispatcherMessage {
     DispatcherMessage::Assign(Assignment {
         task: task(index),
         run: 5,
@@ -85,14 +91,14 @@
 /// A runner with a target that takes work and one session, at 100 ms.
 fn ready() -> Runner {
     let mut runner = Runner::new(Timings::default(), 1_000);
-    runner.register(registration(1), ms(90));
-    hold(&mut runner, ms(95), list(50_005, &[], &[]));
-    runner.open_session(SESSION, ms(100));
+    runner.register(registration(1), at(90));
+    hold(&mut runner, at(95), list(50_005, &[], &[]));
+    runner.open_session(SESSION, at(100));
     runner.take_actions();
     runner
 }
 
-fn hold(runner: &mut Runner, now: Duration, answer: HoldAnswer) {
+fn hold(runner: &mut Runner, now: Timestamp, answer: HoldAnswer) {
     let order = runner.plan_hold(now).unwrap();
     runner.hold_answered(&order, answer, now + ms(1));
 }
@@ -117,7 +123,7 @@
     messages.collect()
 }
 
-fn started(runner: &mut Runner, index: u32, now: Duration) {
+fn started(runner: &mut Runner, index: u32, now: Timestamp) {
     runner.receive(SESSION, assign(index, now + ms(400)), now);
     let order = starts(runner).remove(0);
     runner.start_answered(&order, StartAnswer::Started { clock: 50_010 }, now);
@@ -126,18 +132,18 @@
 #[test]
 fn nothing_is_assigned_to_a_target_before_it_is_known_to_be_clean() {
     let mut runner = Runner::new(Timings::default(), 1_000);
-    runner.register(registration(1), ms(90));
-    let first = runner.plan_hold(ms(91)).unwrap();
+    runner.register(registration(1), at(90));
+    let first = runner.plan_hold(at(91)).unwrap();
     assert_eq!(first.deadline, None, "no lease for what nobody vouches for");
 
-    runner.hold_answered(&first, list(50_001, &[3], &[]), ms(92));
+    runner.hold_answered(&first, list(50_001, &[3], &[]), at(92));
 
     assert!(!runner.has_ready_target());
     let stops = runner.take_actions();
     assert!(matches!(&stops[..], [.., RunnerAction::Stop(order)] if order.task == task(3)));
     hold(
         &mut runner,
-        ms(120),
+        at(120),
         list(50_030, &[], &[(1, 3, EndCause::Stopped)]),
     );
     assert!(runner.has_ready_target());
@@ -146,23 +152,23 @@
 #[test]
 fn what_comes_late_from_an_earlier_life_of_the_target_changes_nothing() {
     let mut runner = ready();
-    runner.register(registration(2), ms(110));
-    hold(&mut runner, ms(112), list(50_005, &[], &[]));
+    runner.register(registration(2), at(110));
+    hold(&mut runner, at(112), list(50_005, &[], &[]));
     runner.take_actions();
-    started(&mut runner, 1, ms(120));
+    started(&mut runner, 1, at(120));
 
-    runner.register(registration(1), ms(130));
+    runner.register(registration(1), at(130));
 
     assert_eq!(ends(&runner.take_actions()), []);
-    assert_eq!(runner.plan_hold(ms(131)).unwrap().instance, "life-2");
+    assert_eq!(runner.plan_hold(at(131)).unwrap().instance, "life-2");
 }
 
 #[test]
 fn a_new_life_of_the_target_ends_all_runs_of_the_last() {
     let mut runner = ready();
-    started(&mut runner, 1, ms(110));
+    started(&mut runner, 1, at(110));
 
-    runner.register(registration(2), ms(120));
+    runner.register(registration(2), at(120));
 
     assert_eq!(ends(&runner.take_actions()), [(1, RunOutcome::Lost)]);
 }
@@ -171,11 +177,11 @@
 fn runs_wait_for_room_and_are_given_back_when_none_comes() {
     let mut runner = ready();
     for index in 0..3 {
-        runner.receive(SESSION, assign(index, ms(600)), ms(110));
+        runner.receive(SESSION, assign(index, at(600)), at(110));
     }
     assert_eq!(starts(&mut runner).len(), 2, "two fit");
 
-    runner.tick(ms(171));
+    runner.tick(at(171));
 
     assert_eq!(
         ends(&runner.take_actions()),
@@ -187,7 +193,7 @@
 fn an_assignment_after_the_end_of_its_session_is_refused() {
     let mut runner = ready();
 
-    runner.receive(SESSION, assign(1, ms(150)), ms(151));
+    runner.receive(SESSION, assign(1, at(150)), at(151));
 
     let expected = [(1, RunOutcome::NotStarted(Refusal::Expired))];
     assert_eq!(ends(&runner.take_actions()), expected);
@@ -196,9 +202,9 @@
 #[test]
 fn a_session_that_is_not_echoed_ends_and_its_runs_are_stopped() {
     let mut runner = ready();
-    started(&mut runner, 1, ms(110));
-    runner.receive(SESSION, DispatcherMessage::Echo { clock: ms(200) }, ms(210));
-    runner.tick(ms(699));
+    started(&mut runner, 1, at(110));
+    runner.receive(SESSION, DispatcherMessage::Echo { clock: at(200) }, at(210));
+    runner.tick(at(699));
     let before = runner.take_actions();
     assert!(
         !before
@@ -206,7 +212,7 @@
             .any(|action| matches!(action, RunnerAction::Stop(_)))
     );
 
-    runner.tick(ms(701));
+    runner.tick(at(701));
 
     let actions = runner.take_actions();
     assert!(actions.contains(&RunnerAction::CloseSession(SESSION)));
@@ -222,11 +228,11 @@
     let mut runner = ready();
     runner.receive(
         SESSION,
-        DispatcherMessage::Echo { clock: ms(900_000) },
-        ms(110),
+        DispatcherMessage::Echo { clock: at(900_000) },
+        at(110),
     );
 
-    runner.tick(ms(612));
+    runner.tick(at(612));
 
     assert!(
         runner
@@ -238,9 +244,9 @@
 #[test]
 fn a_start_without_an_answer_is_repeated_as_it_was() {
     let mut runner = ready();
-    runner.receive(SESSION, assign(1, ms(600)), ms(110));
+    runner.receive(SESSION, assign(1, at(600)), at(110));
     let first = starts(&mut runner).remove(0);
-    runner.start_answered(&first, StartAnswer::Unanswered, ms(140));
+    runner.start_answered(&first, StartAnswer::Unanswered, at(140));
 
     let second = starts(&mut runner).remove(0);
 
@@ -251,22 +257,22 @@
 #[test]
 fn a_start_that_was_sent_twice_and_refused_is_not_given_back_before_it_is_surely_void() {
     let mut runner = ready();
-    runner.receive(SESSION, assign(1, ms(600)), ms(110));
+    runner.receive(SESSION, assign(1, at(600)), at(110));
     let first = starts(&mut runner).remove(0);
-    runner.start_answered(&first, StartAnswer::Unanswered, ms(140));
+    runner.start_answered(&first, StartAnswer::Unanswered, at(140));
     let second = starts(&mut runner).remove(0);
     let refused = StartAnswer::Refused(StartRefusal::NoRoom, Some(50_050));
 
-    runner.start_answered(&second, refused, ms(145));
+    runner.start_answered(&second, refused, at(145));
 
     assert_eq!(
         ends(&runner.take_actions()),
         [],
         "the first may still be carried out"
     );
-    hold(&mut runner, ms(150), list(first.deadline, &[], &[]));
+    hold(&mut runner, at(150), list(first.deadline, &[], &[]));
     assert_eq!(ends(&runner.take_actions()), []);
-    hold(&mut runner, ms(160), list(first.deadline + 1, &[], &[]));
+    hold(&mut runner, at(160), list(first.deadline + 1, &[], &[]));
     let expected = [(1, RunOutcome::NotStarted(Refusal::NoRoom))];
     assert_eq!(ends(&runner.take_actions()), expected);
 }
@@ -274,44 +280,44 @@
 #[test]
 fn a_refused_token_is_raised_and_the_start_sent_again() {
     let mut runner = ready();
-    runner.receive(SESSION, assign(1, ms(600)), ms(110));
+    runner.receive(SESSION, assign(1, at(600)), at(110));
     let first = starts(&mut runner).remove(0);
 
     let fenced = StartAnswer::Refused(StartRefusal::Fenced, Some(50_020));
-    runner.start_answered(&first, fenced, ms(112));
+    runner.start_answered(&first, fenced, at(112));
 
     let second = starts(&mut runner).remove(0);
     assert!(second.token > first.token);
-    assert!(runner.plan_hold(ms(113)).unwrap().token >= second.token);
+    assert!(runner.plan_hold(at(113)).unwrap().token >= second.token);
 }
 
 #[test]
 fn ends_are_reported_once_and_noted() {
     let mut runner = ready();
-    started(&mut runner, 1, ms(110));
+    started(&mut runner, 1, at(110));
     hold(
         &mut runner,
-        ms(130),
+        at(130),
         list(50_050, &[], &[(1, 1, EndCause::Done)]),
     );
     assert_eq!(ends(&runner.take_actions()), [(1, RunOutcome::Done)]);
 
     hold(
         &mut runner,
-        ms(140),
+        at(140),
         list(50_060, &[], &[(1, 1, EndCause::Done)]),
     );
 
     assert_eq!(ends(&runner.take_actions()), []);
-    assert_eq!(runner.plan_hold(ms(150)).unwrap().last_noted, 1);
+    assert_eq!(runner.plan_hold(at(150)).unwrap().last_noted, 1);
 }
 
 #[test]
 fn a_run_that_is_no_longer_listed_is_lost() {
     let mut runner = ready();
-    started(&mut runner, 1, ms(110));
+    started(&mut runner, 1, at(110));
 
-    hold(&mut runner, ms(130), list(50_050, &[], &[]));
+    hold(&mut runner, at(130), list(50_050, &[], &[]));
 
     assert_eq!(ends(&runner.take_actions()), [(1, RunOutcome::Lost)]);
 }
@@ -319,10 +325,11 @@
 #[test]
 fn a_silent_target_gets_no_work_and_its_runs_are_lost_only_with_the_lease() {
     let mut runner = ready();
-    started(&mut runner, 1, ms(110));
-    let echo = |runner: &mut Runner, at| {
-        runner.receive(SESSION, DispatcherMessage::Echo { clock: ms(at) }, ms(at));
-        runner.tick(ms(at));
+    started(&mut runner, 1, at(110));
+    let echo = |runner: &mut Runner, now_ms| {
+        let now = at(now_ms);
+        runner.receive(SESSION, DispatcherMessage::Echo { clock: now }, now);
+        runner.tick(now);
     };
     for at in (150..700).step_by(50) {
         echo(&mut runner, at);
@@ -344,15 +351,15 @@
 #[test]
 fn a_leaving_runner_takes_nothing_and_ends_what_it_has() {
     let mut runner = ready();
-    started(&mut runner, 1, ms(110));
-    runner.leave(ms(120));
-    runner.receive(SESSION, assign(2, ms(600)), ms(121));
+    started(&mut runner, 1, at(110));
+    runner.leave(at(120));
+    runner.receive(SESSION, assign(2, at(600)), at(121));
     let expected = [(2, RunOutcome::NotStarted(Refusal::Draining))];
     assert_eq!(ends(&runner.take_actions()), expected);
 
     hold(
         &mut runner,
-        ms(130),
+        at(130),
         list(50_050, &[], &[(1, 1, EndCause::Done)]),
     );
 
@@ -363,11 +370,11 @@
 #[test]
 fn a_start_that_never_left_is_given_back_at_once() {
     let mut runner = ready();
-    runner.receive(SESSION, assign(1, ms(500)), ms(110));
+    runner.receive(SESSION, assign(1, at(500)), at(110));
     let order = starts(&mut runner).remove(0);
 
     let answer = StartAnswer::Refused(StartRefusal::Unreachable, None);
-    runner.start_answered(&order, answer, ms(111));
+    runner.start_answered(&order, answer, at(111));
 
     let refused = RunOutcome::NotStarted(Refusal::Unanswered);
     assert_eq!(ends(&runner.take_actions()), [(1, refused)]);
@@ -377,13 +384,13 @@
 #[test]
 fn a_start_that_may_have_arrived_before_is_not_given_back_when_a_later_one_never_left() {
     let mut runner = ready();
-    runner.receive(SESSION, assign(1, ms(500)), ms(110));
+    runner.receive(SESSION, assign(1, at(500)), at(110));
     let first = starts(&mut runner).remove(0);
-    runner.start_answered(&first, StartAnswer::Unanswered, ms(130));
+    runner.start_answered(&first, StartAnswer::Unanswered, at(130));
     let second = starts(&mut runner).remove(0);
 
     let answer = StartAnswer::Refused(StartRefusal::Unreachable, None);
-    runner.start_answered(&second, answer, ms(131));
+    runner.start_answered(&second, answer, at(131));
 
     assert_eq!(ends(&runner.take_actions()), []);
     assert_eq!(runner.held(), 1, "the first may still be carried out");
@@ -392,29 +399,29 @@
 #[test]
 fn a_target_that_misses_three_holds_gets_no_work_and_no_further_starts() {
     let mut runner = ready();
-    runner.receive(SESSION, assign(1, ms(500)), ms(110));
+    runner.receive(SESSION, assign(1, at(500)), at(110));
     starts(&mut runner);
     for now in [150, 200, 250] {
-        let order = runner.plan_hold(ms(now - 40)).unwrap();
-        runner.hold_answered(&order, HoldAnswer::Unanswered, ms(now));
+        let order = runner.plan_hold(at(now - 40)).unwrap();
+        runner.hold_answered(&order, HoldAnswer::Unanswered, at(now));
     }
     assert!(runner.has_ready_target());
 
-    runner.tick(ms(325));
+    runner.tick(at(325));
 
     assert!(!runner.has_ready_target());
     starts(&mut runner);
-    runner.tick(ms(360));
+    runner.tick(at(360));
     assert!(starts(&mut runner).is_empty());
 }
 
 #[test]
 fn a_new_session_is_told_of_the_target_only_when_nothing_of_the_last_runs() {
     let mut runner = ready();
-    started(&mut runner, 1, ms(110));
-    runner.close_session(SESSION, ms(120));
+    started(&mut runner, 1, at(110));
+    runner.close_session(SESSION, at(120));
     runner.take_actions();
-    runner.open_session(8, ms(130));
+    runner.open_session(8, at(130));
     let offers = |runner: &mut Runner| {
         let actions = runner.take_actions().into_iter();
         let offered = |action: &RunnerAction| {
@@ -429,7 +436,7 @@
 
     hold(
         &mut runner,
-        ms(140),
+        at(140),
         list(50_050, &[], &[(1, 1, EndCause::Stopped)]),
     );
 
@@ -439,10 +446,10 @@
 #[test]
 fn every_session_is_told_of_changed_room_once() {
     let mut runner = ready();
-    runner.open_session(8, ms(100));
-    runner.tick(ms(101));
+    runner.open_session(8, at(100));
+    runner.tick(at(101));
     runner.take_actions();
-    started(&mut runner, 1, ms(110));
+    started(&mut runner, 1, at(110));
     let told = |runner: &mut Runner| -> Vec<u64> {
         let actions = runner.take_actions().into_iter();
         let told = actions.filter_map(|action| match action {
@@ -452,9 +459,9 @@
         told.collect()
     };
 
-    runner.tick(ms(120));
+    runner.tick(at(120));
 
     assert_eq!(told(&mut runner), [SESSION, 8]);
-    runner.tick(ms(130));
+    runner.tick(at(130));
     assert_eq!(told(&mut runner), []);
 }
--- a/crates/leased/cloverfold_lease/tests/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/stuck_runs.rs
@@ -4,6 +4,7 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
 use cloverfold_lease::{
     Assignment, DispatcherMessage, EndCause, EndedRun, HeldRun, HoldAnswer, Resources, Room,
     RunOutcome, Runner, RunnerAction, RunnerMessage, StartAnswer, TargetRegistration,
@@ -26,6 +27,11 @@
     Duration::from_millis(value)
 }
 
+/// The point in time `value` milliseconds after the start of the clock.
+fn at(value: u64) -> Timestamp {
+    Timestamp::from_start(ms(value))
+}
+
 fn task(index: u32) -> TaskId {
     TaskId {
         job: "job".into(),
@@ -38,7 +44,7 @@
 /// A runner, its target's answers, and a clock that they share.
 struct Bench {
     runner: Runner,
-    now: Duration,
+    now: Timestamp,
     actions: Vec<RunnerAction>,
 }
 
@@ -55,10 +61,10 @@
             clock: Some(50_000),
             sequence: 1,
         };
-        runner.register(registration, ms(0));
+        runner.register(registration, at(0));
         let mut bench = Self {
             runner,
-            now: ms(0),
+            now: at(0),
             actions: Vec::new(),
         };
         bench.list(&[], &[]);
@@ -92,7 +98,7 @@
             cause,
         });
         let answer = HoldAnswer::Listed {
-            clock: 50_000 + self.now.as_millis() as u64,
+            clock: 50_000 + self.now.since_start().as_millis() as u64,
             running: running.collect(),
             ended: ended.collect(),
         };
--- a/crates/leased/cloverfold_lease/tests/world/mod.rs
+++ b/crates/leased/cloverfold_lease/tests/world/mod.rs
@@ -5,6 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
 use cloverfold_lease::{
     Dispatcher, DispatcherAction, DispatcherMessage, HealthLimits, HoldAnswer, JobAnswer,
     JobNumber, JobRequest, Objective, Resources, Runner, RunnerAction, RunnerMessage, StartAnswer,
@@ -102,8 +103,9 @@
     pub starts: u64,
 }
 
-fn ms(value: u64) -> Duration {
-    Duration::from_millis(value)
+/// The point in time `value` milliseconds after the start of the clock.
+fn at(value: u64) -> Timestamp {
+    Timestamp::from_start(Duration::from_millis(value))
 }
 
 impl World {
@@ -232,7 +234,7 @@
     }
 
     fn close_links(&mut self, is_meant: impl Fn(&(usize, usize)) -> bool) {
-        let now = ms(self.now);
+        let now = at(self.now);
         let keys: Vec<_> = self
             .links
             .keys()
@@ -282,7 +284,7 @@
 
     /// Runners dial dispatchers; a link that one side has closed ends at the other when it is not cut.
     fn keep_links(&mut self) {
-        let now = ms(self.now);
+        let now = at(self.now);
         for dispatcher in 0..DISPATCHERS {
             for runner in 0..RUNNERS {
                 let key = (dispatcher, runner);
@@ -350,7 +352,7 @@
             return;
         };
         dispatcher.set_first_run(now / 100 + 1);
-        let number = dispatcher.submit(job(&id, count, work), ms(now));
+        let number = dispatcher.submit(job(&id, count, work), at(now));
         node.clients.insert(number, Client { id, sent_at: now });
     }
 
@@ -391,7 +393,7 @@
                 let (_, message) = link.to_dispatcher.pop_front().unwrap();
                 let id = link.id;
                 if let Some(dispatcher) = &mut node.dispatcher {
-                    dispatcher.receive(id, message, ms(now));
+                    dispatcher.receive(id, message, at(now));
                 }
                 self.act_dispatcher(dispatcher);
             }
@@ -404,7 +406,7 @@
                 let (_, message) = link.to_runner.pop_front().unwrap();
                 let id = link.id;
                 if let Some(runner) = &mut node.runner {
-                    runner.receive(id, message, ms(now));
+                    runner.receive(id, message, at(now));
                 }
                 self.act_runner(runner);
             }
@@ -427,21 +429,21 @@
             return;
         };
         if node.target.is_up(now) && now >= node.registered_at {
-            runner.register(node.target.register(now), ms(now));
+            runner.register(node.target.register(now), at(now));
             node.registered_at = now + 1_500;
         }
         if now >= node.hold_at {
             node.hold_at = now + 15;
-            if let Some(order) = runner.plan_hold(ms(now)) {
+            if let Some(order) = runner.plan_hold(at(now)) {
                 let is_late = self.faults.is_troubled && self.rng.random_bool(0.03);
                 let answer = node.target.hold(&order, now, is_late);
                 if answer == HoldAnswer::Unanswered {
                     node.hold_at = now + HOLD_TIMEOUT_MS;
                 }
-                runner.hold_answered(&order, answer, ms(now));
+                runner.hold_answered(&order, answer, at(now));
             }
         }
-        runner.tick(ms(now));
+        runner.tick(at(now));
         self.act_runner(index);
     }
 
@@ -465,7 +467,7 @@
                         let answer = node.target.start(&order, now, is_late, &mut self.rng);
                         if answer != StartAnswer::Unanswered {
                             let runner = node.runner.as_mut().unwrap();
-                            runner.start_answered(&order, answer, ms(now));
+                            runner.start_answered(&order, answer, at(now));
                         }
                     }
                     RunnerAction::Stop(order) => {
@@ -508,7 +510,7 @@
             return;
         }
         if let Some(dispatcher) = &mut node.dispatcher {
-            dispatcher.tick(ms(self.now));
+            dispatcher.tick(at(self.now));
         }
         self.act_dispatcher(index);
     }
@@ -582,7 +584,7 @@
                 memory_mb: 64,
                 accelerators: 0,
             },
-            estimate: ms(work_ms),
+            estimate: Duration::from_millis(work_ms),
             depends_on: Vec::new(),
             required_label: None,
             preferred_label: None,
@@ -592,7 +594,7 @@
         max_attempts: 3,
         objective: Objective {
             stretch: 1.6,
-            allowance: ms(60),
+            allowance: Duration::from_millis(60),
         },
         patience: None,
     }
--- a/crates/leased/cloverfold_leased_entry/src/state.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_base::{ProcessClock, unix_now};
+use cloverfold_base::{ProcessClock, Timestamp, unix_now};
 use cloverfold_configuration::Configuration;
 use cloverfold_lease::{
     Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRequest, RefusalCause,
@@ -37,7 +37,7 @@
 /// A guard that was in touch.
 struct KnownGuard {
     links: usize,
-    seen_at: Duration,
+    seen_at: Timestamp,
 }
 
 /// What an entry believes.
@@ -47,13 +47,13 @@
     protocol: Arc<dyn JobProtocol>,
     pub(crate) dispatcher: Dispatcher,
     in_force: InForce,
-    fetching: Option<(u64, Duration)>,
+    fetching: Option<(u64, Timestamp)>,
     links: HashMap<LinkId, Link>,
     controls: ControlLinks,
     guards: BTreeMap<SocketAddr, KnownGuard>,
-    invited_at: Duration,
+    invited_at: Timestamp,
     answers: HashMap<JobNumber, oneshot::Sender<JobAnswer>>,
-    ticked_at: Duration,
+    ticked_at: Timestamp,
     is_leaving: bool,
     was_ready: bool,
 }
@@ -75,9 +75,9 @@
             links: HashMap::new(),
             controls,
             guards: BTreeMap::new(),
-            invited_at: Duration::ZERO,
+            invited_at: Timestamp::ZERO,
             answers: HashMap::new(),
-            ticked_at: Duration::ZERO,
+            ticked_at: Timestamp::ZERO,
             is_leaving: false,
             was_ready: false,
         }
@@ -143,7 +143,7 @@
         let now = self.clock.now();
         if now > self.ticked_at + STALL {
             // The process stood still, and the request may have waited so long that its caller has asked elsewhere.
-            log::warn!(job = request.id.as_str(), gap_ms = (now - self.ticked_at).as_millis() as u64; "a job is refused after a stall");
+            log::warn!(job = request.id.as_str(), gap_ms = now.saturating_duration_since(self.ticked_at).as_millis() as u64; "a job is refused after a stall");
             let answer = JobAnswer::Refused {
                 cause: RefusalCause::Stalled,
                 retry_after: Duration::from_secs(1),
@@ -179,7 +179,7 @@
     /// Does what has fallen due.
     pub(crate) fn tick(&mut self) {
         let now = self.clock.now();
-        let gap = now.saturating_sub(self.ticked_at);
+        let gap = now.saturating_duration_since(self.ticked_at);
         if gap > STALL {
             log::warn!(gap_ms = gap.as_millis() as u64; "the process stood still");
         }
@@ -312,7 +312,7 @@
     }
 
     /// Invites guards that are out of touch: they may have restarted and know of nobody.
-    fn invite_guards(&mut self, now: Duration) {
+    fn invite_guards(&mut self, now: Timestamp) {
         if now < self.invited_at + INVITE_INTERVAL || self.is_leaving {
             return;
         }
--- a/crates/leased/cloverfold_leased_guard/src/state.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_base::ProcessClock;
+use cloverfold_base::{ProcessClock, Timestamp};
 use cloverfold_configuration::StoredConfiguration;
 use cloverfold_lease::{
     HoldAnswer, HoldOrder, Runner, RunnerAction, RunnerCounts, RunnerMessage, StartAnswer,
@@ -41,7 +41,7 @@
     own: Hello,
     runner: Runner,
     configuration: Option<StoredConfiguration>,
-    fetch: Option<(LinkId, Duration)>,
+    fetch: Option<(LinkId, Timestamp)>,
     links: HashMap<LinkId, Link>,
     controls: ControlLinks,
     entries: DialedPeers,
