--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -12,6 +12,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
+use cloverfold_base::Timestamp;
 use cloverfold_configuration::{Offer, StoredConfiguration};
 use cloverfold_consensus::{
     Append, AppendReply, Entry, InstallSnapshot, Member, Members, Message, Payload, Snapshot, Vote,
@@ -113,7 +114,7 @@
         priority: 7,
         wait_ms: 150,
         estimate_ms: 820,
-        valid_until: Duration::new(12_345, 678_000_009),
+        valid_until: Timestamp::from_start(Duration::new(12_345, 678_000_009)),
     }
 }
 
@@ -207,7 +208,7 @@
 
 fn runner_messages() -> Vec<Sample<RunnerMessage>> {
     let heartbeat = RunnerMessage::Heartbeat {
-        clock: Duration::new(98, 700_000_001),
+        clock: Timestamp::from_start(Duration::new(98, 700_000_001)),
         room: room(6),
     };
     each_variant!(RunnerMessage {
@@ -223,7 +224,7 @@
 
 fn dispatcher_messages() -> Vec<Sample<DispatcherMessage>> {
     let echo = DispatcherMessage::Echo {
-        clock: Duration::new(5_000_000_000, 999_999_999),
+        clock: Timestamp::from_start(Duration::new(5_000_000_000, 999_999_999)),
     };
     let withdraw = DispatcherMessage::Withdraw {
         task: task("order-43"),
