--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -39,6 +39,18 @@
     Stalled,
 }
 
+impl RefusalCause {
+    /// Returns the name by which logs and answers call it; it is part of the outside interface.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::NoRoom => "NoRoom",
+            Self::NoTarget => "NoTarget",
+            Self::Leaving => "Leaving",
+            Self::Stalled => "Stalled",
+        }
+    }
+}
+
 /// The one answer to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobAnswer {
--- a/crates/leased/cloverfold_lease/src/messages.rs
+++ b/crates/leased/cloverfold_lease/src/messages.rs
@@ -2,6 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use std::fmt;
+
 use cloverfold_base::Timestamp;
 
 use crate::resources::Resources;
@@ -87,6 +89,24 @@
     Withdrawn,
 }
 
+impl Refusal {
+    /// Returns the name by which logs and answers call it; it is part of the outside interface.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::NoRoom => "NoRoom",
+            Self::NoTarget => "NoTarget",
+            Self::Draining => "Draining",
+            Self::Expired => "Expired",
+            Self::Held => "Held",
+            Self::Stale => "Stale",
+            Self::Unanswered => "Unanswered",
+            Self::Unhealthy => "Unhealthy",
+            Self::Rejected => "Rejected",
+            Self::Withdrawn => "Withdrawn",
+        }
+    }
+}
+
 /// How a run ended; each of these says that it is surely over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RunOutcome {
@@ -104,6 +124,20 @@
     NotStarted(Refusal),
 }
 
+impl fmt::Display for RunOutcome {
+    /// Writes the name by which logs call it; it is part of the outside interface.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Done => f.write_str("Done"),
+            Self::Failed => f.write_str("Failed"),
+            Self::Stopped => f.write_str("Stopped"),
+            Self::Stuck => f.write_str("Stuck"),
+            Self::Lost => f.write_str("Lost"),
+            Self::NotStarted(refusal) => write!(f, "NotStarted({})", refusal.as_str()),
+        }
+    }
+}
+
 /// What is left at a runner's target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
--- a/crates/leased/cloverfold_lease/src/runner/orders.rs
+++ b/crates/leased/cloverfold_lease/src/runner/orders.rs
@@ -1,5 +1,6 @@
 //! What a runner says to its target, and what it hears from it.
 
+use std::fmt;
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
@@ -111,6 +112,22 @@
     Invalid,
 }
 
+impl StartRefusal {
+    /// Returns the name by which logs and answers call it; it is part of the outside interface.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Fenced => "Fenced",
+            Self::Stale => "Stale",
+            Self::Late => "Late",
+            Self::NoRoom => "NoRoom",
+            Self::Unhealthy => "Unhealthy",
+            Self::Unreachable => "Unreachable",
+            Self::OtherInstance => "OtherInstance",
+            Self::Invalid => "Invalid",
+        }
+    }
+}
+
 /// What became of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartAnswer {
@@ -125,6 +142,20 @@
     Unanswered,
 }
 
+impl fmt::Display for StartAnswer {
+    /// Writes the text by which logs call it; it is part of the outside interface.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Started { clock } => write!(f, "Started {{ clock: {clock} }}"),
+            Self::Refused(refusal, Some(clock)) => {
+                write!(f, "Refused({}, Some({clock}))", refusal.as_str())
+            }
+            Self::Refused(refusal, None) => write!(f, "Refused({}, None)", refusal.as_str()),
+            Self::Unanswered => f.write_str("Unanswered"),
+        }
+    }
+}
+
 /// A run at the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldRun {
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -34,6 +34,20 @@
     NoClock,
 }
 
+impl TargetUnfitness {
+    /// Returns the name by which logs and answers call it; it is part of the outside interface.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::NoTarget => "NoTarget",
+            Self::Draining => "Draining",
+            Self::Silent => "Silent",
+            Self::RunsStandStill => "RunsStandStill",
+            Self::OtherRuns => "OtherRuns",
+            Self::NoClock => "NoClock",
+        }
+    }
+}
+
 /// A reading of the target's clock and when it arrived here.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
--- /dev/null
+++ b/crates/leased/cloverfold_lease/tests/written_names.rs
@@ -0,0 +1,101 @@
+//! The names that clients and logs read stay as they are, whatever the variants are called.
+
+use cloverfold_lease::{
+    Refusal, RefusalCause, RunOutcome, StartAnswer, StartRefusal, TargetUnfitness,
+};
+
+#[test]
+fn each_reason_not_to_start_a_run_keeps_its_written_name() {
+    let names = [
+        (Refusal::NoRoom, "NoRoom"),
+        (Refusal::NoTarget, "NoTarget"),
+        (Refusal::Draining, "Draining"),
+        (Refusal::Expired, "Expired"),
+        (Refusal::Held, "Held"),
+        (Refusal::Stale, "Stale"),
+        (Refusal::Unanswered, "Unanswered"),
+        (Refusal::Unhealthy, "Unhealthy"),
+        (Refusal::Rejected, "Rejected"),
+        (Refusal::Withdrawn, "Withdrawn"),
+    ];
+
+    for (refusal, name) in names {
+        let outcome = RunOutcome::NotStarted(refusal);
+
+        assert_eq!(refusal.as_str(), name);
+        assert_eq!(outcome.to_string(), format!("NotStarted({name})"));
+    }
+}
+
+#[test]
+fn each_outcome_of_a_run_keeps_its_written_name() {
+    let names = [
+        (RunOutcome::Done, "Done"),
+        (RunOutcome::Failed, "Failed"),
+        (RunOutcome::Stopped, "Stopped"),
+        (RunOutcome::Stuck, "Stuck"),
+        (RunOutcome::Lost, "Lost"),
+    ];
+
+    for (outcome, name) in names {
+        assert_eq!(outcome.to_string(), name);
+    }
+}
+
+#[test]
+fn each_refusal_of_a_job_keeps_its_written_name() {
+    let names = [
+        (RefusalCause::NoRoom, "NoRoom"),
+        (RefusalCause::NoTarget, "NoTarget"),
+        (RefusalCause::Leaving, "Leaving"),
+        (RefusalCause::Stalled, "Stalled"),
+    ];
+
+    for (cause, name) in names {
+        assert_eq!(cause.as_str(), name);
+    }
+}
+
+#[test]
+fn each_reason_why_a_target_gets_no_work_keeps_its_written_name() {
+    let names = [
+        (TargetUnfitness::NoTarget, "NoTarget"),
+        (TargetUnfitness::Draining, "Draining"),
+        (TargetUnfitness::Silent, "Silent"),
+        (TargetUnfitness::RunsStandStill, "RunsStandStill"),
+        (TargetUnfitness::OtherRuns, "OtherRuns"),
+        (TargetUnfitness::NoClock, "NoClock"),
+    ];
+
+    for (reason, name) in names {
+        assert_eq!(reason.as_str(), name);
+    }
+}
+
+#[test]
+fn each_answer_to_a_start_keeps_its_written_name() {
+    let names = [
+        (StartRefusal::Fenced, "Fenced"),
+        (StartRefusal::Stale, "Stale"),
+        (StartRefusal::Late, "Late"),
+        (StartRefusal::NoRoom, "NoRoom"),
+        (StartRefusal::Unhealthy, "Unhealthy"),
+        (StartRefusal::Unreachable, "Unreachable"),
+        (StartRefusal::OtherInstance, "OtherInstance"),
+        (StartRefusal::Invalid, "Invalid"),
+    ];
+
+    for (refusal, name) in names {
+        let plain = StartAnswer::Refused(refusal, None);
+        let with_clock = StartAnswer::Refused(refusal, Some(50_010));
+
+        assert_eq!(plain.to_string(), format!("Refused({name}, None)"));
+        assert_eq!(
+            with_clock.to_string(),
+            format!("Refused({name}, Some(50010))")
+        );
+    }
+    let started = StartAnswer::Started { clock: 50_010 };
+    assert_eq!(started.to_string(), "Started { clock: 50010 }");
+    assert_eq!(StartAnswer::Unanswered.to_string(), "Unanswered");
+}
--- a/crates/leased/cloverfold_leased_entry/src/callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/callers.rs
@@ -120,7 +120,7 @@
             JobAnswer::Completed => state(JobState::Completed),
             JobAnswer::Failed => state(JobState::Failed),
             JobAnswer::Refused { cause, retry_after } => {
-                refuse(&format!("not run: {cause:?}\n"), retry_after)
+                refuse(&format!("not run: {}\n", cause.as_str()), retry_after)
             }
             JobAnswer::GivenUp => plain_response(StatusCode::GATEWAY_TIMEOUT, "given up\n"),
         }
--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -20,7 +20,6 @@
             waiting,
             oldest_report,
         } => {
-            let cause = format!("{cause:?}");
             log::info!(
                 job = job.as_str(), cause = cause.as_str(), held_ms = ms(held),
                 ready_targets = targets.0, targets = targets.1, waiting,
@@ -42,7 +41,7 @@
             outcome,
             failures,
         } => {
-            let outcome = format!("{outcome:?}");
+            let outcome = outcome.to_string();
             log::info!(
                 job = task.job.as_str(), step = task.step, index = task.index, run,
                 runner = runner.as_str(), outcome = outcome.as_str(), failures;
--- a/crates/leased/cloverfold_leased_guard/src/state.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -146,7 +146,7 @@
     pub(crate) fn start_answered(&mut self, order: &StartOrder, answer: StartAnswer) {
         let now = self.clock.now();
         if !matches!(answer, StartAnswer::Started { .. }) {
-            let answer = format!("{answer:?}");
+            let answer = answer.to_string();
             log::info!(
                 job = order.task.job.as_str(), index = order.task.index, run = order.run,
                 attempt = order.attempt, target = order.instance.as_str(), answer = answer.as_str();
@@ -283,10 +283,10 @@
         let unfitness = self.runner.find_unfitness();
         if unfitness != self.unfitness {
             self.unfitness = unfitness;
-            let reason = unfitness.map(|reason| format!("{reason:?}"));
+            let reason = unfitness.map(TargetUnfitness::as_str);
             let counts = self.runner.counts();
             log::info!(
-                ready = unfitness.is_none(), reason = reason.unwrap_or_default().as_str(),
+                ready = unfitness.is_none(), reason = reason.unwrap_or_default(),
                 stuck_runs = counts.stuck, held_runs = self.runner.held();
                 "the target's readiness has changed"
             );
@@ -311,7 +311,7 @@
     } = message
         && *outcome != RunOutcome::Done
     {
-        let outcome = format!("{outcome:?}");
+        let outcome = outcome.to_string();
         log::info!(
             job = task.job.as_str(), step = task.step, index = task.index, run, ran_ms,
             outcome = outcome.as_str();
