--- a/crates/leased/cloverfold_leased_entry/src/configuration.rs
+++ b/crates/leased/cloverfold_leased_entry/src/configuration.rs
@@ -6,6 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
 use cloverfold_configuration::{Configuration, ConfigurationFormat, StoredConfiguration, Version};
 
 /// A configuration as it was received and as it was decoded.
@@ -72,7 +73,7 @@
 struct OpenFetch {
     /// The version that the asked peer has.
     version: Version,
-    asked_at: Duration,
+    asked_at: Timestamp,
 }
 
 /// Bounds how often the configuration is fetched: many peers announce a new version at once, and one of them is enough.
@@ -83,7 +84,12 @@
 
 impl FetchLimiter {
     /// Returns whether a peer that has `version` is to be asked now, and if so counts it as asked.
-    pub(crate) fn try_begin(&mut self, version: Version, in_force: Version, now: Duration) -> bool {
+    pub(crate) fn try_begin(
+        &mut self,
+        version: Version,
+        in_force: Version,
+        now: Timestamp,
+    ) -> bool {
         let is_asked =
             |open: OpenFetch| open.version >= version && now < open.asked_at + FETCH_TIMEOUT;
         if version <= in_force || self.open.is_some_and(is_asked) {
--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -33,7 +33,6 @@
         oldest_report,
     } = event
     {
-        let cause = format!("{cause:?}");
         log::info!(
             job = job.as_str(), cause = cause.as_str(), held_ms = millis(held),
             ready_targets = targets.0, targets = targets.1, waiting,
@@ -63,7 +62,7 @@
         failures,
     } = event
     {
-        let outcome = format!("{outcome:?}");
+        let outcome = outcome.to_string();
         log::info!(
             job = task.job.as_str(), step = task.step, index = task.index, run,
             runner = runner.as_str(), outcome = outcome.as_str(), failures;
--- a/crates/leased/cloverfold_leased_entry/src/known_guards.rs
+++ b/crates/leased/cloverfold_leased_entry/src/known_guards.rs
@@ -7,6 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 /// How often a guard that is not connected is invited. Chosen, not measured; docs/design/6-leased-runs.md, "Finding one another".
 const INVITE_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a guard that is not connected is remembered. Chosen, not measured.
@@ -16,19 +18,19 @@
 struct KnownGuard {
     links: usize,
     /// When its last link opened or closed.
-    last_change_at: Duration,
+    last_change_at: Timestamp,
 }
 
 /// All guards that an entry knows, by the address on which they accept links.
 #[derive(Default)]
 pub(crate) struct KnownGuards {
     guards: BTreeMap<SocketAddr, KnownGuard>,
-    last_invited_at: Duration,
+    last_invited_at: Timestamp,
 }
 
 impl KnownGuards {
     /// Counts a link to a guard.
-    pub(crate) fn record_connected(&mut self, address: SocketAddr, now: Duration) {
+    pub(crate) fn record_connected(&mut self, address: SocketAddr, now: Timestamp) {
         let guard = self.guards.entry(address).or_insert(KnownGuard {
             links: 0,
             last_change_at: now,
@@ -37,7 +39,7 @@
     }
 
     /// Counts a link to a guard as closed.
-    pub(crate) fn record_disconnected(&mut self, address: SocketAddr, now: Duration) {
+    pub(crate) fn record_disconnected(&mut self, address: SocketAddr, now: Timestamp) {
         if let Some(guard) = self.guards.get_mut(&address) {
             guard.links = guard.links.saturating_sub(1);
             guard.last_change_at = now;
@@ -45,7 +47,7 @@
     }
 
     /// Forgets guards that have been away too long, and returns those to invite now: none before [`INVITE_INTERVAL`] is over.
-    pub(crate) fn take_due_invitations(&mut self, now: Duration) -> Vec<SocketAddr> {
+    pub(crate) fn take_due_invitations(&mut self, now: Timestamp) -> Vec<SocketAddr> {
         if now < self.last_invited_at + INVITE_INTERVAL {
             return Vec::new();
         }
--- a/crates/leased/cloverfold_leased_entry/src/responses.rs
+++ b/crates/leased/cloverfold_leased_entry/src/responses.rs
@@ -19,7 +19,7 @@
         JobAnswer::Completed => job_state_response(protocol, JobState::Completed),
         JobAnswer::Failed => job_state_response(protocol, JobState::Failed),
         JobAnswer::Refused { cause, retry_after } => {
-            refusal_response(&format!("not run: {cause:?}\n"), retry_after)
+            refusal_response(&format!("not run: {}\n", cause.as_str()), retry_after)
         }
         JobAnswer::GivenUp => plain_response(StatusCode::GATEWAY_TIMEOUT, "given up\n"),
     }
--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -1,9 +1,9 @@
 //! The entry's peers: who is connected, what they announce, and whom the entry invites.
 
+use cloverfold_base::Timestamp;
 use cloverfold_configuration::{StoredConfiguration, Version};
 use cloverfold_link::{LinkEvent, LinkId, send_once};
 use cloverfold_peer::{Hello, PeerMessage, PeerRole};
-use std::time::Duration;
 
 use super::EntryState;
 
@@ -99,7 +99,7 @@
     }
 
     /// Invites guards that are no longer connected: they may have restarted and know no entry.
-    pub(super) fn invite_guards(&mut self, now: Duration) {
+    pub(super) fn invite_guards(&mut self, now: Timestamp) {
         if self.is_draining {
             return;
         }
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_base::{ProcessClock, unix_now};
+use cloverfold_base::{ProcessClock, Timestamp, unix_now};
 use cloverfold_configuration::{Configuration, Version};
 use cloverfold_lease::{
     Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRequest, RefusalCause,
@@ -46,7 +46,7 @@
     guards: KnownGuards,
     /// Where the callers of open jobs wait for their answers.
     answers: HashMap<JobNumber, oneshot::Sender<JobAnswer>>,
-    ticked_at: Duration,
+    ticked_at: Timestamp,
     is_draining: bool,
     was_ready: bool,
 }
@@ -63,7 +63,7 @@
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        let gap = now.saturating_sub(self.ticked_at);
+        let gap = now.saturating_duration_since(self.ticked_at);
         if gap > STALL {
             log::warn!(gap_ms = gap.as_millis() as u64; "the process stood still");
         }
@@ -93,7 +93,7 @@
             controls,
             guards: KnownGuards::default(),
             answers: HashMap::new(),
-            ticked_at: Duration::ZERO,
+            ticked_at: Timestamp::ZERO,
             is_draining: false,
             was_ready: false,
         }
@@ -167,7 +167,7 @@
         let (tx, rx) = oneshot::channel();
         let now = self.clock.now();
         if now > self.ticked_at + STALL {
-            let gap = now - self.ticked_at;
+            let gap = now.saturating_duration_since(self.ticked_at);
             log::warn!(job = request.id.as_str(), gap_ms = gap.as_millis() as u64; "a job is refused after a stall");
             refuse_stalled(tx);
             return (0, rx);
