--- a/crates/common/cloverfold_http/src/client.rs
+++ b/crates/common/cloverfold_http/src/client.rs
@@ -1,4 +1,7 @@
-//! The client: few connections to each address, each used by one call at a time.
+//! The HTTP/1.1 client of the leased processes and of operators' commands.
+//!
+//! Sends a request and reads the whole answer within one time limit. Owns the idle connections to each address, each used by one call at
+//! a time. Relies on `hyper` for HTTP/1.1 and on the runtime that it is called in.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,14 +16,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest answer, in bytes.
+/// Longest body of an answer, in bytes. Chosen, not measured.
 const MAX_ANSWER: usize = 4 * 1024 * 1024;
-/// Idle connections that are kept to one address.
+/// Idle connections that are kept to one address. Chosen, not measured.
 const MAX_IDLE: usize = 8;
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// Why a call has no usable answer.
+/// Why a call has no usable answer; the caller may safely repeat only what was not sent.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpCallError {
     /// No connection: the request was certainly not received.
@@ -31,18 +34,19 @@
     Unanswered(String),
 }
 
-/// Calls servers and keeps their connections.
+/// A client that reuses connections; share one, since each keeps its own.
 #[derive(Debug, Default)]
 pub struct HttpClient {
     idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl HttpClient {
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole answer within `limit`, the time to connect included.
     ///
     /// # Errors
     ///
-    /// Tells apart whether the request certainly did not arrive or may have.
+    /// Returns [`HttpCallError::NotSent`] if the request certainly did not arrive, [`HttpCallError::Unanswered`] if it may have, which
+    /// includes every timeout.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -52,7 +56,7 @@
         let exchange = self.exchange(address, request);
         match timeout(limit, exchange).await {
             Ok(outcome) => outcome,
-            Err(_) => Err(HttpCallError::Unanswered("timed out".into())),
+            Err(_elapsed) => Err(HttpCallError::Unanswered("timed out".into())),
         }
     }
 
@@ -62,21 +66,19 @@
         request: Request<Full<Bytes>>,
     ) -> Result<(StatusCode, HeaderMap, Bytes), HttpCallError> {
         let mut connection = self.connect(address).await?;
-        let unanswered = |cause: String| HttpCallError::Unanswered(cause);
-        let response = connection
-            .send_request(request)
-            .await
-            .map_err(|cause| unanswered(cause.to_string()))?;
+        let unanswered = |cause: hyper::Error| HttpCallError::Unanswered(cause.to_string());
+        let response = connection.send_request(request).await.map_err(unanswered)?;
         let (head, body) = response.into_parts();
         let body = Limited::new(body, MAX_ANSWER)
             .collect()
             .await
-            .map_err(|cause| unanswered(cause.to_string()))?
+            .map_err(|cause| HttpCallError::Unanswered(cause.to_string()))?
             .to_bytes();
         self.keep(address, connection);
         Ok((head.status, head.headers, body))
     }
 
+    /// Takes an idle connection that is still open, or opens one.
     async fn connect(&self, address: SocketAddr) -> Result<Connection, HttpCallError> {
         while let Some(mut connection) = self.take_idle(address) {
             if connection.ready().await.is_ok() {
@@ -87,7 +89,7 @@
         let stream = TcpStream::connect(address)
             .await
             .map_err(|cause| not_sent(cause.to_string()))?;
-        // Without the option requests may wait for acknowledgements; all else is in order.
+        // A failure only costs latency: requests may then wait for acknowledgements.
         let _ = stream.set_nodelay(true);
         let (connection, driver) = http1::handshake(TokioIo::new(stream))
             .await
@@ -100,6 +102,7 @@
         Ok(connection)
     }
 
+    /// Takes the connection to an address that was used last.
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&address)?;
@@ -110,6 +113,7 @@
         connection
     }
 
+    /// Keeps a connection for the next call, up to [`MAX_IDLE`].
     fn keep(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.entry(address).or_default();
--- a/crates/common/cloverfold_http/src/lib.rs
+++ b/crates/common/cloverfold_http/src/lib.rs
@@ -1,4 +1,6 @@
-//! HTTP/1.1 as the leased mode uses it: a small server with limits, and a pooled client.
+//! HTTP/1.1 for the leased installation: a small server with limits, a pooled client, and the pages for operators.
+//!
+//! Owns connections only; what is asked and answered belongs to the callers. Relies on `hyper` and on `cloverfold_link` for listening.
 //!
 //! The library underneath is `hyper` rather than `volo-http`, which is built on it: the server here needs limits on header
 //! time, a planned stop for each connection, and to drop a handler whose client has left.
--- a/crates/common/cloverfold_http/src/operations.rs
+++ b/crates/common/cloverfold_http/src/operations.rs
@@ -1,4 +1,6 @@
-//! Addresses that a process listens on, and the pages for operators.
+//! Listening on addresses of the settings, and the pages `/healthz`, `/readyz` and `/metrics`.
+//!
+//! Owns no state: what the pages show is asked of the process for each request. Relies on the server of this package.
 
 use std::net::SocketAddr;
 
@@ -7,7 +9,7 @@
 
 use crate::server::{HttpLimits, Request, Response, Serving, plain_response, serve};
 
-/// An address that cannot be listened on.
+/// An address of the settings that cannot be listened on.
 #[derive(Debug, thiserror::Error)]
 #[error("{setting} {address}: {cause}; free the address or change the setting")]
 pub struct ListenError {
@@ -23,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// Names the setting and the address.
+/// Returns the setting, the address and the system's error.
 pub fn listen_at(setting: &'static str, address: SocketAddr) -> Result<TcpListener, ListenError> {
     cloverfold_link::listen(address).map_err(|cause| ListenError {
         setting,
@@ -36,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// Names the setting and the address.
+/// Returns the setting, the address and the system's error.
 pub fn serve_at<L, H, F>(
     setting: &'static str,
     address: SocketAddr,
@@ -56,11 +58,13 @@
     })
 }
 
-/// Serves `/healthz`, `/readyz` and `/metrics` where the settings name an address for them.
+/// Serves `/healthz`, `/readyz` and `/metrics`; returns `None` if the settings name no address for them.
+///
+/// `find_unreadiness` returns why the process should get no new work, which `/readyz` answers with 503.
 ///
 /// # Errors
 ///
-/// Names the address.
+/// Returns the setting, the address and the system's error.
 pub fn serve_operations<M, R>(
     address: Option<SocketAddr>,
     write_metrics: M,
--- a/crates/common/cloverfold_http/src/server.rs
+++ b/crates/common/cloverfold_http/src/server.rs
@@ -1,4 +1,7 @@
-//! The server.
+//! The HTTP/1.1 server of the leased processes.
+//!
+//! Reads whole requests within limits, hands each to one handler and sends its answer. Owns the connections that it has accepted and the
+//! phase of its planned stop. Relies on `hyper` for HTTP/1.1 and on the runtime that it is started in.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,29 +20,39 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Smallest buffer that the library accepts, in bytes.
+/// Smallest buffer that `hyper` accepts, in bytes; a smaller one panics there.
 const MIN_HEADER_BUFFER: usize = 8 * 1024;
+/// Default longest header, in bytes. Chosen, not measured.
+const HEADER_BYTES: usize = 16 * 1024;
+/// Default longest body, in bytes. Chosen, not measured.
+const BODY_BYTES: usize = 1024 * 1024;
+/// Default time for a body to arrive. Chosen, not measured.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Default time that a connection may stay without a request. Chosen, not measured.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Pause after a failed accept, so that a lack of file descriptors does not spin the thread. Chosen, not measured.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a connection may use.
+/// What a connection may use; read once when it is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpLimits {
-    /// Longest header, in bytes.
+    /// Longest header, in bytes; at least 8 KiB are allowed in any case.
     pub header_bytes: usize,
     /// Longest body, in bytes.
     pub body_bytes: usize,
     /// How long a body may take to arrive.
     pub body_timeout: Duration,
-    /// How long a connection may stay without a request.
+    /// How long a connection may stay without a whole request header.
     pub idle_timeout: Duration,
 }
 
 impl Default for HttpLimits {
     fn default() -> Self {
         Self {
-            header_bytes: 16 * 1024,
-            body_bytes: 1024 * 1024,
-            body_timeout: Duration::from_secs(5),
-            idle_timeout: Duration::from_secs(15),
+            header_bytes: HEADER_BYTES,
+            body_bytes: BODY_BYTES,
+            body_timeout: BODY_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
         }
     }
 }
@@ -50,13 +63,13 @@
     /// It serves.
     #[default]
     Serving,
-    /// It serves, and asks each client to come elsewhere with its next request.
+    /// It serves, and answers with `Connection: close` so that clients reconnect elsewhere.
     Turning,
-    /// It ends what is in flight and closes connections that are idle.
+    /// It accepts no connection, finishes requests in flight and closes idle connections.
     Closing,
 }
 
-/// A whole request.
+/// A request whose body has been read in full.
 #[derive(Debug)]
 pub struct Request {
     /// The method.
@@ -70,12 +83,13 @@
 }
 
 impl Request {
-    /// Returns the host that is asked, without its port.
+    /// Returns the requested host without its port; empty if the request names none.
     pub fn host(&self) -> &str {
         let header = self.headers.get(http::header::HOST);
         let host = header
             .and_then(|value| value.to_str().ok())
             .or(self.uri.host());
+        // A request without a host is looked up, and logged, with an empty one.
         let host = host.unwrap_or_default();
         host.rsplit_once(':').map_or(host, |(name, _)| name)
     }
@@ -100,7 +114,7 @@
     response
 }
 
-/// A server that runs.
+/// Handle of a running server; dropping it stops the server as [`StopPhase::Closing`] does.
 #[derive(Debug)]
 pub struct Serving {
     phase: watch::Sender<StopPhase>,
@@ -113,7 +127,7 @@
         self.address
     }
 
-    /// Goes on to a later phase of the stop.
+    /// Advances the planned stop to a later phase; an earlier one changes nothing.
     pub fn advance(&self, phase: StopPhase) {
         self.phase.send_if_modified(|held| {
             let is_later = phase > *held;
@@ -128,13 +142,13 @@
     }
 }
 
-/// Serves requests on a listener; `limits` is asked once for each connection.
+/// Serves requests on a listener; `limits` is called once for each connection.
 ///
-/// The future of a handler is dropped when its client leaves before the answer.
+/// The future of a handler is dropped when its client disconnects before the answer. Must be called within a runtime.
 ///
 /// # Errors
 ///
-/// Says that the listener has no address.
+/// Returns the system's error if the listener has no local address.
 pub fn serve<L, H, F>(listener: TcpListener, limits: L, handler: H) -> std::io::Result<Serving>
 where
     L: Fn() -> HttpLimits + Send + 'static,
@@ -143,28 +157,49 @@
 {
     let address = listener.local_addr()?;
     let (phase, follow) = watch::channel(StopPhase::Serving);
-    let handler = Arc::new(handler);
-    tokio::spawn(async move {
-        let mut closing = follow.clone();
-        loop {
-            let accepted = tokio::select! {
-                accepted = listener.accept() => accepted,
-                _ = closing.wait_for(|phase| *phase == StopPhase::Closing) => return,
-            };
-            match accepted {
-                Ok((stream, _)) => {
-                    let connection =
-                        serve_connection(stream, limits(), handler.clone(), follow.clone());
-                    tokio::spawn(connection);
-                }
-                Err(cause) => {
-                    log::warn!("a connection cannot be accepted: {cause}");
-                    tokio::time::sleep(Duration::from_millis(50)).await;
-                }
+    tokio::spawn(accept_connections(
+        listener,
+        limits,
+        Arc::new(handler),
+        follow,
+    ));
+    Ok(Serving { phase, address })
+}
+
+/// Accepts connections until the server closes, each served by a task of its own.
+async fn accept_connections<L, H, F>(
+    listener: TcpListener,
+    limits: L,
+    handler: Arc<H>,
+    phase: watch::Receiver<StopPhase>,
+) where
+    L: Fn() -> HttpLimits,
+    H: Fn(Request) -> F + Send + Sync + 'static,
+    F: Future<Output = Response> + Send + 'static,
+{
+    let mut closing = phase.clone();
+    loop {
+        let accepted = tokio::select! {
+            accepted = listener.accept() => accepted,
+            () = wait_closing(&mut closing) => return,
+        };
+        match accepted {
+            Ok((stream, _)) => {
+                let connection = serve_connection(stream, limits(), handler.clone(), phase.clone());
+                tokio::spawn(connection);
+            }
+            Err(cause) => {
+                log::warn!("a connection cannot be accepted: {cause}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
-    });
-    Ok(Serving { phase, address })
+    }
+}
+
+/// Waits until the server closes or its handle is gone.
+async fn wait_closing(phase: &mut watch::Receiver<StopPhase>) {
+    // The only error is that the handle was dropped, which closes the server too.
+    let _ = phase.wait_for(|phase| *phase == StopPhase::Closing).await;
 }
 
 async fn serve_connection<H, F>(
@@ -176,7 +211,7 @@
     H: Fn(Request) -> F + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    // Without the option answers may wait for acknowledgements; all else is in order.
+    // A failure only costs latency: answers may then wait for acknowledgements.
     let _ = stream.set_nodelay(true);
     let follow = phase.clone();
     let service = service_fn(move |request: http::Request<Incoming>| {
@@ -185,8 +220,7 @@
         async move {
             let mut response = answer(request, &limits, handler.as_ref()).await;
             if *follow.borrow() >= StopPhase::Turning {
-                let close = HeaderValue::from_static("close");
-                response.headers_mut().insert(CONNECTION, close);
+                ask_to_reconnect(&mut response);
             }
             Ok::<_, std::convert::Infallible>(response)
         }
@@ -197,26 +231,26 @@
         .max_buf_size(limits.header_bytes.max(MIN_HEADER_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    let closing = async move {
-        // The server is over when the sender is gone.
-        let _ = phase.wait_for(|phase| *phase == StopPhase::Closing).await;
-    };
     let ended = tokio::select! {
-        ended = connection.as_mut() => Some(ended),
-        () = closing => None,
-    };
-    let ended = match ended {
-        Some(ended) => ended,
-        None => {
+        ended = connection.as_mut() => ended,
+        () = wait_closing(&mut phase) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
     if let Err(cause) = ended {
+        // Clients disconnect at any time, so this is not worth a warning.
         log::debug!("a connection ended: {cause}");
     }
 }
 
+/// Tells the client to open a new connection for its next request.
+fn ask_to_reconnect(response: &mut Response) {
+    let close = HeaderValue::from_static("close");
+    response.headers_mut().insert(CONNECTION, close);
+}
+
+/// Reads the body within the limits and runs the handler; a body that breaks a limit is refused without the handler.
 async fn answer<H, F>(
     request: http::Request<Incoming>,
     limits: &HttpLimits,
