--- a/crates/claims/cloverfold_app/src/ops_http.rs
+++ b/crates/claims/cloverfold_app/src/ops_http.rs
@@ -1,13 +1,16 @@
-//! The HTTP server of a process, with health, readiness and metrics.
+//! The HTTP server of a claims process, with the pages `/healthz`, `/readyz` and `/metrics`.
+//!
+//! Owns the process's metrics registry and its readiness checks. Relies on `volo-http` and on the life cycle to know when to stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use cloverfold_telemetry::encode_metrics;
 use http::StatusCode;
-use prometheus_client::encoding::text::encode;
 use prometheus_client::registry::Registry;
 use tokio::net::TcpListener;
 use volo::net::incoming::DefaultIncoming;
+use volo_http::response::Response;
 use volo_http::server::route::{Router, get};
 use volo_http::server::{IntoResponse, Server};
 
@@ -38,7 +41,7 @@
         }
     }
 
-    /// Says why the process should get no new work, if there is a reason.
+    /// Returns why the process should get no new work, if there is a reason.
     pub(crate) fn find_unreadiness(&self) -> Option<String> {
         if self.lifecycle.phase() != Phase::Serving {
             return Some("the process is stopping".into());
@@ -46,10 +49,21 @@
         self.ready_checks.iter().find_map(|check| check().err())
     }
 
-    fn write_metrics(&self) -> Result<String, std::fmt::Error> {
-        let mut text = String::new();
-        encode(&mut text, &self.registry)?;
-        Ok(text)
+    fn answer_readiness(&self) -> (StatusCode, String) {
+        match self.find_unreadiness() {
+            None => (StatusCode::OK, "ready\n".to_owned()),
+            Some(why) => (StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
+        }
+    }
+
+    fn answer_metrics(&self) -> Response {
+        match encode_metrics(&self.registry) {
+            Ok(text) => ([("content-type", OPEN_METRICS)], text).into_response(),
+            Err(cause) => {
+                log::error!("the metrics cannot be encoded: {cause}");
+                StatusCode::INTERNAL_SERVER_ERROR.into_response()
+            }
+        }
     }
 }
 
@@ -63,24 +77,14 @@
             "/readyz",
             get(move || {
                 let ready = ready.clone();
-                async move {
-                    match ready.find_unreadiness() {
-                        None => (StatusCode::OK, "ready\n".to_owned()),
-                        Some(why) => (StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
-                    }
-                }
+                async move { ready.answer_readiness() }
             }),
         )
         .route(
             "/metrics",
             get(move || {
                 let metrics = metrics.clone();
-                async move {
-                    match metrics.write_metrics() {
-                        Ok(text) => ([("content-type", OPEN_METRICS)], text).into_response(),
-                        Err(_) => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
-                    }
-                }
+                async move { metrics.answer_metrics() }
             }),
         )
 }
@@ -115,7 +119,7 @@
         let hook = lifecycle.clone();
         let server = Server::new(routes)
             .http1_only()
-            // The library stops on signals of its own accord; it must go on until the process has drained.
+            // Without a hook of ours `volo` stops at the first SIGTERM; the server must go on until the process has drained.
             .register_shutdown_hook(move || {
                 Box::pin(async move { hook.wait_for(Phase::Stopped).await })
             });
--- a/crates/common/cloverfold_telemetry/src/cause_gauges.rs
+++ b/crates/common/cloverfold_telemetry/src/cause_gauges.rs
@@ -1,4 +1,6 @@
-//! Counts by cause, shown as gauges with a label.
+//! Gauges with one label, the cause, for counts that a process's state keeps.
+//!
+//! Owns the gauges of one name. Relies on the caller to set them before the metrics are read.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::family::Family;
@@ -10,21 +12,21 @@
     cause: &'static str,
 }
 
-/// One gauge for each cause, read off counts that the state keeps.
+/// One gauge for each cause.
 #[derive(Debug)]
 pub struct CauseGauges {
     family: Family<CauseLabel, Gauge>,
 }
 
 impl CauseGauges {
-    /// Registers gauges of this name.
+    /// Registers the gauges under a name, to which the registry adds its prefix.
     pub fn register(registry: &mut Registry, name: &str, help: &str) -> Self {
         let family = Family::<CauseLabel, Gauge>::default();
         registry.register(name, help, family.clone());
         Self { family }
     }
 
-    /// Takes the counts of now.
+    /// Sets the gauge of each cause to its current count.
     pub fn set(&self, counts: &[(&'static str, u64)]) {
         for (cause, count) in counts {
             let label = CauseLabel { cause };
--- a/crates/common/cloverfold_telemetry/src/lib.rs
+++ b/crates/common/cloverfold_telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Log lines in JSON and metrics as text, the same for every process.
+//! Log lines in JSON and metrics as text, for every process.
 //!
 //! Owns the queue of log lines that wait to be written and the count of those that were dropped. Relies on `log4rs` for the format
 //! and on `prometheus-client` for the exposition.
@@ -11,4 +11,4 @@
 pub use bounded_log::count_dropped_lines;
 pub use cause_gauges::CauseGauges;
 pub use logging::{LoggingError, start_logging};
-pub use metrics::write_metrics;
+pub use metrics::{encode_metrics, write_metrics};
--- a/crates/common/cloverfold_telemetry/src/logging.rs
+++ b/crates/common/cloverfold_telemetry/src/logging.rs
@@ -1,4 +1,7 @@
-//! Log lines in JSON.
+//! Start of logging: JSON lines to a file, or to a stream with or without a limit on lines per second.
+//!
+//! Owns nothing after the start: `log4rs` keeps the appender for the life of the process. Relies on `cloverfold_settings` for the `log`
+//! settings.
 
 use cloverfold_settings::{LogLevel, LogSettings, LogStream};
 use log::LevelFilter;
@@ -10,9 +13,10 @@
 
 use crate::bounded_log::BoundedAppender;
 
+/// Name of the one appender within `log4rs`; it shows nowhere.
 const APPENDER: &str = "lines";
-/// Libraries that speak only when something is wrong.
-const LIBRARIES: [&str; 6] = [
+/// Libraries of which only errors are logged, whatever the level in the settings.
+const QUIET_LIBRARIES: [&str; 6] = [
     "quinn",
     "quinn_proto",
     "rustls",
@@ -32,10 +36,10 @@
         /// The system's error.
         cause: std::io::Error,
     },
-    /// The system gave no thread to write lines from.
+    /// The system refused the thread that writes lines.
     #[error("the thread that writes log lines: {0}")]
     Thread(std::io::Error),
-    /// Logging was started before or is set up wrongly.
+    /// Logging runs already, or `log4rs` refused its configuration.
     #[error("logging cannot start: {0}")]
     Start(String),
 }
@@ -44,25 +48,33 @@
 ///
 /// # Errors
 ///
-/// Says which file cannot be written or that logging runs already.
+/// Returns which file cannot be opened, that no thread could be started, or that logging runs already.
 pub fn start_logging(settings: &LogSettings) -> Result<(), LoggingError> {
-    let level = match settings.level {
-        LogLevel::Error => LevelFilter::Error,
-        LogLevel::Warn => LevelFilter::Warn,
-        LogLevel::Info => LevelFilter::Info,
-        LogLevel::Debug => LevelFilter::Debug,
-    };
     let appender = build_appender(settings)?;
     let library = |name: &&str| Logger::builder().build(*name, LevelFilter::Error);
     let config = Config::builder()
         .appender(Appender::builder().build(APPENDER, appender))
-        .loggers(LIBRARIES.iter().map(library))
-        .build(Root::builder().appender(APPENDER).build(level))
+        .loggers(QUIET_LIBRARIES.iter().map(library))
+        .build(
+            Root::builder()
+                .appender(APPENDER)
+                .build(level_filter(settings.level)),
+        )
         .map_err(|e| LoggingError::Start(e.to_string()))?;
     log4rs::init_config(config).map_err(|e| LoggingError::Start(e.to_string()))?;
     Ok(())
 }
 
+fn level_filter(level: LogLevel) -> LevelFilter {
+    match level {
+        LogLevel::Error => LevelFilter::Error,
+        LogLevel::Warn => LevelFilter::Warn,
+        LogLevel::Info => LevelFilter::Info,
+        LogLevel::Debug => LevelFilter::Debug,
+    }
+}
+
+/// Builds the appender that the settings ask for: a file before a stream, a limited stream before an unlimited one.
 fn build_appender(settings: &LogSettings) -> Result<Box<dyn Append>, LoggingError> {
     let encoder = Box::new(JsonEncoder::new());
     if let Some(path) = &settings.file {
