--- a/crates/cloverfold/src/bin/cloverfold-guard.rs
+++ b/crates/cloverfold/src/bin/cloverfold-guard.rs
@@ -1,4 +1,7 @@
-//! `cloverfold-guard`: the one small process beside each target.
+//! `cloverfold-guard`: the process beside each target, of a claims installation or, with `--leased`, of a leased one.
+//!
+//! Owns the process from its settings to its planned stop. Relies on `cloverfold_claims_process` and `cloverfold_leased_guard` for what
+//! the process does.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,58 +14,58 @@
 use cloverfold_leased_process::{SettingsWatch, start_leased_runtime};
 use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_platform::Platform;
-use cloverfold_programs::report_outcome;
+use cloverfold_programs::{RuntimeThreads, report_outcome, start_runtime};
 use cloverfold_telemetry::start_logging;
-use eyre::{Result, WrapErr};
+use eyre::Result;
 
-/// A guard has little to do at a time; each further thread costs wake-ups.
+/// Threads of a claims guard's runtime; each further one costs wake-ups. One instead of two is part of the change that took an idle guard
+/// of eleven from 1.91 % to 0.83 % of a core (`docs/MEASUREMENTS.md`, "What processes spend"); it was not measured by itself.
 const TRAFFIC_THREADS: usize = 1;
 
-/// Guards one target: starts its tasks at most once, and coordinates jobs.
+/// Start the tasks of one target, and coordinate jobs.
 #[derive(FromArgs)]
 struct Args {
     /// settings file, JSON with comments
     #[argh(positional)]
     settings: PathBuf,
-    /// stand beside a target that leases its runs; the settings are those of a leased guard
+    /// run as the guard of a leased installation; the settings are those of a leased guard
     #[argh(switch)]
     leased: bool,
 }
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    report_outcome(start(&args))
+    let outcome = if args.leased {
+        run_leased_guard(&args.settings)
+    } else {
+        run_guard(&args.settings)
+    };
+    report_outcome(outcome)
 }
 
-fn start(args: &Args) -> Result<()> {
-    if args.leased {
-        return run_leased(&args.settings);
-    }
-    let settings = GuardSettings::read(&args.settings)?;
+/// Runs the guard of a claims installation until a signal or an operator stops it.
+fn run_guard(file: &Path) -> Result<()> {
+    let settings = GuardSettings::read(file)?;
     start_logging(&settings.log)?;
-    let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(TRAFFIC_THREADS)
-        .enable_all()
-        .build()
-        .wrap_err("cannot start the runtime")?;
-    runtime.block_on(run(settings))
-}
-
-async fn run(settings: GuardSettings) -> Result<()> {
-    let drain_timeout = settings.drain_timeout();
-    let running = start_guard(settings).await?;
-    running.run_until_signal(drain_timeout).await?;
-    Ok(())
+    start_runtime(RuntimeThreads::Fixed(TRAFFIC_THREADS))?.block_on(async {
+        let drain_timeout = settings.drain_timeout();
+        let running = start_guard(settings).await?;
+        running.run_until_signal(drain_timeout).await?;
+        Ok(())
+    })
 }
 
-fn run_leased(file: &Path) -> Result<()> {
+/// Runs the guard of a leased installation until a signal stops it; reloads changed settings.
+fn run_leased_guard(file: &Path) -> Result<()> {
     let settings = LeasedGuardSettings::read(file)?;
     start_logging(&settings.log)?;
     start_leased_runtime()?.block_on(async {
         let process = start_leased_guard(&settings, Arc::new(Platform::default()))?;
         let watch = SettingsWatch::start(file)?;
-        let take = |settings| process.reload(&settings);
-        watch.run_until_stop(LeasedGuardSettings::read, take).await;
+        let reload = |settings| process.reload(&settings);
+        watch
+            .run_until_stop(LeasedGuardSettings::read, reload)
+            .await;
         process.stop().await;
         Ok(())
     })
--- a/crates/cloverfold/src/bin/cloverfold/check.rs
+++ b/crates/cloverfold/src/bin/cloverfold/check.rs
@@ -1,4 +1,6 @@
 //! `cloverfold check`: checks a settings file and starts nothing.
+//!
+//! Relies on the settings packages for the checks, and on field names to guess what a file is for.
 
 use std::path::{Path, PathBuf};
 
@@ -11,7 +13,7 @@
 /// Check a settings file, and the cell's file that it names.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
-pub(crate) struct Check {
+pub(crate) struct CheckCommand {
     /// settings file, JSON with comments
     #[argh(positional)]
     file: PathBuf,
@@ -44,7 +46,7 @@
     }
 }
 
-impl Check {
+impl CheckCommand {
     pub(crate) fn run(self) -> Result<()> {
         let role = match self.role {
             Some(role) => role,
@@ -56,29 +58,33 @@
             Role::LeasedEntry => drop(LeasedEntrySettings::read(&self.file)?),
             Role::LeasedGuard => drop(LeasedGuardSettings::read(&self.file)?),
             Role::Entry => check_cell(&EntrySettings::read(&self.file)?.cell)?,
-            Role::Guard => {
-                let settings = GuardSettings::read(&self.file)?;
-                let cell: CellSettings = read_settings(&settings.cell)?;
-                if !cell.guards.iter().any(|place| place.id == settings.id) {
-                    bail!(
-                        "{}: id: the cell's file names no guard {}",
-                        self.file.display(),
-                        settings.id
-                    );
-                }
-            }
+            Role::Guard => check_guard(&self.file)?,
         }
         println!("{}: in order", self.file.display());
         Ok(())
     }
 }
 
+/// Checks a guard's settings, and that the cell's file names the guard.
+fn check_guard(file: &Path) -> Result<()> {
+    let settings = GuardSettings::read(file)?;
+    let cell: CellSettings = read_settings(&settings.cell)?;
+    if !cell.guards.iter().any(|place| place.id == settings.id) {
+        bail!(
+            "{}: id: the cell's file names no guard {}",
+            file.display(),
+            settings.id
+        );
+    }
+    Ok(())
+}
+
 fn check_cell(file: &Path) -> Result<()> {
     read_settings::<CellSettings>(file)?;
     Ok(())
 }
 
-/// Each role has a field that no other has.
+/// Guesses what a file is for by a field that only this kind of file has; the order matters, since a guard also has `http_address`.
 fn guess_role(file: &Path) -> Result<Role> {
     let text = std::fs::read_to_string(file)?;
     let has = |field: &str| text.contains(&format!("\"{field}\""));
--- /dev/null
+++ b/crates/cloverfold/src/bin/cloverfold/control.rs
@@ -0,0 +1,37 @@
+//! `cloverfold control`: runs a control process of a leased installation.
+
+use std::path::PathBuf;
+use std::sync::Arc;
+
+use argh::FromArgs;
+use cloverfold_control::start_control;
+use cloverfold_leased_process::{SettingsWatch, start_leased_runtime};
+use cloverfold_leased_settings::ControlSettings;
+use cloverfold_platform::Platform;
+use cloverfold_telemetry::start_logging;
+use eyre::Result;
+
+/// Keep the configuration, with the other control processes.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "control")]
+pub(crate) struct ControlCommand {
+    /// settings file, JSON with comments
+    #[argh(positional)]
+    settings: PathBuf,
+}
+
+impl ControlCommand {
+    /// Runs the process until a signal stops it; reloads changed settings.
+    pub(crate) fn run(self) -> Result<()> {
+        let settings = ControlSettings::read(&self.settings)?;
+        start_logging(&settings.log)?;
+        start_leased_runtime()?.block_on(async {
+            let process = start_control(&settings, Arc::new(Platform::default()))?;
+            let watch = SettingsWatch::start(&self.settings)?;
+            let reload = |settings| process.reload(&settings);
+            watch.run_until_stop(ControlSettings::read, reload).await;
+            process.stop().await;
+            Ok(())
+        })
+    }
+}
--- a/crates/cloverfold/src/bin/cloverfold/keys.rs
+++ b/crates/cloverfold/src/bin/cloverfold/keys.rs
@@ -1,16 +1,15 @@
-//! `cloverfold keys` and `cloverfold hash-key`: keys of processes and of callers.
+//! `cloverfold keys`: makes the keys of the processes of a claims installation.
 
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use cloverfold_claims_settings::hash_caller_key;
 use cloverfold_net::{PeerRole, make_key_set};
 use eyre::{Result, bail};
 
-/// Make certificates and private keys for processes.
+/// Make certificates and private keys for the processes of a claims installation.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "keys")]
-pub(crate) struct Keys {
+pub(crate) struct KeysCommand {
     /// folder to write to; an authority that is there is used again
     #[argh(option, default = "PathBuf::from(\"keys\")")]
     folder: PathBuf,
@@ -19,7 +18,7 @@
     names: Vec<String>,
 }
 
-impl Keys {
+impl KeysCommand {
     pub(crate) fn run(self) -> Result<()> {
         if self.names.is_empty() {
             bail!("name at least one process, as in: cloverfold keys guard-1 entry-1 operator-1");
@@ -37,19 +36,3 @@
         Ok(())
     }
 }
-
-/// Print the hash of a workspace's key, as the cell's file holds it.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "hash-key")]
-pub(crate) struct HashKey {
-    /// the workspace's key
-    #[argh(positional)]
-    key: String,
-}
-
-impl HashKey {
-    pub(crate) fn run(self) -> Result<()> {
-        println!("{}", hash_caller_key(&self.key));
-        Ok(())
-    }
-}
--- /dev/null
+++ b/crates/cloverfold/src/bin/cloverfold/leased_entry.rs
@@ -0,0 +1,39 @@
+//! `cloverfold leased-entry`: runs an entry of a leased installation.
+
+use std::path::PathBuf;
+use std::sync::Arc;
+
+use argh::FromArgs;
+use cloverfold_leased_entry::start_leased_entry;
+use cloverfold_leased_process::{SettingsWatch, start_leased_runtime};
+use cloverfold_leased_settings::LeasedEntrySettings;
+use cloverfold_platform::Platform;
+use cloverfold_telemetry::start_logging;
+use eyre::Result;
+
+/// Serve callers whose jobs may be repeated, on targets that lease their runs.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "leased-entry")]
+pub(crate) struct LeasedEntryCommand {
+    /// settings file, JSON with comments
+    #[argh(positional)]
+    settings: PathBuf,
+}
+
+impl LeasedEntryCommand {
+    /// Runs the process until a signal stops it; reloads changed settings.
+    pub(crate) fn run(self) -> Result<()> {
+        let settings = LeasedEntrySettings::read(&self.settings)?;
+        start_logging(&settings.log)?;
+        start_leased_runtime()?.block_on(async {
+            let process = start_leased_entry(&settings, Arc::new(Platform::default()))?;
+            let watch = SettingsWatch::start(&self.settings)?;
+            let reload = |settings| process.reload(&settings);
+            watch
+                .run_until_stop(LeasedEntrySettings::read, reload)
+                .await;
+            process.stop().await;
+            Ok(())
+        })
+    }
+}
--- a/crates/cloverfold/src/bin/cloverfold/main.rs
+++ b/crates/cloverfold/src/bin/cloverfold/main.rs
@@ -1,16 +1,24 @@
-//! `cloverfold`: entries, the solo system and the operators' commands.
+//! `cloverfold`: entries and control processes, the solo system, and the operators' commands.
+//!
+//! Each command is a module of its own: its arguments and what it runs. Relies on the packages of the processes for what they do.
 
 mod check;
+mod configuration;
+mod control;
 mod entry;
-mod installation;
+mod found;
+mod hash_key;
 mod keys;
-mod leased;
+mod leased_entry;
+mod leave;
 mod operator;
 mod solo;
+mod status;
 
 use std::process::ExitCode;
 
 use argh::FromArgs;
+use cloverfold_programs::report_outcome;
 use eyre::Result;
 
 /// Dispatches sub-second tasks over small sites.
@@ -23,22 +31,22 @@
 #[derive(FromArgs)]
 #[argh(subcommand)]
 enum Command {
-    Check(check::Check),
-    Configuration(installation::ConfigurationCommand),
-    Control(leased::ControlCommand),
-    Entry(entry::Entry),
-    Found(operator::Found),
-    HashKey(keys::HashKey),
-    Keys(keys::Keys),
-    LeasedEntry(leased::LeasedEntry),
-    Leave(operator::LeaveCommand),
-    Solo(solo::Solo),
-    Status(operator::Status),
+    Check(check::CheckCommand),
+    Configuration(configuration::ConfigurationCommand),
+    Control(control::ControlCommand),
+    Entry(entry::EntryCommand),
+    Found(found::FoundCommand),
+    HashKey(hash_key::HashKeyCommand),
+    Keys(keys::KeysCommand),
+    LeasedEntry(leased_entry::LeasedEntryCommand),
+    Leave(leave::LeaveCommand),
+    Solo(solo::SoloCommand),
+    Status(status::StatusCommand),
 }
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    cloverfold_programs::report_outcome(run(args.command))
+    report_outcome(run(args.command))
 }
 
 fn run(command: Command) -> Result<()> {
@@ -56,9 +64,3 @@
         Command::Status(command) => command.run(),
     }
 }
-
-/// Starts the runtime that traffic runs on.
-fn start_runtime() -> Result<tokio::runtime::Runtime> {
-    let mut builder = tokio::runtime::Builder::new_multi_thread();
-    Ok(builder.enable_all().build()?)
-}
--- a/crates/cloverfold/src/bin/cloverfold/solo.rs
+++ b/crates/cloverfold/src/bin/cloverfold/solo.rs
@@ -1,17 +1,20 @@
-//! `cloverfold solo`: every role in one process.
+//! `cloverfold solo`: every role of a claims installation in one process.
+//!
+//! Relies on `cloverfold_solo` for the system and its measurement.
 
 use std::time::Duration;
 
 use argh::FromArgs;
-use cloverfold_settings::LogSettings;
+use cloverfold_programs::{RuntimeThreads, start_runtime};
+use cloverfold_settings::{LogLevel, LogSettings};
 use cloverfold_solo::{SoloConfig, SoloLoad, SoloSystem, measure_load};
 use cloverfold_telemetry::start_logging;
-use eyre::{Result, bail};
+use eyre::{Result, bail, eyre};
 
 /// Run every role in this process, put sample jobs on, and report.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "solo")]
-pub(crate) struct Solo {
+pub(crate) struct SoloCommand {
     /// number of guards, each with a sample target of 8 slots
     #[argh(option, default = "11")]
     guards: usize,
@@ -44,34 +47,36 @@
     serve: bool,
 }
 
-impl Solo {
+impl SoloCommand {
     pub(crate) fn run(self) -> Result<()> {
         if self.guards == 0 || self.tasks == 0 || self.load.is_nan() || self.load <= 0.0 {
             bail!("--guards, --tasks and --load must be above 0");
         }
         start_logging(&LogSettings {
-            level: cloverfold_settings::LogLevel::Error,
+            level: LogLevel::Error,
             ..LogSettings::default()
         })?;
-        crate::start_runtime()?.block_on(async {
-            let config = SoloConfig {
-                guards: self.guards,
-                placement: parse_placement(&self.placement)?,
-                has_lead: !self.no_lead,
-                queueing: if self.fifo { "fifo" } else { "fair" },
-                ..SoloConfig::default()
-            };
-            let system = SoloSystem::start(config).await?;
-            if self.serve {
-                serve(&system).await?;
-            } else {
-                self.measure(&system).await?;
-            }
-            if !system.stop().await {
-                bail!("the system did not stop in time");
-            }
-            Ok(())
-        })
+        let config = SoloConfig {
+            guards: self.guards,
+            placement: parse_placement(&self.placement)?,
+            has_lead: !self.no_lead,
+            queueing: if self.fifo { "fifo" } else { "fair" },
+            ..SoloConfig::default()
+        };
+        start_runtime(RuntimeThreads::PerCore)?.block_on(self.run_system(config))
+    }
+
+    async fn run_system(&self, config: SoloConfig) -> Result<()> {
+        let system = SoloSystem::start(config).await?;
+        if self.serve {
+            serve(&system).await?;
+        } else {
+            self.measure(&system).await?;
+        }
+        if !system.stop().await {
+            bail!("the system did not stop in time");
+        }
+        Ok(())
     }
 
     async fn measure(&self, system: &SoloSystem) -> Result<()> {
@@ -97,18 +102,21 @@
     }
 }
 
+/// Names of the placement policies, as in the cell's settings.
+const PLACEMENTS: [&str; 5] = [
+    "packed",
+    "least_loaded",
+    "two_choices",
+    "round_robin",
+    "random",
+];
+
 fn parse_placement(name: &str) -> Result<&'static str> {
-    let known = [
-        "packed",
-        "least_loaded",
-        "two_choices",
-        "round_robin",
-        "random",
-    ];
-    let found = known.into_iter().find(|one| *one == name);
-    found.ok_or_else(|| eyre::eyre!("--placement must be one of {}", known.join(", ")))
+    let found = PLACEMENTS.into_iter().find(|one| *one == name);
+    found.ok_or_else(|| eyre!("--placement must be one of {}", PLACEMENTS.join(", ")))
 }
 
+/// Prints how to submit a job by hand and waits for Ctrl-C.
 async fn serve(system: &SoloSystem) -> Result<()> {
     let entries = system.entry_addresses();
     let caller = &system.config().workspaces[0].caller;
--- /dev/null
+++ b/crates/cloverfold/src/bin/cloverfold/status.rs
@@ -0,0 +1,61 @@
+//! `cloverfold status`: shows the claim records of each guard of a claims installation.
+
+use std::path::PathBuf;
+
+use argh::FromArgs;
+use cloverfold_claim::StandingCall;
+use cloverfold_claims_core::Standing;
+use cloverfold_net::{Network, PeerAddress};
+use eyre::Result;
+
+use crate::operator::{CALL_TIMEOUT, default_keys, default_name, read_guards, run_as_operator};
+
+/// Show whether each guard's claim records are complete.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "status")]
+pub(crate) struct StatusCommand {
+    /// the cell's settings file
+    #[argh(positional)]
+    cell: PathBuf,
+    /// folder with the operator's keys
+    #[argh(option, default = "default_keys()")]
+    keys: PathBuf,
+    /// name in the operator's certificate
+    #[argh(option, default = "default_name()")]
+    name: String,
+}
+
+impl StatusCommand {
+    pub(crate) fn run(self) -> Result<()> {
+        let guards = read_guards(&self.cell)?;
+        run_as_operator(&self.keys, &self.name, async |network| {
+            print_standings(network, &guards).await;
+            Ok(())
+        })
+    }
+}
+
+/// Prints a row for each guard; one that does not answer shows the cause instead.
+async fn print_standings(network: &Network, guards: &[PeerAddress]) {
+    println!("{:<12} {:<22} {:<18} claims", "guard", "address", "memory");
+    for guard in guards {
+        let report = network.call(guard, &StandingCall, CALL_TIMEOUT).await;
+        let (memory, claims) = match report {
+            Ok(report) => (describe(&report.standing), report.records.to_string()),
+            Err(cause) => (cause.to_string(), "-".into()),
+        };
+        println!(
+            "{:<12} {:<22} {memory:<18} {claims}",
+            guard.name, guard.address
+        );
+    }
+}
+
+fn describe(standing: &Standing) -> String {
+    match standing {
+        Standing::Whole => "whole".into(),
+        Standing::Recovering { whole_sources } => {
+            format!("recovering from {}", whole_sources.len())
+        }
+    }
+}
--- a/crates/cloverfold/src/outcome.rs
+++ b/crates/cloverfold/src/outcome.rs
@@ -1,14 +1,16 @@
-//! How a program of ours ends.
+//! How a program ends.
 
 use std::process::ExitCode;
 
-/// Prints why a program failed, as one line for each cause and without places in the code, and returns its exit code.
+/// Prints the error of a failed program to standard error and returns the exit code.
+///
+/// Each cause in the chain takes one line. No place in the code is printed: the reader is an operator.
 pub fn report_outcome(outcome: eyre::Result<()>) -> ExitCode {
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(cause) => {
-            for line in cause.chain() {
-                eprintln!("{line}");
+        Err(error) => {
+            for cause in error.chain() {
+                eprintln!("{cause}");
             }
             ExitCode::FAILURE
         }
