--- a/crates/claims/cloverfold_claims_core/src/admission.rs
+++ b/crates/claims/cloverfold_claims_core/src/admission.rs
@@ -1,15 +1,19 @@
 //! When a job may take slots.
 //!
-//! A coordinator that knows the load of its cell lets a job wait here, unclaimed, until slots are free for it.
-//! A waiting job has cost no message and can still be refused as not run.
+//! A coordinator that knows the load of its cell queues a job here, unclaimed, until slots are free for it. A queued
+//! job has cost no message and can still be refused as `not_run`. Reasons: docs/design/3-lead-and-placement.md.
+//!
+//! Owns the queue and the number of admitted tasks of each flow. Relies on the caller for the cell's [`Capacity`].
 
 use std::collections::HashMap;
 
 use crate::fair_queue::{FairQueue, Flow};
 use crate::outcome::ReasonCode;
 
-/// A job waits for as many slots as it has tasks, but for no larger share of all slots than this.
-const LARGEST_NEED_SHARE: usize = 8;
+/// A job waits for as many slots as it has tasks, but for no more than all slots divided by this.
+///
+/// Chosen, not measured; see docs/design/3-lead-and-placement.md.
+const LARGEST_NEED_DIVISOR: usize = 8;
 
 /// Number of a waiting job, unique in its process.
 pub type TicketId = u64;
@@ -38,6 +42,7 @@
     pub tasks: usize,
 }
 
+/// The admitted tasks of a flow.
 #[derive(Clone, Copy, Debug, Default)]
 struct ActiveFlow {
     tasks: usize,
@@ -59,11 +64,11 @@
         self.waiting_tasks
     }
 
-    /// Lets a job wait, unless `limit` tasks wait already.
+    /// Queues a job, unless `limit` tasks wait already.
     ///
     /// # Errors
     ///
-    /// Says that the queue is full.
+    /// Returns [`ReasonCode::QueueFull`].
     pub fn push(&mut self, ticket: Ticket, limit: usize) -> Result<(), ReasonCode> {
         if self.waiting_tasks >= limit {
             return Err(ReasonCode::QueueFull);
@@ -76,7 +81,7 @@
         Ok(())
     }
 
-    /// Takes the next job that may have slots now, and counts its tasks as active.
+    /// Removes the next job that may have slots now from the queue, and counts its tasks as active.
     ///
     /// Jobs go in fair order as slots come free, and a larger job is not overtaken by smaller ones. While large
     /// jobs have a backlog at the targets, slots do not come free here; then a flow that has less than its
@@ -89,13 +94,7 @@
         } else if capacity.backlog == 0 {
             None
         } else {
-            let shares = self.compute_shares(capacity.total);
-            let active = &self.active;
-            self.waiting.pop_where(|flow, ticket| {
-                let has = active.get(flow).map_or(0, |one| one.tasks);
-                let share = shares.get(flow).copied().unwrap_or(0.0);
-                (has + limit_need(ticket.tasks, capacity.total)) as f64 <= share
-            })
+            self.pop_below_share(capacity.total)
         }?;
         self.waiting_tasks -= ticket.tasks;
         let active = self.active.entry(ticket.flow.clone()).or_default();
@@ -104,8 +103,20 @@
         Some(ticket)
     }
 
-    /// Notes that tasks of an admitted job no longer take slots.
-    pub fn note_ended(&mut self, flow: &Flow, tasks: usize) {
+    /// Removes the next job whose flow stays within its share of all slots with it.
+    fn pop_below_share(&mut self, total: usize) -> Option<Ticket> {
+        let shares = self.compute_shares(total);
+        let active = &self.active;
+        self.waiting.pop_where(|flow, ticket| {
+            let has = active.get(flow).map_or(0, |one| one.tasks);
+            // Every waiting flow has a share, so the default is never used.
+            let share = shares.get(flow).copied().unwrap_or(0.0);
+            (has + limit_need(ticket.tasks, total)) as f64 <= share
+        })
+    }
+
+    /// Records that tasks of an admitted job no longer take slots.
+    pub fn record_ended(&mut self, flow: &Flow, tasks: usize) {
         if let Some(active) = self.active.get_mut(flow) {
             active.tasks = active.tasks.saturating_sub(tasks);
             if active.tasks == 0 {
@@ -114,7 +125,7 @@
         }
     }
 
-    /// Takes a waiting job out; returns whether it was still waiting.
+    /// Removes a queued job; returns whether it was still waiting.
     pub fn withdraw(&mut self, id: TicketId) -> bool {
         let taken = self.waiting.drain_where(|ticket| ticket.id == id);
         self.waiting_tasks -= taken.iter().map(|ticket| ticket.tasks).sum::<usize>();
@@ -141,6 +152,7 @@
     }
 }
 
+/// Returns how many free slots a job with so many tasks waits for.
 fn limit_need(tasks: usize, total: usize) -> usize {
-    tasks.min((total / LARGEST_NEED_SHARE).max(1))
+    tasks.min((total / LARGEST_NEED_DIVISOR).max(1))
 }
--- a/crates/claims/cloverfold_claims_core/src/cell.rs
+++ b/crates/claims/cloverfold_claims_core/src/cell.rs
@@ -1,4 +1,6 @@
 //! The guards of one cell and the replica group of a key.
+//!
+//! Owns nothing that changes: a cell is what its settings file lists, the same in every process.
 
 use std::hash::Hasher;
 
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Makes one guard the first choice for every key, so that it knows what is in flight in the whole cell.
+    /// Makes one guard the first choice for every key, so that it knows all tasks in flight in the cell.
     pub fn with_lead(mut self, lead: GuardId) -> Self {
         self.lead = Some(lead);
         self
@@ -54,9 +56,9 @@
 
     /// Chooses the guards that hold a key, first choice first.
     ///
-    /// The lead, where the cell has one, is the first choice. The other guards are ranked by rendezvous hashing, so the loss or arrival of one guard moves only that guard's share
-    /// of keys. From the ranking each next member is taken from a data hall not yet used, then from a rack not
-    /// yet used, then from what is left.
+    /// The lead, where the cell has one, is the first choice. The other guards are ranked by rendezvous hashing,
+    /// so the loss or arrival of one guard moves only that guard's share of keys. From the ranking each next
+    /// member is taken from a data hall not yet used, then from a rack not yet used, then from the rest.
     pub fn choose_replica_group(&self, key: &SubmissionKey) -> Vec<GuardId> {
         let ranked = self.rank_guards(key);
         let mut chosen: Vec<&Location> = Vec::with_capacity(self.group_size);
--- a/crates/claims/cloverfold_claims_core/src/choice.rs
+++ b/crates/claims/cloverfold_claims_core/src/choice.rs
@@ -1,4 +1,7 @@
-//! Choice of the guards that run a job's tasks.
+//! Placement: which guards run a job's tasks.
+//!
+//! Owns nothing: candidates and random numbers are arguments. Measurements of the policies:
+//! docs/design/3-lead-and-placement.md.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +10,7 @@
 /// A guard that may take tasks, with what is known of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The guard and its present life.
+    /// The guard and its present incarnation.
     pub placement: Placement,
     /// Tasks that run or wait there, as far as known.
     pub load: u32,
@@ -15,7 +18,7 @@
     pub slots: u32,
 }
 
-/// How tasks are placed; all but the last are kept as baselines.
+/// How tasks are placed; all but [`PlacementPolicy::Packed`] are kept as baselines for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementPolicy {
--- a/crates/claims/cloverfold_claims_core/src/claim.rs
+++ b/crates/claims/cloverfold_claims_core/src/claim.rs
@@ -17,14 +17,14 @@
     pub round: u32,
     /// The guard that proposes.
     pub proposer: GuardId,
-    /// The life of the guard that proposes.
+    /// The incarnation of the guard that proposes.
     pub incarnation: Incarnation,
-    /// Number of the attempt in that life, so that no two attempts share a ballot.
+    /// Number of the attempt in that incarnation, so that no two attempts share a ballot.
     pub attempt: u64,
 }
 
 impl Ballot {
-    /// Tells whether this is the one attempt that needs no prepare phase.
+    /// Returns whether this is the one attempt that needs no prepare phase.
     pub fn is_fast(&self) -> bool {
         self.round == 0
     }
@@ -82,14 +82,14 @@
     Read,
 }
 
-/// What a replica says to a [`ClaimRequest`].
+/// A replica's answer to a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
     /// The promise is given; carries what was accepted before.
     Promised(Option<Accepted>),
     /// The claim is accepted under this ballot.
     Accepted(Ballot),
-    /// A ballot at least this large stands in the way.
+    /// A ballot at least this large was promised before.
     Rejected(Ballot),
     /// What is accepted now.
     Value(Option<Accepted>),
@@ -98,12 +98,13 @@
     /// The key is older than the retention.
     Expired,
 }
-/// A [`ClaimReply`] with who gives it and which lives that replica knows of.
+
+/// A [`ClaimReply`] with who gives it and which incarnations that replica knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReply {
-    /// The replica that replies, in its present life.
+    /// The replica that replies, in its present incarnation.
     pub from: Placement,
-    /// The newest lives that the replica knows of in the group.
+    /// The newest incarnations that the replica knows in the group.
     pub known: Incarnations,
     /// The reply itself.
     pub body: ClaimReply,
--- a/crates/claims/cloverfold_claims_core/src/claim_records.rs
+++ b/crates/claims/cloverfold_claims_core/src/claim_records.rs
@@ -103,7 +103,7 @@
     fn accept(&mut self, submission: &Submission, accepted: Accepted) -> ClaimReply {
         let ballot = accepted.ballot;
         match self.by_key.get_mut(&submission.key) {
-            // The fast ballot skipped the prepare phase, so it is good only where nothing stands.
+            // The fast ballot skipped the prepare phase, so it is valid only where nothing was promised before.
             Some(record) if ballot.is_fast() && record.promised != ballot => {
                 ClaimReply::Rejected(record.promised)
             }
--- a/crates/claims/cloverfold_claims_core/src/fair_queue.rs
+++ b/crates/claims/cloverfold_claims_core/src/fair_queue.rs
@@ -1,4 +1,7 @@
-//! A queue that shares its exits between flows in proportion to their weights.
+//! A queue that serves its flows in proportion to their weights.
+//!
+//! Owns the queued items and the virtual time of each flow. Used at the lead ([`crate::Admission`]) and in front of
+//! each target ([`crate::Fence`]).
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,7 +9,7 @@
 
 use crate::{ServiceId, WorkspaceId};
 
-/// What is kept apart in the queue: the work of one workspace at one service.
+/// The work of one workspace at one service, which shares the queue by weight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Flow {
     /// The service.
@@ -56,7 +59,7 @@
         self.len
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -77,7 +80,7 @@
         self.len += 1;
     }
 
-    /// Takes the next item in fair order.
+    /// Removes the next item in fair order.
     pub fn pop(&mut self) -> Option<T> {
         let flow = self.order_waiting_flows().into_iter().next()?;
         self.pop_from(&flow)
@@ -90,7 +93,7 @@
         Some((flow, &first.item))
     }
 
-    /// Takes the first item in fair order among the flows' first items for which `is_wanted` holds.
+    /// Removes the first item in fair order among the flows' first items for which `is_wanted` holds.
     pub fn pop_where(&mut self, is_wanted: impl Fn(&Flow, &T) -> bool) -> Option<T> {
         let is_wanted_flow = |flow: &Flow| {
             let first = self.flows.get(flow).and_then(|state| state.items.front());
@@ -134,7 +137,7 @@
         Some(first.item)
     }
 
-    /// Takes out every item for which `is_wanted` holds.
+    /// Removes every item for which `is_wanted` holds.
     pub fn drain_where(&mut self, mut is_wanted: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut taken = Vec::new();
         for state in self.flows.values_mut() {
--- a/crates/claims/cloverfold_claims_core/src/fence.rs
+++ b/crates/claims/cloverfold_claims_core/src/fence.rs
@@ -1,9 +1,12 @@
 //! The start fence and the queue in front of one target.
 //!
-//! A guard alone starts tasks at its target, and each `(key, task)` at most once in the guard's life. A task
-//! can be taken from a guard only through this state: [`Fence::release`] either proves that the task has not
-//! started and never will here, or says where it went or that it started. The first release wins, so two
-//! coordinators of one job can never send one task to two places.
+//! A guard alone starts tasks at its target, and each `(key, task)` at most once in one incarnation. A task can be
+//! moved away from a guard only through this state: [`Fence::release`] either proves that the task has not started
+//! and never will here, or returns where it went or that it started. The first release wins, so two coordinators of
+//! one job can never send one task to two places. Reasons: docs/design/2-claims-and-fence.md.
+//!
+//! Owns the state of each task at this guard, and the queue. Relies on the caller to start what
+//! [`Fence::start_next`] returns and to report each end to [`Fence::finish`].
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -56,9 +59,9 @@
         /// One sentence for a person.
         detail: String,
     },
-    /// The task has not started and is not kept here; a release decides where it goes.
+    /// The task has not started and is not kept here; only its release fences it.
     Returned(ReasonCode),
-    /// The task has not started here and was passed on, or cancelled where there is no new place.
+    /// The task has not started here and was passed on, or given up where there is no new place.
     Released(Option<Placement>),
 }
 
@@ -80,9 +83,9 @@
     Queued,
     /// It was known before; this is its state.
     Known(TaskState),
-    /// It cannot be taken, and nothing of it is kept.
-    NotTaken(ReasonCode),
-    /// It was meant for another life of the guard, and nothing was done.
+    /// It is refused, and nothing of it is kept.
+    Refused(ReasonCode),
+    /// It was meant for another incarnation of the guard, and nothing was done.
     WrongIncarnation(Incarnation),
 }
 
@@ -93,7 +96,7 @@
     Released(Option<Placement>),
     /// The task was sent to the target, so it cannot be released.
     Started,
-    /// The release was meant for another life of the guard, and nothing was done.
+    /// The release was meant for another incarnation of the guard, and nothing was done.
     WrongIncarnation(Incarnation),
 }
 
@@ -108,19 +111,21 @@
     pub answer_retention: Duration,
 }
 
+/// One task that the fence remembers.
 #[derive(Clone, Debug)]
 struct Entry {
     state: TaskState,
     keep_until: UnixTime,
 }
 
+/// A result that is kept for a coordinator that asks again.
 #[derive(Clone, Copy, Debug)]
 struct KeptResult {
     id: TaskId,
     until: UnixTime,
 }
 
-/// The tasks of one guard in one life.
+/// The tasks of one incarnation of a guard.
 #[derive(Clone, Debug)]
 pub struct Fence<P> {
     incarnation: Incarnation,
@@ -133,7 +138,7 @@
 }
 
 impl<P> Fence<P> {
-    /// Builds an empty fence for one life of a guard.
+    /// Builds an empty fence for one incarnation of a guard.
     pub fn new(incarnation: Incarnation, limits: FenceLimits) -> Self {
         Self {
             incarnation,
@@ -161,10 +166,10 @@
         self.entries.get(id).map(|entry| &entry.state)
     }
 
-    /// Takes a task in, unless it is known, meant for another life, or cannot be taken.
+    /// Queues a task, unless it is known, meant for another incarnation, or cannot be accepted.
     ///
-    /// What is not taken is not remembered: whoever wants to move the task releases it here first, which
-    /// fences it. A task that would have to wait is passed on to `pass_to` instead, where there is such a place.
+    /// A task that is not accepted is not remembered: a coordinator that wants to move it releases it here first,
+    /// which fences it. A task that would have to wait is passed on to `pass_to`, if that is given.
     pub fn assign(
         &mut self,
         incarnation: Incarnation,
@@ -184,7 +189,7 @@
             return AssignVerdict::Known(state);
         }
         if let Some(reason) = self.find_obstacle(&task, now) {
-            return AssignVerdict::NotTaken(reason);
+            return AssignVerdict::Refused(reason);
         }
         self.remember(task.id, TaskState::Queued, task.keep_until);
         self.queue
@@ -192,11 +197,12 @@
         AssignVerdict::Queued
     }
 
-    /// Tells whether a task that came now would start at once.
+    /// Returns whether a task that came now would start at once.
     pub fn can_start_now(&self) -> bool {
         !self.is_leaving && self.running + self.queue.len() < self.limits.slots
     }
 
+    /// Returns why a task cannot be accepted now, if it cannot.
     fn find_obstacle(&self, task: &QueuedTask<P>, now: UnixTime) -> Option<ReasonCode> {
         if self.is_leaving {
             Some(ReasonCode::Leaving)
@@ -213,7 +219,7 @@
         self.entries.insert(id, Entry { state, keep_until });
     }
 
-    /// Takes the next task to start while a slot is free, and marks it as started.
+    /// Removes the next task from the queue while a slot is free, and marks it as started.
     ///
     /// Tasks whose deadline has passed are forgotten on the way and listed in `returned`.
     pub fn start_next(
@@ -240,7 +246,7 @@
         }
     }
 
-    /// Notes how a running task ended and frees its slot.
+    /// Records how a running task ended and frees its slot.
     ///
     /// A task that the target proved not to have started is forgotten.
     pub fn finish(&mut self, id: &TaskId, end: TaskEnd, now: UnixTime) {
@@ -274,8 +280,9 @@
             return ReleaseVerdict::WrongIncarnation(self.incarnation);
         }
         match self.state_of(&id) {
-            Some(TaskState::Running)
-            | Some(TaskState::Ended(TaskEnd::Done(_) | TaskEnd::Failed { .. })) => {
+            Some(
+                TaskState::Running | TaskState::Ended(TaskEnd::Done(_) | TaskEnd::Failed { .. }),
+            ) => {
                 return ReleaseVerdict::Started;
             }
             Some(TaskState::Ended(TaskEnd::Released(place))) => {
@@ -291,7 +298,7 @@
         ReleaseVerdict::Released(to)
     }
 
-    /// Begins to leave: nothing starts any more, and all that waits is forgotten and listed.
+    /// Starts nothing any more; forgets all queued tasks and returns them.
     pub fn begin_leaving(&mut self) -> Vec<TaskId> {
         self.is_leaving = true;
         let waiting = self.queue.drain_where(|_| true);
@@ -301,7 +308,7 @@
         waiting.into_iter().map(|task| task.id).collect()
     }
 
-    /// Drops results and entries whose time has passed; a dropped result leaves its fence standing.
+    /// Drops results and entries whose time has passed; the task of a dropped result stays fenced.
     pub fn collect_expired(&mut self, now: UnixTime) {
         while let Some(kept) = self.results.pop_front_if(|kept| kept.until <= now) {
             let dropped = TaskEnd::Failed {
--- a/crates/claims/cloverfold_claims_core/src/guard_table.rs
+++ b/crates/claims/cloverfold_claims_core/src/guard_table.rs
@@ -1,4 +1,7 @@
-//! What is known of the guards of a cell: their lives, phases and loads.
+//! What one process knows of the guards of its cell: their incarnations, phases and loads.
+//!
+//! Owns the newest report of each guard and the number of tasks that this process has in flight there. Relies on the
+//! caller for reports and for the time, as a span since the start of the process.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +12,7 @@
 use crate::choice::{Candidate, PlacementPolicy, choose_placements};
 use crate::{GuardId, Incarnation, Placement};
 
-/// Phase of a guard's life as it reports it itself.
+/// Phase of a guard, as it reports it itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardPhase {
     /// It runs but takes no work yet.
@@ -20,12 +23,12 @@
     Leaving,
 }
 
-/// What a guard says of itself; a later report has a larger `(incarnation, sequence)`.
+/// What a guard reports of itself; a later report has a larger `(incarnation, sequence)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GuardReport {
-    /// The guard and its life.
+    /// The guard and its incarnation.
     pub placement: Placement,
-    /// Number of the report in that life.
+    /// Number of the report in that incarnation.
     pub sequence: u64,
     /// Phase of the guard.
     pub phase: GuardPhase,
@@ -37,7 +40,7 @@
     pub queued: u32,
     /// Tasks that can run at once.
     pub slots: u32,
-    /// How long ago the guard made the report, as far as those know who passed it on.
+    /// How long ago the guard made the report, summed over the processes that passed it on.
     pub age: Duration,
 }
 
@@ -48,12 +51,12 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Member {
+struct KnownGuard {
     report: GuardReport,
     /// When the guard made the report, by this process's monotonic clock.
-    heard_at: Duration,
+    reported_at: Duration,
     /// Tasks that the report shows beyond those that this process had there when it came.
-    foreign: u32,
+    load_of_others: u32,
     /// It could not be reached since the report.
     is_suspected: bool,
 }
@@ -64,46 +67,46 @@
 /// all tasks of a cell needs no report to know the load.
 #[derive(Clone, Debug, Default)]
 pub struct GuardTable {
-    members: BTreeMap<GuardId, Member>,
+    guards: BTreeMap<GuardId, KnownGuard>,
     in_flight: BTreeMap<GuardId, u32>,
 }
 
 impl GuardTable {
-    /// Takes in a report; an older one than known changes nothing. Returns whether the guard has restarted.
+    /// Records a report, unless a newer one is known; returns whether the guard has restarted.
     pub fn absorb(&mut self, report: GuardReport, now: Duration) -> bool {
         let guard = report.placement.guard;
-        let held = self.members.get(&guard);
+        let held = self.guards.get(&guard);
         if held.is_some_and(|held| held.report.order() >= report.order()) {
             return false;
         }
-        let is_new_life =
-            |held: &Member| held.report.placement.incarnation != report.placement.incarnation;
-        let has_restarted = held.is_some_and(is_new_life);
+        let is_new_incarnation =
+            |held: &KnownGuard| held.report.placement.incarnation != report.placement.incarnation;
+        let has_restarted = held.is_some_and(is_new_incarnation);
         let load = report.running + report.queued;
-        let member = Member {
+        let known = KnownGuard {
             report,
-            heard_at: now.saturating_sub(report.age),
-            foreign: load.saturating_sub(self.in_flight_at(guard)),
+            reported_at: now.saturating_sub(report.age),
+            load_of_others: load.saturating_sub(self.in_flight_at(guard)),
             is_suspected: false,
         };
-        self.members.insert(guard, member);
+        self.guards.insert(guard, known);
         has_restarted
     }
 
     /// Lists the newest report of each guard with its present age.
     pub fn reports(&self, now: Duration) -> Vec<GuardReport> {
-        let members = self.members.values();
-        members
-            .map(|member| GuardReport {
-                age: now.saturating_sub(member.heard_at),
-                ..member.report
+        let guards = self.guards.values();
+        guards
+            .map(|guard| GuardReport {
+                age: now.saturating_sub(guard.reported_at),
+                ..guard.report
             })
             .collect()
     }
 
     /// Returns the newest report of a guard.
     pub fn report_of(&self, guard: GuardId) -> Option<&GuardReport> {
-        self.members.get(&guard).map(|member| &member.report)
+        self.guards.get(&guard).map(|guard| &guard.report)
     }
 
     /// Returns the number of tasks that this process has at a guard.
@@ -111,12 +114,12 @@
         self.in_flight.get(&guard).copied().unwrap_or(0)
     }
 
-    /// Notes that this process sends a task to a guard.
+    /// Counts a task that this process sends to a guard.
     pub fn charge(&mut self, guard: GuardId) {
         *self.in_flight.entry(guard).or_default() += 1;
     }
 
-    /// Notes that a charged task has ended at its guard.
+    /// Counts a task that was charged to a guard as ended.
     pub fn discharge(&mut self, guard: GuardId) {
         if let Some(count) = self.in_flight.get_mut(&guard) {
             *count = count.saturating_sub(1);
@@ -144,10 +147,10 @@
         places
     }
 
-    /// Takes a guard for unable to work until it reports anew, because it could not be reached.
+    /// Excludes a guard that could not be reached from new work until it reports anew.
     pub fn suspect(&mut self, guard: GuardId) {
-        if let Some(member) = self.members.get_mut(&guard) {
-            member.is_suspected = true;
+        if let Some(guard) = self.guards.get_mut(&guard) {
+            guard.is_suspected = true;
         }
     }
 
@@ -179,15 +182,15 @@
 
     /// Lists the live guards that were heard within the given silence.
     pub fn list_candidates(&self, now: Duration, silence: Duration) -> Vec<Candidate> {
-        let usable = self.members.values().filter(|member| {
-            member.report.phase == GuardPhase::Live
-                && !member.is_suspected
-                && now.saturating_sub(member.heard_at) <= silence
+        let usable = self.guards.values().filter(|guard| {
+            guard.report.phase == GuardPhase::Live
+                && !guard.is_suspected
+                && now.saturating_sub(guard.reported_at) <= silence
         });
-        let describe = |member: &Member| Candidate {
-            placement: member.report.placement,
-            load: self.in_flight_at(member.report.placement.guard) + member.foreign,
-            slots: member.report.slots,
+        let describe = |guard: &KnownGuard| Candidate {
+            placement: guard.report.placement,
+            load: self.in_flight_at(guard.report.placement.guard) + guard.load_of_others,
+            slots: guard.report.slots,
         };
         usable.map(describe).collect()
     }
--- a/crates/claims/cloverfold_claims_core/src/ids.rs
+++ b/crates/claims/cloverfold_claims_core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identities that every capability shares.
+//! Identities that all packages of a claims installation share.
 
 use cloverfold_base::{HASH_LEN, hash_parts};
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,9 @@
 /// Number of one box that runs a guard, unique in its cell.
 pub type GuardId = u16;
 
-/// Number of one life of a guard process; a later life has a larger number.
+/// Number of one incarnation of a guard, from the start of its process to its end; a later one is larger.
+///
+/// Microseconds since the Unix epoch at the start of the process.
 pub type Incarnation = u64;
 
 /// Place of a task within its job, from 0.
@@ -24,12 +26,12 @@
 /// Hash of what a submission asks for, used to refuse the same key with another body.
 pub type BodyDigest = [u8; HASH_LEN];
 
-/// One life of one guard, the place where a task is assigned.
+/// One incarnation of one guard: the place that a task is assigned to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Placement {
     /// The guard.
     pub guard: GuardId,
-    /// The life of the guard that the assignment is for.
+    /// The incarnation of the guard.
     pub incarnation: Incarnation,
 }
 
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -1,133 +1,20 @@
 //! Progress of one job, from its claim to its answer.
 //!
-//! [`JobProgress`] decides; its driver sends what the [`JobAction`]s ask for and feeds back what comes as
-//! [`JobEvent`]s. Several drivers may run one job at a time, on several guards: a task starts where its
-//! fence says, whoever asks.
+//! [`JobProgress`] decides when a task is moved, repeated or released, and what the caller is told; its driver
+//! sends what the [`JobAction`]s ask for and reports [`JobEvent`]s. Several drivers may run one job at a time, on
+//! several guards: a task starts where its fence lets it start, whichever driver asks.
+//!
+//! Owns what one driver knows of each task. Relies on the fences of the guards ([`crate::Fence`]) for the proof
+//! that a task has not started.
 
 use crate::claim::Claim;
 use crate::fence::{ReleaseVerdict, TaskEnd};
+use crate::job_events::{JobAction, JobEvent, JobOptions};
 use crate::outcome::{Outcome, ReasonCode, Repeat};
-use crate::{GuardId, Placement, TaskIndex};
-
-/// How often one task may be moved before the job gives up.
-const MAX_MOVES: usize = 3;
-
-/// What the driver is to send.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobAction {
-    /// Give a task to a place, or ask how it goes if the place has it.
-    Assign {
-        /// The task.
-        task: TaskIndex,
-        /// The place.
-        place: Placement,
-        /// Guards that had the task before; the place may pass it on to others.
-        previous_guards: Vec<GuardId>,
-        /// Whether the place may pass the task on.
-        may_pass_on: bool,
-    },
-    /// Ask a place to give up a task.
-    Release {
-        /// The task.
-        task: TaskIndex,
-        /// The place that has it.
-        place: Placement,
-        /// Where it goes, or nowhere.
-        to: Option<Placement>,
-    },
-    /// Tell the caller; comes exactly once.
-    Answer(Outcome),
-}
-
-/// What the driver heard.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobEvent {
-    /// A place says how a task ended there.
-    Ended {
-        /// The task.
-        task: TaskIndex,
-        /// The place.
-        place: Placement,
-        /// How it ended.
-        end: TaskEnd,
-    },
-    /// A place answered a release.
-    Verdict {
-        /// The task.
-        task: TaskIndex,
-        /// The place.
-        place: Placement,
-        /// Its answer.
-        verdict: ReleaseVerdict,
-    },
-    /// A place is gone or out of reach for good, with what it had of a task.
-    PlaceLost {
-        /// The task.
-        task: TaskIndex,
-        /// The place.
-        place: Placement,
-    },
-}
-
-/// What the driver offers for a decision about one event.
-pub struct JobOptions<'a> {
-    /// Where a task can go next, best first.
-    pub places: Vec<Placement>,
-    /// Takes a retry out of the process's budget.
-    pub take_retry: &'a mut dyn FnMut() -> bool,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-enum TaskStatus {
-    Assigned,
-    Releasing,
-    Done(Vec<u8>),
-    /// Proved not to have started and never to start.
-    NeverStarted,
-    /// It started, or may have, and brought no result.
-    Spoiled,
-}
-
-#[derive(Clone, Debug)]
-struct TaskProgress {
-    place: Placement,
-    status: TaskStatus,
-    /// Places that gave the task up, none of which will ever start it.
-    previous_places: Vec<Placement>,
-}
-
-impl TaskProgress {
-    /// Asks the present place to run the task, or to pass it on if it has not been moved too often.
-    fn assign(&self, task: TaskIndex) -> JobAction {
-        JobAction::Assign {
-            task,
-            place: self.place,
-            previous_guards: self
-                .previous_places
-                .iter()
-                .map(|place| place.guard)
-                .collect(),
-            may_pass_on: self.previous_places.len() < MAX_MOVES,
-        }
-    }
-
-    fn go_to(&mut self, place: Placement, status: TaskStatus) {
-        self.previous_places.push(self.place);
-        self.place = place;
-        self.status = status;
-    }
-
-    /// Chooses a place that has not had the task, as long as it has not been moved too often.
-    fn choose_next(&self, places: &[Placement]) -> Option<Placement> {
-        if self.previous_places.len() >= MAX_MOVES {
-            return None;
-        }
-        let is_new =
-            |place: &&Placement| **place != self.place && !self.previous_places.contains(place);
-        places.iter().find(is_new).copied()
-    }
-}
+use crate::task_progress::{TaskProgress, TaskStatus};
+use crate::{Placement, TaskIndex};
 
+/// Why the job will not complete.
 #[derive(Clone, Debug)]
 struct Failure {
     reason: ReasonCode,
@@ -144,17 +31,11 @@
 }
 
 impl JobProgress {
-    /// Begins to drive a claim; returns the first assignments with it.
+    /// Begins to drive a claim; returns the progress and the first assignments.
     pub fn begin(claim: &Claim, repeat: Repeat) -> (Self, Vec<JobAction>) {
         let places =
             (0..claim.tasks.len() as TaskIndex).filter_map(|task| claim.placement_of(task));
-        let tasks: Vec<TaskProgress> = places
-            .map(|place| TaskProgress {
-                place,
-                status: TaskStatus::Assigned,
-                previous_places: Vec::new(),
-            })
-            .collect();
+        let tasks: Vec<TaskProgress> = places.map(TaskProgress::new).collect();
         let assign = |(task, progress): (usize, &TaskProgress)| progress.assign(task as TaskIndex);
         let actions = tasks.iter().enumerate().map(assign).collect();
         let progress = Self {
@@ -172,48 +53,43 @@
         self.tasks.iter().filter(is_done).count()
     }
 
-    /// Takes in an event and says what to send.
+    /// Handles an event; returns what the driver is to send.
     pub fn absorb(&mut self, event: JobEvent, options: &mut JobOptions<'_>) -> Vec<JobAction> {
         let mut actions = Vec::new();
         if self.is_answered {
             return actions;
         }
+        let (task, place) = event.origin();
+        if self.is_at(task, place) {
+            self.absorb_at(task, event, options, &mut actions);
+        }
+        self.answer_if_decided(&mut actions);
+        actions
+    }
+
+    fn absorb_at(
+        &mut self,
+        task: TaskIndex,
+        event: JobEvent,
+        options: &mut JobOptions<'_>,
+        actions: &mut Vec<JobAction>,
+    ) {
         match event {
-            JobEvent::Ended { task, place, end } => {
-                if self.is_at(task, place) {
-                    self.absorb_end(task, end, options, &mut actions);
-                }
+            JobEvent::Ended { end, .. } => self.absorb_end(task, end, options, actions),
+            JobEvent::Verdict { verdict, .. } => {
+                self.absorb_verdict(task, verdict, options, actions);
             }
-            JobEvent::Verdict {
-                task,
-                place,
-                verdict,
-            } => {
-                if self.is_at(task, place) {
-                    self.absorb_verdict(task, verdict, options, &mut actions);
-                }
-            }
-            JobEvent::PlaceLost { task, place } => {
-                if self.is_at(task, place) {
-                    let detail = lost_detail(place);
-                    self.spoil(task, ReasonCode::GuardLost, &detail, options, &mut actions);
-                }
+            JobEvent::PlaceLost { place, .. } => {
+                let detail = lost_detail(place);
+                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, options, actions);
             }
         }
-        self.answer_if_decided(&mut actions);
-        actions
     }
 
-    /// Ignores what comes from a place that no longer has the task, and what comes after its end.
+    /// Returns whether an open task is at a place; events of other places and of ended tasks are ignored.
     fn is_at(&self, task: TaskIndex, place: Placement) -> bool {
         let progress = self.tasks.get(usize::from(task));
-        progress.is_some_and(|progress| {
-            let is_open = matches!(
-                progress.status,
-                TaskStatus::Assigned | TaskStatus::Releasing
-            );
-            is_open && progress.place == place
-        })
+        progress.is_some_and(|progress| progress.is_open() && progress.place == place)
     }
 
     fn absorb_end(
@@ -226,10 +102,10 @@
         match end {
             TaskEnd::Done(result) => self.task_mut(task).status = TaskStatus::Done(result),
             TaskEnd::Failed { reason, detail } => {
-                self.spoil(task, reason, &detail, options, actions);
+                self.repeat_or_fail(task, reason, &detail, options, actions);
             }
             TaskEnd::Returned(reason) => self.move_or_fail(task, reason, options, actions),
-            TaskEnd::Released(place) => self.follow(task, place, actions),
+            TaskEnd::Released(place) => self.follow_release(task, place, actions),
         }
     }
 
@@ -242,9 +118,9 @@
     ) {
         let place = self.task_mut(task).place;
         match verdict {
-            ReleaseVerdict::Released(to) => self.follow(task, to, actions),
+            ReleaseVerdict::Released(to) => self.follow_release(task, to, actions),
             ReleaseVerdict::Started if self.failure.is_some() => {
-                self.task_mut(task).status = TaskStatus::Spoiled;
+                self.task_mut(task).status = TaskStatus::Lost;
             }
             ReleaseVerdict::Started => {
                 let progress = self.task_mut(task);
@@ -253,34 +129,42 @@
             }
             ReleaseVerdict::WrongIncarnation(_) => {
                 let detail = lost_detail(place);
-                self.spoil(task, ReasonCode::GuardLost, &detail, options, actions);
+                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, options, actions);
             }
         }
     }
 
-    /// Goes where a task was passed on to.
-    fn follow(&mut self, task: TaskIndex, to: Option<Placement>, actions: &mut Vec<JobAction>) {
+    /// Follows a task to the place that it was released to.
+    fn follow_release(
+        &mut self,
+        task: TaskIndex,
+        to: Option<Placement>,
+        actions: &mut Vec<JobAction>,
+    ) {
         let is_failing = self.failure.is_some();
         let progress = self.task_mut(task);
         let Some(place) = to else {
             progress.status = TaskStatus::NeverStarted;
-            self.fail(ReasonCode::SiblingFailed, "the job was given up", actions);
+            self.fail_job(ReasonCode::SiblingFailed, "the job was given up", actions);
             return;
         };
-        if progress.previous_places.contains(&place) || progress.place == place {
+        if progress.has_visited(place) {
             // Each place on the way has passed the task on to the next, so none will ever start it.
             progress.status = TaskStatus::NeverStarted;
-            self.fail(ReasonCode::Unavailable, "no place kept a task", actions);
+            self.fail_job(ReasonCode::Unavailable, "no place kept a task", actions);
         } else if is_failing {
-            progress.go_to(place, TaskStatus::Releasing);
+            progress.move_to(place, TaskStatus::Releasing);
             let to = None;
             actions.push(JobAction::Release { task, place, to });
         } else {
-            progress.go_to(place, TaskStatus::Assigned);
+            progress.move_to(place, TaskStatus::Assigned);
             actions.push(progress.assign(task));
         }
     }
 
+    /// Moves a task that its place returned unstarted to the next place; without one the job fails.
+    ///
+    /// The place is asked to release the task first, which fences it there.
     fn move_or_fail(
         &mut self,
         task: TaskIndex,
@@ -295,13 +179,14 @@
         let to = progress.choose_next(&options.places).filter(|_| can_move);
         if to.is_none() || self.failure.is_some() {
             self.task_mut(task).status = TaskStatus::Assigned;
-            self.fail(reason, "a task could not be placed", actions);
+            self.fail_job(reason, "a task could not be placed", actions);
             return;
         }
         actions.push(JobAction::Release { task, place, to });
     }
 
-    fn spoil(
+    /// Repeats a task whose start was lost, where that is allowed; else the job fails.
+    fn repeat_or_fail(
         &mut self,
         task: TaskIndex,
         reason: ReasonCode,
@@ -314,12 +199,12 @@
             && (options.take_retry)()
         {
             let progress = self.task_mut(task);
-            progress.go_to(place, TaskStatus::Assigned);
+            progress.move_to(place, TaskStatus::Assigned);
             actions.push(progress.assign(task));
             return;
         }
-        self.task_mut(task).status = TaskStatus::Spoiled;
-        self.fail(reason, detail, actions);
+        self.task_mut(task).status = TaskStatus::Lost;
+        self.fail_job(reason, detail, actions);
     }
 
     /// A task is repeated only where its workspace allows it and its place, not the task itself, failed.
@@ -328,8 +213,8 @@
         self.repeat == Repeat::Allowed && is_place_at_fault && self.failure.is_none()
     }
 
-    /// Notes the first failure and takes back every task that is still open.
-    fn fail(&mut self, reason: ReasonCode, detail: &str, actions: &mut Vec<JobAction>) {
+    /// Records the first failure and asks for the release of every task that is still assigned.
+    fn fail_job(&mut self, reason: ReasonCode, detail: &str, actions: &mut Vec<JobAction>) {
         if self.failure.is_none() {
             let detail = detail.to_owned();
             self.failure = Some(Failure { reason, detail });
@@ -353,12 +238,16 @@
         }
     }
 
+    /// Decides the answer, once what is known allows one.
+    ///
+    /// A failed job is answered as soon as one task may have run; that nothing ran is only answered when every
+    /// task is proved not to have started.
     fn decide(&mut self) -> Option<Outcome> {
         let Some(failure) = &self.failure else {
             return self.take_results();
         };
         let may_have_run =
-            |task: &TaskProgress| matches!(task.status, TaskStatus::Done(_) | TaskStatus::Spoiled);
+            |task: &TaskProgress| matches!(task.status, TaskStatus::Done(_) | TaskStatus::Lost);
         if self.tasks.iter().any(may_have_run) {
             return Some(Outcome::failed(failure.reason, failure.detail.clone()));
         }
--- a/crates/claims/cloverfold_claims_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -1,7 +1,12 @@
-//! Pure decisions of cloverfold: no I/O and no clock of its own.
+//! All decisions of a claims installation: no I/O and no clock of its own.
 //!
-//! Everything here is a plain value with functions over explicit state, so that each decision can be
-//! tested without a network. Times and random numbers are arguments.
+//! - Agreement on one [`Claim`] a submission: [`Proposer`], [`ClaimReplica`].
+//! - Admission and placement at the lead: [`Admission`], [`GuardTable`], [`choose_placements`].
+//! - Starting a task at most once: [`Fence`].
+//! - Moving, repeating and answering: [`JobProgress`], [`RetryBudget`].
+//!
+//! Everything is a plain value with functions over explicit state, so that each decision can be tested without a
+//! network. Times and random numbers are arguments. The other packages of the installation carry the decisions out.
 //!
 //! ```
 //! use cloverfold_claims_core::{Cell, Location, derive_submission_key};
@@ -23,12 +28,13 @@
 mod ids;
 mod incarnations;
 mod job;
-
+mod job_events;
 mod outcome;
 mod proposer;
 mod replica;
 mod retry_budget;
 mod standing;
+mod task_progress;
 
 pub use admission::{Admission, Capacity, Ticket, TicketId};
 pub use cell::{Cell, Location, quorum_of};
@@ -45,8 +51,8 @@
     derive_submission_key, format_key,
 };
 pub use incarnations::Incarnations;
-pub use job::{JobAction, JobEvent, JobOptions, JobProgress};
-
+pub use job::JobProgress;
+pub use job_events::{JobAction, JobEvent, JobOptions};
 pub use outcome::{Outcome, ReasonCode, Repeat};
 pub use proposer::{Proposer, ProposerStep};
 pub use replica::ClaimReplica;
--- a/crates/claims/cloverfold_claims_core/src/outcome.rs
+++ b/crates/claims/cloverfold_claims_core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told about a job.
+//! What a caller is told about a job: outcomes and the codes of their causes.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     KeyExpired,
     /// Too few replicas of the key can vote to say what became of it.
     NoQuorum,
-    /// No process that could run the job was reached.
+    /// No process that can run the job was reached.
     Unavailable,
     /// Every queue that could take the task is full.
     QueueFull,
@@ -86,10 +86,10 @@
         reason: ReasonCode,
         /// One sentence for a person.
         detail: String,
-        /// When to come again, where that can help.
+        /// When to retry, where that can help.
         retry_after: Option<Duration>,
     },
-    /// Nobody can prove whether a task started.
+    /// It cannot be proved whether a task started.
     Unknown {
         /// Why nothing can be proved.
         reason: ReasonCode,
--- a/crates/claims/cloverfold_claims_core/src/proposer.rs
+++ b/crates/claims/cloverfold_claims_core/src/proposer.rs
@@ -1,4 +1,7 @@
-//! One guard's attempt to have a claim agreed on.
+//! One guard's attempt to have a claim agreed on: the proposer of single-decree Paxos.
+//!
+//! Owns the state of the attempt. Relies on the caller to send its requests to the group and to pass on the replies,
+//! and on [`crate::ClaimReplica`] for the rules of voting.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +17,7 @@
     Send(ClaimRequest),
     /// The group has agreed on this claim, which may be another proposer's.
     Chosen(Claim),
-    /// A larger ballot stands in the way; begin again with [`Proposer::prepared`] at this round.
+    /// A larger ballot was promised; begin again with [`Proposer::prepared`] at this round.
     Outbid {
         /// Round that is larger than any seen.
         round: u32,
@@ -43,14 +46,14 @@
     /// Begins the attempt of the group's first choice, which needs one round trip.
     ///
     /// Only [`crate::ClaimReplica::propose_fast`] may begin one, after the proposer's own vote.
-    /// `attempt` differs for every proposer of one life.
+    /// `attempt` differs for every proposer of one incarnation.
     pub(crate) fn fast(group: Vec<GuardId>, own: Placement, attempt: u64, claim: Claim) -> Self {
         let ballot = make_ballot(own, 0, attempt);
         Self::begin(group, ballot, claim, Phase::Accepting)
     }
 
     /// Begins an attempt with a prepare phase; `round` is at least 1, `attempt` differs for every proposer of
-    /// one life.
+    /// one incarnation.
     pub fn prepared(
         group: Vec<GuardId>,
         own: Placement,
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Takes in one reply and says what to do next.
+    /// Handles one reply; returns what to do next.
     pub fn absorb(&mut self, reply: ReplicaReply) -> ProposerStep {
         if !self.group.contains(&reply.from.guard) {
             return ProposerStep::Wait;
@@ -137,11 +140,12 @@
     }
 }
 
-/// Keeps the replies of lives that no other reply knows to have ended.
+/// Lists the replies of incarnations that no other reply knows to have ended.
 fn list_current_replies(replies: &BTreeMap<GuardId, ReplicaReply>) -> Vec<&ReplicaReply> {
     let is_current = |reply: &&ReplicaReply| {
         let from = reply.from;
         let newest = replies.values().map(|other| other.known.newest(from.guard));
+        // The reply itself is among them, so the default is never used.
         newest.max().unwrap_or(0) <= from.incarnation
     };
     replies.values().filter(is_current).collect()
--- a/crates/claims/cloverfold_claims_core/src/replica.rs
+++ b/crates/claims/cloverfold_claims_core/src/replica.rs
@@ -62,17 +62,17 @@
         }
     }
 
-    /// Returns the guard and its present life.
+    /// Returns the guard and its present incarnation.
     pub fn own(&self) -> Placement {
         self.own
     }
 
-    /// Returns the newest lives known.
+    /// Returns the newest incarnations known.
     pub fn known(&self) -> &Incarnations {
         &self.known
     }
 
-    /// Returns how whole the replica's memory is.
+    /// Returns whether the replica's memory is whole, and what covers it if not.
     pub fn standing(&self) -> &Standing {
         &self.standing
     }
@@ -82,12 +82,13 @@
         self.records.len()
     }
 
-    /// Tells whether a record of the key is held.
+    /// Returns whether a record of the key is held.
     pub fn holds(&self, key: &SubmissionKey) -> bool {
         self.records.contains(key)
     }
 
-    /// Declares a first life whole, because the operator founds the cell with exactly these lives.
+    /// Becomes whole without a copy if this is its first incarnation: the operator founds the cell with exactly
+    /// these.
     ///
     /// Returns whether the replica is whole afterwards.
     pub fn found(&mut self, first: &[Placement]) -> bool {
@@ -97,7 +98,7 @@
         self.standing == Standing::Whole
     }
 
-    /// Becomes whole once every vote that an earlier life can have given has passed its retention.
+    /// Becomes whole once every vote that an earlier incarnation can have given has passed its retention.
     pub fn become_whole_by_age(&mut self, now: UnixTime) {
         let forgotten_until = self.started_at + self.keeping.span();
         if now >= forgotten_until {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Tells whether the replica may vote on keys of a group that it belongs to.
+    /// Returns whether the replica may vote on keys of a group that it belongs to.
     pub fn can_vote(&self, group: &[GuardId]) -> bool {
         if self.standing == Standing::Whole {
             return true;
@@ -139,8 +140,8 @@
 
     /// Begins the fast attempt, if this replica is the first choice for the key and holds nothing of it.
     ///
-    /// The replica votes for its own claim before anybody else hears of it. So there is one fast attempt for
-    /// a key in a life, and in a later life the copied records show whether it can have succeeded.
+    /// The replica votes for its own claim before it sends anything. So there is one fast attempt for a key
+    /// in an incarnation, and a later incarnation sees in the copied records whether it can have succeeded.
     pub fn propose_fast(
         &mut self,
         submission: &Submission,
--- a/crates/claims/cloverfold_claims_core/src/retry_budget.rs
+++ b/crates/claims/cloverfold_claims_core/src/retry_budget.rs
@@ -1,4 +1,6 @@
 //! A bound on retries as a share of what succeeds.
+//!
+//! Owns the tokens of one process.
 
 /// Tokens that retries spend and successes earn, so that retries cannot multiply a failure.
 #[derive(Clone, Debug, PartialEq)]
@@ -18,8 +20,8 @@
         }
     }
 
-    /// Earns the share of one success.
-    pub fn note_success(&mut self) {
+    /// Adds the tokens that one success earns.
+    pub fn record_success(&mut self) {
         self.tokens = (self.tokens + self.earned_per_success).min(self.capacity);
     }
 
--- a/crates/claims/cloverfold_claims_core/src/standing.rs
+++ b/crates/claims/cloverfold_claims_core/src/standing.rs
@@ -28,7 +28,7 @@
     /// The incarnation of the asking guard that the source knows; if it is larger than the one that asked, the
     /// page must not be used.
     pub known_incarnation: Incarnation,
-    /// How whole the source itself is.
+    /// The standing of the source itself.
     pub standing: Standing,
     /// Records whose group contains the asking guard, in the order of their keys.
     pub records: Vec<(SubmissionKey, ReplicaRecord)>,
--- a/crates/claims/cloverfold_claims_core/tests/jobs.rs
+++ b/crates/claims/cloverfold_claims_core/tests/jobs.rs
@@ -226,7 +226,7 @@
             AssignVerdict::Known(TaskState::Ended(end)) => {
                 self.send_event(driver, JobEvent::Ended { task, place, end });
             }
-            AssignVerdict::NotTaken(reason) => {
+            AssignVerdict::Refused(reason) => {
                 let end = TaskEnd::Returned(reason);
                 self.send_event(driver, JobEvent::Ended { task, place, end });
             }
--- a/crates/claims/cloverfold_claims_core/tests/queueing.rs
+++ b/crates/claims/cloverfold_claims_core/tests/queueing.rs
@@ -79,7 +79,7 @@
             let workspace = (0..sizes.len()).find(|one| flow(*one) == ticket.flow);
             let workspace = workspace.expect("the flow is one of ours");
             tasks[workspace] += ticket.tasks as f64;
-            admission.note_ended(&ticket.flow, ticket.tasks);
+            admission.record_ended(&ticket.flow, ticket.tasks);
             push(&mut admission, workspace);
         }
 
@@ -196,7 +196,7 @@
         let mut retries = 0;
         for turn in 0..successes.max(wanted) {
             if turn < successes {
-                budget.note_success();
+                budget.record_success();
             }
             if turn < wanted && budget.take_retry() {
                 retries += 1;
--- a/crates/claims/cloverfold_coordinate/src/admitter.rs
+++ b/crates/claims/cloverfold_coordinate/src/admitter.rs
@@ -49,7 +49,7 @@
         self.tasks = self.tasks.saturating_sub(tasks);
         let flow = self.flow.clone();
         self.room
-            .post(move |room| room.admission.note_ended(&flow, tasks));
+            .post(move |room| room.admission.record_ended(&flow, tasks));
     }
 }
 
--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -91,11 +91,11 @@
         is_allowed
     }
 
-    pub(crate) fn note_success(&self) {
+    pub(crate) fn record_success(&self) {
         let budget = self.inner.retry_budget.lock();
         budget
             .unwrap_or_else(PoisonError::into_inner)
-            .note_success();
+            .record_success();
     }
 
     /// Answers a submission: joins its job or drives it.
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -244,7 +244,7 @@
 /// Lists where a task can go that did not stay at its place.
 async fn list_next_places(coordinator: &Coordinator, event: &JobEvent) -> Vec<Placement> {
     if is_done(event) {
-        coordinator.note_success();
+        coordinator.record_success();
         return Vec::new();
     }
     let mut candidates = coordinator.membership().list_candidates().await;
--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -97,7 +97,7 @@
                     // The channel has room for every task, and its other end is ours.
                     let _ = tx.try_send(TaskReport { index, end });
                 }
-                AssignVerdict::NotTaken(reason) => {
+                AssignVerdict::Refused(reason) => {
                     let end = TaskEnd::Returned(reason);
                     let index = task.index;
                     let _ = tx.try_send(TaskReport { index, end });
