--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -1,4 +1,7 @@
-//! The fence together with who waits for its tasks.
+//! The fence together with the coordinators that wait for its tasks.
+//!
+//! [`Execution`] owns the fence and is used only on the control thread, so that each decision sees the state that the
+//! one before left. It starts nothing itself: it returns the tasks that [`crate::task_runner::TaskRunner`] is to start.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,13 +10,13 @@
 use bytes::Bytes;
 use cloverfold_base::{UnixTime, draw_below};
 use cloverfold_claims_core::{
-    AssignVerdict, Candidate, Fence, FenceLimits, Flow, Incarnation, QueuedTask, ReasonCode,
-    ReleaseVerdict, TaskEnd, TaskId, TaskState, choose_free_place,
+    AssignVerdict, Candidate, Fence, FenceLimits, Flow, Incarnation, Placement, QueuedTask,
+    ReasonCode, ReleaseVerdict, TaskEnd, TaskId, TaskState, choose_free_place,
 };
 use cloverfold_membership::OwnState;
 use tokio::sync::mpsc;
 
-use crate::messages::{Assign, Release, TaskReport};
+use crate::messages::{Assign, AssignedTask, Release, TaskReport};
 
 /// A leaving guard answers coordinators until none has asked for this long.
 ///
@@ -22,7 +25,7 @@
 /// placed before it heard of the stop, and for the release after it. Chosen, not measured.
 const DRAIN_QUIET: Duration = Duration::from_secs(1);
 
-/// Control state of the target: decisions go through here on the control thread.
+/// The tasks of this guard and who is told of their ends.
 pub(crate) struct Execution {
     fence: Fence<Bytes>,
     /// Coordinators that wait for a task; each channel has room for all tasks that it was made for.
@@ -34,10 +37,10 @@
 
 /// What the guard is to do after an assignment.
 pub(crate) enum Assigned {
-    /// The assignment was for another life.
+    /// The assignment was for another incarnation.
     WrongIncarnation(Incarnation),
     /// Ends come through the channel; these tasks start now.
-    Taken {
+    Accepted {
         reports: mpsc::Receiver<TaskReport>,
         starts: Vec<QueuedTask<Bytes>>,
     },
@@ -58,7 +61,7 @@
         self.fence.running() == 0 && self.last_request_at.elapsed() >= DRAIN_QUIET
     }
 
-    /// Takes an assignment in and starts what has a slot.
+    /// Queues the tasks of an assignment and starts those that have a slot.
     ///
     /// `others` are guards that tasks without a free slot here may be passed on to.
     pub(crate) fn assign(
@@ -71,11 +74,13 @@
     ) -> Assigned {
         self.last_request_at = Instant::now();
         let (tx, reports) = mpsc::channel(assign.tasks.len().max(1));
-        for task in assign.tasks {
+        let Assign { key, tasks, .. } = assign;
+        for task in tasks {
             let id = TaskId {
-                key: assign.key,
+                key,
                 index: task.index,
             };
+            let pass_to = self.choose_next_place(&task, &mut others);
             let queued = QueuedTask {
                 id,
                 flow: flow.clone(),
@@ -84,34 +89,33 @@
                 keep_until: assign.keep_until,
                 payload: Bytes::from(task.payload),
             };
-            let pass_to = if task.may_pass_on && !self.fence.can_start_now() {
-                choose_free_place(&mut others, &task.previous_guards, draw_below)
-            } else {
-                None
-            };
             let incarnation = assign.place.incarnation;
             match self.fence.assign(incarnation, queued, pass_to, now) {
                 AssignVerdict::WrongIncarnation(own) => return Assigned::WrongIncarnation(own),
-                AssignVerdict::Known(TaskState::Ended(end)) => {
-                    let index = task.index;
-                    // The channel has room for every task, and its other end is ours.
-                    let _ = tx.try_send(TaskReport { index, end });
-                }
-                AssignVerdict::Refused(reason) => {
-                    let end = TaskEnd::Returned(reason);
-                    let index = task.index;
-                    let _ = tx.try_send(TaskReport { index, end });
-                }
+                AssignVerdict::Known(TaskState::Ended(end)) => report(&tx, id, end),
+                AssignVerdict::Refused(reason) => report(&tx, id, TaskEnd::Returned(reason)),
                 AssignVerdict::Queued | AssignVerdict::Known(_) => {
                     self.watchers.entry(id).or_default().push(tx.clone());
                 }
             }
         }
         let starts = self.start_waiting(now);
-        Assigned::Taken { reports, starts }
+        Assigned::Accepted { reports, starts }
     }
 
-    /// Notes how a task ended and returns what starts in its place.
+    /// Chooses the guard that a task goes to if it would have to wait here and may be passed on.
+    fn choose_next_place(
+        &self,
+        task: &AssignedTask,
+        others: &mut [Candidate],
+    ) -> Option<Placement> {
+        if !task.may_pass_on || self.fence.can_start_now() {
+            return None;
+        }
+        choose_free_place(others, &task.previous_guards, draw_below)
+    }
+
+    /// Records how a task ended and returns what starts in its place.
     pub(crate) fn finish(
         &mut self,
         id: &TaskId,
@@ -123,7 +127,7 @@
         self.start_waiting(now)
     }
 
-    /// Gives up a task that has not started.
+    /// Releases a task that has not started.
     pub(crate) fn release(&mut self, release: &Release) -> ReleaseVerdict {
         self.last_request_at = Instant::now();
         let id = TaskId {
@@ -139,20 +143,20 @@
         if let ReleaseVerdict::Released(to) = verdict {
             self.notify(&id, &TaskEnd::Released(to));
         }
-        self.note_load();
+        self.publish_load();
         verdict
     }
 
-    /// Returns all that waits, because the guard leaves.
+    /// Returns all queued tasks to their coordinators, because the guard leaves.
     pub(crate) fn begin_leaving(&mut self) {
         self.last_request_at = Instant::now();
         for id in self.fence.begin_leaving() {
             self.notify(&id, &TaskEnd::Returned(ReasonCode::Leaving));
         }
-        self.note_load();
+        self.publish_load();
     }
 
-    /// Drops what is past its time.
+    /// Drops results and entries that are past their time, and watchers that have gone.
     pub(crate) fn collect_expired(&mut self, now: UnixTime) {
         self.fence.collect_expired(now);
         self.watchers.retain(|_, watchers| {
@@ -170,23 +174,30 @@
         for id in returned {
             self.notify(&id, &TaskEnd::Returned(ReasonCode::DeadlinePassed));
         }
-        self.note_load();
+        self.publish_load();
         starts
     }
 
-    /// Tells those who wait for a task that it ended here.
+    /// Tells the coordinators that wait for a task that it ended here.
     fn notify(&mut self, id: &TaskId, end: &TaskEnd) {
+        // A task that nobody watches has no entry.
         for tx in self.watchers.remove(id).unwrap_or_default() {
-            let report = TaskReport {
-                index: id.index,
-                end: end.clone(),
-            };
-            // A coordinator that has gone needs no report; there is room for those that have not.
-            let _ = tx.try_send(report);
+            report(&tx, *id, end.clone());
         }
     }
 
-    fn note_load(&self) {
+    /// Shows the load to the reports that this guard sends.
+    fn publish_load(&self) {
         self.load.set(self.fence.running(), self.fence.queued());
     }
 }
+
+/// Reports the end of a task to a coordinator.
+fn report(tx: &mpsc::Sender<TaskReport>, id: TaskId, end: TaskEnd) {
+    let report = TaskReport {
+        index: id.index,
+        end,
+    };
+    // The channel has room for each task of its assignment, and a coordinator that has gone needs no report.
+    let _ = tx.try_send(report);
+}
--- a/crates/claims/cloverfold_execute/src/messages.rs
+++ b/crates/claims/cloverfold_execute/src/messages.rs
@@ -1,4 +1,6 @@
 //! Messages from a coordinator to the guard of a target.
+//!
+//! Encoded with postcard, by the order of fields and variants.
 
 use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
@@ -11,7 +13,7 @@
 /// One task of an assignment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AssignedTask {
-    /// Place of the task in the job.
+    /// Index of the task in the job.
     pub index: TaskIndex,
     /// What the target is given.
     pub payload: Vec<u8>,
@@ -21,10 +23,10 @@
     pub may_pass_on: bool,
 }
 
-/// Gives tasks of one job to a guard, or asks again how they go.
+/// Assigns tasks of one job to a guard, or asks again for their ends.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Assign {
-    /// The guard and the life that is meant.
+    /// The guard and its incarnation that is meant.
     pub place: Placement,
     /// Key of the submission.
     pub key: SubmissionKey,
@@ -38,7 +40,7 @@
     pub keep_until: UnixTime,
     /// The tasks.
     pub tasks: Vec<AssignedTask>,
-    /// The coordinator's state, which rides along.
+    /// The coordinator's newest report, sent along to save a message.
     pub guard_report: Option<GuardReport>,
 }
 
@@ -52,7 +54,7 @@
 /// How one task ended at the guard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
-    /// Place of the task in the job.
+    /// Index of the task in the job.
     pub index: TaskIndex,
     /// How it ended here.
     pub end: TaskEnd,
@@ -65,23 +67,23 @@
     Ended {
         /// The tasks.
         reports: Vec<TaskReport>,
-        /// The guard's state.
+        /// The guard's newest report.
         guard_report: Option<GuardReport>,
     },
-    /// The assignment was meant for another life of the guard; nothing was done.
+    /// The assignment was meant for another incarnation of the guard; nothing was done.
     WrongIncarnation(Incarnation),
 }
 
-/// Takes back a task that has not started.
+/// Asks a guard to release a task that has not started.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Release {
-    /// The guard and the life that is meant.
+    /// The guard and its incarnation that is meant.
     pub place: Placement,
     /// Key of the submission.
     pub key: SubmissionKey,
-    /// Place of the task in the job.
+    /// Index of the task in the job.
     pub index: TaskIndex,
-    /// Where the task goes, or nowhere.
+    /// Where the task goes; `None` gives it up.
     pub to: Option<Placement>,
     /// Until when the fence must remember the task.
     pub keep_until: UnixTime,
@@ -93,11 +95,11 @@
     type Reply = ReleaseReply;
 }
 
-/// What became of a [`Release`].
+/// The answer to a [`Release`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReleaseReply {
     /// The verdict.
     pub verdict: ReleaseVerdict,
-    /// The guard's state.
+    /// The guard's newest report.
     pub guard_report: Option<GuardReport>,
 }
--- a/crates/claims/cloverfold_execute/src/target_client.rs
+++ b/crates/claims/cloverfold_execute/src/target_client.rs
@@ -1,4 +1,6 @@
 //! The guard's side of the HTTP protocol with its target; see `docs/TARGETS.md`.
+//!
+//! Owns the pooled connections to the target and bounds how many requests use them at once.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,14 +16,17 @@
 use volo_http::body::Body;
 use volo_http::client::{Client, ClientBuilder};
 
-/// Largest result of a task, in bytes.
+/// Largest result of a task, in bytes. Chosen, not measured.
 const MAX_RESULT_LEN: usize = 1024 * 1024;
-/// A pooled connection is dropped before a usual server would close it under a request.
+/// An idle connection is dropped after this, before a usual server closes it under a request. Chosen, not measured.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest wait for a connection. Chosen, not measured.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait for the answer to a cancellation. Chosen, not measured.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest wait for a usage report. Chosen, not measured.
 const USAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest usage report, in bytes.
+/// Largest usage report, in bytes. Chosen, not measured.
 const MAX_USAGE_LEN: usize = 64 * 1024;
 
 /// Header with which a target proves that it did not start a task.
@@ -32,7 +37,7 @@
 pub enum TargetAnswer {
     /// The task ended well with this result.
     Done(Vec<u8>),
-    /// The target says that it did not start the task.
+    /// The target answered that it did not start the task.
     NotStarted,
     /// The task failed; carries the status and the beginning of the body.
     Failed(String),
@@ -55,10 +60,10 @@
     Result(String),
 }
 
-/// What a target says it has used.
+/// What a target reports as used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct TargetUsage {
-    /// Tasks that it has started in its life.
+    /// Tasks that it has started since its own start.
     pub starts: u64,
 }
 
@@ -77,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// Says why the library cannot build it.
+    /// Returns [`TargetError::Build`] with the cause of the library.
     pub fn new(settings: &TargetSettings) -> Result<Self, TargetError> {
         let mut builder = ClientBuilder::new();
         builder
@@ -102,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// Says why there is no answer; whether the task ran is then unknown.
+    /// Returns why there is no answer; whether the task ran is then unknown.
     pub async fn start(&self, id: &TaskId, payload: Bytes) -> Result<TargetAnswer, TargetError> {
         let exchange = self.exchange(Method::POST, id, payload);
         let answer = tokio::time::timeout(self.timeout, exchange).await;
@@ -115,11 +120,11 @@
             return;
         }
         let exchange = self.exchange(Method::DELETE, id, Bytes::new());
-        // A cancellation only saves work; a lost one changes no promise.
+        // A cancellation only saves work, so a failed one needs no handling.
         let _ = tokio::time::timeout(CANCEL_TIMEOUT, exchange).await;
     }
 
-    /// Asks the target what it has used; `None` where it does not tell.
+    /// Asks the target what it has used; `None` if it has no such report or does not answer.
     pub async fn read_usage(&self) -> Option<TargetUsage> {
         let _permit = self.connections.acquire().await;
         let request = self
@@ -133,6 +138,7 @@
         serde_json::from_slice(&body).ok()
     }
 
+    /// Sends one request about a task and reads the whole answer.
     async fn exchange(
         &self,
         method: Method,
@@ -151,18 +157,20 @@
             .await
             .map_err(|e| TargetError::Connection(e.to_string()))?;
         let status = response.status();
-        let says_not_started = response.headers().contains_key(NOT_STARTED_HEADER);
+        let is_marked_unstarted = response.headers().contains_key(NOT_STARTED_HEADER);
         let body = Limited::new(response.into_body(), MAX_RESULT_LEN).collect();
         let body = body.await.map_err(|e| TargetError::Result(e.to_string()))?;
-        Ok(judge_answer(status, says_not_started, &body.to_bytes()))
+        Ok(judge_answer(status, is_marked_unstarted, &body.to_bytes()))
     }
 }
 
-fn judge_answer(status: StatusCode, says_not_started: bool, body: &Bytes) -> TargetAnswer {
+/// Reads the kind of an answer from its status and headers.
+fn judge_answer(status: StatusCode, is_marked_unstarted: bool, body: &Bytes) -> TargetAnswer {
+    /// Bytes of a failed answer's body that its message shows.
     const SHOWN_LEN: usize = 200;
     if status.is_success() {
         TargetAnswer::Done(body.to_vec())
-    } else if says_not_started && status == StatusCode::SERVICE_UNAVAILABLE {
+    } else if is_marked_unstarted && status == StatusCode::SERVICE_UNAVAILABLE {
         TargetAnswer::NotStarted
     } else {
         let shown = &body[..body.len().min(SHOWN_LEN)];
--- a/crates/claims/cloverfold_execute/src/runner.rs
+++ b/crates/claims/cloverfold_execute/src/task_runner.rs
@@ -1,4 +1,7 @@
 //! Carries out what the fence decides: answers coordinators and starts tasks at the target.
+//!
+//! Owns nothing of its own: the state is in [`Execution`] on the control thread, the connections are in
+//! [`TargetClient`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,16 +20,19 @@
 
 use crate::execution::{Assigned, Execution};
 use crate::messages::{Assign, AssignReply, Release, ReleaseReply, TaskReport};
-use crate::plugin::ExecuteMetrics;
-use crate::target_client::{TargetAnswer, TargetClient};
+use crate::metrics::ExecuteMetrics;
+use crate::target_client::{TargetAnswer, TargetClient, TargetError};
 
+/// How often expired results and entries are dropped. Chosen, not measured.
 const COLLECT_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the target is asked for its own count of starts. Chosen, not measured.
 const USAGE_INTERVAL: Duration = Duration::from_secs(5);
+/// How often a draining guard looks whether its tasks have ended. Chosen, not measured.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// The parts that work on tasks, shared by all handlers.
+/// Runs the tasks of one guard; shared by all handlers.
 #[derive(Clone)]
-pub(crate) struct Runner {
+pub(crate) struct TaskRunner {
     pub(crate) execution: ThreadState<Execution>,
     pub(crate) target: TargetClient,
     pub(crate) membership: Membership,
@@ -34,8 +40,8 @@
     pub(crate) metrics: ExecuteMetrics,
 }
 
-impl Runner {
-    /// Handles an assignment until each of its tasks has ended here.
+impl TaskRunner {
+    /// Handles an assignment until each of its tasks has ended here or was passed on.
     pub(crate) async fn handle_assign(self, assign: Assign, mut sink: ReplySink) {
         self.membership.absorb(assign.guard_report);
         let flow = self.cell.flow_of(&assign.service, &assign.workspace);
@@ -53,7 +59,7 @@
                 }
                 return;
             }
-            Assigned::Taken { reports, starts } => (reports, starts),
+            Assigned::Accepted { reports, starts } => (reports, starts),
         };
         self.spawn_starts(starts);
         while let Some(batch) = receive_batch(&mut reports).await {
@@ -75,7 +81,7 @@
         others
     }
 
-    /// Handles a release; a task that runs is cancelled where the job is given up.
+    /// Handles a release; a task that runs is cancelled if its job is given up.
     pub(crate) async fn handle_release(self, release: Release) -> ReleaseReply {
         let id = TaskId {
             key: release.key,
@@ -102,22 +108,11 @@
         }
     }
 
+    /// Runs a task at the target, records its end and starts what has a slot then.
     async fn run_task(self, task: QueuedTask<Bytes>) {
         self.metrics.starts.inc();
         let id = task.id;
-        let answer = self.target.start(&id, task.payload).await;
-        let end = match answer {
-            Ok(TargetAnswer::Done(result)) => TaskEnd::Done(result),
-            Ok(TargetAnswer::NotStarted) => TaskEnd::Returned(ReasonCode::QueueFull),
-            Ok(TargetAnswer::Failed(detail)) => TaskEnd::Failed {
-                reason: ReasonCode::TargetFailed,
-                detail,
-            },
-            Err(cause) => TaskEnd::Failed {
-                reason: ReasonCode::TargetLost,
-                detail: cause.to_string(),
-            },
-        };
+        let end = judge_end(self.target.start(&id, task.payload).await);
         if !matches!(end, TaskEnd::Done(_)) {
             self.metrics.failures.inc();
             let key = format_key(&id.key);
@@ -131,7 +126,7 @@
         self.spawn_starts(starts);
     }
 
-    /// Drops what is past its time, as long as the process lives.
+    /// Drops what is past its time, until the process ends.
     pub(crate) async fn collect(self) {
         loop {
             sleep(COLLECT_INTERVAL).await;
@@ -141,7 +136,7 @@
         }
     }
 
-    /// Shows what the target says it has used, as long as the process lives.
+    /// Publishes what the target reports as used, until the process ends.
     pub(crate) async fn follow_usage(self) {
         loop {
             if let Some(usage) = self.target.read_usage().await {
@@ -161,7 +156,7 @@
     }
 }
 
-/// Waits for one report and takes what else is there; `None` when all have come.
+/// Waits for one report and adds those that are there already; `None` when all have come.
 async fn receive_batch(reports: &mut mpsc::Receiver<TaskReport>) -> Option<Vec<TaskReport>> {
     let mut batch = vec![reports.recv().await?];
     while let Ok(report) = reports.try_recv() {
@@ -169,3 +164,20 @@
     }
     Some(batch)
 }
+
+/// Decides how a task ended from what its target answered.
+fn judge_end(answer: Result<TargetAnswer, TargetError>) -> TaskEnd {
+    match answer {
+        Ok(TargetAnswer::Done(result)) => TaskEnd::Done(result),
+        Ok(TargetAnswer::NotStarted) => TaskEnd::Returned(ReasonCode::QueueFull),
+        Ok(TargetAnswer::Failed(detail)) => TaskEnd::Failed {
+            reason: ReasonCode::TargetFailed,
+            detail,
+        },
+        // The task may have run, so it cannot be returned as unstarted.
+        Err(cause) => TaskEnd::Failed {
+            reason: ReasonCode::TargetLost,
+            detail: cause.to_string(),
+        },
+    }
+}
