--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -1,9 +1,9 @@
 //! The runner: what runs at one target, and for whom.
 
-mod held;
-mod holds;
 mod orders;
 mod progress;
+mod renewals;
+mod run;
 mod sessions;
 mod starts;
 mod target;
@@ -20,9 +20,9 @@
 };
 use crate::resources::Resources;
 use crate::timings::{Moment, Timings};
-use held::{HeldState, HeldTask};
+use run::{Run, RunState};
 use sessions::Session;
-use target::TargetLife;
+use target::TargetIncarnation;
 pub use target::TargetUnfitness;
 
 /// What the process around a runner has to do.
@@ -67,29 +67,29 @@
 #[derive(Debug)]
 pub struct Runner {
     timings: Timings,
-    first_token: u64,
+    first_fencing_token: u64,
     sessions: BTreeMap<SessionId, Session>,
-    tasks: BTreeMap<TaskId, HeldTask>,
-    next_order: u64,
-    target: Option<TargetLife>,
+    runs: BTreeMap<TaskId, Run>,
+    next_sequence: u64,
+    target: Option<TargetIncarnation>,
     /// Earlier lives of the target, oldest first.
-    ended_lives: VecDeque<String>,
+    ended_incarnations: VecDeque<String>,
     is_leaving: bool,
     counts: RunnerCounts,
     actions: Vec<RunnerAction>,
 }
 
 impl Runner {
-    /// Begins a life of a runner; `first_token` must be above that of every earlier life beside the same target.
-    pub fn new(timings: Timings, first_token: u64) -> Self {
+    /// Begins a life of a runner; `first_fencing_token` must be above that of every earlier life beside the same target.
+    pub fn new(timings: Timings, first_fencing_token: u64) -> Self {
         Self {
             timings,
-            first_token,
+            first_fencing_token,
             sessions: BTreeMap::new(),
-            tasks: BTreeMap::new(),
-            next_order: 0,
+            runs: BTreeMap::new(),
+            next_sequence: 0,
             target: None,
-            ended_lives: VecDeque::new(),
+            ended_incarnations: VecDeque::new(),
             is_leaving: false,
             counts: RunnerCounts::default(),
             actions: Vec::new(),
@@ -108,7 +108,7 @@
 
     /// Returns how many runs are held, also those that wait or are being stopped.
     pub fn held(&self) -> usize {
-        self.tasks.len()
+        self.runs.len()
     }
 
     /// Says whether a target is known, answers and takes work.
@@ -142,7 +142,7 @@
     /// Ends a session whose link is gone; its runs are stopped.
     pub fn close_session(&mut self, session: SessionId, now: Moment) {
         if self.sessions.remove(&session).is_some() {
-            self.stop_session_tasks(session, now);
+            self.stop_session_runs(session, now);
         }
     }
 
@@ -190,9 +190,9 @@
             );
             return;
         }
-        self.next_order += 1;
-        let task = HeldTask::new(session, self.next_order, &assignment, now);
-        self.tasks.insert(assignment.task, task);
+        self.next_sequence += 1;
+        let task = Run::new(session, self.next_sequence, &assignment, now);
+        self.runs.insert(assignment.task, task);
         self.start_waiting(now);
     }
 
@@ -207,7 +207,10 @@
             return Some(Refusal::Expired);
         }
         let Some(target) = self.target.as_ref().filter(|target| target.takes_work()) else {
-            let is_draining = self.target.as_ref().is_some_and(TargetLife::is_draining);
+            let is_draining = self
+                .target
+                .as_ref()
+                .is_some_and(TargetIncarnation::is_draining);
             return Some(if is_draining {
                 Refusal::Draining
             } else {
@@ -217,7 +220,7 @@
         if self.is_leaving {
             return Some(Refusal::Draining);
         }
-        if self.tasks.contains_key(&assignment.task) {
+        if self.runs.contains_key(&assignment.task) {
             return Some(Refusal::Held);
         }
         let fits = target.capacity().covers(&assignment.demand);
@@ -225,13 +228,13 @@
     }
 
     fn withdraw(&mut self, session: SessionId, task: &TaskId, run: u64, now: Moment) {
-        let Some(held) = self.tasks.get(task) else {
+        let Some(held) = self.runs.get(task) else {
             return;
         };
         if held.run != run || held.session != Some(session) {
             return;
         }
-        self.stop_task(
+        self.stop_run(
             task.clone(),
             RunOutcome::NotStarted(Refusal::Withdrawn),
             now,
@@ -239,24 +242,24 @@
     }
 
     /// Gives a waiting run back at once, and stops one that may run.
-    fn stop_task(&mut self, task: TaskId, unstarted: RunOutcome, now: Moment) {
-        let Some(held) = self.tasks.get_mut(&task) else {
+    fn stop_run(&mut self, task: TaskId, outcome_if_never_started: RunOutcome, now: Moment) {
+        let Some(held) = self.runs.get_mut(&task) else {
             return;
         };
         let start_deadline = match held.state {
-            HeldState::Waiting { .. } => {
-                self.end_task(&task, unstarted, now);
+            RunState::Waiting { .. } => {
+                self.end_run(&task, outcome_if_never_started, now);
                 return;
             }
-            HeldState::Stopping { .. } => return,
-            HeldState::Starting { deadline, .. } => Some(deadline),
-            HeldState::Running { .. } => None,
+            RunState::Stopping { .. } => return,
+            RunState::Starting { deadline, .. } => Some(deadline),
+            RunState::Running { .. } => None,
         };
-        held.state = HeldState::Stopping {
+        held.state = RunState::Stopping {
             start_deadline,
             ordered_at: now,
             sent_at: now,
-            unstarted,
+            outcome_if_never_started,
         };
         let run = held.run;
         self.counts.stopped += 1;
@@ -264,12 +267,12 @@
     }
 
     /// Forgets a run that is surely over and tells its dispatcher.
-    fn end_task(&mut self, task: &TaskId, outcome: RunOutcome, now: Moment) {
-        let Some(held) = self.tasks.remove(task) else {
+    fn end_run(&mut self, task: &TaskId, outcome: RunOutcome, now: Moment) {
+        let Some(held) = self.runs.remove(task) else {
             return;
         };
         let outcome = match outcome {
-            RunOutcome::Stopped if held.is_stuck => RunOutcome::Stuck,
+            RunOutcome::Stopped if held.is_stopped_as_stuck => RunOutcome::Stuck,
             other => other,
         };
         match outcome {
@@ -307,17 +310,20 @@
     }
 
     fn free_after_waiting(&self) -> Resources {
-        let demands = self.tasks.values().map(|held| held.demand);
+        let demands = self.runs.values().map(|held| held.demand);
         self.capacity_minus(demands)
     }
 
     fn free_now(&self) -> Resources {
-        let busy = self.tasks.values().filter(|held| !held.is_waiting());
+        let busy = self.runs.values().filter(|held| !held.is_waiting());
         self.capacity_minus(busy.map(|held| held.demand))
     }
 
     fn capacity_minus(&self, demands: impl Iterator<Item = Resources>) -> Resources {
-        let capacity = self.target.as_ref().map(TargetLife::offered_capacity);
+        let capacity = self
+            .target
+            .as_ref()
+            .map(TargetIncarnation::offered_capacity);
         demands.fold(capacity.unwrap_or_default(), |free, demand| {
             free.minus(&demand)
         })
@@ -330,43 +336,42 @@
         }
         let mut free = self.free_now();
         for task in self.waiting_in_order() {
-            let demand = self.tasks[&task].demand;
+            let demand = self.runs[&task].demand;
             if !free.covers(&demand) {
                 break;
             }
             free = free.minus(&demand);
-            self.start_task(&task, now);
+            self.start_run(&task, now);
         }
     }
 
     fn waiting_in_order(&self) -> Vec<TaskId> {
         let mut waiting: Vec<_> = self
-            .tasks
+            .runs
             .iter()
             .filter(|(_, held)| held.is_waiting())
-            .map(|(task, held)| (held.priority, held.order, task.clone()))
+            .map(|(task, held)| (held.priority, held.sequence, task.clone()))
             .collect();
         waiting.sort();
         waiting.into_iter().map(|(_, _, task)| task).collect()
     }
 
     fn expire_waiting(&mut self, now: Moment) {
-        let is_late =
-            |held: &HeldTask| matches!(held.state, HeldState::Waiting { until } if now > until);
+        let is_late = |held: &Run| matches!(held.state, RunState::Waiting { until } if now > until);
         let late: Vec<TaskId> = self
-            .tasks
+            .runs
             .iter()
             .filter(|(_, held)| is_late(held))
             .map(|(task, _)| task.clone())
             .collect();
         for task in late {
-            self.end_task(&task, RunOutcome::NotStarted(Refusal::NoRoom), now);
+            self.end_run(&task, RunOutcome::NotStarted(Refusal::NoRoom), now);
         }
     }
 
     fn give_back_waiting(&mut self, refusal: Refusal, now: Moment) {
         for task in self.waiting_in_order() {
-            self.end_task(&task, RunOutcome::NotStarted(refusal), now);
+            self.end_run(&task, RunOutcome::NotStarted(refusal), now);
         }
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/progress.rs
+++ b/crates/leased/cloverfold_lease/src/runner/progress.rs
@@ -7,7 +7,7 @@
 use crate::messages::{Refusal, RunOutcome, TaskId};
 use crate::resources::Resources;
 use crate::runner::Runner;
-use crate::runner::held::HeldState;
+use crate::runner::run::RunState;
 use crate::timings::Moment;
 
 /// A run that is seen at the same percent for this long stands still, whatever its length.
@@ -18,9 +18,9 @@
 /// Sightings without progress that a verdict takes at least, so that a runner which itself stood still judges nobody.
 const MIN_SIGHTINGS: u32 = 3;
 /// How long a target is tried after a pause before all of its room is offered again.
-const TRIAL_SPAN: Duration = Duration::from_secs(2);
+const PROBATION: Duration = Duration::from_secs(2);
 /// The part of the processors that is offered to a target on trial is one of so many.
-const TRIAL_PARTS: i64 = 6;
+const PROBATION_PARTS: i64 = 6;
 
 /// Spans over which the speed of a run is measured: the shortest gives a first estimate, which is refined until the run has advanced
 /// by [`MEASURED_ADVANCE`] percent or the longest has passed.
@@ -36,7 +36,7 @@
 
 /// How far a run was seen to have come.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ProgressWatch {
+pub(crate) struct ProgressTracker {
     percent: Option<u8>,
     advanced_at: Moment,
     /// How often it was seen since without having advanced.
@@ -45,7 +45,7 @@
     measured_from: Option<(u8, Moment)>,
 }
 
-impl ProgressWatch {
+impl ProgressTracker {
     /// Measures how fast the run gets on: 1 is as fast as estimated. Returns nothing until the span is long enough.
     pub(crate) fn measure_speed(
         &mut self,
@@ -71,7 +71,7 @@
     }
 
     /// Notes what the target tells; returns whether the run has advanced since it was seen last.
-    pub(crate) fn note(&mut self, percent: Option<u8>, now: Moment) -> bool {
+    pub(crate) fn record(&mut self, percent: Option<u8>, now: Moment) -> bool {
         let before = self.percent;
         if percent.is_some() && percent == before {
             self.sightings += 1;
@@ -84,7 +84,7 @@
     }
 
     /// Says whether a run of this estimated duration stands still.
-    pub(crate) fn stands_still(&self, estimate: Duration, now: Moment) -> bool {
+    pub(crate) fn is_stuck(&self, estimate: Duration, now: Moment) -> bool {
         let limit = estimate.mul_f64(STALL_SHARE).max(SHORTEST_STALL);
         self.sightings >= MIN_SIGHTINGS && now >= self.advanced_at + limit
     }
@@ -92,12 +92,12 @@
 
 /// What the runs at a target say of it, those of all dispatchers together.
 #[derive(Clone, Debug)]
-pub(crate) struct TargetConduct {
+pub(crate) struct TargetPerformance {
     health: TargetHealth,
     /// Whether it gets no work at present.
     is_paused: bool,
     /// Until then it is offered in part.
-    trial_until: Option<Moment>,
+    probation_until: Option<Moment>,
     /// Whether a run was ever seen to advance: some targets tell nothing of progress, or always the same.
     tells_progress: bool,
     /// Speeds of its newest runs, oldest measurement first.
@@ -108,36 +108,40 @@
 #[derive(Clone, Copy, Debug)]
 struct MeasuredSpeed {
     /// The number of the run within this process.
-    order: u64,
+    sequence: u64,
     /// 1 is as fast as estimated.
     speed: f64,
     at: Moment,
 }
 
-impl TargetConduct {
+impl TargetPerformance {
     pub(crate) fn new() -> Self {
         Self {
             health: TargetHealth::new(HealthLimits::default()),
             is_paused: false,
-            trial_until: None,
+            probation_until: None,
             tells_progress: false,
             speeds: VecDeque::with_capacity(MEASURED_RUNS),
         }
     }
 
     /// Notes that a run was seen to advance.
-    pub(crate) fn note_progress(&mut self) {
+    pub(crate) fn record_progress(&mut self) {
         self.tells_progress = true;
     }
 
     /// Takes a measurement of one run's speed, which replaces the one before.
-    pub(crate) fn note_speed(&mut self, order: u64, speed: f64, at: Moment) {
+    pub(crate) fn record_speed(&mut self, sequence: u64, speed: f64, at: Moment) {
         self.speeds
-            .retain(|held| held.order != order && at < held.at + SPEED_MEMORY);
+            .retain(|held| held.sequence != sequence && at < held.at + SPEED_MEMORY);
         if self.speeds.len() == MEASURED_RUNS {
             self.speeds.pop_front();
         }
-        self.speeds.push_back(MeasuredSpeed { order, speed, at });
+        self.speeds.push_back(MeasuredSpeed {
+            sequence,
+            speed,
+            at,
+        });
     }
 
     /// Returns the usual duration of runs against their estimates, in thousandths; 0 while it is not known.
@@ -160,20 +164,20 @@
     /// Returns what is offered of a capacity.
     pub(crate) fn offer(&self, capacity: &Resources) -> Resources {
         let mut offered = *capacity;
-        if self.trial_until.is_some() {
-            offered.cpu_milli /= TRIAL_PARTS;
+        if self.probation_until.is_some() {
+            offered.cpu_milli /= PROBATION_PARTS;
         }
         offered
     }
 
     /// Notes a run that was done.
-    pub(crate) fn note_done(&mut self) {
+    pub(crate) fn record_done(&mut self) {
         self.health.note_success();
-        self.trial_until = None;
+        self.probation_until = None;
     }
 
     /// Notes a run that stood still; returns whether the target is paused by it.
-    fn note_stuck(&mut self, now: Moment) -> bool {
+    fn record_stuck(&mut self, now: Moment) -> bool {
         let is_new = self.health.note_trouble(now);
         self.is_paused |= is_new;
         is_new
@@ -181,14 +185,14 @@
 
     /// Ends a pause or a trial whose time is over; returns whether a pause ended.
     fn end_pause(&mut self, now: Moment) -> bool {
-        if self.trial_until.is_some_and(|until| now >= until) {
-            self.trial_until = None;
+        if self.probation_until.is_some_and(|until| now >= until) {
+            self.probation_until = None;
         }
         if !self.is_paused || !self.health.takes_work(now) {
             return false;
         }
         self.is_paused = false;
-        self.trial_until = Some(now + TRIAL_SPAN);
+        self.probation_until = Some(now + PROBATION);
         true
     }
 }
@@ -197,25 +201,25 @@
     /// Stops the runs that stand still, and gives a target no work for a while that lets them.
     pub(super) fn stop_stuck_runs(&mut self, now: Moment) {
         let target = self.target.as_ref();
-        if !target.is_some_and(|target| target.conduct.tells_progress) {
+        if !target.is_some_and(|target| target.performance.tells_progress) {
             return;
         }
-        let is_stuck = |state: &HeldState| matches!(state, HeldState::Running { .. });
+        let is_stuck = |state: &RunState| matches!(state, RunState::Running { .. });
         let stuck: Vec<TaskId> = self
-            .tasks
+            .runs
             .iter()
             .filter(|(_, held)| is_stuck(&held.state))
-            .filter(|(_, held)| held.progress.stands_still(held.estimate, now))
+            .filter(|(_, held)| held.progress.is_stuck(held.estimate, now))
             .map(|(task, _)| task.clone())
             .collect();
         for task in stuck {
-            if let Some(held) = self.tasks.get_mut(&task) {
-                held.is_stuck = true;
+            if let Some(held) = self.runs.get_mut(&task) {
+                held.is_stopped_as_stuck = true;
             }
             self.counts.stuck += 1;
-            self.stop_task(task, RunOutcome::Stuck, now);
+            self.stop_run(task, RunOutcome::Stuck, now);
             let target = self.target.as_mut();
-            if target.is_some_and(|target| target.conduct.note_stuck(now)) {
+            if target.is_some_and(|target| target.performance.record_stuck(now)) {
                 self.counts.pauses += 1;
                 self.give_back_waiting(Refusal::NoTarget, now);
                 self.announce_target();
@@ -226,7 +230,7 @@
     /// Offers the target again whose pause is over.
     pub(super) fn end_target_pause(&mut self, now: Moment) {
         let target = self.target.as_mut();
-        if target.is_some_and(|target| target.conduct.end_pause(now)) {
+        if target.is_some_and(|target| target.performance.end_pause(now)) {
             self.announce_target();
         }
     }
--- a/crates/leased/cloverfold_lease/src/runner/holds.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -4,8 +4,8 @@
 
 use crate::messages::{Refusal, RunOutcome, TaskId};
 use crate::runner::Runner;
-use crate::runner::held::HeldState;
 use crate::runner::orders::{EndCause, EndedRun, HeldRun, HoldAnswer, HoldOrder};
+use crate::runner::run::RunState;
 use crate::timings::{Moment, TargetTime};
 
 impl Runner {
@@ -17,19 +17,21 @@
         let slack = self.timings.answer_slack;
         let wait = self.timings.hold_wait;
         let target = self.target.as_mut()?;
-        let wait = if target.is_clean {
+        let wait = if target.has_only_own_runs {
             wait
         } else {
             Duration::ZERO
         };
-        let deadline = target.next_deadline(now, lease).filter(|_| target.is_clean);
+        let deadline = target
+            .next_deadline(now, lease)
+            .filter(|_| target.has_only_own_runs);
         target.latest_deadline = target.latest_deadline.max(deadline.unwrap_or_default());
         Some(HoldOrder {
             instance: target.registration.instance.clone(),
             address: target.registration.address.clone(),
             deadline,
-            token: target.token,
-            last_noted: target.last_noted,
+            token: target.fencing_token,
+            last_noted: target.last_acknowledged_end,
             wait,
             limit: wait + slack,
             sent_at: now,
@@ -51,35 +53,35 @@
                 running,
                 ended,
             } => {
-                if order.sent_at < target.newest_hold {
+                if order.sent_at < target.newest_renewal_sent_at {
                     // A newer answer has passed this one.
                     return;
                 }
-                target.newest_hold = order.sent_at;
+                target.newest_renewal_sent_at = order.sent_at;
                 target.answered_at = now;
-                target.is_silent = false;
+                target.is_unresponsive = false;
                 target.read_clock(clock, now);
-                self.take_ends(ended, now);
-                self.compare_runs(order.sent_at, clock, &running, now);
+                self.record_ends(ended, now);
+                self.reconcile_runs(order.sent_at, clock, &running, now);
                 self.stop_stuck_runs(now);
                 self.start_waiting(now);
                 self.announce_target();
             }
-            HoldAnswer::Fenced => target.raise_token(order.token),
+            HoldAnswer::Fenced => target.raise_fencing_token(order.token),
             HoldAnswer::OtherInstance | HoldAnswer::Unanswered => {}
         }
     }
 
-    fn take_ends(&mut self, ended: Vec<EndedRun>, now: Moment) {
+    fn record_ends(&mut self, ended: Vec<EndedRun>, now: Moment) {
         for end in ended {
             let Some(target) = &mut self.target else {
                 return;
             };
-            if end.number <= target.last_noted {
+            if end.number <= target.last_acknowledged_end {
                 continue;
             }
-            target.last_noted = end.number;
-            let held = self.tasks.get(&end.task);
+            target.last_acknowledged_end = end.number;
+            let held = self.runs.get(&end.task);
             if let Some(held) = held.filter(|held| held.run == end.run) {
                 let outcome = match end.cause {
                     EndCause::Done => RunOutcome::Done,
@@ -88,20 +90,20 @@
                     EndCause::Lapsed => RunOutcome::Lost,
                 };
                 if outcome == RunOutcome::Done {
-                    target.conduct.note_done();
+                    target.performance.record_done();
                     let ran = held.ran_for(now);
                     if !ran.is_zero() && !held.estimate.is_zero() {
                         let speed = held.estimate.as_secs_f64() / ran.as_secs_f64();
-                        target.conduct.note_speed(held.order, speed, now);
+                        target.performance.record_speed(held.sequence, speed, now);
                     }
                 }
-                self.end_task(&end.task, outcome, now);
+                self.end_run(&end.task, outcome, now);
             }
         }
     }
 
     /// Compares what the target runs with what is held here.
-    fn compare_runs(
+    fn reconcile_runs(
         &mut self,
         asked_at: Moment,
         clock: TargetTime,
@@ -109,24 +111,24 @@
         now: Moment,
     ) {
         for row in running {
-            let held = self.tasks.get_mut(&row.task);
+            let held = self.runs.get_mut(&row.task);
             let Some(held) = held.filter(|held| held.run == row.run) else {
                 continue;
             };
-            if let HeldState::Starting { since, .. } = held.state {
-                held.state = HeldState::Running { since: now };
+            if let RunState::Starting { since, .. } = held.state {
+                held.state = RunState::Running { since: now };
                 held.started_at = Some(since);
                 self.counts.started += 1;
             }
             let Some(target) = &mut self.target else {
                 continue;
             };
-            if held.progress.note(row.progress, now) {
-                target.conduct.note_progress();
+            if held.progress.record(row.progress, now) {
+                target.performance.record_progress();
             }
             let progress = &mut held.progress;
             if let Some(speed) = progress.measure_speed(row.progress, held.estimate, now) {
-                target.conduct.note_speed(held.order, speed, now);
+                target.performance.record_speed(held.sequence, speed, now);
             }
         }
         let is_listed = |task: &TaskId, run: u64| {
@@ -135,25 +137,25 @@
                 .any(|row| row.run == run && row.task == *task)
         };
         let mut over = Vec::new();
-        for (task, held) in &self.tasks {
+        for (task, held) in &self.runs {
             if is_listed(task, held.run) {
                 continue;
             }
             let outcome = match held.state {
-                HeldState::Waiting { .. } => continue,
-                HeldState::Running { since } if asked_at > since => RunOutcome::Lost,
-                HeldState::Running { .. } => continue,
-                HeldState::Starting { deadline, .. } if clock > deadline => {
+                RunState::Waiting { .. } => continue,
+                RunState::Running { since } if asked_at > since => RunOutcome::Lost,
+                RunState::Running { .. } => continue,
+                RunState::Starting { deadline, .. } if clock > deadline => {
                     RunOutcome::NotStarted(Refusal::Unanswered)
                 }
-                HeldState::Starting { .. } => continue,
-                HeldState::Stopping {
+                RunState::Starting { .. } => continue,
+                RunState::Stopping {
                     start_deadline,
                     ordered_at,
-                    unstarted,
+                    outcome_if_never_started,
                     ..
                 } => match start_deadline {
-                    Some(deadline) if clock > deadline => unstarted,
+                    Some(deadline) if clock > deadline => outcome_if_never_started,
                     Some(_) => continue,
                     None if asked_at > ordered_at => RunOutcome::Stopped,
                     None => continue,
@@ -162,7 +164,7 @@
             over.push((task.clone(), outcome));
         }
         for (task, outcome) in over {
-            self.end_task(&task, outcome, now);
+            self.end_run(&task, outcome, now);
         }
         self.stop_orphans(running);
     }
@@ -170,7 +172,7 @@
     /// Stops what runs at the target and is not held here: runs of an earlier life of this process, or late starts.
     fn stop_orphans(&mut self, running: &[HeldRun]) {
         let is_ours = |row: &&HeldRun| {
-            let held = self.tasks.get(&row.task);
+            let held = self.runs.get(&row.task);
             held.is_some_and(|held| held.run == row.run)
         };
         let orphans: Vec<HeldRun> = running
@@ -179,7 +181,7 @@
             .cloned()
             .collect();
         if let Some(target) = &mut self.target {
-            target.is_clean = orphans.is_empty();
+            target.has_only_own_runs = orphans.is_empty();
         }
         for orphan in orphans {
             self.counts.orphans += 1;
--- a/crates/leased/cloverfold_lease/src/runner/held.rs
+++ b/crates/leased/cloverfold_lease/src/runner/run.rs
@@ -4,12 +4,12 @@
 
 use crate::messages::{Assignment, RunOutcome, SessionId};
 use crate::resources::Resources;
-use crate::runner::progress::ProgressWatch;
+use crate::runner::progress::ProgressTracker;
 use crate::timings::{Moment, TargetTime};
 
 /// How far a run has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HeldState {
+pub(crate) enum RunState {
     /// It waits for room.
     Waiting {
         /// After this it is given back.
@@ -40,53 +40,53 @@
         /// When the newest stop was sent.
         sent_at: Moment,
         /// What to report if it turns out that it never ran.
-        unstarted: RunOutcome,
+        outcome_if_never_started: RunOutcome,
     },
 }
 
 /// A run and for whom it is held.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldTask {
+pub(crate) struct Run {
     /// The session that wants to know its end; none once that session is over.
     pub(crate) session: Option<SessionId>,
-    pub(crate) order: u64,
+    pub(crate) sequence: u64,
     pub(crate) run: u64,
     pub(crate) spec: String,
     pub(crate) demand: Resources,
     pub(crate) priority: u32,
-    pub(crate) state: HeldState,
+    pub(crate) state: RunState,
     pub(crate) started_at: Option<Moment>,
     pub(crate) estimate: Duration,
-    pub(crate) progress: ProgressWatch,
+    pub(crate) progress: ProgressTracker,
     /// Whether it is being stopped because it stands still.
-    pub(crate) is_stuck: bool,
+    pub(crate) is_stopped_as_stuck: bool,
 }
 
-impl HeldTask {
+impl Run {
     pub(crate) fn new(
         session: SessionId,
-        order: u64,
+        sequence: u64,
         assignment: &Assignment,
         now: Moment,
     ) -> Self {
         let wait = Duration::from_millis(u64::from(assignment.wait_ms));
         Self {
             session: Some(session),
-            order,
+            sequence,
             run: assignment.run,
             spec: assignment.spec.clone(),
             demand: assignment.demand,
             priority: assignment.priority,
-            state: HeldState::Waiting { until: now + wait },
+            state: RunState::Waiting { until: now + wait },
             started_at: None,
             estimate: Duration::from_millis(u64::from(assignment.estimate_ms)),
-            progress: ProgressWatch::default(),
-            is_stuck: false,
+            progress: ProgressTracker::default(),
+            is_stopped_as_stuck: false,
         }
     }
 
     pub(crate) fn is_waiting(&self) -> bool {
-        matches!(self.state, HeldState::Waiting { .. })
+        matches!(self.state, RunState::Waiting { .. })
     }
 
     pub(crate) fn ran_for(&self, now: Moment) -> Duration {
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -54,18 +54,18 @@
     }
 
     /// Stops all that a session has assigned; nobody is told of these ends.
-    pub(super) fn stop_session_tasks(&mut self, session: SessionId, now: Moment) {
+    pub(super) fn stop_session_runs(&mut self, session: SessionId, now: Moment) {
         let tasks: Vec<TaskId> = self
-            .tasks
+            .runs
             .iter()
             .filter(|(_, held)| held.session == Some(session))
             .map(|(task, _)| task.clone())
             .collect();
         for task in tasks {
-            if let Some(held) = self.tasks.get_mut(&task) {
+            if let Some(held) = self.runs.get_mut(&task) {
                 held.session = None;
             }
-            self.stop_task(task, RunOutcome::NotStarted(Refusal::Withdrawn), now);
+            self.stop_run(task, RunOutcome::NotStarted(Refusal::Withdrawn), now);
         }
     }
 
@@ -111,19 +111,19 @@
     /// While a run of an earlier session is not surely over, no session is told of a target: being told lets a dispatcher
     /// conclude that nothing it lost sight of runs here.
     pub(super) fn announce_target(&mut self) {
-        let has_leftovers = self.tasks.values().any(|held| held.session.is_none());
+        let has_leftovers = self.runs.values().any(|held| held.session.is_none());
         let target = self.target.as_ref();
         let offered = target.filter(|target| target.takes_work() && !self.is_leaving);
-        let life = offered.map(|target| target.life());
+        let incarnation = offered.map(|target| target.number());
         for (id, session) in &mut self.sessions {
-            if session.announced == Some(life) {
+            if session.announced == Some(incarnation) {
                 continue;
             }
-            let is_first_offer = session.announced.flatten().is_none() && life.is_some();
+            let is_first_offer = session.announced.flatten().is_none() && incarnation.is_some();
             if is_first_offer && has_leftovers {
                 continue;
             }
-            session.announced = Some(life);
+            session.announced = Some(incarnation);
             let description = offered.map(|target| target.describe());
             let message = RunnerMessage::Target(description);
             self.actions.push(RunnerAction::Send(*id, message));
@@ -141,7 +141,8 @@
             held.assignments_seen
         });
         let target = self.target.as_ref();
-        let slowness_permille = target.map_or(0, |target| target.conduct.slowness_permille(now));
+        let slowness_permille =
+            target.map_or(0, |target| target.performance.slowness_permille(now));
         Room {
             free,
             assignments_seen,
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::messages::{Refusal, RunOutcome, TaskId};
-use crate::runner::held::HeldState;
 use crate::runner::orders::{StartAnswer, StartOrder, StartRefusal, StopOrder};
+use crate::runner::run::RunState;
 use crate::runner::{Runner, RunnerAction};
 use crate::timings::{Moment, TargetTime};
 
@@ -14,16 +14,16 @@
 const STOP_REPEAT: Duration = Duration::from_millis(120);
 
 impl Runner {
-    pub(super) fn start_task(&mut self, task: &TaskId, now: Moment) {
+    pub(super) fn start_run(&mut self, task: &TaskId, now: Moment) {
         let lease = self.timings.lease;
-        let (Some(target), Some(held)) = (&mut self.target, self.tasks.get_mut(task)) else {
+        let (Some(target), Some(held)) = (&mut self.target, self.runs.get_mut(task)) else {
             return;
         };
         let Some(deadline) = target.next_deadline(now, lease) else {
             return;
         };
         target.latest_deadline = target.latest_deadline.max(deadline);
-        held.state = HeldState::Starting {
+        held.state = RunState::Starting {
             deadline,
             since: now,
             sent_at: now,
@@ -33,7 +33,7 @@
     }
 
     fn order_start(&mut self, task: TaskId, attempt: u32, deadline: TargetTime) {
-        let (Some(target), Some(held)) = (&self.target, self.tasks.get(&task)) else {
+        let (Some(target), Some(held)) = (&self.target, self.runs.get(&task)) else {
             return;
         };
         let order = StartOrder {
@@ -42,7 +42,7 @@
             run: held.run,
             spec: held.spec.clone(),
             deadline,
-            token: target.token,
+            token: target.fencing_token,
             attempt,
             limit: self.timings.order_timeout,
             task,
@@ -59,7 +59,7 @@
             address: target.registration.address.clone(),
             task,
             run,
-            token: target.token,
+            token: target.fencing_token,
             limit: self.timings.order_timeout,
         };
         self.actions.push(RunnerAction::Stop(order));
@@ -83,12 +83,12 @@
             target.read_clock(clock, now);
         }
         if answer == StartAnswer::Refused(StartRefusal::Fenced, clock) {
-            target.raise_token(order.token);
+            target.raise_fencing_token(order.token);
         }
-        let Some(held) = self.tasks.get_mut(&order.task) else {
+        let Some(held) = self.runs.get_mut(&order.task) else {
             return;
         };
-        let HeldState::Starting {
+        let RunState::Starting {
             since, attempts, ..
         } = held.state
         else {
@@ -99,7 +99,7 @@
         }
         match answer {
             StartAnswer::Started { .. } => {
-                held.state = HeldState::Running { since: now };
+                held.state = RunState::Running { since: now };
                 held.started_at = Some(since);
                 self.counts.started += 1;
             }
@@ -138,23 +138,23 @@
         let outcome = RunOutcome::NotStarted(reason);
         if attempts == 1 {
             // The only start that was sent has done nothing.
-            self.end_task(&order.task, outcome, now);
+            self.end_run(&order.task, outcome, now);
         } else {
-            self.stop_task(order.task.clone(), outcome, now);
+            self.stop_run(order.task.clone(), outcome, now);
         }
     }
 
     /// Sends a start anew whose only predecessor was refused and so can do nothing later.
     fn restart_with_new_deadline(&mut self, task: &TaskId, now: Moment) {
         let lease = self.timings.lease;
-        let (Some(target), Some(held)) = (&mut self.target, self.tasks.get_mut(task)) else {
+        let (Some(target), Some(held)) = (&mut self.target, self.runs.get_mut(task)) else {
             return;
         };
         let Some(new_deadline) = target.next_deadline(now, lease) else {
             return;
         };
         target.latest_deadline = target.latest_deadline.max(new_deadline);
-        if let HeldState::Starting {
+        if let RunState::Starting {
             deadline,
             sent_at,
             attempts,
@@ -171,10 +171,10 @@
 
     /// Sends the same start again: the target takes a run that is there as started.
     fn repeat_start(&mut self, task: &TaskId, now: Moment) {
-        let Some(held) = self.tasks.get_mut(task) else {
+        let Some(held) = self.runs.get_mut(task) else {
             return;
         };
-        if let HeldState::Starting {
+        if let RunState::Starting {
             deadline,
             sent_at,
             attempts,
@@ -196,15 +196,20 @@
     pub(super) fn repeat_orders(&mut self, now: Moment) {
         let patience = self.timings.start_timeout;
         // A target that answers nothing at all answers no further start either.
-        let is_silent = self.target.as_ref().is_some_and(|target| target.is_silent);
+        let is_unresponsive = self
+            .target
+            .as_ref()
+            .is_some_and(|target| target.is_unresponsive);
         let mut starts = Vec::new();
         let mut stops = Vec::new();
-        for (task, held) in &mut self.tasks {
+        for (task, held) in &mut self.runs {
             match &mut held.state {
-                HeldState::Starting { sent_at, .. } if now >= *sent_at + patience && !is_silent => {
+                RunState::Starting { sent_at, .. }
+                    if now >= *sent_at + patience && !is_unresponsive =>
+                {
                     starts.push(task.clone());
                 }
-                HeldState::Stopping { sent_at, .. } if now >= *sent_at + STOP_REPEAT => {
+                RunState::Stopping { sent_at, .. } if now >= *sent_at + STOP_REPEAT => {
                     *sent_at = now;
                     stops.push((task.clone(), held.run));
                 }
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -4,16 +4,16 @@
 
 use crate::messages::{Refusal, RunOutcome, TargetDescription, TaskId};
 use crate::resources::Resources;
-use crate::runner::held::HeldState;
 use crate::runner::orders::TargetRegistration;
-use crate::runner::progress::TargetConduct;
+use crate::runner::progress::TargetPerformance;
+use crate::runner::run::RunState;
 use crate::runner::{Runner, RunnerAction};
 use crate::timings::{Moment, TargetTime};
 
-/// How much the token rises after the target has refused one.
-const TOKEN_STEP: u64 = 10_000;
+/// How much the fencing token rises after the target has refused one.
+const FENCING_TOKEN_STEP: u64 = 10_000;
 /// Lives of the target that are remembered as over.
-const ENDED_LIVES: usize = 16;
+const REMEMBERED_INCARNATIONS: usize = 16;
 
 /// Why a target gets no work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,26 +39,26 @@
     received_at: Moment,
 }
 
-/// One life of the target.
+/// One incarnation of the target.
 #[derive(Clone, Debug)]
-pub(crate) struct TargetLife {
+pub(crate) struct TargetIncarnation {
     pub(super) registration: TargetRegistration,
     number: u64,
-    pub(super) token: u64,
+    pub(super) fencing_token: u64,
     clock: Option<ClockReading>,
     /// The latest deadline that any order to it has carried.
     pub(super) latest_deadline: TargetTime,
-    pub(super) last_noted: u64,
-    pub(super) newest_hold: Moment,
+    pub(super) last_acknowledged_end: u64,
+    pub(super) newest_renewal_sent_at: Moment,
     pub(super) answered_at: Moment,
     /// Whether the newest answer to a hold listed nothing that is not ours.
-    pub(super) is_clean: bool,
-    pub(super) is_silent: bool,
-    pub(super) conduct: TargetConduct,
+    pub(super) has_only_own_runs: bool,
+    pub(super) is_unresponsive: bool,
+    pub(super) performance: TargetPerformance,
 }
 
-impl TargetLife {
-    fn new(registration: TargetRegistration, number: u64, token: u64, now: Moment) -> Self {
+impl TargetIncarnation {
+    fn new(registration: TargetRegistration, number: u64, fencing_token: u64, now: Moment) -> Self {
         let reading = registration.clock.map(|clock| ClockReading {
             clock,
             received_at: now,
@@ -66,19 +66,19 @@
         Self {
             registration,
             number,
-            token,
+            fencing_token,
             clock: reading,
             latest_deadline: 0,
-            last_noted: 0,
-            newest_hold: Moment::ZERO,
+            last_acknowledged_end: 0,
+            newest_renewal_sent_at: Moment::ZERO,
             answered_at: now,
-            is_clean: false,
-            is_silent: false,
-            conduct: TargetConduct::new(),
+            has_only_own_runs: false,
+            is_unresponsive: false,
+            performance: TargetPerformance::new(),
         }
     }
 
-    pub(crate) fn life(&self) -> u64 {
+    pub(crate) fn number(&self) -> u64 {
         self.number
     }
 
@@ -98,11 +98,11 @@
     pub(crate) fn find_unfitness(&self) -> Option<TargetUnfitness> {
         if self.registration.is_draining {
             Some(TargetUnfitness::Draining)
-        } else if self.is_silent {
+        } else if self.is_unresponsive {
             Some(TargetUnfitness::Silent)
-        } else if self.conduct.is_paused() {
+        } else if self.performance.is_paused() {
             Some(TargetUnfitness::RunsStandStill)
-        } else if !self.is_clean {
+        } else if !self.has_only_own_runs {
             Some(TargetUnfitness::OtherRuns)
         } else if self.clock.is_none() {
             Some(TargetUnfitness::NoClock)
@@ -113,7 +113,7 @@
 
     /// Returns what dispatchers may use of the capacity.
     pub(crate) fn offered_capacity(&self) -> Resources {
-        self.conduct.offer(self.capacity())
+        self.performance.offer(self.capacity())
     }
 
     pub(crate) fn describe(&self) -> TargetDescription {
@@ -139,17 +139,17 @@
         Some(reading.clock + (since + lease).as_millis() as u64)
     }
 
-    pub(super) fn raise_token(&mut self, refused: u64) {
-        if refused >= self.token {
-            self.token = refused + TOKEN_STEP;
+    pub(super) fn raise_fencing_token(&mut self, refused: u64) {
+        if refused >= self.fencing_token {
+            self.fencing_token = refused + FENCING_TOKEN_STEP;
         }
     }
 }
 
 impl Runner {
-    /// Takes what the target says of itself; what comes late from an earlier life of it changes nothing.
+    /// Takes what the target says of itself; what comes late from an earlier incarnation changes nothing.
     pub fn register(&mut self, registration: TargetRegistration, now: Moment) {
-        if self.ended_lives.contains(&registration.instance) {
+        if self.ended_incarnations.contains(&registration.instance) {
             return;
         }
         match &mut self.target {
@@ -166,47 +166,53 @@
                     self.announce_target();
                 }
             }
-            _ => self.begin_target_life(registration, now),
+            _ => self.begin_target_incarnation(registration, now),
         }
     }
 
     /// Forgets the target that says that it is gone.
     pub fn unregister(&mut self, instance: &str, now: Moment) {
-        let is_present = |target: &TargetLife| target.registration.instance == instance;
+        let is_present = |target: &TargetIncarnation| target.registration.instance == instance;
         if self.target.as_ref().is_some_and(is_present) {
-            self.end_target_life(now);
+            self.end_target_incarnation(now);
             self.announce_target();
         }
     }
 
-    /// The present life is over, and with it all that ran there.
-    fn end_target_life(&mut self, now: Moment) {
+    /// Ends the present incarnation, and with it all that ran there.
+    fn end_target_incarnation(&mut self, now: Moment) {
         if let Some(target) = self.target.take() {
-            self.ended_lives.push_back(target.registration.instance);
-            if self.ended_lives.len() > ENDED_LIVES {
-                self.ended_lives.pop_front();
+            self.ended_incarnations
+                .push_back(target.registration.instance);
+            if self.ended_incarnations.len() > REMEMBERED_INCARNATIONS {
+                self.ended_incarnations.pop_front();
             }
         }
         self.end_all_runs(now);
     }
 
-    fn begin_target_life(&mut self, registration: TargetRegistration, now: Moment) {
-        self.end_target_life(now);
-        self.next_order += 1;
-        let life = TargetLife::new(registration, self.next_order, self.first_token, now);
-        self.target = Some(life);
+    fn begin_target_incarnation(&mut self, registration: TargetRegistration, now: Moment) {
+        self.end_target_incarnation(now);
+        self.next_sequence += 1;
+        let incarnation = TargetIncarnation::new(
+            registration,
+            self.next_sequence,
+            self.first_fencing_token,
+            now,
+        );
+        self.target = Some(incarnation);
         self.announce_target();
         self.actions.push(RunnerAction::HoldNow);
     }
 
     fn end_all_runs(&mut self, now: Moment) {
-        let tasks: Vec<TaskId> = self.tasks.keys().cloned().collect();
+        let tasks: Vec<TaskId> = self.runs.keys().cloned().collect();
         for task in tasks {
-            let outcome = match self.tasks[&task].state {
-                HeldState::Waiting { .. } => RunOutcome::NotStarted(Refusal::NoTarget),
+            let outcome = match self.runs[&task].state {
+                RunState::Waiting { .. } => RunOutcome::NotStarted(Refusal::NoTarget),
                 _ => RunOutcome::Lost,
             };
-            self.end_task(&task, outcome, now);
+            self.end_run(&task, outcome, now);
         }
     }
 
@@ -219,15 +225,15 @@
         if now < target.answered_at + silence {
             return;
         }
-        if !target.is_silent {
-            target.is_silent = true;
+        if !target.is_unresponsive {
+            target.is_unresponsive = true;
             self.give_back_waiting(Refusal::NoTarget, now);
             self.announce_target();
         }
         if self.has_lease_lapsed(now) {
             self.end_all_runs(now);
             if let Some(target) = &mut self.target {
-                target.is_clean = false;
+                target.has_only_own_runs = false;
             }
         }
     }
