--- a/crates/leased/cloverfold_lease/src/runner/assignment.rs
+++ b/crates/leased/cloverfold_lease/src/runner/assignment.rs
@@ -5,16 +5,17 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Assignment, Refusal, RunOutcome, SessionId, TaskId};
 use crate::runner::Runner;
 use crate::runner::ending::EndReport;
 use crate::runner::run::Run;
 use crate::runner::target_incarnation::TargetIncarnation;
-use crate::timings::Moment;
 
 impl Runner {
     /// Accepts an assignment and starts it if it fits, or gives it back at once.
-    pub(super) fn assign(&mut self, session: SessionId, assignment: Assignment, now: Moment) {
+    pub(super) fn assign(&mut self, session: SessionId, assignment: Assignment, now: Timestamp) {
         let Some(state) = self.sessions.get_mut(&session) else {
             // The link is gone, and with it whoever would be told.
             return;
@@ -35,7 +36,7 @@
         session: SessionId,
         assignment: Assignment,
         refusal: Refusal,
-        now: Moment,
+        now: Timestamp,
     ) {
         self.counts.refused += 1;
         let report = EndReport {
@@ -59,7 +60,7 @@
         &self,
         session: SessionId,
         assignment: &Assignment,
-        now: Moment,
+        now: Timestamp,
     ) -> Option<Refusal> {
         let is_valid = self.sessions.get(&session).is_some_and(|s| !s.is_over(now));
         if !is_valid || now > assignment.valid_until {
@@ -91,7 +92,7 @@
     }
 
     /// Stops a run or gives it back, if this session assigned it.
-    pub(super) fn withdraw(&mut self, session: SessionId, task: &TaskId, run: u64, now: Moment) {
+    pub(super) fn withdraw(&mut self, session: SessionId, task: &TaskId, run: u64, now: Timestamp) {
         let is_meant = |held: &Run| held.number == run && held.session == Some(session);
         if self.runs.get(task).is_some_and(is_meant) {
             self.stop_run(task, RunOutcome::NotStarted(Refusal::Withdrawn), now);
--- a/crates/leased/cloverfold_lease/src/runner/ending.rs
+++ b/crates/leased/cloverfold_lease/src/runner/ending.rs
@@ -4,10 +4,11 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Refusal, RunOutcome, RunnerMessage, SessionId, TaskId};
 use crate::runner::run::Run;
 use crate::runner::{Runner, RunnerAction};
-use crate::timings::Moment;
 
 /// The end of one run, as its dispatcher is told.
 pub(super) struct EndReport {
@@ -29,7 +30,7 @@
     /// - the target reported its end;
     /// - the target's list leaves it out, under the conditions of `outcome_of_unlisted_run`;
     /// - the target's incarnation is over, or every lease that it may hold has lapsed.
-    pub(super) fn end_run(&mut self, task: &TaskId, outcome: RunOutcome, now: Moment) {
+    pub(super) fn end_run(&mut self, task: &TaskId, outcome: RunOutcome, now: Timestamp) {
         let Some(run) = self.runs.remove(task) else {
             return;
         };
@@ -58,7 +59,7 @@
     }
 
     /// Ends every run: the target's incarnation is over, or its lease has lapsed.
-    pub(super) fn end_all_runs(&mut self, now: Moment) {
+    pub(super) fn end_all_runs(&mut self, now: Timestamp) {
         let tasks: Vec<TaskId> = self.runs.keys().cloned().collect();
         for task in tasks {
             let outcome = if self.runs[&task].is_waiting() {
@@ -71,7 +72,7 @@
     }
 
     /// Tells a dispatcher of an end, together with what is free now.
-    pub(super) fn send_end(&mut self, session: SessionId, report: EndReport, now: Moment) {
+    pub(super) fn send_end(&mut self, session: SessionId, report: EndReport, now: Timestamp) {
         let room = self.room_for(session, now);
         let message = RunnerMessage::Ended {
             task: report.task,
--- a/crates/leased/cloverfold_lease/src/runner/listing.rs
+++ b/crates/leased/cloverfold_lease/src/runner/listing.rs
@@ -3,22 +3,23 @@
 //! For: ends, confirmed starts, progress, missing runs and orphans. Owns nothing beyond the runner's state.
 //! Relies on `unlisted` for the decision on missing runs, on `progress` and `performance` for the judgement by what is seen.
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{RunOutcome, TaskId};
 use crate::runner::Runner;
 use crate::runner::orders::{EndCause, EndedRun, HeldRun};
 use crate::runner::run::Run;
 use crate::runner::unlisted::{ListTimes, outcome_of_unlisted_run};
-use crate::timings::Moment;
 
 impl Runner {
     /// Processes the ends that the target lists; those that were processed before change nothing.
-    pub(super) fn record_ends(&mut self, ended: Vec<EndedRun>, now: Moment) {
+    pub(super) fn record_ends(&mut self, ended: Vec<EndedRun>, now: Timestamp) {
         for end in ended {
             self.record_end(&end, now);
         }
     }
 
-    fn record_end(&mut self, end: &EndedRun, now: Moment) {
+    fn record_end(&mut self, end: &EndedRun, now: Timestamp) {
         let Some(target) = &mut self.target else {
             return;
         };
@@ -41,7 +42,7 @@
     }
 
     /// Compares the runs that the target lists with those that this runner holds.
-    pub(super) fn reconcile_runs(&mut self, running: &[HeldRun], times: ListTimes, now: Moment) {
+    pub(super) fn reconcile_runs(&mut self, running: &[HeldRun], times: ListTimes, now: Timestamp) {
         for row in running {
             self.record_sighting(row, now);
         }
@@ -50,7 +51,7 @@
     }
 
     /// Records that the target lists a run: its start is confirmed, and its progress is known.
-    fn record_sighting(&mut self, row: &HeldRun, now: Moment) {
+    fn record_sighting(&mut self, row: &HeldRun, now: Timestamp) {
         let run = self.runs.get_mut(&row.task);
         let Some(run) = run.filter(|run| run.number == row.run) else {
             return;
@@ -71,7 +72,7 @@
     }
 
     /// Ends the runs that the target leaves out, where that makes their end certain.
-    fn end_unlisted_runs(&mut self, running: &[HeldRun], times: ListTimes, now: Moment) {
+    fn end_unlisted_runs(&mut self, running: &[HeldRun], times: ListTimes, now: Timestamp) {
         let is_listed = |task: &TaskId, run: &Run| {
             let is_same = |row: &HeldRun| row.run == run.number && row.task == *task;
             running.iter().any(is_same)
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -53,8 +53,10 @@
 };
 pub use target_incarnation::TargetUnfitness;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{DispatcherMessage, Refusal, SessionId, TaskId};
-use crate::timings::{Moment, Timings};
+use crate::timings::Timings;
 use run::Run;
 use session::Session;
 use target_incarnation::TargetIncarnation;
@@ -129,14 +131,14 @@
     }
 
     /// Accepts no further work from now on; what was started goes on, what waits is given back.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.is_leaving = true;
         self.give_back_waiting(Refusal::Draining, now);
         self.announce_target();
     }
 
     /// Processes a message of a dispatcher.
-    pub fn receive(&mut self, session: SessionId, message: DispatcherMessage, now: Moment) {
+    pub fn receive(&mut self, session: SessionId, message: DispatcherMessage, now: Timestamp) {
         self.expire_sessions(now);
         match message {
             DispatcherMessage::Echo { clock } => self.receive_echo(session, clock, now),
@@ -146,7 +148,7 @@
     }
 
     /// Does what has fallen due; call it every few tens of milliseconds.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         self.expire_sessions(now);
         self.watch_target(now);
         self.end_target_pause(now);
--- a/crates/leased/cloverfold_lease/src/runner/performance.rs
+++ b/crates/leased/cloverfold_lease/src/runner/performance.rs
@@ -10,9 +10,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::health::{HealthLimits, TargetHealth};
 use crate::resources::Resources;
-use crate::timings::Moment;
 
 /// How long a target is on probation after a pause, at most, before all of its capacity is offered again.
 ///
@@ -44,7 +45,7 @@
     /// Whether it gets no work at present.
     is_paused: bool,
     /// Until then it is offered in part.
-    probation_until: Option<Moment>,
+    probation_until: Option<Timestamp>,
     /// Whether a run was ever seen to advance: some targets tell nothing of progress, or always the same.
     tells_progress: bool,
     /// Speeds of its newest runs, oldest measurement first.
@@ -58,11 +59,11 @@
     sequence: u64,
     /// 1 is as fast as estimated.
     speed: f64,
-    measured_at: Moment,
+    measured_at: Timestamp,
 }
 
 impl MeasuredSpeed {
-    fn counts(&self, now: Moment) -> bool {
+    fn counts(&self, now: Timestamp) -> bool {
         now < self.measured_at + SPEED_MEMORY
     }
 }
@@ -89,7 +90,7 @@
     }
 
     /// Records a measurement of one run's speed, which replaces the one before; 1 is as fast as estimated.
-    pub(super) fn record_speed(&mut self, sequence: u64, speed: f64, now: Moment) {
+    pub(super) fn record_speed(&mut self, sequence: u64, speed: f64, now: Timestamp) {
         self.speeds
             .retain(|kept| kept.sequence != sequence && kept.counts(now));
         if self.speeds.len() == MEASURED_RUNS {
@@ -104,7 +105,7 @@
 
     /// Returns how much longer runs take than estimated, in thousandths of the estimate, as the median of the newest runs; 0 while it
     /// is unknown, that is with fewer than [`MIN_MEASURED_RUNS`].
-    pub(super) fn slowness_permille(&self, now: Moment) -> u32 {
+    pub(super) fn slowness_permille(&self, now: Timestamp) -> u32 {
         let newest = self.speeds.iter().filter(|kept| kept.counts(now));
         let mut speeds: Vec<f64> = newest.map(|kept| kept.speed).collect();
         if speeds.len() < MIN_MEASURED_RUNS {
@@ -137,14 +138,14 @@
     /// Records a run that was stuck; returns whether the target is paused by it.
     ///
     /// [`TargetHealth`] decides: three stuck runs without one that is done between them, after a pause one.
-    pub(super) fn record_stuck(&mut self, now: Moment) -> bool {
+    pub(super) fn record_stuck(&mut self, now: Timestamp) -> bool {
         let is_new = self.health.note_trouble(now);
         self.is_paused |= is_new;
         is_new
     }
 
     /// Ends a probation whose time is over, and a pause whose time is over, which begins a probation; returns whether a pause ended.
-    pub(super) fn end_pause(&mut self, now: Moment) -> bool {
+    pub(super) fn end_pause(&mut self, now: Timestamp) -> bool {
         if self.probation_until.is_some_and(|until| now >= until) {
             self.probation_until = None;
         }
--- a/crates/leased/cloverfold_lease/src/runner/progress.rs
+++ b/crates/leased/cloverfold_lease/src/runner/progress.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::timings::Moment;
+use cloverfold_base::Timestamp;
 
 /// A run that was listed at the same percent for this long is stuck, whatever its estimated duration.
 ///
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Sighting {
     percent: u8,
-    seen_at: Moment,
+    seen_at: Timestamp,
 }
 
 /// How far one run was seen to have come.
@@ -43,7 +43,7 @@
 pub(super) struct ProgressTracker {
     percent: Option<u8>,
     /// When the percent was new.
-    advanced_at: Moment,
+    advanced_at: Timestamp,
     /// How often the run was seen since without having advanced.
     sightings: u32,
     /// The sighting from which its speed is measured.
@@ -52,7 +52,7 @@
 
 impl ProgressTracker {
     /// Records a sighting; returns whether the run has advanced since the one before.
-    pub(super) fn record(&mut self, percent: Option<u8>, now: Moment) -> bool {
+    pub(super) fn record(&mut self, percent: Option<u8>, now: Timestamp) -> bool {
         let before = self.percent;
         if percent.is_some() && percent == before {
             self.sightings += 1;
@@ -68,7 +68,7 @@
     ///
     /// It is if it was seen at the same percent for [`SHORTEST_STALL`], or for [`STALL_SHARE`] of its estimate if that is longer,
     /// and at least [`MIN_SIGHTINGS`] times.
-    pub(super) fn is_stuck(&self, estimate: Duration, now: Moment) -> bool {
+    pub(super) fn is_stuck(&self, estimate: Duration, now: Timestamp) -> bool {
         let limit = estimate.mul_f64(STALL_SHARE).max(SHORTEST_STALL);
         self.sightings >= MIN_SIGHTINGS && now >= self.advanced_at + limit
     }
@@ -81,7 +81,7 @@
         &mut self,
         percent: Option<u8>,
         estimate: Duration,
-        now: Moment,
+        now: Timestamp,
     ) -> Option<f64> {
         let percent = percent?;
         let sighting = Sighting {
@@ -92,7 +92,7 @@
             self.measured_from = Some(sighting);
             return None;
         };
-        let span = now.saturating_sub(from.seen_at);
+        let span = now.saturating_duration_since(from.seen_at);
         if span < SPEED_SPAN {
             return None;
         }
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -5,10 +5,12 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::runner::Runner;
 use crate::runner::orders::{EndedRun, HeldRun, HoldAnswer, HoldOrder};
 use crate::runner::unlisted::ListTimes;
-use crate::timings::{Moment, TargetTime};
+use crate::timings::TargetTime;
 
 /// What the target tells in its answer to a renewal.
 struct TargetList {
@@ -23,7 +25,7 @@
     ///
     /// The lease is not extended while the target may run something that this runner did not start: that must be able to lapse, since
     /// nobody else can end it for certain. Such a renewal is answered at once instead of waiting for an end.
-    pub fn plan_hold(&mut self, now: Moment) -> Option<HoldOrder> {
+    pub fn plan_hold(&mut self, now: Timestamp) -> Option<HoldOrder> {
         let lease = self.timings.lease;
         let target = self.target.as_mut()?;
         let (deadline, wait) = if target.has_only_own_runs {
@@ -47,7 +49,7 @@
     ///
     /// An answer from another incarnation, or one that was overtaken by the answer to a later renewal, changes nothing. No answer
     /// changes nothing here either: `watch_target` notices the silence.
-    pub fn hold_answered(&mut self, order: &HoldOrder, answer: HoldAnswer, now: Moment) {
+    pub fn hold_answered(&mut self, order: &HoldOrder, answer: HoldAnswer, now: Timestamp) {
         self.expire_sessions(now);
         let Some(target) = self.target_with_instance(&order.instance) else {
             return;
@@ -70,7 +72,7 @@
         }
     }
 
-    fn receive_list(&mut self, order: &HoldOrder, list: TargetList, now: Moment) {
+    fn receive_list(&mut self, order: &HoldOrder, list: TargetList, now: Timestamp) {
         let Some(target) = &mut self.target else {
             return;
         };
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -5,14 +5,15 @@
 //!
 //! [`Session`]: crate::runner::session::Session
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Room, RunnerMessage, SessionId};
 use crate::runner::session::Announcement;
 use crate::runner::{Runner, RunnerAction};
-use crate::timings::Moment;
 
 impl Runner {
     /// Sends a heartbeat to every session whose last one is [`Timings::heartbeat`](crate::Timings::heartbeat) old.
-    pub(super) fn send_heartbeats(&mut self, now: Moment) {
+    pub(super) fn send_heartbeats(&mut self, now: Timestamp) {
         let interval = self.timings.heartbeat;
         let due: Vec<SessionId> = self
             .sessions
@@ -25,7 +26,7 @@
         }
     }
 
-    pub(super) fn send_heartbeat(&mut self, session: SessionId, now: Moment) {
+    pub(super) fn send_heartbeat(&mut self, session: SessionId, now: Timestamp) {
         let room = self.room_for(session, now);
         if let Some(state) = self.sessions.get_mut(&session) {
             state.heartbeat_at = now;
@@ -37,7 +38,7 @@
     /// Reports the free capacity to every session that was told another one.
     ///
     /// Not only with the heartbeats: entries that know little of a target refuse work which would fit.
-    pub(super) fn report_room(&mut self, now: Moment) {
+    pub(super) fn report_room(&mut self, now: Timestamp) {
         let free = self.free_after_waiting();
         let stale: Vec<SessionId> = self
             .sessions
@@ -52,7 +53,7 @@
     }
 
     /// Makes the report of free capacity for a session and records that it was made.
-    pub(super) fn room_for(&mut self, session: SessionId, now: Moment) -> Room {
+    pub(super) fn room_for(&mut self, session: SessionId, now: Timestamp) -> Room {
         let free = self.free_after_waiting();
         // A run names its session only while that is open, so the session is there.
         let assignments_seen = self.sessions.get_mut(&session).map_or(0, |state| {
--- a/crates/leased/cloverfold_lease/src/runner/run.rs
+++ b/crates/leased/cloverfold_lease/src/runner/run.rs
@@ -17,10 +17,12 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Assignment, RunOutcome, SessionId};
 use crate::resources::Resources;
 use crate::runner::progress::ProgressTracker;
-use crate::timings::{Moment, TargetTime};
+use crate::timings::TargetTime;
 
 /// Starts of one run that are sent at most; then the runner waits until the deadline of the start has passed.
 ///
@@ -33,9 +35,9 @@
     /// On the target's clock: the target refuses a start that it carries out later.
     pub(super) deadline: TargetTime,
     /// When the first start was sent.
-    pub(super) first_sent_at: Moment,
+    pub(super) first_sent_at: Timestamp,
     /// When the newest start was sent.
-    pub(super) last_sent_at: Moment,
+    pub(super) last_sent_at: Timestamp,
     /// How many starts were sent.
     pub(super) attempts: u32,
 }
@@ -46,9 +48,9 @@
     /// On the target's clock: a start of this run that is still under way is refused after this. None if the run was known to run.
     pub(super) start_deadline: Option<TargetTime>,
     /// When the first stop was sent.
-    pub(super) first_sent_at: Moment,
+    pub(super) first_sent_at: Timestamp,
     /// When the newest stop was sent.
-    pub(super) last_sent_at: Moment,
+    pub(super) last_sent_at: Timestamp,
     /// What to report if it turns out that the run never started.
     pub(super) outcome_if_never_started: RunOutcome,
 }
@@ -59,14 +61,14 @@
     /// It waits for free capacity; nothing was sent to the target.
     Waiting {
         /// After this it is given back.
-        until: Moment,
+        until: Timestamp,
     },
     /// Its start was sent and is not acknowledged.
     Starting(PendingStart),
     /// The target has acknowledged the start or listed the run.
     Running {
         /// When the runner learned it.
-        confirmed_at: Moment,
+        confirmed_at: Timestamp,
     },
     /// A stop was sent.
     Stopping(PendingStop),
@@ -98,7 +100,7 @@
     pub(super) priority: u32,
     pub(super) state: RunState,
     /// When the first start was sent, once the target has confirmed it.
-    started_at: Option<Moment>,
+    started_at: Option<Timestamp>,
     /// Expected duration, from the assignment.
     pub(super) estimate: Duration,
     pub(super) progress: ProgressTracker,
@@ -111,7 +113,7 @@
         session: SessionId,
         sequence: u64,
         assignment: &Assignment,
-        now: Moment,
+        now: Timestamp,
     ) -> Self {
         let wait = Duration::from_millis(u64::from(assignment.wait_ms));
         Self {
@@ -138,7 +140,7 @@
     }
 
     /// Returns whether it has waited for capacity as long as its assignment allows.
-    pub(super) fn has_waited_too_long(&self, now: Moment) -> bool {
+    pub(super) fn has_waited_too_long(&self, now: Timestamp) -> bool {
         matches!(self.state, RunState::Waiting { until } if now > until)
     }
 
@@ -151,13 +153,15 @@
     }
 
     /// Returns how long ago the first start was sent; zero for a run that was not confirmed to run.
-    pub(super) fn ran_for(&self, now: Moment) -> Duration {
-        let span = self.started_at.map(|since| now.saturating_sub(since));
+    pub(super) fn ran_for(&self, now: Timestamp) -> Duration {
+        let span = self
+            .started_at
+            .map(|since| now.saturating_duration_since(since));
         span.unwrap_or_default()
     }
 
     /// Returns the speed of a run that is done now, where 1 is as fast as estimated; none if either duration is unknown.
-    pub(super) fn mean_speed(&self, now: Moment) -> Option<f64> {
+    pub(super) fn mean_speed(&self, now: Timestamp) -> Option<f64> {
         let ran = self.ran_for(now);
         if ran.is_zero() || self.estimate.is_zero() {
             return None;
@@ -166,7 +170,7 @@
     }
 
     /// Waiting -> Starting: the first start is sent now.
-    pub(super) fn begin_start(&mut self, deadline: TargetTime, now: Moment) {
+    pub(super) fn begin_start(&mut self, deadline: TargetTime, now: Timestamp) {
         self.state = RunState::Starting(PendingStart {
             deadline,
             first_sent_at: now,
@@ -177,7 +181,7 @@
 
     /// Starting -> Starting: the same start is sent again, with the same deadline. Returns the start to send, none if the attempts
     /// are used up or no start is pending.
-    pub(super) fn repeat_start(&mut self, now: Moment) -> Option<PendingStart> {
+    pub(super) fn repeat_start(&mut self, now: Timestamp) -> Option<PendingStart> {
         let RunState::Starting(start) = &mut self.state else {
             return None;
         };
@@ -193,7 +197,7 @@
     pub(super) fn replace_start(
         &mut self,
         deadline: TargetTime,
-        now: Moment,
+        now: Timestamp,
     ) -> Option<PendingStart> {
         let RunState::Starting(start) = &mut self.state else {
             return None;
@@ -205,7 +209,7 @@
     }
 
     /// Starting -> Running: the target has acknowledged the start or listed the run. Returns whether this was news.
-    pub(super) fn confirm_start(&mut self, now: Moment) -> bool {
+    pub(super) fn confirm_start(&mut self, now: Timestamp) -> bool {
         let RunState::Starting(start) = self.state else {
             return false;
         };
@@ -218,7 +222,7 @@
     pub(super) fn begin_stop(
         &mut self,
         outcome_if_never_started: RunOutcome,
-        now: Moment,
+        now: Timestamp,
     ) -> StopStep {
         let start_deadline = match self.state {
             RunState::Waiting { .. } => return StopStep::IsOver,
--- a/crates/leased/cloverfold_lease/src/runner/session.rs
+++ b/crates/leased/cloverfold_lease/src/runner/session.rs
@@ -3,8 +3,9 @@
 //! For: how long a dispatcher's runs may go on without a word from it, and what it was told last.
 //! Owns: that state of one session. Relies on nothing; every point in time comes from the caller.
 
+use cloverfold_base::Timestamp;
+
 use crate::resources::Resources;
-use crate::timings::Moment;
 
 /// What a dispatcher was told last of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,33 +28,33 @@
 #[derive(Clone, Debug)]
 pub(super) struct Session {
     /// On the runner's clock.
-    valid_until: Moment,
+    valid_until: Timestamp,
     /// How many assignments of it have arrived.
     pub(super) assignments_seen: u64,
     /// When the last heartbeat was sent.
-    pub(super) heartbeat_at: Moment,
+    pub(super) heartbeat_at: Timestamp,
     /// What was reported as free last.
     pub(super) reported_free: Resources,
     pub(super) announced: Announcement,
 }
 
 impl Session {
-    pub(super) fn new(valid_until: Moment) -> Self {
+    pub(super) fn new(valid_until: Timestamp) -> Self {
         Self {
             valid_until,
             assignments_seen: 0,
-            heartbeat_at: Moment::ZERO,
+            heartbeat_at: Timestamp::ZERO,
             reported_free: Resources::default(),
             announced: Announcement::NotSent,
         }
     }
 
     /// Moves the end of the session; never to an earlier time.
-    pub(super) fn prolong(&mut self, valid_until: Moment) {
+    pub(super) fn prolong(&mut self, valid_until: Timestamp) {
         self.valid_until = self.valid_until.max(valid_until);
     }
 
-    pub(super) fn is_over(&self, now: Moment) -> bool {
+    pub(super) fn is_over(&self, now: Timestamp) -> bool {
         now > self.valid_until
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -6,14 +6,15 @@
 //! A dispatcher counts the runs of a session as over some time after its last echo; see [`Timings`](crate::Timings). That
 //! holds only because a session here ends [`Timings::session`](crate::Timings::session) after the runner's own clock reading that was echoed.
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Refusal, RunOutcome, SessionId, TaskId};
 use crate::runner::session::Session;
 use crate::runner::{Runner, RunnerAction};
-use crate::timings::Moment;
 
 impl Runner {
     /// Begins a session with a dispatcher's process.
-    pub fn open_session(&mut self, session: SessionId, now: Moment) {
+    pub fn open_session(&mut self, session: SessionId, now: Timestamp) {
         let valid_until = now + self.timings.session;
         self.sessions.insert(session, Session::new(valid_until));
         self.send_heartbeat(session, now);
@@ -21,14 +22,14 @@
     }
 
     /// Ends a session whose link is closed; its runs are stopped.
-    pub fn close_session(&mut self, session: SessionId, now: Moment) {
+    pub fn close_session(&mut self, session: SessionId, now: Timestamp) {
         if self.sessions.remove(&session).is_some() {
             self.stop_session_runs(session, now);
         }
     }
 
     /// Prolongs a session from the clock reading that its dispatcher echoed; a reading from the future counts as one from now.
-    pub(super) fn receive_echo(&mut self, session: SessionId, clock: Moment, now: Moment) {
+    pub(super) fn receive_echo(&mut self, session: SessionId, clock: Timestamp, now: Timestamp) {
         let span = self.timings.session;
         if let Some(session) = self.sessions.get_mut(&session) {
             session.prolong(clock.min(now) + span);
@@ -36,7 +37,7 @@
     }
 
     /// Ends the sessions whose dispatchers have sent no echo in time.
-    pub(super) fn expire_sessions(&mut self, now: Moment) {
+    pub(super) fn expire_sessions(&mut self, now: Timestamp) {
         let over: Vec<SessionId> = self
             .sessions
             .iter()
@@ -51,7 +52,7 @@
     }
 
     /// Stops all that a session has assigned; nobody is told of these ends.
-    fn stop_session_runs(&mut self, session: SessionId, now: Moment) {
+    fn stop_session_runs(&mut self, session: SessionId, now: Timestamp) {
         let tasks: Vec<TaskId> = self
             .runs
             .iter()
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -5,16 +5,17 @@
 //!
 //! Sending a start twice is safe: it carries the same run number and deadline, and the target takes a run that is there as started.
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{RunOutcome, TaskId};
 use crate::runner::orders::{StartAnswer, StartOrder, StartRefusal};
 use crate::runner::refused_start::{RefusedStartStep, step_after_refused_start};
 use crate::runner::run::PendingStart;
 use crate::runner::{Runner, RunnerAction};
-use crate::timings::Moment;
 
 impl Runner {
     /// Sends the first start of a waiting run.
-    pub(super) fn start_run(&mut self, task: &TaskId, now: Moment) {
+    pub(super) fn start_run(&mut self, task: &TaskId, now: Timestamp) {
         let lease = self.timings.lease;
         let (Some(target), Some(run)) = (&mut self.target, self.runs.get_mut(task)) else {
             return;
@@ -50,7 +51,7 @@
     ///
     /// An answer to a run that is no longer starting, or from another incarnation of the target, changes nothing but what is known of
     /// the target's clock and fencing token.
-    pub fn start_answered(&mut self, order: &StartOrder, answer: StartAnswer, now: Moment) {
+    pub fn start_answered(&mut self, order: &StartOrder, answer: StartAnswer, now: Timestamp) {
         self.expire_sessions(now);
         if !self.learn_from_start_answer(order, answer, now) {
             return;
@@ -79,7 +80,7 @@
         &mut self,
         order: &StartOrder,
         answer: StartAnswer,
-        now: Moment,
+        now: Timestamp,
     ) -> bool {
         let Some(target) = self.target_with_instance(&order.instance) else {
             return false;
@@ -98,7 +99,7 @@
         task: &TaskId,
         refusal: StartRefusal,
         attempts: u32,
-        now: Moment,
+        now: Timestamp,
     ) {
         match step_after_refused_start(refusal, attempts) {
             RefusedStartStep::Replace => self.replace_start(task, now),
@@ -113,7 +114,7 @@
     }
 
     /// Sends a start with a new deadline instead of the only one before it, which was refused and so can have no effect later.
-    fn replace_start(&mut self, task: &TaskId, now: Moment) {
+    fn replace_start(&mut self, task: &TaskId, now: Timestamp) {
         let lease = self.timings.lease;
         let (Some(target), Some(run)) = (&mut self.target, self.runs.get_mut(task)) else {
             return;
@@ -126,7 +127,7 @@
     }
 
     /// Sends the same start again, while attempts are left.
-    fn repeat_start(&mut self, task: &TaskId, now: Moment) {
+    fn repeat_start(&mut self, task: &TaskId, now: Timestamp) {
         let Some(run) = self.runs.get_mut(task) else {
             return;
         };
@@ -140,7 +141,7 @@
     /// Sends starts again that got no answer within [`Timings::start_timeout`](crate::Timings::start_timeout).
     ///
     /// A target that answers nothing at all gets no further start: it would not answer it either.
-    pub(super) fn repeat_unanswered_starts(&mut self, now: Moment) {
+    pub(super) fn repeat_unanswered_starts(&mut self, now: Timestamp) {
         let target = self.target.as_ref();
         if target.is_some_and(|target| target.is_unresponsive) {
             return;
--- a/crates/leased/cloverfold_lease/src/runner/stops.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stops.rs
@@ -6,11 +6,12 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{RunOutcome, TaskId};
 use crate::runner::orders::StopOrder;
 use crate::runner::run::{RunState, StopStep};
 use crate::runner::{Runner, RunnerAction};
-use crate::timings::Moment;
 
 /// How long a stop may show no effect before it is sent again. Chosen, not measured.
 const STOP_REPEAT: Duration = Duration::from_millis(120);
@@ -24,7 +25,7 @@
         &mut self,
         task: &TaskId,
         outcome_if_never_started: RunOutcome,
-        now: Moment,
+        now: Timestamp,
     ) {
         let Some(run) = self.runs.get_mut(task) else {
             return;
@@ -57,7 +58,7 @@
     }
 
     /// Sends stops again that have shown no effect for [`STOP_REPEAT`].
-    pub(super) fn repeat_stops(&mut self, now: Moment) {
+    pub(super) fn repeat_stops(&mut self, now: Timestamp) {
         let mut due = Vec::new();
         for (task, run) in &mut self.runs {
             if let RunState::Stopping(stop) = &mut run.state
--- a/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
@@ -3,15 +3,16 @@
 //! For: the consequences of the verdicts of `progress` (one run) and `performance` (the target).
 //! Owns nothing beyond the runner's state; relies on those two, on `stops` and on `waiting`.
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Refusal, RunOutcome, TaskId};
 use crate::runner::Runner;
-use crate::timings::Moment;
 
 impl Runner {
     /// Stops the runs that are stuck, and pauses the target if there are too many of them.
     ///
     /// A target of which no run was ever seen to advance is not judged: it may tell no progress at all.
-    pub(super) fn stop_stuck_runs(&mut self, now: Moment) {
+    pub(super) fn stop_stuck_runs(&mut self, now: Timestamp) {
         let target = self.target.as_ref();
         if !target.is_some_and(|target| target.performance.tells_progress()) {
             return;
@@ -25,7 +26,7 @@
         }
     }
 
-    fn find_stuck_runs(&self, now: Moment) -> Vec<TaskId> {
+    fn find_stuck_runs(&self, now: Timestamp) -> Vec<TaskId> {
         self.runs
             .iter()
             .filter(|(_, run)| run.is_running())
@@ -34,7 +35,7 @@
             .collect()
     }
 
-    fn stop_stuck_run(&mut self, task: &TaskId, now: Moment) {
+    fn stop_stuck_run(&mut self, task: &TaskId, now: Timestamp) {
         if let Some(run) = self.runs.get_mut(task) {
             run.is_stopped_as_stuck = true;
         }
@@ -42,14 +43,14 @@
         self.stop_run(task, RunOutcome::Stuck, now);
     }
 
-    fn begin_target_pause(&mut self, now: Moment) {
+    fn begin_target_pause(&mut self, now: Timestamp) {
         self.counts.pauses += 1;
         self.give_back_waiting(Refusal::NoTarget, now);
         self.announce_target();
     }
 
     /// Offers the target again, in part, when its pause is over.
-    pub(super) fn end_target_pause(&mut self, now: Moment) {
+    pub(super) fn end_target_pause(&mut self, now: Timestamp) {
         let target = self.target.as_mut();
         if target.is_some_and(|target| target.performance.end_pause(now)) {
             self.announce_target();
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -3,11 +3,12 @@
 //! For: learning of the target and of its end. Owns nothing beyond the runner's state.
 //! Relies on [`TargetIncarnation`], and on `ending` for the runs of an incarnation that is over.
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::Refusal;
 use crate::runner::orders::TargetRegistration;
 use crate::runner::target_incarnation::TargetIncarnation;
 use crate::runner::{Runner, RunnerAction};
-use crate::timings::Moment;
 
 /// Incarnations of the target that are remembered as over, so that a registration that comes late from one is ignored.
 ///
@@ -18,7 +19,7 @@
     /// Processes a registration of the target; one that comes late from an earlier incarnation changes nothing.
     ///
     /// A new instance name is a new incarnation: all runs of the one before are over.
-    pub fn register(&mut self, registration: TargetRegistration, now: Moment) {
+    pub fn register(&mut self, registration: TargetRegistration, now: Timestamp) {
         if self.ended_incarnations.contains(&registration.instance) {
             return;
         }
@@ -30,7 +31,7 @@
     }
 
     /// Takes over what the present incarnation tells anew; one that was overtaken by a newer one changes nothing.
-    fn update_registration(&mut self, registration: TargetRegistration, now: Moment) {
+    fn update_registration(&mut self, registration: TargetRegistration, now: Timestamp) {
         let Some(target) = &mut self.target else {
             return;
         };
@@ -50,7 +51,7 @@
     }
 
     /// Forgets the target that reports its own end, and ends its runs.
-    pub fn unregister(&mut self, instance: &str, now: Moment) {
+    pub fn unregister(&mut self, instance: &str, now: Timestamp) {
         if self.target_with_instance(instance).is_some() {
             self.end_target_incarnation(now);
             self.announce_target();
@@ -66,7 +67,7 @@
         target.filter(|target| target.registration.instance == instance)
     }
 
-    fn begin_target_incarnation(&mut self, registration: TargetRegistration, now: Moment) {
+    fn begin_target_incarnation(&mut self, registration: TargetRegistration, now: Timestamp) {
         self.end_target_incarnation(now);
         self.next_sequence += 1;
         let number = self.next_sequence;
@@ -77,7 +78,7 @@
     }
 
     /// Ends the present incarnation, if there is one, and with it all that ran there.
-    fn end_target_incarnation(&mut self, now: Moment) {
+    fn end_target_incarnation(&mut self, now: Timestamp) {
         if let Some(target) = self.target.take() {
             self.ended_incarnations
                 .push_back(target.registration.instance);
@@ -92,7 +93,7 @@
     /// that a renewal may wait.
     ///
     /// An unresponsive target gets no new work. Its runs may go on until its lease has lapsed; then they are lost.
-    pub(super) fn watch_target(&mut self, now: Moment) {
+    pub(super) fn watch_target(&mut self, now: Timestamp) {
         let limit = self.timings.silence + self.timings.hold_wait;
         let Some(target) = &mut self.target else {
             return;
@@ -108,7 +109,7 @@
         self.end_runs_of_lapsed_lease(now);
     }
 
-    fn end_runs_of_lapsed_lease(&mut self, now: Moment) {
+    fn end_runs_of_lapsed_lease(&mut self, now: Timestamp) {
         let Some(target) = &self.target else {
             return;
         };
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -5,11 +5,13 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::TargetDescription;
 use crate::resources::Resources;
 use crate::runner::orders::TargetRegistration;
 use crate::runner::performance::TargetPerformance;
-use crate::timings::{Moment, TargetTime, Timings};
+use crate::timings::{TargetTime, Timings};
 
 /// How far the fencing token rises above one that the target has refused.
 ///
@@ -34,12 +36,26 @@
     NoClock,
 }
 
+impl TargetUnfitness {
+    /// Returns the name by which logs and answers call it; it is part of the outside interface.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::NoTarget => "NoTarget",
+            Self::Draining => "Draining",
+            Self::Silent => "Silent",
+            Self::RunsStandStill => "RunsStandStill",
+            Self::OtherRuns => "OtherRuns",
+            Self::NoClock => "NoClock",
+        }
+    }
+}
+
 /// A reading of the target's clock and when it arrived here.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     clock: TargetTime,
     /// On the runner's clock. The reading was made before this.
-    received_at: Moment,
+    received_at: Timestamp,
 }
 
 /// What is known of one incarnation of the target.
@@ -55,9 +71,9 @@
     /// Number of the newest end that was taken from its lists.
     pub(super) last_acknowledged_end: u64,
     /// When the newest renewal that it answered was sent.
-    pub(super) newest_renewal_sent_at: Moment,
+    pub(super) newest_renewal_sent_at: Timestamp,
     /// When it answered a renewal last; at first when it registered.
-    pub(super) answered_at: Moment,
+    pub(super) answered_at: Timestamp,
     /// Whether its newest list contained nothing but runs of this runner.
     pub(super) has_only_own_runs: bool,
     pub(super) is_unresponsive: bool,
@@ -69,7 +85,7 @@
         registration: TargetRegistration,
         number: u64,
         fencing_token: u64,
-        now: Moment,
+        now: Timestamp,
     ) -> Self {
         let clock = registration.clock.map(|clock| ClockReading {
             clock,
@@ -82,7 +98,7 @@
             clock,
             latest_deadline: 0,
             last_acknowledged_end: 0,
-            newest_renewal_sent_at: Moment::ZERO,
+            newest_renewal_sent_at: Timestamp::ZERO,
             answered_at: now,
             has_only_own_runs: false,
             is_unresponsive: false,
@@ -141,7 +157,7 @@
     }
 
     /// Records a reading of the target's clock that arrives now.
-    pub(super) fn read_clock(&mut self, clock: TargetTime, now: Moment) {
+    pub(super) fn read_clock(&mut self, clock: TargetTime, now: Timestamp) {
         self.clock = Some(ClockReading {
             clock,
             received_at: now,
@@ -153,9 +169,9 @@
     ///
     /// The target's present time is estimated from below: its reading was made before it arrived here. So the lease does not exceed what
     /// the target allows.
-    pub(super) fn extend_lease(&mut self, now: Moment, lease: Duration) -> Option<TargetTime> {
+    pub(super) fn extend_lease(&mut self, now: Timestamp, lease: Duration) -> Option<TargetTime> {
         let reading = self.clock?;
-        let since = now.saturating_sub(reading.received_at);
+        let since = now.saturating_duration_since(reading.received_at);
         let deadline = reading.clock + (since + lease).as_millis() as u64;
         self.latest_deadline = self.latest_deadline.max(deadline);
         Some(deadline)
@@ -166,7 +182,7 @@
     /// The latest deadline that was sent lies `left` after the newest reading of the target's clock. That clock may be slow, so `left` lasts
     /// up to [`Timings::stretch`] of it here; then the target has [`Timings::stop`] to end its runs. Without a reading no order
     /// had a deadline, so there is no lease.
-    pub(super) fn has_lease_lapsed(&self, timings: &Timings, now: Moment) -> bool {
+    pub(super) fn has_lease_lapsed(&self, timings: &Timings, now: Timestamp) -> bool {
         let Some(reading) = self.clock else {
             return true;
         };
--- a/crates/leased/cloverfold_lease/src/runner/unlisted.rs
+++ b/crates/leased/cloverfold_lease/src/runner/unlisted.rs
@@ -2,15 +2,17 @@
 //!
 //! For: the one rule that ends a run without a word of the target about it. Pure: owns nothing, relies on [`RunState`].
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Refusal, RunOutcome};
 use crate::runner::run::{PendingStop, RunState};
-use crate::timings::{Moment, TargetTime};
+use crate::timings::TargetTime;
 
 /// When a list of the target's runs was made, on both clocks.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListTimes {
     /// When the target was asked, on the runner's clock. The list is at least as new as this.
-    pub(super) asked_at: Moment,
+    pub(super) asked_at: Timestamp,
     /// The target's clock in its answer.
     pub(super) clock: TargetTime,
 }
--- a/crates/leased/cloverfold_lease/src/runner/waiting.rs
+++ b/crates/leased/cloverfold_lease/src/runner/waiting.rs
@@ -3,18 +3,19 @@
 //! For: the queue at the target and the account of its capacity. Owns nothing beyond the runner's state.
 //! Relies on `starts` and `ending`.
 
+use cloverfold_base::Timestamp;
+
 use crate::messages::{Refusal, RunOutcome, TaskId};
 use crate::resources::Resources;
 use crate::runner::Runner;
 use crate::runner::run::Run;
 use crate::runner::target_incarnation::TargetIncarnation;
-use crate::timings::Moment;
 
 impl Runner {
     /// Starts waiting runs in order of priority, then of arrival, while they fit.
     ///
     /// The first that does not fit holds up all behind it: small runs do not overtake a large one again and again.
-    pub(super) fn start_waiting(&mut self, now: Moment) {
+    pub(super) fn start_waiting(&mut self, now: Timestamp) {
         if !self.has_ready_target() {
             return;
         }
@@ -31,7 +32,7 @@
 
     /// Gives back the runs that have waited as long as their assignment allows
     /// ([`Assignment::wait_ms`](crate::Assignment::wait_ms), set by the dispatcher).
-    pub(super) fn expire_waiting(&mut self, now: Moment) {
+    pub(super) fn expire_waiting(&mut self, now: Timestamp) {
         let late: Vec<TaskId> = self
             .runs
             .iter()
@@ -44,7 +45,7 @@
     }
 
     /// Gives back all waiting runs: the target accepts no work any more.
-    pub(super) fn give_back_waiting(&mut self, refusal: Refusal, now: Moment) {
+    pub(super) fn give_back_waiting(&mut self, refusal: Refusal, now: Timestamp) {
         for task in self.waiting_in_order() {
             self.end_run(&task, RunOutcome::NotStarted(refusal), now);
         }
