--- a/crates/claims/cloverfold_coordinate/src/admitter.rs
+++ b/crates/claims/cloverfold_coordinate/src/admitter.rs
@@ -1,4 +1,7 @@
-//! Lets jobs wait until the cell has slots for them.
+//! Queues jobs until the cell has slots for them.
+//!
+//! Owns the queue ([`JobQueue`], on the control thread). Relies on [`Membership`] for the slots of the cell, and on
+//! [`cloverfold_claims_core::Admission`] for the decisions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,14 +15,14 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::timeout;
 
-/// Tasks of jobs that may wait at one coordinator.
+/// Tasks of jobs that may wait at one coordinator. Chosen, not measured.
 const WAITING_LIMIT: usize = 20_000;
-/// How often waiting jobs are looked at without any known change.
+/// How often queued jobs are looked at without any known change. Chosen, not measured.
 const IDLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waiting jobs and those that wait for them.
+/// Queued jobs and the callers that wait for them.
 #[derive(Default)]
-pub(crate) struct WaitingRoom {
+pub(crate) struct JobQueue {
     admission: Admission,
     waiters: HashMap<TicketId, oneshot::Sender<Grant>>,
 }
@@ -29,17 +32,17 @@
     /// One charge for each task; none when no guard can take work.
     pub(crate) charges: Vec<Charge>,
     /// Counts the job's tasks to its flow.
-    pub(crate) hold: FlowHold,
+    pub(crate) flow_charge: FlowCharge,
 }
 
 /// The tasks of an admitted job, counted to its flow until dropped.
-pub(crate) struct FlowHold {
-    room: ThreadState<WaitingRoom>,
+pub(crate) struct FlowCharge {
+    queue: ThreadState<JobQueue>,
     flow: Flow,
     tasks: usize,
 }
 
-impl FlowHold {
+impl FlowCharge {
     /// Counts one task less.
     pub(crate) fn release_one(&mut self) {
         self.release(1);
@@ -48,12 +51,12 @@
     fn release(&mut self, tasks: usize) {
         self.tasks = self.tasks.saturating_sub(tasks);
         let flow = self.flow.clone();
-        self.room
-            .post(move |room| room.admission.record_ended(&flow, tasks));
+        self.queue
+            .post(move |queue| queue.admission.record_ended(&flow, tasks));
     }
 }
 
-impl Drop for FlowHold {
+impl Drop for FlowCharge {
     fn drop(&mut self) {
         if self.tasks > 0 {
             self.release(self.tasks);
@@ -64,23 +67,23 @@
 /// Admits jobs in fair order as slots come free.
 #[derive(Clone)]
 pub(crate) struct Admitter {
-    room: ThreadState<WaitingRoom>,
+    queue: ThreadState<JobQueue>,
     membership: Membership,
     policy: PlacementPolicy,
     arrived: Arc<Notify>,
-    /// Jobs that wait, kept beside the room so that an empty one costs no visit.
+    /// Number of queued jobs, kept beside the queue so that an empty one costs no visit to the control thread.
     waiting: Arc<AtomicUsize>,
     next_ticket: Arc<AtomicU64>,
 }
 
 impl Admitter {
     pub(crate) fn new(
-        room: ThreadState<WaitingRoom>,
+        queue: ThreadState<JobQueue>,
         membership: Membership,
         policy: PlacementPolicy,
     ) -> Self {
         Self {
-            room,
+            queue,
             membership,
             policy,
             arrived: Arc::default(),
@@ -93,7 +96,7 @@
     ///
     /// # Errors
     ///
-    /// Says that too many jobs wait or that the deadline came first; nothing was started.
+    /// Returns [`ReasonCode::QueueFull`] or [`ReasonCode::DeadlinePassed`]; nothing was started.
     pub(crate) async fn admit(
         &self,
         flow: Flow,
@@ -102,39 +105,50 @@
         deadline: UnixTime,
     ) -> Result<Grant, ReasonCode> {
         let id = self.next_ticket.fetch_add(1, Ordering::Relaxed);
-        let (tx, mut rx) = oneshot::channel();
         let ticket = Ticket {
             id,
             flow,
             weight,
             tasks,
         };
-        let waiting = self.waiting.clone();
-        let push = move |room: &mut WaitingRoom| {
-            room.admission.push(ticket, WAITING_LIMIT)?;
-            waiting.fetch_add(1, Ordering::AcqRel);
-            room.waiters.insert(id, tx);
-            Ok(())
-        };
-        self.room.with(push).await?;
+        let mut rx = self.push(ticket).await?;
         self.arrived.notify_one();
         let remaining = deadline.saturating_sub(unix_now());
         if let Ok(Ok(grant)) = timeout(remaining, &mut rx).await {
             return Ok(grant);
         }
+        self.withdraw(id).await;
+        // The grant may have come between the deadline and the withdrawal.
+        rx.try_recv().map_err(|_| ReasonCode::DeadlinePassed)
+    }
+
+    /// Queues a job; returns where its grant comes.
+    async fn push(&self, ticket: Ticket) -> Result<oneshot::Receiver<Grant>, ReasonCode> {
+        let (tx, rx) = oneshot::channel();
         let waiting = self.waiting.clone();
-        let withdraw = move |room: &mut WaitingRoom| {
-            if room.admission.withdraw(id) {
+        let push = move |queue: &mut JobQueue| {
+            let id = ticket.id;
+            queue.admission.push(ticket, WAITING_LIMIT)?;
+            waiting.fetch_add(1, Ordering::AcqRel);
+            queue.waiters.insert(id, tx);
+            Ok(rx)
+        };
+        self.queue.with(push).await
+    }
+
+    /// Removes a job from the queue, if it still waits.
+    async fn withdraw(&self, id: TicketId) {
+        let waiting = self.waiting.clone();
+        let withdraw = move |queue: &mut JobQueue| {
+            if queue.admission.withdraw(id) {
                 waiting.fetch_sub(1, Ordering::AcqRel);
             }
-            room.waiters.remove(&id);
+            queue.waiters.remove(&id);
         };
-        self.room.with(withdraw).await;
-        // The grant may have come between the deadline and the withdrawal.
-        rx.try_recv().map_err(|_| ReasonCode::DeadlinePassed)
+        self.queue.with(withdraw).await;
     }
 
-    /// Admits jobs as long as the process lives; one task alone does, so that no slot is given twice.
+    /// Admits jobs until the process ends. Only one task does, so that no slot is given twice.
     pub(crate) async fn run(self) {
         loop {
             tokio::select! {
@@ -146,30 +160,34 @@
         }
     }
 
+    /// Admits the next job that may have slots now; returns whether there was one.
     async fn admit_one(&self) -> bool {
         if self.waiting.load(Ordering::Acquire) == 0 {
             return false;
         }
         let capacity = self.membership.count_capacity().await;
         let waiting = self.waiting.clone();
-        let admit = move |room: &mut WaitingRoom| {
-            let ticket = room.admission.admit_next(capacity)?;
+        let admit = move |queue: &mut JobQueue| {
+            let ticket = queue.admission.admit_next(capacity)?;
             waiting.fetch_sub(1, Ordering::AcqRel);
-            let waiter = room.waiters.remove(&ticket.id);
+            let waiter = queue.waiters.remove(&ticket.id);
             Some((ticket, waiter))
         };
-        let Some((ticket, waiter)) = self.room.with(admit).await else {
+        let Some((ticket, waiter)) = self.queue.with(admit).await else {
             return false;
         };
-        let hold = FlowHold {
-            room: self.room.clone(),
+        let flow_charge = FlowCharge {
+            queue: self.queue.clone(),
             flow: ticket.flow,
             tasks: ticket.tasks,
         };
         let charges = self.membership.place_tasks(self.policy, ticket.tasks).await;
         if let Some(waiter) = waiter {
             // A caller that has gone drops the grant, which gives the slots back.
-            let _ = waiter.send(Grant { charges, hold });
+            let _ = waiter.send(Grant {
+                charges,
+                flow_charge,
+            });
         }
         true
     }
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -1,4 +1,7 @@
 //! Keeps an assignment going over lost connections, until its tasks have ended or their place is lost.
+//!
+//! An assignment owns the tasks that have not ended at its place, with their charges. It reports to the job's driver by
+//! [`JobEvent`]s and relies on the place's fence to answer a repeated assignment with what became of each task.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,20 +15,24 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::coordinator::Coordinator;
+use crate::job_context::JobContext;
 use crate::messages::Submit;
 
-/// A place that cannot be reached for this long counts as lost.
+/// A place that cannot be reached for this long counts as lost. Chosen, not measured
+/// (docs/design/5-membership.md).
 const PATIENCE: Duration = Duration::from_secs(4);
+/// Longest wait for the answer to one release. Chosen, not measured.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
-const BACKOFF_MS: u64 = 60;
+/// Pause before a repeated assignment or release: this long and up to as much again, drawn at random. Chosen, not
+/// measured.
+const BACKOFF: Duration = Duration::from_millis(60);
 
 /// What assignments of one job share.
 #[derive(Clone)]
 pub(crate) struct JobLink {
     /// Whether this guard coordinates all jobs, and so knows where slots are free.
     pub(crate) is_lead: bool,
-    pub(crate) coordinator: Coordinator,
+    pub(crate) context: Arc<JobContext>,
     pub(crate) submit: Arc<Submit>,
     pub(crate) events: mpsc::Sender<JobEvent>,
 }
@@ -44,37 +51,37 @@
 /// Tasks that have not ended at their place, by number.
 type OpenTasks = BTreeMap<TaskIndex, PlacedTask>;
 
-/// Why an assignment no longer brings reports.
-enum Break {
-    /// The life that was meant is over.
+/// Why an assignment brings no more reports.
+enum Interruption {
+    /// The incarnation that was meant has ended.
     Superseded,
     /// The connection broke; the assignment can be asked for again.
     Link(String),
 }
 
 impl JobLink {
-    /// Gives tasks to a place and passes on how each ends.
+    /// Assigns tasks to a place and reports how each ends.
     pub(crate) async fn run_assignment(self, place: Placement, tasks: Vec<PlacedTask>) {
         let mut open: OpenTasks = tasks.into_iter().map(|task| (task.index, task)).collect();
         let mut reached_at = Instant::now();
         let mut is_first = true;
         while !open.is_empty() {
             if !is_first {
-                self.coordinator.metrics().repeated_assigns.inc();
+                self.context.metrics.repeated_assigns.inc();
             }
             is_first = false;
             let attempt = self.follow_assignment(place, &mut open, &mut reached_at);
-            let broken = tokio::select! {
-                broken = attempt => broken,
-                () = self.coordinator.membership().wait_for_restart(place) => Some(Break::Superseded),
-                // The job is answered, so nobody needs the rest.
+            let interruption = tokio::select! {
+                interruption = attempt => interruption,
+                () = self.context.membership.wait_for_restart(place) => Some(Interruption::Superseded),
+                // The job is answered, so no more events are needed.
                 () = self.events.closed() => return,
             };
-            match broken {
+            match interruption {
                 None => {}
-                Some(Break::Superseded) => break,
-                Some(Break::Link(cause)) => {
-                    self.coordinator.membership().suspect(place.guard);
+                Some(Interruption::Superseded) => break,
+                Some(Interruption::Link(cause)) => {
+                    self.context.membership.suspect(place.guard);
                     log::debug!(guard = place.guard; "assignment: {cause}");
                     if reached_at.elapsed() > PATIENCE {
                         break;
@@ -88,34 +95,36 @@
         }
     }
 
-    /// Sends the assignment once and reads its replies to their end.
+    /// Sends the assignment once and reads its replies until they end; `None` when every task has ended.
     async fn follow_assignment(
         &self,
         place: Placement,
         open: &mut OpenTasks,
         reached_at: &mut Instant,
-    ) -> Option<Break> {
+    ) -> Option<Interruption> {
         let assign = self.build_assign(place, open);
-        let Some(address) = self.coordinator.directory().address_of(place.guard) else {
-            return Some(Break::Superseded);
+        let Some(address) = self.context.directory.address_of(place.guard) else {
+            return Some(Interruption::Superseded);
         };
-        let opened = self.coordinator.network().open(address, &assign).await;
+        let opened = self.context.network.open(address, &assign).await;
         let mut replies = match opened {
             Ok(replies) => replies,
-            Err(cause) => return Some(break_of(&cause)),
+            Err(cause) => return Some(interruption_of(&cause)),
         };
         loop {
             match replies.next().await {
-                Err(cause) => return Some(break_of(&cause)),
+                Err(cause) => return Some(interruption_of(&cause)),
                 Ok(None) if open.is_empty() => return None,
-                Ok(None) => return Some(Break::Link("the replies ended early".into())),
-                Ok(Some(AssignReply::WrongIncarnation(_))) => return Some(Break::Superseded),
+                Ok(None) => return Some(Interruption::Link("the replies ended early".into())),
+                Ok(Some(AssignReply::WrongIncarnation(_))) => {
+                    return Some(Interruption::Superseded);
+                }
                 Ok(Some(AssignReply::Ended {
                     reports,
                     guard_report,
                 })) => {
                     *reached_at = Instant::now();
-                    self.coordinator.membership().absorb(guard_report);
+                    self.context.membership.absorb(guard_report);
                     for report in reports {
                         open.remove(&report.index);
                         self.report_end(report.index, place, report.end).await;
@@ -142,9 +151,9 @@
             workspace: submit.workspace.clone(),
             service: submit.service.clone(),
             deadline: submit.deadline,
-            keep_until: self.coordinator.keep_until(&submit.submission),
+            keep_until: self.context.keep_until(&submit.submission),
             tasks: tasks.collect(),
-            guard_report: self.coordinator.membership().own_report(),
+            guard_report: self.context.membership.own_report(),
         }
     }
 
@@ -153,11 +162,11 @@
     }
 
     async fn send(&self, event: JobEvent) {
-        // The driver stops listening once the job is answered.
+        // The driver stops listening once the job is answered; later events are not needed.
         let _ = self.events.send(event).await;
     }
 
-    /// Takes a task back from a place and passes on the verdict.
+    /// Asks a place to release a task and reports the verdict.
     pub(crate) async fn run_release(
         self,
         task: TaskIndex,
@@ -169,18 +178,18 @@
             key: self.submit.submission.key,
             index: task,
             to,
-            keep_until: self.coordinator.keep_until(&self.submit.submission),
+            keep_until: self.context.keep_until(&self.submit.submission),
         };
         let since = Instant::now();
-        let Some(address) = self.coordinator.directory().address_of(place.guard) else {
+        let Some(address) = self.context.directory.address_of(place.guard) else {
             return self.send(JobEvent::PlaceLost { task, place }).await;
         };
         loop {
-            let network = self.coordinator.network();
+            let network = &self.context.network;
             match network.call(address, &release, RELEASE_TIMEOUT).await {
                 Ok(reply) => {
                     let verdict = reply.verdict;
-                    self.coordinator.membership().absorb(reply.guard_report);
+                    self.context.membership.absorb(reply.guard_report);
                     let event = JobEvent::Verdict {
                         task,
                         place,
@@ -198,10 +207,10 @@
     }
 }
 
-fn break_of(cause: &CallError) -> Break {
-    Break::Link(cause.to_string())
+fn interruption_of(cause: &CallError) -> Interruption {
+    Interruption::Link(cause.to_string())
 }
 
 fn draw_backoff() -> Duration {
-    Duration::from_millis(BACKOFF_MS + random_u64() % BACKOFF_MS)
+    BACKOFF + Duration::from_millis(random_u64() % BACKOFF.as_millis() as u64)
 }
--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -1,104 +1,35 @@
-//! Takes submissions in and keeps their answers.
+//! Handles submissions and queries, and keeps the answers of jobs.
+//!
+//! Owns the jobs driven here ([`Jobs`], on the control thread). Relies on [`drive_job`] to run one job to its answer.
 
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 
 use cloverfold_app::{Lifecycle, Phase, ThreadState};
-use cloverfold_base::{UnixTime, unix_now};
-use cloverfold_claim::Claims;
-use cloverfold_claims_core::{
-    Outcome, ReasonCode, RetryBudget, Submission, SubmissionKey, format_key,
-};
-use cloverfold_claims_settings::CellSettings;
-use cloverfold_membership::{Directory, Membership};
-use cloverfold_net::Network;
+use cloverfold_base::unix_now;
+use cloverfold_claims_core::{Outcome, ReasonCode, Submission, SubmissionKey, format_key};
 use tokio::time::sleep;
 
-use crate::admitter::Admitter;
 use crate::driver::drive_job;
+use crate::job_context::JobContext;
 use crate::jobs::{AnswerReceiver, AnswerSender, JobAnswer, Jobs, Joining};
 use crate::messages::{JobState, Query, QueryReply, Submit, SubmitReply, Verdict};
-use crate::plugin::CoordinateMetrics;
 
+/// How often expired answers are dropped. Chosen, not measured.
 const COLLECT_INTERVAL: Duration = Duration::from_secs(1);
+/// How often a draining guard looks whether its jobs are answered. Chosen, not measured.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// Runs the jobs whose keys this guard holds.
+/// Coordinates the jobs that this guard was asked for.
 #[derive(Clone)]
 pub struct Coordinator {
-    pub(crate) inner: Arc<Inner>,
-}
-
-pub(crate) struct Inner {
-    pub(crate) admitter: Admitter,
-    pub(crate) claims: Claims,
-    pub(crate) membership: Membership,
-    pub(crate) directory: Arc<Directory>,
-    pub(crate) network: Network,
-    pub(crate) cell: Arc<CellSettings>,
+    pub(crate) context: Arc<JobContext>,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) jobs: ThreadState<Jobs>,
-    pub(crate) retry_budget: Mutex<RetryBudget>,
-    pub(crate) metrics: CoordinateMetrics,
 }
 
 impl Coordinator {
-    /// Tells whether this guard coordinates all jobs now.
-    pub(crate) async fn is_acting_lead(&self) -> bool {
-        let lead = self.inner.membership.find_acting_lead().await;
-        lead == Some(self.inner.claims.own().guard)
-    }
-
-    pub(crate) fn admitter(&self) -> &Admitter {
-        &self.inner.admitter
-    }
-
-    pub(crate) fn claims(&self) -> &Claims {
-        &self.inner.claims
-    }
-
-    pub(crate) fn membership(&self) -> &Membership {
-        &self.inner.membership
-    }
-
-    pub(crate) fn directory(&self) -> &Directory {
-        &self.inner.directory
-    }
-
-    pub(crate) fn network(&self) -> &Network {
-        &self.inner.network
-    }
-
-    pub(crate) fn cell(&self) -> &CellSettings {
-        &self.inner.cell
-    }
-
-    pub(crate) fn metrics(&self) -> &CoordinateMetrics {
-        &self.inner.metrics
-    }
-
-    /// Returns until when fences must remember the tasks of a submission.
-    pub(crate) fn keep_until(&self, submission: &Submission) -> UnixTime {
-        submission.submitted_at + self.inner.cell.retention() * 2
-    }
-
-    pub(crate) fn take_retry(&self) -> bool {
-        let budget = self.inner.retry_budget.lock();
-        let is_allowed = budget.unwrap_or_else(PoisonError::into_inner).take_retry();
-        if is_allowed {
-            self.inner.metrics.retries.inc();
-        }
-        is_allowed
-    }
-
-    pub(crate) fn record_success(&self) {
-        let budget = self.inner.retry_budget.lock();
-        budget
-            .unwrap_or_else(PoisonError::into_inner)
-            .record_success();
-    }
-
-    /// Answers a submission: joins its job or drives it.
+    /// Answers a submission: joins its job if that is known here, else drives it.
     pub(crate) async fn handle_submit(self, submit: Submit) -> SubmitReply {
         let key = submit.submission.key;
         let attempt = submit.attempt;
@@ -113,12 +44,12 @@
     async fn decide_submit(&self, submit: Submit) -> Verdict {
         let key = submit.submission.key;
         let is_sole_attempt = submit.is_sole_attempt;
-        if !self.inner.claims.can_coordinate(&key).await {
+        if !self.context.claims.can_coordinate(&key).await {
             return Verdict::NotHere(ReasonCode::NoQuorum);
         }
-        let may_begin = self.inner.lifecycle.phase() == Phase::Serving;
+        let may_begin = self.lifecycle.phase() == Phase::Serving;
         let digest = submit.digest;
-        let jobs = &self.inner.jobs;
+        let jobs = &self.jobs;
         let joining = jobs
             .with(move |jobs| jobs.join_or_begin(key, digest, may_begin))
             .await;
@@ -137,7 +68,7 @@
             }
         };
         match wait_for_answer(rx).await {
-            // What this guard knows alone proves nothing for a caller that was elsewhere too.
+            // Another guard may have had the submission, so what this one alone knows proves nothing.
             Some(answer) if answer.rests_on_sole_attempt && !is_sole_attempt => {
                 Verdict::NotHere(ReasonCode::Unavailable)
             }
@@ -146,23 +77,23 @@
         }
     }
 
+    /// Drives a job, and keeps and publishes its answer.
     async fn run_job(self, submit: Submit, tx: AnswerSender) {
         let key = submit.submission.key;
-        let answer = drive_job(self.clone(), submit).await;
-        self.inner.metrics.count_job(&answer.outcome);
+        let answer = drive_job(self.context.clone(), submit).await;
+        self.context.metrics.count_job(&answer.outcome);
         log_answer(&key, &answer.outcome);
         let kept = answer.clone();
-        let retention = self.inner.cell.answer_retention();
+        let retention = self.context.cell.answer_retention();
         let now = unix_now();
-        self.inner
-            .jobs
+        self.jobs
             .with(move |jobs| jobs.finish(key, &kept, now, retention))
             .await;
-        // Callers may all have gone; the answer is kept for those who ask again.
+        // All callers may have gone; the answer is kept for those that ask again.
         tx.send_replace(Some(Arc::new(answer)));
     }
 
-    /// Says what is known of a submission.
+    /// Answers what is known of a submission.
     pub(crate) async fn handle_query(self, query: Query) -> QueryReply {
         let key = query.key;
         let state = self.find_state(key).await;
@@ -170,7 +101,7 @@
     }
 
     async fn find_state(&self, key: SubmissionKey) -> JobState {
-        let known = self.inner.jobs.with(move |jobs| jobs.find(&key)).await;
+        let known = self.jobs.with(move |jobs| jobs.find(&key)).await;
         if let Some(rx) = known {
             let answer = rx.borrow().clone();
             return match answer {
@@ -182,7 +113,7 @@
             key,
             submitted_at: unix_now(),
         };
-        match self.inner.claims.read(submission).await {
+        match self.context.claims.read(submission).await {
             Ok(Some(claim)) => match claim.refusal {
                 Some(reason) => JobState::Refused(reason),
                 None => JobState::Claimed {
@@ -190,22 +121,23 @@
                 },
             },
             Ok(None) => JobState::NotSeen,
+            // Which replicas failed to answer was logged by the claim calls.
             Err(_) => JobState::CannotTell,
         }
     }
 
-    /// Drops answers past their time, as long as the process lives.
+    /// Drops answers that are past their time, until the process ends.
     pub(crate) async fn collect(self) {
         loop {
             sleep(COLLECT_INTERVAL).await;
             let now = unix_now();
-            self.inner.jobs.post(move |jobs| jobs.collect_expired(now));
+            self.jobs.post(move |jobs| jobs.collect_expired(now));
         }
     }
 
     /// Waits until every job that this guard drives is answered.
     pub(crate) async fn drain(self) {
-        while self.inner.jobs.with(|jobs| jobs.running()).await > 0 {
+        while self.jobs.with(|jobs| jobs.running()).await > 0 {
             sleep(DRAIN_POLL).await;
         }
     }
@@ -219,6 +151,7 @@
     }
 }
 
+/// Waits for the answer of a job; `None` if its driver ended without one.
 async fn wait_for_answer(mut rx: AnswerReceiver) -> Option<Arc<JobAnswer>> {
     let answer = rx.wait_for(Option::is_some).await.ok()?;
     answer.clone()
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -1,10 +1,13 @@
-//! Runs one job: agrees on its claim, feeds its progress, and returns its answer.
+//! Runs one job: agrees on its claim, carries out its progress, and returns its answer.
+//!
+//! [`Driver`] owns the progress of one job and its event queue. The decisions are those of [`JobProgress`];
+//! assignments and releases run as tasks of their own ([`JobLink`]) and report by events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_base::{draw_below, unix_now};
+use cloverfold_base::draw_below;
 use cloverfold_claim::ClaimError;
 use cloverfold_claims_core::{
     Claim, JobAction, JobEvent, JobOptions, JobProgress, Outcome, Placement, ReasonCode, TaskEnd,
@@ -13,101 +16,41 @@
 use cloverfold_membership::Charge;
 use tokio::sync::mpsc;
 
-use crate::admitter::Grant;
+use crate::admitter::{FlowCharge, Grant};
 use crate::assignment::{JobLink, PlacedTask};
-use crate::coordinator::Coordinator;
+use crate::job_context::JobContext;
+use crate::job_plan::{JobPlan, plan_job};
 use crate::jobs::JobAnswer;
 use crate::messages::Submit;
 
-/// Events that may wait for the driver; a sender waits when it is full.
+/// Events that may wait for the driver; a sender waits when the queue is full. Chosen, not measured.
 const EVENT_QUEUE: usize = 256;
-/// When to come again after a refusal for want of a place.
+/// When a caller is told to retry after a refusal for want of a place. Chosen, not measured.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Runs a job to its answer.
-pub(crate) async fn drive_job(coordinator: Coordinator, submit: Submit) -> JobAnswer {
+pub(crate) async fn drive_job(context: Arc<JobContext>, submit: Submit) -> JobAnswer {
     let is_sole_attempt = submit.is_sole_attempt;
-    let JobPlan { wanted, grant } = plan_job(&coordinator, &submit).await;
+    let JobPlan { wanted, grant } = plan_job(&context, &submit).await;
     if is_sole_attempt && let Some(reason) = wanted.refusal {
         // No other guard has the submission, so this one alone can say that nothing runs.
         return JobAnswer::of_sole_attempt(refuse(reason));
     }
-    match coordinator.claims().agree(submit.submission, wanted).await {
+    match context.claims.agree(submit.submission, wanted).await {
         Ok(claim) if claim.digest != submit.digest => {
             JobAnswer::proved(refuse(ReasonCode::KeyConflict))
         }
         Ok(claim) => JobAnswer::proved(match claim.refusal {
             Some(reason) => refuse(reason),
-            None => drive_claim(coordinator, submit, &claim, grant).await,
+            None => drive_claim(context, submit, &claim, grant).await,
         }),
-        // Without a claim nothing was assigned here, and there is nowhere else.
+        // Without a claim nothing was assigned here, and no other guard has the submission.
         Err(_) if is_sole_attempt => JobAnswer::of_sole_attempt(refuse(ReasonCode::NoQuorum)),
         Err(cause) => JobAnswer::proved(explain_no_claim(cause)),
     }
 }
 
-/// A claim that this guard would like, with the slots for its tasks.
-struct JobPlan {
-    wanted: Claim,
-    grant: Option<Grant>,
-}
-
-/// Waits for slots and chooses where each task runs, or decides that nothing can run.
-async fn plan_job(coordinator: &Coordinator, submit: &Submit) -> JobPlan {
-    let mut wanted = Claim {
-        digest: submit.digest,
-        submitted_at: submit.submission.submitted_at,
-        placements: Vec::new(),
-        tasks: Vec::new(),
-        refusal: None,
-    };
-    match admit_job(coordinator, submit).await {
-        Ok(grant) => {
-            fill_places(&mut wanted, &grant.charges);
-            JobPlan {
-                wanted,
-                grant: Some(grant),
-            }
-        }
-        Err(reason) => {
-            wanted.refusal = Some(reason);
-            JobPlan {
-                wanted,
-                grant: None,
-            }
-        }
-    }
-}
-
-async fn admit_job(coordinator: &Coordinator, submit: &Submit) -> Result<Grant, ReasonCode> {
-    if unix_now() >= submit.deadline {
-        return Err(ReasonCode::DeadlinePassed);
-    }
-    let flow = coordinator
-        .cell()
-        .flow_of(&submit.service, &submit.workspace);
-    let weight = coordinator.cell().weight_of(&submit.workspace);
-    let admitter = coordinator.admitter();
-    let grant = admitter
-        .admit(flow, weight, submit.tasks.len(), submit.deadline)
-        .await?;
-    if grant.charges.is_empty() {
-        return Err(ReasonCode::Unavailable);
-    }
-    Ok(grant)
-}
-
-fn fill_places(claim: &mut Claim, charges: &[Charge]) {
-    let mut index_of = BTreeMap::new();
-    for charge in charges {
-        let index = *index_of.entry(charge.place()).or_insert_with(|| {
-            claim.placements.push(charge.place());
-            claim.placements.len() as u16 - 1
-        });
-        claim.tasks.push(index);
-    }
-}
-
+/// Returns the outcome of a job that is refused before any task was assigned.
 fn refuse(reason: ReasonCode) -> Outcome {
     let (detail, retry_after) = match reason {
         ReasonCode::KeyConflict => (
@@ -123,6 +66,7 @@
     Outcome::not_run(reason, detail, retry_after)
 }
 
+/// Returns the outcome of a job whose claim could not be agreed on.
 fn explain_no_claim(cause: ClaimError) -> Outcome {
     let reason = match cause {
         ClaimError::Expired => ReasonCode::KeyExpired,
@@ -131,106 +75,151 @@
     Outcome::unknown(reason, format!("{cause}, so nobody can say what was run"))
 }
 
+/// Assigns the tasks of an agreed claim and follows them to the job's answer.
 async fn drive_claim(
-    coordinator: Coordinator,
+    context: Arc<JobContext>,
     submit: Submit,
     claim: &Claim,
     grant: Option<Grant>,
 ) -> Outcome {
-    let (mut progress, mut actions) = JobProgress::begin(claim, submit.repeat);
-    let (mut planned, mut hold): (Vec<Option<Charge>>, _) = match grant {
-        Some(grant) => (
-            grant.charges.into_iter().map(Some).collect(),
-            Some(grant.hold),
-        ),
+    let (progress, actions) = JobProgress::begin(claim, submit.repeat);
+    let (charges, flow_charge) = match grant {
+        Some(grant) => (grant.charges, Some(grant.flow_charge)),
         None => (Vec::new(), None),
     };
-    let (tx, mut events) = mpsc::channel(EVENT_QUEUE);
+    let (tx, events) = mpsc::channel(EVENT_QUEUE);
     let link = JobLink {
-        is_lead: coordinator.is_acting_lead().await,
-        coordinator: coordinator.clone(),
+        is_lead: context.is_acting_lead().await,
+        context,
         submit: Arc::new(submit),
         events: tx,
     };
-    loop {
-        if let Some(outcome) = carry_out(&link, actions, &mut planned) {
-            return outcome;
+    let driver = Driver {
+        link,
+        progress,
+        events,
+        flow_charge,
+    };
+    driver.run(actions, PlannedCharges::new(charges)).await
+}
+
+/// Charges of the claim that was proposed, by task; the claim agreed on may name other places.
+struct PlannedCharges(Vec<Option<Charge>>);
+
+impl PlannedCharges {
+    fn new(charges: Vec<Charge>) -> Self {
+        Self(charges.into_iter().map(Some).collect())
+    }
+
+    /// Removes the charge of a task, if it was planned at this place.
+    fn take(&mut self, task: TaskIndex, place: Placement) -> Option<Charge> {
+        let planned = self.0.get_mut(usize::from(task))?.take()?;
+        (planned.place() == place).then_some(planned)
+    }
+}
+
+/// Drives one job whose claim was agreed on.
+struct Driver {
+    link: JobLink,
+    progress: JobProgress,
+    events: mpsc::Receiver<JobEvent>,
+    /// Counts the job's tasks to its flow, if this guard admitted the job.
+    flow_charge: Option<FlowCharge>,
+}
+
+impl Driver {
+    /// Carries out actions and handles events until the job is answered.
+    async fn run(mut self, first: Vec<JobAction>, mut planned: PlannedCharges) -> Outcome {
+        let mut answer = self.carry_out(first, &mut planned);
+        // Charges at places that the claim does not name are given back.
+        drop(planned);
+        loop {
+            if let Some(outcome) = answer {
+                return outcome;
+            }
+            let Some(event) = self.events.recv().await else {
+                return Outcome::unknown(ReasonCode::Unavailable, "the coordinator is stopping");
+            };
+            let actions = self.absorb(event).await;
+            answer = self.carry_out(actions, &mut PlannedCharges::new(Vec::new()));
         }
-        // What was planned for another claim is given back.
-        planned.clear();
-        let Some(event) = events.recv().await else {
-            return Outcome::unknown(ReasonCode::Unavailable, "the coordinator is stopping");
+    }
+
+    async fn absorb(&mut self, event: JobEvent) -> Vec<JobAction> {
+        let places = if is_done(&event) {
+            self.record_done();
+            Vec::new()
+        } else {
+            self.list_next_places().await
         };
-        if is_done(&event)
-            && let Some(hold) = &mut hold
-        {
-            hold.release_one();
-        }
-        let places = list_next_places(&coordinator, &event).await;
-        let budget = coordinator.clone();
-        let mut take_retry = || budget.take_retry();
+        let context = self.link.context.clone();
+        let mut take_retry = || context.take_retry();
         let mut options = JobOptions {
             places,
             take_retry: &mut take_retry,
         };
-        actions = progress.absorb(event, &mut options);
+        self.progress.absorb(event, &mut options)
     }
-}
 
-/// Sends what the progress asks for; returns the answer when it is there.
-fn carry_out(
-    link: &JobLink,
-    actions: Vec<JobAction>,
-    planned: &mut [Option<Charge>],
-) -> Option<Outcome> {
-    let mut batches: BTreeMap<Placement, Vec<PlacedTask>> = BTreeMap::new();
-    let mut answer = None;
-    for action in actions {
-        match action {
-            JobAction::Assign {
-                task,
-                place,
-                previous_guards,
-                may_pass_on,
-            } => {
-                if !previous_guards.is_empty() {
-                    link.coordinator.metrics().moves.inc();
-                }
-                let placed = PlacedTask {
-                    _charge: take_charge(link, planned, task, place),
-                    index: task,
+    fn record_done(&mut self) {
+        if let Some(flow_charge) = &mut self.flow_charge {
+            flow_charge.release_one();
+        }
+        self.link.context.record_success();
+    }
+
+    /// Lists where a task can go that did not stay at its place, best first.
+    async fn list_next_places(&self) -> Vec<Placement> {
+        let mut candidates = self.link.context.membership.list_candidates().await;
+        rank_by_load(&mut candidates, draw_below)
+    }
+
+    /// Starts the assignments and releases that the progress asks for; returns the answer if it is among the actions.
+    fn carry_out(&self, actions: Vec<JobAction>, planned: &mut PlannedCharges) -> Option<Outcome> {
+        let link = &self.link;
+        let mut batches: BTreeMap<Placement, Vec<PlacedTask>> = BTreeMap::new();
+        let mut answer = None;
+        for action in actions {
+            match action {
+                JobAction::Assign {
+                    task,
+                    place,
                     previous_guards,
-                    may_pass_on: may_pass_on && !link.is_lead,
-                };
-                batches.entry(place).or_default().push(placed);
-            }
-            JobAction::Release { task, place, to } => {
-                link.coordinator.metrics().releases.inc();
-                tokio::spawn(link.clone().run_release(task, place, to));
+                    may_pass_on,
+                } => {
+                    if !previous_guards.is_empty() {
+                        link.context.metrics.moves.inc();
+                    }
+                    let planned = planned.take(task, place);
+                    let placed = PlacedTask {
+                        _charge: planned.unwrap_or_else(|| link.context.membership.charge(place)),
+                        index: task,
+                        previous_guards,
+                        may_pass_on: may_pass_on && !link.is_lead,
+                    };
+                    batches.entry(place).or_default().push(placed);
+                }
+                JobAction::Release { task, place, to } => {
+                    link.context.metrics.releases.inc();
+                    tokio::spawn(link.clone().run_release(task, place, to));
+                }
+                JobAction::Answer(outcome) => answer = Some(outcome),
             }
-            JobAction::Answer(outcome) => answer = Some(outcome),
         }
+        if answer.is_none() {
+            self.start_assignments(batches);
+        }
+        answer
     }
-    if answer.is_none() {
+
+    fn start_assignments(&self, batches: BTreeMap<Placement, Vec<PlacedTask>>) {
         for (place, tasks) in batches {
-            tokio::spawn(link.clone().run_assignment(place, tasks));
+            tokio::spawn(self.link.clone().run_assignment(place, tasks));
         }
     }
-    answer
-}
-
-/// Uses the charge that was planned for a task at a place, or makes one.
-fn take_charge(
-    link: &JobLink,
-    planned: &mut [Option<Charge>],
-    task: TaskIndex,
-    place: Placement,
-) -> Charge {
-    let held = planned.get_mut(usize::from(task)).and_then(Option::take);
-    held.filter(|charge| charge.place() == place)
-        .unwrap_or_else(|| link.coordinator.membership().charge(place))
 }
 
+/// Returns whether an event reports a task's result.
 fn is_done(event: &JobEvent) -> bool {
     matches!(
         event,
@@ -240,13 +229,3 @@
         }
     )
 }
-
-/// Lists where a task can go that did not stay at its place.
-async fn list_next_places(coordinator: &Coordinator, event: &JobEvent) -> Vec<Placement> {
-    if is_done(event) {
-        coordinator.record_success();
-        return Vec::new();
-    }
-    let mut candidates = coordinator.membership().list_candidates().await;
-    rank_by_load(&mut candidates, draw_below)
-}
--- a/crates/claims/cloverfold_coordinate/src/jobs.rs
+++ b/crates/claims/cloverfold_coordinate/src/jobs.rs
@@ -1,4 +1,6 @@
-//! The jobs that this guard drives, and the answers it keeps.
+//! The jobs that this guard drives, and the answers that it keeps.
+//!
+//! A plain value that lives on the control thread of [`crate::Coordinator`].
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -8,27 +10,27 @@
 use cloverfold_claims_core::{BodyDigest, Outcome, SubmissionKey};
 use tokio::sync::watch;
 
-/// Bytes of results that are kept for callers that ask again.
+/// Bytes of results that are kept for callers that ask again. Chosen, not measured.
 const ANSWER_MEMORY: usize = 8 * 1024 * 1024;
-/// What one kept answer costs beside its results.
+/// Bytes that one kept answer counts beside its results. Chosen, not measured.
 const ANSWER_OVERHEAD: usize = 256;
 
-/// The answer of a job, once it is there.
+/// Receives the answer of a job.
 pub(crate) type AnswerReceiver = watch::Receiver<Option<Arc<JobAnswer>>>;
-/// Where the driver of a job puts its answer.
+/// Where the driver of a job publishes its answer.
 pub(crate) type AnswerSender = watch::Sender<Option<Arc<JobAnswer>>>;
 
-/// The answer of a job with what it rests on.
+/// The answer of a job, and what proves it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct JobAnswer {
     /// What the caller is told.
     pub(crate) outcome: Outcome,
-    /// Whether it is true only as long as no other guard had the submission.
+    /// Whether it holds only if no other guard had the submission.
     pub(crate) rests_on_sole_attempt: bool,
 }
 
 impl JobAnswer {
-    /// An answer that rests on the group's claim, or says that nothing is known.
+    /// Returns an answer that rests on the group's claim, or that nothing is known.
     pub(crate) fn proved(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// An answer that rests on this guard alone having had the submission.
+    /// Returns an answer that rests on no other guard having had the submission.
     pub(crate) fn of_sole_attempt(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -112,7 +114,7 @@
         self.running
     }
 
-    /// Notes that a job is answered; what proves nothing is not kept, so that it can be asked again.
+    /// Records that a job is answered; an answer that proves nothing is not kept, so that the job can be tried again.
     pub(crate) fn finish(
         &mut self,
         key: SubmissionKey,
@@ -152,6 +154,7 @@
     }
 }
 
+/// Returns the bytes that a kept answer counts.
 fn measure_outcome(outcome: &Outcome) -> usize {
     let results = match outcome {
         Outcome::Complete { results } => results.iter().map(Vec::len).sum(),
--- a/crates/claims/cloverfold_coordinate/src/messages.rs
+++ b/crates/claims/cloverfold_coordinate/src/messages.rs
@@ -1,4 +1,6 @@
 //! Messages from an entry to the coordinator of a job.
+//!
+//! Encoded with postcard, by the order of fields and variants.
 
 use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
@@ -7,7 +9,7 @@
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
 
-/// Asks a member of the key's group to run a job, or to join it if it runs already.
+/// Asks a guard to run a job, or to join it if it runs already.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Submit {
     /// Key and age of the submission.
@@ -48,12 +50,12 @@
     pub verdict: Verdict,
 }
 
-/// What the guard says to a [`Submit`].
+/// The guard's verdict on a [`Submit`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// The job's answer.
     Answered(Outcome),
-    /// This guard did nothing with the request; another member of the group may.
+    /// This guard did nothing with the request; another may run it.
     NotHere(ReasonCode),
 }
 
