--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -19,7 +19,7 @@
     VoteReply,
 };
 use cloverfold_lease::{
-    Assignment, DispatcherMessage, Refusal, Resources, Room, RunOutcome, RunnerMessage,
+    Assignment, DispatcherMessage, FreeCapacity, Resources, RunOutcome, RunRefusal, RunnerMessage,
     TargetDescription, TaskId,
 };
 use cloverfold_link::{decode_frame, encode_frame};
@@ -86,8 +86,8 @@
 }
 
 /// Returns a room whose numbers differ from each other.
-fn room(base: i64) -> Room {
-    Room {
+fn free_capacity(base: i64) -> FreeCapacity {
+    FreeCapacity {
         free: resources(base),
         assignments_seen: 70_001,
         slowness_permille: 1_234,
@@ -121,7 +121,7 @@
 /// Returns a target with some labels.
 fn target() -> TargetDescription {
     TargetDescription {
-        instance: "life-19".to_owned(),
+        incarnation: "life-19".to_owned(),
         service: "sorter".to_owned(),
         capacity: resources(8),
         labels: vec!["small".to_owned(), "rack-2".to_owned(), String::new()],
@@ -135,7 +135,7 @@
         run: 6_000_000_002,
         outcome,
         ran_ms: 431,
-        room: room(5),
+        free_capacity: free_capacity(5),
     }
 }
 
@@ -180,18 +180,18 @@
     }
 }
 
-fn refusals() -> Vec<Sample<Refusal>> {
-    each_variant!(Refusal {
-        Refusal::NoRoom => one("no-room", Refusal::NoRoom),
-        Refusal::NoTarget => one("no-target", Refusal::NoTarget),
-        Refusal::Draining => one("draining", Refusal::Draining),
-        Refusal::Expired => one("expired", Refusal::Expired),
-        Refusal::Held => one("held", Refusal::Held),
-        Refusal::Stale => one("stale", Refusal::Stale),
-        Refusal::Unanswered => one("unanswered", Refusal::Unanswered),
-        Refusal::Unhealthy => one("unhealthy", Refusal::Unhealthy),
-        Refusal::Rejected => one("rejected", Refusal::Rejected),
-        Refusal::Withdrawn => one("withdrawn", Refusal::Withdrawn),
+fn refusals() -> Vec<Sample<RunRefusal>> {
+    each_variant!(RunRefusal {
+        RunRefusal::NoRoom => one("no-free_capacity", RunRefusal::NoRoom),
+        RunRefusal::NoTarget => one("no-target", RunRefusal::NoTarget),
+        RunRefusal::Draining => one("draining", RunRefusal::Draining),
+        RunRefusal::Expired => one("expired", RunRefusal::Expired),
+        RunRefusal::Held => one("held", RunRefusal::Held),
+        RunRefusal::Stale => one("stale", RunRefusal::Stale),
+        RunRefusal::Unanswered => one("unanswered", RunRefusal::Unanswered),
+        RunRefusal::Unhealthy => one("unhealthy", RunRefusal::Unhealthy),
+        RunRefusal::Rejected => one("rejected", RunRefusal::Rejected),
+        RunRefusal::Withdrawn => one("withdrawn", RunRefusal::Withdrawn),
     })
 }
 
@@ -209,11 +209,11 @@
 fn runner_messages() -> Vec<Sample<RunnerMessage>> {
     let heartbeat = RunnerMessage::Heartbeat {
         clock: Timestamp::from_start(Duration::new(98, 700_000_001)),
-        room: room(6),
+        free_capacity: free_capacity(6),
     };
     each_variant!(RunnerMessage {
         RunnerMessage::Heartbeat { .. } => one("heartbeat", heartbeat),
-        RunnerMessage::Room(_) => one("room", RunnerMessage::Room(room(7))),
+        RunnerMessage::FreeCapacity(_) => one("free_capacity", RunnerMessage::FreeCapacity(free_capacity(7))),
         RunnerMessage::Target(_) => several([
             ("target", RunnerMessage::Target(Some(target()))),
             ("no-target", RunnerMessage::Target(None)),
--- a/crates/leased/cloverfold_lease/src/dispatcher/ending.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/ending.rs
@@ -4,7 +4,7 @@
 
 use crate::dispatcher::job::{Job, TaskPhase};
 use crate::dispatcher::{
-    Dispatcher, DispatcherAction, EndingRun, JobAnswer, JobNumber, RefusalCause, refuse,
+    Dispatcher, DispatcherAction, EndingRun, JobAnswer, JobNumber, JobRefusal, refuse,
 };
 use crate::messages::DispatcherMessage;
 
@@ -43,9 +43,9 @@
                 job.request.id.clone(),
                 now.saturating_duration_since(job.submitted_at),
             );
-            self.report_refusal(&id, RefusalCause::NoRoom, held, now);
+            self.report_refusal(&id, JobRefusal::NoRoom, held, now);
         }
-        self.give_up(number, refuse(RefusalCause::NoRoom));
+        self.give_up(number, refuse(JobRefusal::NoRoom));
     }
 
     pub(super) fn withdraw_overdue_runs(&mut self, now: Timestamp) {
--- a/crates/leased/cloverfold_lease/src/dispatcher/events.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/events.rs
@@ -4,7 +4,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::dispatcher::{Dispatcher, DispatcherAction, JobNumber, RefusalCause, TaskPhase};
+use crate::dispatcher::{Dispatcher, DispatcherAction, JobNumber, JobRefusal, TaskPhase};
 use crate::messages::{RunOutcome, SessionId, TaskId};
 
 /// A decision and its inputs.
@@ -15,7 +15,7 @@
         /// The caller's name for it.
         job: String,
         /// Why.
-        cause: RefusalCause,
+        cause: JobRefusal,
         /// How long it was held.
         held: Duration,
         /// Targets that took work then, and all that were in touch.
@@ -101,7 +101,7 @@
     pub(super) fn report_refusal(
         &mut self,
         job: &str,
-        cause: RefusalCause,
+        cause: JobRefusal,
         held: Duration,
         now: Timestamp,
     ) {
--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -28,7 +28,7 @@
 
 /// Why a job was refused; it has not run and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RefusalCause {
+pub enum JobRefusal {
     /// No target had room in time.
     NoRoom,
     /// No target of the service is known.
@@ -39,7 +39,7 @@
     Stalled,
 }
 
-impl RefusalCause {
+impl JobRefusal {
     /// Returns the name by which logs and answers call it; it is part of the outside interface.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -61,7 +61,7 @@
     /// Nothing has run and nothing will.
     Refused {
         /// Why.
-        cause: RefusalCause,
+        cause: JobRefusal,
         /// When it is worth asking again.
         retry_after: Duration,
     },
@@ -191,7 +191,7 @@
     }
 
     /// Counts the open jobs of a service's queue of which no task has begun.
-    pub fn count_unbegun(&self, is_meant: impl Fn(&JobRequest) -> bool) -> usize {
+    pub fn count_queued(&self, is_meant: impl Fn(&JobRequest) -> bool) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|job| !job.may_have_run() && is_meant(&job.request))
             .count()
@@ -277,13 +277,13 @@
         }
     }
 
-    fn find_refusal(&self, request: &JobRequest, now: Timestamp) -> Option<RefusalCause> {
+    fn find_refusal(&self, request: &JobRequest, now: Timestamp) -> Option<JobRefusal> {
         if self.is_leaving {
-            return Some(RefusalCause::Leaving);
+            return Some(JobRefusal::Leaving);
         }
         let serves = |view: &TargetView| view.takes_work(now) && view.serves(&request.service);
         if !self.targets.values().any(serves) {
-            return Some(RefusalCause::NoTarget);
+            return Some(JobRefusal::NoTarget);
         }
         None
     }
@@ -295,7 +295,7 @@
     }
 }
 
-fn refuse(cause: RefusalCause) -> JobAnswer {
+fn refuse(cause: JobRefusal) -> JobAnswer {
     const RETRY_AFTER: Duration = Duration::from_secs(1);
     JobAnswer::Refused {
         cause,
--- a/crates/leased/cloverfold_lease/src/dispatcher/outcomes.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/outcomes.rs
@@ -6,7 +6,7 @@
 
 use crate::dispatcher::job::TaskPhase;
 use crate::dispatcher::{Dispatcher, EndingRun, JobAnswer, JobNumber};
-use crate::messages::{Refusal, RunOutcome, SessionId, TaskId};
+use crate::messages::{RunOutcome, RunRefusal, SessionId, TaskId};
 
 /// How far the run number rises when a target has seen a later run: above what another submission can have used.
 const STALE_RUN_STEP: u64 = 50;
@@ -125,26 +125,26 @@
         number: JobNumber,
         index: usize,
         session: SessionId,
-        refusal: Refusal,
+        refusal: RunRefusal,
         now: Timestamp,
     ) {
         match refusal {
-            Refusal::NoRoom | Refusal::NoTarget | Refusal::Draining => {
+            RunRefusal::NoRoom | RunRefusal::NoTarget | RunRefusal::Draining => {
                 if let Some(view) = self.targets.get_mut(&session) {
                     view.note_full();
                 }
             }
-            Refusal::Unanswered | Refusal::Unhealthy => self.note_trouble(session, now),
-            Refusal::Rejected => {
+            RunRefusal::Unanswered | RunRefusal::Unhealthy => self.note_trouble(session, now),
+            RunRefusal::Rejected => {
                 self.give_up(number, JobAnswer::Failed);
                 return;
             }
-            Refusal::Stale => {
+            RunRefusal::Stale => {
                 if let Some(job) = self.jobs.get_mut(&number) {
                     job.tasks[index].next_run += STALE_RUN_STEP;
                 }
             }
-            Refusal::Expired | Refusal::Held | Refusal::Withdrawn => {}
+            RunRefusal::Expired | RunRefusal::Held | RunRefusal::Withdrawn => {}
         }
         if let Some(job) = self.jobs.get_mut(&number) {
             job.tasks[index].avoided = Some(session);
--- a/crates/leased/cloverfold_lease/src/dispatcher/targets.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/targets.rs
@@ -10,7 +10,7 @@
 };
 use crate::health::TargetHealth;
 use crate::messages::{
-    DispatcherMessage, Room, RunnerMessage, SessionId, TargetDescription, TaskId,
+    DispatcherMessage, FreeCapacity, RunnerMessage, SessionId, TargetDescription, TaskId,
 };
 use crate::resources::Resources;
 
@@ -26,8 +26,8 @@
     /// Name of the runner's process, the same over its lives.
     pub(crate) runner: String,
     pub(crate) description: Option<TargetDescription>,
-    room: Room,
-    /// Demands assigned over this session that `room` does not account for yet.
+    free_capacity: FreeCapacity,
+    /// Demands assigned over this session that `free_capacity` does not account for yet.
     unseen: VecDeque<Resources>,
     assignments_sent: u64,
     /// The runner's clock reading that was echoed last.
@@ -65,7 +65,7 @@
     /// Returns what is free, less what was assigned and is not accounted for.
     pub(crate) fn free(&self) -> Resources {
         let unseen = self.unseen.iter();
-        unseen.fold(self.room.free, |free, demand| free.minus(demand))
+        unseen.fold(self.free_capacity.free, |free, demand| free.minus(demand))
     }
 
     /// Returns the share of the processors that would be free after `demand`.
@@ -79,12 +79,12 @@
 
     /// Returns how slowly runs get on there, in thousandths of their estimated durations; 0 while it is not known.
     pub(crate) fn slowness_permille(&self) -> u32 {
-        self.room.slowness_permille
+        self.free_capacity.slowness_permille
     }
 
     /// Returns how slowly runs get on there against `usual`, the ratio over all targets; 1 while it is not known.
     pub(crate) fn slowness_against(&self, usual: f64) -> f64 {
-        match self.room.slowness_permille {
+        match self.free_capacity.slowness_permille {
             0 => 1.0,
             permille => f64::from(permille) / (1_000.0 * usual),
         }
@@ -105,9 +105,11 @@
         self.unseen.push_back(demand);
     }
 
-    fn read_room(&mut self, room: Room) {
-        self.room = room;
-        let unseen = self.assignments_sent.saturating_sub(room.assignments_seen);
+    fn record_free_capacity(&mut self, free_capacity: FreeCapacity) {
+        self.free_capacity = free_capacity;
+        let unseen = self
+            .assignments_sent
+            .saturating_sub(free_capacity.assignments_seen);
         while self.unseen.len() as u64 > unseen {
             self.unseen.pop_front();
         }
@@ -115,7 +117,7 @@
 
     /// Says that the target is full until its runner reports again.
     pub(crate) fn note_full(&mut self) {
-        self.room.free.cpu_milli = self.room.free.cpu_milli.min(0);
+        self.free_capacity.free.cpu_milli = self.free_capacity.free.cpu_milli.min(0);
     }
 }
 
@@ -130,7 +132,7 @@
         let view = TargetView {
             runner: runner.into(),
             description: None,
-            room: Room::default(),
+            free_capacity: FreeCapacity::default(),
             unseen: VecDeque::new(),
             assignments_sent: 0,
             echoed_clock: None,
@@ -188,21 +190,24 @@
         };
         view.heard_at = now;
         match message {
-            RunnerMessage::Heartbeat { clock, room } => {
-                view.read_room(room);
+            RunnerMessage::Heartbeat {
+                clock,
+                free_capacity,
+            } => {
+                view.record_free_capacity(free_capacity);
                 view.echoed_clock = Some(clock);
                 view.echoed_at = now;
                 let echo = DispatcherMessage::Echo { clock };
                 self.actions.push(DispatcherAction::Send(session, echo));
                 self.place_waiting(now);
             }
-            RunnerMessage::Room(room) => {
-                view.read_room(room);
+            RunnerMessage::FreeCapacity(free_capacity) => {
+                view.record_free_capacity(free_capacity);
                 self.place_waiting(now);
             }
             RunnerMessage::Target(description) => {
                 let has_new_life = match (&view.description, &description) {
-                    (Some(old), Some(new)) => old.instance != new.instance,
+                    (Some(old), Some(new)) => old.incarnation != new.incarnation,
                     _ => false,
                 };
                 if has_new_life {
@@ -221,9 +226,9 @@
                 run,
                 outcome,
                 ran_ms,
-                room,
+                free_capacity,
             } => {
-                view.read_room(room);
+                view.record_free_capacity(free_capacity);
                 let ran = Duration::from_millis(u64::from(ran_ms));
                 self.run_ended(session, &task, run, outcome, ran, now);
                 self.place_waiting(now);
--- a/crates/leased/cloverfold_lease/src/lib.rs
+++ b/crates/leased/cloverfold_lease/src/lib.rs
@@ -22,17 +22,17 @@
 
 pub use dispatcher::{
     Dispatcher, DispatcherAction, DispatcherCounts, DispatcherEvent, JobAnswer, JobNumber,
-    RefusalCause,
+    JobRefusal,
 };
 pub use health::{HealthLimits, TargetHealth};
 pub use messages::{
-    Assignment, DispatcherMessage, Refusal, Room, RunOutcome, RunnerMessage, SessionId,
+    Assignment, DispatcherMessage, FreeCapacity, RunOutcome, RunRefusal, RunnerMessage, SessionId,
     TargetDescription, TaskId,
 };
 pub use request::{JobRequest, Objective, StepRequest};
 pub use resources::Resources;
 pub use runner::{
-    EndCause, EndedRun, HeldRun, HoldAnswer, HoldOrder, Runner, RunnerAction, RunnerCounts,
-    StartAnswer, StartOrder, StartRefusal, StopOrder, TargetRegistration, TargetUnfitness,
+    EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder, Runner, RunnerAction, RunnerCounts,
+    StartAnswer, StartOrder, StartRefusal, StopOrder, TargetRegistration, UnavailableReason,
 };
 pub use timings::{TargetTime, Timings};
--- a/crates/leased/cloverfold_lease/src/messages.rs
+++ b/crates/leased/cloverfold_lease/src/messages.rs
@@ -66,7 +66,7 @@
 
 /// Why a run was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum RunRefusal {
     /// There was no room in time.
     NoRoom,
     /// No target that takes work is known.
@@ -89,7 +89,7 @@
     Withdrawn,
 }
 
-impl Refusal {
+impl RunRefusal {
     /// Returns the name by which logs and answers call it; it is part of the outside interface.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -121,7 +121,7 @@
     /// Its lease lapsed or its target died.
     Lost,
     /// It never ran.
-    NotStarted(Refusal),
+    NotStarted(RunRefusal),
 }
 
 impl fmt::Display for RunOutcome {
@@ -140,7 +140,7 @@
 
 /// What is left at a runner's target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct FreeCapacity {
     /// Free after all that runs and waits there; negative when more waits than fits.
     pub free: Resources,
     /// How many assignments of this session it accounts for.
@@ -153,7 +153,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetDescription {
     /// The life of the target.
-    pub instance: String,
+    pub incarnation: String,
     /// What it runs.
     pub service: String,
     /// What it has in all.
@@ -170,10 +170,10 @@
         /// Its clock, to be echoed.
         clock: Timestamp,
         /// What is left at its target.
-        room: Room,
+        free_capacity: FreeCapacity,
     },
     /// What is left at its target, which has changed; needs no echo.
-    Room(Room),
+    FreeCapacity(FreeCapacity),
     /// Its target now, if it takes work. Sent only while nothing of an earlier session runs there.
     Target(Option<TargetDescription>),
     /// A run is over or was not started.
@@ -187,6 +187,6 @@
         /// How long it ran as the runner saw it, in milliseconds.
         ran_ms: u32,
         /// What is left now.
-        room: Room,
+        free_capacity: FreeCapacity,
     },
 }
--- a/crates/leased/cloverfold_lease/src/runner/holds.rs
+++ b/crates/leased/cloverfold_lease/src/runner/holds.rs
@@ -4,17 +4,17 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Refusal, RunOutcome, TaskId};
+use crate::messages::{RunOutcome, RunRefusal, TaskId};
 use crate::runner::Runner;
 use crate::runner::held::HeldState;
-use crate::runner::orders::{EndCause, EndedRun, HeldRun, HoldAnswer, HoldOrder};
+use crate::runner::orders::{EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder};
 use crate::timings::TargetTime;
 
 impl Runner {
     /// Makes the next order that renews the lease; `None` without a target.
     ///
     /// An unclean target gets no longer lease, so that what nobody vouches for may lapse.
-    pub fn plan_hold(&mut self, now: Timestamp) -> Option<HoldOrder> {
+    pub fn plan_renewal(&mut self, now: Timestamp) -> Option<RenewalOrder> {
         let lease = self.timings.lease;
         let slack = self.timings.answer_slack;
         let wait = self.timings.hold_wait;
@@ -26,12 +26,12 @@
         };
         let deadline = target.next_deadline(now, lease).filter(|_| target.is_clean);
         target.latest_deadline = target.latest_deadline.max(deadline.unwrap_or_default());
-        Some(HoldOrder {
-            instance: target.registration.instance.clone(),
+        Some(RenewalOrder {
+            incarnation: target.registration.incarnation.clone(),
             address: target.registration.address.clone(),
             deadline,
-            token: target.token,
-            last_noted: target.last_noted,
+            fencing_token: target.fencing_token,
+            last_acknowledged_end: target.last_acknowledged_end,
             wait,
             limit: wait + slack,
             sent_at: now,
@@ -39,16 +39,21 @@
     }
 
     /// Takes the answer to a hold.
-    pub fn hold_answered(&mut self, order: &HoldOrder, answer: HoldAnswer, now: Timestamp) {
+    pub fn receive_renewal_answer(
+        &mut self,
+        order: &RenewalOrder,
+        answer: RenewalAnswer,
+        now: Timestamp,
+    ) {
         self.expire_sessions(now);
         let Some(target) = &mut self.target else {
             return;
         };
-        if target.registration.instance != order.instance {
+        if target.registration.incarnation != order.incarnation {
             return;
         }
         match answer {
-            HoldAnswer::Listed {
+            RenewalAnswer::Listed {
                 clock,
                 running,
                 ended,
@@ -67,8 +72,8 @@
                 self.start_waiting(now);
                 self.announce_target();
             }
-            HoldAnswer::Fenced => target.raise_token(order.token),
-            HoldAnswer::OtherInstance | HoldAnswer::Unanswered => {}
+            RenewalAnswer::Fenced => target.raise_token(order.fencing_token),
+            RenewalAnswer::OtherIncarnation | RenewalAnswer::Unanswered => {}
         }
     }
 
@@ -77,10 +82,10 @@
             let Some(target) = &mut self.target else {
                 return;
             };
-            if end.number <= target.last_noted {
+            if end.number <= target.last_acknowledged_end {
                 continue;
             }
-            target.last_noted = end.number;
+            target.last_acknowledged_end = end.number;
             let held = self.tasks.get(&end.task);
             if let Some(held) = held.filter(|held| held.run == end.run) {
                 let outcome = match end.cause {
@@ -107,7 +112,7 @@
         &mut self,
         asked_at: Timestamp,
         clock: TargetTime,
-        running: &[HeldRun],
+        running: &[ListedRun],
         now: Timestamp,
     ) {
         for row in running {
@@ -146,7 +151,7 @@
                 HeldState::Running { since } if asked_at > since => RunOutcome::Lost,
                 HeldState::Running { .. } => continue,
                 HeldState::Starting { deadline, .. } if clock > deadline => {
-                    RunOutcome::NotStarted(Refusal::Unanswered)
+                    RunOutcome::NotStarted(RunRefusal::Unanswered)
                 }
                 HeldState::Starting { .. } => continue,
                 HeldState::Stopping {
@@ -170,12 +175,12 @@
     }
 
     /// Stops what runs at the target and is not held here: runs of an earlier life of this process, or late starts.
-    fn stop_orphans(&mut self, running: &[HeldRun]) {
-        let is_ours = |row: &&HeldRun| {
+    fn stop_orphans(&mut self, running: &[ListedRun]) {
+        let is_ours = |row: &&ListedRun| {
             let held = self.tasks.get(&row.task);
             held.is_some_and(|held| held.run == row.run)
         };
-        let orphans: Vec<HeldRun> = running
+        let orphans: Vec<ListedRun> = running
             .iter()
             .filter(|row| !is_ours(row))
             .cloned()
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -11,21 +11,21 @@
 use std::collections::{BTreeMap, VecDeque};
 
 pub use orders::{
-    EndCause, EndedRun, HeldRun, HoldAnswer, HoldOrder, StartAnswer, StartOrder, StartRefusal,
-    StopOrder, TargetRegistration,
+    EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder, StartAnswer, StartOrder,
+    StartRefusal, StopOrder, TargetRegistration,
 };
 
 use cloverfold_base::Timestamp;
 
 use crate::messages::{
-    Assignment, DispatcherMessage, Refusal, RunOutcome, RunnerMessage, SessionId, TaskId,
+    Assignment, DispatcherMessage, RunOutcome, RunRefusal, RunnerMessage, SessionId, TaskId,
 };
 use crate::resources::Resources;
 use crate::timings::Timings;
 use held::{HeldState, HeldTask};
 use sessions::Session;
 use target::TargetLife;
-pub use target::TargetUnfitness;
+pub use target::UnavailableReason;
 
 /// What the process around a runner has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     /// Tell the target to stop a run.
     Stop(StopOrder),
     /// Ask the target at once what runs there.
-    HoldNow,
+    RenewNow,
 }
 
 /// Counts since the start, by cause.
@@ -115,21 +115,21 @@
 
     /// Says whether a target is known, answers and takes work.
     pub fn has_ready_target(&self) -> bool {
-        self.find_unfitness().is_none()
+        self.find_unavailable_reason().is_none()
     }
 
     /// Says why no work is taken for a target, if there is a reason.
-    pub fn find_unfitness(&self) -> Option<TargetUnfitness> {
+    pub fn find_unavailable_reason(&self) -> Option<UnavailableReason> {
         match &self.target {
-            Some(target) => target.find_unfitness(),
-            None => Some(TargetUnfitness::NoTarget),
+            Some(target) => target.find_unavailable_reason(),
+            None => Some(UnavailableReason::NoTarget),
         }
     }
 
     /// Takes no further work; what runs goes on.
     pub fn leave(&mut self, now: Timestamp) {
         self.is_leaving = true;
-        self.give_back_waiting(Refusal::Draining, now);
+        self.give_back_waiting(RunRefusal::Draining, now);
         self.announce_target();
     }
 
@@ -171,7 +171,7 @@
         self.repeat_orders(now);
         self.send_heartbeats(now);
         self.start_waiting(now);
-        self.report_room(now);
+        self.report_free_capacity(now);
     }
 
     fn assign(&mut self, session: SessionId, assignment: Assignment, now: Timestamp) {
@@ -203,27 +203,27 @@
         session: SessionId,
         assignment: &Assignment,
         now: Timestamp,
-    ) -> Option<Refusal> {
+    ) -> Option<RunRefusal> {
         let is_valid = self.sessions.get(&session).is_some_and(|s| !s.is_over(now));
         if !is_valid || now > assignment.valid_until {
-            return Some(Refusal::Expired);
+            return Some(RunRefusal::Expired);
         }
         let Some(target) = self.target.as_ref().filter(|target| target.takes_work()) else {
             let is_draining = self.target.as_ref().is_some_and(TargetLife::is_draining);
             return Some(if is_draining {
-                Refusal::Draining
+                RunRefusal::Draining
             } else {
-                Refusal::NoTarget
+                RunRefusal::NoTarget
             });
         };
         if self.is_leaving {
-            return Some(Refusal::Draining);
+            return Some(RunRefusal::Draining);
         }
         if self.tasks.contains_key(&assignment.task) {
-            return Some(Refusal::Held);
+            return Some(RunRefusal::Held);
         }
         let fits = target.capacity().covers(&assignment.demand);
-        (!fits).then_some(Refusal::NoRoom)
+        (!fits).then_some(RunRefusal::NoRoom)
     }
 
     fn withdraw(&mut self, session: SessionId, task: &TaskId, run: u64, now: Timestamp) {
@@ -235,7 +235,7 @@
         }
         self.stop_task(
             task.clone(),
-            RunOutcome::NotStarted(Refusal::Withdrawn),
+            RunOutcome::NotStarted(RunRefusal::Withdrawn),
             now,
         );
     }
@@ -297,13 +297,13 @@
         ran_ms: u32,
         now: Timestamp,
     ) {
-        let room = self.room_for(session, now);
+        let free_capacity = self.free_capacity_for(session, now);
         let message = RunnerMessage::Ended {
             task,
             run,
             outcome,
             ran_ms,
-            room,
+            free_capacity,
         };
         self.actions.push(RunnerAction::Send(session, message));
     }
@@ -362,11 +362,11 @@
             .map(|(task, _)| task.clone())
             .collect();
         for task in late {
-            self.end_task(&task, RunOutcome::NotStarted(Refusal::NoRoom), now);
+            self.end_task(&task, RunOutcome::NotStarted(RunRefusal::NoRoom), now);
         }
     }
 
-    fn give_back_waiting(&mut self, refusal: Refusal, now: Timestamp) {
+    fn give_back_waiting(&mut self, refusal: RunRefusal, now: Timestamp) {
         for task in self.waiting_in_order() {
             self.end_task(&task, RunOutcome::NotStarted(refusal), now);
         }
--- a/crates/leased/cloverfold_lease/src/runner/orders.rs
+++ b/crates/leased/cloverfold_lease/src/runner/orders.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRegistration {
     /// This life of the target.
-    pub instance: String,
+    pub incarnation: String,
     /// What it runs.
     pub service: String,
     /// Where its interface is reached.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
     /// The life of the target that is meant.
-    pub instance: String,
+    pub incarnation: String,
     /// Where it is reached.
     pub address: String,
     /// The task.
@@ -46,7 +46,7 @@
     /// The target refuses to start later than this, and prolongs its lease to it.
     pub deadline: TargetTime,
     /// Refused if the target has seen a higher one.
-    pub token: u64,
+    pub fencing_token: u64,
     /// How many times this start was sent, this one included.
     pub attempt: u32,
     /// How long its answer is waited for.
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopOrder {
     /// The life of the target that is meant.
-    pub instance: String,
+    pub incarnation: String,
     /// Where it is reached.
     pub address: String,
     /// The task.
@@ -65,24 +65,24 @@
     /// The run.
     pub run: u64,
     /// Refused if the target has seen a higher one.
-    pub token: u64,
+    pub fencing_token: u64,
     /// How long its answer is waited for.
     pub limit: Duration,
 }
 
 /// Renew the lease, note ends, and tell what runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HoldOrder {
+pub struct RenewalOrder {
     /// The life of the target that is meant.
-    pub instance: String,
+    pub incarnation: String,
     /// Where it is reached.
     pub address: String,
     /// New end of the lease; none leaves it as it is.
     pub deadline: Option<TargetTime>,
     /// Refused if the target has seen a higher one.
-    pub token: u64,
+    pub fencing_token: u64,
     /// The last end that was taken note of.
-    pub last_noted: u64,
+    pub last_acknowledged_end: u64,
     /// How long the answer may wait for an end.
     pub wait: Duration,
     /// How long the answer is waited for in all.
@@ -107,7 +107,7 @@
     /// There was no connection to it, so it has not received the order.
     Unreachable,
     /// Another life of the target answered.
-    OtherInstance,
+    OtherIncarnation,
     /// It takes the order for invalid.
     Invalid,
 }
@@ -122,7 +122,7 @@
             Self::NoRoom => "NoRoom",
             Self::Unhealthy => "Unhealthy",
             Self::Unreachable => "Unreachable",
-            Self::OtherInstance => "OtherInstance",
+            Self::OtherIncarnation => "OtherInstance",
             Self::Invalid => "Invalid",
         }
     }
@@ -158,7 +158,7 @@
 
 /// A run at the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldRun {
+pub struct ListedRun {
     /// The task.
     pub task: TaskId,
     /// The run.
@@ -195,20 +195,20 @@
 
 /// The answer to a hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HoldAnswer {
+pub enum RenewalAnswer {
     /// What runs and what has ended.
     Listed {
         /// The target's clock.
         clock: TargetTime,
         /// What runs.
-        running: Vec<HeldRun>,
+        running: Vec<ListedRun>,
         /// What has ended and was not taken note of, in order of number.
         ended: Vec<EndedRun>,
     },
     /// It has seen a higher fencing token.
     Fenced,
     /// Another life of the target answered.
-    OtherInstance,
+    OtherIncarnation,
     /// No usable answer came.
     Unanswered,
 }
--- a/crates/leased/cloverfold_lease/src/runner/progress.rs
+++ b/crates/leased/cloverfold_lease/src/runner/progress.rs
@@ -6,7 +6,7 @@
 use cloverfold_base::Timestamp;
 
 use crate::health::{HealthLimits, TargetHealth};
-use crate::messages::{Refusal, RunOutcome, TaskId};
+use crate::messages::{RunOutcome, RunRefusal, TaskId};
 use crate::resources::Resources;
 use crate::runner::Runner;
 use crate::runner::held::HeldState;
@@ -218,7 +218,7 @@
             let target = self.target.as_mut();
             if target.is_some_and(|target| target.conduct.note_stuck(now)) {
                 self.counts.pauses += 1;
-                self.give_back_waiting(Refusal::NoTarget, now);
+                self.give_back_waiting(RunRefusal::NoTarget, now);
                 self.announce_target();
             }
         }
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -2,7 +2,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Refusal, Room, RunOutcome, RunnerMessage, SessionId, TaskId};
+use crate::messages::{FreeCapacity, RunOutcome, RunRefusal, RunnerMessage, SessionId, TaskId};
 use crate::resources::Resources;
 use crate::runner::{Runner, RunnerAction};
 
@@ -66,7 +66,7 @@
             if let Some(held) = self.tasks.get_mut(&task) {
                 held.session = None;
             }
-            self.stop_task(task, RunOutcome::NotStarted(Refusal::Withdrawn), now);
+            self.stop_task(task, RunOutcome::NotStarted(RunRefusal::Withdrawn), now);
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Tells every session of room that has changed since it was told: entries that know little refuse work which would fit.
-    pub(super) fn report_room(&mut self, now: Timestamp) {
+    pub(super) fn report_free_capacity(&mut self, now: Timestamp) {
         let free = self.free_after_waiting();
         let stale: Vec<SessionId> = self
             .sessions
@@ -93,16 +93,19 @@
             .map(|(id, _)| *id)
             .collect();
         for session in stale {
-            let message = RunnerMessage::Room(self.room_for(session, now));
+            let message = RunnerMessage::FreeCapacity(self.free_capacity_for(session, now));
             self.actions.push(RunnerAction::Send(session, message));
         }
     }
 
     pub(super) fn send_heartbeat(&mut self, session: SessionId, now: Timestamp) {
-        let room = self.room_for(session, now);
+        let free_capacity = self.free_capacity_for(session, now);
         if let Some(held) = self.sessions.get_mut(&session) {
             held.heartbeat_at = now;
-            let message = RunnerMessage::Heartbeat { clock: now, room };
+            let message = RunnerMessage::Heartbeat {
+                clock: now,
+                free_capacity,
+            };
             self.actions.push(RunnerAction::Send(session, message));
         }
     }
@@ -134,7 +137,7 @@
 
 impl Runner {
     /// Makes the report for a session.
-    pub(super) fn room_for(&mut self, session: SessionId, now: Timestamp) -> Room {
+    pub(super) fn free_capacity_for(&mut self, session: SessionId, now: Timestamp) -> FreeCapacity {
         let free = self.free_after_waiting();
         let held = self.sessions.get_mut(&session);
         let assignments_seen = held.map_or(0, |held| {
@@ -143,7 +146,7 @@
         });
         let target = self.target.as_ref();
         let slowness_permille = target.map_or(0, |target| target.conduct.slowness_permille(now));
-        Room {
+        FreeCapacity {
             free,
             assignments_seen,
             slowness_permille,
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -4,7 +4,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Refusal, RunOutcome, TaskId};
+use crate::messages::{RunOutcome, RunRefusal, TaskId};
 use crate::runner::held::HeldState;
 use crate::runner::orders::{StartAnswer, StartOrder, StartRefusal, StopOrder};
 use crate::runner::{Runner, RunnerAction};
@@ -39,12 +39,12 @@
             return;
         };
         let order = StartOrder {
-            instance: target.registration.instance.clone(),
+            incarnation: target.registration.incarnation.clone(),
             address: target.registration.address.clone(),
             run: held.run,
             spec: held.spec.clone(),
             deadline,
-            token: target.token,
+            fencing_token: target.fencing_token,
             attempt,
             limit: self.timings.order_timeout,
             task,
@@ -57,11 +57,11 @@
             return;
         };
         let order = StopOrder {
-            instance: target.registration.instance.clone(),
+            incarnation: target.registration.incarnation.clone(),
             address: target.registration.address.clone(),
             task,
             run,
-            token: target.token,
+            fencing_token: target.fencing_token,
             limit: self.timings.order_timeout,
         };
         self.actions.push(RunnerAction::Stop(order));
@@ -73,7 +73,7 @@
         let Some(target) = &mut self.target else {
             return;
         };
-        if target.registration.instance != order.instance {
+        if target.registration.incarnation != order.incarnation {
             return;
         }
         let clock = match answer {
@@ -85,7 +85,7 @@
             target.read_clock(clock, now);
         }
         if answer == StartAnswer::Refused(StartRefusal::Fenced, clock) {
-            target.raise_token(order.token);
+            target.raise_token(order.fencing_token);
         }
         let Some(held) = self.tasks.get_mut(&order.task) else {
             return;
@@ -128,14 +128,14 @@
                 }
                 return;
             }
-            StartRefusal::Fenced | StartRefusal::Late | StartRefusal::OtherInstance => {
-                Refusal::NoTarget
+            StartRefusal::Fenced | StartRefusal::Late | StartRefusal::OtherIncarnation => {
+                RunRefusal::NoTarget
             }
-            StartRefusal::Stale => Refusal::Stale,
-            StartRefusal::NoRoom => Refusal::NoRoom,
-            StartRefusal::Unhealthy => Refusal::Unhealthy,
-            StartRefusal::Unreachable => Refusal::Unanswered,
-            StartRefusal::Invalid => Refusal::Rejected,
+            StartRefusal::Stale => RunRefusal::Stale,
+            StartRefusal::NoRoom => RunRefusal::NoRoom,
+            StartRefusal::Unhealthy => RunRefusal::Unhealthy,
+            StartRefusal::Unreachable => RunRefusal::Unanswered,
+            StartRefusal::Invalid => RunRefusal::Rejected,
         };
         let outcome = RunOutcome::NotStarted(reason);
         if attempts == 1 {
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -4,7 +4,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Refusal, RunOutcome, TargetDescription, TaskId};
+use crate::messages::{RunOutcome, RunRefusal, TargetDescription, TaskId};
 use crate::resources::Resources;
 use crate::runner::held::HeldState;
 use crate::runner::orders::TargetRegistration;
@@ -12,14 +12,14 @@
 use crate::runner::{Runner, RunnerAction};
 use crate::timings::TargetTime;
 
-/// How much the token rises after the target has refused one.
+/// How much the fencing token rises after the target has refused one.
 const TOKEN_STEP: u64 = 10_000;
 /// Lives of the target that are remembered as over.
 const ENDED_LIVES: usize = 16;
 
 /// Why a target gets no work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TargetUnfitness {
+pub enum UnavailableReason {
     /// No target has registered.
     NoTarget,
     /// It is about to leave.
@@ -34,7 +34,7 @@
     NoClock,
 }
 
-impl TargetUnfitness {
+impl UnavailableReason {
     /// Returns the name by which logs and answers call it; it is part of the outside interface.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -60,11 +60,11 @@
 pub(crate) struct TargetLife {
     pub(super) registration: TargetRegistration,
     number: u64,
-    pub(super) token: u64,
+    pub(super) fencing_token: u64,
     clock: Option<ClockReading>,
     /// The latest deadline that any order to it has carried.
     pub(super) latest_deadline: TargetTime,
-    pub(super) last_noted: u64,
+    pub(super) last_acknowledged_end: u64,
     pub(super) newest_hold: Timestamp,
     pub(super) answered_at: Timestamp,
     /// Whether the newest answer to a hold listed nothing that is not ours.
@@ -74,7 +74,12 @@
 }
 
 impl TargetLife {
-    fn new(registration: TargetRegistration, number: u64, token: u64, now: Timestamp) -> Self {
+    fn new(
+        registration: TargetRegistration,
+        number: u64,
+        fencing_token: u64,
+        now: Timestamp,
+    ) -> Self {
         let reading = registration.clock.map(|clock| ClockReading {
             clock,
             received_at: now,
@@ -82,10 +87,10 @@
         Self {
             registration,
             number,
-            token,
+            fencing_token,
             clock: reading,
             latest_deadline: 0,
-            last_noted: 0,
+            last_acknowledged_end: 0,
             newest_hold: Timestamp::ZERO,
             answered_at: now,
             is_clean: false,
@@ -107,21 +112,21 @@
     }
 
     pub(crate) fn takes_work(&self) -> bool {
-        self.find_unfitness().is_none()
+        self.find_unavailable_reason().is_none()
     }
 
     /// Says why the target gets no work, if there is a reason.
-    pub(crate) fn find_unfitness(&self) -> Option<TargetUnfitness> {
+    pub(crate) fn find_unavailable_reason(&self) -> Option<UnavailableReason> {
         if self.registration.is_draining {
-            Some(TargetUnfitness::Draining)
+            Some(UnavailableReason::Draining)
         } else if self.is_silent {
-            Some(TargetUnfitness::Silent)
+            Some(UnavailableReason::Silent)
         } else if self.conduct.is_paused() {
-            Some(TargetUnfitness::RunsStandStill)
+            Some(UnavailableReason::RunsStandStill)
         } else if !self.is_clean {
-            Some(TargetUnfitness::OtherRuns)
+            Some(UnavailableReason::OtherRuns)
         } else if self.clock.is_none() {
-            Some(TargetUnfitness::NoClock)
+            Some(UnavailableReason::NoClock)
         } else {
             None
         }
@@ -134,7 +139,7 @@
 
     pub(crate) fn describe(&self) -> TargetDescription {
         TargetDescription {
-            instance: self.registration.instance.clone(),
+            incarnation: self.registration.incarnation.clone(),
             service: self.registration.service.clone(),
             capacity: self.registration.capacity,
             labels: self.registration.labels.clone(),
@@ -156,8 +161,8 @@
     }
 
     pub(super) fn raise_token(&mut self, refused: u64) {
-        if refused >= self.token {
-            self.token = refused + TOKEN_STEP;
+        if refused >= self.fencing_token {
+            self.fencing_token = refused + TOKEN_STEP;
         }
     }
 }
@@ -165,11 +170,11 @@
 impl Runner {
     /// Takes what the target says of itself; what comes late from an earlier life of it changes nothing.
     pub fn register(&mut self, registration: TargetRegistration, now: Timestamp) {
-        if self.ended_lives.contains(&registration.instance) {
+        if self.ended_lives.contains(&registration.incarnation) {
             return;
         }
         match &mut self.target {
-            Some(target) if target.registration.instance == registration.instance => {
+            Some(target) if target.registration.incarnation == registration.incarnation => {
                 if registration.sequence < target.registration.sequence {
                     return;
                 }
@@ -177,7 +182,7 @@
                 target.registration = registration;
                 if has_changed {
                     if target.is_draining() {
-                        self.give_back_waiting(Refusal::Draining, now);
+                        self.give_back_waiting(RunRefusal::Draining, now);
                     }
                     self.announce_target();
                 }
@@ -187,8 +192,8 @@
     }
 
     /// Forgets the target that says that it is gone.
-    pub fn unregister(&mut self, instance: &str, now: Timestamp) {
-        let is_present = |target: &TargetLife| target.registration.instance == instance;
+    pub fn unregister(&mut self, incarnation: &str, now: Timestamp) {
+        let is_present = |target: &TargetLife| target.registration.incarnation == incarnation;
         if self.target.as_ref().is_some_and(is_present) {
             self.end_target_life(now);
             self.announce_target();
@@ -198,7 +203,7 @@
     /// The present life is over, and with it all that ran there.
     fn end_target_life(&mut self, now: Timestamp) {
         if let Some(target) = self.target.take() {
-            self.ended_lives.push_back(target.registration.instance);
+            self.ended_lives.push_back(target.registration.incarnation);
             if self.ended_lives.len() > ENDED_LIVES {
                 self.ended_lives.pop_front();
             }
@@ -212,14 +217,14 @@
         let life = TargetLife::new(registration, self.next_order, self.first_token, now);
         self.target = Some(life);
         self.announce_target();
-        self.actions.push(RunnerAction::HoldNow);
+        self.actions.push(RunnerAction::RenewNow);
     }
 
     fn end_all_runs(&mut self, now: Timestamp) {
         let tasks: Vec<TaskId> = self.tasks.keys().cloned().collect();
         for task in tasks {
             let outcome = match self.tasks[&task].state {
-                HeldState::Waiting { .. } => RunOutcome::NotStarted(Refusal::NoTarget),
+                HeldState::Waiting { .. } => RunOutcome::NotStarted(RunRefusal::NoTarget),
                 _ => RunOutcome::Lost,
             };
             self.end_task(&task, outcome, now);
@@ -237,7 +242,7 @@
         }
         if !target.is_silent {
             target.is_silent = true;
-            self.give_back_waiting(Refusal::NoTarget, now);
+            self.give_back_waiting(RunRefusal::NoTarget, now);
             self.announce_target();
         }
         if self.has_lease_lapsed(now) {
--- a/crates/leased/cloverfold_lease/tests/dispatcher.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher.rs
@@ -6,9 +6,9 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
-    Assignment, Dispatcher, DispatcherAction, DispatcherEvent, DispatcherMessage, HealthLimits,
-    JobAnswer, JobNumber, JobRequest, Objective, Refusal, RefusalCause, Resources, Room,
-    RunOutcome, RunnerMessage, SessionId, StepRequest, TargetDescription, Timings,
+    Assignment, Dispatcher, DispatcherAction, DispatcherEvent, DispatcherMessage, FreeCapacity,
+    HealthLimits, JobAnswer, JobNumber, JobRefusal, JobRequest, Objective, Resources, RunOutcome,
+    RunRefusal, RunnerMessage, SessionId, StepRequest, TargetDescription, Timings,
 };
 
 const CAPACITY: Resources = Resources {
@@ -90,7 +90,7 @@
     }
 
     fn heartbeat(&mut self, session: SessionId, free: Resources, assignments_seen: u64) {
-        let room = Room {
+        let free_capacity = FreeCapacity {
             free,
             assignments_seen,
             slowness_permille: 0,
@@ -99,19 +99,19 @@
             session,
             RunnerMessage::Heartbeat {
                 clock: self.now,
-                room,
+                free_capacity,
             },
         );
     }
 
     /// A runner reports room and how slowly its target's runs get on.
     fn report(&mut self, session: SessionId, free: Resources, slowness_permille: u32) {
-        let room = Room {
+        let free_capacity = FreeCapacity {
             free,
             assignments_seen: u64::MAX,
             slowness_permille,
         };
-        self.tell(session, RunnerMessage::Room(room));
+        self.tell(session, RunnerMessage::FreeCapacity(free_capacity));
     }
 
     fn withdrawn(&mut self) -> Vec<SessionId> {
@@ -128,7 +128,7 @@
 
     fn offer(&mut self, session: SessionId, labels: &[&str]) {
         let description = TargetDescription {
-            instance: format!("target-{session}"),
+            incarnation: format!("target-{session}"),
             service: "service".into(),
             capacity: CAPACITY,
             labels: labels.iter().map(|&label| label.into()).collect(),
@@ -151,12 +151,18 @@
                     cpu_milli: 0,
                     ..CAPACITY
                 };
-                let room = Room {
+                let free_capacity = FreeCapacity {
                     free,
                     assignments_seen: u64::MAX,
                     slowness_permille: 0,
                 };
-                self.tell(*session, RunnerMessage::Heartbeat { clock, room });
+                self.tell(
+                    *session,
+                    RunnerMessage::Heartbeat {
+                        clock,
+                        free_capacity,
+                    },
+                );
             }
             self.dispatcher.tick(self.now);
         }
@@ -185,7 +191,7 @@
     }
 
     fn end(&mut self, run: &(SessionId, Assignment), outcome: RunOutcome) {
-        let room = Room {
+        let free_capacity = FreeCapacity {
             free: CAPACITY,
             assignments_seen: u64::MAX,
             slowness_permille: 0,
@@ -196,7 +202,7 @@
             run: assignment.run,
             outcome,
             ran_ms: 100,
-            room,
+            free_capacity,
         };
         self.tell(*session, message);
     }
@@ -239,7 +245,7 @@
     let [(answered, JobAnswer::Refused { cause, retry_after })] = answers[..] else {
         panic!("{answers:?}");
     };
-    assert_eq!((answered, cause), (number, RefusalCause::NoRoom));
+    assert_eq!((answered, cause), (number, JobRefusal::NoRoom));
     assert!(retry_after > Duration::ZERO);
 }
 
@@ -306,7 +312,7 @@
     let answers = bench.answers();
     assert!(matches!(
         answers[..],
-        [(n, JobAnswer::Refused { cause: RefusalCause::NoTarget, .. })] if n == number
+        [(n, JobAnswer::Refused { cause: JobRefusal::NoTarget, .. })] if n == number
     ));
     let mut bench = Bench::new(1);
     bench.dispatcher.leave();
@@ -316,7 +322,7 @@
         [(
             _,
             JobAnswer::Refused {
-                cause: RefusalCause::Leaving,
+                cause: JobRefusal::Leaving,
                 ..
             }
         )]
@@ -584,7 +590,7 @@
     bench.submit(job("a", vec![step(1, vec![])]));
     let run = bench.assigned().remove(0);
 
-    bench.end(&run, RunOutcome::NotStarted(Refusal::Stale));
+    bench.end(&run, RunOutcome::NotStarted(RunRefusal::Stale));
 
     assert!(bench.assigned()[0].1.run > run.1.run + 10);
 }
@@ -625,7 +631,7 @@
     bench.pass(60, &[1]);
     assert!(bench.answers().is_empty(), "it may be at work");
 
-    bench.end(&run, RunOutcome::NotStarted(Refusal::NoRoom));
+    bench.end(&run, RunOutcome::NotStarted(RunRefusal::NoRoom));
     bench.heartbeat(
         1,
         Resources {
@@ -638,7 +644,7 @@
 
     let answers = bench.answers();
     assert!(
-        matches!(answers[..], [(n, JobAnswer::Refused { cause: RefusalCause::NoRoom, .. })] if n == number),
+        matches!(answers[..], [(n, JobAnswer::Refused { cause: JobRefusal::NoRoom, .. })] if n == number),
         "{answers:?}"
     );
 }
--- a/crates/leased/cloverfold_lease/tests/runner.rs
+++ b/crates/leased/cloverfold_lease/tests/runner.rs
@@ -6,9 +6,9 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
-    Assignment, DispatcherMessage, EndCause, EndedRun, HeldRun, HoldAnswer, Refusal, Resources,
-    RunOutcome, Runner, RunnerAction, RunnerMessage, StartAnswer, StartOrder, StartRefusal,
-    TargetRegistration, TaskId, Timings,
+    Assignment, DispatcherMessage, EndCause, EndedRun, ListedRun, RenewalAnswer, Resources,
+    RunOutcome, RunRefusal, Runner, RunnerAction, RunnerMessage, StartAnswer, StartOrder,
+    StartRefusal, TargetRegistration, TaskId, Timings,
 };
 
 const SESSION: u64 = 7;
@@ -24,7 +24,7 @@
 
 fn registration(life: u32) -> TargetRegistration {
     TargetRegistration {
-        instance: format!("life-{life}"),
+        incarnation: format!("life-{life}"),
         service: "service".into(),
         address: "127.0.0.1:1".into(),
         capacity: Resources {
@@ -65,12 +65,12 @@
     })
 }
 
-fn list(clock: u64, running: &[u32], ended: &[(u64, u32, EndCause)]) -> HoldAnswer {
-    HoldAnswer::Listed {
+fn list(clock: u64, running: &[u32], ended: &[(u64, u32, EndCause)]) -> RenewalAnswer {
+    RenewalAnswer::Listed {
         clock,
         running: running
             .iter()
-            .map(|index| HeldRun {
+            .map(|index| ListedRun {
                 task: task(*index),
                 run: 5,
                 progress: None,
@@ -98,9 +98,9 @@
     runner
 }
 
-fn hold(runner: &mut Runner, now: Timestamp, answer: HoldAnswer) {
-    let order = runner.plan_hold(now).unwrap();
-    runner.hold_answered(&order, answer, now + ms(1));
+fn hold(runner: &mut Runner, now: Timestamp, answer: RenewalAnswer) {
+    let order = runner.plan_renewal(now).unwrap();
+    runner.receive_renewal_answer(&order, answer, now + ms(1));
 }
 
 fn starts(runner: &mut Runner) -> Vec<StartOrder> {
@@ -133,10 +133,10 @@
 fn nothing_is_assigned_to_a_target_before_it_is_known_to_be_clean() {
     let mut runner = Runner::new(Timings::default(), 1_000);
     runner.register(registration(1), at(90));
-    let first = runner.plan_hold(at(91)).unwrap();
+    let first = runner.plan_renewal(at(91)).unwrap();
     assert_eq!(first.deadline, None, "no lease for what nobody vouches for");
 
-    runner.hold_answered(&first, list(50_001, &[3], &[]), at(92));
+    runner.receive_renewal_answer(&first, list(50_001, &[3], &[]), at(92));
 
     assert!(!runner.has_ready_target());
     let stops = runner.take_actions();
@@ -160,7 +160,7 @@
     runner.register(registration(1), at(130));
 
     assert_eq!(ends(&runner.take_actions()), []);
-    assert_eq!(runner.plan_hold(at(131)).unwrap().instance, "life-2");
+    assert_eq!(runner.plan_renewal(at(131)).unwrap().incarnation, "life-2");
 }
 
 #[test]
@@ -185,7 +185,7 @@
 
     assert_eq!(
         ends(&runner.take_actions()),
-        [(2, RunOutcome::NotStarted(Refusal::NoRoom))]
+        [(2, RunOutcome::NotStarted(RunRefusal::NoRoom))]
     );
 }
 
@@ -195,7 +195,7 @@
 
     runner.receive(SESSION, assign(1, at(150)), at(151));
 
-    let expected = [(1, RunOutcome::NotStarted(Refusal::Expired))];
+    let expected = [(1, RunOutcome::NotStarted(RunRefusal::Expired))];
     assert_eq!(ends(&runner.take_actions()), expected);
 }
 
@@ -273,7 +273,7 @@
     hold(&mut runner, at(150), list(first.deadline, &[], &[]));
     assert_eq!(ends(&runner.take_actions()), []);
     hold(&mut runner, at(160), list(first.deadline + 1, &[], &[]));
-    let expected = [(1, RunOutcome::NotStarted(Refusal::NoRoom))];
+    let expected = [(1, RunOutcome::NotStarted(RunRefusal::NoRoom))];
     assert_eq!(ends(&runner.take_actions()), expected);
 }
 
@@ -287,8 +287,8 @@
     runner.start_answered(&first, fenced, at(112));
 
     let second = starts(&mut runner).remove(0);
-    assert!(second.token > first.token);
-    assert!(runner.plan_hold(at(113)).unwrap().token >= second.token);
+    assert!(second.fencing_token > first.fencing_token);
+    assert!(runner.plan_renewal(at(113)).unwrap().fencing_token >= second.fencing_token);
 }
 
 #[test]
@@ -309,7 +309,10 @@
     );
 
     assert_eq!(ends(&runner.take_actions()), []);
-    assert_eq!(runner.plan_hold(at(150)).unwrap().last_noted, 1);
+    assert_eq!(
+        runner.plan_renewal(at(150)).unwrap().last_acknowledged_end,
+        1
+    );
 }
 
 #[test]
@@ -354,7 +357,7 @@
     started(&mut runner, 1, at(110));
     runner.leave(at(120));
     runner.receive(SESSION, assign(2, at(600)), at(121));
-    let expected = [(2, RunOutcome::NotStarted(Refusal::Draining))];
+    let expected = [(2, RunOutcome::NotStarted(RunRefusal::Draining))];
     assert_eq!(ends(&runner.take_actions()), expected);
 
     hold(
@@ -376,7 +379,7 @@
     let answer = StartAnswer::Refused(StartRefusal::Unreachable, None);
     runner.start_answered(&order, answer, at(111));
 
-    let refused = RunOutcome::NotStarted(Refusal::Unanswered);
+    let refused = RunOutcome::NotStarted(RunRefusal::Unanswered);
     assert_eq!(ends(&runner.take_actions()), [(1, refused)]);
     assert_eq!(runner.held(), 0);
 }
@@ -402,8 +405,8 @@
     runner.receive(SESSION, assign(1, at(500)), at(110));
     starts(&mut runner);
     for now in [150, 200, 250] {
-        let order = runner.plan_hold(at(now - 40)).unwrap();
-        runner.hold_answered(&order, HoldAnswer::Unanswered, at(now));
+        let order = runner.plan_renewal(at(now - 40)).unwrap();
+        runner.receive_renewal_answer(&order, RenewalAnswer::Unanswered, at(now));
     }
     assert!(runner.has_ready_target());
 
@@ -453,7 +456,7 @@
     let told = |runner: &mut Runner| -> Vec<u64> {
         let actions = runner.take_actions().into_iter();
         let told = actions.filter_map(|action| match action {
-            RunnerAction::Send(session, RunnerMessage::Room(_)) => Some(session),
+            RunnerAction::Send(session, RunnerMessage::FreeCapacity(_)) => Some(session),
             _ => None,
         });
         told.collect()
--- a/crates/leased/cloverfold_lease/tests/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/stuck_runs.rs
@@ -6,9 +6,9 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
-    Assignment, DispatcherMessage, EndCause, EndedRun, HeldRun, HoldAnswer, Resources, Room,
-    RunOutcome, Runner, RunnerAction, RunnerMessage, StartAnswer, TargetRegistration,
-    TargetUnfitness, TaskId, Timings,
+    Assignment, DispatcherMessage, EndCause, EndedRun, FreeCapacity, ListedRun, RenewalAnswer,
+    Resources, RunOutcome, Runner, RunnerAction, RunnerMessage, StartAnswer, TargetRegistration,
+    TaskId, Timings, UnavailableReason,
 };
 
 const SESSION: u64 = 7;
@@ -52,7 +52,7 @@
     fn new() -> Self {
         let mut runner = Runner::new(Timings::default(), 1_000);
         let registration = TargetRegistration {
-            instance: "life".into(),
+            incarnation: "life".into(),
             service: "service".into(),
             address: "127.0.0.1:1".into(),
             capacity: CAPACITY,
@@ -85,8 +85,8 @@
 
     /// The target lists runs with their progress, and ends; afterwards a tick passes.
     fn list(&mut self, running: &[(u32, u8)], ended: &[(u64, u32, EndCause)]) {
-        let order = self.runner.plan_hold(self.now).unwrap();
-        let running = running.iter().map(|&(index, percent)| HeldRun {
+        let order = self.runner.plan_renewal(self.now).unwrap();
+        let running = running.iter().map(|&(index, percent)| ListedRun {
             task: task(index),
             run: 5,
             progress: Some(percent),
@@ -97,12 +97,12 @@
             run: 5,
             cause,
         });
-        let answer = HoldAnswer::Listed {
+        let answer = RenewalAnswer::Listed {
             clock: 50_000 + self.now.since_start().as_millis() as u64,
             running: running.collect(),
             ended: ended.collect(),
         };
-        self.runner.hold_answered(&order, answer, self.now);
+        self.runner.receive_renewal_answer(&order, answer, self.now);
         self.runner.tick(self.now);
         let echo = DispatcherMessage::Echo { clock: self.now };
         self.runner.receive(SESSION, echo, self.now);
@@ -203,18 +203,20 @@
 
     for _ in 0..10 {
         bench.now += ms(40);
-        let order = bench.runner.plan_hold(bench.now).unwrap();
-        let run = HeldRun {
+        let order = bench.runner.plan_renewal(bench.now).unwrap();
+        let run = ListedRun {
             task: task(1),
             run: 5,
             progress: None,
         };
-        let answer = HoldAnswer::Listed {
+        let answer = RenewalAnswer::Listed {
             clock: 50_000,
             running: vec![run],
             ended: Vec::new(),
         };
-        bench.runner.hold_answered(&order, answer, bench.now);
+        bench
+            .runner
+            .receive_renewal_answer(&order, answer, bench.now);
     }
 
     assert_eq!(bench.runner.counts().stuck, 0);
@@ -253,8 +255,8 @@
     bench.stand(ms(160), &stuck);
 
     assert!(!bench.runner.has_ready_target(), "all sessions get it back");
-    let reason = bench.runner.find_unfitness();
-    assert_eq!(reason, Some(TargetUnfitness::RunsStandStill));
+    let reason = bench.runner.find_unavailable_reason();
+    assert_eq!(reason, Some(UnavailableReason::RunsStandStill));
     let ends = [1, 2, 3].map(|index| (u64::from(index) + 1, index, EndCause::Stopped));
     bench.list(&[], &ends);
     bench.stand(ms(1_000), &[]);
@@ -280,7 +282,7 @@
         bench.list(&rows, &[]);
     }
 
-    let slowness = room(&bench).unwrap().slowness_permille;
+    let slowness = free_capacity(&bench).unwrap().slowness_permille;
     assert!((2_500..=10_000).contains(&slowness), "{slowness}");
 }
 
@@ -298,26 +300,27 @@
         bench.list(&rows, &[]);
     }
 
-    let slowness = room(&bench).unwrap().slowness_permille;
+    let slowness = free_capacity(&bench).unwrap().slowness_permille;
     assert!((800..1_300).contains(&slowness), "{slowness}");
 }
 
 /// Returns the free processors that the session was told last.
 fn free(bench: &Bench) -> Option<i64> {
-    room(bench).map(|room| room.free.cpu_milli)
+    free_capacity(bench).map(|free_capacity| free_capacity.free.cpu_milli)
 }
 
 /// Returns what the session was told last of its target's room.
-fn room(bench: &Bench) -> Option<Room> {
+fn free_capacity(bench: &Bench) -> Option<FreeCapacity> {
     let actions = bench.actions.iter().enumerate();
     let told = actions.filter_map(|(order, action)| match action {
         RunnerAction::Send(
             _,
-            RunnerMessage::Room(room)
-            | RunnerMessage::Heartbeat { room, .. }
-            | RunnerMessage::Ended { room, .. },
-        ) => Some((order, *room)),
+            RunnerMessage::FreeCapacity(free_capacity)
+            | RunnerMessage::Heartbeat { free_capacity, .. }
+            | RunnerMessage::Ended { free_capacity, .. },
+        ) => Some((order, *free_capacity)),
         _ => None,
     });
-    told.max_by_key(|(order, _)| *order).map(|(_, room)| room)
+    told.max_by_key(|(order, _)| *order)
+        .map(|(_, free_capacity)| free_capacity)
 }
--- a/crates/leased/cloverfold_lease/tests/world/mod.rs
+++ b/crates/leased/cloverfold_lease/tests/world/mod.rs
@@ -7,9 +7,9 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
-    Dispatcher, DispatcherAction, DispatcherMessage, HealthLimits, HoldAnswer, JobAnswer,
-    JobNumber, JobRequest, Objective, Resources, Runner, RunnerAction, RunnerMessage, StartAnswer,
-    StepRequest, TaskId, Timings,
+    Dispatcher, DispatcherAction, DispatcherMessage, HealthLimits, JobAnswer, JobNumber,
+    JobRequest, Objective, RenewalAnswer, Resources, Runner, RunnerAction, RunnerMessage,
+    StartAnswer, StepRequest, TaskId, Timings,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -434,13 +434,13 @@
         }
         if now >= node.hold_at {
             node.hold_at = now + 15;
-            if let Some(order) = runner.plan_hold(at(now)) {
+            if let Some(order) = runner.plan_renewal(at(now)) {
                 let is_late = self.faults.is_troubled && self.rng.random_bool(0.03);
                 let answer = node.target.hold(&order, now, is_late);
-                if answer == HoldAnswer::Unanswered {
+                if answer == RenewalAnswer::Unanswered {
                     node.hold_at = now + HOLD_TIMEOUT_MS;
                 }
-                runner.hold_answered(&order, answer, at(now));
+                runner.receive_renewal_answer(&order, answer, at(now));
             }
         }
         runner.tick(at(now));
@@ -476,7 +476,7 @@
                             .target
                             .stop(&order, now, is_late, &mut self.rng);
                     }
-                    RunnerAction::HoldNow => self.runners[index].hold_at = now,
+                    RunnerAction::RenewNow => self.runners[index].hold_at = now,
                 }
             }
         }
--- a/crates/leased/cloverfold_lease/tests/world/target.rs
+++ b/crates/leased/cloverfold_lease/tests/world/target.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cloverfold_lease::{
-    EndCause, EndedRun, HeldRun, HoldAnswer, HoldOrder, Resources, StartAnswer, StartOrder,
+    EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder, Resources, StartAnswer, StartOrder,
     StartRefusal, StopOrder, TargetRegistration, TaskId,
 };
 use rand::RngExt;
@@ -24,7 +24,7 @@
     life_began: u64,
     pub cut_until: u64,
     lease: u64,
-    token: u64,
+    fencing_token: u64,
     sequence: u64,
     running: BTreeMap<TaskId, (u64, u64)>,
     ended: Vec<EndedRun>,
@@ -44,7 +44,7 @@
             life_began: 0,
             cut_until: 0,
             lease: 0,
-            token: 0,
+            fencing_token: 0,
             sequence: 0,
             running: BTreeMap::new(),
             ended: Vec::new(),
@@ -81,17 +81,17 @@
         self.highest_run.clear();
         self.last_end = 0;
         self.lease = 0;
-        self.token = 0;
+        self.fencing_token = 0;
     }
 
-    fn instance(&self) -> String {
+    fn incarnation(&self) -> String {
         format!("target-{}-{}", self.index, self.life)
     }
 
     pub fn register(&mut self, now: u64) -> TargetRegistration {
         self.sequence += 1;
         TargetRegistration {
-            instance: self.instance(),
+            incarnation: self.incarnation(),
             service: "service".into(),
             address: "127.0.0.1:1".into(),
             capacity: Resources {
@@ -151,8 +151,8 @@
         std::mem::take(&mut self.started)
     }
 
-    fn is_reached(&self, instance: &str, now: u64) -> bool {
-        self.is_up(now) && instance == self.instance()
+    fn is_reached(&self, incarnation: &str, now: u64) -> bool {
+        self.is_up(now) && incarnation == self.incarnation()
     }
 
     pub fn start(
@@ -162,7 +162,7 @@
         is_late: bool,
         rng: &mut SmallRng,
     ) -> StartAnswer {
-        if !self.is_reached(&order.instance, now) {
+        if !self.is_reached(&order.incarnation, now) {
             return StartAnswer::Unanswered;
         }
         if is_late {
@@ -176,10 +176,10 @@
     fn do_start(&mut self, order: &StartOrder, now: u64) -> StartAnswer {
         let clock = self.clock(now);
         let refused = |refusal| StartAnswer::Refused(refusal, Some(clock));
-        if order.token < self.token {
+        if order.fencing_token < self.fencing_token {
             return refused(StartRefusal::Fenced);
         }
-        self.token = order.token;
+        self.fencing_token = order.fencing_token;
         if order.deadline <= clock {
             return refused(StartRefusal::Late);
         }
@@ -210,7 +210,7 @@
     }
 
     pub fn stop(&mut self, order: &StopOrder, now: u64, is_late: bool, rng: &mut SmallRng) {
-        if !self.is_reached(&order.instance, now) {
+        if !self.is_reached(&order.incarnation, now) {
             return;
         }
         if is_late {
@@ -222,7 +222,7 @@
     }
 
     fn do_stop(&mut self, order: &StopOrder) {
-        if order.token < self.token {
+        if order.fencing_token < self.fencing_token {
             return;
         }
         if self
@@ -234,23 +234,24 @@
         }
     }
 
-    pub fn hold(&mut self, order: &HoldOrder, now: u64, is_late: bool) -> HoldAnswer {
-        if !self.is_reached(&order.instance, now) || is_late {
-            return HoldAnswer::Unanswered;
+    pub fn hold(&mut self, order: &RenewalOrder, now: u64, is_late: bool) -> RenewalAnswer {
+        if !self.is_reached(&order.incarnation, now) || is_late {
+            return RenewalAnswer::Unanswered;
         }
-        if order.token < self.token {
-            return HoldAnswer::Fenced;
+        if order.fencing_token < self.fencing_token {
+            return RenewalAnswer::Fenced;
         }
-        self.token = order.token;
-        self.ended.retain(|end| end.number > order.last_noted);
+        self.fencing_token = order.fencing_token;
+        self.ended
+            .retain(|end| end.number > order.last_acknowledged_end);
         if let Some(deadline) = order.deadline {
             self.lease = self.lease.max(deadline);
         }
         let running = self.running.iter();
-        HoldAnswer::Listed {
+        RenewalAnswer::Listed {
             clock: self.clock(now),
             running: running
-                .map(|(task, (run, _))| HeldRun {
+                .map(|(task, (run, _))| ListedRun {
                     task: task.clone(),
                     run: *run,
                     progress: None,
--- a/crates/leased/cloverfold_lease/tests/written_names.rs
+++ b/crates/leased/cloverfold_lease/tests/written_names.rs
@@ -1,22 +1,22 @@
 //! The names that clients and logs read stay as they are, whatever the variants are called.
 
 use cloverfold_lease::{
-    Refusal, RefusalCause, RunOutcome, StartAnswer, StartRefusal, TargetUnfitness,
+    JobRefusal, RunOutcome, RunRefusal, StartAnswer, StartRefusal, UnavailableReason,
 };
 
 #[test]
 fn each_reason_not_to_start_a_run_keeps_its_written_name() {
     let names = [
-        (Refusal::NoRoom, "NoRoom"),
-        (Refusal::NoTarget, "NoTarget"),
-        (Refusal::Draining, "Draining"),
-        (Refusal::Expired, "Expired"),
-        (Refusal::Held, "Held"),
-        (Refusal::Stale, "Stale"),
-        (Refusal::Unanswered, "Unanswered"),
-        (Refusal::Unhealthy, "Unhealthy"),
-        (Refusal::Rejected, "Rejected"),
-        (Refusal::Withdrawn, "Withdrawn"),
+        (RunRefusal::NoRoom, "NoRoom"),
+        (RunRefusal::NoTarget, "NoTarget"),
+        (RunRefusal::Draining, "Draining"),
+        (RunRefusal::Expired, "Expired"),
+        (RunRefusal::Held, "Held"),
+        (RunRefusal::Stale, "Stale"),
+        (RunRefusal::Unanswered, "Unanswered"),
+        (RunRefusal::Unhealthy, "Unhealthy"),
+        (RunRefusal::Rejected, "Rejected"),
+        (RunRefusal::Withdrawn, "Withdrawn"),
     ];
 
     for (refusal, name) in names {
@@ -45,10 +45,10 @@
 #[test]
 fn each_refusal_of_a_job_keeps_its_written_name() {
     let names = [
-        (RefusalCause::NoRoom, "NoRoom"),
-        (RefusalCause::NoTarget, "NoTarget"),
-        (RefusalCause::Leaving, "Leaving"),
-        (RefusalCause::Stalled, "Stalled"),
+        (JobRefusal::NoRoom, "NoRoom"),
+        (JobRefusal::NoTarget, "NoTarget"),
+        (JobRefusal::Leaving, "Leaving"),
+        (JobRefusal::Stalled, "Stalled"),
     ];
 
     for (cause, name) in names {
@@ -59,12 +59,12 @@
 #[test]
 fn each_reason_why_a_target_gets_no_work_keeps_its_written_name() {
     let names = [
-        (TargetUnfitness::NoTarget, "NoTarget"),
-        (TargetUnfitness::Draining, "Draining"),
-        (TargetUnfitness::Silent, "Silent"),
-        (TargetUnfitness::RunsStandStill, "RunsStandStill"),
-        (TargetUnfitness::OtherRuns, "OtherRuns"),
-        (TargetUnfitness::NoClock, "NoClock"),
+        (UnavailableReason::NoTarget, "NoTarget"),
+        (UnavailableReason::Draining, "Draining"),
+        (UnavailableReason::Silent, "Silent"),
+        (UnavailableReason::RunsStandStill, "RunsStandStill"),
+        (UnavailableReason::OtherRuns, "OtherRuns"),
+        (UnavailableReason::NoClock, "NoClock"),
     ];
 
     for (reason, name) in names {
@@ -81,7 +81,7 @@
         (StartRefusal::NoRoom, "NoRoom"),
         (StartRefusal::Unhealthy, "Unhealthy"),
         (StartRefusal::Unreachable, "Unreachable"),
-        (StartRefusal::OtherInstance, "OtherInstance"),
+        (StartRefusal::OtherIncarnation, "OtherInstance"),
         (StartRefusal::Invalid, "Invalid"),
     ];
 
--- a/crates/leased/cloverfold_leased_entry/src/callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/callers.rs
@@ -84,7 +84,7 @@
         let mut guard = CancelOnDrop {
             callers: self,
             job: id,
-            number: Some(number),
+            number,
         };
         // The sender is dropped only with the process.
         let answer = answer.await.unwrap_or(JobAnswer::GivenUp);
@@ -144,7 +144,7 @@
 
     fn count(&self, route: &Route) -> Response {
         let is_meant = |job: &JobRequest| job.queue == route.name;
-        let waiting = self.lock().dispatcher.count_unbegun(is_meant);
+        let waiting = self.lock().dispatcher.count_queued(is_meant);
         json_response(StatusCode::OK, self.protocol.write_count(waiting))
     }
 }
--- a/crates/leased/cloverfold_leased_entry/src/state.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state.rs
@@ -8,7 +8,7 @@
 use cloverfold_base::{ProcessClock, Timestamp, unix_now};
 use cloverfold_configuration::Configuration;
 use cloverfold_lease::{
-    Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRequest, RefusalCause,
+    Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRefusal, JobRequest,
 };
 use cloverfold_link::{LinkEvent, LinkId, LinkSender, send_once};
 use cloverfold_peer::{ControlLinks, Hello, PeerMessage, PeerRole};
@@ -134,23 +134,24 @@
         self.dispatcher.leave();
     }
 
-    /// Takes a job; its one answer comes through the channel.
+    /// Submits a job; its one answer comes through the channel. A job that is refused before it reaches the dispatcher has no
+    /// number.
     pub(crate) fn submit(
         &mut self,
         request: JobRequest,
-    ) -> (JobNumber, oneshot::Receiver<JobAnswer>) {
+    ) -> (Option<JobNumber>, oneshot::Receiver<JobAnswer>) {
         let (tx, rx) = oneshot::channel();
         let now = self.clock.now();
         if now > self.ticked_at + STALL {
             // The process stood still, and the request may have waited so long that its caller has asked elsewhere.
             log::warn!(job = request.id.as_str(), gap_ms = now.saturating_duration_since(self.ticked_at).as_millis() as u64; "a job is refused after a stall");
             let answer = JobAnswer::Refused {
-                cause: RefusalCause::Stalled,
+                cause: JobRefusal::Stalled,
                 retry_after: Duration::from_secs(1),
             };
             // The receiver is still held here.
             let _ = tx.send(answer);
-            return (0, rx);
+            return (None, rx);
         }
         let since_epoch = unix_now().saturating_sub(RUN_EPOCH).as_millis();
         self.dispatcher
@@ -158,7 +159,7 @@
         let number = self.dispatcher.submit(request, now);
         self.answers.insert(number, tx);
         self.advance();
-        (number, rx)
+        (Some(number), rx)
     }
 
     /// Stops a job whose caller has left.
--- a/crates/leased/cloverfold_leased_guard/src/interface.rs
+++ b/crates/leased/cloverfold_leased_guard/src/interface.rs
@@ -5,7 +5,7 @@
 
 use cloverfold_http::Request;
 use cloverfold_lease::{
-    HoldAnswer, HoldOrder, StartAnswer, StartOrder, StopOrder, TargetRegistration,
+    RenewalAnswer, RenewalOrder, StartAnswer, StartOrder, StopOrder, TargetRegistration,
 };
 
 /// An answer under way.
@@ -19,7 +19,7 @@
     /// This life of it is over.
     Leave {
         /// The life.
-        instance: String,
+        incarnation: String,
     },
 }
 
@@ -48,9 +48,9 @@
     /// Starts a run.
     fn start(&self, order: StartOrder) -> Answer<StartAnswer>;
 
-    /// Stops a run; whether it did is seen from a later hold.
+    /// Stops a run; whether it did is seen from a later renewal.
     fn stop(&self, order: StopOrder) -> Answer<()>;
 
     /// Renews the lease and asks what runs and what has ended.
-    fn hold(&self, order: HoldOrder) -> Answer<HoldAnswer>;
+    fn renew(&self, order: RenewalOrder) -> Answer<RenewalAnswer>;
 }
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -9,7 +9,7 @@
     HttpLimits, ListenError, Request, Serving, json_response, listen_at, plain_response, serve_at,
     serve_operations,
 };
-use cloverfold_lease::{HoldAnswer, Runner, Timings};
+use cloverfold_lease::{RenewalAnswer, Runner, Timings};
 use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_link::accept_links;
 use cloverfold_peer::{ControlLinks, DialedPeers, Hello, PeerRole};
@@ -24,9 +24,9 @@
 
 const TICK: Duration = Duration::from_millis(20);
 const LINK_EVENTS: usize = 1_024;
-/// Pause after a hold that was not answered at all.
+/// Pause after a renewal that was not answered at all.
 const HOLD_PAUSE: Duration = Duration::from_millis(10);
-/// The same while the target has been silent for some time: each hold that is not answered costs a connection.
+/// The same while the target has been silent for some time: each renewal that is not answered costs a connection.
 const SILENT_PAUSE: Duration = Duration::from_millis(60);
 /// Pause while no target is known.
 const NO_TARGET_PAUSE: Duration = Duration::from_millis(200);
@@ -91,7 +91,7 @@
     let runner = Runner::new(timings, unix_now().as_millis() as u64);
     let (link_tx, mut link_rx) = mpsc::channel(LINK_EVENTS);
     let (order_tx, order_rx) = mpsc::unbounded_channel();
-    let hold_now = Arc::new(Notify::new());
+    let renew_now = Arc::new(Notify::new());
     let state = GuardState::new(
         own,
         runner,
@@ -101,7 +101,7 @@
         ),
         DialedPeers::new(own_address, link_tx.clone()),
         order_tx,
-        hold_now.clone(),
+        renew_now.clone(),
     );
     let state = Arc::new(Mutex::new(state));
     log::info!(name = settings.peer.name.as_str(); "a guard starts");
@@ -123,7 +123,7 @@
     let mut tasks = JoinSet::new();
     tasks.spawn(accept_links(listener, link_tx));
     tasks.spawn(carry_out_orders(state.clone(), order_rx, interface.clone()));
-    tasks.spawn(keep_holding(state.clone(), interface, hold_now));
+    tasks.spawn(keep_holding(state.clone(), interface, renew_now));
     tasks.spawn({
         let state = state.clone();
         async move {
@@ -181,15 +181,15 @@
 /// Renews the lease again and again; each answer tells what runs and what has ended.
 async fn keep_holding(state: SharedState, interface: Arc<dyn TargetInterface>, now: Arc<Notify>) {
     loop {
-        let order = lock(&state).plan_hold();
+        let order = lock(&state).plan_renewal();
         let Some(order) = order else {
             // Whether it is told or not, it looks again.
             let _ = timeout(NO_TARGET_PAUSE, now.notified()).await;
             continue;
         };
-        let answer = interface.hold(order.clone()).await;
-        let is_listed = matches!(answer, HoldAnswer::Listed { .. });
-        lock(&state).hold_answered(&order, answer);
+        let answer = interface.renew(order.clone()).await;
+        let is_listed = matches!(answer, RenewalAnswer::Listed { .. });
+        lock(&state).receive_renewal_answer(&order, answer);
         if !is_listed {
             let is_silent = !lock(&state).has_ready_target();
             sleep(if is_silent { SILENT_PAUSE } else { HOLD_PAUSE }).await;
--- a/crates/leased/cloverfold_leased_guard/src/state.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -8,8 +8,8 @@
 use cloverfold_base::{ProcessClock, Timestamp};
 use cloverfold_configuration::StoredConfiguration;
 use cloverfold_lease::{
-    HoldAnswer, HoldOrder, Runner, RunnerAction, RunnerCounts, RunnerMessage, StartAnswer,
-    StartOrder, StopOrder, TargetUnfitness,
+    RenewalAnswer, RenewalOrder, Runner, RunnerAction, RunnerCounts, RunnerMessage, StartAnswer,
+    StartOrder, StopOrder, UnavailableReason,
 };
 use cloverfold_link::{LinkEvent, LinkId, LinkSender};
 use cloverfold_peer::{ControlLinks, DialedPeers, Directory, Hello, PeerMessage, PeerRole};
@@ -46,8 +46,8 @@
     controls: ControlLinks,
     entries: DialedPeers,
     orders: mpsc::UnboundedSender<TargetOrder>,
-    hold_now: Arc<Notify>,
-    unfitness: Option<TargetUnfitness>,
+    renew_now: Arc<Notify>,
+    unfitness: Option<UnavailableReason>,
 }
 
 impl GuardState {
@@ -57,7 +57,7 @@
         controls: ControlLinks,
         entries: DialedPeers,
         orders: mpsc::UnboundedSender<TargetOrder>,
-        hold_now: Arc<Notify>,
+        renew_now: Arc<Notify>,
     ) -> Self {
         Self {
             clock: ProcessClock::default(),
@@ -69,8 +69,8 @@
             controls,
             entries,
             orders,
-            hold_now,
-            unfitness: Some(TargetUnfitness::NoTarget),
+            renew_now,
+            unfitness: Some(UnavailableReason::NoTarget),
         }
     }
 
@@ -124,22 +124,22 @@
             RegistrationCall::Register(registration) => {
                 self.runner.register(registration, now);
             }
-            RegistrationCall::Leave { instance } => {
-                log::info!(target = instance.as_str(); "the target has left");
-                self.runner.unregister(&instance, now);
+            RegistrationCall::Leave { incarnation } => {
+                log::info!(target = incarnation.as_str(); "the target has left");
+                self.runner.unregister(&incarnation, now);
             }
         }
         self.advance();
     }
 
-    pub(crate) fn plan_hold(&mut self) -> Option<HoldOrder> {
+    pub(crate) fn plan_renewal(&mut self) -> Option<RenewalOrder> {
         let now = self.clock.now();
-        self.runner.plan_hold(now)
+        self.runner.plan_renewal(now)
     }
 
-    pub(crate) fn hold_answered(&mut self, order: &HoldOrder, answer: HoldAnswer) {
+    pub(crate) fn receive_renewal_answer(&mut self, order: &RenewalOrder, answer: RenewalAnswer) {
         let now = self.clock.now();
-        self.runner.hold_answered(order, answer, now);
+        self.runner.receive_renewal_answer(order, answer, now);
         self.advance();
     }
 
@@ -149,7 +149,7 @@
             let answer = answer.to_string();
             log::info!(
                 job = order.task.job.as_str(), index = order.task.index, run = order.run,
-                attempt = order.attempt, target = order.instance.as_str(), answer = answer.as_str();
+                attempt = order.attempt, target = order.incarnation.as_str(), answer = answer.as_str();
                 "a start is not acknowledged"
             );
         }
@@ -277,13 +277,13 @@
                 }
                 RunnerAction::Start(order) => self.order(TargetOrder::Start(order)),
                 RunnerAction::Stop(order) => self.order(TargetOrder::Stop(order)),
-                RunnerAction::HoldNow => self.hold_now.notify_one(),
+                RunnerAction::RenewNow => self.renew_now.notify_one(),
             }
         }
-        let unfitness = self.runner.find_unfitness();
+        let unfitness = self.runner.find_unavailable_reason();
         if unfitness != self.unfitness {
             self.unfitness = unfitness;
-            let reason = unfitness.map(TargetUnfitness::as_str);
+            let reason = unfitness.map(UnavailableReason::as_str);
             let counts = self.runner.counts();
             log::info!(
                 ready = unfitness.is_none(), reason = reason.unwrap_or_default(),
