--- a/crates/leased/cloverfold_lease/src/runner/actions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/actions.rs
@@ -18,5 +18,5 @@
     /// Send a stop to the target.
     Stop(StopOrder),
     /// Renew the lease at once instead of waiting for the next regular renewal.
-    HoldNow,
+    RenewNow,
 }
--- a/crates/leased/cloverfold_lease/src/runner/ending.rs
+++ b/crates/leased/cloverfold_lease/src/runner/ending.rs
@@ -6,7 +6,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Refusal, RunOutcome, RunnerMessage, SessionId, TaskId};
+use crate::messages::{RunOutcome, RunRefusal, RunnerMessage, SessionId, TaskId};
 use crate::runner::run::Run;
 use crate::runner::{Runner, RunnerAction};
 
@@ -63,7 +63,7 @@
         let tasks: Vec<TaskId> = self.runs.keys().cloned().collect();
         for task in tasks {
             let outcome = if self.runs[&task].is_waiting() {
-                RunOutcome::NotStarted(Refusal::NoTarget)
+                RunOutcome::NotStarted(RunRefusal::NoTarget)
             } else {
                 RunOutcome::Lost
             };
@@ -73,13 +73,13 @@
 
     /// Tells a dispatcher of an end, together with what is free now.
     pub(super) fn send_end(&mut self, session: SessionId, report: EndReport, now: Timestamp) {
-        let room = self.room_for(session, now);
+        let free_capacity = self.free_capacity_for(session, now);
         let message = RunnerMessage::Ended {
             task: report.task,
             run: report.run,
             outcome: report.outcome,
             ran_ms: report.ran.as_millis() as u32,
-            room,
+            free_capacity,
         };
         self.actions.push(RunnerAction::Send(session, message));
     }
--- a/crates/leased/cloverfold_lease/src/runner/waiting.rs
+++ b/crates/leased/cloverfold_lease/src/runner/waiting.rs
@@ -5,7 +5,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Refusal, RunOutcome, TaskId};
+use crate::messages::{RunOutcome, RunRefusal, TaskId};
 use crate::resources::Resources;
 use crate::runner::Runner;
 use crate::runner::run::Run;
@@ -40,12 +40,12 @@
             .map(|(task, _)| task.clone())
             .collect();
         for task in late {
-            self.end_run(&task, RunOutcome::NotStarted(Refusal::NoRoom), now);
+            self.end_run(&task, RunOutcome::NotStarted(RunRefusal::NoRoom), now);
         }
     }
 
     /// Gives back all waiting runs: the target accepts no work any more.
-    pub(super) fn give_back_waiting(&mut self, refusal: Refusal, now: Timestamp) {
+    pub(super) fn give_back_waiting(&mut self, refusal: RunRefusal, now: Timestamp) {
         for task in self.waiting_in_order() {
             self.end_run(&task, RunOutcome::NotStarted(refusal), now);
         }
