--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -182,7 +182,7 @@
 
 fn refusals() -> Vec<Sample<RunRefusal>> {
     each_variant!(RunRefusal {
-        RunRefusal::NoRoom => one("no-free_capacity", RunRefusal::NoRoom),
+        RunRefusal::NoRoom => one("no-room", RunRefusal::NoRoom),
         RunRefusal::NoTarget => one("no-target", RunRefusal::NoTarget),
         RunRefusal::Draining => one("draining", RunRefusal::Draining),
         RunRefusal::Expired => one("expired", RunRefusal::Expired),
@@ -213,7 +213,7 @@
     };
     each_variant!(RunnerMessage {
         RunnerMessage::Heartbeat { .. } => one("heartbeat", heartbeat),
-        RunnerMessage::FreeCapacity(_) => one("free_capacity", RunnerMessage::FreeCapacity(free_capacity(7))),
+        RunnerMessage::FreeCapacity(_) => one("room", RunnerMessage::FreeCapacity(free_capacity(7))),
         RunnerMessage::Target(_) => several([
             ("target", RunnerMessage::Target(Some(target()))),
             ("no-target", RunnerMessage::Target(None)),
