--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -48,14 +48,14 @@
 pub use actions::RunnerAction;
 pub use counts::RunnerCounts;
 pub use orders::{
-    EndCause, EndedRun, HeldRun, HoldAnswer, HoldOrder, StartAnswer, StartOrder, StartRefusal,
-    StopOrder, TargetRegistration,
+    EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder, StartAnswer, StartOrder,
+    StartRefusal, StopOrder, TargetRegistration,
 };
-pub use target_incarnation::TargetUnfitness;
+pub use target_incarnation::UnavailableReason;
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{DispatcherMessage, Refusal, SessionId, TaskId};
+use crate::messages::{DispatcherMessage, RunRefusal, SessionId, TaskId};
 use crate::timings::Timings;
 use run::Run;
 use session::Session;
@@ -75,7 +75,7 @@
     /// Numbers runs and incarnations of the target in order of arrival.
     next_sequence: u64,
     target: Option<TargetIncarnation>,
-    /// Instance names of earlier incarnations of the target, oldest first.
+    /// Names of earlier incarnations of the target, oldest first.
     ended_incarnations: VecDeque<String>,
     is_leaving: bool,
     counts: RunnerCounts,
@@ -119,21 +119,21 @@
 
     /// Returns whether there is a target that accepts work.
     pub fn has_ready_target(&self) -> bool {
-        self.find_unfitness().is_none()
+        self.find_unavailable_reason().is_none()
     }
 
     /// Returns why the target gets no work, if there is a reason.
-    pub fn find_unfitness(&self) -> Option<TargetUnfitness> {
+    pub fn find_unavailable_reason(&self) -> Option<UnavailableReason> {
         match &self.target {
-            Some(target) => target.find_unfitness(),
-            None => Some(TargetUnfitness::NoTarget),
+            Some(target) => target.find_unavailable_reason(),
+            None => Some(UnavailableReason::NoTarget),
         }
     }
 
     /// Accepts no further work from now on; what was started goes on, what waits is given back.
     pub fn leave(&mut self, now: Timestamp) {
         self.is_leaving = true;
-        self.give_back_waiting(Refusal::Draining, now);
+        self.give_back_waiting(RunRefusal::Draining, now);
         self.announce_target();
     }
 
@@ -157,6 +157,6 @@
         self.repeat_stops(now);
         self.send_heartbeats(now);
         self.start_waiting(now);
-        self.report_room(now);
+        self.report_free_capacity(now);
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -8,7 +8,7 @@
 use cloverfold_base::Timestamp;
 
 use crate::runner::Runner;
-use crate::runner::orders::{EndedRun, HeldRun, HoldAnswer, HoldOrder};
+use crate::runner::orders::{EndedRun, ListedRun, RenewalAnswer, RenewalOrder};
 use crate::runner::unlisted::ListTimes;
 use crate::timings::TargetTime;
 
@@ -16,7 +16,7 @@
 struct TargetList {
     /// The target's clock.
     clock: TargetTime,
-    running: Vec<HeldRun>,
+    running: Vec<ListedRun>,
     ended: Vec<EndedRun>,
 }
 
@@ -25,7 +25,7 @@
     ///
     /// The lease is not extended while the target may run something that this runner did not start: that must be able to lapse, since
     /// nobody else can end it for certain. Such a renewal is answered at once instead of waiting for an end.
-    pub fn plan_hold(&mut self, now: Timestamp) -> Option<HoldOrder> {
+    pub fn plan_renewal(&mut self, now: Timestamp) -> Option<RenewalOrder> {
         let lease = self.timings.lease;
         let target = self.target.as_mut()?;
         let (deadline, wait) = if target.has_only_own_runs {
@@ -33,12 +33,12 @@
         } else {
             (None, Duration::ZERO)
         };
-        Some(HoldOrder {
-            instance: target.registration.instance.clone(),
+        Some(RenewalOrder {
+            incarnation: target.registration.incarnation.clone(),
             address: target.registration.address.clone(),
             deadline,
-            token: target.fencing_token,
-            last_noted: target.last_acknowledged_end,
+            fencing_token: target.fencing_token,
+            last_acknowledged_end: target.last_acknowledged_end,
             wait,
             limit: wait + self.timings.answer_slack,
             sent_at: now,
@@ -49,13 +49,18 @@
     ///
     /// An answer from another incarnation, or one that was overtaken by the answer to a later renewal, changes nothing. No answer
     /// changes nothing here either: `watch_target` notices the silence.
-    pub fn hold_answered(&mut self, order: &HoldOrder, answer: HoldAnswer, now: Timestamp) {
+    pub fn receive_renewal_answer(
+        &mut self,
+        order: &RenewalOrder,
+        answer: RenewalAnswer,
+        now: Timestamp,
+    ) {
         self.expire_sessions(now);
-        let Some(target) = self.target_with_instance(&order.instance) else {
+        let Some(target) = self.target_of_incarnation(&order.incarnation) else {
             return;
         };
         match answer {
-            HoldAnswer::Listed {
+            RenewalAnswer::Listed {
                 clock,
                 running,
                 ended,
@@ -67,12 +72,12 @@
                 };
                 self.receive_list(order, list, now);
             }
-            HoldAnswer::Fenced => target.raise_fencing_token(order.token),
-            HoldAnswer::OtherInstance | HoldAnswer::Unanswered => {}
+            RenewalAnswer::Fenced => target.raise_fencing_token(order.fencing_token),
+            RenewalAnswer::OtherIncarnation | RenewalAnswer::Unanswered => {}
         }
     }
 
-    fn receive_list(&mut self, order: &HoldOrder, list: TargetList, now: Timestamp) {
+    fn receive_list(&mut self, order: &RenewalOrder, list: TargetList, now: Timestamp) {
         let Some(target) = &mut self.target else {
             return;
         };
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -7,7 +7,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Room, RunnerMessage, SessionId};
+use crate::messages::{FreeCapacity, RunnerMessage, SessionId};
 use crate::runner::session::Announcement;
 use crate::runner::{Runner, RunnerAction};
 
@@ -27,10 +27,13 @@
     }
 
     pub(super) fn send_heartbeat(&mut self, session: SessionId, now: Timestamp) {
-        let room = self.room_for(session, now);
+        let free_capacity = self.free_capacity_for(session, now);
         if let Some(state) = self.sessions.get_mut(&session) {
             state.heartbeat_at = now;
-            let message = RunnerMessage::Heartbeat { clock: now, room };
+            let message = RunnerMessage::Heartbeat {
+                clock: now,
+                free_capacity,
+            };
             self.actions.push(RunnerAction::Send(session, message));
         }
     }
@@ -38,7 +41,7 @@
     /// Reports the free capacity to every session that was told another one.
     ///
     /// Not only with the heartbeats: entries that know little of a target refuse work which would fit.
-    pub(super) fn report_room(&mut self, now: Timestamp) {
+    pub(super) fn report_free_capacity(&mut self, now: Timestamp) {
         let free = self.free_after_waiting();
         let stale: Vec<SessionId> = self
             .sessions
@@ -47,13 +50,13 @@
             .map(|(id, _)| *id)
             .collect();
         for session in stale {
-            let message = RunnerMessage::Room(self.room_for(session, now));
+            let message = RunnerMessage::FreeCapacity(self.free_capacity_for(session, now));
             self.actions.push(RunnerAction::Send(session, message));
         }
     }
 
     /// Makes the report of free capacity for a session and records that it was made.
-    pub(super) fn room_for(&mut self, session: SessionId, now: Timestamp) -> Room {
+    pub(super) fn free_capacity_for(&mut self, session: SessionId, now: Timestamp) -> FreeCapacity {
         let free = self.free_after_waiting();
         // A run names its session only while that is open, so the session is there.
         let assignments_seen = self.sessions.get_mut(&session).map_or(0, |state| {
@@ -62,7 +65,7 @@
         });
         let target = self.target.as_ref();
         let slowness = target.map(|target| target.performance.slowness_permille(now));
-        Room {
+        FreeCapacity {
             free,
             assignments_seen,
             slowness_permille: slowness.unwrap_or(0),
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -8,7 +8,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Refusal, RunOutcome, SessionId, TaskId};
+use crate::messages::{RunOutcome, RunRefusal, SessionId, TaskId};
 use crate::runner::session::Session;
 use crate::runner::{Runner, RunnerAction};
 
@@ -63,7 +63,7 @@
             if let Some(run) = self.runs.get_mut(&task) {
                 run.session = None;
             }
-            self.stop_run(&task, RunOutcome::NotStarted(Refusal::Withdrawn), now);
+            self.stop_run(&task, RunOutcome::NotStarted(RunRefusal::Withdrawn), now);
         }
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/stops.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stops.rs
@@ -47,11 +47,11 @@
             return;
         };
         let order = StopOrder {
-            instance: target.registration.instance.clone(),
+            incarnation: target.registration.incarnation.clone(),
             address: target.registration.address.clone(),
             task,
             run: number,
-            token: target.fencing_token,
+            fencing_token: target.fencing_token,
             limit: self.timings.order_timeout,
         };
         self.actions.push(RunnerAction::Stop(order));
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -21,7 +21,7 @@
 
 /// Why a target gets no work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TargetUnfitness {
+pub enum UnavailableReason {
     /// No target has registered.
     NoTarget,
     /// It is about to leave.
@@ -36,7 +36,7 @@
     NoClock,
 }
 
-impl TargetUnfitness {
+impl UnavailableReason {
     /// Returns the name by which logs and answers call it; it is part of the outside interface.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -119,24 +119,24 @@
     }
 
     pub(super) fn takes_work(&self) -> bool {
-        self.find_unfitness().is_none()
+        self.find_unavailable_reason().is_none()
     }
 
     /// Returns why the target gets no work, if there is a reason; the first that applies.
     ///
     /// It gets work while it does not drain, answers, lets its runs make progress, runs nothing that this runner did not start, and its
     /// clock is known.
-    pub(super) fn find_unfitness(&self) -> Option<TargetUnfitness> {
+    pub(super) fn find_unavailable_reason(&self) -> Option<UnavailableReason> {
         if self.registration.is_draining {
-            Some(TargetUnfitness::Draining)
+            Some(UnavailableReason::Draining)
         } else if self.is_unresponsive {
-            Some(TargetUnfitness::Silent)
+            Some(UnavailableReason::Silent)
         } else if self.performance.is_paused() {
-            Some(TargetUnfitness::RunsStandStill)
+            Some(UnavailableReason::RunsStandStill)
         } else if !self.has_only_own_runs {
-            Some(TargetUnfitness::OtherRuns)
+            Some(UnavailableReason::OtherRuns)
         } else if self.clock.is_none() {
-            Some(TargetUnfitness::NoClock)
+            Some(UnavailableReason::NoClock)
         } else {
             None
         }
@@ -149,7 +149,7 @@
 
     pub(super) fn describe(&self) -> TargetDescription {
         TargetDescription {
-            instance: self.registration.instance.clone(),
+            incarnation: self.registration.incarnation.clone(),
             service: self.registration.service.clone(),
             capacity: self.registration.capacity,
             labels: self.registration.labels.clone(),
--- a/crates/leased/cloverfold_lease/src/runner/unlisted.rs
+++ b/crates/leased/cloverfold_lease/src/runner/unlisted.rs
@@ -4,7 +4,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Refusal, RunOutcome};
+use crate::messages::{RunOutcome, RunRefusal};
 use crate::runner::run::{PendingStop, RunState};
 use crate::timings::TargetTime;
 
@@ -30,7 +30,7 @@
     match state {
         RunState::Waiting { .. } => None,
         RunState::Starting(start) => {
-            let never_ran = RunOutcome::NotStarted(Refusal::Unanswered);
+            let never_ran = RunOutcome::NotStarted(RunRefusal::Unanswered);
             (list.clock > start.deadline).then_some(never_ran)
         }
         RunState::Running { confirmed_at } => {
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -14,7 +14,7 @@
 use cloverfold_base::{ProcessClock, Timestamp, unix_now};
 use cloverfold_configuration::{Configuration, Version};
 use cloverfold_lease::{
-    Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRequest, RefusalCause,
+    Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRefusal, JobRequest,
 };
 use cloverfold_leased_process::LeasedState;
 use cloverfold_link::LinkEvent;
@@ -133,7 +133,7 @@
 
     /// Counts the jobs that match and of which nothing has started.
     pub(crate) fn count_queued(&self, matches: impl Fn(&JobRequest) -> bool) -> usize {
-        self.dispatcher.count_unbegun(matches)
+        self.dispatcher.count_queued(matches)
     }
 
     /// Returns why this entry should get no new connections; `None` if it is ready.
@@ -163,21 +163,21 @@
     pub(crate) fn submit(
         &mut self,
         request: JobRequest,
-    ) -> (JobNumber, oneshot::Receiver<JobAnswer>) {
+    ) -> (Option<JobNumber>, oneshot::Receiver<JobAnswer>) {
         let (tx, rx) = oneshot::channel();
         let now = self.clock.now();
         if now > self.ticked_at + STALL {
             let gap = now.saturating_duration_since(self.ticked_at);
             log::warn!(job = request.id.as_str(), gap_ms = gap.as_millis() as u64; "a job is refused after a stall");
             refuse_stalled(tx);
-            return (0, rx);
+            return (None, rx);
         }
         let first_run = first_run_number(unix_now());
         self.dispatcher.set_first_run(first_run);
         let number = self.dispatcher.submit(request, now);
         self.answers.insert(number, tx);
         self.advance();
-        (number, rx)
+        (Some(number), rx)
     }
 
     /// Cancels a job whose caller has disconnected.
@@ -239,7 +239,7 @@
 /// Answers a job that the dispatcher never sees.
 fn refuse_stalled(caller: oneshot::Sender<JobAnswer>) {
     let answer = JobAnswer::Refused {
-        cause: RefusalCause::Stalled,
+        cause: JobRefusal::Stalled,
         retry_after: RETRY_AFTER,
     };
     // Can't fail: the receiver is returned to the caller afterwards.
