--- a/crates/claims/cloverfold_entry/src/answer.rs
+++ b/crates/claims/cloverfold_entry/src/answer.rs
@@ -1,4 +1,6 @@
-//! What callers get back.
+//! The answers to callers: status, headers and JSON body.
+//!
+//! The names in the body are part of the interface (`docs/API.md`).
 
 use std::time::Duration;
 
@@ -37,7 +39,7 @@
     /// The field or header at fault, if it is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// When to come again, in milliseconds, where that can help.
+    /// When to retry, in milliseconds, where that can help.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -47,12 +49,12 @@
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
     pub(crate) body: AnswerBody,
-    /// Tells the caller's connection pool to go elsewhere.
+    /// Whether the connection is closed after the answer, so that the caller's pool opens one elsewhere.
     pub(crate) closes_connection: bool,
 }
 
 impl Answer {
-    /// Wraps a refusal: nothing was done for the request.
+    /// Builds the answer to a refused request, for which nothing was done.
     pub(crate) fn from_refusal(refusal: Refusal) -> Self {
         let error = ErrorBody {
             code: refusal.code,
@@ -63,7 +65,7 @@
         Self::new(refusal.status, "not_run", None, Some(error))
     }
 
-    /// Wraps the outcome of a job.
+    /// Builds the answer with the outcome of a job.
     pub(crate) fn from_outcome(outcome: Outcome, key: String) -> Self {
         let kind = outcome.kind();
         let status = choose_status(&outcome);
@@ -118,7 +120,10 @@
             .error
             .as_ref()
             .and_then(|error| error.retry_after_ms);
-        let text = serde_json::to_vec(&self.body).unwrap_or_default();
+        let text = serde_json::to_vec(&self.body).unwrap_or_else(|e| {
+            log::error!("an answer could not be encoded: {e}");
+            Vec::new()
+        });
         let mut response = (self.status, text).into_response();
         let headers = response.headers_mut();
         headers.insert(
@@ -160,11 +165,12 @@
     }
 }
 
-/// Results are JSON by the targets' protocol; what is not becomes a string, so that nothing is lost.
+/// Returns a result as JSON; one that is not JSON, against the targets' protocol, becomes a string.
 fn wrap_result(result: &[u8]) -> Box<RawValue> {
     let text = String::from_utf8_lossy(result).into_owned();
     RawValue::from_string(text.clone()).unwrap_or_else(|_| {
         let quoted = serde_json::Value::String(text).to_string();
+        // A quoted string is always JSON, so the default is never used.
         RawValue::from_string(quoted).unwrap_or_default()
     })
 }
--- a/crates/claims/cloverfold_entry/src/api.rs
+++ b/crates/claims/cloverfold_entry/src/api.rs
@@ -1,4 +1,6 @@
 //! Handlers of the callers' routes.
+//!
+//! [`Api`] owns the number of requests in flight, which bounds new ones and which a planned stop waits for.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,17 +18,21 @@
 
 use crate::answer::{Answer, ErrorBody};
 use crate::auth::{authenticate, read_header};
-use crate::plugin::EntryMetrics;
+use crate::metrics::EntryMetrics;
 use crate::routing::JobRouting;
 use crate::submission::{
     CheckedSubmission, Refusal, RequestHeaders, SubmissionLimits, check_submission,
 };
 
+/// Path of submissions; the state of one job is below it.
 pub(crate) const JOBS_PATH: &str = "/v1/jobs";
+/// Header that names the caller's key.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
+/// How often a draining entry looks whether its requests are answered. Chosen, not measured.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// When a caller is told to retry at a full entry, in milliseconds. Chosen, not measured.
 const BUSY_RETRY_MS: u64 = 500;
-/// Between a handler's end and the arrival of its answer at the caller.
+/// Time between the end of a handler and the arrival of its answer at the caller. Chosen, not measured.
 const ANSWER_FLUSH: Duration = Duration::from_millis(200);
 
 /// What the handlers share.
@@ -68,10 +74,11 @@
         };
         answer.closes_connection = self.lifecycle.phase() != Phase::Serving;
         self.metrics
-            .note_answer(answer.body.outcome, began.elapsed());
+            .record_answer(answer.body.outcome, began.elapsed());
         answer
     }
 
+    /// Checks a submission and has it run.
     async fn run_submission(&self, req: Request) -> Result<Answer, Refusal> {
         let (parts, body) = req.into_parts();
         let workspace = authenticate(&self.cell, &parts.headers)?;
@@ -151,13 +158,14 @@
     async fn find_job(&self, req: &Request) -> Result<Answer, Refusal> {
         let workspace = authenticate(&self.cell, req.headers())?;
         let path = req.uri().path();
+        // The route has a last part, so the default is never used.
         let caller_key = path.rsplit('/').next().unwrap_or_default().to_owned();
         let key = derive_submission_key(&workspace.name, &caller_key);
         let state = self.routing.query(key).await;
         Ok(describe_state(state, caller_key))
     }
 
-    /// Serves on while the balancer notices, then waits for what is in flight.
+    /// Serves until the load balancer has noticed the stop, then waits for the requests in flight.
     pub(crate) async fn drain(self: Arc<Self>) {
         self.lifecycle.wait_for(Phase::Draining).await;
         sleep(self.settings.linger()).await;
@@ -182,7 +190,7 @@
     }
 }
 
-/// Only a key that nobody else knows lets the entry itself say that nothing ran under it.
+/// Refuses a submission of a full entry; only under a key that the entry made itself has certainly nothing run.
 fn answer_busy(checked: &CheckedSubmission) -> Answer {
     let error = ErrorBody {
         code: "entry_busy",
@@ -199,6 +207,7 @@
     Answer::new(StatusCode::SERVICE_UNAVAILABLE, outcome, key, Some(error))
 }
 
+/// Returns the answer that shows the state of a job.
 fn describe_state(state: JobState, key: String) -> Answer {
     let show = |word| Answer::new(StatusCode::OK, word, Some(key.clone()), None);
     match state {
--- /dev/null
+++ b/crates/claims/cloverfold_entry/src/metrics.rs
@@ -0,0 +1,74 @@
+//! Metrics of the answers to callers.
+
+use std::time::Duration;
+
+use cloverfold_app::App;
+use prometheus_client::encoding::EncodeLabelSet;
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::family::Family;
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
+
+/// Upper bound of the first bucket of answer times, in seconds. Chosen, not measured.
+const FIRST_BUCKET: f64 = 0.005;
+/// Factor from the bound of one bucket to the next. Chosen, not measured.
+const BUCKET_FACTOR: f64 = 2.0;
+/// Number of buckets; the last ends at 41 s.
+const BUCKETS: u16 = 14;
+
+/// Label that names the outcome of an answer.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
+struct AnswerLabel {
+    outcome: &'static str,
+}
+
+/// Counts and times of answers to callers.
+#[derive(Clone)]
+pub(crate) struct EntryMetrics {
+    answers: Family<AnswerLabel, Counter>,
+    seconds: Histogram,
+    /// Requests that wait for their answer.
+    pub(crate) in_flight: Gauge<i64>,
+    /// Submissions sent to a further guard.
+    pub(crate) reroutes: Counter,
+}
+
+impl EntryMetrics {
+    /// Adds the metrics to a process's registry.
+    pub(crate) fn register(app: &mut App) -> Self {
+        let metrics = Self {
+            answers: Family::default(),
+            seconds: Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_FACTOR, BUCKETS)),
+            in_flight: Gauge::default(),
+            reroutes: Counter::default(),
+        };
+        let registry = app.registry();
+        registry.register(
+            "answers",
+            "Answers to callers, by outcome",
+            metrics.answers.clone(),
+        );
+        registry.register(
+            "answer_seconds",
+            "Time from a request to its answer",
+            metrics.seconds.clone(),
+        );
+        registry.register(
+            "in_flight",
+            "Requests that wait for their answer",
+            metrics.in_flight.clone(),
+        );
+        registry.register(
+            "reroutes",
+            "Submissions sent to a further guard of their group",
+            metrics.reroutes.clone(),
+        );
+        metrics
+    }
+
+    /// Counts an answer and its time from the request.
+    pub(crate) fn record_answer(&self, outcome: &'static str, elapsed: Duration) {
+        self.answers.get_or_create(&AnswerLabel { outcome }).inc();
+        self.seconds.observe(elapsed.as_secs_f64());
+    }
+}
--- a/crates/claims/cloverfold_entry/src/plugin.rs
+++ b/crates/claims/cloverfold_entry/src/plugin.rs
@@ -2,74 +2,17 @@
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
-use std::time::Duration;
 
 use cloverfold_app::{App, BuildError, Plugin};
 use cloverfold_claims_settings::{CellSettings, EntrySettings};
 use cloverfold_membership::{Directory, Membership};
-use prometheus_client::encoding::EncodeLabelSet;
-use prometheus_client::metrics::counter::Counter;
-use prometheus_client::metrics::family::Family;
-use prometheus_client::metrics::gauge::Gauge;
-use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use volo_http::request::Request;
 use volo_http::server::route::{Router, get, post};
 
 use crate::api::{Api, JOBS_PATH};
+use crate::metrics::EntryMetrics;
 use crate::routing::JobRouting;
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub(crate) struct AnswerLabel {
-    outcome: &'static str,
-}
-
-/// Counts and times of answers to callers.
-#[derive(Clone)]
-pub(crate) struct EntryMetrics {
-    answers: Family<AnswerLabel, Counter>,
-    seconds: Histogram,
-    pub(crate) in_flight: Gauge<i64>,
-    pub(crate) reroutes: Counter,
-}
-
-impl EntryMetrics {
-    fn register(app: &mut App) -> Self {
-        let metrics = Self {
-            answers: Family::default(),
-            seconds: Histogram::new(exponential_buckets(0.005, 2.0, 14)),
-            in_flight: Gauge::default(),
-            reroutes: Counter::default(),
-        };
-        let registry = app.registry();
-        registry.register(
-            "answers",
-            "Answers to callers, by outcome",
-            metrics.answers.clone(),
-        );
-        registry.register(
-            "answer_seconds",
-            "Time from a request to its answer",
-            metrics.seconds.clone(),
-        );
-        registry.register(
-            "in_flight",
-            "Requests that wait for their answer",
-            metrics.in_flight.clone(),
-        );
-        registry.register(
-            "reroutes",
-            "Submissions sent to a further guard of their group",
-            metrics.reroutes.clone(),
-        );
-        metrics
-    }
-
-    pub(crate) fn note_answer(&self, outcome: &'static str, elapsed: Duration) {
-        self.answers.get_or_create(&AnswerLabel { outcome }).inc();
-        self.seconds.observe(elapsed.as_secs_f64());
-    }
-}
-
 /// Serves callers; needs [`CellSettings`], [`EntrySettings`], [`Membership`] and [`Directory`].
 pub struct EntryPlugin;
 
--- a/crates/claims/cloverfold_entry/src/routing.rs
+++ b/crates/claims/cloverfold_entry/src/routing.rs
@@ -1,4 +1,7 @@
-//! Finds a coordinator for a submission and brings back its answer.
+//! Routes submissions and queries to the guards that may coordinate them.
+//!
+//! Owns nothing. Relies on [`Membership`] for the acting lead and the guards that take work; a wrong view of them costs a
+//! further attempt and cannot start a task twice.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,17 +16,23 @@
 use cloverfold_net::{CallError, Network};
 use tokio::time::sleep;
 
-use crate::plugin::EntryMetrics;
+use crate::metrics::EntryMetrics;
 
-/// How often the whole group is tried.
+/// How often all guards that may coordinate a key are tried. Chosen, not measured.
 const ROUNDS: u32 = 3;
-const ROUND_PAUSE_MS: u64 = 150;
+/// The pause before round `n`, counted from 0, is drawn from half to one and a half times this doubled `n` times.
+/// Chosen, not measured.
+const ROUND_PAUSE: Duration = Duration::from_millis(150);
+/// Doublings after which the pause no longer grows. Chosen, not measured.
+const MAX_DOUBLINGS: u32 = 4;
+/// Longest wait for one guard's answer to a query. Chosen, not measured.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long after its deadline a job may still be running its last tasks.
+/// How long after its deadline a job may still be running its last tasks. Chosen, not measured.
 const ANSWER_GRACE: Duration = Duration::from_secs(60);
+/// When a caller is told to retry after no guard took the submission. Chosen, not measured.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The way from an entry to the guards that hold a key.
+/// Finds coordinators for keys and exchanges requests with them.
 #[derive(Clone)]
 pub(crate) struct JobRouting {
     pub(crate) cell: Cell,
@@ -33,19 +42,19 @@
     pub(crate) metrics: EntryMetrics,
 }
 
-/// What one guard made of a submission.
-enum Try {
+/// The result of one attempt at one guard.
+enum Attempt {
     Answered(Outcome),
-    /// The guard certainly did nothing.
-    NotTaken,
+    /// The guard did nothing with the submission.
+    NotAccepted,
     /// The guard may run the job.
     Lost,
 }
 
 impl JobRouting {
-    /// Sends a submission to the members of its group in turn until one answers.
+    /// Sends a submission to the guards that may coordinate it in turn until one answers.
     ///
-    /// Going to the next member cannot start a task twice: the group agrees on one claim for the key, and a
+    /// Going to the next guard cannot start a task twice: the group agrees on one claim for the key, and a
     /// second coordinator joins the tasks where they are.
     pub(crate) async fn submit(&self, mut submit: Submit) -> Outcome {
         let key = submit.submission.key;
@@ -60,17 +69,18 @@
                 }
                 is_first = false;
                 match self.try_guard(guard, &submit).await {
-                    Try::Answered(outcome) => return outcome,
-                    Try::NotTaken => {}
-                    Try::Lost => submit.is_sole_attempt = false,
+                    Attempt::Answered(outcome) => return outcome,
+                    Attempt::NotAccepted => {}
+                    Attempt::Lost => submit.is_sole_attempt = false,
                 }
             }
         }
         conclude_without_answer(!submit.is_sole_attempt)
     }
 
-    /// Draws a key for a caller that names none, if possible one whose whole group takes work now.
+    /// Draws a key for a caller that names none, if possible one whose whole group accepts work now.
     pub(crate) async fn draw_fresh_key(&self, workspace: &str) -> String {
+        /// Further keys that are drawn for a better one. Chosen, not measured.
         const DRAWS: usize = 8;
         let mut key = draw_key();
         for _ in 0..DRAWS {
@@ -86,8 +96,8 @@
         key
     }
 
-    /// Orders who may coordinate a key: the acting lead, then the key's group by rank, with those behind that
-    /// are not known to take work.
+    /// Orders who may coordinate a key: the acting lead, then the key's group by rank, with those that
+    /// are not known to take work last.
     async fn order_coordinators(&self, key: &SubmissionKey) -> Vec<GuardId> {
         let group = self.cell.choose_replica_group(key);
         let mut ordered: Vec<GuardId> = Vec::new();
@@ -99,9 +109,9 @@
         ordered
     }
 
-    async fn try_guard(&self, guard: GuardId, submit: &Submit) -> Try {
+    async fn try_guard(&self, guard: GuardId, submit: &Submit) -> Attempt {
         let Some(address) = self.directory.address_of(guard) else {
-            return Try::NotTaken;
+            return Attempt::NotAccepted;
         };
         let timeout = submit.deadline.saturating_sub(unix_now()) + ANSWER_GRACE;
         let reply = self.network.call(address, submit, timeout).await;
@@ -109,26 +119,26 @@
         match reply {
             Ok(reply) if !is_bound_to(&reply, submit) => {
                 log::error!(key = key, guard = guard; "an answer belongs to another request");
-                Try::Lost
+                Attempt::Lost
             }
             Ok(reply) => match reply.verdict {
-                Verdict::Answered(outcome) => Try::Answered(outcome),
+                Verdict::Answered(outcome) => Attempt::Answered(outcome),
                 Verdict::NotHere(reason) => {
                     log::debug!(key = key, guard = guard; "not taken: {}", reason.as_str());
-                    Try::NotTaken
+                    Attempt::NotAccepted
                 }
             },
             Err(cause) => {
                 log::warn!(key = key, guard = guard; "a submission brought no answer: {cause}");
                 match cause {
-                    CallError::NotSent { .. } | CallError::Refused { .. } => Try::NotTaken,
-                    CallError::Lost { .. } => Try::Lost,
+                    CallError::NotSent { .. } | CallError::Refused { .. } => Attempt::NotAccepted,
+                    CallError::Lost { .. } => Attempt::Lost,
                 }
             }
         }
     }
 
-    /// Asks the group what is known of a key; the first that can tell is believed.
+    /// Asks the guards what is known of a key; the first that runs or answered the job decides.
     pub(crate) async fn query(&self, key: SubmissionKey) -> JobState {
         let mut best = JobState::CannotTell;
         for guard in self.order_coordinators(&key).await {
@@ -136,8 +146,12 @@
                 continue;
             };
             let query = Query { key };
-            let Ok(reply) = self.network.call(address, &query, QUERY_TIMEOUT).await else {
-                continue;
+            let reply = match self.network.call(address, &query, QUERY_TIMEOUT).await {
+                Ok(reply) => reply,
+                Err(cause) => {
+                    log::debug!(key = format_key(&key), guard = guard; "query: {cause}");
+                    continue;
+                }
             };
             match reply.state {
                 JobState::CannotTell => {}
@@ -153,11 +167,12 @@
     format!("{:016x}{:016x}", random_u64(), random_u64())
 }
 
-/// Late and crossed answers must never reach another request.
+/// Returns whether a reply answers this request; a late or crossed one must never reach another.
 fn is_bound_to(reply: &SubmitReply, submit: &Submit) -> bool {
     reply.key == submit.submission.key && reply.attempt == submit.attempt
 }
 
+/// Returns the outcome when no guard answered: unknown if one of them may run the job.
 fn conclude_without_answer(may_have_run: bool) -> Outcome {
     let detail = "no guard that holds the key gave an answer";
     if may_have_run {
@@ -167,7 +182,8 @@
     }
 }
 
+/// Draws the pause before a round; rounds count from 0.
 fn draw_pause(round: u32) -> Duration {
-    let base = ROUND_PAUSE_MS << round.min(4);
+    let base = ROUND_PAUSE.as_millis() as u64 * (1 << round.min(MAX_DOUBLINGS));
     Duration::from_millis(base / 2 + random_u64() % base)
 }
--- a/crates/claims/cloverfold_entry/src/submission.rs
+++ b/crates/claims/cloverfold_entry/src/submission.rs
@@ -1,4 +1,7 @@
-//! Checks of what a caller submits.
+//! Checks of a caller's submission.
+//!
+//! Owns nothing; the limits are in the entry's settings. A submission that passes has a key, an age and a deadline and
+//! can be sent to a coordinator as it is.
 
 use std::time::Duration;
 
@@ -8,10 +11,11 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Most tasks of one job.
+/// Most tasks of one job. Chosen, not measured; the size that docs/CAPACITY.md plans for.
 pub const MAX_TASKS: usize = 1_900;
+/// Longest idempotency key, in bytes. Chosen, not measured.
 const MAX_KEY_LEN: usize = 128;
-/// How far a caller's clock may be ahead.
+/// How far a caller's clock may be ahead (docs/design/1-submissions.md). Chosen, not measured.
 const CLOCK_MARGIN: Duration = Duration::from_secs(5);
 
 /// Bounds from the entry's settings.
@@ -95,7 +99,7 @@
 ///
 /// # Errors
 ///
-/// Names the field and the fix.
+/// Returns a refusal that names the field and the fix.
 pub fn check_submission(
     workspace: &str,
     headers: &RequestHeaders,
@@ -181,7 +185,7 @@
     Ok(key.to_owned())
 }
 
-/// A key is known for the retention after the first submission, so a caller's key needs that time.
+/// Finds the time of the first submission, which a caller's key needs: the key is known for the retention after it.
 fn find_submitted_at(
     body: &JobBody<'_>,
     is_fresh_key: bool,
@@ -205,6 +209,7 @@
     Ok(given)
 }
 
+/// Finds the deadline, from the body or by default.
 fn find_deadline(
     body: &JobBody<'_>,
     limits: SubmissionLimits,
@@ -236,7 +241,7 @@
     Ok(deadline)
 }
 
-/// Hashes what makes two submissions the same work; the deadline may differ between repetitions.
+/// Hashes what has to be equal in all submissions under one key; the deadline may differ between them.
 fn digest_body(service: &str, repeat: Repeat, tasks: &[Vec<u8>]) -> BodyDigest {
     let repeat: &[u8] = match repeat {
         Repeat::Never => b"never",
