--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -1,4 +1,7 @@
 //! Agreement on a claim with the other replicas of its key.
+//!
+//! [`Claims`] owns this guard's replica (on the control thread) and the number of its attempts. The decisions are those
+//! of [`Proposer`] and [`ClaimReplica`]; the requests between them go over [`Network`].
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,9 +21,16 @@
 use crate::error::ClaimError;
 use crate::messages::{ClaimAnswer, ClaimCall};
 
+/// Longest wait for one replica's reply. Chosen, not measured.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Attempts to agree on a claim before the submission is answered without one. Chosen, not measured.
 const MAX_ATTEMPTS: u32 = 6;
-const BACKOFF_BASE_MS: u64 = 10;
+/// Shortest pause between two attempts. Chosen, not measured.
+const MIN_BACKOFF: Duration = Duration::from_millis(1);
+/// The pause is drawn below this, doubled for each attempt, above [`MIN_BACKOFF`]. Chosen, not measured.
+const BACKOFF_BASE: Duration = Duration::from_millis(10);
+/// Doublings after which the pause no longer grows. Chosen, not measured.
+const MAX_DOUBLINGS: u32 = 5;
 
 /// This guard's replica and its way to the others.
 #[derive(Clone)]
@@ -35,10 +45,11 @@
     pub(crate) network: Network,
     pub(crate) membership: Membership,
     pub(crate) replica: ThreadState<ClaimReplica>,
-    /// Number of the next attempt of this life.
+    /// Number of the next attempt of this incarnation.
     pub(crate) attempts: AtomicU64,
 }
 
+/// How one attempt to agree on a claim ended.
 enum AttemptEnd {
     Chosen(Claim),
     Outbid { round: u32 },
@@ -47,7 +58,7 @@
 }
 
 impl Claims {
-    /// Returns the guard and life that these claims are held by.
+    /// Returns the guard and incarnation that hold these claims.
     pub fn own(&self) -> Placement {
         self.inner.own
     }
@@ -57,7 +68,7 @@
         self.inner.cell.choose_replica_group(key)
     }
 
-    /// Tells whether this guard may coordinate a key's job: as a member of its group it must be able to vote.
+    /// Returns whether this guard may coordinate a key's job: as a member of its group it must be able to vote.
     pub async fn can_coordinate(&self, key: &SubmissionKey) -> bool {
         let group = self.group_of(key);
         if !group.contains(&self.inner.own.guard) {
@@ -71,7 +82,8 @@
     ///
     /// # Errors
     ///
-    /// Says that no majority could vote or that the key is past its retention. After [`ClaimError::NoQuorum`] the claim may still have been agreed on.
+    /// Returns whether no majority could vote or the key is past its retention. After [`ClaimError::NoQuorum`] the
+    /// claim may still have been agreed on.
     pub async fn agree(&self, submission: Submission, wanted: Claim) -> Result<Claim, ClaimError> {
         let group = self.group_of(&submission.key);
         let mut proposer = self.first_proposer(&submission, &group, &wanted).await;
@@ -94,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// Says that no majority answered.
+    /// Returns [`ClaimError::NoQuorum`] if no majority answered.
     pub async fn read(&self, submission: Submission) -> Result<Option<Claim>, ClaimError> {
         let group = self.group_of(&submission.key);
         let mut replies = self.send_to_group(submission, &group, &ClaimRequest::Read);
@@ -112,7 +124,8 @@
         Err(ClaimError::NoQuorum)
     }
 
-    /// The first choice begins without a prepare phase where it holds nothing of the key.
+    /// Returns the proposer of the first attempt, which skips the prepare phase if this guard is the first choice
+    /// and holds nothing of the key.
     async fn first_proposer(
         &self,
         submission: &Submission,
@@ -139,6 +152,7 @@
         self.inner.attempts.fetch_add(1, Ordering::Relaxed)
     }
 
+    /// Runs one attempt through its phases.
     async fn run_attempt(
         &self,
         submission: Submission,
@@ -183,7 +197,7 @@
             let guard = *guard;
             tokio::spawn(async move {
                 if let Some(reply) = claims.ask(guard, call).await {
-                    // The attempt may be decided already, and then nobody listens.
+                    // The attempt may be decided already; a late reply is not needed then.
                     let _ = tx.send(reply).await;
                 }
             });
@@ -191,6 +205,7 @@
         rx
     }
 
+    /// Asks one replica; `None` if it did not reply.
     async fn ask(&self, guard: GuardId, call: ClaimCall) -> Option<ReplicaReply> {
         if guard == self.inner.own.guard {
             return Some(self.handle(call).await);
@@ -230,7 +245,8 @@
     }
 }
 
+/// Draws the pause after an attempt; attempts count from 0.
 fn draw_backoff(attempt: u32) -> Duration {
-    let ceiling = BACKOFF_BASE_MS << attempt.min(5);
-    Duration::from_millis(1 + random_u64() % ceiling)
+    let ceiling = BACKOFF_BASE.as_millis() as u64 * (1 << attempt.min(MAX_DOUBLINGS));
+    MIN_BACKOFF + Duration::from_millis(random_u64() % ceiling)
 }
--- a/crates/claims/cloverfold_claim/src/error.rs
+++ b/crates/claims/cloverfold_claim/src/error.rs
@@ -1,4 +1,4 @@
-//! Why no claim could be agreed on.
+//! Errors of the agreement on a claim.
 
 /// Why [`crate::Claims::agree`] brought no claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/claims/cloverfold_claim/src/found.rs
+++ b/crates/claims/cloverfold_claim/src/found.rs
@@ -1,8 +1,8 @@
 //! The operator's founding of a cell.
 //!
-//! A guard cannot tell its first life from a restart by itself: it has no disk. So it votes on nothing
-//! until its memory covers what it may have forgotten, and at the very first start the operator says, once,
-//! that there is nothing to forget.
+//! A guard cannot tell its first start from a restart: it has no disk. So it votes on nothing until its memory covers
+//! what it may have forgotten, and at the very first start the operator declares, once, that there is nothing to
+//! forget. Owns nothing; it calls every guard of the cell.
 
 use std::time::Duration;
 
@@ -11,6 +11,7 @@
 
 use crate::messages::{FoundCall, StandingCall, StandingReport};
 
+/// Longest wait for one guard's answer. Chosen, not measured.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why a cell was not founded.
@@ -39,7 +40,8 @@
 ///
 /// # Errors
 ///
-/// Says which guard stands in the way. Guards already told stay told; the rest recover from them.
+/// Returns which guard did not answer, is whole already, or restarted meanwhile. Guards that were told before it
+/// stay whole; the rest recover from them.
 pub async fn found_cell(
     network: &Network,
     guards: &[PeerAddress],
@@ -66,7 +68,7 @@
     Ok(reports)
 }
 
-/// Asks every guard how whole it is.
+/// Asks every guard for its standing.
 ///
 /// # Errors
 ///
--- a/crates/claims/cloverfold_claim/src/messages.rs
+++ b/crates/claims/cloverfold_claim/src/messages.rs
@@ -1,4 +1,6 @@
-//! Messages between replicas.
+//! Messages between replicas, and from an operator to a replica.
+//!
+//! Encoded with postcard, by the order of fields and variants.
 
 use cloverfold_claims_core::{
     ClaimRequest, GuardReport, Placement, RecoveryPage, ReplicaReply, Standing, Submission,
@@ -14,16 +16,16 @@
     pub submission: Submission,
     /// What is asked.
     pub request: ClaimRequest,
-    /// The sender's state, which rides along.
+    /// The sender's newest report, sent along to save a message.
     pub guard_report: Option<GuardReport>,
 }
 
-/// A replica's reply with the state of its guard.
+/// A replica's reply with the report of its guard.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClaimAnswer {
     /// The reply.
     pub reply: ReplicaReply,
-    /// The replica's guard.
+    /// The newest report of the replica's guard.
     pub guard_report: Option<GuardReport>,
 }
 
@@ -36,7 +38,7 @@
 /// Asks for the records that a restarted guard shares with the receiver.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecoverCall {
-    /// The asking guard in its new life.
+    /// The asking guard in its new incarnation.
     pub asking: Placement,
     /// The last key of the page before.
     pub after: Option<SubmissionKey>,
@@ -48,16 +50,16 @@
     type Reply = RecoveryPage;
 }
 
-/// Asks a replica how whole it is.
+/// Asks a replica for its standing.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StandingCall;
 
-/// How whole a replica is.
+/// The standing of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StandingReport {
-    /// The replica in its present life.
+    /// The replica in its present incarnation.
     pub own: Placement,
-    /// How whole it is.
+    /// Its standing.
     pub standing: Standing,
     /// Number of records it holds.
     pub records: u64,
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -1,4 +1,4 @@
-//! Registers the replica with a guard.
+//! Registers the replica with a guard: its handlers, background tasks, readiness check and gauge.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -17,8 +17,9 @@
 use crate::messages::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
 use crate::recovery::PAGE_LIMIT;
 
-/// Allowance for clocks of boxes that disagree.
+/// Allowance for clocks of boxes that disagree (docs/design/1-submissions.md). Chosen, not measured.
 pub(crate) const CLOCK_MARGIN: Duration = Duration::from_secs(5);
+/// How often the readiness check and the gauge are brought up to date. Chosen, not measured.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Adds [`Claims`]; needs [`CellSettings`], [`Directory`], [`Membership`] and [`OwnState`].
@@ -107,7 +108,7 @@
         });
 }
 
-/// Keeps the readiness check and the gauges up to date.
+/// Keeps the readiness check and the gauge up to date, until the process ends.
 fn register_state(app: &mut App, claims: &Claims) -> Result<(), BuildError> {
     let own = app.resource::<OwnState>()?;
     let records = Gauge::<i64>::default();
--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -1,10 +1,12 @@
 //! Recovery of a restarted replica from the other members of its groups.
+//!
+//! Copies the records of the other guards page by page until the replica is whole. Owns nothing of its own.
 
 use std::time::Duration;
 
 use cloverfold_app::{Lifecycle, Phase};
 use cloverfold_base::{random_u64, unix_now};
-use cloverfold_claims_core::{GuardId, Standing};
+use cloverfold_claims_core::{ClaimReplica, GuardId, Standing};
 use cloverfold_net::CallError;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -12,12 +14,17 @@
 use crate::claims::Claims;
 use crate::messages::RecoverCall;
 
+/// Longest wait for one page. Chosen, not measured.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Pause after the first round of copying; doubled after each further one. Chosen, not measured.
 const FIRST_RETRY: Duration = Duration::from_millis(100);
+/// Longest pause between two rounds. Chosen, not measured.
 const LAST_RETRY: Duration = Duration::from_secs(2);
+/// Up to so many milliseconds are added to each pause. Chosen, not measured.
 const JITTER_MS: u64 = 100;
+/// How often expired records are dropped. Chosen, not measured.
 const PURGE_INTERVAL: Duration = Duration::from_secs(2);
-/// Records on one page.
+/// Records on one page. Chosen, not measured.
 pub(crate) const PAGE_LIMIT: usize = 1_000;
 
 impl Claims {
@@ -38,7 +45,7 @@
         log::info!(guard = self.own().guard; "the replica is whole");
     }
 
-    /// Drops what is past its retention, as long as the process lives.
+    /// Drops records that are past their retention, until the process ends.
     pub(crate) async fn purge(self) {
         loop {
             sleep(PURGE_INTERVAL).await;
@@ -49,7 +56,7 @@
         }
     }
 
-    /// Tells whether the replica can have forgotten nothing.
+    /// Returns whether the replica can have forgotten nothing.
     pub async fn is_whole(&self) -> bool {
         let replica = &self.inner.replica;
         replica
@@ -83,6 +90,7 @@
         }
     }
 
+    /// Copies all pages of one source.
     async fn copy_pages(&self, source: GuardId) -> Result<(), CallError> {
         let Some(address) = self.inner.directory.address_of(source) else {
             return Ok(());
@@ -96,7 +104,7 @@
             let network = &self.inner.network;
             let page = network.call(address, &call, PAGE_TIMEOUT).await?;
             if page.known_incarnation > self.inner.own.incarnation {
-                // A copy under a number that peers hold for older than theirs would protect nothing.
+                // Peers ignore votes of an incarnation that is older than the newest they know.
                 log::error!(
                     guard = self.inner.own.guard;
                     "peers know a later life of this guard: its clock went back; restart it later"
@@ -108,7 +116,7 @@
                 .clone();
             let has_more = page.has_more;
             call.after = page.records.last().map(|(key, _)| *key);
-            let absorb = move |replica: &mut cloverfold_claims_core::ClaimReplica| {
+            let absorb = move |replica: &mut ClaimReplica| {
                 replica.absorb_page(source, standing, page);
             };
             self.inner.replica.with(absorb).await;
