--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -188,7 +188,8 @@
 
     /// Shows the load to the reports that this guard sends.
     fn publish_load(&self) {
-        self.load.set(self.fence.running(), self.fence.queued());
+        self.load
+            .set_load(self.fence.running(), self.fence.queued());
     }
 }
 
--- a/crates/claims/cloverfold_membership/src/lib.rs
+++ b/crates/claims/cloverfold_membership/src/lib.rs
@@ -1,7 +1,11 @@
 //! Heartbeats, incarnations and load of the guards in a cell.
 //!
-//! A guard reports its phase and load to a few peers at a time and passes on what it heard; reports also
-//! ride on the messages that tasks need anyway. [`Membership`] answers who can take work now.
+//! Each process sends heartbeats to the acting lead and gets what the lead knows of all guards; reports are also sent
+//! along with the messages that tasks need anyway. [`Membership`] answers which guards accept work now and which of
+//! them leads.
+//!
+//! Owns the newest report of each guard, and the tasks that this process has in flight there. Relies on the cell's
+//! settings for the list of guards; nothing here adds or removes one.
 //!
 //! ```no_run
 //! # async fn show(membership: cloverfold_membership::Membership) {
@@ -11,10 +15,16 @@
 //! # }
 //! ```
 
+mod directory;
+mod gossip;
 mod membership;
 mod messages;
+mod metrics;
+mod own_state;
 mod plugin;
 
-pub use membership::{Charge, Directory, Membership, OwnState};
+pub use directory::Directory;
+pub use membership::{Charge, Membership};
 pub use messages::{Heartbeat, Leave};
+pub use own_state::OwnState;
 pub use plugin::MembershipPlugin;
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -1,91 +1,25 @@
 //! What this process knows of the cell's guards.
+//!
+//! [`Membership`] owns the table of reports and of tasks in flight ([`GuardTable`], on the control thread). Relies on
+//! [`crate::MembershipPlugin`]'s heartbeats, and on messages that carry reports, to keep it up to date.
 
-use std::collections::BTreeMap;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use cloverfold_app::{ControlThread, Lifecycle, Phase, ThreadState};
+use cloverfold_app::{ControlThread, ThreadState};
 use cloverfold_base::draw_below;
 use cloverfold_claims_core::{
-    Candidate, Capacity, GuardId, GuardPhase, GuardReport, GuardTable, Placement, PlacementPolicy,
+    Candidate, Capacity, GuardId, GuardReport, GuardTable, Placement, PlacementPolicy,
 };
-use cloverfold_claims_settings::CellSettings;
-use cloverfold_net::{Network, PeerAddress};
+use cloverfold_net::Network;
 use tokio::sync::{Notify, watch};
 
-/// A guard from which nothing was heard for this long gets no new task.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_600);
-
-/// Where each guard of the cell is reached.
-#[derive(Clone, Debug)]
-pub struct Directory {
-    lead_order: Vec<GuardId>,
-    addresses: BTreeMap<GuardId, PeerAddress>,
-}
-
-impl Directory {
-    /// Reads the addresses out of the cell's settings.
-    pub fn new(cell: &CellSettings) -> Self {
-        let addresses = cell.guards.iter().map(|place| {
-            let address = PeerAddress {
-                name: format!("guard-{}", place.id),
-                address: place.address,
-            };
-            (place.id, address)
-        });
-        Self {
-            lead_order: cell.list_lead_order(),
-            addresses: addresses.collect(),
-        }
-    }
-
-    /// Returns where a guard is reached.
-    pub fn address_of(&self, guard: GuardId) -> Option<&PeerAddress> {
-        self.addresses.get(&guard)
-    }
-
-    /// Lists the guards.
-    pub fn guards(&self) -> impl Iterator<Item = GuardId> + '_ {
-        self.addresses.keys().copied()
-    }
-}
+use crate::directory::Directory;
+use crate::own_state::OwnGuard;
 
-/// State of this guard, kept up to date by the capabilities that run tasks and hold claims.
-#[derive(Debug, Default)]
-pub struct OwnState {
-    is_whole: AtomicBool,
-    running: AtomicU32,
-    queued: AtomicU32,
-}
-
-impl OwnState {
-    /// Notes whether this guard's memory of claims is whole.
-    pub fn set_whole(&self, is_whole: bool) {
-        self.is_whole.store(is_whole, Ordering::Relaxed);
-    }
-
-    /// Tells whether this guard's memory of claims is whole.
-    pub fn is_whole(&self) -> bool {
-        self.is_whole.load(Ordering::Relaxed)
-    }
-
-    /// Notes the present load.
-    pub fn set(&self, running: usize, queued: usize) {
-        self.running.store(running as u32, Ordering::Relaxed);
-        self.queued.store(queued as u32, Ordering::Relaxed);
-    }
-}
-
-/// The guard that this process is.
-#[derive(Debug)]
-pub(crate) struct OwnMember {
-    pub(crate) placement: Placement,
-    pub(crate) slots: u32,
-    pub(crate) load: Arc<OwnState>,
-    pub(crate) lifecycle: Lifecycle,
-    pub(crate) sequence: AtomicU64,
-}
+/// A guard that has not reported for this long gets no new task. Chosen, not measured: four heartbeats
+/// (docs/design/5-membership.md).
+const SILENCE_LIMIT: Duration = Duration::from_millis(1_600);
 
 /// A task that this process has at a place; dropped when the task has ended there.
 pub struct Charge {
@@ -121,7 +55,7 @@
     directory: Arc<Directory>,
     changed: Arc<Notify>,
     restarts: watch::Sender<()>,
-    own: Option<Arc<OwnMember>>,
+    own: Option<Arc<OwnGuard>>,
 }
 
 impl Membership {
@@ -129,7 +63,7 @@
         control: &ControlThread,
         network: Network,
         directory: Arc<Directory>,
-        own: Option<Arc<OwnMember>>,
+        own: Option<Arc<OwnGuard>>,
     ) -> Self {
         Self {
             started: Instant::now(),
@@ -142,28 +76,14 @@
         }
     }
 
-    /// Makes a fresh report of this guard; `None` in a process that is no guard.
+    /// Makes a fresh report of this guard; `None` in a process that is not a guard.
     pub fn own_report(&self) -> Option<GuardReport> {
-        let own = self.own.as_ref()?;
-        let phase = match own.lifecycle.phase() {
-            Phase::Serving => GuardPhase::Live,
-            Phase::Draining | Phase::Stopped => GuardPhase::Leaving,
-        };
-        Some(GuardReport {
-            placement: own.placement,
-            sequence: own.sequence.fetch_add(1, Ordering::Relaxed) + 1,
-            phase,
-            is_whole: own.load.is_whole(),
-            running: own.load.running.load(Ordering::Relaxed),
-            queued: own.load.queued.load(Ordering::Relaxed),
-            slots: own.slots,
-            age: Duration::ZERO,
-        })
+        self.own.as_ref().map(|own| own.report())
     }
 
-    /// Takes in reports, from heartbeats or from messages that carried them.
+    /// Records reports, from heartbeats or from messages that carried them.
     ///
-    /// The connection to a guard that turns out to have restarted is forgotten, since nothing answers on it.
+    /// The connection to a guard that has restarted is closed, since nothing answers on it.
     pub fn absorb(&self, reports: impl IntoIterator<Item = GuardReport>) {
         let reports: Vec<GuardReport> = reports.into_iter().collect();
         if reports.is_empty() {
@@ -188,8 +108,8 @@
         });
     }
 
-    /// Decides on the table with this guard's present state in it.
-    async fn look<R, F>(&self, decide: F) -> R
+    /// Runs a decision on the table, after recording this guard's present state in it.
+    async fn with_table<R, F>(&self, decide: F) -> R
     where
         R: Send + 'static,
         F: FnOnce(&mut GuardTable, Duration) -> R + Send + 'static,
@@ -208,18 +128,18 @@
 
     /// Lists what is known of every guard, this one freshly.
     pub async fn list_reports(&self) -> Vec<GuardReport> {
-        self.look(|table, now| table.reports(now)).await
+        self.with_table(|table, now| table.reports(now)).await
     }
 
     /// Lists the guards that can take work, with their load.
     pub async fn list_candidates(&self) -> Vec<Candidate> {
-        self.look(|table, now| table.list_candidates(now, SILENCE_LIMIT))
+        self.with_table(|table, now| table.list_candidates(now, SILENCE_LIMIT))
             .await
     }
 
     /// Counts the slots of the guards that can take work.
     pub async fn count_capacity(&self) -> Capacity {
-        self.look(|table, now| table.count_capacity(now, SILENCE_LIMIT))
+        self.with_table(|table, now| table.count_capacity(now, SILENCE_LIMIT))
             .await
     }
 
@@ -233,7 +153,7 @@
         let place = move |table: &mut GuardTable, now| {
             table.place(policy, count, now, SILENCE_LIMIT, draw_below)
         };
-        let places = self.look(place).await;
+        let places = self.with_table(place).await;
         let charge = |place| Charge {
             place,
             table: self.table.clone(),
@@ -242,7 +162,7 @@
         places.into_iter().map(charge).collect()
     }
 
-    /// Notes that this process sends a task to a place, until the charge is dropped.
+    /// Counts a task that this process sends to a place, until the charge is dropped.
     pub fn charge(&self, place: Placement) -> Charge {
         self.table.post(move |table| table.charge(place.guard));
         Charge {
@@ -252,16 +172,16 @@
         }
     }
 
-    /// Notes that a guard could not be reached, so that it gets nothing new until it is heard again.
+    /// Records that a guard could not be reached, so that it gets no new task until it reports again.
     pub fn suspect(&self, guard: GuardId) {
         self.table.post(move |table| table.suspect(guard));
     }
 
-    /// Waits until a later life of a place's guard is known.
+    /// Waits until a later incarnation of a place's guard is known.
     pub async fn wait_for_restart(&self, place: Placement) {
         let mut rx = self.restarts.subscribe();
         while !self.is_superseded(place).await {
-            // The sender lives as long as `self`.
+            // The sender is part of `self`, so waiting cannot fail.
             let _ = rx.changed().await;
         }
     }
@@ -274,14 +194,14 @@
         self.table.with(find).await
     }
 
-    /// Finds the guard that coordinates the cell's jobs now: the lead, or the next that takes work.
+    /// Finds the guard that coordinates the cell's jobs now: the lead, or the next that accepts work.
     pub async fn find_acting_lead(&self) -> Option<GuardId> {
         let order = self.directory.lead_order.clone();
-        self.look(move |table, now| table.find_lead(&order, now, SILENCE_LIMIT))
+        self.with_table(move |table, now| table.find_lead(&order, now, SILENCE_LIMIT))
             .await
     }
 
-    /// Lists the guards that take work and were heard of lately, among those given and in their order.
+    /// Lists those of the given guards that accept work and have reported lately, in their order.
     pub async fn keep_usable(&self, guards: Vec<GuardId>) -> Vec<GuardId> {
         let candidates = self.list_candidates().await;
         let is_usable =
--- a/crates/claims/cloverfold_membership/src/messages.rs
+++ b/crates/claims/cloverfold_membership/src/messages.rs
@@ -1,4 +1,6 @@
-//! Messages between processes about who is alive.
+//! Messages between processes about the guards of their cell.
+//!
+//! Encoded with postcard, by the order of fields.
 
 use cloverfold_claims_core::GuardReport;
 use cloverfold_net::Message;
@@ -7,7 +9,7 @@
 /// What the sender knows of the cell's guards; answered with what the receiver knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The newest report of each guard that the sender heard of.
+    /// The newest report of each guard that the sender knows.
     pub reports: Vec<GuardReport>,
 }
 
@@ -17,7 +19,7 @@
     type Reply = Vec<GuardReport>;
 }
 
-/// Tells a guard to stop as planned: it takes no new work, ends what is in flight, and exits.
+/// Tells a guard to stop as planned: it accepts no new work, ends what is in flight, and exits.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Leave;
 
