--- /dev/null
+++ b/crates/leased/cloverfold_lease/tests/runner/main.rs
@@ -0,0 +1,10 @@
+//! Single rules of a runner, driven by hand with a clock of the test.
+
+#![allow(clippy::unwrap_used)]
+
+mod assignments;
+mod fixture;
+mod sessions;
+mod starts;
+mod stuck_runs;
+mod target;
--- /dev/null
+++ b/crates/leased/cloverfold_lease/tests/runner/sessions.rs
@@ -0,0 +1,86 @@
+//! Sessions: how long they are valid, what ends with them, what they are told.
+
+use cloverfold_lease::{EndCause, Runner, RunnerAction, RunnerMessage};
+
+use crate::fixture::{SESSION, at, echo, list, ready, renew, started, stops};
+
+#[test]
+fn a_session_that_is_not_echoed_ends_and_its_runs_are_stopped() {
+    let mut runner = ready();
+    started(&mut runner, 1, at(110));
+    runner.receive(SESSION, echo(at(200)), at(210));
+    runner.tick(at(699));
+    let before = runner.take_actions();
+    assert_eq!(stops(&before), []);
+
+    runner.tick(at(701));
+
+    let actions = runner.take_actions();
+    assert!(actions.contains(&RunnerAction::CloseSession(SESSION)));
+    assert_eq!(stops(&actions), [1]);
+}
+
+#[test]
+fn an_echo_from_the_future_does_not_prolong_a_session_beyond_its_span() {
+    let mut runner = ready();
+    runner.receive(SESSION, echo(at(900_000)), at(110));
+
+    runner.tick(at(612));
+
+    assert!(
+        runner
+            .take_actions()
+            .contains(&RunnerAction::CloseSession(SESSION))
+    );
+}
+
+#[test]
+fn a_new_session_is_told_of_the_target_only_when_nothing_of_the_last_runs() {
+    let mut runner = ready();
+    started(&mut runner, 1, at(110));
+    runner.close_session(SESSION, at(120));
+    runner.take_actions();
+    runner.open_session(8, at(130));
+    let offers = |runner: &mut Runner| {
+        let actions = runner.take_actions().into_iter();
+        let offered = |action: &RunnerAction| {
+            matches!(
+                action,
+                RunnerAction::Send(8, RunnerMessage::Target(Some(_)))
+            )
+        };
+        actions.filter(offered).count()
+    };
+    assert_eq!(offers(&mut runner), 0);
+
+    renew(
+        &mut runner,
+        at(140),
+        list(50_050, vec![], &[(1, 1, EndCause::Stopped)]),
+    );
+
+    assert_eq!(offers(&mut runner), 1);
+}
+
+#[test]
+fn every_session_is_told_of_changed_free_capacity_once() {
+    let mut runner = ready();
+    runner.open_session(8, at(100));
+    runner.tick(at(101));
+    runner.take_actions();
+    started(&mut runner, 1, at(110));
+    let told = |runner: &mut Runner| -> Vec<u64> {
+        let actions = runner.take_actions().into_iter();
+        let told = actions.filter_map(|action| match action {
+            RunnerAction::Send(session, RunnerMessage::FreeCapacity(_)) => Some(session),
+            _ => None,
+        });
+        told.collect()
+    };
+
+    runner.tick(at(120));
+
+    assert_eq!(told(&mut runner), [SESSION, 8]);
+    runner.tick(at(130));
+    assert_eq!(told(&mut runner), []);
+}
--- /dev/null
+++ b/crates/leased/cloverfold_lease/tests/runner/starts.rs
@@ -0,0 +1,84 @@
+//! Starts: repeats, refusals, the fencing token.
+
+use cloverfold_lease::{RunOutcome, RunRefusal, StartAnswer, StartRefusal};
+
+use crate::fixture::{SESSION, assign, at, list, ready, renew, take_ends, take_starts};
+
+#[test]
+fn a_start_without_an_answer_is_repeated_as_it_was() {
+    let mut runner = ready();
+    runner.receive(SESSION, assign(1, at(600)), at(110));
+    let first = take_starts(&mut runner).remove(0);
+    runner.start_answered(&first, StartAnswer::Unanswered, at(140));
+
+    let second = take_starts(&mut runner).remove(0);
+
+    assert_eq!((second.run, second.deadline), (first.run, first.deadline));
+    assert_eq!(second.attempt, 2);
+}
+
+#[test]
+fn a_start_that_was_sent_twice_and_refused_is_not_given_back_before_it_is_surely_void() {
+    let mut runner = ready();
+    runner.receive(SESSION, assign(1, at(600)), at(110));
+    let first = take_starts(&mut runner).remove(0);
+    runner.start_answered(&first, StartAnswer::Unanswered, at(140));
+    let second = take_starts(&mut runner).remove(0);
+    let refused = StartAnswer::Refused(StartRefusal::NoRoom, Some(50_050));
+
+    runner.start_answered(&second, refused, at(145));
+
+    assert_eq!(
+        take_ends(&mut runner),
+        [],
+        "the first may still be carried out"
+    );
+    renew(&mut runner, at(150), list(first.deadline, vec![], &[]));
+    assert_eq!(take_ends(&mut runner), []);
+    renew(&mut runner, at(160), list(first.deadline + 1, vec![], &[]));
+    let expected = [(1, RunOutcome::NotStarted(RunRefusal::NoRoom))];
+    assert_eq!(take_ends(&mut runner), expected);
+}
+
+#[test]
+fn a_refused_token_is_raised_and_the_start_sent_again() {
+    let mut runner = ready();
+    runner.receive(SESSION, assign(1, at(600)), at(110));
+    let first = take_starts(&mut runner).remove(0);
+
+    let fenced = StartAnswer::Refused(StartRefusal::Fenced, Some(50_020));
+    runner.start_answered(&first, fenced, at(112));
+
+    let second = take_starts(&mut runner).remove(0);
+    assert!(second.fencing_token > first.fencing_token);
+    assert!(runner.plan_renewal(at(113)).unwrap().fencing_token >= second.fencing_token);
+}
+
+#[test]
+fn a_start_that_never_left_is_given_back_at_once() {
+    let mut runner = ready();
+    runner.receive(SESSION, assign(1, at(500)), at(110));
+    let order = take_starts(&mut runner).remove(0);
+
+    let answer = StartAnswer::Refused(StartRefusal::Unreachable, None);
+    runner.start_answered(&order, answer, at(111));
+
+    let refused = RunOutcome::NotStarted(RunRefusal::Unanswered);
+    assert_eq!(take_ends(&mut runner), [(1, refused)]);
+    assert_eq!(runner.held(), 0);
+}
+
+#[test]
+fn a_start_that_may_have_arrived_before_is_not_given_back_when_a_later_one_never_left() {
+    let mut runner = ready();
+    runner.receive(SESSION, assign(1, at(500)), at(110));
+    let first = take_starts(&mut runner).remove(0);
+    runner.start_answered(&first, StartAnswer::Unanswered, at(130));
+    let second = take_starts(&mut runner).remove(0);
+
+    let answer = StartAnswer::Refused(StartRefusal::Unreachable, None);
+    runner.start_answered(&second, answer, at(131));
+
+    assert_eq!(take_ends(&mut runner), []);
+    assert_eq!(runner.held(), 1, "the first may still be carried out");
+}
--- a/crates/leased/cloverfold_lease/tests/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/stuck_runs.rs
@@ -1,17 +1,18 @@
-//! Runs that stand still at a target that looks well.
-
-#![allow(clippy::unwrap_used)]
+//! Runs that are stuck or slow at a target that looks well.
 
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
-    Assignment, DispatcherMessage, EndCause, EndedRun, FreeCapacity, ListedRun, RenewalAnswer,
-    Resources, RunOutcome, Runner, RunnerAction, RunnerMessage, StartAnswer, TargetRegistration,
-    TaskId, Timings, UnavailableReason,
+    Assignment, DispatcherMessage, EndCause, FreeCapacity, ListedRun, Resources, RunOutcome,
+    Runner, RunnerAction, RunnerMessage, StartAnswer, TargetRegistration, UnavailableReason,
+};
+
+use crate::fixture::{
+    SESSION, TARGET_CLOCK, assignment, at, echo, ends, list, ms, registered, registration, row,
+    stops,
 };
 
-const SESSION: u64 = 7;
 const CAPACITY: Resources = Resources {
     cpu_milli: 12_000,
     memory_mb: 1_000,
@@ -23,24 +24,6 @@
     accelerators: 0,
 };
 
-fn ms(value: u64) -> Duration {
-    Duration::from_millis(value)
-}
-
-/// The point in time `value` milliseconds after the start of the clock.
-fn at(value: u64) -> Timestamp {
-    Timestamp::from_start(ms(value))
-}
-
-fn task(index: u32) -> TaskId {
-    TaskId {
-        job: "job".into(),
-        repetition: 0,
-        step: 0,
-        index,
-    }
-}
-
 /// A runner, its target's answers, and a clock that they share.
 struct Bench {
     runner: Runner,
@@ -50,20 +33,12 @@
 
 impl Bench {
     fn new() -> Self {
-        let mut runner = Runner::new(Timings::default(), 1_000);
         let registration = TargetRegistration {
-            incarnation: "life".into(),
-            service: "service".into(),
-            address: "127.0.0.1:1".into(),
             capacity: CAPACITY,
-            labels: Vec::new(),
-            is_draining: false,
-            clock: Some(50_000),
-            sequence: 1,
+            ..registration(1)
         };
-        runner.register(registration, at(0));
         let mut bench = Self {
-            runner,
+            runner: registered(registration, at(0)),
             now: at(0),
             actions: Vec::new(),
         };
@@ -85,46 +60,36 @@
 
     /// The target lists runs with their progress, and ends; afterwards a tick passes.
     fn list(&mut self, running: &[(u32, u8)], ended: &[(u64, u32, EndCause)]) {
-        let order = self.runner.plan_renewal(self.now).unwrap();
-        let running = running.iter().map(|&(index, percent)| ListedRun {
-            task: task(index),
-            run: 5,
-            progress: Some(percent),
-        });
-        let ended = ended.iter().map(|&(number, index, cause)| EndedRun {
-            number,
-            task: task(index),
-            run: 5,
-            cause,
-        });
-        let answer = RenewalAnswer::Listed {
-            clock: 50_000 + self.now.since_start().as_millis() as u64,
-            running: running.collect(),
-            ended: ended.collect(),
-        };
-        self.runner.receive_renewal_answer(&order, answer, self.now);
+        let rows = running.iter();
+        let rows = rows.map(|&(index, percent)| row(index, Some(percent)));
+        self.renew(rows.collect(), ended);
         self.runner.tick(self.now);
-        let echo = DispatcherMessage::Echo { clock: self.now };
-        self.runner.receive(SESSION, echo, self.now);
+        self.runner.receive(SESSION, echo(self.now), self.now);
         self.actions.extend(self.runner.take_actions());
     }
 
+    /// Renews the lease; the answer lists these runs and ends.
+    fn renew(&mut self, running: Vec<ListedRun>, ended: &[(u64, u32, EndCause)]) {
+        let order = self.runner.plan_renewal(self.now).unwrap();
+        let clock = TARGET_CLOCK + self.now.since_start().as_millis() as u64;
+        let answer = list(clock, running, ended);
+        self.runner.receive_renewal_answer(&order, answer, self.now);
+    }
+
+    /// Assigns a run whose start the target acknowledges at once.
     fn start(&mut self, index: u32, estimate_ms: u32) {
         let assignment = Assignment {
-            task: task(index),
-            run: 5,
-            spec: "spec".into(),
             demand: DEMAND,
-            priority: 0,
-            wait_ms: 60,
             estimate_ms,
-            valid_until: self.now + ms(400),
+            ..assignment(index, self.now + ms(400))
         };
         let message = DispatcherMessage::Assign(assignment);
         self.runner.receive(SESSION, message, self.now);
         for action in self.runner.take_actions() {
             if let RunnerAction::Start(order) = &action {
-                let answer = StartAnswer::Started { clock: 50_000 };
+                let answer = StartAnswer::Started {
+                    clock: TARGET_CLOCK,
+                };
                 self.runner.start_answered(order, answer, self.now);
             }
         }
@@ -139,27 +104,17 @@
         }
     }
 
-    fn stops(&mut self) -> Vec<u32> {
-        let stops = self.actions.iter().filter_map(|action| match action {
-            RunnerAction::Stop(order) => Some(order.task.index),
-            _ => None,
-        });
-        stops.collect()
+    fn stops(&self) -> Vec<u32> {
+        stops(&self.actions)
     }
 
     fn outcomes(&self) -> Vec<(u32, RunOutcome)> {
-        let ends = self.actions.iter().filter_map(|action| match action {
-            RunnerAction::Send(_, RunnerMessage::Ended { task, outcome, .. }) => {
-                Some((task.index, *outcome))
-            }
-            _ => None,
-        });
-        ends.collect()
+        ends(&self.actions)
     }
 }
 
 #[test]
-fn a_run_that_stands_still_is_stopped_and_reported_as_stuck() {
+fn a_stuck_run_is_stopped_and_reported_as_stuck() {
     let mut bench = Bench::with_progress();
     bench.start(1, 60);
     bench.list(&[(1, 30)], &[]);
@@ -203,20 +158,7 @@
 
     for _ in 0..10 {
         bench.now += ms(40);
-        let order = bench.runner.plan_renewal(bench.now).unwrap();
-        let run = ListedRun {
-            task: task(1),
-            run: 5,
-            progress: None,
-        };
-        let answer = RenewalAnswer::Listed {
-            clock: 50_000,
-            running: vec![run],
-            ended: Vec::new(),
-        };
-        bench
-            .runner
-            .receive_renewal_answer(&order, answer, bench.now);
+        bench.renew(vec![row(1, None)], &[]);
     }
 
     assert_eq!(bench.runner.counts().stuck, 0);
@@ -233,7 +175,7 @@
 }
 
 #[test]
-fn a_runner_that_itself_stood_still_judges_nobody() {
+fn a_runner_that_itself_stood_still_takes_no_run_for_stuck() {
     let mut bench = Bench::with_progress();
     bench.start(1, 60);
     bench.list(&[(1, 30)], &[]);
@@ -245,7 +187,7 @@
 }
 
 #[test]
-fn a_target_that_lets_runs_stand_still_is_paused_then_tried_and_then_trusted() {
+fn a_target_whose_runs_are_stuck_is_paused_then_on_probation_and_then_trusted() {
     let mut bench = Bench::with_progress();
     let stuck = [(1, 0), (2, 0), (3, 0)];
     for (index, _) in stuck {
@@ -260,7 +202,10 @@
     let ends = [1, 2, 3].map(|index| (u64::from(index) + 1, index, EndCause::Stopped));
     bench.list(&[], &ends);
     bench.stand(ms(1_000), &[]);
-    assert!(bench.runner.has_ready_target(), "it is tried after a pause");
+    assert!(
+        bench.runner.has_ready_target(),
+        "it is on probation after a pause"
+    );
     assert_eq!(free(&bench), Some(CAPACITY.cpu_milli / 6), "in part");
     bench.start(4, 60);
     bench.list(&[], &[(5, 4, EndCause::Done)]);
