--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -17,6 +17,7 @@
 use crate::health::HealthLimits;
 use crate::messages::{Assignment, DispatcherMessage, SessionId, TaskId};
 use crate::request::JobRequest;
+use crate::stall::JOB_STALL;
 use crate::timings::Timings;
 pub use events::DispatcherEvent;
 
@@ -267,7 +268,7 @@
     pub(crate) fn notice_stall(&mut self, now: Timestamp) {
         let gap = now.saturating_duration_since(self.active_at);
         self.active_at = now;
-        if gap <= self.timings.stall {
+        if gap <= JOB_STALL {
             return;
         }
         let open: Vec<JobNumber> = self.jobs.keys().copied().collect();
--- a/crates/leased/cloverfold_lease/src/dispatcher/targets.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/targets.rs
@@ -176,7 +176,7 @@
             });
             self.lost_sessions.push(LostSession {
                 runner: view.runner,
-                over_at: view.echoed_at.min(now) + self.timings.surely_over(),
+                over_at: view.echoed_at.min(now) + self.timings.runs_over_after(),
                 tasks,
             });
         }
--- a/crates/leased/cloverfold_lease/src/lib.rs
+++ b/crates/leased/cloverfold_lease/src/lib.rs
@@ -10,7 +10,7 @@
 //!   dispatcher last echoed; a runner stops the tasks of a session that is over;
 //! - a target kills everything when its lease of [`Timings::lease`] is not renewed;
 //! - a dispatcher starts a task elsewhere only after its end was reported, or after
-//!   [`Timings::surely_over`] has passed since its last echo.
+//!   [`Timings::runs_over_after`] has passed since its last echo.
 
 mod dispatcher;
 mod health;
@@ -18,6 +18,7 @@
 mod request;
 mod resources;
 mod runner;
+mod stall;
 mod timings;
 
 pub use dispatcher::{
@@ -35,4 +36,8 @@
     EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder, Runner, RunnerAction, RunnerCounts,
     StartAnswer, StartOrder, StartRefusal, StopOrder, TargetRegistration, UnavailableReason,
 };
-pub use timings::{TargetTime, Timings};
+pub use stall::{JOB_STALL, REQUEST_STALL};
+pub use timings::{
+    CLOCK_DRIFT_PERMILLE, DEFAULT_LEASE, DEFAULT_RESEND, DEFAULT_SESSION, DEFAULT_STOP, TargetTime,
+    Timings,
+};
--- a/crates/leased/cloverfold_lease/src/runner/holds.rs
+++ b/crates/leased/cloverfold_lease/src/runner/holds.rs
@@ -17,7 +17,7 @@
     pub fn plan_renewal(&mut self, now: Timestamp) -> Option<RenewalOrder> {
         let lease = self.timings.lease;
         let slack = self.timings.answer_slack;
-        let wait = self.timings.hold_wait;
+        let wait = self.timings.renewal_wait;
         let target = self.target.as_mut()?;
         let wait = if target.is_clean {
             wait
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -233,7 +233,7 @@
 
     /// Notices a target that does not answer: it gets no new work, and its runs end with its lease.
     pub(super) fn watch_target(&mut self, now: Timestamp) {
-        let silence = self.timings.silence + self.timings.hold_wait;
+        let silence = self.timings.silence + self.timings.renewal_wait;
         let Some(target) = &mut self.target else {
             return;
         };
@@ -262,7 +262,7 @@
             return true;
         };
         let left = target.latest_deadline.saturating_sub(reading.clock);
-        let longest = self.timings.stretch(Duration::from_millis(left));
+        let longest = self.timings.longest_true_span(Duration::from_millis(left));
         now > reading.received_at + longest + self.timings.stop
     }
 }
--- a/crates/leased/cloverfold_lease/src/timings.rs
+++ b/crates/leased/cloverfold_lease/src/timings.rs
@@ -1,57 +1,98 @@
 //! The bounds in time that leased runs rest on.
+//!
+//! Owns no state: [`Timings`] is a copy of what the settings say. Relies on targets that keep their leases, and on their clocks,
+//! which may be slower than a true one by [`CLOCK_DRIFT_PERMILLE`] at the most.
+//!
+//! # Why no two runs of a task overlap
+//!
+//! A caller that lost its connection sends its job again after the resend interval, perhaps to another entry. By then each run
+//! that the first entry started must be over, also if that entry and the guard of the run are frozen. One inequality says so:
+//!
+//! ```text
+//! session + lease on a slow clock + stop < resend
+//!  500 ms +  650 ms / 0.98        + 50 ms = 1,214 ms < 1,300 ms
+//! ```
+//!
+//! The left side is [`Timings::runs_over_after`], the whole [`Timings::are_runs_over_before`]; the settings are refused unless it
+//! holds. The simulated world in `tests/overlap.rs` shows both that it suffices and that a longer session breaks it.
 
 use std::time::Duration;
 
 /// Time on a target's own steady clock, in milliseconds.
 pub type TargetTime = u64;
 
+/// How long a session is valid unless the settings say otherwise. Chosen within the inequality above (design note 6), not
+/// measured.
+pub const DEFAULT_SESSION: Duration = Duration::from_millis(500);
+/// How long a lease lasts unless the settings say otherwise. Chosen within the inequality above, not measured; a shorter one
+/// was ruled out, since it leaves less time for a guard that is held up (commit "Make a lost answer cost less").
+pub const DEFAULT_LEASE: Duration = Duration::from_millis(650);
+/// How long a target may take to end a stopped run unless the settings say otherwise. What targets keep (design note 6), not measured.
+pub const DEFAULT_STOP: Duration = Duration::from_millis(50);
+/// After this a caller sends again what got no answer, unless the settings say otherwise. Given by the callers (design note 6).
+pub const DEFAULT_RESEND: Duration = Duration::from_millis(1_300);
+/// How much slower than a true clock a target's may be, in thousandths. Given by the platform (design note 6).
+pub const CLOCK_DRIFT_PERMILLE: u32 = 20;
+
+/// Four in a session. Chosen, not measured.
+const HEARTBEAT: Duration = Duration::from_millis(120);
+/// Measured with [`ANSWER_SLACK`] and [`SILENCE`]: own day of lost answers 0.853 -> 0.862 of the worth (MEASUREMENTS, "a lost answer costs
+/// less"; 40 ms before).
+const RENEWAL_WAIT: Duration = Duration::from_millis(25);
+/// Measured with [`RENEWAL_WAIT`] (30 ms before).
+const ANSWER_SLACK: Duration = Duration::from_millis(15);
+/// Chosen, not measured.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Measured with the renewals' wait of its time: own day of late orders 0.654 -> 0.834 of the worth (commit "Notice ends sooner when
+/// a hold's answer is lost"; 60 ms before).
+const START_TIMEOUT: Duration = Duration::from_millis(20);
+/// Measured with [`RENEWAL_WAIT`] (430 ms before).
+const SILENCE: Duration = Duration::from_millis(200);
+
 /// Bounds that runners and dispatchers of an installation share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timings {
     /// How long a session is valid after the runner's clock reading that was last echoed.
     pub session: Duration,
-    /// How long a target may run on after the runner last renewed its lease.
+    /// How long a target may run on after the runner last renewed its lease, on the target's clock.
     pub lease: Duration,
     /// How long a target may take to end a stopped run.
     pub stop: Duration,
     /// How much slower a target's clock may be, in thousandths.
     pub clock_drift_permille: u32,
-    /// How often runners and dispatchers tell each other that they live.
+    /// Interval of the heartbeats between runners and dispatchers.
     pub heartbeat: Duration,
-    /// How long a hold waits at the target for an end.
-    pub hold_wait: Duration,
+    /// How long a renewal waits at the target for the end of a run.
+    pub renewal_wait: Duration,
     /// How long the answer to an order may take beyond the time that it may wait.
     pub answer_slack: Duration,
     /// How long the answer to a start or a stop is waited for at all.
     pub order_timeout: Duration,
     /// How long the answer to a start may take before the start is sent again.
     pub start_timeout: Duration,
-    /// A gap between two calls of a dispatcher from which callers may have left it and asked elsewhere without its knowing.
-    pub stall: Duration,
-    /// How long a target may answer nothing before it gets no new work.
+    /// How long a target may answer nothing, beyond the wait of a renewal, before it gets no new work.
     pub silence: Duration,
 }
 
 impl Default for Timings {
     fn default() -> Self {
         Self {
-            session: Duration::from_millis(500),
-            lease: Duration::from_millis(650),
-            stop: Duration::from_millis(50),
-            clock_drift_permille: 20,
-            heartbeat: Duration::from_millis(120),
-            hold_wait: Duration::from_millis(25),
-            answer_slack: Duration::from_millis(15),
-            order_timeout: Duration::from_millis(300),
-            start_timeout: Duration::from_millis(20),
-            stall: Duration::from_millis(700),
-            silence: Duration::from_millis(200),
+            session: DEFAULT_SESSION,
+            lease: DEFAULT_LEASE,
+            stop: DEFAULT_STOP,
+            clock_drift_permille: CLOCK_DRIFT_PERMILLE,
+            heartbeat: HEARTBEAT,
+            renewal_wait: RENEWAL_WAIT,
+            answer_slack: ANSWER_SLACK,
+            order_timeout: ORDER_TIMEOUT,
+            start_timeout: START_TIMEOUT,
+            silence: SILENCE,
         }
     }
 }
 
 impl Timings {
-    /// Takes the bounds that an installation sets itself.
+    /// Returns the timings of an installation that sets the bounds of its leases itself.
     pub fn with_bounds(session: Duration, lease: Duration, stop: Duration) -> Self {
         Self {
             session,
@@ -61,8 +102,8 @@
         }
     }
 
-    /// Returns how long a span of the target's clock may last on a clock that is true.
-    pub fn stretch(&self, span: Duration) -> Duration {
+    /// Returns the longest time that `span` of a target's clock can last on a true clock.
+    pub fn longest_true_span(&self, span: Duration) -> Duration {
         let permille = 1_000_u32.saturating_sub(self.clock_drift_permille).max(1);
         span * 1_000 / permille
     }
@@ -70,7 +111,12 @@
     /// Returns how long after its last echo a dispatcher must wait until all that the session started is over.
     ///
     /// The runner may be frozen just before the session ends; then the lease that it renewed last must lapse.
-    pub fn surely_over(&self) -> Duration {
-        self.session + self.stretch(self.lease) + self.stop
+    pub fn runs_over_after(&self) -> Duration {
+        self.session + self.longest_true_span(self.lease) + self.stop
+    }
+
+    /// Returns whether the safety inequality holds: all runs of a session are over before a caller sends its job again.
+    pub fn are_runs_over_before(&self, resend: Duration) -> bool {
+        self.runs_over_after() < resend
     }
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher.rs
@@ -445,7 +445,7 @@
 }
 
 #[test]
-fn runs_of_a_lost_session_wait_until_they_are_surely_over() {
+fn runs_of_a_lost_session_wait_until_they_are_runs_over_after() {
     let mut bench = Bench::new(2);
     let long = StepRequest {
         estimate: ms(1_000),
@@ -456,7 +456,7 @@
     let other = 3 - run.0;
     let echoed_at = bench.now;
     bench.dispatcher.close_session(run.0, bench.now);
-    let limit = Timings::default().surely_over();
+    let limit = Timings::default().runs_over_after();
     let live = |bench: &mut Bench| {
         bench.now += ms(20);
         bench.heartbeat(other, CAPACITY, u64::MAX);
--- /dev/null
+++ b/crates/leased/cloverfold_lease/tests/timings.rs
@@ -0,0 +1,26 @@
+//! The inequality that keeps two runs of a task apart.
+
+use std::time::Duration;
+
+use cloverfold_lease::{DEFAULT_LEASE, DEFAULT_RESEND, DEFAULT_STOP, Timings};
+
+#[test]
+fn runs_are_over_before_a_caller_sends_again_by_default() {
+    let timings = Timings::default();
+
+    assert_eq!(timings.runs_over_after().as_millis(), 1_213);
+    assert!(timings.are_runs_over_before(DEFAULT_RESEND));
+}
+
+#[test]
+fn a_session_that_is_too_long_breaks_the_inequality() {
+    // 586 ms + 650 ms / 0.98 + 50 ms is 1,299.3 ms; one more is too long.
+    let longest = Duration::from_millis(586);
+    let longer = Duration::from_millis(587);
+
+    let longest = Timings::with_bounds(longest, DEFAULT_LEASE, DEFAULT_STOP);
+    let longer = Timings::with_bounds(longer, DEFAULT_LEASE, DEFAULT_STOP);
+
+    assert!(longest.are_runs_over_before(DEFAULT_RESEND));
+    assert!(!longer.are_runs_over_before(DEFAULT_RESEND));
+}
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -8,7 +8,7 @@
 use cloverfold_http::{
     HttpLimits, ListenError, Request, Serving, StopPhase, json_response, plain_response, serve_at,
 };
-use cloverfold_lease::{Dispatcher, HealthLimits, Timings};
+use cloverfold_lease::{Dispatcher, HealthLimits};
 use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
 use cloverfold_leased_settings::LeasedEntrySettings;
 use cloverfold_peer::{ControlLinks, Hello, PeerRole};
@@ -115,8 +115,7 @@
         address: settings.peer.address(),
         version: 0,
     };
-    let lease = &settings.lease;
-    let timings = Timings::with_bounds(lease.session(), lease.lease(), lease.stop());
+    let timings = settings.lease.timings();
     let dispatcher = Dispatcher::new(timings, HealthLimits::default(), random_u64());
     let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dial_peers());
     EntryState::new(own, protocol, dispatcher, controls)
--- a/crates/leased/cloverfold_leased_entry/src/state.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state.rs
@@ -9,6 +9,7 @@
 use cloverfold_configuration::Configuration;
 use cloverfold_lease::{
     Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRefusal, JobRequest,
+    REQUEST_STALL,
 };
 use cloverfold_leased_process::LeasedState;
 use cloverfold_link::{LinkEvent, LinkId, send_once};
@@ -19,8 +20,6 @@
 use crate::event_log::log_event;
 use crate::protocol::JobProtocol;
 
-/// A gap between two ticks from which this process has stood still: what it reads then may be old.
-const STALL: Duration = Duration::from_millis(300);
 /// How often a guard that is out of touch is invited.
 const INVITE_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a guard that is out of touch is remembered.
@@ -62,7 +61,7 @@
     fn tick(&mut self) {
         let now = self.clock.now();
         let gap = now.saturating_duration_since(self.ticked_at);
-        if gap > STALL {
+        if gap > REQUEST_STALL {
             log::warn!(gap_ms = gap.as_millis() as u64; "the process stood still");
         }
         self.ticked_at = now;
@@ -171,7 +170,7 @@
     ) -> (Option<JobNumber>, oneshot::Receiver<JobAnswer>) {
         let (tx, rx) = oneshot::channel();
         let now = self.clock.now();
-        if now > self.ticked_at + STALL {
+        if now > self.ticked_at + REQUEST_STALL {
             // The process stood still, and the request may have waited so long that its caller has asked elsewhere.
             log::warn!(job = request.id.as_str(), gap_ms = now.saturating_duration_since(self.ticked_at).as_millis() as u64; "a job is refused after a stall");
             let answer = JobAnswer::Refused {
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -8,7 +8,7 @@
 use cloverfold_http::{
     HttpLimits, ListenError, Request, Serving, json_response, plain_response, serve_at,
 };
-use cloverfold_lease::{RenewalAnswer, Runner, Timings};
+use cloverfold_lease::{RenewalAnswer, Runner};
 use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
 use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_peer::{ControlLinks, Hello, PeerRole};
@@ -120,8 +120,7 @@
         address: settings.peer.address(),
         version: 0,
     };
-    let lease = &settings.lease;
-    let timings = Timings::with_bounds(lease.session(), lease.lease(), lease.stop());
+    let timings = settings.lease.timings();
     // A later life begins at a later time; should the clock have gone back, the target's refusals raise the token.
     let runner = Runner::new(timings, unix_now().as_millis() as u64);
     let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dial_peers());
--- a/crates/leased/cloverfold_leased_settings/src/leased.rs
+++ b/crates/leased/cloverfold_leased_settings/src/leased.rs
@@ -4,12 +4,13 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+use cloverfold_lease::{DEFAULT_LEASE, DEFAULT_RESEND, DEFAULT_SESSION, DEFAULT_STOP, Timings};
 use cloverfold_settings::{Check, FaultList, LogSettings, SettingsError, read_settings};
 use serde::Deserialize;
 
 /// Most control processes that may be lost at once.
 const MAX_TOLERATED_LOSSES: usize = 4;
-/// Shortest lease that leaves time for a lost renewal, in milliseconds.
+/// Shortest lease that leaves time for a lost renewal, in milliseconds. Chosen, not measured.
 const MIN_LEASE_MS: u64 = 200;
 
 /// What all processes of a leased installation are told.
@@ -89,34 +90,28 @@
 impl Default for LeaseSettings {
     fn default() -> Self {
         Self {
-            lease_ms: 650,
-            session_ms: 500,
-            stop_ms: 50,
-            resend_ms: 1_300,
+            lease_ms: DEFAULT_LEASE.as_millis() as u64,
+            session_ms: DEFAULT_SESSION.as_millis() as u64,
+            stop_ms: DEFAULT_STOP.as_millis() as u64,
+            resend_ms: DEFAULT_RESEND.as_millis() as u64,
         }
     }
 }
 
 impl LeaseSettings {
-    /// Returns how long a guard works on for an entry that is silent.
-    pub fn session(&self) -> Duration {
-        Duration::from_millis(self.session_ms)
-    }
-
-    /// Returns how long a target may run on when its guard is silent.
-    pub fn lease(&self) -> Duration {
-        Duration::from_millis(self.lease_ms)
-    }
-
-    /// Returns how long a target may take to end a stopped run.
-    pub fn stop(&self) -> Duration {
-        Duration::from_millis(self.stop_ms)
+    /// Returns the timings of dispatchers and runners under these bounds.
+    pub fn timings(&self) -> Timings {
+        Timings::with_bounds(
+            Duration::from_millis(self.session_ms),
+            Duration::from_millis(self.lease_ms),
+            Duration::from_millis(self.stop_ms),
+        )
     }
 
     fn check(&self, faults: &mut FaultList) {
-        let longest = self.session_ms + self.lease_ms * 1_000 / 980 + self.stop_ms;
+        let resend = Duration::from_millis(self.resend_ms);
         faults.add_if(
-            longest >= self.resend_ms,
+            !self.timings().are_runs_over_before(resend),
             "lease.session_ms",
             "with lease_ms and stop_ms it must be over before resend_ms; make one of them shorter",
         );
