--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -97,7 +97,7 @@
     ///
     /// An unresponsive target gets no new work. Its runs may go on until its lease has lapsed; then they are lost.
     pub(super) fn watch_target(&mut self, now: Timestamp) {
-        let limit = self.timings.silence + self.timings.hold_wait;
+        let limit = self.timings.silence + self.timings.renewal_wait;
         let Some(target) = &mut self.target else {
             return;
         };
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -180,14 +180,14 @@
     /// Returns whether every lease that the target may hold is certainly over, so that nothing runs there.
     ///
     /// The latest deadline that was sent lies `left` after the newest reading of the target's clock. That clock may be slow, so `left` lasts
-    /// up to [`Timings::stretch`] of it here; then the target has [`Timings::stop`] to end its runs. Without a reading no order
+    /// up to [`Timings::longest_true_span`] of it here; then the target has [`Timings::stop`] to end its runs. Without a reading no order
     /// had a deadline, so there is no lease.
     pub(super) fn has_lease_lapsed(&self, timings: &Timings, now: Timestamp) -> bool {
         let Some(reading) = self.clock else {
             return true;
         };
         let left = self.latest_deadline.saturating_sub(reading.clock);
-        let longest = timings.stretch(Duration::from_millis(left));
+        let longest = timings.longest_true_span(Duration::from_millis(left));
         now > reading.received_at + longest + timings.stop
     }
 
