--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -29,7 +29,7 @@
         let lease = self.timings.lease;
         let target = self.target.as_mut()?;
         let (deadline, wait) = if target.has_only_own_runs {
-            (target.extend_lease(now, lease), self.timings.hold_wait)
+            (target.extend_lease(now, lease), self.timings.renewal_wait)
         } else {
             (None, Duration::ZERO)
         };
