--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -9,7 +9,6 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
 
 use cloverfold_base::{ProcessClock, Timestamp, unix_now};
 use cloverfold_configuration::{Configuration, Version};
