--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -73,7 +73,7 @@
         let mut cancel = CancelOnDrop {
             callers: self,
             job: id,
-            number: Some(number),
+            number,
         };
         // The state drops the sender without an answer only when the process ends.
         let answer = answer.await.unwrap_or(JobAnswer::GivenUp);
