--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -205,7 +205,7 @@
     fn carry_out(&mut self, action: DispatcherAction) {
         match action {
             DispatcherAction::Send(session, message) => {
-                // A full queue or a closed link loses the message; the dispatcher settles it when it hears nothing from the guard.
+                // Lost if the link has closed, which ends its session as well.
                 self.links.send(session, &PeerMessage::ToRunner(message));
             }
             DispatcherAction::CloseSession(session) => {
--- a/crates/leased/cloverfold_leased_guard/src/interface.rs
+++ b/crates/leased/cloverfold_leased_guard/src/interface.rs
@@ -1,4 +1,6 @@
-//! How a target is spoken to.
+//! How a target is called, and how it registers.
+//!
+//! The boundary to the platform's forms: `platform/` implements [`TargetInterface`], and nothing else here knows them. Owns nothing.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -8,49 +10,49 @@
     RenewalAnswer, RenewalOrder, StartAnswer, StartOrder, StopOrder, TargetRegistration,
 };
 
-/// An answer under way.
+/// The answer to a call that was sent.
 pub type Answer<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// What a target says at the registration address.
+/// A call of a target at the registration address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistrationCall {
-    /// It is there, in this state.
+    /// The target is up, in this state; repeated as a heartbeat.
     Register(TargetRegistration),
-    /// This life of it is over.
+    /// This incarnation of the target has ended.
     Leave {
-        /// The life.
+        /// The target's name for the incarnation.
         incarnation: String,
     },
 }
 
-/// Why a call at the registration address is not taken.
+/// Why a call at the registration address is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistrationRefusal {
-    /// It is none of the target's calls.
+    /// It is no call of a target.
     Unknown,
     /// It cannot be read; the text names the field.
     Malformed(String),
 }
 
-/// How a target is spoken to.
+/// How a target is called.
 pub trait TargetInterface: Send + Sync {
     /// Reads a call of the target.
     ///
     /// # Errors
     ///
-    /// Says that it is unknown or malformed.
+    /// Returns [`RegistrationRefusal`] if the request is no call of a target or can't be read.
     fn read_registration(&self, request: &Request)
     -> Result<RegistrationCall, RegistrationRefusal>;
 
     /// Writes the acknowledgement of such a call.
     fn write_acknowledgement(&self) -> Vec<u8>;
 
-    /// Starts a run.
+    /// Starts a run. An order whose answer is lost may still be carried out.
     fn start(&self, order: StartOrder) -> Answer<StartAnswer>;
 
-    /// Stops a run; whether it did is seen from a later renewal.
+    /// Stops a run; whether it has ended is seen from a later renewal.
     fn stop(&self, order: StopOrder) -> Answer<()>;
 
-    /// Renews the lease and asks what runs and what has ended.
+    /// Renews the lease, and asks what runs and what has ended.
     fn renew(&self, order: RenewalOrder) -> Answer<RenewalAnswer>;
 }
--- a/crates/leased/cloverfold_leased_guard/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_guard/src/metrics.rs
@@ -1,4 +1,7 @@
-//! What a guard counts.
+//! The metrics of a guard.
+//!
+//! Owns nothing but the gauges: the numbers are read off [`GuardState`] when they are asked for. Relies on [`ProcessMetrics`] for what every
+//! leased process counts.
 
 use cloverfold_leased_process::{MetricsBuilder, ProcessMetrics};
 use cloverfold_telemetry::CauseGauges;
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -1,4 +1,7 @@
-//! The guard process, put together.
+//! The guard process: how it starts, what changes while it runs, and how it stops.
+//!
+//! Owns the addresses that it serves and its tasks. Relies on `cloverfold_leased_process` for links, ticks and the pages for operators, and
+//! on `cloverfold_http` to serve the target's registrations.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,9 +9,9 @@
 
 use cloverfold_base::unix_now;
 use cloverfold_http::{
-    HttpLimits, ListenError, Request, Serving, json_response, plain_response, serve_at,
+    HttpLimits, ListenError, Request, Response, Serving, json_response, plain_response, serve_at,
 };
-use cloverfold_lease::{RenewalAnswer, Runner, Timings};
+use cloverfold_lease::{Runner, Timings};
 use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
 use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_peer::{ControlLinks, Hello, PeerRole};
@@ -19,21 +22,20 @@
 
 use crate::interface::{RegistrationRefusal, TargetInterface};
 use crate::metrics::GuardMetrics;
-use crate::state::{GuardState, TargetOrder};
+use crate::renewals::keep_renewing;
+use crate::state::GuardState;
+use crate::target_orders::{TargetOrder, send_orders};
 
-/// How often the guard looks what has fallen due. Chosen, not measured.
+/// How often the guard does what has fallen due. Chosen, not measured.
 const TICK: Duration = Duration::from_millis(20);
-/// Pause after a renewal that was not answered at all.
-const HOLD_PAUSE: Duration = Duration::from_millis(10);
-/// The same while the target has been silent for some time: each renewal that is not answered costs a connection.
-const SILENT_PAUSE: Duration = Duration::from_millis(60);
-/// Pause while no target is known.
-const NO_TARGET_PAUSE: Duration = Duration::from_millis(200);
+/// How often a guard that drains checks whether its runs have ended. Chosen, not measured.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A guard that runs.
+/// A running guard; dropping it stops it at once.
 pub struct LeasedGuard {
     state: Shared<GuardState>,
     registrations: Serving,
+    /// Serves until it is dropped.
     _operations: Option<Serving>,
     drain_timeout: Duration,
     /// Aborted on drop.
@@ -46,31 +48,40 @@
         self.registrations.address()
     }
 
-    /// Takes what may change under way: the seeds. The rest holds for the life of the process.
+    /// Applies what may change while the guard runs: the seeds. The rest stays until the next start.
     pub fn reload(&self, settings: &LeasedGuardSettings) {
-        self.state.lock().set_seeds(settings.peer.seed_addresses());
+        let seeds = settings.peer.seed_addresses();
+        self.state.lock().set_seeds(seeds);
     }
 
-    /// Stops as planned: no new run is taken, and those that are held end.
+    /// Stops as planned: accepts no new run, and waits until those that it has have ended, at most for the drain time.
     pub async fn stop(self) {
-        const PAUSE: Duration = Duration::from_millis(20);
         log::info!("draining");
-        self.state.lock().leave();
+        self.state.lock().begin_draining();
+        let is_drained = self.wait_until_drained().await;
+        log::info!(is_drained; "stopped");
+    }
+
+    /// Returns whether all runs have ended in time.
+    async fn wait_until_drained(&self) -> bool {
         let drained = async {
             while self.state.lock().held() > 0 {
-                sleep(PAUSE).await;
+                sleep(DRAIN_CHECK_INTERVAL).await;
             }
         };
-        let is_drained = timeout(self.drain_timeout, drained).await.is_ok();
-        log::info!(is_drained; "stopped");
+        timeout(self.drain_timeout, drained).await.is_ok()
     }
 }
 
-/// Starts a guard; must be called within a runtime.
+/// Starts a guard.
 ///
 /// # Errors
 ///
-/// Says which address cannot be used.
+/// Returns the first address that cannot be bound, with its setting and the system's error.
+///
+/// # Panics
+///
+/// Panics outside a tokio runtime.
 pub fn start_leased_guard(
     settings: &LeasedGuardSettings,
     interface: Arc<dyn TargetInterface>,
@@ -92,12 +103,8 @@
         |state| (!state.has_ready_target()).then_some("no target takes work"),
     )?;
     let mut tasks = JoinSet::new();
-    tasks.spawn(carry_out_orders(
-        state.clone(),
-        orders_rx,
-        interface.clone(),
-    ));
-    tasks.spawn(keep_holding(state.clone(), interface, renew_now));
+    tasks.spawn(send_orders(state.clone(), orders_rx, interface.clone()));
+    tasks.spawn(keep_renewing(state.clone(), interface, renew_now));
     port.run(state.clone(), TICK, &mut tasks);
     Ok(LeasedGuard {
         state,
@@ -122,65 +129,13 @@
     };
     let lease = &settings.lease;
     let timings = Timings::with_bounds(lease.session(), lease.lease(), lease.stop());
-    // A later life begins at a later time; should the clock have gone back, the target's refusals raise the token.
-    let runner = Runner::new(timings, unix_now().as_millis() as u64);
+    // A restarted guard begins with a higher token; should the clock have gone back, the target's refusals raise it.
+    let fencing_token = unix_now().as_millis() as u64;
+    let runner = Runner::new(timings, fencing_token);
     let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dial_peers());
     GuardState::new(own, runner, controls, port.dial_peers(), orders, renew_now)
 }
 
-/// Sends each order to the target by itself: none waits for the answer to another.
-async fn carry_out_orders(
-    state: Shared<GuardState>,
-    mut orders: mpsc::UnboundedReceiver<TargetOrder>,
-    interface: Arc<dyn TargetInterface>,
-) {
-    while let Some(order) = orders.recv().await {
-        match order {
-            TargetOrder::Start(order) => {
-                let answer = interface.start(order.clone());
-                let state = state.clone();
-                tokio::spawn(async move {
-                    let answer = answer.await;
-                    state.lock().start_answered(&order, answer);
-                });
-            }
-            TargetOrder::Stop(order) => {
-                log::info!(
-                    job = order.task.job.as_str(), index = order.task.index, run = order.run;
-                    "a run is stopped"
-                );
-                tokio::spawn(interface.stop(order));
-            }
-        }
-    }
-}
-
-/// Renews the lease again and again; each answer tells what runs and what has ended.
-async fn keep_holding(
-    state: Shared<GuardState>,
-    interface: Arc<dyn TargetInterface>,
-    now: Arc<Notify>,
-) {
-    loop {
-        let order = state.lock().plan_renewal();
-        let Some(order) = order else {
-            // Whether it is told or not, it looks again.
-            let _ = timeout(NO_TARGET_PAUSE, now.notified()).await;
-            continue;
-        };
-        let answer = interface.renew(order.clone()).await;
-        let is_listed = matches!(answer, RenewalAnswer::Listed { .. });
-        state.lock().receive_renewal_answer(&order, answer);
-        if !is_listed {
-            let is_silent = !state.lock().has_ready_target();
-            sleep(if is_silent { SILENT_PAUSE } else { HOLD_PAUSE }).await;
-        } else if order.deadline.is_none() {
-            // What is not ours is being stopped.
-            sleep(HOLD_PAUSE).await;
-        }
-    }
-}
-
 fn start_registrations(
     address: SocketAddr,
     state: &Shared<GuardState>,
@@ -189,20 +144,28 @@
     let state = state.clone();
     let interface = interface.clone();
     let answer = move |request: Request| {
-        let response = match interface.read_registration(&request) {
-            Ok(call) => {
-                state.lock().registration(call);
-                json_response(StatusCode::OK, interface.write_acknowledgement())
-            }
-            Err(RegistrationRefusal::Unknown) => {
-                plain_response(StatusCode::NOT_FOUND, "no such call\n")
-            }
-            Err(RegistrationRefusal::Malformed(fault)) => {
-                log::warn!("a registration cannot be read: {fault}");
-                plain_response(StatusCode::BAD_REQUEST, format!("{fault}\n"))
-            }
-        };
+        let response = answer_registration(&state, interface.as_ref(), &request);
         async move { response }
     };
     serve_at("registration_address", address, HttpLimits::default, answer)
 }
+
+fn answer_registration(
+    state: &Shared<GuardState>,
+    interface: &dyn TargetInterface,
+    request: &Request,
+) -> Response {
+    match interface.read_registration(request) {
+        Ok(call) => {
+            state.lock().receive_registration(call);
+            json_response(StatusCode::OK, interface.write_acknowledgement())
+        }
+        Err(RegistrationRefusal::Unknown) => {
+            plain_response(StatusCode::NOT_FOUND, "no such call\n")
+        }
+        Err(RegistrationRefusal::Malformed(fault)) => {
+            log::warn!("a registration cannot be read: {fault}");
+            plain_response(StatusCode::BAD_REQUEST, format!("{fault}\n"))
+        }
+    }
+}
--- /dev/null
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -0,0 +1,186 @@
+//! The state of a guard: the runner and what surrounds it.
+//!
+//! Translates between the outside (the target, links, time) and the runner, which takes every decision. Owns the runs and the guard's view
+//! of its target and peers. Relies on `cloverfold_lease` for the runner and on being locked by one task at a time.
+
+mod links;
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use cloverfold_base::ProcessClock;
+use cloverfold_lease::{
+    RenewalAnswer, RenewalOrder, Runner, RunnerAction, RunnerCounts, StartAnswer, StartOrder,
+    UnavailableReason,
+};
+use cloverfold_leased_process::LeasedState;
+use cloverfold_link::LinkEvent;
+use cloverfold_peer::{ControlLinks, DialedPeers, Hello, PeerLinks, PeerMessage};
+use tokio::sync::{Notify, mpsc};
+
+use crate::configuration::ConfigurationCopy;
+use crate::event_log::{log_end, log_unacknowledged_start};
+use crate::interface::RegistrationCall;
+use crate::target_orders::TargetOrder;
+
+/// The state of a guard.
+pub(crate) struct GuardState {
+    clock: ProcessClock,
+    own: Hello,
+    runner: Runner,
+    configuration: ConfigurationCopy,
+    links: PeerLinks,
+    controls: ControlLinks,
+    entries: DialedPeers,
+    orders: mpsc::UnboundedSender<TargetOrder>,
+    /// Notified when the lease is to be renewed without waiting.
+    renew_now: Arc<Notify>,
+    /// Why the target takes no work, as logged last.
+    logged_reason: Option<UnavailableReason>,
+}
+
+impl LeasedState for GuardState {
+    fn begin(&mut self) {
+        self.controls.dial();
+    }
+
+    fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
+        self.handle_link_event(event);
+        self.advance();
+    }
+
+    fn tick(&mut self) {
+        let now = self.clock.now();
+        self.runner.tick(now);
+        if let Some(link) = self.configuration.take_due_fetch(now) {
+            self.links.send(link, &PeerMessage::Fetch);
+        }
+        self.advance();
+    }
+}
+
+impl GuardState {
+    pub(crate) fn new(
+        own: Hello,
+        runner: Runner,
+        controls: ControlLinks,
+        entries: DialedPeers,
+        orders: mpsc::UnboundedSender<TargetOrder>,
+        renew_now: Arc<Notify>,
+    ) -> Self {
+        Self {
+            clock: ProcessClock::default(),
+            own,
+            runner,
+            configuration: ConfigurationCopy::default(),
+            links: PeerLinks::default(),
+            controls,
+            entries,
+            orders,
+            renew_now,
+            logged_reason: Some(UnavailableReason::NoTarget),
+        }
+    }
+
+    /// Replaces the seeds; links to control processes that are still wanted stay open.
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
+        self.controls.set_seeds(seeds);
+    }
+
+    pub(crate) fn counts(&self) -> RunnerCounts {
+        self.runner.counts()
+    }
+
+    /// Returns how many runs the guard has, also those that wait to be started.
+    pub(crate) fn held(&self) -> usize {
+        self.runner.held()
+    }
+
+    pub(crate) fn has_ready_target(&self) -> bool {
+        self.runner.has_ready_target()
+    }
+
+    /// Begins the planned stop: no further run is accepted, and those that the guard has end.
+    pub(crate) fn begin_draining(&mut self) {
+        self.runner.leave(self.clock.now());
+        self.advance();
+    }
+
+    /// Handles a call of the target; it is acknowledged afterwards.
+    pub(crate) fn receive_registration(&mut self, call: RegistrationCall) {
+        let now = self.clock.now();
+        match call {
+            RegistrationCall::Register(registration) => self.runner.register(registration, now),
+            RegistrationCall::Leave { incarnation } => {
+                log::info!(target = incarnation.as_str(); "the target has left");
+                self.runner.unregister(&incarnation, now);
+            }
+        }
+        self.advance();
+    }
+
+    /// Returns the next renewal; `None` while there is no target to renew the lease of.
+    pub(crate) fn plan_renewal(&mut self) -> Option<RenewalOrder> {
+        let now = self.clock.now();
+        self.runner.plan_renewal(now)
+    }
+
+    pub(crate) fn receive_renewal_answer(&mut self, order: &RenewalOrder, answer: RenewalAnswer) {
+        let now = self.clock.now();
+        self.runner.receive_renewal_answer(order, answer, now);
+        self.advance();
+    }
+
+    pub(crate) fn receive_start_answer(&mut self, order: &StartOrder, answer: StartAnswer) {
+        let now = self.clock.now();
+        log_unacknowledged_start(order, &answer);
+        self.runner.start_answered(order, answer, now);
+        self.advance();
+    }
+
+    /// Carries out the actions that the runner has decided on.
+    fn advance(&mut self) {
+        for action in self.runner.take_actions() {
+            self.carry_out(action);
+        }
+        self.log_readiness();
+    }
+
+    fn carry_out(&mut self, action: RunnerAction) {
+        match action {
+            RunnerAction::Send(session, message) => {
+                log_end(&message);
+                // Lost if the link has closed, which ends its session as well.
+                let message = PeerMessage::ToDispatcher(message);
+                self.links.send(session, &message);
+            }
+            RunnerAction::CloseSession(session) => {
+                log::warn!(link = session; "an entry is silent; its runs are stopped");
+                self.close_link(session);
+            }
+            RunnerAction::Start(order) => self.order(TargetOrder::Start(order)),
+            RunnerAction::Stop(order) => self.order(TargetOrder::Stop(order)),
+            RunnerAction::RenewNow => self.renew_now.notify_one(),
+        }
+    }
+
+    fn order(&self, order: TargetOrder) {
+        // Can't fail: the receiver lives as long as the process.
+        let _ = self.orders.send(order);
+    }
+
+    fn log_readiness(&mut self) {
+        let unready = self.runner.find_unavailable_reason();
+        if unready == self.logged_reason {
+            return;
+        }
+        self.logged_reason = unready;
+        // A target that takes work has no reason not to: the key is empty then.
+        let reason = unready.map(UnavailableReason::as_str).unwrap_or_default();
+        log::info!(
+            ready = unready.is_none(), reason, stuck_runs = self.runner.counts().stuck,
+            held_runs = self.runner.held();
+            "the target's readiness has changed"
+        );
+    }
+}
