--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cloverfold_configuration::{ConfigurationState, Offer};
+use cloverfold_configuration::{ConfigurationState, Proposal};
 use cloverfold_consensus::{Entry, Member, Members, Payload};
 use cloverfold_peer::{PeerMessage, PeerRole};
 
@@ -60,7 +60,7 @@
             match hello.map(|hello| hello.role) {
                 Some(PeerRole::Control {
                     replica,
-                    is_blank: true,
+                    has_empty_log: true,
                 }) => {
                     voters.push(Member {
                         id: replica,
@@ -74,7 +74,7 @@
         log::info!(voters = voters.len(); "the group is founded");
         self.founding = None;
         let state = self.state.encode();
-        self.replica.found(Members { voters }, state);
+        self.replica.bootstrap(Members { voters }, state);
         self.advance();
     }
 
@@ -118,15 +118,15 @@
     pub(super) fn apply(&mut self, entry: Entry) {
         let index = entry.index;
         match entry.payload {
-            Payload::Command(command) => match postcard::from_bytes::<Offer>(&command) {
-                Ok(offer) => {
-                    let version = offer.configuration.version;
-                    let source = offer.source.clone();
+            Payload::Command(command) => match postcard::from_bytes::<Proposal>(&command) {
+                Ok(proposal) => {
+                    let version = proposal.configuration.version;
+                    let source = proposal.source.clone();
                     let before = self.state.version();
-                    let outcome = self.state.apply(offer);
+                    let outcome = self.state.apply(proposal);
                     log::info!(
                         version, before, index, source = source.as_str(),
-                        outcome = format!("{outcome:?}").as_str();
+                        outcome = outcome.as_str();
                         "a configuration is decided on"
                     );
                 }
@@ -147,7 +147,7 @@
             Payload::Empty => {}
         }
         let state = &self.state;
-        self.replica.offer_snapshot(index, || state.encode());
+        self.replica.maybe_compact(index, || state.encode());
         self.applied.send_replace(index);
     }
 
@@ -164,7 +164,7 @@
             .map(|id| format!("{id:016x}"))
             .unwrap_or_default();
         log::info!(
-            term = status.term, role = format!("{:?}", status.role).as_str(),
+            term = status.term, role = status.role.as_str(),
             leader = leader.as_str(), commit = status.commit;
             "the group has changed"
         );
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -36,7 +36,7 @@
             // Never sent to a guard.
             PeerMessage::ToDispatcher(_)
             | PeerMessage::Consensus(_)
-            | PeerMessage::Offer(_)
+            | PeerMessage::Proposal(_)
             | PeerMessage::Read { .. }
             | PeerMessage::ReadReply { .. } => {}
         }
