--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -9,12 +9,12 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
 
 use cloverfold_base::{ProcessClock, Timestamp, unix_now};
 use cloverfold_configuration::{Configuration, Version};
 use cloverfold_lease::{
     Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRefusal, JobRequest,
+    REQUEST_STALL,
 };
 use cloverfold_leased_process::LeasedState;
 use cloverfold_link::LinkEvent;
@@ -28,11 +28,6 @@
 use crate::responses::RETRY_AFTER;
 use crate::run_numbers::first_run_number;
 
-/// A gap between two ticks from which this process counts as stalled: requests that it reads then may be so old that their callers have
-/// asked elsewhere. Chosen, not measured: well above a tick of a busy box, and below the 700 ms after which the dispatcher gives up its
-/// open jobs (docs/design/6-leased-runs.md, docs/incidents/4-stalled-dispatcher.md).
-const STALL: Duration = Duration::from_millis(300);
-
 /// The state of an entry.
 pub(crate) struct EntryState {
     clock: ProcessClock,
@@ -64,7 +59,7 @@
     fn tick(&mut self) {
         let now = self.clock.now();
         let gap = now.saturating_duration_since(self.ticked_at);
-        if gap > STALL {
+        if gap > REQUEST_STALL {
             log::warn!(gap_ms = gap.as_millis() as u64; "the process stood still");
         }
         self.ticked_at = now;
@@ -166,7 +161,7 @@
     ) -> (Option<JobNumber>, oneshot::Receiver<JobAnswer>) {
         let (tx, rx) = oneshot::channel();
         let now = self.clock.now();
-        if now > self.ticked_at + STALL {
+        if now > self.ticked_at + REQUEST_STALL {
             let gap = now.saturating_duration_since(self.ticked_at);
             log::warn!(job = request.id.as_str(), gap_ms = gap.as_millis() as u64; "a job is refused after a stall");
             refuse_stalled(tx);
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -11,7 +11,7 @@
 use cloverfold_http::{
     HttpLimits, ListenError, Request, Response, Serving, json_response, plain_response, serve_at,
 };
-use cloverfold_lease::{Runner, Timings};
+use cloverfold_lease::Runner;
 use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
 use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_peer::{ControlLinks, Hello, PeerRole};
@@ -127,8 +127,7 @@
         address: settings.peer.address(),
         version: 0,
     };
-    let lease = &settings.lease;
-    let timings = Timings::with_bounds(lease.session(), lease.lease(), lease.stop());
+    let timings = settings.lease.timings();
     // A restarted guard begins with a higher token; should the clock have gone back, the target's refusals raise it.
     let fencing_token = unix_now().as_millis() as u64;
     let runner = Runner::new(timings, fencing_token);
