--- a/crates/leased/cloverfold_consensus/src/log_entries.rs
+++ b/crates/leased/cloverfold_consensus/src/log_entries.rs
@@ -1,4 +1,6 @@
-//! Entries of the log, and snapshots in place of its beginning.
+//! Entries of the log, and the snapshot in place of its beginning.
+//!
+//! [`Log`] owns the entries that a replica holds in memory; the types around it are written to disk and sent.
 
 use std::collections::VecDeque;
 
@@ -6,26 +8,26 @@
 
 use crate::members::Members;
 
-/// Number of one leader's time; rises.
+/// Number of a term, the time of one leader; rises.
 pub type Term = u64;
-/// Place in the log, from 1.
+/// Index of an entry in the log, from 1.
 pub type LogIndex = u64;
 
-/// What an entry says.
+/// What an entry says. The order of the variants is the format on disk and on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; a leader's first entry.
+    /// Nothing: a leader's first entry of its term.
     Empty,
-    /// Something for the state that the log replicates.
+    /// A command for the replicated state.
     Command(Vec<u8>),
-    /// The members from here on.
+    /// The members from this entry on.
     Members(Members),
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place.
+    /// Its index.
     pub index: LogIndex,
     /// The term of the leader that appended it.
     pub term: Term,
@@ -33,14 +35,14 @@
     pub payload: Payload,
 }
 
-/// The state after all entries up to `index`.
+/// The replicated state after all entries up to `index`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Place of the last entry in it.
+    /// Index of the last entry that it contains.
     pub index: LogIndex,
     /// Term of that entry.
     pub term: Term,
-    /// The members as of that entry.
+    /// The members after that entry.
     pub members: Members,
     /// The replicated state.
     pub state: Vec<u8>,
@@ -77,7 +79,7 @@
         self.entries.len()
     }
 
-    /// Returns the term of a place that is still known.
+    /// Returns the term of an entry that is in the log, or is the last of the snapshot.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -90,13 +92,13 @@
         self.entries.get(offset as usize)
     }
 
-    /// Returns entries after `index`, `most` at the most.
-    pub(crate) fn after(&self, index: LogIndex, most: usize) -> Vec<Entry> {
+    /// Returns the entries after `index`, at most `max`.
+    pub(crate) fn after(&self, index: LogIndex, max: usize) -> Vec<Entry> {
         let offset = index.saturating_sub(self.snapshot.index) as usize;
         self.entries
             .iter()
             .skip(offset)
-            .take(most)
+            .take(max)
             .cloned()
             .collect()
     }
@@ -112,7 +114,7 @@
         self.entries.truncate(keep);
     }
 
-    /// Replaces the entries up to the snapshot's place by it.
+    /// Replaces the entries up to the snapshot's index by it.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         while self
             .entries
@@ -130,7 +132,7 @@
         self.snapshot = snapshot;
     }
 
-    /// Returns the newest members in the log, committed or not, and where they stand.
+    /// Returns the newest members in the log, committed or not, and the index of their entry.
     pub(crate) fn newest_members(&self) -> (LogIndex, &Members) {
         let newest = self
             .entries
--- a/crates/leased/cloverfold_consensus/src/messages.rs
+++ b/crates/leased/cloverfold_consensus/src/messages.rs
@@ -1,17 +1,19 @@
 //! Messages between replicas.
+//!
+//! Fields and variants stand in the order of the bytes on the wire.
 
 use serde::{Deserialize, Serialize};
 
 use crate::log_entries::{Entry, LogIndex, Snapshot, Term};
 
-/// Asks for a vote, or whether one would be given.
+/// Asks for a vote, or in a pre-vote whether one would be given.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
-    /// The candidate's term; of a pre-vote, the term that it would begin.
+    /// The candidate's term; in a pre-vote, the term that it would begin.
     pub term: Term,
-    /// Whether nothing is promised yet.
+    /// Whether this is a pre-vote, which promises nothing.
     pub is_pre_vote: bool,
-    /// Place of the candidate's last entry.
+    /// Index of the last entry in the candidate's log.
     pub last_index: LogIndex,
     /// Term of that entry.
     pub last_term: Term,
@@ -20,28 +22,28 @@
 /// The answer to a [`Vote`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// The term that was asked for if granted, else the voter's.
+    /// The term that was asked for if the vote is granted, else the voter's term.
     pub term: Term,
-    /// As asked.
+    /// As in the request.
     pub is_pre_vote: bool,
-    /// Whether the vote is given.
+    /// Whether the vote is granted.
     pub is_granted: bool,
 }
 
-/// The leader's entries, or only its sign of life.
+/// Entries of the leader's log; a heartbeat if there are none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
     /// The leader's term.
     pub term: Term,
-    /// Place before the entries.
+    /// Index of the entry before those that are sent.
     pub previous_index: LogIndex,
-    /// Term at that place.
+    /// Term of the entry before those that are sent.
     pub previous_term: Term,
-    /// The entries.
+    /// The entries, in order.
     pub entries: Vec<Entry>,
-    /// Place up to which all is committed.
+    /// Index of the last entry that the leader knows to be committed.
     pub commit: LogIndex,
-    /// Number of the leader's round, to be echoed: it proves that the leader was followed after it began the round.
+    /// Number of the leader's round of messages. The reply echoes it, which proves that the leader was followed after it began the round.
     pub round: u64,
 }
 
@@ -50,15 +52,15 @@
 pub struct AppendReply {
     /// The follower's term.
     pub term: Term,
-    /// Whether the place before the entries matched.
+    /// Whether the follower's log has the entry before those that were sent.
     pub is_matching: bool,
-    /// If matching: the last place that is the leader's and synced here. Else a place to try from.
+    /// If matching, the last entry that is the leader's and synced at the follower; else the entry after which the leader should try.
     pub index: LogIndex,
     /// As sent.
     pub round: u64,
 }
 
-/// The state in place of entries that the leader no longer has.
+/// The state, in place of entries that the leader's log no longer has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstallSnapshot {
     /// The leader's term.
@@ -69,17 +71,17 @@
     pub round: u64,
 }
 
-/// What one replica sends to another.
+/// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A vote is wanted.
+    /// Asks for a vote.
     Vote(Vote),
-    /// A vote is given or not.
+    /// Answers a request for a vote.
     VoteReply(VoteReply),
-    /// Entries.
+    /// Sends entries or a heartbeat.
     Append(Append),
-    /// How far they got.
+    /// Acknowledges or refuses entries.
     AppendReply(AppendReply),
-    /// A snapshot.
+    /// Sends a snapshot.
     InstallSnapshot(InstallSnapshot),
 }
--- a/crates/leased/cloverfold_consensus/src/replica/election.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/election.rs
@@ -1,46 +1,64 @@
-//! How a leader is found.
+//! Decision: who becomes leader.
+//!
+//! Rule: a replica whose election timer has run out first asks in a pre-vote whether it would win, and begins a term only if a majority
+//! of the voters says yes; it leads once a majority has voted for it in that term. A voter grants a vote once a term, and only to a
+//! replica whose log ends at least as late as its own (by term, then by index). In a pre-vote it promises nothing, and refuses while
+//! it has heard a leader within `election_min`.
+//!
+//! Inputs: the votes of the current term, the ends of both logs, the time since a leader was heard (ms).
+//!
+//! Reason: a majority and one vote a term give at most one leader a term; the comparison of logs keeps committed entries. The pre-vote
+//! keeps a replica that was cut off from ending the term of a leader that is alive.
 
-use crate::log_entries::Payload;
+use cloverfold_base::Timestamp;
+
+use super::{Replica, Role};
 use crate::members::ReplicaId;
 use crate::messages::{Message, Vote, VoteReply};
-use crate::replica::{Moment, Replica, Role};
 
 impl Replica {
-    /// Asks whether an election would be won, without disturbing a group that has a leader.
-    pub(super) fn begin_pre_vote(&mut self, now: Moment) {
+    /// Begins a pre-vote if the election timer has run out and this replica may vote.
+    pub(super) fn start_due_election(&mut self, now: Timestamp) {
+        // A disk that is busy could not keep up with a leader's duties, and a vote that is being written must not be overtaken.
+        if self.election_timer.is_due(now) && self.is_voter() && self.sync_progress.is_idle() {
+            self.begin_pre_vote(now);
+        }
+    }
+
+    fn begin_pre_vote(&mut self, now: Timestamp) {
         self.role = Role::PreCandidate;
         self.leader = None;
         self.votes = vec![self.id];
-        self.defer_election(now);
+        self.election_timer.restart(now);
         self.request_votes(true);
         self.count_votes(now);
     }
 
-    fn begin_election(&mut self, now: Moment) {
+    fn begin_election(&mut self, now: Timestamp) {
         self.role = Role::Candidate;
         self.term += 1;
         self.voted_for = Some(self.id);
         self.write_hard_state();
         self.votes = vec![self.id];
-        self.defer_election(now);
+        self.election_timer.restart(now);
         self.request_votes(false);
         self.count_votes(now);
     }
 
-    /// Requests leave after the own vote is synced, so that replies imply it.
+    /// Requests are sent after this replica's own vote is synced, so that the replies imply it.
     fn request_votes(&mut self, is_pre_vote: bool) {
+        let term = if is_pre_vote {
+            self.term + 1
+        } else {
+            self.term
+        };
         let vote = Vote {
-            term: if is_pre_vote {
-                self.term + 1
-            } else {
-                self.term
-            },
+            term,
             is_pre_vote,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
-        let others: Vec<ReplicaId> = self.other_voters();
-        for to in others {
+        for to in self.other_voters() {
             self.send(to, Message::Vote(vote.clone()), !is_pre_vote);
         }
     }
@@ -53,30 +71,38 @@
             .collect()
     }
 
-    pub(super) fn receive_vote_request(&mut self, from: ReplicaId, vote: &Vote, now: Moment) {
-        let is_current =
-            (vote.last_term, vote.last_index) >= (self.log.last_term(), self.log.last_index());
+    pub(super) fn receive_vote(&mut self, from: ReplicaId, vote: &Vote, now: Timestamp) {
         if vote.is_pre_vote {
-            let has_leader = self.has_recent_leader(now);
-            let is_granted = vote.term > self.term && is_current && !has_leader;
-            let reply = VoteReply {
-                term: if is_granted { vote.term } else { self.term },
-                is_pre_vote: true,
-                is_granted,
-            };
-            self.send(from, Message::VoteReply(reply), false);
-            return;
+            self.answer_pre_vote(from, vote, now);
+        } else {
+            self.answer_vote(from, vote, now);
         }
+    }
+
+    fn answer_pre_vote(&mut self, from: ReplicaId, vote: &Vote, now: Timestamp) {
+        let is_granted =
+            vote.term > self.term && self.is_log_current(vote) && !self.has_recent_leader(now);
+        let reply = VoteReply {
+            term: if is_granted { vote.term } else { self.term },
+            is_pre_vote: true,
+            is_granted,
+        };
+        self.send(from, Message::VoteReply(reply), false);
+    }
+
+    fn answer_vote(&mut self, from: ReplicaId, vote: &Vote, now: Timestamp) {
         if vote.term > self.term {
-            self.follow(vote.term, None, now);
+            self.become_follower(vote.term, None, now);
         }
-        let may_vote = self.voted_for.is_none_or(|held| held == from);
-        let is_granted =
-            vote.term == self.term && is_current && may_vote && self.role == Role::Follower;
+        let may_vote = self.voted_for.is_none_or(|candidate| candidate == from);
+        let is_granted = vote.term == self.term
+            && self.is_log_current(vote)
+            && may_vote
+            && self.role == Role::Follower;
         if is_granted {
             self.voted_for = Some(from);
             self.write_hard_state();
-            self.defer_election(now);
+            self.election_timer.restart(now);
         }
         let reply = VoteReply {
             term: self.term,
@@ -86,55 +112,49 @@
         self.send(from, Message::VoteReply(reply), true);
     }
 
-    fn has_recent_leader(&self, now: Moment) -> bool {
-        let is_leading = self.role == Role::Leader;
-        is_leading
-            || self
-                .heard_leader_at
-                .is_some_and(|at| now < at + self.config.election_min)
+    /// Returns whether the candidate's log ends at least as late as this replica's.
+    fn is_log_current(&self, vote: &Vote) -> bool {
+        (vote.last_term, vote.last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
-    pub(super) fn receive_vote_reply(&mut self, from: ReplicaId, reply: &VoteReply, now: Moment) {
+    fn has_recent_leader(&self, now: Timestamp) -> bool {
+        let heard_at = self.following.heard_leader_at;
+        self.role == Role::Leader || heard_at.is_some_and(|at| now < at + self.config.election_min)
+    }
+
+    pub(super) fn receive_vote_reply(
+        &mut self,
+        from: ReplicaId,
+        reply: &VoteReply,
+        now: Timestamp,
+    ) {
         if !reply.is_granted {
             if reply.term > self.term {
-                self.follow(reply.term, None, now);
+                self.become_follower(reply.term, None, now);
             }
             return;
         }
-        let is_meant = match self.role {
+        let is_awaited = match self.role {
             Role::PreCandidate => reply.is_pre_vote && reply.term == self.term + 1,
             Role::Candidate => !reply.is_pre_vote && reply.term == self.term,
             Role::Follower | Role::Leader => false,
         };
-        if is_meant && !self.votes.contains(&from) {
+        if is_awaited && !self.votes.contains(&from) {
             self.votes.push(from);
             self.count_votes(now);
         }
     }
 
-    fn count_votes(&mut self, now: Moment) {
+    fn count_votes(&mut self, now: Timestamp) {
         let members = self.members();
-        let votes = self
-            .votes
-            .iter()
-            .filter(|&&id| members.contains(id))
-            .count();
-        if votes < members.majority() {
+        let votes = self.votes.iter().filter(|&&id| members.contains(id));
+        if votes.count() < members.majority() {
             return;
         }
         match self.role {
             Role::PreCandidate => self.begin_election(now),
-            Role::Candidate => self.lead(now),
+            Role::Candidate => self.become_leader(now),
             Role::Follower | Role::Leader => {}
         }
     }
-
-    fn lead(&mut self, now: Moment) {
-        self.role = Role::Leader;
-        self.leader = Some(self.id);
-        self.led_since = now;
-        self.progress.clear();
-        self.track_progress();
-        self.append_entry(Payload::Empty, now);
-    }
 }
--- a/crates/leased/cloverfold_consensus/src/replica/reads.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/reads.rs
@@ -1,79 +1,75 @@
-//! Reads that prove that they are the newest.
+//! Decision: when a leader may answer a read.
+//!
+//! Rule: a read notes the committed index and begins a new round of messages; it succeeds once a majority of the voters has answered
+//! that round or a later one. It fails if this replica does not lead, stops leading, or has not committed in its term yet.
+//!
+//! Inputs: for each voter the last round that it answered.
+//!
+//! Reason: only an answer to a message sent after the read began proves that no later leader had committed anything before.
 
-use std::time::Duration;
+use cloverfold_base::Timestamp;
 
+use super::ready::{ReadOutcome, ReadToken};
+use super::{Replica, Role};
 use crate::log_entries::LogIndex;
-use crate::replica::{Moment, Replica, Role};
 
 /// A read that waits for the proof that this replica still leads.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PendingRead {
-    token: u64,
+pub(super) struct PendingRead {
+    token: ReadToken,
+    /// What was committed when the read began.
     index: LogIndex,
+    /// The round that a majority must answer.
     round: u64,
 }
 
 impl Replica {
-    /// Begins a read; its outcome comes with a later [`crate::Ready`] under the same token.
-    pub fn begin_read(&mut self, token: u64, now: Moment) {
+    /// Begins a read; its outcome comes in a later [`Ready`](crate::Ready) under the same token.
+    pub fn begin_read(&mut self, token: ReadToken, now: Timestamp) {
         if self.role != Role::Leader || !self.has_committed_in_term() {
-            self.ready.reads.push((token, None));
+            let index = None;
+            self.ready.reads.push(ReadOutcome { token, index });
             return;
         }
         self.broadcast(now);
-        self.reads.push(PendingRead {
+        self.leading.reads.push(PendingRead {
             token,
             index: self.commit,
-            round: self.round,
+            round: self.leading.round,
         });
         self.confirm_reads();
     }
 
+    /// Ends the reads whose round a majority has answered.
     pub(super) fn confirm_reads(&mut self) {
-        let members = self.members();
-        let majority = members.majority();
-        let is_proved = |read: &PendingRead| {
-            let acked = members.voters.iter().filter(|member| {
-                member.id == self.id
-                    || self
-                        .progress
-                        .get(&member.id)
-                        .is_some_and(|p| p.acked_round >= read.round)
-            });
-            acked.count() >= majority
-        };
-        let (proved, open): (Vec<_>, Vec<_>) = self.reads.iter().copied().partition(is_proved);
-        self.reads = open;
-        let answers = proved
+        let pending = std::mem::take(&mut self.leading.reads);
+        let (proved, pending): (Vec<_>, Vec<_>) = pending
             .into_iter()
-            .map(|read| (read.token, Some(read.index)));
-        self.ready.reads.extend(answers);
-    }
-
-    pub(super) fn fail_reads(&mut self) {
-        let failed = std::mem::take(&mut self.reads).into_iter();
-        self.ready
-            .reads
-            .extend(failed.map(|read| (read.token, None)));
+            .partition(|read| self.has_majority_answered(read.round));
+        self.leading.reads = pending;
+        let outcomes = proved.into_iter().map(|read| ReadOutcome {
+            token: read.token,
+            index: Some(read.index),
+        });
+        self.ready.reads.extend(outcomes);
     }
 
-    /// Counts the voters, this one included, that were heard of within `span`.
-    pub(super) fn count_recently_heard(&self, span: Duration, now: Moment) -> usize {
-        let is_heard = |id| {
-            id == self.id
-                || self
-                    .progress
-                    .get(&id)
-                    .and_then(|progress| progress.heard_at)
-                    .is_some_and(|at| now < at + span)
-        };
-        let voters = self.members().voters.iter();
-        voters.filter(|member| is_heard(member.id)).count()
+    fn has_majority_answered(&self, round: u64) -> bool {
+        let members = self.members();
+        let answered = members.voters.iter().filter(|member| {
+            let progress = self.leading.progress.get(&member.id);
+            member.id == self.id || progress.is_some_and(|progress| progress.acked_round >= round)
+        });
+        answered.count() >= members.majority()
     }
 
-    pub(super) fn has_lost_quorum(&self, now: Moment) -> bool {
-        let span = self.config.election_max * 2;
-        now > self.led_since + span
-            && self.count_recently_heard(span, now) < self.members().majority()
+    /// Fails all pending reads, since this replica no longer leads.
+    pub(super) fn fail_reads(&mut self) {
+        let failed = std::mem::take(&mut self.leading.reads).into_iter();
+        let outcomes = failed.map(|read| ReadOutcome {
+            token: read.token,
+            index: None,
+        });
+        self.ready.reads.extend(outcomes);
     }
 }
--- a/crates/leased/cloverfold_consensus/src/replica/replacement.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/replacement.rs
@@ -1,116 +1,125 @@
-//! How voters are taken in and out, one at a time, without an operator.
+//! Decision: which replicas vote, without an operator.
+//!
+//! Rules, one change at a time and the next only once the last is committed:
+//!
+//! 1. a voter whose address another replica uses now is removed: its disk is gone for good;
+//! 2. a learner that has caught up becomes a voter while there are fewer voters than there should be;
+//! 3. a voter that was silent for `replace_after` is removed if a learner that has caught up can take its place.
+//!
+//! A voter is removed only if a majority of the rest was heard within `election_max`, so that the change can be committed.
+//!
+//! Inputs: the newest members, the learners and their addresses, when each replica was last heard and how far its log reaches.
+//!
+//! Reason: a group that waits for an operator after the loss of a box bears no second loss. With one change at a time any majority of
+//! the old voters and any majority of the new ones have a voter in common. Learners don't vote, so that a replica whose log is
+//! still short doesn't count for a majority (docs/design/7-control.md).
 
-use crate::log_entries::Payload;
+use cloverfold_base::Timestamp;
+
+use super::{Replica, Role};
+use crate::log_entries::{LogIndex, Payload};
 use crate::members::{Member, Members, ReplicaId};
-use crate::replica::{Moment, Replica, Role};
 
-/// How far a learner may be behind when it becomes a voter.
-const CAUGHT_UP: u64 = 2;
+/// Entries that a learner may lack when it becomes a voter. Chosen, not measured: what is under way between two heartbeats.
+const MAX_LEARNER_LAG: LogIndex = 2;
 
 impl Replica {
-    /// Says that a replica that is no voter wants the log.
+    /// Adds a replica that receives the log without a vote. An earlier learner at the same address is forgotten.
     pub fn add_learner(&mut self, member: Member) {
         if member.id == self.id {
             return;
         }
         self.learners
-            .retain(|_, held| held.address != member.address);
+            .retain(|_, known| known.address != member.address);
         self.learners.insert(member.id, member);
-        if self.role == Role::Leader {
-            self.track_progress();
-        }
+        self.update_progress_if_leading();
     }
 
-    /// Forgets a learner whose link is gone.
+    /// Forgets a learner whose link is closed.
     pub fn remove_learner(&mut self, id: ReplicaId) {
         self.learners.remove(&id);
+        self.update_progress_if_leading();
+    }
+
+    fn update_progress_if_leading(&mut self) {
         if self.role == Role::Leader {
             self.track_progress();
         }
     }
 
     /// Changes the voters if that is due and the last change is committed.
-    pub(super) fn manage_members(&mut self, now: Moment) {
+    pub(super) fn manage_members(&mut self, now: Timestamp) {
         let (index, members) = self.log.newest_members();
         if index > self.commit || !self.has_committed_in_term() {
             return;
         }
-        let members = members.clone();
-        if let Some(next) = self.choose_next_members(&members, now) {
+        if let Some(next) = self.choose_next_members(members, now) {
             self.append_entry(Payload::Members(next), now);
         }
     }
 
-    fn choose_next_members(&self, members: &Members, now: Moment) -> Option<Members> {
-        if let Some(gone) = self.find_reidentified_voter(members) {
+    fn choose_next_members(&self, members: &Members, now: Timestamp) -> Option<Members> {
+        if let Some(gone) = self.find_voter_without_disk(members) {
             return self.remove_if_rest_can_commit(members, gone, now);
         }
-        let ready = self.find_caught_up_learner(members, now)?;
+        let learner = self.find_caught_up_learner(members, now)?;
         if members.voters.len() < self.config.voters {
-            return Some(members.with(ready));
+            return Some(members.with(learner.clone()));
         }
         let silent = self.find_silent_voter(members, now)?;
         self.remove_if_rest_can_commit(members, silent, now)
     }
 
-    /// Finds a voter whose address another identity uses now: its disk is gone for good.
-    fn find_reidentified_voter(&self, members: &Members) -> Option<ReplicaId> {
+    /// Finds a voter whose address another identity uses now.
+    fn find_voter_without_disk(&self, members: &Members) -> Option<ReplicaId> {
         let mut learners = self.learners.values();
-        let voter = learners.find_map(|learner| {
+        learners.find_map(|learner| {
             let voter = members.find_by_address(learner.address)?;
-            (voter.id != learner.id && voter.id != self.id).then_some(voter)
-        });
-        voter.map(|voter| voter.id)
+            (voter.id != learner.id && voter.id != self.id).then_some(voter.id)
+        })
     }
 
-    fn find_caught_up_learner(&self, members: &Members, now: Moment) -> Option<Member> {
-        let span = self.config.election_max;
+    fn find_caught_up_learner(&self, members: &Members, now: Timestamp) -> Option<&Member> {
         let mut learners = self.learners.values();
-        let ready = learners.find(|learner| {
-            let progress = self.progress.get(&learner.id);
+        learners.find(|learner| {
             !members.contains(learner.id)
-                && progress.is_some_and(|progress| {
-                    let is_heard = progress.heard_at.is_some_and(|at| now < at + span);
-                    is_heard
-                        && progress.matching + CAUGHT_UP >= self.commit
-                        && progress.matching > 0
-                })
-        });
-        ready.cloned()
+                && self.is_heard_within(learner.id, self.config.election_max, now)
+                && self.is_caught_up(learner.id)
+        })
+    }
+
+    fn is_caught_up(&self, id: ReplicaId) -> bool {
+        let progress = self.leading.progress.get(&id);
+        progress.is_some_and(|progress| {
+            progress.matching > 0 && progress.matching + MAX_LEARNER_LAG >= self.commit
+        })
     }
 
-    fn find_silent_voter(&self, members: &Members, now: Moment) -> Option<ReplicaId> {
+    /// Finds a voter that this leader has not heard for `replace_after`; none before it has led for that long.
+    fn find_silent_voter(&self, members: &Members, now: Timestamp) -> Option<ReplicaId> {
         let limit = self.config.replace_after;
-        if now < self.led_since + limit {
+        if now < self.leading.since + limit {
             return None;
         }
         let others = members.voters.iter().filter(|member| member.id != self.id);
         let mut silent = others.filter(|member| {
-            let progress = self.progress.get(&member.id);
+            let progress = self.leading.progress.get(&member.id);
             let heard_at = progress.and_then(|progress| progress.heard_at);
             heard_at.is_none_or(|at| now > at + limit)
         });
         silent.next().map(|member| member.id)
     }
 
-    /// Removes a voter only if the rest can commit that.
     fn remove_if_rest_can_commit(
         &self,
         members: &Members,
         gone: ReplicaId,
-        now: Moment,
+        now: Timestamp,
     ) -> Option<Members> {
-        let next = members.without(gone);
+        let rest = members.without(gone);
         let span = self.config.election_max;
-        let is_heard = |member: &&Member| {
-            member.id == self.id
-                || self
-                    .progress
-                    .get(&member.id)
-                    .and_then(|progress| progress.heard_at)
-                    .is_some_and(|at| now < at + span)
-        };
-        let heard = next.voters.iter().filter(is_heard).count();
-        (heard >= next.majority()).then_some(next)
+        let voters = rest.voters.iter();
+        let heard = voters.filter(|member| self.is_heard_within(member.id, span, now));
+        (heard.count() >= rest.majority()).then_some(rest)
     }
 }
--- a/crates/leased/cloverfold_consensus/tests/group.rs
+++ b/crates/leased/cloverfold_consensus/tests/group.rs
@@ -6,9 +6,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
 use cloverfold_consensus::{
-    Entry, LogIndex, Member, Members, Message, Outgoing, Payload, Record, RecoveredState, Replica,
-    ReplicaConfig, ReplicaId, Role, Snapshot, Term,
+    Entry, LogIndex, Member, Members, Message, Outgoing, Payload, ReadOutcome, Record,
+    RecoveredState, Replica, ReplicaConfig, ReplicaId, Role, Snapshot, Term,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng};
@@ -31,7 +32,7 @@
     boxes: Vec<Box_>,
     network: Vec<(ReplicaId, ReplicaId, Message)>,
     cut: Vec<usize>,
-    now: Duration,
+    now: Timestamp,
     next_id: ReplicaId,
     next_seed: u64,
     /// The entry at each committed place, as the first replica applied it.
@@ -61,7 +62,7 @@
             boxes: Vec::new(),
             network: Vec::new(),
             cut: Vec::new(),
-            now: Duration::ZERO,
+            now: Timestamp::ZERO,
             next_id: 1,
             next_seed: 1,
             committed: BTreeMap::new(),
@@ -234,7 +235,7 @@
         if last > 0 {
             process.maybe_compact(last, || last.to_le_bytes().to_vec());
         }
-        for (token, index) in ready.reads {
+        for ReadOutcome { token, index } in ready.reads {
             let Some(at_least) = self.reads.remove(&token) else {
                 continue;
             };
--- a/crates/leased/cloverfold_consensus/tests/rules.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules.rs
@@ -4,13 +4,14 @@
 
 use std::time::Duration;
 
+use cloverfold_base::Timestamp;
 use cloverfold_consensus::{
     Append, AppendReply, Entry, InstallSnapshot, LogIndex, Member, Members, Message, Outgoing,
-    Payload, Ready, Record, RecoveredState, Replica, ReplicaConfig, ReplicaId, Role, Snapshot,
-    Term, Vote, VoteReply,
+    Payload, ReadOutcome, Ready, Record, RecoveredState, Replica, ReplicaConfig, ReplicaId, Role,
+    Snapshot, Term, Vote, VoteReply,
 };
 
-const NOW: Duration = Duration::from_secs(100);
+const NOW: Timestamp = Timestamp::from_start(Duration::from_secs(100));
 
 fn members() -> Members {
     let member = |id: ReplicaId| Member {
@@ -281,7 +282,13 @@
     assert!(early.reads.is_empty(), "the reply answers an earlier round");
     replica.receive(2, matching(term, last, 1_000), NOW);
 
-    assert_eq!(replica.take_ready().reads, [(77, Some(last))]);
+    assert_eq!(
+        replica.take_ready().reads,
+        [ReadOutcome {
+            token: 77,
+            index: Some(last)
+        }]
+    );
 }
 
 #[test]
@@ -291,7 +298,13 @@
 
     replica.begin_read(77, NOW);
 
-    assert_eq!(replica.take_ready().reads, [(77, None)]);
+    assert_eq!(
+        replica.take_ready().reads,
+        [ReadOutcome {
+            token: 77,
+            index: None
+        }]
+    );
 }
 
 #[test]
@@ -377,7 +390,10 @@
     replica.begin_read(7, NOW);
     assert_eq!(
         replica.take_ready().reads,
-        [(7, None)],
+        [ReadOutcome {
+            token: 7,
+            index: None
+        }],
         "a read still wants proof"
     );
 }
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use cloverfold_base::random_u64;
+use cloverfold_base::{Timestamp, random_u64};
 use cloverfold_consensus::{Record, Replica, ReplicaConfig, Store};
 use cloverfold_http::{
     HttpLimits, Request, Serving, StopPhase, listen_at, serve_at, serve_operations,
@@ -81,7 +81,7 @@
         ..ReplicaConfig::default()
     };
     let has_empty_log = state.entries.is_empty() && state.snapshot.index == 0;
-    let replica = Replica::new(replica_id, config, state, random_u64(), Duration::ZERO);
+    let replica = Replica::new(replica_id, config, state, random_u64(), Timestamp::ZERO);
 
     let own_address = settings.peer.address();
     let seeds = settings.peer.seed_addresses();
--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -1,19 +1,19 @@
 //! What the replica wants carried out, and what the group has decided.
 
-use std::time::Duration;
+use cloverfold_base::Timestamp;
 
 use cloverfold_configuration::{ConfigurationState, Proposal};
-use cloverfold_consensus::{Entry, Member, Members, Payload};
+use cloverfold_consensus::{Entry, Member, Members, Payload, ReadOutcome};
 use cloverfold_peer::{PeerMessage, PeerRole};
 
 use super::{ControlState, SLOW_WRITE};
 use crate::disk::DiskEvent;
 
 impl ControlState {
-    pub(super) fn log_slow_writes(&mut self, now: Duration) {
+    pub(super) fn log_slow_writes(&mut self, now: Timestamp) {
         for (batch, since) in &mut self.writes {
             if now > *since + SLOW_WRITE {
-                log::warn!(batch, waited_ms = (now - *since).as_millis() as u64; "the disk is slow");
+                log::warn!(batch, waited_ms = now.saturating_duration_since(*since).as_millis() as u64; "the disk is slow");
                 *since = now;
             }
         }
@@ -23,8 +23,7 @@
     pub(crate) fn disk_event(&mut self, event: DiskEvent) {
         match event {
             DiskEvent::Synced(batch) => {
-                self.replica
-                    .persisted(batch, self.clock.now().since_start());
+                self.replica.persisted(batch, self.clock.now());
                 self.writes = self.writes.split_off(&(batch + 1));
                 let later = self.held_messages.split_off(&(batch + 1));
                 let due = std::mem::replace(&mut self.held_messages, later);
@@ -82,7 +81,7 @@
     pub(super) fn advance(&mut self) {
         let ready = self.replica.take_ready();
         if let Some(batch) = ready.batch {
-            self.writes.insert(batch, self.clock.now().since_start());
+            self.writes.insert(batch, self.clock.now());
             self.disk.write(batch, ready.records);
         }
         for outgoing in ready.messages {
@@ -105,7 +104,7 @@
         for entry in ready.committed {
             self.apply(entry);
         }
-        for (token, index) in ready.reads {
+        for ReadOutcome { token, index } in ready.reads {
             self.finish_read(token, index);
         }
         if self.state.version() != *self.version.borrow() {
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cloverfold_base::ProcessClock;
+use cloverfold_base::{ProcessClock, Timestamp};
 use cloverfold_configuration::{AuditRecord, ConfigurationState, Version};
 use cloverfold_consensus::{LogIndex, Outgoing, Replica, ReplicaId, Role};
 use cloverfold_link::{LinkId, LinkSender};
@@ -37,7 +37,7 @@
 /// An entry, and since when it is gone.
 struct KnownEntry {
     links: usize,
-    gone_at: Option<Duration>,
+    gone_at: Option<Timestamp>,
 }
 
 /// The founding of a group, while it is not done.
@@ -62,14 +62,14 @@
     founding: Option<Founding>,
     /// Messages that wait for a batch to be synced.
     held_messages: BTreeMap<u64, Vec<Outgoing>>,
-    writes: BTreeMap<u64, Duration>,
+    writes: BTreeMap<u64, Timestamp>,
     proposed: HashMap<Version, LogIndex>,
     next_token: u64,
     own_reads: HashMap<u64, oneshot::Sender<Option<LogIndex>>>,
     peer_reads: HashMap<u64, (LinkId, u64)>,
     applied: watch::Sender<LogIndex>,
     version: watch::Sender<Version>,
-    noticed_at: Duration,
+    noticed_at: Timestamp,
     is_told_fresh: bool,
     believed: (u64, Role, Option<ReplicaId>),
 }
@@ -105,7 +105,7 @@
             peer_reads: HashMap::new(),
             applied: watch::Sender::new(0),
             version: watch::Sender::new(0),
-            noticed_at: Duration::ZERO,
+            noticed_at: Timestamp::ZERO,
             is_told_fresh: false,
             believed,
         }
@@ -151,7 +151,7 @@
 
     pub(crate) fn is_fresh(&self) -> bool {
         self.replica
-            .has_quorum_contact(FRESH_SPAN, self.clock.now().since_start())
+            .has_quorum_contact(FRESH_SPAN, self.clock.now())
     }
 
     pub(crate) fn describe(&self) -> serde_json::Value {
@@ -193,7 +193,7 @@
 
     /// Does what has fallen due.
     pub(crate) fn tick(&mut self) {
-        let now = self.clock.now().since_start();
+        let now = self.clock.now();
         self.replica.tick(now);
         self.try_to_found();
         self.advance();
--- a/crates/leased/cloverfold_control/src/state/orders.rs
+++ b/crates/leased/cloverfold_control/src/state/orders.rs
@@ -29,10 +29,7 @@
             log::error!(version; "a proposal cannot be encoded");
             return;
         };
-        if let Ok(index) = self
-            .replica
-            .propose(command, self.clock.now().since_start())
-        {
+        if let Ok(index) = self.replica.propose(command, self.clock.now()) {
             self.proposed.retain(|_, held| *held > status.commit);
             self.proposed.insert(version, index);
         }
@@ -52,8 +49,7 @@
                 }
             }
             _ => {
-                self.replica
-                    .begin_read(token, self.clock.now().since_start());
+                self.replica.begin_read(token, self.clock.now());
                 self.advance();
             }
         }
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -45,7 +45,7 @@
     }
 
     pub(super) fn receive(&mut self, link: LinkId, message: PeerMessage) {
-        let now = self.clock.now().since_start();
+        let now = self.clock.now();
         match message {
             PeerMessage::Hello(hello) => self.greet(link, hello),
             PeerMessage::Fetch => {
@@ -137,7 +137,7 @@
         let Some(held) = self.links.remove(&link) else {
             return;
         };
-        let now = self.clock.now().since_start();
+        let now = self.clock.now();
         let Some(hello) = held.hello else {
             return;
         };
@@ -225,7 +225,7 @@
     }
 
     pub(super) fn send_notice(&mut self) {
-        self.noticed_at = self.clock.now().since_start();
+        self.noticed_at = self.clock.now();
         self.is_told_fresh = self.is_fresh();
         self.send_to_attached(&self.notice());
     }
