--- a/crates/leased/cloverfold_control/src/error.rs
+++ b/crates/leased/cloverfold_control/src/error.rs
@@ -9,9 +9,6 @@
     /// The data folder cannot be used.
     #[error("data_folder: {0}")]
     Store(#[from] StoreError),
-    /// The replicated state on disk is none.
-    #[error("data_folder: the state in the last snapshot cannot be read: {0}")]
-    State(#[from] postcard::Error),
     /// An address cannot be listened on.
     #[error(transparent)]
     Listen(#[from] ListenError),
--- a/crates/leased/cloverfold_control/src/operators.rs
+++ b/crates/leased/cloverfold_control/src/operators.rs
@@ -1,6 +1,14 @@
 //! What operators ask over HTTP.
-
-use std::sync::{Arc, Mutex, PoisonError};
+//!
+//! Decision: when an operator's configuration is acknowledged. Rule: any control process checks it and refuses it with every fault that it
+//! has; otherwise it submits it to the leader every 250 ms and acknowledges it once a version as high is committed, also if that was
+//! another configuration: a version never decides whether a call is refused. Without that in 2.5 s the answer is 503, and the
+//! configuration may yet come into force. Reason: an acknowledged configuration is never lost, and an operator who calls again with
+//! the same configuration does no harm (docs/design/7-control.md, "Orders").
+//!
+//! Owns no state; relies on [`ControlState`] for everything that is asked.
+
+use std::sync::Arc;
 use std::time::Duration;
 
 use cloverfold_base::unix_now;
@@ -8,48 +16,53 @@
     AuditRecord, ConfigurationFault, ConfigurationFormat, Proposal, StoredConfiguration,
 };
 use cloverfold_http::{Request, Response, json_response, plain_response};
+use cloverfold_leased_process::Shared;
 use http::{HeaderValue, Method, StatusCode};
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
 use crate::state::ControlState;
 
-/// How long an order may take until it is left without a clear answer.
+/// How long a call waits until its configuration is committed. Chosen, not measured (docs/design/7-control.md, "Orders").
 const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How often an order is given to the leader again, whoever that is then.
+/// How often a configuration is submitted again, to whoever leads then. Chosen, not measured (docs/design/7-control.md, "Orders").
 const PROPOSAL_RESEND_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a read may take to be proved.
+/// How long a call waits for the proof that what it reads is the newest. Chosen, not measured (docs/design/7-control.md, "Reads").
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
+/// Pause after a proof that failed. Chosen, not measured: half a heartbeat of the log.
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(40);
+/// Seconds after which a client that was answered 503 should call again. Chosen, not measured.
+const RETRY_AFTER_SECONDS: HeaderValue = HeaderValue::from_static("1");
 
 /// What an operator asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
-    /// Hold the configuration in the body.
+    /// Bring the configuration in the body into force.
     PutConfiguration,
-    /// Show the configuration that holds.
+    /// Show the configuration in force.
     GetConfiguration,
     /// Show the decisions on configurations.
     GetAudit,
-    /// Show how this process stands.
+    /// Show the status of this process.
     GetStatus,
 }
 
 /// How operators' calls are written beside the product's own (`/v1/configuration`, `/v1/audit`, `/v1/status`).
 pub trait OperatorInterface: ConfigurationFormat {
-    /// Tells what a request asks; `None` if nothing that this process knows.
+    /// Returns what a request asks; `None` if the call is unknown.
     fn classify(&self, method: &Method, path: &str) -> Option<OperatorCall>;
 }
 
-/// Answers operators.
+/// Answers operators' calls.
 pub(crate) struct Operators {
-    state: Arc<Mutex<ControlState>>,
+    state: Shared<ControlState>,
     interface: Arc<dyn OperatorInterface>,
     name: String,
 }
 
 impl Operators {
     pub(crate) fn new(
-        state: Arc<Mutex<ControlState>>,
+        state: Shared<ControlState>,
         interface: Arc<dyn OperatorInterface>,
         name: String,
     ) -> Self {
@@ -77,23 +90,23 @@
         let text = &request.body;
         let configuration = match self.interface.decode(text) {
             Ok(configuration) => configuration,
-            Err(fault) => return self.refuse(0, &[fault]),
+            Err(fault) => return refuse(0, &[fault]),
         };
+        let version = configuration.version;
         let faults = configuration.find_faults();
         if !faults.is_empty() {
-            return self.refuse(configuration.version, &faults);
+            return refuse(version, &faults);
         }
         let proposal = Proposal {
             configuration: StoredConfiguration {
-                version: configuration.version,
+                version,
                 text: text.to_vec().into(),
             },
             source: self.name.clone(),
             received_at: unix_now(),
         };
-        let version = configuration.version;
-        let taking = self.wait_until_committed(proposal);
-        let is_taken = timeout(PROPOSAL_TIMEOUT, taking).await.is_ok();
+        let committed = self.wait_until_committed(proposal);
+        let is_taken = timeout(PROPOSAL_TIMEOUT, committed).await.is_ok();
         log::info!(version, is_taken; "an operator's configuration");
         if is_taken {
             json_response(StatusCode::OK, "{}")
@@ -102,23 +115,16 @@
         }
     }
 
-    fn refuse(&self, version: u64, faults: &[ConfigurationFault]) -> Response {
-        let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        log::warn!(version, faults = faults.join("; ").as_str(); "an invalid configuration is refused");
-        let body = json!({ "faults": faults }).to_string();
-        json_response(StatusCode::BAD_REQUEST, body)
-    }
-
-    /// Gives the proposal to the leader until a version as high is committed.
+    /// Submits the proposal to the leader again and again until a version as high is committed.
     async fn wait_until_committed(&self, proposal: Proposal) {
-        let mut committed = self.lock().follow_version();
+        let mut committed = self.state.lock().follow_version();
         loop {
             if *committed.borrow_and_update() >= proposal.configuration.version {
                 return;
             }
-            self.lock().submit_proposal(&proposal);
-            let change = committed.wait_for(|held| *held >= proposal.configuration.version);
-            // The sender lives as long as the state.
+            self.state.lock().submit_proposal(&proposal);
+            let change = committed.wait_for(|current| *current >= proposal.configuration.version);
+            // The sender lives as long as the state, so an outcome in time is a version as high.
             if timeout(PROPOSAL_RESEND_INTERVAL, change).await.is_ok() {
                 return;
             }
@@ -133,35 +139,36 @@
         }
     }
 
-    /// Proves the newest version again and again until that succeeds.
+    /// Returns the text of the configuration in force, once it is proved to be the newest; `None` before the first.
     async fn read_newest(&self) -> Option<Vec<u8>> {
-        const PAUSE: Duration = Duration::from_millis(40);
         loop {
-            let proof = self.lock().begin_read();
+            let proof = self.state.lock().begin_read();
             // A read that is given up counts as failed.
             if let Ok(Some(index)) = proof.await {
-                let mut applied = self.lock().follow_applied();
-                // The sender lives as long as the state.
-                let _ = applied.wait_for(|held| *held >= index).await;
-                return self.lock().current_text();
+                let mut applied = self.state.lock().follow_applied();
+                // This fails only without a sender, and the state owns it.
+                let _ = applied.wait_for(|applied| *applied >= index).await;
+                return self.state.lock().current_text();
             }
-            sleep(PAUSE).await;
+            sleep(READ_RETRY_PAUSE).await;
         }
     }
 
     fn show_audit(&self) -> Response {
-        let records: Vec<serde_json::Value> = self.lock().audit().iter().map(describe).collect();
+        let records: Vec<serde_json::Value> = self
+            .state
+            .lock()
+            .audit()
+            .iter()
+            .map(describe_decision)
+            .collect();
         json_response(StatusCode::OK, json!({ "audit": records }).to_string())
     }
 
     fn show_status(&self) -> Response {
-        let body = self.lock().describe().to_string();
+        let body = self.state.lock().describe().to_string();
         json_response(StatusCode::OK, body)
     }
-
-    fn lock(&self) -> std::sync::MutexGuard<'_, ControlState> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
-    }
 }
 
 /// The product's own calls.
@@ -175,7 +182,7 @@
     }
 }
 
-fn describe(record: &AuditRecord) -> serde_json::Value {
+fn describe_decision(record: &AuditRecord) -> serde_json::Value {
     let digest: String = record
         .digest
         .iter()
@@ -193,11 +200,17 @@
     })
 }
 
+fn refuse(version: u64, faults: &[ConfigurationFault]) -> Response {
+    let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    log::warn!(version, faults = faults.join("; ").as_str(); "an invalid configuration is refused");
+    let body = json!({ "faults": faults }).to_string();
+    json_response(StatusCode::BAD_REQUEST, body)
+}
+
 fn try_elsewhere(text: &str) -> Response {
     let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, text);
-    let soon = HeaderValue::from_static("1");
     response
         .headers_mut()
-        .insert(http::header::RETRY_AFTER, soon);
+        .insert(http::header::RETRY_AFTER, RETRY_AFTER_SECONDS);
     response
 }
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -1,58 +1,63 @@
 //! The control process, put together.
+//!
+//! [`start_control`] opens the store, creates the state, binds the addresses and starts the tasks; [`ControlProcess`] owns them. Relies
+//! on `cloverfold_leased_process` for what all leased processes share.
 
-use std::sync::{Arc, Mutex, PoisonError};
+use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::Duration;
 
 use cloverfold_base::{Timestamp, random_u64};
-use cloverfold_consensus::{Record, Replica, ReplicaConfig, Store};
-use cloverfold_http::{
-    HttpLimits, Request, Serving, StopPhase, listen_at, serve_at, serve_operations,
+use cloverfold_consensus::{Record, Replica, ReplicaConfig, ReplicaId, Store};
+use cloverfold_http::{HttpLimits, ListenError, Request, Serving, StopPhase, serve_at};
+use cloverfold_leased_process::{
+    ListeningPeerPort, PeerPort, Shared, serve_state_operations, start_ticks,
 };
 use cloverfold_leased_settings::ControlSettings;
-use cloverfold_link::accept_links;
-use cloverfold_peer::{DialedPeers, Hello, PeerRole};
+use cloverfold_peer::{Hello, PeerRole};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
-use tokio::time::{MissedTickBehavior, interval};
+use tokio::time::timeout;
 
-use crate::disk::Disk;
+use crate::disk::{Disk, DiskEvent};
 use crate::error::ControlError;
 use crate::metrics::ControlMetrics;
 use crate::operators::{OperatorInterface, Operators};
-use crate::state::{ControlState, Founding};
+use crate::state::{Bootstrap, ControlState, format_id};
 
+/// How often the process looks what has fallen due. Chosen, not measured: three times in a heartbeat of the log.
 const TICK: Duration = Duration::from_millis(25);
-const LINK_EVENTS: usize = 1_024;
-/// Longest configuration, in bytes.
-const MAX_CONFIGURATION: usize = 16 * 1024 * 1024;
+/// Longest configuration that is accepted, in bytes. Chosen, not measured.
+const MAX_CONFIGURATION_BYTES: usize = 16 * 1024 * 1024;
+/// How long a stopping process waits for operators' calls to end. Chosen, not measured.
+const STOP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A control process that runs.
 pub struct ControlProcess {
-    state: Arc<Mutex<ControlState>>,
+    state: Shared<ControlState>,
     operators: Serving,
-    _metrics: Option<Serving>,
+    _operations: Option<Serving>,
     /// Aborted on drop.
     _tasks: JoinSet<()>,
 }
 
 impl ControlProcess {
     /// Returns the address at which operators are served.
-    pub fn operator_address(&self) -> std::net::SocketAddr {
+    pub fn operator_address(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Takes what may change under way: the seeds. The rest holds for the life of the process.
+    /// Applies the settings that may change while the process runs: the seeds. All others hold until it ends.
     pub fn reload(&self, settings: &ControlSettings) {
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.dial_seeds(&settings.peer.seed_addresses());
+        let seeds = settings.peer.seed_addresses();
+        self.state.lock().dial_seeds(&seeds);
     }
 
-    /// Answers what is under way and stops.
+    /// Answers the calls under way and stops.
     pub async fn stop(self) {
-        const PATIENCE: Duration = Duration::from_millis(1_000);
         self.operators.advance(StopPhase::Closing);
-        // A client that never ends its request is left.
-        let _ = tokio::time::timeout(PATIENCE, self.operators.wait_closed()).await;
+        // A client that never ends its request is cut off.
+        let _ = timeout(STOP_TIMEOUT, self.operators.wait_closed()).await;
         log::info!("stopped");
     }
 }
@@ -61,111 +66,135 @@
 ///
 /// # Errors
 ///
-/// Says which file or address cannot be used.
+/// Returns which file or address cannot be used.
 pub fn start_control(
     settings: &ControlSettings,
     interface: Arc<dyn OperatorInterface>,
 ) -> Result<ControlProcess, ControlError> {
-    let (mut store, state) = Store::open(&settings.data_folder)?;
-    let (replica_id, may_found) = match state.identity {
+    let port = PeerPort::new(settings.peer.address());
+    let (disk_tx, disk_rx) = mpsc::unbounded_channel();
+    let state = create_state(settings, &port, disk_tx)?;
+    let state = Shared::new(state);
+    let port = port.listen()?;
+    let operators = start_operators(settings, &state, interface)?;
+    let operations = start_operations(settings, &state)?;
+    let seeds = settings.peer.seed_addresses();
+    let tasks = start_tasks(&state, port, disk_rx, seeds);
+    Ok(ControlProcess {
+        state,
+        operators,
+        _operations: operations,
+        _tasks: tasks,
+    })
+}
+
+/// Opens the store and creates the state that goes on from it.
+fn create_state(
+    settings: &ControlSettings,
+    port: &PeerPort,
+    disk_events: mpsc::UnboundedSender<DiskEvent>,
+) -> Result<ControlState, ControlError> {
+    let (mut store, recovered) = Store::open(&settings.data_folder)?;
+    let identity = match recovered.identity {
         Some(identity) => identity,
-        None => {
-            let id = random_u64() | 1;
-            let may_found = settings.may_found;
-            store.append(&[Record::Identity { id, may_found }])?;
-            (id, may_found)
-        }
+        None => create_identity(&mut store, settings.may_found)?,
     };
+    let (replica_id, may_found) = identity;
+    let has_empty_log = recovered.entries.is_empty() && recovered.snapshot.index == 0;
+    let own = introduce(settings, replica_id, has_empty_log);
+    let seeds = settings.peer.seed_addresses();
+    let bootstrap = Bootstrap::plan(may_found, has_empty_log, own.address, &seeds);
+    log::info!(
+        name = own.name.as_str(), replica = format_id(replica_id).as_str(),
+        is_blank = has_empty_log, may_found, is_founder = bootstrap.is_some();
+        "a control process starts"
+    );
     let config = ReplicaConfig {
         voters: 2 * settings.tolerated_losses + 1,
         ..ReplicaConfig::default()
     };
-    let has_empty_log = state.entries.is_empty() && state.snapshot.index == 0;
-    let replica = Replica::new(replica_id, config, state, random_u64(), Timestamp::ZERO);
+    let replica = Replica::new(replica_id, config, recovered, random_u64(), Timestamp::ZERO);
+    let disk = Disk::start(store, disk_events).map_err(ControlError::Thread)?;
+    Ok(ControlState::new(
+        own,
+        replica,
+        disk,
+        port.dial_peers(),
+        bootstrap,
+    ))
+}
 
-    let own_address = settings.peer.address();
-    let seeds = settings.peer.seed_addresses();
-    let is_founder = may_found && has_empty_log && seeds.first() == Some(&own_address);
-    let founding = is_founder.then(|| Founding {
-        seeds: seeds.clone(),
-    });
-    let own = Hello {
+/// Draws the identity of a new disk. It and the right to begin a group are synced before anything else, so that a process that dies
+/// while it begins a group goes on with that.
+fn create_identity(store: &mut Store, may_found: bool) -> Result<(ReplicaId, bool), ControlError> {
+    let id = random_u64() | 1;
+    store.append(&[Record::Identity { id, may_found }])?;
+    Ok((id, may_found))
+}
+
+fn introduce(settings: &ControlSettings, replica: ReplicaId, has_empty_log: bool) -> Hello {
+    Hello {
         name: settings.peer.name.clone(),
         role: PeerRole::Control {
-            replica: replica_id,
+            replica,
             has_empty_log,
         },
-        address: own_address,
+        address: settings.peer.address(),
         version: 0,
-    };
-    let (link_tx, mut link_rx) = mpsc::channel(LINK_EVENTS);
-    let (disk_tx, mut disk_rx) = mpsc::unbounded_channel();
-    let disk = Disk::start(store, disk_tx).map_err(ControlError::Thread)?;
-    let dialed = DialedPeers::new(own_address, link_tx.clone());
-    let state = ControlState::new(own, replica_id, replica, disk, dialed, founding);
-    let state = Arc::new(Mutex::new(state));
-    log::info!(
-        name = settings.peer.name.as_str(), replica = format!("{replica_id:016x}").as_str(),
-        is_blank = has_empty_log, may_found, is_founder;
-        "a control process starts"
-    );
-
-    let listener = listen_at("peer.port", own_address)?;
-    let operators = start_operators(settings, &state, interface)?;
-    let metrics = ControlMetrics::new();
-    let metrics = serve_operations(
-        settings.peer.metrics_address(),
-        {
-            let state = state.clone();
-            move || metrics.write(&state)
-        },
-        {
-            let state = state.clone();
-            move || {
-                let state = state.lock().unwrap_or_else(PoisonError::into_inner);
-                (!state.is_fresh()).then_some("out of touch with the majority")
-            }
-        },
-    )?;
-    let mut tasks = JoinSet::new();
-    tasks.spawn(accept_links(listener, link_tx));
-    let shared = state.clone();
-    tasks.spawn(async move {
-        let lock = || state.lock().unwrap_or_else(PoisonError::into_inner);
-        lock().begin(&seeds);
-        let mut ticks = interval(TICK);
-        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        loop {
-            tokio::select! {
-                Some(event) = link_rx.recv() => lock().link_event(event),
-                Some(event) = disk_rx.recv() => lock().disk_event(event),
-                _ = ticks.tick() => lock().tick(),
-            }
-        }
-    });
-    Ok(ControlProcess {
-        state: shared,
-        operators,
-        _metrics: metrics,
-        _tasks: tasks,
-    })
+    }
 }
 
 fn start_operators(
     settings: &ControlSettings,
-    state: &Arc<Mutex<ControlState>>,
+    state: &Shared<ControlState>,
     interface: Arc<dyn OperatorInterface>,
-) -> Result<Serving, ControlError> {
+) -> Result<Serving, ListenError> {
     let address = settings.operator_address;
     let name = settings.peer.name.clone();
     let operators = Arc::new(Operators::new(state.clone(), interface, name));
     let limits = || HttpLimits {
-        body_bytes: MAX_CONFIGURATION,
+        body_bytes: MAX_CONFIGURATION_BYTES,
         ..HttpLimits::default()
     };
     let answer = move |request: Request| {
         let operators = operators.clone();
         async move { operators.answer(request).await }
     };
-    Ok(serve_at("operator_address", address, limits, answer)?)
+    serve_at("operator_address", address, limits, answer)
+}
+
+fn start_operations(
+    settings: &ControlSettings,
+    state: &Shared<ControlState>,
+) -> Result<Option<Serving>, ListenError> {
+    let metrics = ControlMetrics::new();
+    serve_state_operations(
+        settings.peer.metrics_address(),
+        state,
+        move |state| metrics.write(state),
+        |state| (!state.has_quorum()).then_some("out of touch with the majority"),
+    )
+}
+
+fn start_tasks(
+    state: &Shared<ControlState>,
+    port: ListeningPeerPort,
+    mut disk_rx: mpsc::UnboundedReceiver<DiskEvent>,
+    seeds: Vec<SocketAddr>,
+) -> JoinSet<()> {
+    let mut tasks = JoinSet::new();
+    let mut link_rx = port.accept(&mut tasks);
+    let state = state.clone();
+    tasks.spawn(async move {
+        state.lock().begin(&seeds);
+        let mut ticks = start_ticks(TICK);
+        loop {
+            tokio::select! {
+                Some(event) = link_rx.recv() => state.lock().link_event(event),
+                Some(event) = disk_rx.recv() => state.lock().disk_event(event),
+                _ = ticks.tick() => state.lock().tick(),
+            }
+        }
+    });
+    tasks
 }
--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -1,34 +1,41 @@
-//! What the replica wants carried out, and what the group has decided.
-
-use cloverfold_base::Timestamp;
+//! What the replica wants done, and what the group has decided.
 
 use cloverfold_configuration::{ConfigurationState, Proposal};
-use cloverfold_consensus::{Entry, Member, Members, Payload, ReadOutcome};
-use cloverfold_peer::{PeerMessage, PeerRole};
+use cloverfold_consensus::{
+    Entry, LogIndex, Members, Outgoing, Payload, Ready, ReplicaId, Role, Snapshot, Term,
+};
+use cloverfold_peer::PeerMessage;
 
-use super::{ControlState, SLOW_WRITE};
+use super::ControlState;
+use super::status::format_id;
 use crate::disk::DiskEvent;
 
-impl ControlState {
-    pub(super) fn log_slow_writes(&mut self, now: Timestamp) {
-        for (batch, since) in &mut self.writes {
-            if now > *since + SLOW_WRITE {
-                log::warn!(batch, waited_ms = now.saturating_duration_since(*since).as_millis() as u64; "the disk is slow");
-                *since = now;
-            }
+/// What a replica knows of its group; logged when it changes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct GroupView {
+    term: Term,
+    role: Role,
+    leader: Option<ReplicaId>,
+}
+
+impl Default for GroupView {
+    fn default() -> Self {
+        Self {
+            term: 0,
+            role: Role::Follower,
+            leader: None,
         }
     }
+}
 
-    /// Takes an event of the disk.
+impl ControlState {
+    /// Handles an event of the disk.
     pub(crate) fn disk_event(&mut self, event: DiskEvent) {
         match event {
             DiskEvent::Synced(batch) => {
                 self.replica.persisted(batch, self.clock.now());
-                self.writes = self.writes.split_off(&(batch + 1));
-                let later = self.held_messages.split_off(&(batch + 1));
-                let due = std::mem::replace(&mut self.held_messages, later);
-                for outgoing in due.into_values().flatten() {
-                    self.send_to_replica(outgoing.to, &PeerMessage::Consensus(outgoing.message));
+                for outgoing in self.writes.finish(batch) {
+                    self.send_outgoing(outgoing);
                 }
                 self.advance();
             }
@@ -36,113 +43,55 @@
         }
     }
 
-    /// Founds the group once all founders are in touch and blank; only the first of them does.
-    pub(super) fn try_to_found(&mut self) {
-        let Some(founding) = &self.founding else {
-            return;
-        };
-        if self.replica.status().last_index > 0 {
-            self.founding = None;
-            return;
-        }
-        let mut voters = Vec::new();
-        for seed in &founding.seeds {
-            if *seed == self.own.address {
-                voters.push(Member {
-                    id: self.replica_id,
-                    address: *seed,
-                });
-                continue;
-            }
-            let mut links = self.links.values().filter(|link| link.dialed);
-            let hello = links.find_map(|link| link.hello.as_ref().filter(|h| h.address == *seed));
-            match hello.map(|hello| hello.role) {
-                Some(PeerRole::Control {
-                    replica,
-                    has_empty_log: true,
-                }) => {
-                    voters.push(Member {
-                        id: replica,
-                        address: *seed,
-                    });
-                }
-                _ => return,
-            }
-        }
-        voters.sort_by_key(|member| member.id);
-        log::info!(voters = voters.len(); "the group is founded");
-        self.founding = None;
-        let state = self.state.encode();
-        self.replica.bootstrap(Members { voters }, state);
-        self.advance();
-    }
-
-    /// Carries out what the replica wants.
+    /// Carries out what the replica wants: write, send, apply, answer reads.
     pub(super) fn advance(&mut self) {
-        let ready = self.replica.take_ready();
-        if let Some(batch) = ready.batch {
-            self.writes.insert(batch, self.clock.now());
-            self.disk.write(batch, ready.records);
-        }
-        for outgoing in ready.messages {
-            match ready.batch {
-                Some(batch) if outgoing.after_sync => {
-                    self.held_messages.entry(batch).or_default().push(outgoing);
-                }
-                _ => {
-                    self.send_to_replica(outgoing.to, &PeerMessage::Consensus(outgoing.message));
-                }
-            }
-        }
+        let mut ready = self.replica.take_ready();
+        self.write_and_send(&mut ready);
         if let Some(snapshot) = ready.restored {
-            match ConfigurationState::decode(&snapshot.state) {
-                Ok(state) => self.state = state,
-                Err(cause) => log::error!("a snapshot cannot be read: {cause}"),
-            }
-            self.applied.send_replace(snapshot.index);
+            self.restore(&snapshot);
         }
         for entry in ready.committed {
             self.apply(entry);
         }
-        for ReadOutcome { token, index } in ready.reads {
-            self.finish_read(token, index);
+        for outcome in ready.reads {
+            self.finish_read(outcome.token, outcome.index);
         }
-        if self.state.version() != *self.version.borrow() {
-            self.version.send_replace(self.state.version());
-            self.send_notice();
+        self.announce_new_version();
+        self.log_changed_view();
+    }
+
+    /// Hands the records to the disk, and sends the messages that need not wait for them.
+    fn write_and_send(&mut self, ready: &mut Ready) {
+        let mut messages = std::mem::take(&mut ready.messages);
+        if let Some(batch) = ready.batch {
+            let (waiting, free) = messages.into_iter().partition(|m| m.after_sync);
+            messages = free;
+            self.writes.begin(batch, waiting, self.clock.now());
+            self.disk.write(batch, std::mem::take(&mut ready.records));
+        }
+        for outgoing in messages {
+            self.send_outgoing(outgoing);
         }
-        self.note_beliefs();
     }
 
-    pub(super) fn apply(&mut self, entry: Entry) {
+    fn send_outgoing(&self, outgoing: Outgoing) {
+        // A message that is lost is sent again by the replica.
+        self.send_to_replica(outgoing.to, &PeerMessage::Consensus(outgoing.message));
+    }
+
+    fn restore(&mut self, snapshot: &Snapshot) {
+        match ConfigurationState::decode(&snapshot.state) {
+            Ok(state) => self.state = state,
+            Err(cause) => log::error!("a snapshot cannot be read: {cause}"),
+        }
+        self.applied.send_replace(snapshot.index);
+    }
+
+    fn apply(&mut self, entry: Entry) {
         let index = entry.index;
         match entry.payload {
-            Payload::Command(command) => match postcard::from_bytes::<Proposal>(&command) {
-                Ok(proposal) => {
-                    let version = proposal.configuration.version;
-                    let source = proposal.source.clone();
-                    let before = self.state.version();
-                    let outcome = self.state.apply(proposal);
-                    log::info!(
-                        version, before, index, source = source.as_str(),
-                        outcome = outcome.as_str();
-                        "a configuration is decided on"
-                    );
-                }
-                Err(cause) => log::error!(index; "an entry cannot be read: {cause}"),
-            },
-            Payload::Members(members) => {
-                let voters: Vec<String> = members
-                    .voters
-                    .iter()
-                    .map(|member| member.address.to_string())
-                    .collect();
-                log::info!(index, voters = voters.join(",").as_str(); "the voters have changed");
-                for member in &members.voters {
-                    self.dialed.add(member.address);
-                }
-                self.send_directory();
-            }
+            Payload::Command(command) => self.apply_command(index, &command),
+            Payload::Members(members) => self.apply_members(index, &members),
             Payload::Empty => {}
         }
         let state = &self.state;
@@ -150,21 +99,58 @@
         self.applied.send_replace(index);
     }
 
+    fn apply_command(&mut self, index: LogIndex, command: &[u8]) {
+        let proposal = match postcard::from_bytes::<Proposal>(command) {
+            Ok(proposal) => proposal,
+            Err(cause) => {
+                log::error!(index; "an entry cannot be read: {cause}");
+                return;
+            }
+        };
+        let version = proposal.configuration.version;
+        let source = proposal.source.clone();
+        let before = self.state.version();
+        let outcome = self.state.apply(proposal);
+        log::info!(
+            version, before, index, source = source.as_str(), outcome = outcome.as_str();
+            "a configuration is decided on"
+        );
+    }
+
+    fn apply_members(&mut self, index: LogIndex, members: &Members) {
+        let voters = members.voters.iter();
+        let addresses: Vec<String> = voters.map(|member| member.address.to_string()).collect();
+        log::info!(index, voters = addresses.join(",").as_str(); "the voters have changed");
+        for member in &members.voters {
+            self.dialed.add(member.address);
+        }
+        self.send_directory();
+    }
+
+    /// Tells operators' calls and attached processes of a version that has come into force.
+    fn announce_new_version(&mut self) {
+        let version = self.state.version();
+        if version != *self.version.borrow() {
+            self.version.send_replace(version);
+            self.send_notice();
+        }
+    }
+
     /// Logs a change of term, role or leader.
-    pub(super) fn note_beliefs(&mut self) {
+    fn log_changed_view(&mut self) {
         let status = self.replica.status();
-        let belief = (status.term, status.role, status.leader);
-        if belief == self.believed {
+        let view = GroupView {
+            term: status.term,
+            role: status.role,
+            leader: status.leader,
+        };
+        if view == self.logged_view {
             return;
         }
-        self.believed = belief;
-        let leader = status
-            .leader
-            .map(|id| format!("{id:016x}"))
-            .unwrap_or_default();
+        self.logged_view = view;
+        let leader = status.leader.map(format_id).unwrap_or_default();
         log::info!(
-            term = status.term, role = status.role.as_str(),
-            leader = leader.as_str(), commit = status.commit;
+            term = status.term, role = status.role.as_str(), leader = leader.as_str(), commit = status.commit;
             "the group has changed"
         );
     }
--- /dev/null
+++ b/crates/leased/cloverfold_control/src/state/directory.rs
@@ -0,0 +1,90 @@
+//! What attached processes, entries and guards, are told: where everybody is and which version holds.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use cloverfold_base::Timestamp;
+use cloverfold_link::LinkId;
+use cloverfold_peer::{Directory, PeerMessage, PeerRole};
+
+use super::ControlState;
+
+/// How often every attached process is told which version holds, also when nothing has changed: a notice may be lost. Chosen, not
+/// measured; four of them fit into the 2 s in which a configuration must be in force everywhere (docs/design/7-control.md).
+const NOTICE_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The notice that was sent last.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct LastNotice {
+    sent_at: Timestamp,
+    had_quorum: bool,
+}
+
+impl ControlState {
+    /// Sends notices if they are due or if contact with the majority was lost or found again.
+    pub(super) fn send_due_notice(&mut self, now: Timestamp) {
+        let is_due = now >= self.last_notice.sent_at + NOTICE_INTERVAL;
+        if is_due || self.has_quorum() != self.last_notice.had_quorum {
+            self.send_notice();
+        }
+    }
+
+    /// Tells every attached process which version holds here.
+    pub(super) fn send_notice(&mut self) {
+        self.last_notice = LastNotice {
+            sent_at: self.clock.now(),
+            had_quorum: self.has_quorum(),
+        };
+        self.send_to_attached(&self.notice());
+    }
+
+    /// Tells a process that has just connected everything.
+    pub(super) fn welcome(&self, link: LinkId) {
+        // A link that closed meanwhile is dialed again by the process.
+        self.links.send(link, &self.notice());
+        self.links
+            .send(link, &PeerMessage::Directory(self.directory()));
+    }
+
+    /// Tells every attached process where the others are.
+    pub(super) fn send_directory(&self) {
+        self.send_to_attached(&PeerMessage::Directory(self.directory()));
+    }
+
+    fn send_to_attached(&self, message: &PeerMessage) {
+        let is_attached = |role| matches!(role, PeerRole::Entry | PeerRole::Guard);
+        self.links.send_to_roles(is_attached, message);
+    }
+
+    fn notice(&self) -> PeerMessage {
+        PeerMessage::VersionNotice {
+            version: self.state.version(),
+            has_quorum: self.has_quorum(),
+        }
+    }
+
+    fn directory(&self) -> Directory {
+        Directory {
+            entries: self.entries.addresses().collect(),
+            controls: self.list_controls(),
+        }
+    }
+
+    /// Lists the voters first, then this process, then the other control processes that are connected.
+    fn list_controls(&self) -> Vec<SocketAddr> {
+        let voters = self.replica.members().voters.iter();
+        let voters = voters.map(|member| member.address);
+        let own = std::iter::once(self.own.address);
+        let peers = self.links.peers();
+        let connected = peers
+            .filter(|hello| matches!(hello.role, PeerRole::Control { .. }))
+            .map(|hello| hello.address);
+        let mut controls: Vec<SocketAddr> = Vec::new();
+        for address in voters.chain(own).chain(connected) {
+            if !controls.contains(&address) {
+                controls.push(address);
+            }
+        }
+        controls
+    }
+}
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -1,212 +1,168 @@
 //! The state of a control process.
+//!
+//! [`ControlState`] reacts to links, ticks, the disk and operators. It owns the replica of the log, the configuration and audit trail that
+//! the log yields, the links to all peers, and what waits for the disk or for a proof. It relies on `cloverfold_consensus` for every
+//! decision about the log, on [`Disk`] for writing, and on `cloverfold_peer` for links.
+//!
+//! | file | duty |
+//! |---|---|
+//! | `applying` | what the replica wants done, and what the group has decided |
+//! | `bootstrap` | when the group begins |
+//! | `proposals`, `reads`, `pending_reads` | calls of operators, here and at the leader |
+//! | `peers` | links to the other processes |
+//! | `directory`, `known_entries` | what entries and guards are told |
+//! | `pending_writes` | what waits for the disk |
+//! | `status` | what operators are shown |
 
 mod applying;
-mod orders;
+mod bootstrap;
+mod directory;
+mod known_entries;
 mod peers;
+mod pending_reads;
+mod pending_writes;
+mod proposals;
+mod reads;
+mod status;
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
-use std::time::Duration;
 
-use cloverfold_base::{ProcessClock, Timestamp};
+use cloverfold_base::ProcessClock;
 use cloverfold_configuration::{AuditRecord, ConfigurationState, Version};
-use cloverfold_consensus::{LogIndex, Outgoing, Replica, ReplicaId, Role};
-use cloverfold_link::{LinkId, LinkSender};
-use cloverfold_peer::{DialedPeers, Hello, PeerMessage, PeerRole};
-use serde_json::json;
-use tokio::sync::{oneshot, watch};
-
+use cloverfold_consensus::{LogIndex, Replica, ReplicaId};
+use cloverfold_link::LinkId;
+use cloverfold_peer::{DialedPeers, Hello, PeerLinks};
+use tokio::sync::watch;
+
+use self::applying::GroupView;
+use self::directory::LastNotice;
+use self::known_entries::KnownEntries;
+use self::pending_reads::PendingReads;
+use self::pending_writes::PendingWrites;
+use self::proposals::AppendedVersions;
 use crate::disk::Disk;
 
-/// How often every process is told which version holds.
-const NOTICE_INTERVAL: Duration = Duration::from_millis(500);
-/// Without a sign of its group for this long, this process may not know the newest version.
-const FRESH_SPAN: Duration = Duration::from_millis(800);
-/// How long an entry that is gone is still named to guards.
-const ENTRY_MEMORY: Duration = Duration::from_secs(20);
-/// Writes that are slower than this are logged.
-const SLOW_WRITE: Duration = Duration::from_millis(250);
-
-/// A link and who is at its other end.
-struct Link {
-    sender: LinkSender<PeerMessage>,
-    dialed: bool,
-    hello: Option<Hello>,
-}
-
-/// An entry, and since when it is gone.
-struct KnownEntry {
-    links: usize,
-    gone_at: Option<Timestamp>,
-}
-
-/// The founding of a group, while it is not done.
-pub(crate) struct Founding {
-    /// All founders, this process included.
-    pub(crate) seeds: Vec<SocketAddr>,
-}
+pub(crate) use self::bootstrap::Bootstrap;
+pub(crate) use self::status::format_id;
 
-/// What a control process believes.
+/// The state of a control process.
 pub(crate) struct ControlState {
     clock: ProcessClock,
+    /// How this process introduces itself.
     own: Hello,
     replica_id: ReplicaId,
     replica: Replica,
+    /// The configuration and the audit trail, after all applied entries.
     state: ConfigurationState,
     disk: Disk,
+    writes: PendingWrites,
     dialed: DialedPeers,
-    links: HashMap<LinkId, Link>,
+    links: PeerLinks,
+    /// The dialed link to each other replica; messages of the log go over these only.
     replica_links: HashMap<ReplicaId, LinkId>,
-    entries: BTreeMap<SocketAddr, KnownEntry>,
-    controls: BTreeSet<SocketAddr>,
-    founding: Option<Founding>,
-    /// Messages that wait for a batch to be synced.
-    held_messages: BTreeMap<u64, Vec<Outgoing>>,
-    writes: BTreeMap<u64, Timestamp>,
-    proposed: HashMap<Version, LogIndex>,
-    next_token: u64,
-    own_reads: HashMap<u64, oneshot::Sender<Option<LogIndex>>>,
-    peer_reads: HashMap<u64, (LinkId, u64)>,
+    /// Addresses of control processes: the seeds and whoever has connected.
+    known_controls: BTreeSet<SocketAddr>,
+    entries: KnownEntries,
+    /// `None` once the group exists or if another process begins it.
+    bootstrap: Option<Bootstrap>,
+    appended: AppendedVersions,
+    reads: PendingReads,
+    /// Index of the last applied entry.
     applied: watch::Sender<LogIndex>,
+    /// The version in force.
     version: watch::Sender<Version>,
-    noticed_at: Timestamp,
-    is_told_fresh: bool,
-    believed: (u64, Role, Option<ReplicaId>),
+    last_notice: LastNotice,
+    /// What was last logged about the group.
+    logged_view: GroupView,
 }
 
 impl ControlState {
+    /// Creates a state; nothing is dialed or applied before [`ControlState::begin`].
     pub(crate) fn new(
         own: Hello,
-        replica_id: ReplicaId,
         replica: Replica,
         disk: Disk,
         dialed: DialedPeers,
-        founding: Option<Founding>,
+        bootstrap: Option<Bootstrap>,
     ) -> Self {
-        let believed = (0, Role::Follower, None);
         Self {
             clock: ProcessClock::default(),
             own,
-            replica_id,
+            replica_id: replica.status().id,
             replica,
             state: ConfigurationState::default(),
             disk,
+            writes: PendingWrites::default(),
             dialed,
-            links: HashMap::new(),
+            links: PeerLinks::default(),
             replica_links: HashMap::new(),
-            entries: BTreeMap::new(),
-            controls: BTreeSet::new(),
-            founding,
-            held_messages: BTreeMap::new(),
-            writes: BTreeMap::new(),
-            proposed: HashMap::new(),
-            next_token: 1,
-            own_reads: HashMap::new(),
-            peer_reads: HashMap::new(),
+            known_controls: BTreeSet::new(),
+            entries: KnownEntries::default(),
+            bootstrap,
+            appended: AppendedVersions::default(),
+            reads: PendingReads::default(),
             applied: watch::Sender::new(0),
             version: watch::Sender::new(0),
-            noticed_at: Timestamp::ZERO,
-            is_told_fresh: false,
-            believed,
+            last_notice: LastNotice::default(),
+            logged_view: GroupView::default(),
         }
     }
 
-    /// Dials the seeds and takes up the state on disk.
+    /// Dials the seeds and applies what is known from disk to be committed.
     pub(crate) fn begin(&mut self, seeds: &[SocketAddr]) {
         self.dial_seeds(seeds);
         self.advance();
     }
 
-    /// Dials further seeds; those of earlier settings are kept.
+    /// Dials further seeds; those of earlier settings stay dialed.
     pub(crate) fn dial_seeds(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
-            self.controls.insert(*seed);
+            self.known_controls.insert(*seed);
             self.dialed.add(*seed);
         }
     }
 
+    /// Does what has fallen due.
+    pub(crate) fn tick(&mut self) {
+        let now = self.clock.now();
+        self.replica.tick(now);
+        self.try_bootstrap();
+        self.advance();
+        if self.entries.forget_gone(now) {
+            self.send_directory();
+        }
+        self.send_due_notice(now);
+        self.writes.log_slow(now);
+    }
+
+    /// Returns the version in force, and each later one as it comes into force.
     pub(crate) fn follow_version(&self) -> watch::Receiver<Version> {
         self.version.subscribe()
     }
 
+    /// Returns the index of the last applied entry, and each later one.
     pub(crate) fn follow_applied(&self) -> watch::Receiver<LogIndex> {
         self.applied.subscribe()
     }
 
+    /// Returns the text of the configuration in force, as the operator sent it.
     pub(crate) fn current_text(&self) -> Option<Vec<u8>> {
-        self.state.current().map(|held| held.text.to_vec())
+        self.state.current().map(|current| current.text.to_vec())
     }
 
+    /// Returns the decisions on configurations, oldest first.
     pub(crate) fn audit(&self) -> Vec<AuditRecord> {
         self.state.audit().cloned().collect()
     }
 
-    pub(crate) fn held_version(&self) -> Version {
+    /// Returns the version in force here; 0 before the first.
+    pub(crate) fn current_version(&self) -> Version {
         self.state.version()
     }
 
+    /// Returns the term of the log.
     pub(crate) fn term(&self) -> u64 {
         self.replica.status().term
     }
-
-    pub(crate) fn is_fresh(&self) -> bool {
-        self.replica
-            .has_quorum_contact(FRESH_SPAN, self.clock.now())
-    }
-
-    pub(crate) fn describe(&self) -> serde_json::Value {
-        let status = self.replica.status();
-        let voters = status.members.voters.iter();
-        let voters: Vec<_> = voters
-            .map(|member| json!({ "replica": format!("{:016x}", member.id), "address": member.address }))
-            .collect();
-        json!({
-            "name": self.own.name,
-            "replica": format!("{:016x}", status.id),
-            "role": status.role.as_str().to_lowercase(),
-            "term": status.term,
-            "leader": status.leader.map(|id| format!("{id:016x}")),
-            "is_fresh": self.is_fresh(),
-            "voters": voters,
-            "last_index": status.last_index,
-            "commit": status.commit,
-            "version": self.state.version(),
-            "processes": self.describe_processes(),
-        })
-    }
-
-    /// Describes the processes in touch, each once, with the version in force there.
-    fn describe_processes(&self) -> Vec<serde_json::Value> {
-        let hellos = self.links.values().filter_map(|link| link.hello.as_ref());
-        let by_name: BTreeMap<&str, &Hello> =
-            hellos.map(|hello| (hello.name.as_str(), hello)).collect();
-        let describe = |hello: &Hello| {
-            let role = match hello.role {
-                PeerRole::Entry => "entry",
-                PeerRole::Guard => "guard",
-                PeerRole::Control { .. } => "control",
-            };
-            json!({ "name": hello.name, "role": role, "address": hello.address, "version": hello.version })
-        };
-        by_name.into_values().map(describe).collect()
-    }
-
-    /// Does what has fallen due.
-    pub(crate) fn tick(&mut self) {
-        let now = self.clock.now();
-        self.replica.tick(now);
-        self.try_to_found();
-        self.advance();
-        let gone = |entry: &KnownEntry| entry.gone_at.is_some_and(|at| now > at + ENTRY_MEMORY);
-        let known = self.entries.len();
-        self.entries.retain(|_, entry| !gone(entry));
-        if self.entries.len() != known {
-            self.send_directory();
-        }
-        let is_fresh = self.is_fresh();
-        if now >= self.noticed_at + NOTICE_INTERVAL || is_fresh != self.is_told_fresh {
-            self.send_notice();
-        }
-        self.log_slow_writes(now);
-    }
 }
--- /dev/null
+++ b/crates/leased/cloverfold_control/src/state/proposals.rs
@@ -0,0 +1,74 @@
+//! Decision: what becomes of a proposed configuration on its way into the log.
+//!
+//! Rule: a process that doesn't lead passes a proposal to the leader. The leader appends it unless its version is not above the one in
+//! force, or the same version was appended and is not committed yet. Which version then holds is decided where the entry is applied
+//! (`ConfigurationState::judge`).
+//!
+//! Inputs: the version proposed, the version in force here, the index at which the same version was appended, the committed index.
+//!
+//! Reason: whoever received a proposal submits it again every 250 ms until a version as high is committed; without the check each
+//! repetition would become an entry.
+
+use std::collections::HashMap;
+
+use cloverfold_configuration::{Proposal, Version};
+use cloverfold_consensus::{LogIndex, Role};
+use cloverfold_peer::PeerMessage;
+
+use super::ControlState;
+
+/// Versions that this process appended as the leader, and where.
+#[derive(Debug, Default)]
+pub(super) struct AppendedVersions {
+    indexes: HashMap<Version, LogIndex>,
+}
+
+impl AppendedVersions {
+    /// Returns whether a version was appended and is not committed yet.
+    fn is_uncommitted(&self, version: Version, commit: LogIndex) -> bool {
+        self.indexes
+            .get(&version)
+            .is_some_and(|&index| index > commit)
+    }
+
+    /// Records an append, and forgets what is committed.
+    fn record(&mut self, version: Version, index: LogIndex, commit: LogIndex) {
+        self.indexes.retain(|_, appended| *appended > commit);
+        self.indexes.insert(version, index);
+    }
+}
+
+impl ControlState {
+    /// Appends a proposal if this process leads, and passes it to the leader otherwise. Where neither is possible it is lost, and
+    /// submitted again by whoever received it.
+    pub(crate) fn submit_proposal(&mut self, proposal: &Proposal) {
+        if self.replica.status().role == Role::Leader {
+            self.append_proposal(proposal);
+        } else if let Some(leader) = self.find_other_leader() {
+            self.send_to_replica(leader, &PeerMessage::Proposal(proposal.clone()));
+        }
+    }
+
+    /// Appends a proposal that a peer passed on, if this process leads.
+    pub(super) fn receive_proposal(&mut self, proposal: &Proposal) {
+        if self.replica.status().role == Role::Leader {
+            self.append_proposal(proposal);
+        }
+    }
+
+    fn append_proposal(&mut self, proposal: &Proposal) {
+        let version = proposal.configuration.version;
+        let commit = self.replica.status().commit;
+        if version <= self.state.version() || self.appended.is_uncommitted(version, commit) {
+            return;
+        }
+        let Ok(command) = postcard::to_stdvec(proposal) else {
+            log::error!(version; "a proposal cannot be encoded");
+            return;
+        };
+        if let Ok(index) = self.replica.propose(command, self.clock.now()) {
+            self.appended.record(version, index, commit);
+        }
+        self.advance();
+    }
+}
--- a/crates/leased/cloverfold_peer/src/links.rs
+++ b/crates/leased/cloverfold_peer/src/links.rs
@@ -85,6 +85,12 @@
         self.links.values().filter_map(|open| open.hello.as_ref())
     }
 
+    /// Returns the peers that this process has dialed and that have introduced themselves, in no order.
+    pub fn dialed_peers(&self) -> impl Iterator<Item = &Hello> {
+        let dialed = self.links.values().filter(|open| open.is_dialed);
+        dialed.filter_map(|open| open.hello.as_ref())
+    }
+
     /// Queues a message. Returns `false` if the link is closed or its queue is full.
     pub fn send(&self, link: LinkId, message: &PeerMessage) -> bool {
         self.links
