--- a/crates/claims/cloverfold_net/src/error.rs
+++ b/crates/claims/cloverfold_net/src/error.rs
@@ -1,7 +1,10 @@
 //! Errors of the transport between processes.
 
+use std::fmt::Display;
 use std::path::PathBuf;
 
+use crate::peer::PeerAddress;
+
 /// Why a request to a peer brought no reply.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
@@ -31,6 +34,24 @@
     },
 }
 
+impl CallError {
+    /// Builds a [`CallError::NotSent`].
+    pub(crate) fn not_sent(peer: &PeerAddress, cause: &dyn Display) -> Self {
+        Self::NotSent {
+            peer: peer.name.clone(),
+            cause: cause.to_string(),
+        }
+    }
+
+    /// Builds a [`CallError::Lost`].
+    pub(crate) fn lost(peer: &PeerAddress, cause: &dyn Display) -> Self {
+        Self::Lost {
+            peer: peer.name.clone(),
+            cause: cause.to_string(),
+        }
+    }
+}
+
 /// Why the network of a process could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum NetError {
--- a/crates/claims/cloverfold_net/src/frame.rs
+++ b/crates/claims/cloverfold_net/src/frame.rs
@@ -10,9 +10,10 @@
 /// Version of the protocol between processes; a peer with another one is refused.
 pub(crate) const PROTOCOL_VERSION: u8 = 1;
 
-/// Largest request or reply body, in bytes.
+/// Largest request or reply body, in bytes. Chosen, not measured.
 pub const MAX_MESSAGE_LEN: usize = 8 * 1024 * 1024;
 
+/// Length of a request's header, in bytes.
 const HEADER_LEN: usize = 3;
 
 /// First byte of a reply.
@@ -23,7 +24,7 @@
     Ok = 0,
     /// The peer speaks another version.
     WrongVersion = 1,
-    /// No capability of the peer handles this message.
+    /// The peer has no handler for this message.
     UnknownKind = 2,
     /// The body could not be decoded.
     BadBody = 3,
--- a/crates/claims/cloverfold_net/src/keys.rs
+++ b/crates/claims/cloverfold_net/src/keys.rs
@@ -1,4 +1,6 @@
-//! Key files of the processes of one installation.
+//! Key files of the processes of one installation: an authority and a certificate for each process.
+//!
+//! Owns nothing; the files belong to the operator.
 
 use std::fs;
 use std::io::Write;
@@ -15,6 +17,7 @@
 /// Base name of the authority's files in a key folder.
 pub const AUTHORITY_NAME: &str = "authority";
 
+/// Only the owner may read a private key.
 const PRIVATE_FILE_MODE: u32 = 0o600;
 
 /// The three files that a process needs to prove itself and check its peers.
@@ -46,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// Says which file could not be read or written, or for which name no certificate could be made.
+/// Returns which file could not be read or written, or for which name no certificate could be made.
 pub fn make_key_set(folder: &Path, names: &[String]) -> Result<(), KeyError> {
     fs::create_dir_all(folder).map_err(|e| file_error(folder, &e))?;
     let issuer = load_or_make_authority(folder)?;
--- a/crates/claims/cloverfold_net/src/lib.rs
+++ b/crates/claims/cloverfold_net/src/lib.rs
@@ -1,6 +1,6 @@
-//! Mutually authenticated QUIC requests between cloverfold processes.
+//! Mutually authenticated QUIC requests between the processes of a claims installation.
 //!
-//! A capability defines a [`Message`] with its number and reply type, registers a handler for it in a
+//! A package defines a [`Message`] with its number and reply type, registers a handler for it in a
 //! [`Router`], and sends it with [`Network::call`]. Each request has a QUIC stream of its own, so a late
 //! or crossed answer cannot reach another request. Both ends prove who they are with certificates of the
 //! same authority ([`make_key_set`]).
@@ -21,6 +21,8 @@
 //! router.register(&[PeerRole::Guard], |_peer, _ping: Ping| async { 7 });
 //! ```
 
+mod config;
+mod connections;
 mod error;
 mod frame;
 mod keys;
@@ -28,14 +30,20 @@
 mod metrics;
 mod network;
 mod peer;
+mod replies;
 mod router;
+mod serving;
 mod tls;
+mod traffic;
 
+pub use config::NetworkConfig;
 pub use error::{CallError, KeyError, NetError};
 pub use frame::MAX_MESSAGE_LEN;
 pub use keys::{AUTHORITY_NAME, KeyFiles, make_key_set};
 pub use message::Message;
 pub use metrics::NetMetrics;
-pub use network::{Network, NetworkConfig, Replies, Traffic};
+pub use network::Network;
 pub use peer::{Peer, PeerAddress, PeerRole};
+pub use replies::Replies;
 pub use router::{ReplySink, Router};
+pub use traffic::Traffic;
--- a/crates/claims/cloverfold_net/src/message.rs
+++ b/crates/claims/cloverfold_net/src/message.rs
@@ -5,7 +5,7 @@
 
 /// A request that one process sends to another.
 pub trait Message: Serialize + DeserializeOwned + Send + 'static {
-    /// Number of the message on the wire; unique among all capabilities.
+    /// Number of the message on the wire; unique among all packages.
     const KIND: u16;
     /// Name of the message in logs and metrics.
     const NAME: &'static str;
--- a/crates/claims/cloverfold_net/src/metrics.rs
+++ b/crates/claims/cloverfold_net/src/metrics.rs
@@ -46,6 +46,7 @@
         );
     }
 
+    /// Counts a request that was sent.
     pub(crate) fn count_request(&self, name: &str, bytes: usize) {
         let label = MessageLabel {
             message: name.into(),
@@ -56,6 +57,7 @@
             .inc_by(bytes as u64);
     }
 
+    /// Counts a request without a reply.
     pub(crate) fn count_lost(&self, name: &str) {
         let label = MessageLabel {
             message: name.into(),
@@ -63,15 +65,8 @@
         self.lost.get_or_create(&label).inc();
     }
 
+    /// Counts a connection that is being opened.
     pub(crate) fn count_handshake(&self) {
         self.handshakes.inc();
     }
-
-    /// Returns how many requests of one kind were sent.
-    pub fn requests_of(&self, name: &str) -> u64 {
-        let label = MessageLabel {
-            message: name.into(),
-        };
-        self.requests.get_or_create(&label).get()
-    }
 }
--- /dev/null
+++ b/crates/claims/cloverfold_net/src/replies.rs
@@ -0,0 +1,61 @@
+//! The replies to one request, as its sender reads them.
+
+use std::marker::PhantomData;
+use std::sync::Arc;
+
+use quinn::RecvStream;
+
+use crate::error::CallError;
+use crate::frame::{Status, read_reply};
+use crate::message::Message;
+use crate::peer::PeerAddress;
+
+/// The replies to one request.
+pub struct Replies<M> {
+    rx: RecvStream,
+    peer: PeerAddress,
+    is_open: bool,
+    /// Keeps the connection from being closed as unused.
+    _in_use: Arc<()>,
+    reply: PhantomData<fn() -> M>,
+}
+
+impl<M: Message> Replies<M> {
+    /// Reads the replies that come on a stream.
+    pub(crate) fn new(rx: RecvStream, peer: PeerAddress, in_use: Arc<()>) -> Self {
+        Self {
+            rx,
+            peer,
+            is_open: false,
+            _in_use: in_use,
+            reply: PhantomData,
+        }
+    }
+
+    /// Waits for the next reply; `None` when the peer has sent its last.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`CallError::Refused`] if the peer refused the request, [`CallError::Lost`] if its replies broke off.
+    pub async fn next(&mut self) -> Result<Option<M::Reply>, CallError> {
+        if !self.is_open {
+            self.read_status().await?;
+            self.is_open = true;
+        }
+        let reply = read_reply(&mut self.rx).await;
+        reply.map_err(|cause| CallError::lost(&self.peer, &cause))
+    }
+
+    async fn read_status(&mut self) -> Result<(), CallError> {
+        let mut status = [0];
+        let read = self.rx.read_exact(&mut status).await;
+        read.map_err(|e| CallError::lost(&self.peer, &e))?;
+        match Status::from_byte(status[0]) {
+            Some(Status::Ok) => Ok(()),
+            other => Err(CallError::Refused {
+                peer: self.peer.name.clone(),
+                cause: format!("{other:?}"),
+            }),
+        }
+    }
+}
--- a/crates/claims/cloverfold_net/src/router.rs
+++ b/crates/claims/cloverfold_net/src/router.rs
@@ -1,4 +1,6 @@
-//! Dispatch of received requests to the capabilities' handlers.
+//! Dispatch of received requests to their handlers.
+//!
+//! [`Router`] owns the handlers by the number of their message, with the roles of the peers that may send it.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -15,12 +17,13 @@
 type HandlerFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 type HandlerFn = dyn Fn(Peer, &[u8], ReplySink) -> Result<HandlerFuture, Refusal> + Send + Sync;
 
-/// A request that no handler took, with the stream to say so on.
+/// A request that no handler accepted, with the stream for the refusal.
 pub(crate) struct Refusal {
     status: Status,
     sink: ReplySink,
 }
 
+/// The handler of one message.
 struct Route {
     roles: Vec<PeerRole>,
     handler: Arc<HandlerFn>,
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Sends one reply; returns whether the stream still stands.
+    /// Sends one reply; returns whether the stream is still open.
     pub async fn send<T: Serialize>(&mut self, reply: &T) -> bool {
         let status = self.pending_status.take();
         match write_reply(&mut self.tx, status, reply).await {
@@ -53,8 +56,7 @@
         }
     }
 
-    /// Ends the replies properly and waits until they have arrived; without it the peer sees the stream
-    /// break off.
+    /// Ends the replies and waits until they have arrived; without it the peer sees the stream break off.
     pub async fn finish(mut self) {
         if let Some(status) = self.pending_status.take()
             && !self.write_status(status).await
@@ -62,13 +64,19 @@
             return;
         }
         if self.tx.finish().is_ok() {
-            // An error means that the connection is gone, which the peer sees by itself.
+            // An error means that the connection is gone, which the peer notices by itself.
             let _ = self.tx.stopped().await;
         }
     }
 
     async fn write_status(&mut self, status: Status) -> bool {
-        self.tx.write_all(&[status as u8]).await.is_ok()
+        match self.tx.write_all(&[status as u8]).await {
+            Ok(()) => true,
+            Err(cause) => {
+                log::debug!("a status could not be sent: {cause}");
+                false
+            }
+        }
     }
 }
 
--- a/crates/claims/cloverfold_net/src/tls.rs
+++ b/crates/claims/cloverfold_net/src/tls.rs
@@ -13,6 +13,7 @@
 use crate::keys::{KeyFiles, file_error};
 use crate::peer::{Peer, PeerRole};
 
+/// Protocol name in the handshake; a peer with another one is refused.
 const APPLICATION_PROTOCOL: &[u8] = b"cloverfold/1";
 
 /// The TLS side of an endpoint, as server and as client.
@@ -21,6 +22,7 @@
     pub(crate) client: QuicClientConfig,
 }
 
+/// The parsed key files of a process.
 struct Credentials {
     roots: Arc<RootCertStore>,
     chain: Vec<CertificateDer<'static>>,
@@ -91,7 +93,7 @@
     NetError::Tls(e.to_string())
 }
 
-/// Reads who is at the other end of a connection out of its certificate.
+/// Reads the peer's name and role from its certificate.
 pub(crate) fn identify_peer(connection: &quinn::Connection) -> Option<Peer> {
     let identity = connection.peer_identity()?;
     let chain = identity.downcast::<Vec<CertificateDer<'static>>>().ok()?;
