--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -12,7 +12,8 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use cloverfold_configuration::{Offer, StoredConfiguration};
+use cloverfold_base::Timestamp;
+use cloverfold_configuration::{Proposal, StoredConfiguration};
 use cloverfold_consensus::{
     Append, AppendReply, Entry, InstallSnapshot, Member, Members, Message, Payload, Snapshot, Vote,
     VoteReply,
@@ -113,7 +114,7 @@
         priority: 7,
         wait_ms: 150,
         estimate_ms: 820,
-        valid_until: Duration::new(12_345, 678_000_009),
+        valid_until: Timestamp::from_start(Duration::new(12_345, 678_000_009)),
     }
 }
 
@@ -207,7 +208,7 @@
 
 fn runner_messages() -> Vec<Sample<RunnerMessage>> {
     let heartbeat = RunnerMessage::Heartbeat {
-        clock: Duration::new(98, 700_000_001),
+        clock: Timestamp::from_start(Duration::new(98, 700_000_001)),
         room: room(6),
     };
     each_variant!(RunnerMessage {
@@ -223,7 +224,7 @@
 
 fn dispatcher_messages() -> Vec<Sample<DispatcherMessage>> {
     let echo = DispatcherMessage::Echo {
-        clock: Duration::new(5_000_000_000, 999_999_999),
+        clock: Timestamp::from_start(Duration::new(5_000_000_000, 999_999_999)),
     };
     let withdraw = DispatcherMessage::Withdraw {
         task: task("order-43"),
@@ -245,10 +246,10 @@
 }
 
 fn votes() -> Vec<Sample<Message>> {
-    let vote = |is_trial| {
+    let vote = |is_pre_vote| {
         Message::Vote(Vote {
             term: 31,
-            is_trial,
+            is_pre_vote,
             last_index: 3_200,
             last_term: 30,
         })
@@ -257,10 +258,10 @@
 }
 
 fn vote_replies() -> Vec<Sample<Message>> {
-    let reply = |is_trial, is_granted| {
+    let reply = |is_pre_vote, is_granted| {
         Message::VoteReply(VoteReply {
             term: 33,
-            is_trial,
+            is_pre_vote,
             is_granted,
         })
     };
@@ -338,9 +339,9 @@
 }
 
 fn peer_roles() -> Vec<Sample<PeerRole>> {
-    let control = |is_blank| PeerRole::Control {
+    let control = |has_empty_log| PeerRole::Control {
         replica: 0x1122_3344_5566_7788,
-        is_blank,
+        has_empty_log,
     };
     each_variant!(PeerRole {
         PeerRole::Entry => one("entry", PeerRole::Entry),
@@ -404,12 +405,12 @@
 }
 
 fn offers() -> Vec<Sample<PeerMessage>> {
-    let offer = Offer {
+    let offer = Proposal {
         configuration: configuration(68_000, b"text of an offer"),
         source: "control-3".to_owned(),
         received_at: Duration::new(1_790_000_000, 123_456_789),
     };
-    one("offer", PeerMessage::Offer(offer))
+    one("offer", PeerMessage::Proposal(offer))
 }
 
 fn read_replies() -> Vec<Sample<PeerMessage>> {
@@ -437,7 +438,7 @@
         PeerMessage::Directory(_) => directories(),
         PeerMessage::Invite { .. } => invites(),
         PeerMessage::Consensus(_) => wrap("consensus", consensus_messages(), PeerMessage::Consensus),
-        PeerMessage::Offer(_) => offers(),
+        PeerMessage::Proposal(_) => offers(),
         PeerMessage::Read { .. } => one("read", read),
         PeerMessage::ReadReply { .. } => read_replies(),
     })
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -40,12 +40,12 @@
     pub(super) fn own_role(&self) -> PeerRole {
         PeerRole::Control {
             replica: self.replica_id,
-            is_blank: self.replica.status().last_index == 0,
+            has_empty_log: self.replica.status().last_index == 0,
         }
     }
 
     pub(super) fn receive(&mut self, link: LinkId, message: PeerMessage) {
-        let now = self.clock.now();
+        let now = self.clock.now().since_start();
         match message {
             PeerMessage::Hello(hello) => self.greet(link, hello),
             PeerMessage::Fetch => {
@@ -58,9 +58,9 @@
                     self.replica.receive(from, message, now);
                 }
             }
-            PeerMessage::Offer(offer) => {
+            PeerMessage::Proposal(proposal) => {
                 if self.replica.status().role == Role::Leader {
-                    self.offer(&offer);
+                    self.submit_proposal(&proposal);
                 }
             }
             PeerMessage::Read { token } => {
@@ -109,8 +109,8 @@
                 self.dialed.add(address);
                 if dialed {
                     self.replica_links.insert(replica, link);
-                    self.replica.link_renewed(replica);
-                    self.replica.add_listener(Member {
+                    self.replica.link_reopened(replica);
+                    self.replica.add_learner(Member {
                         id: replica,
                         address,
                     });
@@ -137,7 +137,7 @@
         let Some(held) = self.links.remove(&link) else {
             return;
         };
-        let now = self.clock.now();
+        let now = self.clock.now().since_start();
         let Some(hello) = held.hello else {
             return;
         };
@@ -147,7 +147,7 @@
                 if self.replica_links.get(&replica) == Some(&link) =>
             {
                 self.replica_links.remove(&replica);
-                self.replica.remove_listener(replica);
+                self.replica.remove_learner(replica);
             }
             PeerRole::Entry => {
                 if let Some(entry) = self.entries.get_mut(&hello.address) {
@@ -225,7 +225,7 @@
     }
 
     pub(super) fn send_notice(&mut self) {
-        self.noticed_at = self.clock.now();
+        self.noticed_at = self.clock.now().since_start();
         self.is_told_fresh = self.is_fresh();
         self.send_to_attached(&self.notice());
     }
--- a/crates/leased/cloverfold_lease/src/messages.rs
+++ b/crates/leased/cloverfold_lease/src/messages.rs
@@ -2,8 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
+use std::fmt;
+
+use cloverfold_base::Timestamp;
+
 use crate::resources::Resources;
-use crate::timings::Moment;
 
 /// Number of one session, that is of one link between a dispatcher and a runner, in the process that uses it.
 pub type SessionId = u64;
@@ -39,7 +42,7 @@
     /// How long it is expected to run, in milliseconds.
     pub estimate_ms: u32,
     /// On the runner's clock: after this the assignment is void. It is the end of the session as the dispatcher knows it.
-    pub valid_until: Moment,
+    pub valid_until: Timestamp,
 }
 
 /// From a dispatcher to a runner.
@@ -48,7 +51,7 @@
     /// Echoes the runner's newest clock reading, which prolongs the session.
     Echo {
         /// The reading.
-        clock: Moment,
+        clock: Timestamp,
     },
     /// Run this.
     Assign(Assignment),
@@ -86,6 +89,24 @@
     Withdrawn,
 }
 
+impl Refusal {
+    /// Returns the name by which logs and answers call it; it is part of the outside interface.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::NoRoom => "NoRoom",
+            Self::NoTarget => "NoTarget",
+            Self::Draining => "Draining",
+            Self::Expired => "Expired",
+            Self::Held => "Held",
+            Self::Stale => "Stale",
+            Self::Unanswered => "Unanswered",
+            Self::Unhealthy => "Unhealthy",
+            Self::Rejected => "Rejected",
+            Self::Withdrawn => "Withdrawn",
+        }
+    }
+}
+
 /// How a run ended; each of these says that it is surely over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RunOutcome {
@@ -103,6 +124,20 @@
     NotStarted(Refusal),
 }
 
+impl fmt::Display for RunOutcome {
+    /// Writes the name by which logs call it; it is part of the outside interface.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Done => f.write_str("Done"),
+            Self::Failed => f.write_str("Failed"),
+            Self::Stopped => f.write_str("Stopped"),
+            Self::Stuck => f.write_str("Stuck"),
+            Self::Lost => f.write_str("Lost"),
+            Self::NotStarted(refusal) => write!(f, "NotStarted({})", refusal.as_str()),
+        }
+    }
+}
+
 /// What is left at a runner's target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
@@ -133,7 +168,7 @@
     /// The runner lives.
     Heartbeat {
         /// Its clock, to be echoed.
-        clock: Moment,
+        clock: Timestamp,
         /// What is left at its target.
         room: Room,
     },
