--- a/crates/leased/cloverfold_lease/tests/dispatcher.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher.rs
@@ -445,7 +445,7 @@
 }
 
 #[test]
-fn runs_of_a_lost_session_wait_until_they_are_runs_over_after() {
+fn runs_of_a_lost_session_wait_until_they_are_surely_over() {
     let mut bench = Bench::new(2);
     let long = StepRequest {
         estimate: ms(1_000),
