--- a/crates/leased/cloverfold_lease/src/dispatcher/outcomes.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/outcomes.rs
@@ -81,9 +81,9 @@
             let ratio = ran.as_secs_f64() / estimate.as_secs_f64();
             let ratio = ratio.clamp(RATIO_BOUNDS.0, RATIO_BOUNDS.1);
             self.usual_ratio += RATIO_WEIGHT * (ratio - self.usual_ratio);
-            if let Some(view) = self.targets.get_mut(&session) {
-                view.health.note_success();
-            }
+        }
+        if let Some(view) = self.targets.get_mut(&session) {
+            view.health.note_success();
         }
         if is_done {
             self.give_up(number, JobAnswer::Completed);
--- a/crates/leased/cloverfold_lease/tests/dispatcher.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher.rs
@@ -666,3 +666,31 @@
 
     assert_eq!(bench.answers(), [(number, JobAnswer::GivenUp)]);
 }
+
+#[test]
+fn runs_without_an_estimate_that_are_done_speak_for_their_target() {
+    let mut bench = Bench::new(1);
+    let unestimated = StepRequest {
+        estimate: Duration::ZERO,
+        ..step(1, vec![])
+    };
+    let mut run_once = |id: &str, outcome: RunOutcome| {
+        bench.submit(JobRequest {
+            max_attempts: 1,
+            ..job(id, vec![unestimated.clone()])
+        });
+        let run = bench.assigned().pop().unwrap();
+        bench.end(&run, outcome);
+        bench.dispatcher.take_actions();
+    };
+
+    // One failure in five: far below the share from which a target is paused.
+    for round in 0..4 {
+        run_once(&format!("failed-{round}"), RunOutcome::Failed);
+        for index in 0..4 {
+            run_once(&format!("done-{round}-{index}"), RunOutcome::Done);
+        }
+    }
+
+    assert_eq!(bench.dispatcher.counts().pauses, 0);
+}
