--- a/crates/leased/cloverfold_lease/src/runner/orders.rs
+++ b/crates/leased/cloverfold_lease/src/runner/orders.rs
@@ -142,6 +142,17 @@
     Unanswered,
 }
 
+impl StartAnswer {
+    /// Returns the target's clock, where the answer tells it.
+    pub(super) fn clock(&self) -> Option<TargetTime> {
+        match self {
+            Self::Started { clock } => Some(*clock),
+            Self::Refused(_, clock) => *clock,
+            Self::Unanswered => None,
+        }
+    }
+}
+
 impl fmt::Display for StartAnswer {
     /// Writes the text by which logs call it; it is part of the outside interface.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
