--- a/crates/leased/cloverfold_lease/src/runner/performance.rs
+++ b/crates/leased/cloverfold_lease/src/runner/performance.rs
@@ -131,7 +131,7 @@
 
     /// Records a run that was done; it ends a probation.
     pub(super) fn record_done(&mut self) {
-        self.health.note_success();
+        self.health.record_success();
         self.probation_until = None;
     }
 
@@ -139,7 +139,7 @@
     ///
     /// [`TargetHealth`] decides: three stuck runs without one that is done between them, after a pause one.
     pub(super) fn record_stuck(&mut self, now: Timestamp) -> bool {
-        let is_new = self.health.note_trouble(now);
+        let is_new = self.health.record_trouble(now);
         self.is_paused |= is_new;
         is_new
     }
@@ -149,7 +149,7 @@
         if self.probation_until.is_some_and(|until| now >= until) {
             self.probation_until = None;
         }
-        if !self.is_paused || !self.health.takes_work(now) {
+        if !self.is_paused || !self.health.accepts_work(now) {
             return false;
         }
         self.is_paused = false;
--- a/crates/leased/cloverfold_leased_entry/src/responses.rs
+++ b/crates/leased/cloverfold_leased_entry/src/responses.rs
@@ -10,9 +10,6 @@
 
 use crate::protocol::{JobProtocol, JobState};
 
-/// When a caller may try again whose job was refused before the dispatcher saw it. Chosen, not measured.
-pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
-
 /// Returns the response to a job that is answered.
 pub(crate) fn answer_response(protocol: &dyn JobProtocol, answer: JobAnswer) -> Response {
     match answer {
