--- a/crates/leased/cloverfold_lease/src/runner/listing.rs
+++ b/crates/leased/cloverfold_lease/src/runner/listing.rs
@@ -7,7 +7,7 @@
 
 use crate::messages::{RunOutcome, TaskId};
 use crate::runner::Runner;
-use crate::runner::orders::{EndCause, EndedRun, ListedRun};
+use crate::runner::answers::{EndCause, EndedRun, ListedRun};
 use crate::runner::run::Run;
 use crate::runner::unlisted::{ListTimes, outcome_of_unlisted_run};
 
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -22,6 +22,7 @@
 //! | when the target is announced to a dispatcher | `reports` |
 
 mod actions;
+mod answers;
 mod assignment;
 mod counts;
 mod ending;
@@ -46,11 +47,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 pub use actions::RunnerAction;
-pub use counts::RunnerCounts;
-pub use orders::{
-    EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder, StartAnswer, StartOrder,
-    StartRefusal, StopOrder, TargetRegistration,
+pub use answers::{
+    EndCause, EndedRun, ListedRun, RenewalAnswer, StartAnswer, StartRefusal, TargetRegistration,
 };
+pub use counts::RunnerCounts;
+pub use orders::{RenewalOrder, StartOrder, StopOrder};
 pub use target_incarnation::UnavailableReason;
 
 use cloverfold_base::Timestamp;
@@ -113,7 +114,7 @@
     }
 
     /// Returns how many runs are not certainly over, those that wait or are being stopped included.
-    pub fn held(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 
--- a/crates/leased/cloverfold_lease/src/runner/refused_start.rs
+++ b/crates/leased/cloverfold_lease/src/runner/refused_start.rs
@@ -3,7 +3,7 @@
 //! Pure: owns nothing. Carried out by `Runner::receive_start_refusal`.
 
 use crate::messages::RunRefusal;
-use crate::runner::orders::StartRefusal;
+use crate::runner::answers::StartRefusal;
 use crate::runner::run::MAX_START_ATTEMPTS;
 
 /// What to do about a refused start.
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -8,7 +8,8 @@
 use cloverfold_base::Timestamp;
 
 use crate::runner::Runner;
-use crate::runner::orders::{EndedRun, ListedRun, RenewalAnswer, RenewalOrder};
+use crate::runner::answers::{EndedRun, ListedRun, RenewalAnswer};
+use crate::runner::orders::RenewalOrder;
 use crate::runner::unlisted::ListTimes;
 use crate::timings::TargetTime;
 
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -8,7 +8,8 @@
 use cloverfold_base::Timestamp;
 
 use crate::messages::{RunOutcome, TaskId};
-use crate::runner::orders::{StartAnswer, StartOrder, StartRefusal};
+use crate::runner::answers::{StartAnswer, StartRefusal};
+use crate::runner::orders::StartOrder;
 use crate::runner::refused_start::{RefusedStartStep, step_after_refused_start};
 use crate::runner::run::PendingStart;
 use crate::runner::{Runner, RunnerAction};
@@ -51,7 +52,12 @@
     ///
     /// An answer to a run that is no longer starting, or from another incarnation of the target, changes nothing but what is known of
     /// the target's clock and fencing token.
-    pub fn start_answered(&mut self, order: &StartOrder, answer: StartAnswer, now: Timestamp) {
+    pub fn receive_start_answer(
+        &mut self,
+        order: &StartOrder,
+        answer: StartAnswer,
+        now: Timestamp,
+    ) {
         self.expire_sessions(now);
         if !self.learn_from_start_answer(order, answer, now) {
             return;
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -6,7 +6,7 @@
 use cloverfold_base::Timestamp;
 
 use crate::messages::RunRefusal;
-use crate::runner::orders::TargetRegistration;
+use crate::runner::answers::TargetRegistration;
 use crate::runner::target_incarnation::TargetIncarnation;
 use crate::runner::{Runner, RunnerAction};
 
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -9,7 +9,7 @@
 
 use crate::messages::TargetDescription;
 use crate::resources::Resources;
-use crate::runner::orders::TargetRegistration;
+use crate::runner::answers::TargetRegistration;
 use crate::runner::performance::TargetPerformance;
 use crate::timings::{TargetTime, Timings};
 
@@ -26,10 +26,10 @@
     NoTarget,
     /// It is about to leave.
     Draining,
-    /// It answers nothing.
-    Silent,
+    /// It answers no renewals.
+    Unresponsive,
     /// Its runs made no progress.
-    RunsStandStill,
+    StuckRuns,
     /// Runs are there that this runner did not start.
     OtherRuns,
     /// Its clock is not known yet, so no deadline can be set.
@@ -42,8 +42,8 @@
         match self {
             Self::NoTarget => "NoTarget",
             Self::Draining => "Draining",
-            Self::Silent => "Silent",
-            Self::RunsStandStill => "RunsStandStill",
+            Self::Unresponsive => "Silent",
+            Self::StuckRuns => "RunsStandStill",
             Self::OtherRuns => "OtherRuns",
             Self::NoClock => "NoClock",
         }
@@ -130,9 +130,9 @@
         if self.registration.is_draining {
             Some(UnavailableReason::Draining)
         } else if self.is_unresponsive {
-            Some(UnavailableReason::Silent)
+            Some(UnavailableReason::Unresponsive)
         } else if self.performance.is_paused() {
-            Some(UnavailableReason::RunsStandStill)
+            Some(UnavailableReason::StuckRuns)
         } else if !self.has_only_own_runs {
             Some(UnavailableReason::OtherRuns)
         } else if self.clock.is_none() {
--- a/crates/leased/cloverfold_lease/tests/runner/assignments.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/assignments.rs
@@ -46,5 +46,5 @@
     );
 
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Done)]);
-    assert_eq!(runner.held(), 0);
+    assert_eq!(runner.run_count(), 0);
 }
--- a/crates/leased/cloverfold_lease/tests/runner/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/fixture.rs
@@ -127,7 +127,7 @@
 pub fn started(runner: &mut Runner, index: u32, now: Timestamp) {
     runner.receive(SESSION, assign(index, now + ms(400)), now);
     let order = take_starts(runner).remove(0);
-    runner.start_answered(&order, StartAnswer::Started { clock: 50_010 }, now);
+    runner.receive_start_answer(&order, StartAnswer::Started { clock: 50_010 }, now);
 }
 
 /// Takes the actions of a runner and returns the starts among them.
--- a/crates/leased/cloverfold_lease/tests/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/starts.rs
@@ -9,7 +9,7 @@
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(110));
     let first = take_starts(&mut runner).remove(0);
-    runner.start_answered(&first, StartAnswer::Unanswered, at(140));
+    runner.receive_start_answer(&first, StartAnswer::Unanswered, at(140));
 
     let second = take_starts(&mut runner).remove(0);
 
@@ -22,11 +22,11 @@
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(110));
     let first = take_starts(&mut runner).remove(0);
-    runner.start_answered(&first, StartAnswer::Unanswered, at(140));
+    runner.receive_start_answer(&first, StartAnswer::Unanswered, at(140));
     let second = take_starts(&mut runner).remove(0);
     let refused = StartAnswer::Refused(StartRefusal::NoRoom, Some(50_050));
 
-    runner.start_answered(&second, refused, at(145));
+    runner.receive_start_answer(&second, refused, at(145));
 
     assert_eq!(
         take_ends(&mut runner),
@@ -47,7 +47,7 @@
     let first = take_starts(&mut runner).remove(0);
 
     let fenced = StartAnswer::Refused(StartRefusal::Fenced, Some(50_020));
-    runner.start_answered(&first, fenced, at(112));
+    runner.receive_start_answer(&first, fenced, at(112));
 
     let second = take_starts(&mut runner).remove(0);
     assert!(second.fencing_token > first.fencing_token);
@@ -61,11 +61,11 @@
     let order = take_starts(&mut runner).remove(0);
 
     let answer = StartAnswer::Refused(StartRefusal::Unreachable, None);
-    runner.start_answered(&order, answer, at(111));
+    runner.receive_start_answer(&order, answer, at(111));
 
     let refused = RunOutcome::NotStarted(RunRefusal::Unanswered);
     assert_eq!(take_ends(&mut runner), [(1, refused)]);
-    assert_eq!(runner.held(), 0);
+    assert_eq!(runner.run_count(), 0);
 }
 
 #[test]
@@ -73,12 +73,12 @@
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(500)), at(110));
     let first = take_starts(&mut runner).remove(0);
-    runner.start_answered(&first, StartAnswer::Unanswered, at(130));
+    runner.receive_start_answer(&first, StartAnswer::Unanswered, at(130));
     let second = take_starts(&mut runner).remove(0);
 
     let answer = StartAnswer::Refused(StartRefusal::Unreachable, None);
-    runner.start_answered(&second, answer, at(131));
+    runner.receive_start_answer(&second, answer, at(131));
 
     assert_eq!(take_ends(&mut runner), []);
-    assert_eq!(runner.held(), 1, "the first may still be carried out");
+    assert_eq!(runner.run_count(), 1, "the first may still be carried out");
 }
--- a/crates/leased/cloverfold_lease/tests/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/stuck_runs.rs
@@ -90,7 +90,7 @@
                 let answer = StartAnswer::Started {
                     clock: TARGET_CLOCK,
                 };
-                self.runner.start_answered(order, answer, self.now);
+                self.runner.receive_start_answer(order, answer, self.now);
             }
         }
     }
@@ -198,7 +198,7 @@
 
     assert!(!bench.runner.has_ready_target(), "all sessions get it back");
     let reason = bench.runner.find_unavailable_reason();
-    assert_eq!(reason, Some(UnavailableReason::RunsStandStill));
+    assert_eq!(reason, Some(UnavailableReason::StuckRuns));
     let ends = [1, 2, 3].map(|index| (u64::from(index) + 1, index, EndCause::Stopped));
     bench.list(&[], &ends);
     bench.stand(ms(1_000), &[]);
--- a/crates/leased/cloverfold_lease/tests/world/mod.rs
+++ b/crates/leased/cloverfold_lease/tests/world/mod.rs
@@ -467,7 +467,7 @@
                         let answer = node.target.start(&order, now, is_late, &mut self.rng);
                         if answer != StartAnswer::Unanswered {
                             let runner = node.runner.as_mut().unwrap();
-                            runner.start_answered(&order, answer, at(now));
+                            runner.receive_start_answer(&order, answer, at(now));
                         }
                     }
                     RunnerAction::Stop(order) => {
--- a/crates/leased/cloverfold_lease/tests/written_names.rs
+++ b/crates/leased/cloverfold_lease/tests/written_names.rs
@@ -61,8 +61,8 @@
     let names = [
         (UnavailableReason::NoTarget, "NoTarget"),
         (UnavailableReason::Draining, "Draining"),
-        (UnavailableReason::Silent, "Silent"),
-        (UnavailableReason::RunsStandStill, "RunsStandStill"),
+        (UnavailableReason::Unresponsive, "Silent"),
+        (UnavailableReason::StuckRuns, "RunsStandStill"),
         (UnavailableReason::OtherRuns, "OtherRuns"),
         (UnavailableReason::NoClock, "NoClock"),
     ];
--- a/crates/leased/cloverfold_leased_guard/src/state.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state.rs
@@ -116,7 +116,7 @@
     }
 
     pub(crate) fn held(&self) -> usize {
-        self.runner.held()
+        self.runner.run_count()
     }
 
     pub(crate) fn has_ready_target(&self) -> bool {
@@ -165,7 +165,7 @@
                 "a start is not acknowledged"
             );
         }
-        self.runner.start_answered(order, answer, now);
+        self.runner.receive_start_answer(order, answer, now);
         self.advance();
     }
 
@@ -267,7 +267,7 @@
             let counts = self.runner.counts();
             log::info!(
                 ready = unfitness.is_none(), reason = reason.unwrap_or_default(),
-                stuck_runs = counts.stuck, held_runs = self.runner.held();
+                stuck_runs = counts.stuck, held_runs = self.runner.run_count();
                 "the target's readiness has changed"
             );
         }
