--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -7,8 +7,8 @@
 use cloverfold_app::ThreadState;
 use cloverfold_base::{random_u64, unix_now};
 use cloverfold_claims_core::{
-    Cell, Claim, ClaimReply, ClaimRequest, GuardId, Placement, Proposer, ProposerStep, Replica,
-    Reply, Submission, SubmissionKey,
+    Cell, Claim, ClaimReplica, ClaimReply, ClaimRequest, GuardId, Placement, Proposer,
+    ProposerStep, ReplicaReply, Submission, SubmissionKey,
 };
 use cloverfold_membership::{Directory, Membership};
 use cloverfold_net::Network;
@@ -34,7 +34,7 @@
     pub(crate) directory: Arc<Directory>,
     pub(crate) network: Network,
     pub(crate) membership: Membership,
-    pub(crate) replica: ThreadState<Replica>,
+    pub(crate) replica: ThreadState<ClaimReplica>,
     /// Number of the next attempt of this life.
     pub(crate) attempts: AtomicU64,
 }
@@ -122,7 +122,7 @@
         let fast = {
             let (submission, group, claim) = (*submission, group.to_vec(), wanted.clone());
             let (attempt, now) = (self.next_attempt(), unix_now());
-            let propose = move |replica: &mut Replica| {
+            let propose = move |replica: &mut ClaimReplica| {
                 replica.propose_fast(&submission, &group, attempt, claim, now)
             };
             self.inner.replica.with(propose).await
@@ -170,14 +170,14 @@
         submission: Submission,
         group: &[GuardId],
         request: &ClaimRequest,
-    ) -> mpsc::Receiver<Reply> {
+    ) -> mpsc::Receiver<ReplicaReply> {
         let (tx, rx) = mpsc::channel(group.len());
         for guard in group {
             let claims = self.clone();
             let call = ClaimCall {
                 submission,
                 request: request.clone(),
-                member: self.inner.membership.own_report(),
+                guard_report: self.inner.membership.own_report(),
             };
             let tx = tx.clone();
             let guard = *guard;
@@ -191,14 +191,14 @@
         rx
     }
 
-    async fn ask(&self, guard: GuardId, call: ClaimCall) -> Option<Reply> {
+    async fn ask(&self, guard: GuardId, call: ClaimCall) -> Option<ReplicaReply> {
         if guard == self.inner.own.guard {
             return Some(self.handle(call).await);
         }
         let address = self.inner.directory.address_of(guard)?;
         match self.inner.network.call(address, &call, CALL_TIMEOUT).await {
             Ok(answer) => {
-                self.inner.membership.absorb(answer.member);
+                self.inner.membership.absorb(answer.guard_report);
                 Some(answer.reply)
             }
             Err(cause) => {
@@ -210,14 +210,17 @@
 
     /// Answers another guard's request.
     pub(crate) async fn serve(&self, call: ClaimCall) -> ClaimAnswer {
-        self.inner.membership.absorb(call.member);
+        self.inner.membership.absorb(call.guard_report);
         let reply = self.handle(call).await;
-        let member = self.inner.membership.own_report();
-        ClaimAnswer { reply, member }
+        let guard_report = self.inner.membership.own_report();
+        ClaimAnswer {
+            reply,
+            guard_report,
+        }
     }
 
     /// Answers a request as this guard's replica.
-    pub(crate) async fn handle(&self, call: ClaimCall) -> Reply {
+    pub(crate) async fn handle(&self, call: ClaimCall) -> ReplicaReply {
         let group = self.group_of(&call.submission.key);
         let now = unix_now();
         self.inner
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -1,104 +1,108 @@
-//! The runner: what runs at one target, and for whom.
-
-mod held;
-mod holds;
+//! The runner: executes at one target what dispatchers assign.
+//!
+//! For: the leased guard, which does the I/O around it. A runner accepts or refuses assignments, starts and stops runs, renews
+//! the target's lease, and reports ends.
+//! Owns: the sessions with dispatchers, the runs at the target, and what is known of the target. Nothing is stored.
+//! Relies on: the caller's clock, which must not go back, and on [`Runner::tick`] every few tens of milliseconds.
+//!
+//! | decision | module |
+//! |---|---|
+//! | which assignments are accepted | `assignment` |
+//! | which waiting run starts, when one is given back | `waiting` |
+//! | when a start is repeated | `starts`, `run` |
+//! | what follows a refused start | `refused_start` |
+//! | when a stop is repeated | `stops` |
+//! | when the end of a run is certain | `ending`, `unlisted` |
+//! | whether a run is stuck, how fast it is | `progress` |
+//! | whether the target is paused or on probation, how slow it is | `performance` |
+//! | whether the target accepts work, when its lease has lapsed | `target_incarnation` |
+//! | whether the target is unresponsive | `target` |
+//! | when a lease is extended | `renewals` |
+//! | when a session is over | `sessions` |
+//! | when the target is announced to a dispatcher | `reports` |
+
+mod actions;
+mod assignment;
+mod counts;
+mod ending;
+mod listing;
 mod orders;
+mod performance;
 mod progress;
+mod refused_start;
+mod renewals;
+mod reports;
+mod run;
+mod session;
 mod sessions;
 mod starts;
+mod stops;
+mod stuck_runs;
 mod target;
+mod target_incarnation;
+mod unlisted;
+mod waiting;
 
 use std::collections::{BTreeMap, VecDeque};
 
+pub use actions::RunnerAction;
+pub use counts::RunnerCounts;
 pub use orders::{
     EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder, StartAnswer, StartOrder,
     StartRefusal, StopOrder, TargetRegistration,
 };
+pub use target_incarnation::UnavailableReason;
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{
-    Assignment, DispatcherMessage, RunOutcome, RunRefusal, RunnerMessage, SessionId, TaskId,
-};
-use crate::resources::Resources;
+use crate::messages::{DispatcherMessage, RunRefusal, SessionId, TaskId};
 use crate::timings::Timings;
-use held::{HeldState, HeldTask};
-use sessions::Session;
-use target::TargetLife;
-pub use target::UnavailableReason;
-
-/// What the process around a runner has to do.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RunnerAction {
-    /// Send a message.
-    Send(SessionId, RunnerMessage),
-    /// Close the link of a session that is over; the peer gets a new one.
-    CloseSession(SessionId),
-    /// Tell the target to start a run.
-    Start(StartOrder),
-    /// Tell the target to stop a run.
-    Stop(StopOrder),
-    /// Ask the target at once what runs there.
-    RenewNow,
-}
-
-/// Counts since the start, by cause.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RunnerCounts {
-    /// Starts that the target acknowledged or showed.
-    pub started: u64,
-    /// Starts sent again because no answer came.
-    pub repeated_starts: u64,
-    /// Runs that lapsed or died with their target.
-    pub lost: u64,
-    /// Runs that were stopped by an order of ours.
-    pub stopped: u64,
-    /// Assignments given back without a run.
-    pub refused: u64,
-    /// Sessions that ended by silence.
-    pub expired_sessions: u64,
-    /// Runs found at the target that no session vouches for.
-    pub orphans: u64,
-    /// Runs that stood still and were stopped.
-    pub stuck: u64,
-    /// Times the target was given no work because its runs stood still.
-    pub pauses: u64,
-}
+use run::Run;
+use session::Session;
+use target_incarnation::TargetIncarnation;
 
 /// Executes what dispatchers assign at the one target beside it.
+///
+/// It does no I/O: after each call the caller carries out [`Runner::take_actions`].
 #[derive(Debug)]
 pub struct Runner {
     timings: Timings,
-    first_token: u64,
+    /// The fencing token with which each incarnation of the target is first spoken to.
+    first_fencing_token: u64,
     sessions: BTreeMap<SessionId, Session>,
-    tasks: BTreeMap<TaskId, HeldTask>,
-    next_order: u64,
-    target: Option<TargetLife>,
-    /// Earlier lives of the target, oldest first.
-    ended_lives: VecDeque<String>,
+    /// All runs whose end is not certain, at most one of each task.
+    runs: BTreeMap<TaskId, Run>,
+    /// Numbers runs and incarnations of the target in order of arrival.
+    next_sequence: u64,
+    target: Option<TargetIncarnation>,
+    /// Names of earlier incarnations of the target, oldest first.
+    ended_incarnations: VecDeque<String>,
     is_leaving: bool,
     counts: RunnerCounts,
     actions: Vec<RunnerAction>,
 }
 
 impl Runner {
-    /// Begins a life of a runner; `first_token` must be above that of every earlier life beside the same target.
-    pub fn new(timings: Timings, first_token: u64) -> Self {
+    /// Makes a runner without sessions or a target.
+    ///
+    /// `first_fencing_token` should be above that of every earlier process beside the same target; if it is not, the target's refusals
+    /// raise it.
+    pub fn new(timings: Timings, first_fencing_token: u64) -> Self {
         Self {
             timings,
-            first_token,
+            first_fencing_token,
             sessions: BTreeMap::new(),
-            tasks: BTreeMap::new(),
-            next_order: 0,
+            runs: BTreeMap::new(),
+            next_sequence: 0,
             target: None,
-            ended_lives: VecDeque::new(),
+            ended_incarnations: VecDeque::new(),
             is_leaving: false,
             counts: RunnerCounts::default(),
             actions: Vec::new(),
         }
     }
 
-    /// Takes what has to be done since the last call.
+    /// Returns what the caller has to do since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<RunnerAction> {
         std::mem::take(&mut self.actions)
     }
@@ -108,17 +112,17 @@
         self.counts
     }
 
-    /// Returns how many runs are held, also those that wait or are being stopped.
+    /// Returns how many runs are not certainly over, those that wait or are being stopped included.
     pub fn held(&self) -> usize {
-        self.tasks.len()
+        self.runs.len()
     }
 
-    /// Says whether a target is known, answers and takes work.
+    /// Returns whether there is a target that accepts work.
     pub fn has_ready_target(&self) -> bool {
         self.find_unavailable_reason().is_none()
     }
 
-    /// Says why no work is taken for a target, if there is a reason.
+    /// Returns why the target gets no work, if there is a reason.
     pub fn find_unavailable_reason(&self) -> Option<UnavailableReason> {
         match &self.target {
             Some(target) => target.find_unavailable_reason(),
@@ -126,37 +130,18 @@
         }
     }
 
-    /// Takes no further work; what runs goes on.
+    /// Accepts no further work from now on; what was started goes on, what waits is given back.
     pub fn leave(&mut self, now: Timestamp) {
         self.is_leaving = true;
         self.give_back_waiting(RunRefusal::Draining, now);
         self.announce_target();
     }
 
-    /// Begins a session with a dispatcher's process.
-    pub fn open_session(&mut self, session: SessionId, now: Timestamp) {
-        let valid_until = now + self.timings.session;
-        self.sessions.insert(session, Session::new(valid_until));
-        self.send_heartbeat(session, now);
-        self.announce_target();
-    }
-
-    /// Ends a session whose link is gone; its runs are stopped.
-    pub fn close_session(&mut self, session: SessionId, now: Timestamp) {
-        if self.sessions.remove(&session).is_some() {
-            self.stop_session_tasks(session, now);
-        }
-    }
-
-    /// Takes a message of a dispatcher.
+    /// Processes a message of a dispatcher.
     pub fn receive(&mut self, session: SessionId, message: DispatcherMessage, now: Timestamp) {
         self.expire_sessions(now);
         match message {
-            DispatcherMessage::Echo { clock } => {
-                if let Some(held) = self.sessions.get_mut(&session) {
-                    held.prolong(clock.min(now) + self.timings.session);
-                }
-            }
+            DispatcherMessage::Echo { clock } => self.receive_echo(session, clock, now),
             DispatcherMessage::Assign(assignment) => self.assign(session, assignment, now),
             DispatcherMessage::Withdraw { task, run } => self.withdraw(session, &task, run, now),
         }
@@ -168,207 +153,10 @@
         self.watch_target(now);
         self.end_target_pause(now);
         self.expire_waiting(now);
-        self.repeat_orders(now);
+        self.repeat_unanswered_starts(now);
+        self.repeat_stops(now);
         self.send_heartbeats(now);
         self.start_waiting(now);
         self.report_free_capacity(now);
     }
-
-    fn assign(&mut self, session: SessionId, assignment: Assignment, now: Timestamp) {
-        let Some(held) = self.sessions.get_mut(&session) else {
-            return;
-        };
-        held.assignments_seen += 1;
-        let refusal = self.find_refusal(session, &assignment, now);
-        if let Some(refusal) = refusal {
-            self.counts.refused += 1;
-            self.send_end(
-                session,
-                assignment.task,
-                assignment.run,
-                RunOutcome::NotStarted(refusal),
-                0,
-                now,
-            );
-            return;
-        }
-        self.next_order += 1;
-        let task = HeldTask::new(session, self.next_order, &assignment, now);
-        self.tasks.insert(assignment.task, task);
-        self.start_waiting(now);
-    }
-
-    fn find_refusal(
-        &self,
-        session: SessionId,
-        assignment: &Assignment,
-        now: Timestamp,
-    ) -> Option<RunRefusal> {
-        let is_valid = self.sessions.get(&session).is_some_and(|s| !s.is_over(now));
-        if !is_valid || now > assignment.valid_until {
-            return Some(RunRefusal::Expired);
-        }
-        let Some(target) = self.target.as_ref().filter(|target| target.takes_work()) else {
-            let is_draining = self.target.as_ref().is_some_and(TargetLife::is_draining);
-            return Some(if is_draining {
-                RunRefusal::Draining
-            } else {
-                RunRefusal::NoTarget
-            });
-        };
-        if self.is_leaving {
-            return Some(RunRefusal::Draining);
-        }
-        if self.tasks.contains_key(&assignment.task) {
-            return Some(RunRefusal::Held);
-        }
-        let fits = target.capacity().covers(&assignment.demand);
-        (!fits).then_some(RunRefusal::NoRoom)
-    }
-
-    fn withdraw(&mut self, session: SessionId, task: &TaskId, run: u64, now: Timestamp) {
-        let Some(held) = self.tasks.get(task) else {
-            return;
-        };
-        if held.run != run || held.session != Some(session) {
-            return;
-        }
-        self.stop_task(
-            task.clone(),
-            RunOutcome::NotStarted(RunRefusal::Withdrawn),
-            now,
-        );
-    }
-
-    /// Gives a waiting run back at once, and stops one that may run.
-    fn stop_task(&mut self, task: TaskId, unstarted: RunOutcome, now: Timestamp) {
-        let Some(held) = self.tasks.get_mut(&task) else {
-            return;
-        };
-        let start_deadline = match held.state {
-            HeldState::Waiting { .. } => {
-                self.end_task(&task, unstarted, now);
-                return;
-            }
-            HeldState::Stopping { .. } => return,
-            HeldState::Starting { deadline, .. } => Some(deadline),
-            HeldState::Running { .. } => None,
-        };
-        held.state = HeldState::Stopping {
-            start_deadline,
-            ordered_at: now,
-            sent_at: now,
-            unstarted,
-        };
-        let run = held.run;
-        self.counts.stopped += 1;
-        self.order_stop(task, run);
-    }
-
-    /// Forgets a run that is surely over and tells its dispatcher.
-    fn end_task(&mut self, task: &TaskId, outcome: RunOutcome, now: Timestamp) {
-        let Some(held) = self.tasks.remove(task) else {
-            return;
-        };
-        let outcome = match outcome {
-            RunOutcome::Stopped if held.is_stuck => RunOutcome::Stuck,
-            other => other,
-        };
-        match outcome {
-            RunOutcome::Lost => self.counts.lost += 1,
-            RunOutcome::NotStarted(_) => self.counts.refused += 1,
-            _ => {}
-        }
-        let ran_ms = held.ran_for(now).as_millis() as u32;
-        if let Some(session) = held.session {
-            self.send_end(session, task.clone(), held.run, outcome, ran_ms, now);
-        } else {
-            // Nobody waits for it; its room may let another session have its target announced.
-            self.announce_target();
-        }
-    }
-
-    fn send_end(
-        &mut self,
-        session: SessionId,
-        task: TaskId,
-        run: u64,
-        outcome: RunOutcome,
-        ran_ms: u32,
-        now: Timestamp,
-    ) {
-        let free_capacity = self.free_capacity_for(session, now);
-        let message = RunnerMessage::Ended {
-            task,
-            run,
-            outcome,
-            ran_ms,
-            free_capacity,
-        };
-        self.actions.push(RunnerAction::Send(session, message));
-    }
-
-    fn free_after_waiting(&self) -> Resources {
-        let demands = self.tasks.values().map(|held| held.demand);
-        self.capacity_minus(demands)
-    }
-
-    fn free_now(&self) -> Resources {
-        let busy = self.tasks.values().filter(|held| !held.is_waiting());
-        self.capacity_minus(busy.map(|held| held.demand))
-    }
-
-    fn capacity_minus(&self, demands: impl Iterator<Item = Resources>) -> Resources {
-        let capacity = self.target.as_ref().map(TargetLife::offered_capacity);
-        demands.fold(capacity.unwrap_or_default(), |free, demand| {
-            free.minus(&demand)
-        })
-    }
-
-    /// Starts waiting runs in order of priority, then of arrival, while there is room.
-    fn start_waiting(&mut self, now: Timestamp) {
-        if !self.has_ready_target() {
-            return;
-        }
-        let mut free = self.free_now();
-        for task in self.waiting_in_order() {
-            let demand = self.tasks[&task].demand;
-            if !free.covers(&demand) {
-                break;
-            }
-            free = free.minus(&demand);
-            self.start_task(&task, now);
-        }
-    }
-
-    fn waiting_in_order(&self) -> Vec<TaskId> {
-        let mut waiting: Vec<_> = self
-            .tasks
-            .iter()
-            .filter(|(_, held)| held.is_waiting())
-            .map(|(task, held)| (held.priority, held.order, task.clone()))
-            .collect();
-        waiting.sort();
-        waiting.into_iter().map(|(_, _, task)| task).collect()
-    }
-
-    fn expire_waiting(&mut self, now: Timestamp) {
-        let is_late =
-            |held: &HeldTask| matches!(held.state, HeldState::Waiting { until } if now > until);
-        let late: Vec<TaskId> = self
-            .tasks
-            .iter()
-            .filter(|(_, held)| is_late(held))
-            .map(|(task, _)| task.clone())
-            .collect();
-        for task in late {
-            self.end_task(&task, RunOutcome::NotStarted(RunRefusal::NoRoom), now);
-        }
-    }
-
-    fn give_back_waiting(&mut self, refusal: RunRefusal, now: Timestamp) {
-        for task in self.waiting_in_order() {
-            self.end_task(&task, RunOutcome::NotStarted(refusal), now);
-        }
-    }
 }
--- /dev/null
+++ b/crates/leased/cloverfold_lease/src/runner/run.rs
@@ -0,0 +1,241 @@
+//! One run of a task and the states that it passes through.
+//!
+//! For: the life cycle of a run at the target, as far as the runner knows it.
+//! Owns: the state of one run, who has to be told of its end, and its progress.
+//! Relies on: [`ProgressTracker`]; every point in time comes from the caller.
+//!
+//! ```text
+//! Waiting ──begin_start──> Starting ──confirm_start──> Running
+//!    │                        │                           │
+//!    │                        └────────begin_stop─────────┤
+//!    │                                                    v
+//!    └───────────────> (over, forgotten) <──────────── Stopping
+//! ```
+//!
+//! A run leaves every state but `Waiting` only when it is certain that it does not run and can't start any more: see
+//! `Runner::end_run`. Until then it counts against the target's capacity.
+
+use std::time::Duration;
+
+use cloverfold_base::Timestamp;
+
+use crate::messages::{Assignment, RunOutcome, SessionId};
+use crate::resources::Resources;
+use crate::runner::progress::ProgressTracker;
+use crate::timings::TargetTime;
+
+/// Starts of one run that are sent at most; then the runner waits until the deadline of the start has passed.
+///
+/// Chosen, not measured (stated in docs/design/6-leased-runs.md, "Placement, admission, health").
+pub(super) const MAX_START_ATTEMPTS: u32 = 6;
+
+/// A start that was sent and is not acknowledged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct PendingStart {
+    /// On the target's clock: the target refuses a start that it carries out later.
+    pub(super) deadline: TargetTime,
+    /// When the first start was sent.
+    pub(super) first_sent_at: Timestamp,
+    /// When the newest start was sent.
+    pub(super) last_sent_at: Timestamp,
+    /// How many starts were sent.
+    pub(super) attempts: u32,
+}
+
+/// A stop that was sent; the run keeps its capacity until its end is certain.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct PendingStop {
+    /// On the target's clock: a start of this run that is still under way is refused after this. None if the run was known to run.
+    pub(super) start_deadline: Option<TargetTime>,
+    /// When the first stop was sent.
+    pub(super) first_sent_at: Timestamp,
+    /// When the newest stop was sent.
+    pub(super) last_sent_at: Timestamp,
+    /// What to report if it turns out that the run never started.
+    pub(super) outcome_if_never_started: RunOutcome,
+}
+
+/// How far a run has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RunState {
+    /// It waits for free capacity; nothing was sent to the target.
+    Waiting {
+        /// After this it is given back.
+        until: Timestamp,
+    },
+    /// Its start was sent and is not acknowledged.
+    Starting(PendingStart),
+    /// The target has acknowledged the start or listed the run.
+    Running {
+        /// When the runner learned it.
+        confirmed_at: Timestamp,
+    },
+    /// A stop was sent.
+    Stopping(PendingStop),
+}
+
+/// What a request to stop a run comes to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum StopStep {
+    /// Nothing was sent for it yet: it is over.
+    IsOver,
+    /// A stop has to be sent now.
+    SendStop,
+    /// A stop was sent before; the first reason stands.
+    IsStopping,
+}
+
+/// One run of a task and for whom it is executed.
+#[derive(Clone, Debug)]
+pub(super) struct Run {
+    /// The session that wants to know its end; none once that session is over.
+    pub(super) session: Option<SessionId>,
+    /// Order of arrival in this process.
+    pub(super) sequence: u64,
+    /// The dispatcher's number of the run.
+    pub(super) number: u64,
+    pub(super) spec: String,
+    pub(super) demand: Resources,
+    /// 0 is served first.
+    pub(super) priority: u32,
+    pub(super) state: RunState,
+    /// When the first start was sent, once the target has confirmed it.
+    started_at: Option<Timestamp>,
+    /// Expected duration, from the assignment.
+    pub(super) estimate: Duration,
+    pub(super) progress: ProgressTracker,
+    /// Whether it is being stopped because it makes no progress.
+    pub(super) is_stopped_as_stuck: bool,
+}
+
+impl Run {
+    pub(super) fn new(
+        session: SessionId,
+        sequence: u64,
+        assignment: &Assignment,
+        now: Timestamp,
+    ) -> Self {
+        let wait = Duration::from_millis(u64::from(assignment.wait_ms));
+        Self {
+            session: Some(session),
+            sequence,
+            number: assignment.run,
+            spec: assignment.spec.clone(),
+            demand: assignment.demand,
+            priority: assignment.priority,
+            state: RunState::Waiting { until: now + wait },
+            started_at: None,
+            estimate: Duration::from_millis(u64::from(assignment.estimate_ms)),
+            progress: ProgressTracker::default(),
+            is_stopped_as_stuck: false,
+        }
+    }
+
+    pub(super) fn is_waiting(&self) -> bool {
+        matches!(self.state, RunState::Waiting { .. })
+    }
+
+    pub(super) fn is_running(&self) -> bool {
+        matches!(self.state, RunState::Running { .. })
+    }
+
+    /// Returns whether it has waited for capacity as long as its assignment allows.
+    pub(super) fn has_waited_too_long(&self, now: Timestamp) -> bool {
+        matches!(self.state, RunState::Waiting { until } if now > until)
+    }
+
+    /// Returns the start that was sent and is not acknowledged.
+    pub(super) fn pending_start(&self) -> Option<PendingStart> {
+        match self.state {
+            RunState::Starting(start) => Some(start),
+            _ => None,
+        }
+    }
+
+    /// Returns how long ago the first start was sent; zero for a run that was not confirmed to run.
+    pub(super) fn ran_for(&self, now: Timestamp) -> Duration {
+        let span = self
+            .started_at
+            .map(|since| now.saturating_duration_since(since));
+        span.unwrap_or_default()
+    }
+
+    /// Returns the speed of a run that is done now, where 1 is as fast as estimated; none if either duration is unknown.
+    pub(super) fn mean_speed(&self, now: Timestamp) -> Option<f64> {
+        let ran = self.ran_for(now);
+        if ran.is_zero() || self.estimate.is_zero() {
+            return None;
+        }
+        Some(self.estimate.as_secs_f64() / ran.as_secs_f64())
+    }
+
+    /// Waiting -> Starting: the first start is sent now.
+    pub(super) fn begin_start(&mut self, deadline: TargetTime, now: Timestamp) {
+        self.state = RunState::Starting(PendingStart {
+            deadline,
+            first_sent_at: now,
+            last_sent_at: now,
+            attempts: 1,
+        });
+    }
+
+    /// Starting -> Starting: the same start is sent again, with the same deadline. Returns the start to send, none if the attempts
+    /// are used up or no start is pending.
+    pub(super) fn repeat_start(&mut self, now: Timestamp) -> Option<PendingStart> {
+        let RunState::Starting(start) = &mut self.state else {
+            return None;
+        };
+        if start.attempts >= MAX_START_ATTEMPTS {
+            return None;
+        }
+        start.attempts += 1;
+        start.last_sent_at = now;
+        Some(*start)
+    }
+
+    /// Starting -> Starting with a new deadline. Correct only when the one start that was sent is known to have had no effect.
+    pub(super) fn replace_start(
+        &mut self,
+        deadline: TargetTime,
+        now: Timestamp,
+    ) -> Option<PendingStart> {
+        let RunState::Starting(start) = &mut self.state else {
+            return None;
+        };
+        start.deadline = deadline;
+        start.attempts += 1;
+        start.last_sent_at = now;
+        Some(*start)
+    }
+
+    /// Starting -> Running: the target has acknowledged the start or listed the run. Returns whether this was news.
+    pub(super) fn confirm_start(&mut self, now: Timestamp) -> bool {
+        let RunState::Starting(start) = self.state else {
+            return false;
+        };
+        self.state = RunState::Running { confirmed_at: now };
+        self.started_at = Some(start.first_sent_at);
+        true
+    }
+
+    /// Starting or Running -> Stopping. A waiting run stays as it is, since it is over without a stop.
+    pub(super) fn begin_stop(
+        &mut self,
+        outcome_if_never_started: RunOutcome,
+        now: Timestamp,
+    ) -> StopStep {
+        let start_deadline = match self.state {
+            RunState::Waiting { .. } => return StopStep::IsOver,
+            RunState::Stopping(_) => return StopStep::IsStopping,
+            RunState::Starting(start) => Some(start.deadline),
+            RunState::Running { .. } => None,
+        };
+        self.state = RunState::Stopping(PendingStop {
+            start_deadline,
+            first_sent_at: now,
+            last_sent_at: now,
+            outcome_if_never_started,
+        });
+        StopStep::SendStop
+    }
+}
