--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -30,7 +30,7 @@
 impl Plugin for ClaimPlugin {
     fn build(self, app: &mut App) -> Result<(), BuildError> {
         let cell = app.resource::<CellSettings>()?;
-        let replica = Replica::new(self.own, unix_now(), cell.retention(), CLOCK_MARGIN);
+        let replica = Replica::new(self.own, unix_now(), cell.retention, CLOCK_MARGIN);
         let claims = Claims {
             inner: Arc::new(Inner {
                 own: self.own,
--- a/crates/claims/cloverfold_claims_settings/src/cell.rs
+++ b/crates/claims/cloverfold_claims_settings/src/cell.rs
@@ -1,17 +1,29 @@
-//! The file that all processes of a cell share.
+//! The file that all processes of a cell share: guards, services and workspaces.
+//!
+//! Owns its defaults and checks, and the hash form of a workspace's key. Relies on `cloverfold_claims_core` for the types of decisions.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use cloverfold_claims_core::{Cell, Flow, GuardId, Location, PlacementPolicy};
-use cloverfold_settings::{Check, FaultList};
+use cloverfold_settings::{Check, FaultList, deserialize_millis};
 use serde::Deserialize;
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq;
 
+/// Length of a SHA-256 hash, in bytes.
 const KEY_HASH_LEN: usize = 32;
+/// Sizes of a replica group: odd, so that each tolerates as many losses as the next even one.
 const ALLOWED_REPLICAS: [usize; 3] = [1, 3, 5];
+/// Default size of a replica group: the smallest that tolerates the loss of one guard.
+const REPLICAS: usize = 3;
+/// Default time for which keys and answers are kept. Chosen, not measured; `docs/design/1-submissions.md` weighs why there is one.
+const RETENTION: Duration = Duration::from_secs(600);
+/// Shortest time for which keys may be kept. Chosen, not measured.
+const MIN_RETENTION: Duration = Duration::from_secs(1);
+/// Weight of a workspace that sets none.
+const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// Guards, services and workspaces of one cell.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -20,12 +32,20 @@
     /// How many guards hold each claim: 1, 3 or 5.
     #[serde(default = "default_replicas")]
     pub replicas: usize,
-    /// For how long after its first submission a key is known, in milliseconds.
-    #[serde(default = "default_retention_ms")]
-    pub retention_ms: u64,
-    /// For how long answers and results are kept, in milliseconds.
-    #[serde(default = "default_retention_ms")]
-    pub answer_retention_ms: u64,
+    /// For how long after its first submission a key is known; `retention_ms` in the file.
+    #[serde(
+        rename = "retention_ms",
+        default = "default_retention",
+        deserialize_with = "deserialize_millis"
+    )]
+    pub retention: Duration,
+    /// For how long answers and results are kept; `answer_retention_ms` in the file.
+    #[serde(
+        rename = "answer_retention_ms",
+        default = "default_retention",
+        deserialize_with = "deserialize_millis"
+    )]
+    pub answer_retention: Duration,
     /// The guard that coordinates all jobs while it serves; the first of the list where none is named.
     pub lead: Option<GuardId>,
     /// Whether one guard leads; without, keys are spread over all guards.
@@ -94,11 +114,11 @@
 }
 
 fn default_replicas() -> usize {
-    3
+    REPLICAS
 }
 
-fn default_retention_ms() -> u64 {
-    600_000
+fn default_retention() -> Duration {
+    RETENTION
 }
 
 fn default_has_lead() -> bool {
@@ -106,7 +126,7 @@
 }
 
 fn default_weight() -> f64 {
-    1.0
+    DEFAULT_WEIGHT
 }
 
 impl CellSettings {
@@ -130,17 +150,7 @@
         self.lead.or(first).filter(|_| self.has_lead)
     }
 
-    /// Returns for how long after its first submission a key is known.
-    pub fn retention(&self) -> Duration {
-        Duration::from_millis(self.retention_ms)
-    }
-
-    /// Returns for how long answers and results are kept.
-    pub fn answer_retention(&self) -> Duration {
-        Duration::from_millis(self.answer_retention_ms)
-    }
-
-    /// Lists who leads the cell, and who does in the place of those before; empty without a lead.
+    /// Lists the guards in the order in which they lead: each while all before it are down. Empty without a lead.
     pub fn list_lead_order(&self) -> Vec<GuardId> {
         let Some(lead) = self.find_lead() else {
             return Vec::new();
@@ -168,8 +178,10 @@
     /// Returns the weight of a workspace's flow.
     pub fn weight_of(&self, workspace: &str) -> f64 {
         match self.queueing {
-            Queueing::Fair => self.find_workspace(workspace).map_or(1.0, |one| one.weight),
-            Queueing::Fifo => 1.0,
+            Queueing::Fair => self
+                .find_workspace(workspace)
+                .map_or(DEFAULT_WEIGHT, |one| one.weight),
+            Queueing::Fifo => DEFAULT_WEIGHT,
         }
     }
 
@@ -200,12 +212,12 @@
             ),
         );
         faults.add_if(
-            self.retention_ms < 1_000,
+            self.retention < MIN_RETENTION,
             "retention_ms",
             "must be at least 1000",
         );
         faults.add_if(
-            self.answer_retention_ms > self.retention_ms,
+            self.answer_retention > self.retention,
             "answer_retention_ms",
             "must not be over retention_ms",
         );
--- a/crates/claims/cloverfold_claims_settings/src/entry.rs
+++ b/crates/claims/cloverfold_claims_settings/src/entry.rs
@@ -1,16 +1,30 @@
-//! Settings of an entry.
+//! Settings of an entry of a claims installation.
+//!
+//! Owns their defaults and checks. Relies on `cloverfold_settings` for reading the file.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use cloverfold_settings::{
-    Check, FaultList, KeySettings, LogSettings, ProcessSettings, SettingsError,
-    read_process_settings,
+    Check, FaultList, KeySettings, LogSettings, SettingsWithPaths, deserialize_millis,
 };
 use serde::Deserialize;
 
-use crate::guard::default_drain_ms;
+use crate::guard::default_drain_timeout;
+
+/// Default longest body of a submission, in bytes. Chosen, not measured.
+const MAX_BODY: usize = 4 * 1024 * 1024;
+/// Default time for a caller to send its request. Chosen, not measured.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Deadline of a submission that names none, from its arrival. Chosen, not measured.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
+/// Default longest deadline that a submission may name, from its arrival. Chosen, not measured.
+const MAX_DEADLINE: Duration = Duration::from_secs(120);
+/// Default number of submissions that may wait for their answer at an entry. Chosen, not measured.
+const IN_FLIGHT: usize = 4_096;
+/// Default time that a stopping entry goes on serving. Chosen, not measured.
+const LINGER: Duration = Duration::from_secs(1);
 
 /// Settings of one `cloverfold entry`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -29,80 +43,74 @@
     /// Longest body of a submission, in bytes.
     #[serde(default = "default_max_body")]
     pub max_body: usize,
-    /// How long a caller may take to send its request, in milliseconds.
-    #[serde(default = "default_read_timeout_ms")]
-    pub read_timeout_ms: u64,
-    /// Deadline of a submission that names none, in milliseconds from its arrival.
-    #[serde(default = "default_deadline_ms")]
-    pub default_deadline_ms: u64,
-    /// Longest deadline that a submission may name, in milliseconds from its arrival.
-    #[serde(default = "default_max_deadline_ms")]
-    pub max_deadline_ms: u64,
+    /// How long a caller may take to send its request; `read_timeout_ms` in the file.
+    #[serde(
+        rename = "read_timeout_ms",
+        default = "default_read_timeout",
+        deserialize_with = "deserialize_millis"
+    )]
+    pub read_timeout: Duration,
+    /// Deadline of a submission that names none, from its arrival; `default_deadline_ms` in the file.
+    #[serde(
+        rename = "default_deadline_ms",
+        default = "default_deadline",
+        deserialize_with = "deserialize_millis"
+    )]
+    pub default_deadline: Duration,
+    /// Longest deadline that a submission may name, from its arrival; `max_deadline_ms` in the file.
+    #[serde(
+        rename = "max_deadline_ms",
+        default = "default_max_deadline",
+        deserialize_with = "deserialize_millis"
+    )]
+    pub max_deadline: Duration,
     /// Submissions that may wait for their answer here.
     #[serde(default = "default_in_flight")]
     pub in_flight: usize,
-    /// How long a planned stop may take before what is left is given up, in milliseconds.
-    #[serde(default = "default_drain_ms")]
-    pub drain_ms: u64,
-    /// How long a stopping entry goes on serving, so that the balancer can notice, in milliseconds.
-    #[serde(default = "default_linger_ms")]
-    pub linger_ms: u64,
+    /// How long a planned stop may take before the submissions that are left are abandoned; `drain_ms` in the file.
+    #[serde(
+        rename = "drain_ms",
+        default = "default_drain_timeout",
+        deserialize_with = "deserialize_millis"
+    )]
+    pub drain_timeout: Duration,
+    /// How long a stopping entry goes on serving, so that the balancer can notice; `linger_ms` in the file.
+    #[serde(
+        rename = "linger_ms",
+        default = "default_linger",
+        deserialize_with = "deserialize_millis"
+    )]
+    pub linger: Duration,
     /// Where log lines go.
     #[serde(default)]
     pub log: LogSettings,
 }
 
 fn default_max_body() -> usize {
-    4 * 1024 * 1024
+    MAX_BODY
 }
 
-fn default_read_timeout_ms() -> u64 {
-    5_000
+fn default_read_timeout() -> Duration {
+    READ_TIMEOUT
 }
 
-fn default_deadline_ms() -> u64 {
-    30_000
+fn default_deadline() -> Duration {
+    DEFAULT_DEADLINE
 }
 
-fn default_max_deadline_ms() -> u64 {
-    120_000
+fn default_max_deadline() -> Duration {
+    MAX_DEADLINE
 }
 
 fn default_in_flight() -> usize {
-    4_096
+    IN_FLIGHT
 }
 
-fn default_linger_ms() -> u64 {
-    1_000
+fn default_linger() -> Duration {
+    LINGER
 }
 
-impl EntrySettings {
-    /// Reads the file and makes its paths relative to the working folder.
-    ///
-    /// # Errors
-    ///
-    /// As [`cloverfold_settings::read_settings`].
-    pub fn read(file: &Path) -> Result<Self, SettingsError> {
-        read_process_settings(file)
-    }
-
-    /// Returns how long a planned stop may take.
-    pub fn drain_timeout(&self) -> Duration {
-        Duration::from_millis(self.drain_ms)
-    }
-
-    /// Returns how long a stopping entry goes on serving.
-    pub fn linger(&self) -> Duration {
-        Duration::from_millis(self.linger_ms)
-    }
-
-    /// Returns how long a caller may take to send its request.
-    pub fn read_timeout(&self) -> Duration {
-        Duration::from_millis(self.read_timeout_ms)
-    }
-}
-
-impl ProcessSettings for EntrySettings {
+impl SettingsWithPaths for EntrySettings {
     fn resolve_paths(&mut self, folder: &Path) {
         self.cell = folder.join(&self.cell);
         self.keys.resolve(folder);
@@ -119,12 +127,12 @@
         faults.add_if(self.max_body == 0, "max_body", "must be above 0");
         faults.add_if(self.in_flight == 0, "in_flight", "must be above 0");
         faults.add_if(
-            self.read_timeout_ms == 0,
+            self.read_timeout.is_zero(),
             "read_timeout_ms",
             "must be above 0",
         );
         faults.add_if(
-            self.default_deadline_ms == 0 || self.default_deadline_ms > self.max_deadline_ms,
+            self.default_deadline.is_zero() || self.default_deadline > self.max_deadline,
             "default_deadline_ms",
             "must be above 0 and not over max_deadline_ms",
         );
--- a/crates/claims/cloverfold_claims_settings/src/guard.rs
+++ b/crates/claims/cloverfold_claims_settings/src/guard.rs
@@ -1,4 +1,6 @@
-//! Settings of a guard.
+//! Settings of a guard of a claims installation, and of the target beside it.
+//!
+//! Owns their defaults and checks. Relies on `cloverfold_settings` for reading the file.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -6,11 +8,21 @@
 
 use cloverfold_claims_core::GuardId;
 use cloverfold_settings::{
-    Check, FaultList, KeySettings, LogSettings, ProcessSettings, SettingsError,
-    read_process_settings,
+    Check, FaultList, KeySettings, LogSettings, SettingsWithPaths, deserialize_millis,
 };
 use serde::Deserialize;
 
+/// Default number of tasks that may wait at a guard. Chosen, not measured.
+const QUEUE_LIMIT: usize = 512;
+/// Default time that a planned stop may take. Chosen, not measured.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
+/// Default number of tasks that may run at a target at once. Chosen, not measured.
+const SLOTS: usize = 8;
+/// Default number of connections that may be open to a target. Chosen, not measured.
+const CONNECTIONS: usize = 64;
+/// Default time that a task may run before it counts as lost. Chosen, not measured.
+const TASK_TIMEOUT: Duration = Duration::from_secs(30);
+
 /// Settings of one `cloverfold-guard`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -30,9 +42,13 @@
     /// Tasks that may wait here.
     #[serde(default = "default_queue_limit")]
     pub queue_limit: usize,
-    /// How long a planned stop may take before what is left is given up, in milliseconds.
-    #[serde(default = "default_drain_ms")]
-    pub drain_ms: u64,
+    /// How long a planned stop may take before the tasks that are left are abandoned; `drain_ms` in the file.
+    #[serde(
+        rename = "drain_ms",
+        default = "default_drain_timeout",
+        deserialize_with = "deserialize_millis"
+    )]
+    pub drain_timeout: Duration,
     /// Where log lines go.
     #[serde(default)]
     pub log: LogSettings,
@@ -53,55 +69,36 @@
     /// Whether the target can cancel a running task.
     #[serde(default)]
     pub can_cancel: bool,
-    /// How long a task may run before it counts as lost, in milliseconds.
-    #[serde(default = "default_task_timeout_ms")]
-    pub task_timeout_ms: u64,
+    /// How long a task may run before it counts as lost; `task_timeout_ms` in the file.
+    #[serde(
+        rename = "task_timeout_ms",
+        default = "default_task_timeout",
+        deserialize_with = "deserialize_millis"
+    )]
+    pub task_timeout: Duration,
 }
 
 fn default_queue_limit() -> usize {
-    512
+    QUEUE_LIMIT
 }
 
-pub(crate) fn default_drain_ms() -> u64 {
-    30_000
+pub(crate) fn default_drain_timeout() -> Duration {
+    DRAIN_TIMEOUT
 }
 
 fn default_slots() -> usize {
-    8
+    SLOTS
 }
 
 fn default_connections() -> usize {
-    64
-}
-
-fn default_task_timeout_ms() -> u64 {
-    30_000
+    CONNECTIONS
 }
 
-impl GuardSettings {
-    /// Reads the file and makes its paths relative to the working folder.
-    ///
-    /// # Errors
-    ///
-    /// As [`cloverfold_settings::read_settings`].
-    pub fn read(file: &Path) -> Result<Self, SettingsError> {
-        read_process_settings(file)
-    }
-
-    /// Returns how long a planned stop may take.
-    pub fn drain_timeout(&self) -> Duration {
-        Duration::from_millis(self.drain_ms)
-    }
-}
-
-impl TargetSettings {
-    /// Returns how long a task may run.
-    pub fn task_timeout(&self) -> Duration {
-        Duration::from_millis(self.task_timeout_ms)
-    }
+fn default_task_timeout() -> Duration {
+    TASK_TIMEOUT
 }
 
-impl ProcessSettings for GuardSettings {
+impl SettingsWithPaths for GuardSettings {
     fn resolve_paths(&mut self, folder: &Path) {
         self.cell = folder.join(&self.cell);
         self.keys.resolve(folder);
@@ -118,7 +115,7 @@
             "must be at least target.slots, since each running task holds a connection",
         );
         faults.add_if(
-            target.task_timeout_ms == 0,
+            target.task_timeout.is_zero(),
             "target.task_timeout_ms",
             "must be above 0",
         );
--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -79,7 +79,7 @@
 
     /// Returns until when fences must remember the tasks of a submission.
     pub(crate) fn keep_until(&self, submission: &Submission) -> UnixTime {
-        submission.submitted_at + self.inner.cell.retention() * 2
+        submission.submitted_at + self.inner.cell.retention * 2
     }
 
     pub(crate) fn take_retry(&self) -> bool {
@@ -152,7 +152,7 @@
         self.inner.metrics.count_job(&answer.outcome);
         log_answer(&key, &answer.outcome);
         let kept = answer.clone();
-        let retention = self.inner.cell.answer_retention();
+        let retention = self.inner.cell.answer_retention;
         let now = unix_now();
         self.inner
             .jobs
--- a/crates/claims/cloverfold_entry/src/api.rs
+++ b/crates/claims/cloverfold_entry/src/api.rs
@@ -84,8 +84,8 @@
         }
         let body = self.read_body(body).await?;
         let limits = SubmissionLimits {
-            default_deadline: Duration::from_millis(self.settings.default_deadline_ms),
-            max_deadline: Duration::from_millis(self.settings.max_deadline_ms),
+            default_deadline: self.settings.default_deadline,
+            max_deadline: self.settings.max_deadline,
         };
         let fresh = self.routing.draw_fresh_key(&customer.name).await;
         let now = unix_now();
@@ -108,7 +108,7 @@
     /// Reads a body within the limits of size and time.
     async fn read_body(&self, body: volo_http::body::Body) -> Result<bytes::Bytes, Refusal> {
         let limited = Limited::new(body, self.settings.max_body).collect();
-        let Ok(read) = timeout(self.settings.read_timeout(), limited).await else {
+        let Ok(read) = timeout(self.settings.read_timeout, limited).await else {
             return Err(Refusal {
                 status: StatusCode::REQUEST_TIMEOUT,
                 code: "body_too_slow",
@@ -160,7 +160,7 @@
     /// Serves on while the balancer notices, then waits for what is in flight.
     pub(crate) async fn drain(self: Arc<Self>) {
         self.lifecycle.wait_for(Phase::Draining).await;
-        sleep(self.settings.linger()).await;
+        sleep(self.settings.linger).await;
         while self.in_flight.load(Ordering::Acquire) > 0 {
             sleep(DRAIN_POLL).await;
         }
--- a/crates/claims/cloverfold_execute/src/plugin.rs
+++ b/crates/claims/cloverfold_execute/src/plugin.rs
@@ -37,7 +37,7 @@
         let limits = FenceLimits {
             slots: settings.target.slots,
             queue: settings.queue_limit,
-            answer_retention: cell.answer_retention(),
+            answer_retention: cell.answer_retention,
         };
         let load = app.resource::<OwnState>()?;
         let execution = Execution::new(self.own.incarnation, limits, load);
--- a/crates/claims/cloverfold_execute/src/target_client.rs
+++ b/crates/claims/cloverfold_execute/src/target_client.rs
@@ -90,7 +90,7 @@
         Ok(Self {
             client,
             address: settings.address,
-            timeout: settings.task_timeout(),
+            timeout: settings.task_timeout,
             can_cancel: settings.can_cancel,
             connections: Arc::new(Semaphore::new(settings.connections)),
         })
--- a/crates/cloverfold/src/bin/cloverfold-guard.rs
+++ b/crates/cloverfold/src/bin/cloverfold-guard.rs
@@ -15,6 +15,7 @@
 use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_platform::Platform;
 use cloverfold_programs::{RuntimeThreads, report_outcome, start_runtime};
+use cloverfold_settings::SettingsWithPaths;
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
@@ -48,7 +49,7 @@
     let settings = GuardSettings::read(file)?;
     start_logging(&settings.log)?;
     start_runtime(RuntimeThreads::Fixed(TRAFFIC_THREADS))?.block_on(async {
-        let drain_timeout = settings.drain_timeout();
+        let drain_timeout = settings.drain_timeout;
         let running = start_guard(settings).await?;
         running.run_until_signal(drain_timeout).await?;
         Ok(())
--- a/crates/cloverfold/src/bin/cloverfold/check.rs
+++ b/crates/cloverfold/src/bin/cloverfold/check.rs
@@ -7,7 +7,7 @@
 use argh::{FromArgValue, FromArgs};
 use cloverfold_claims_settings::{CellSettings, EntrySettings, GuardSettings};
 use cloverfold_leased_settings::{ControlSettings, LeasedEntrySettings, LeasedGuardSettings};
-use cloverfold_settings::read_settings;
+use cloverfold_settings::{SettingsWithPaths, read_settings};
 use eyre::{Result, bail};
 
 /// Check a settings file, and the cell's file that it names.
--- a/crates/cloverfold/src/bin/cloverfold/entry.rs
+++ b/crates/cloverfold/src/bin/cloverfold/entry.rs
@@ -6,6 +6,7 @@
 use cloverfold_claims_process::start_entry;
 use cloverfold_claims_settings::EntrySettings;
 use cloverfold_programs::{RuntimeThreads, start_runtime};
+use cloverfold_settings::SettingsWithPaths;
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
@@ -23,7 +24,7 @@
         let settings = EntrySettings::read(&self.settings)?;
         start_logging(&settings.log)?;
         start_runtime(RuntimeThreads::PerCore)?.block_on(async {
-            let drain_timeout = settings.drain_timeout();
+            let drain_timeout = settings.drain_timeout;
             let running = start_entry(settings).await?;
             running.run_until_signal(drain_timeout).await?;
             Ok(())
--- a/crates/common/cloverfold_settings/src/common.rs
+++ b/crates/common/cloverfold_settings/src/common.rs
@@ -1,13 +1,16 @@
-//! Settings that every role has.
+//! What the settings of several processes share: keys, logs, paths and times.
+//!
+//! Owns no state. Relies on `document` for reading and checking a file.
 
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
-use serde::Deserialize;
 use serde::de::DeserializeOwned;
+use serde::{Deserialize, Deserializer};
 
 use crate::document::{Check, SettingsError, read_settings};
 
-/// Where the process finds its key files; paths are relative to the settings file.
+/// The key files of a process; paths are relative to the settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
@@ -28,30 +31,41 @@
     }
 }
 
-/// Settings of a process, which name other files.
-pub trait ProcessSettings: DeserializeOwned + Check {
-    /// Makes the paths relative to the working folder instead of the settings file's folder.
+/// Settings that name other files by paths relative to their own file.
+pub trait SettingsWithPaths: DeserializeOwned + Check {
+    /// Makes the paths absolute or relative to the working folder; `folder` is that of the settings file.
     fn resolve_paths(&mut self, folder: &Path);
+
+    /// Reads and checks a settings file and resolves its paths.
+    ///
+    /// # Errors
+    ///
+    /// As [`read_settings`].
+    fn read(file: &Path) -> Result<Self, SettingsError> {
+        let mut settings: Self = read_settings(file)?;
+        settings.resolve_paths(file.parent().unwrap_or(Path::new("")));
+        Ok(settings)
+    }
 }
 
-/// Reads the settings of a process.
+/// Reads a duration that a file gives in whole milliseconds; for `#[serde(deserialize_with)]`.
 ///
 /// # Errors
 ///
-/// As [`read_settings`].
-pub fn read_process_settings<T: ProcessSettings>(file: &Path) -> Result<T, SettingsError> {
-    let mut settings: T = read_settings(file)?;
-    settings.resolve_paths(file.parent().unwrap_or(Path::new("")));
-    Ok(settings)
+/// Returns the deserializer's error unless the value is a whole number that is not negative.
+pub fn deserialize_millis<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Duration, D::Error> {
+    u64::deserialize(deserializer).map(Duration::from_millis)
 }
 
 /// How much is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Only what needs a person.
+    /// Only errors, which need a person.
     Error,
-    /// Also what may.
+    /// Also warnings, which may need one.
     Warn,
     /// Also changes of state.
     #[default]
@@ -64,17 +78,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Least weight of what is logged.
+    /// Least severity that is logged.
     pub level: LogLevel,
-    /// File that lines are appended to; `stream` where there is none.
+    /// File that lines are appended to; without one they go to `stream`.
     pub file: Option<PathBuf>,
-    /// Where lines go without a file.
+    /// Stream that lines go to without a file.
     pub stream: LogStream,
-    /// Lines in one second above which further ones are dropped and counted; no bound without.
+    /// Most lines in one second; further ones are dropped and counted. Without it there is no limit.
     pub lines_per_second: Option<u32>,
 }
 
-/// A stream of the process.
+/// A standard stream of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogStream {
--- a/crates/common/cloverfold_settings/src/document.rs
+++ b/crates/common/cloverfold_settings/src/document.rs
@@ -1,4 +1,6 @@
-//! Reading of a settings file and the place of each fault in it.
+//! Reading and checking of a settings file, with the line of each fault.
+//!
+//! Owns no state. Relies on `jsonc-parser` for the text and on `serde` for the types.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -8,7 +10,7 @@
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast, parse_to_serde_value};
 use serde::de::DeserializeOwned;
 
-/// Settings that can say what is impossible about their values.
+/// Settings that can check their own values.
 pub trait Check {
     /// Adds a fault for each impossible value.
     fn check(&self, faults: &mut FaultList);
@@ -23,7 +25,7 @@
     pub message: String,
 }
 
-/// The faults found in one file.
+/// The faults found in one settings file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultList(Vec<Fault>);
 
@@ -44,7 +46,7 @@
     }
 }
 
-/// Why settings cannot be used; its text names the file, the line and the field of each fault.
+/// The faults for which a settings file is refused; its text names the file, the line and the field of each.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     file: PathBuf,
@@ -83,7 +85,7 @@
 ///
 /// # Errors
 ///
-/// Says that the file cannot be read, or what [`parse_settings`] found.
+/// Returns that the file cannot be read, or the faults that [`parse_settings`] found.
 pub fn read_settings<T: DeserializeOwned + Check>(file: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(file)
         .map_err(|e| single_error(file, None, "", format!("cannot be read: {e}")))?;
@@ -94,7 +96,7 @@
 ///
 /// # Errors
 ///
-/// Lists the first error of form, or all impossible values.
+/// Returns the first syntax or type error, or else all impossible values.
 pub fn parse_settings<T: DeserializeOwned + Check>(
     file: &Path,
     text: &str,
@@ -119,14 +121,14 @@
     if faults.0.is_empty() {
         return Ok(settings);
     }
-    let place = |fault: Fault| FaultLine {
+    let locate = |fault: Fault| FaultLine {
         line: find_line(text, &root, &fault.field),
         field: fault.field,
         message: fault.message,
     };
     Err(SettingsError {
         file: file.into(),
-        lines: faults.0.into_iter().map(place).collect(),
+        lines: faults.0.into_iter().map(locate).collect(),
     })
 }
 
@@ -141,7 +143,7 @@
     }
 }
 
-/// Finds the line of a field like `guards[2].hall`, or of the innermost part of it that is there.
+/// Finds the line, from 1, of a field like `guards[2].hall`, or of its innermost part that the file has.
 fn find_line(text: &str, root: &ast::Value<'_>, field: &str) -> Option<usize> {
     let mut value = root;
     let mut position = root.range().start;
--- a/crates/tools/cloverfold_solo/src/system.rs
+++ b/crates/tools/cloverfold_solo/src/system.rs
@@ -11,6 +11,7 @@
 };
 use cloverfold_claims_settings::{CellSettings, EntrySettings, GuardSettings};
 use cloverfold_load::{CallerClient, read_metrics};
+use cloverfold_settings::SettingsWithPaths;
 use cloverfold_target::SampleTarget;
 use serde_json::json;
 use tempfile::TempDir;
