--- a/crates/cloverfold/tests/system/checker_tests.rs
+++ b/crates/cloverfold/tests/system/checker_tests.rs
@@ -30,7 +30,7 @@
     let journal = Journal::default();
     for task in started_tasks {
         let body = json!({ "echo": make_echo("job", *task) }).to_string();
-        journal.note_start("any", body.as_bytes());
+        journal.record_start("any", body.as_bytes());
     }
     journal
 }
--- a/crates/tools/cloverfold_faults/src/faults.rs
+++ b/crates/tools/cloverfold_faults/src/faults.rs
@@ -1,4 +1,6 @@
-//! What a proxy does to what passes through it.
+//! The faults that a proxy injects, by the source of a packet.
+//!
+//! Owns the table of a proxy. Relies on the system's random source: runs are not repeatable.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,20 +10,20 @@
 /// Faults on a link, both ways.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Added to each packet's way.
+    /// Delay of each packet.
     pub delay: Duration,
-    /// Up to this much more delay, drawn for each packet, which reorders packets.
+    /// Upper bound of a further delay that is drawn for each packet, which reorders packets.
     pub jitter: Duration,
-    /// Share of packets that are lost.
+    /// Share of packets that are lost, 0 to 1.
     pub loss: f64,
-    /// Share of packets that come twice.
+    /// Share of packets that are delivered twice, 0 to 1.
     pub duplication: f64,
-    /// Nothing passes, and nobody is told.
+    /// Whether packets are dropped, or streams held, without an error at either end.
     pub is_silent: bool,
 }
 
 impl Faults {
-    /// Nothing passes, and nobody is told.
+    /// Returns the faults of a link that lets nothing through, without an error at either end.
     pub fn silence() -> Self {
         Self {
             is_silent: true,
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Draws when each copy of a packet arrives; empty when it is lost.
+    /// Draws the delay of each copy of a packet; empty when it is lost.
     pub(crate) fn draw_arrivals(&self) -> Vec<Duration> {
         if self.is_silent || rand::random::<f64>() < self.loss {
             return Vec::new();
@@ -68,11 +70,12 @@
         self.lock().by_source.insert(source, faults);
     }
 
-    /// Takes all faults away.
+    /// Removes all faults.
     pub fn clear(&self) {
         *self.lock() = Rules::default();
     }
 
+    /// Returns the faults of a source.
     pub(crate) fn find(&self, source: SocketAddr) -> Faults {
         let rules = self.lock();
         rules
--- a/crates/tools/cloverfold_faults/src/lib.rs
+++ b/crates/tools/cloverfold_faults/src/lib.rs
@@ -1,7 +1,8 @@
 //! A proxy for TCP and UDP that injects faults in tests.
 //!
 //! Put a [`UdpProxy`] or [`TcpProxy`] before a process, give its address to others, and set [`Faults`] while the
-//! system runs: delay, jitter that reorders, loss, duplication, silence and cuts.
+//! system runs: delay, jitter that reorders, loss, duplication, silence and cuts. Owns the sockets of each proxy and the table of its
+//! faults. Relies on the process behind the proxy for everything else; faults are drawn without a seed.
 //!
 //! ```
 //! # let runtime = tokio::runtime::Runtime::new().unwrap();
--- a/crates/tools/cloverfold_faults/src/tcp_proxy.rs
+++ b/crates/tools/cloverfold_faults/src/tcp_proxy.rs
@@ -1,4 +1,6 @@
-//! The proxy for byte streams.
+//! The proxy for TCP.
+//!
+//! Owns its listener and connections. Relies on the fault table for delay and silence.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -11,7 +13,9 @@
 
 use crate::faults::{FaultTable, Faults};
 
+/// Most bytes that are read at once. Chosen, not measured.
 const CHUNK: usize = 16 * 1024;
+/// How often a silent stream checks whether the silence is over. Chosen, not measured.
 const SILENCE_POLL: Duration = Duration::from_millis(5);
 
 /// Forwards connections to one process; stops when dropped.
@@ -54,7 +58,7 @@
         self.faults.set(faults);
     }
 
-    /// Breaks every connection that stands now.
+    /// Closes every connection that is open now.
     pub fn cut(&self) {
         self.cuts.send_modify(|cuts| *cuts += 1);
     }
@@ -67,6 +71,7 @@
     }
 }
 
+/// Forwards each connection until it ends or is cut.
 async fn accept_all(
     listener: TcpListener,
     upstream: SocketAddr,
@@ -92,6 +97,7 @@
     }
 }
 
+/// Copies one direction of a connection; holds what was read while the source is silenced.
 async fn copy_with_faults(
     mut rx: OwnedReadHalf,
     mut tx: OwnedWriteHalf,
@@ -111,6 +117,6 @@
             return;
         }
     }
-    // The other side may have gone first.
+    // An error means that the other side has closed already, which is what shutting down asks for.
     let _ = tx.shutdown().await;
 }
--- a/crates/tools/cloverfold_faults/src/udp_proxy.rs
+++ b/crates/tools/cloverfold_faults/src/udp_proxy.rs
@@ -1,4 +1,6 @@
-//! The proxy for datagrams.
+//! The proxy for UDP.
+//!
+//! Owns its front socket and one socket for each source. Relies on the fault table for what happens to a datagram.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,6 +12,7 @@
 
 use crate::faults::{FaultTable, Faults};
 
+/// Buffer for a datagram, in bytes; none is longer.
 const MAX_DATAGRAM: usize = 65_536;
 
 /// Forwards datagrams to one process; stops when dropped.
@@ -60,7 +63,7 @@
     }
 }
 
-/// Gives each source a socket of its own towards the process, so that answers find their way back.
+/// Forwards datagrams to the process, each source through a socket of its own so that answers return to it.
 async fn forward_all(front: Arc<UdpSocket>, upstream: SocketAddr, faults: FaultTable) {
     let mut sources: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
     let mut returns = JoinSet::new();
@@ -86,6 +89,7 @@
     }
 }
 
+/// Forwards what the process sends back to one source.
 async fn return_all(
     front: Arc<UdpSocket>,
     back: Arc<UdpSocket>,
@@ -94,7 +98,7 @@
 ) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
-        // An error tells of an earlier datagram that nobody took; the next may be taken.
+        // The error reports an earlier datagram that was refused; later ones may be received.
         let Ok((len, _)) = back.recv_from(&mut buf).await else {
             continue;
         };
@@ -102,10 +106,11 @@
     }
 }
 
+/// Sends each copy of a datagram that the faults let through.
 async fn pass_on(socket: &Arc<UdpSocket>, to: SocketAddr, datagram: &[u8], faults: Faults) {
     for arrival in faults.draw_arrivals() {
         if arrival.is_zero() {
-            // Nobody may listen there any more, which the sender finds out by itself.
+            // A lost datagram is no error of a proxy for UDP: the sender has to bear losses anyway.
             let _ = socket.send_to(datagram, to).await;
             continue;
         }
@@ -113,6 +118,7 @@
         let datagram = datagram.to_vec();
         tokio::spawn(async move {
             sleep(arrival).await;
+            // As above.
             let _ = socket.send_to(&datagram, to).await;
         });
     }
--- a/crates/tools/cloverfold_load/src/client.rs
+++ b/crates/tools/cloverfold_load/src/client.rs
@@ -1,4 +1,6 @@
-//! A caller of the HTTP interface.
+//! A client of the HTTP interface of an entry, and of metrics pages.
+//!
+//! Owns pooled connections. Relies on `docs/API.md` for paths, headers and bodies.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +12,12 @@
 use volo_http::body::Body;
 use volo_http::client::{Client, ClientBuilder};
 
-/// Who calls.
+/// Idle connections that are kept to one address. Chosen, not measured.
+const POOL_SIZE: usize = 512;
+/// How long a connection may take to open. Chosen, not measured.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The name and key with which a caller proves its workspace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerKey {
     /// Name of the workspace.
@@ -40,41 +47,41 @@
     pub idempotency_key: Option<String>,
 }
 
-/// What came back.
+/// The answer to a submission or to a query.
 #[derive(Clone, Debug, Deserialize)]
 pub struct JobAnswer {
-    /// Status of the answer.
+    /// HTTP status.
     #[serde(skip)]
     pub status: StatusCode,
-    /// `complete`, `failed`, `not_run`, `unknown` and others for states.
+    /// `complete`, `failed`, `not_run` or `unknown`, or the state of a job that is not over.
     pub outcome: String,
-    /// Key of the submission.
+    /// Idempotency key of the submission.
     pub key: Option<String>,
     /// Results of a complete job.
     pub results: Option<Vec<serde_json::Value>>,
-    /// Why it is not complete.
+    /// The error of a job that is not complete.
     pub error: Option<serde_json::Value>,
 }
 
 impl JobAnswer {
-    /// Returns the stable code of the error, if there is one.
+    /// Returns the code of the error, as `docs/API.md` lists them, if there is one.
     pub fn error_code(&self) -> Option<&str> {
         self.error.as_ref()?.get("code")?.as_str()
     }
 }
 
-/// Why no answer came.
+/// Why a call has no readable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// The connection failed or broke.
     #[error("no answer: {0}")]
     Connection(String),
-    /// The answer is not one of ours.
+    /// The body is not one that the interface documents.
     #[error("the answer cannot be read: {0}")]
     Answer(String),
 }
 
-/// Pooled connections to entries.
+/// A client with pooled connections; clones share the pool.
 #[derive(Clone)]
 pub struct CallerClient {
     client: Client<Body>,
@@ -85,13 +92,12 @@
     ///
     /// # Errors
     ///
-    /// Says why the library cannot build it.
+    /// Returns the error of `volo-http`.
     pub fn new() -> Result<Self, LoadError> {
-        const POOL_SIZE: usize = 512;
         let mut builder = ClientBuilder::new();
         builder
             .set_max_idle_per_host(POOL_SIZE)
-            .set_connect_timeout(Duration::from_secs(2));
+            .set_connect_timeout(CONNECT_TIMEOUT);
         let client = builder
             .build()
             .map_err(|e| LoadError::Connection(e.to_string()))?;
@@ -102,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// Says that no readable answer came.
+    /// Returns that the connection broke or that the answer cannot be read.
     pub async fn submit(
         &self,
         entry: SocketAddr,
@@ -114,11 +120,11 @@
         self.submit_raw(entry, caller, key, body.into()).await
     }
 
-    /// Submits any body, also one that is no job.
+    /// Submits any body, valid or not.
     ///
     /// # Errors
     ///
-    /// Says that no readable answer came.
+    /// Returns that the connection broke or that the answer cannot be read.
     pub async fn submit_raw(
         &self,
         entry: SocketAddr,
@@ -142,7 +148,7 @@
     ///
     /// # Errors
     ///
-    /// Says that no readable answer came.
+    /// Returns that the connection broke or that the answer cannot be read.
     pub async fn query(
         &self,
         entry: SocketAddr,
@@ -164,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// Says that no readable page came.
+    /// Returns that the connection broke.
     pub async fn get_text(
         &self,
         address: SocketAddr,
--- a/crates/tools/cloverfold_load/src/metrics_reader.rs
+++ b/crates/tools/cloverfold_load/src/metrics_reader.rs
@@ -1,4 +1,6 @@
-//! Sums of counters over the processes' metrics pages.
+//! Sums of counters and gauges over the metrics pages of several processes.
+//!
+//! Owns the sums of one reading. Relies on the text format of the pages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +14,7 @@
 }
 
 impl MetricsTotals {
-    /// Returns the sum of one series, as in `cloverfold_peer_requests_total{message="claim"}`.
+    /// Returns the sum of one series, 0 if no page has it, as in `cloverfold_peer_requests_total{message="claim"}`.
     pub fn sum_of(&self, series: &str) -> f64 {
         self.sums.get(series).copied().unwrap_or(0.0)
     }
@@ -32,7 +34,7 @@
             .collect()
     }
 
-    /// Returns what was added since an earlier reading.
+    /// Returns the differences to an earlier reading.
     pub fn since(&self, earlier: &Self) -> Self {
         let differences = self
             .sums
@@ -60,7 +62,7 @@
 ///
 /// # Errors
 ///
-/// Says that a page could not be read.
+/// Returns the first page's error; the others are not read then.
 pub async fn read_metrics(
     client: &CallerClient,
     processes: &[SocketAddr],
--- a/crates/tools/cloverfold_load/src/plan.rs
+++ b/crates/tools/cloverfold_load/src/plan.rs
@@ -1,18 +1,27 @@
-//! What load is put on.
+//! Plans of load: who submits how much for how long.
+//!
+//! Owns no state. Relies on `run` to carry a plan out.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::client::CallerKey;
 
+/// Shortest task of an even load. Chosen, not measured.
+const SHORTEST_TASK: Duration = Duration::from_millis(50);
+/// Longest task of an even load. Chosen, not measured.
+const LONGEST_TASK: Duration = Duration::from_millis(500);
+/// Time from the start that an even load leaves out of the report. Chosen, not measured.
+const WARM_UP: Duration = Duration::from_secs(1);
+
 /// One workspace's part of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadWorkspace {
     /// Who submits.
     pub caller: CallerKey,
-    /// Jobs per second, with exponential gaps.
+    /// Mean jobs per second; the gaps are exponential.
     pub jobs_per_s: f64,
-    /// Least and most tasks of a job, all sizes alike.
+    /// Least and most tasks of a job; all sizes are equally likely.
     pub job_size: (usize, usize),
 }
 
@@ -25,11 +34,11 @@
     pub service: String,
     /// The workspaces.
     pub workspaces: Vec<LoadWorkspace>,
-    /// Least and longest duration of a task, all durations alike.
+    /// Shortest and longest duration of a task; all whole milliseconds are equally likely.
     pub task_duration: (Duration, Duration),
     /// How long jobs arrive.
     pub length: Duration,
-    /// Arrivals in this time at the beginning are not reported.
+    /// Jobs that arrive within this time from the start are left out of the report.
     pub warm_up: Duration,
     /// Seed of the arrivals, sizes and durations.
     pub seed: u64,
@@ -42,10 +51,6 @@
     }
 }
 
-const SHORTEST_TASK: Duration = Duration::from_millis(50);
-const LONGEST_TASK: Duration = Duration::from_millis(500);
-const WARM_UP: Duration = Duration::from_secs(1);
-
 /// Load on a system as a share of its slots, spread evenly over workspaces, of tasks of 50 to 500 ms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EvenLoad {
@@ -57,7 +62,7 @@
     pub service: String,
     /// Slots of the system.
     pub slots: usize,
-    /// Share of the slots that the load takes on average.
+    /// Mean share of the slots that the load occupies, 0 to 1.
     pub share: f64,
     /// Least and most tasks of a job.
     pub job_size: (usize, usize),
@@ -68,7 +73,7 @@
 }
 
 impl EvenLoad {
-    /// Works out each workspace's rate.
+    /// Makes a plan in which every workspace submits at the same rate.
     pub fn make_plan(self) -> LoadPlan {
         let mut plan = LoadPlan {
             entries: self.entries,
--- a/crates/tools/cloverfold_load/src/report.rs
+++ b/crates/tools/cloverfold_load/src/report.rs
@@ -1,4 +1,6 @@
-//! What a run of load showed.
+//! The report of a run of load: response times, outcomes and wasted messages.
+//!
+//! Owns the histograms of one run. Relies on the metrics pages and the targets' journals for the count of messages.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,12 +10,16 @@
 
 use crate::metrics_reader::MetricsTotals;
 
-/// Ratios are kept in thousandths.
+/// Outcome of a job that ran as asked.
+const COMPLETE: &str = "complete";
+/// Units of the histograms in a ratio of 1: ratios are kept in thousandths.
 const RATIO_SCALE: f64 = 1_000.0;
+/// Largest ratio that is told apart, in thousandths; larger ones count as this.
 const LARGEST_RATIO: u64 = 10_000_000;
+/// Precision of the histograms, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// One answered or failed job.
+/// One job, answered or not.
 pub(crate) struct Sample {
     pub(crate) workspace: usize,
     pub(crate) is_counted: bool,
@@ -23,7 +29,7 @@
     pub(crate) outcome: String,
 }
 
-/// What one workspace got.
+/// The outcomes and response times of one workspace.
 #[derive(Clone, Debug)]
 pub struct WorkspaceReport {
     /// Name of the workspace.
@@ -62,15 +68,15 @@
         self.outcomes.values().sum()
     }
 
-    fn note(&mut self, sample: &Sample) {
-        if sample.outcome == "complete" {
+    fn record(&mut self, sample: &Sample) {
+        if sample.outcome == COMPLETE {
             self.useful_tasks += sample.tasks as u64;
         }
         if !sample.is_counted {
             return;
         }
         *self.outcomes.entry(sample.outcome.clone()).or_default() += 1;
-        if sample.outcome == "complete" {
+        if sample.outcome == COMPLETE {
             let ratio = sample.response.as_secs_f64() / sample.ideal.as_secs_f64();
             self.ratios.saturating_record((ratio * RATIO_SCALE) as u64);
         }
@@ -85,7 +91,7 @@
     }
 }
 
-/// What a run showed, by workspace.
+/// The report of a run of load, by workspace.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
     /// The workspaces.
@@ -102,11 +108,11 @@
         }
     }
 
-    pub(crate) fn note(&mut self, sample: &Sample) {
-        self.workspaces[sample.workspace].note(sample);
+    pub(crate) fn record(&mut self, sample: &Sample) {
+        self.workspaces[sample.workspace].record(sample);
     }
 
-    /// Adds up all workspaces.
+    /// Returns the sum over all workspaces.
     pub fn total(&self) -> WorkspaceReport {
         let mut total = WorkspaceReport::new("all".into());
         for workspace in &self.workspaces {
@@ -125,7 +131,7 @@
         )?;
         let total = self.total();
         for report in self.workspaces.iter().chain([&total]) {
-            let complete = report.outcomes.get("complete").copied().unwrap_or(0);
+            let complete = report.outcomes.get(COMPLETE).copied().unwrap_or(0);
             writeln!(
                 f,
                 "{:<14} {:>7} {:>7} {:>8.3} {:>8.3} {:>8.3}",
@@ -137,10 +143,7 @@
                 report.largest_ratio(),
             )?;
         }
-        let others = total
-            .outcomes
-            .iter()
-            .filter(|(name, _)| *name != "complete");
+        let others = total.outcomes.iter().filter(|(name, _)| *name != COMPLETE);
         for (outcome, count) in others {
             writeln!(f, "outcome {outcome}: {count}")?;
         }
@@ -148,7 +151,7 @@
     }
 }
 
-/// Messages beside the useful ones, and all messages between processes.
+/// Messages that were not needed for a complete job, and all requests between processes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WasteReport {
     /// Starts at targets whose job completed.
@@ -159,14 +162,14 @@
     pub wasted_calls: u64,
     /// Submissions sent to a further guard, and tasks tried again.
     pub retries: u64,
-    /// Requests sent only to learn of load: the system has none, its reports ride on other messages.
+    /// Requests sent only to learn of load; always 0, since reports of load are part of other messages.
     pub probes: u64,
     /// Requests between processes by message.
     pub requests: Vec<(String, u64)>,
 }
 
 impl WasteReport {
-    /// Reads the counts out of the processes' metrics and the targets' journals.
+    /// Builds the report from the processes' metrics and the number of starts in the targets' journals.
     pub fn gather(metrics: &MetricsTotals, starts: u64, useful_starts: u64) -> Self {
         let count = |name: &str| metrics.sum_of_name(name) as u64;
         let requests = metrics.list_series("cloverfold_peer_requests_total");
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Returns the wasted messages per useful start.
+    /// Returns the wasted messages per useful start; per 1 if there is none.
     pub fn waste_per_start(&self) -> f64 {
         let wasted = self.wasted_sends + self.wasted_calls + self.retries + self.probes;
         wasted as f64 / self.useful_starts.max(1) as f64
--- a/crates/tools/cloverfold_load/src/run.rs
+++ b/crates/tools/cloverfold_load/src/run.rs
@@ -1,4 +1,6 @@
-//! Puts a plan's load on and gathers what comes back.
+//! Carries out a plan of load and gathers the answers.
+//!
+//! Owns the tasks of one run. Relies on `client` for the calls and on `report` for the sums.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,14 +16,16 @@
 use crate::plan::{LoadPlan, LoadWorkspace};
 use crate::report::{LoadReport, Sample};
 
-/// Answers that may wait to be noted.
+/// Outcome of a job without an answer, in the report.
+const NO_ANSWER: &str = "no_answer";
+/// Answers that may wait to be recorded. Chosen, not measured; a full queue delays nothing that is measured.
 const SAMPLE_QUEUE: usize = 4_096;
 
-/// Puts the load on and waits for every answer.
+/// Submits all jobs of a plan and waits for every answer.
 ///
 /// # Errors
 ///
-/// Says that the client cannot be built; failed requests are part of the report.
+/// Returns that the client cannot be built; failed requests are part of the report.
 pub async fn run_load(plan: &LoadPlan) -> Result<LoadReport, LoadError> {
     let client = CallerClient::new()?;
     let plan = Arc::new(plan.clone());
@@ -41,7 +45,7 @@
     let names = names.map(|one| one.caller.workspace.clone()).collect();
     let mut report = LoadReport::new(names);
     while let Some(sample) = samples.recv().await {
-        report.note(&sample);
+        report.record(&sample);
     }
     report.length = began.elapsed();
     Ok(report)
@@ -83,6 +87,7 @@
     }
 }
 
+/// When and where a job is to be submitted.
 struct Arrival {
     workspace: usize,
     is_counted: bool,
@@ -90,6 +95,7 @@
     entry: SocketAddr,
 }
 
+/// A job and the duration that its longest task asks for.
 struct DrawnJob {
     request: JobRequest,
     longest: Duration,
@@ -111,19 +117,21 @@
         // From the time at which the job was due, so that a late start counts as waiting.
         response: arrival.due.elapsed(),
         ideal: answer.as_ref().map_or(job.longest, find_longest_run),
-        outcome: answer.map_or_else(|_| "no_answer".into(), |answer| answer.outcome),
+        // Which error it was does not matter to the report: it counts jobs without an answer.
+        outcome: answer.map_or_else(|_| NO_ANSWER.into(), |answer| answer.outcome),
     };
-    // The report outlives every submission.
+    // The only error is that the report is gone; it waits for every submission unless the run was dropped.
     let _ = tx.send(sample).await;
 }
 
-/// Reads how long the longest task ran off the results, since targets' timers are late by up to 2 ms.
+/// Returns how long the longest task really ran, by the targets' results: their timers are late by up to 2 ms.
 fn find_longest_run(answer: &JobAnswer) -> Duration {
     let results = answer.results.iter().flatten();
     let runs = results.filter_map(|result| result.get("ran_us")?.as_u64());
     runs.max().map_or(Duration::ZERO, Duration::from_micros)
 }
 
+/// Draws the gap to the next arrival of a Poisson process.
 fn draw_gap(rng: &mut StdRng, per_s: f64) -> Duration {
     let uniform: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
     Duration::from_secs_f64(-uniform.ln() / per_s)
--- a/crates/tools/cloverfold_solo/src/error.rs
+++ b/crates/tools/cloverfold_solo/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the solo system could not start or be measured.
+//! The errors of the solo system.
 
 use cloverfold_claim::FoundError;
 use cloverfold_claims_process::ProcessError;
@@ -24,10 +24,10 @@
     /// The cell could not be founded.
     #[error(transparent)]
     Found(#[from] FoundError),
-    /// Load could not be put on.
+    /// The load could not be run or a page not be read.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// Something did not become ready.
+    /// A process, or the lead, did not become ready in time.
     #[error("{0} did not become ready in time")]
     NotReady(String),
 }
--- a/crates/tools/cloverfold_solo/src/installation.rs
+++ b/crates/tools/cloverfold_solo/src/installation.rs
@@ -1,4 +1,6 @@
-//! Keys and settings files of a small installation in one folder.
+//! The keys and settings files of a small claims installation in one folder.
+//!
+//! Owns the files. Relies on `cloverfold_net` for the keys and on the settings packages for the check.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -17,13 +19,17 @@
 /// Name of the operator that its keys are made for.
 pub const OPERATOR: &str = "operator-solo";
 
+/// Data halls that the guards are spread over: as many as a claim has replicas.
 const DATA_HALLS: usize = 3;
+/// Boxes in one rack of a data hall. Chosen, not measured.
 const BOXES_PER_RACK: usize = 3;
+/// Guards that hold each claim where there are enough.
+const REPLICAS: usize = 3;
 
 /// A workspace of an installation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoloWorkspace {
-    /// Who it is.
+    /// Its name and key.
     pub caller: CallerKey,
     /// Its weight.
     pub weight: f64,
@@ -42,7 +48,7 @@
     }
 }
 
-/// Addresses of one guard.
+/// The addresses of one guard and its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GuardAddresses {
     /// Where others reach it.
@@ -55,7 +61,7 @@
     pub target: SocketAddr,
 }
 
-/// A folder with keys and settings.
+/// A folder with the keys and settings of an installation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Installation {
     folder: PathBuf,
@@ -66,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// Says which file could not be written.
+    /// Returns which file could not be written.
     pub fn create(folder: &Path, guards: usize, entries: usize) -> Result<Self, SoloError> {
         let guards = (1..=guards).map(|id| format!("guard-{id}"));
         let entries = (1..=entries).map(|id| format!("entry-{id}"));
@@ -92,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// Says that the file cannot be written or is wrong.
+    /// Returns the system's error, or the faults that `extra` causes.
     pub fn write_cell(
         &self,
         guards: &[SocketAddr],
@@ -115,7 +121,7 @@
             })
         };
         let cell = json!({
-            "replicas": if guards.len() < 3 { 1 } else { 3 },
+            "replicas": if guards.len() < REPLICAS { 1 } else { REPLICAS },
             "guards": guards.iter().enumerate().map(place).collect::<Vec<_>>(),
             "services": [{ "name": SERVICE }],
             "customers": workspaces.iter().map(workspace).collect::<Vec<_>>(),
@@ -128,7 +134,7 @@
     ///
     /// # Errors
     ///
-    /// Says that the file cannot be written.
+    /// Returns the system's error.
     pub fn write_guard(
         &self,
         id: usize,
@@ -152,7 +158,7 @@
     ///
     /// # Errors
     ///
-    /// Says that the file cannot be written.
+    /// Returns the system's error.
     pub fn write_entry(
         &self,
         id: usize,
--- a/crates/tools/cloverfold_solo/src/measure.rs
+++ b/crates/tools/cloverfold_solo/src/measure.rs
@@ -1,4 +1,6 @@
 //! Measurement of a solo system under load.
+//!
+//! Owns no state. Relies on `cloverfold_load` for the load and the report.
 
 use std::time::Duration;
 
@@ -10,10 +12,10 @@
 use crate::installation::SERVICE;
 use crate::system::SoloSystem;
 
-/// Until the targets' last ends are counted.
+/// Wait after the last answer until all counts are in the metrics. Chosen, not measured.
 const SETTLE: Duration = Duration::from_millis(300);
 
-/// What a load showed.
+/// The result of a load.
 #[derive(Clone, Debug)]
 pub struct Measurement {
     /// Answers by workspace.
@@ -25,9 +27,9 @@
 /// Load on a solo system.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SoloLoad {
-    /// Share of the system's capacity, spread evenly over its workspaces.
+    /// Share of the system's slots, 0 to 1, spread evenly over its workspaces.
     pub share: f64,
-    /// How many times its part the first workspace submits.
+    /// Factor on the rate of the first workspace.
     pub overload: f64,
     /// Least and most tasks of a job.
     pub job_size: (usize, usize),
@@ -37,11 +39,11 @@
     pub seed: u64,
 }
 
-/// Puts a load on and gathers what it showed.
+/// Runs a load on a system and measures it.
 ///
 /// # Errors
 ///
-/// Says that a metrics page could not be read.
+/// Returns that the load could not be run or that a metrics page could not be read.
 pub async fn measure_load(system: &SoloSystem, load: &SoloLoad) -> Result<Measurement, SoloError> {
     let plan = build_plan(system, load);
     let client = CallerClient::new()?;
--- a/crates/tools/cloverfold_solo/src/system.rs
+++ b/crates/tools/cloverfold_solo/src/system.rs
@@ -1,4 +1,6 @@
 //! Start and stop of all roles in one process.
+//!
+//! Owns the folder, the targets and the processes of the system. Relies on `installation` for their settings.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -21,8 +23,11 @@
 use crate::installation::{GuardAddresses, Installation, OPERATOR, SoloWorkspace};
 use crate::ports::find_free_addresses;
 
+/// How long the system may take to become ready. Chosen, not measured.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often readiness is asked for. Chosen, not measured.
 const READY_POLL: Duration = Duration::from_millis(20);
+/// How long the planned stop of one process may take. Chosen, not measured.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Size of a solo system.
@@ -59,7 +64,7 @@
     }
 }
 
-/// A running system; its files are removed when it is dropped.
+/// A running system; dropping it ends its processes and removes its files.
 pub struct SoloSystem {
     folder: TempDir,
     installation: Installation,
@@ -74,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// Says which part could not start.
+    /// Returns which part could not start or did not become ready.
     pub async fn start(config: SoloConfig) -> Result<Self, SoloError> {
         let folder = tempfile::tempdir()?;
         let installation = Installation::create(folder.path(), config.guards, config.entries)?;
@@ -204,7 +209,7 @@
         Ok(())
     }
 
-    /// Tells whether every process takes the first guard for the lead.
+    /// Returns whether every process has the first guard as the acting lead.
     async fn is_led(&self, client: &CallerClient) -> Result<bool, SoloError> {
         let processes = self.metrics_addresses();
         let metrics = read_metrics(client, &processes).await?;
@@ -217,9 +222,6 @@
     for process in processes {
         stops.spawn(process.stop(STOP_TIMEOUT));
     }
-    stops
-        .join_all()
-        .await
-        .into_iter()
-        .all(|is_drained| is_drained)
+    let outcomes = stops.join_all().await;
+    outcomes.into_iter().all(|is_drained| is_drained)
 }
--- a/crates/tools/cloverfold_target/src/journal.rs
+++ b/crates/tools/cloverfold_target/src/journal.rs
@@ -1,4 +1,6 @@
-//! Record of every start at a target.
+//! The record of every start at a target.
+//!
+//! Owns the starts of one target. Relies on the target to record each start and end.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,15 +19,15 @@
     pub body: Vec<u8>,
 }
 
-/// Starts in their order; clones share one record.
+/// The starts at a target in their order; clones share one record.
 #[derive(Clone, Debug, Default)]
 pub struct Journal {
     starts: Arc<Mutex<Vec<StartRecord>>>,
 }
 
 impl Journal {
-    /// Notes a start and returns its number.
-    pub fn note_start(&self, task: &str, body: &[u8]) -> usize {
+    /// Records a start and returns its number.
+    pub fn record_start(&self, task: &str, body: &[u8]) -> usize {
         let mut starts = self.lock();
         starts.push(StartRecord {
             task: task.into(),
@@ -36,8 +38,8 @@
         starts.len() - 1
     }
 
-    /// Notes the end of a start.
-    pub fn note_end(&self, number: usize) {
+    /// Records the end of the start with this number.
+    pub fn record_end(&self, number: usize) {
         if let Some(start) = self.lock().get_mut(number) {
             start.ended_at = Some(Instant::now());
         }
--- a/crates/tools/cloverfold_target/src/lib.rs
+++ b/crates/tools/cloverfold_target/src/lib.rs
@@ -1,8 +1,9 @@
 //! A sample target that journals every start.
 //!
-//! It speaks the protocol of `docs/TARGETS.md` and does what each task's body asks of it: sleep for a time,
-//! fail, break the connection. Its journal is what tests and the load tool read starts from, so that "started
-//! twice" is seen at the target and not in the system's own counts.
+//! It speaks the protocol of `docs/TARGETS.md` and does what each task's body asks of it: run for a time, then
+//! succeed or fail. Tests and measurements count starts in its journal, so that a task that started twice is seen
+//! at the target and not in the system's own counts. Owns its journal and the tasks that were cancelled; relies on
+//! no other package of ours.
 //!
 //! ```
 //! # let runtime = tokio::runtime::Runtime::new().unwrap();
--- a/crates/tools/cloverfold_target/src/target.rs
+++ b/crates/tools/cloverfold_target/src/target.rs
@@ -1,4 +1,6 @@
-//! The sample target's HTTP server.
+//! The HTTP server of the sample target.
+//!
+//! Owns the journal, the speed and the cancelled tasks of one target. Relies on `volo-http`.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,7 +22,7 @@
 use crate::journal::Journal;
 use crate::task::SampleTask;
 
-/// Factor in thousandths by which tasks take their given time.
+/// Slowness of a target that runs tasks for their given time, in thousandths.
 const FULL_SPEED: u64 = 1_000;
 
 /// A running sample target; it stops when dropped.
@@ -32,7 +34,9 @@
 
 struct TargetState {
     journal: Journal,
+    /// Factor on the time of each task, in thousandths.
     slowness: AtomicU64,
+    /// Names of the tasks that were cancelled, running or not.
     cancelled: watch::Sender<BTreeSet<String>>,
 }
 
@@ -52,7 +56,7 @@
         });
         let server = Server::new(build_routes(&state)).http1_only();
         let server = tokio::spawn(async move {
-            // Serving ends with the target; its errors show at the guard.
+            // The server ends only with the target; an error before shows at the guard, which gets no answer.
             let _ = server.run(DefaultIncoming::from(listener)).await;
         });
         Ok(Self {
@@ -109,6 +113,7 @@
         )
 }
 
+/// Returns `<submission>/<index>` of a request.
 fn name_task(req: &Request) -> String {
     req.uri().path().trim_start_matches("/v1/tasks/").to_owned()
 }
@@ -123,10 +128,11 @@
 
 async fn wait_cancelled(state: &TargetState, task: &str) {
     let mut rx = state.cancelled.subscribe();
-    // The sender lives as long as the target.
+    // The only error is that the sender is gone; it lives in the state that is borrowed here.
     let _ = rx.wait_for(|tasks| tasks.contains(task)).await;
 }
 
+/// Records the start, runs as long as the body asks and answers as it asks; 409 for a task that is cancelled meanwhile.
 async fn run_task(state: Arc<TargetState>, req: Request) -> (StatusCode, String) {
     let task = name_task(&req);
     let Ok(body) = req.into_body().collect().await else {
@@ -134,7 +140,7 @@
     };
     let body = body.to_bytes();
     let began = Instant::now();
-    let number = state.journal.note_start(&task, &body);
+    let number = state.journal.record_start(&task, &body);
     let Ok(sample) = serde_json::from_slice::<SampleTask>(&body) else {
         return (StatusCode::UNPROCESSABLE_ENTITY, "not a sample task".into());
     };
@@ -144,7 +150,7 @@
         () = sleep(length) => false,
         () = wait_cancelled(&state, &task) => true,
     };
-    state.journal.note_end(number);
+    state.journal.record_end(number);
     if is_cancelled {
         return (StatusCode::CONFLICT, "cancelled".into());
     }
--- a/crates/tools/cloverfold_target/src/task.rs
+++ b/crates/tools/cloverfold_target/src/task.rs
@@ -1,4 +1,4 @@
-//! What a sample task asks for.
+//! The body of a task for the sample target.
 
 use serde::{Deserialize, Serialize};
 
