--- a/crates/claims/cloverfold_app/src/app.rs
+++ b/crates/claims/cloverfold_app/src/app.rs
@@ -1,56 +1,35 @@
-//! A process put together from plugins, and its run.
+//! A process that is built from plugins.
+//!
+//! Owns what the plugins register until the process starts; `running` owns the process from then on. Relies on `ops_http` to serve HTTP
+//! and on `control` for the thread that owns control state.
 
-use std::future::Future;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::sync::Arc;
-use std::time::Duration;
 
 use cloverfold_net::{Network, Router};
 use prometheus_client::registry::Registry;
-use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::JoinSet;
 use volo_http::server::route::Router as HttpRouter;
 
 use crate::control::ControlThread;
-use crate::lifecycle::{Lifecycle, Phase};
-use crate::ops_http::{HttpServer, OpsState, build_ops_router};
+use crate::error::BuildError;
+use crate::lifecycle::Lifecycle;
+use crate::ops_http::{HttpServer, OpsState, ReadyCheck, build_ops_router};
 use crate::resources::Resources;
+use crate::running::{BoxedFuture, Running};
 use crate::traffic::TrafficGauges;
 
-type BoxedFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
-type ReadyCheck = Box<dyn Fn() -> Result<(), String> + Send + Sync>;
-
-/// A capability that adds itself to a process.
+/// A capability that registers itself with a process.
 pub trait Plugin {
     /// Registers the capability's resources, handlers, metrics, tasks and drain steps.
     ///
     /// # Errors
     ///
-    /// Says what the capability needs and does not find.
+    /// Returns which resource of an earlier plugin is missing, or which setting does not fit.
     fn build(self, app: &mut App) -> Result<(), BuildError>;
 }
 
-/// Why a process could not be put together or started.
-#[derive(Debug, thiserror::Error)]
-pub enum BuildError {
-    /// A plugin that provides this type must be added earlier.
-    #[error("no plugin added so far provides {0}")]
-    MissingResource(&'static str),
-    /// A value from the settings does not fit.
-    #[error("{0}")]
-    Unfit(String),
-    /// The system refused something.
-    #[error("{what}: {cause}")]
-    System {
-        /// What was attempted.
-        what: String,
-        /// The system's error.
-        cause: std::io::Error,
-    },
-}
-
-/// A process that is being put together.
+/// A process that is being built.
 pub struct App {
     name: String,
     network: Network,
@@ -66,11 +45,11 @@
 }
 
 impl App {
-    /// Begins a process with a name for logs.
+    /// Begins a process; the name shows in its logs.
     ///
     /// # Errors
     ///
-    /// Says that the system gave no thread for control state.
+    /// Returns the system's error if the control thread cannot be started.
     pub fn new(name: &str, network: Network) -> Result<Self, BuildError> {
         let control = ControlThread::start(name).map_err(|cause| BuildError::System {
             what: "starting the control thread".into(),
@@ -99,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// Passes on what the plugin misses.
+    /// Returns the plugin's error.
     pub fn add_plugin<P: Plugin>(&mut self, plugin: P) -> Result<&mut Self, BuildError> {
         plugin.build(self)?;
         Ok(self)
@@ -116,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// Names the type that no plugin provides.
+    /// Returns the name of a type that no plugin added so far provides.
     pub fn resource<T: Send + Sync + 'static>(&self) -> Result<Arc<T>, BuildError> {
         let missing = BuildError::MissingResource(std::any::type_name::<T>());
         self.resources.get::<T>().ok_or(missing)
@@ -153,7 +132,7 @@
         self.http_routes = held.merge(routes);
     }
 
-    /// Adds a reason for which the process may not be ready.
+    /// Adds a check that returns why the process is not ready, if it is not.
     pub fn add_ready_check<F>(&mut self, check: F)
     where
         F: Fn() -> Result<(), String> + Send + Sync + 'static,
@@ -161,12 +140,12 @@
         self.ready_checks.push(Box::new(check));
     }
 
-    /// Adds a background task; it is dropped when the process has stopped.
+    /// Adds a background task; it is aborted when the process has stopped.
     pub fn add_task(&mut self, task: impl Future<Output = ()> + Send + 'static) {
         self.tasks.push(Box::pin(task));
     }
 
-    /// Adds what must be over before a planned stop may end; all steps run side by side.
+    /// Adds a step that a planned stop waits for; all steps run concurrently.
     pub fn add_drain_step(&mut self, step: impl Future<Output = ()> + Send + 'static) {
         self.drain_steps.push(Box::pin(step));
     }
@@ -175,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// Says that the HTTP address cannot be listened on.
+    /// Returns the system's error if the HTTP address cannot be listened on.
     pub async fn start(self, http_address: SocketAddr) -> Result<Running, BuildError> {
         let listen_error = |cause| BuildError::System {
             what: format!("http_address {http_address}"),
@@ -204,69 +183,3 @@
         })
     }
 }
-
-/// A process that serves.
-pub struct Running {
-    name: String,
-    http_address: SocketAddr,
-    network: Network,
-    lifecycle: Lifecycle,
-    drain_steps: Vec<BoxedFuture>,
-    /// Aborted on drop.
-    _tasks: JoinSet<()>,
-}
-
-impl Running {
-    /// Returns the address of the HTTP interface.
-    pub fn http_address(&self) -> SocketAddr {
-        self.http_address
-    }
-
-    /// Returns the endpoint to other processes.
-    pub fn network(&self) -> &Network {
-        &self.network
-    }
-
-    /// Waits for SIGTERM, SIGINT or an operator's mark, then stops as [`Running::stop`] does.
-    ///
-    /// # Errors
-    ///
-    /// Says that the system takes no signal handler.
-    pub async fn run_until_signal(self, drain_timeout: Duration) -> Result<bool, BuildError> {
-        let signal_error = |cause| BuildError::System {
-            what: "listening for signals".into(),
-            cause,
-        };
-        let mut term = signal(SignalKind::terminate()).map_err(signal_error)?;
-        let mut int = signal(SignalKind::interrupt()).map_err(signal_error)?;
-        tokio::select! {
-            _ = term.recv() => {}
-            _ = int.recv() => {}
-            () = self.lifecycle.wait_for(Phase::Draining) => {}
-        }
-        Ok(self.stop(drain_timeout).await)
-    }
-
-    /// Takes no new work, ends what is in flight, then closes; returns whether all ended in time.
-    pub async fn stop(self, drain_timeout: Duration) -> bool {
-        log::info!(process = self.name; "draining");
-        self.lifecycle.advance_to(Phase::Draining);
-        let mut steps = JoinSet::new();
-        for step in self.drain_steps {
-            steps.spawn(step);
-        }
-        let network = self.network.clone();
-        let draining = async {
-            steps.join_all().await;
-            network.wait_for_handlers().await;
-        };
-        let is_drained = tokio::time::timeout(drain_timeout, draining).await.is_ok();
-        if !is_drained {
-            log::error!(process = self.name; "the drain timed out; what is left is given up");
-        }
-        self.lifecycle.advance_to(Phase::Stopped);
-        self.network.close().await;
-        log::info!(process = self.name; "stopped");
-        is_drained
-    }
-}
--- a/crates/claims/cloverfold_app/src/control.rs
+++ b/crates/claims/cloverfold_app/src/control.rs
@@ -1,7 +1,8 @@
-//! The one thread that owns a process's control state.
+//! The control thread, which owns a process's control state.
 //!
 //! Decisions run here one after the other, so that none needs a lock of its own; traffic runs on the
-//! threads of the runtime and sends closures here.
+//! threads of the runtime and sends closures here. Owns the states that [`ControlThread::own`] was given.
+//! Relies on decisions not to block.
 
 use std::sync::{Arc, Mutex, PoisonError, mpsc};
 use std::thread;
@@ -32,7 +33,7 @@
     }
 }
 
-/// Ends the process when the control thread panics: its state can no longer be trusted.
+/// Aborts the process when the control thread panics: its state can no longer be trusted.
 struct AbortOnPanic;
 
 impl Drop for AbortOnPanic {
@@ -48,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Says that the system gave no thread.
+    /// Returns the system's error if the thread cannot be started.
     pub fn start(process: &str) -> std::io::Result<Self> {
         let (tx, rx) = mpsc::channel::<Job>();
         let builder = thread::Builder::new().name(format!("{process}-control"));
@@ -83,7 +84,7 @@
     {
         let (tx, rx) = oneshot::channel();
         self.post(move |state| {
-            // Nobody waits any more when the caller was cancelled; the decision stands all the same.
+            // The only error is that the caller was cancelled; the decision stands all the same.
             let _ = tx.send(decide(state));
         });
         rx.await.expect("the control thread outlives its handles")
@@ -99,7 +100,7 @@
             let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
             decide(&mut state);
         });
-        // The thread ends only with the last handle, and this is one.
+        // The only error is that the thread has ended; it ends with the last handle, and this is one.
         let _ = self.control.tx.send(job);
     }
 }
--- a/crates/claims/cloverfold_app/src/lib.rs
+++ b/crates/claims/cloverfold_app/src/lib.rs
@@ -1,8 +1,9 @@
 //! Plugin registry and life cycle shared by the processes of a claims installation.
 //!
 //! A process is an [`App`] to which each capability adds itself as a [`Plugin`]: its resources, message
-//! handlers, metrics, background tasks, readiness checks and what it does when the process stops. The
-//! binaries only choose plugins. [`App::start`] gives a [`Running`] process and [`Running::stop`] drains it.
+//! handlers, metrics, background tasks, readiness checks and drain steps. The binaries only choose plugins.
+//! [`App::start`] returns a [`Running`] process and [`Running::stop`] drains it. Owns the control thread, the
+//! metrics registry and the life cycle of a process. Relies on `cloverfold_net` for messages between processes.
 //!
 //! ```
 //! use cloverfold_app::{App, BuildError, Plugin};
@@ -19,11 +20,15 @@
 
 mod app;
 mod control;
+mod error;
 mod lifecycle;
 mod ops_http;
 mod resources;
+mod running;
 mod traffic;
 
-pub use app::{App, BuildError, Plugin, Running};
+pub use app::{App, Plugin};
 pub use control::{ControlThread, ThreadState};
+pub use error::BuildError;
 pub use lifecycle::{Lifecycle, Phase};
+pub use running::Running;
--- a/crates/claims/cloverfold_app/src/lifecycle.rs
+++ b/crates/claims/cloverfold_app/src/lifecycle.rs
@@ -1,15 +1,17 @@
-//! The phases of a process's life.
+//! The life cycle of a process: serving, draining, stopped.
+//!
+//! Owns the present phase; clones share it. Relies on `running` to advance it.
 
 use tokio::sync::watch;
 
-/// Where a process is in its life; it only ever moves forward.
+/// Phase of a process; it only advances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It takes work.
+    /// It accepts work.
     Serving,
-    /// It takes no new work and ends what it has.
+    /// It accepts no new work and finishes what it has.
     Draining,
-    /// It is over.
+    /// It has stopped.
     Stopped,
 }
 
--- a/crates/claims/cloverfold_app/src/ops_http.rs
+++ b/crates/claims/cloverfold_app/src/ops_http.rs
@@ -16,11 +16,13 @@
 
 use crate::lifecycle::{Lifecycle, Phase};
 
+/// Content type of the metrics page.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-type ReadyCheck = Box<dyn Fn() -> Result<(), String> + Send + Sync>;
+/// Returns why the process is not ready, if it is not.
+pub(crate) type ReadyCheck = Box<dyn Fn() -> Result<(), String> + Send + Sync>;
 
-/// What the operations routes show.
+/// The state that the operations routes show.
 pub(crate) struct OpsState {
     lifecycle: Lifecycle,
     registry: Registry,
@@ -28,7 +30,7 @@
 }
 
 impl OpsState {
-    /// Gathers what the routes show.
+    /// Gathers the state of a process.
     pub(crate) fn new(
         lifecycle: Lifecycle,
         registry: Registry,
--- a/crates/claims/cloverfold_app/src/resources.rs
+++ b/crates/claims/cloverfold_app/src/resources.rs
@@ -1,4 +1,6 @@
-//! Values that capabilities share within a process, found by their type.
+//! Values that the plugins of a process share, found by their type.
+//!
+//! Owns a reference to each value. Relies on nothing else.
 
 use std::any::{Any, TypeId};
 use std::collections::HashMap;
--- a/crates/claims/cloverfold_app/src/traffic.rs
+++ b/crates/claims/cloverfold_app/src/traffic.rs
@@ -1,4 +1,6 @@
 //! Gauges of the bytes between processes.
+//!
+//! Owns the gauges. Relies on the endpoint for the counts.
 
 use std::time::Duration;
 
@@ -7,7 +9,8 @@
 use prometheus_client::registry::Registry;
 use tokio::time::sleep;
 
-const INTERVAL: Duration = Duration::from_millis(500);
+/// How often the gauges are updated. Chosen, not measured.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Bytes sent and received since the start.
 #[derive(Clone, Default)]
@@ -33,13 +36,13 @@
         gauges
     }
 
-    /// Keeps the gauges up to date as long as the process lives.
+    /// Updates the gauges until the task is aborted.
     pub(crate) async fn follow(self, network: Network) {
         loop {
             let traffic = network.count_traffic();
             self.sent.set(traffic.sent as i64);
             self.received.set(traffic.received as i64);
-            sleep(INTERVAL).await;
+            sleep(UPDATE_INTERVAL).await;
         }
     }
 }
--- a/crates/claims/cloverfold_claims_process/src/endpoint.rs
+++ b/crates/claims/cloverfold_claims_process/src/endpoint.rs
@@ -1,21 +1,17 @@
-//! The endpoint of a process to other processes.
+//! The endpoint at which a process reaches other processes and is reached.
 
 use std::net::SocketAddr;
 
 use cloverfold_net::{KeyFiles, NetError, Network, NetworkConfig};
 use cloverfold_settings::KeySettings;
 
-/// Opens the endpoint with the keys from the settings; must be called within a runtime.
+/// Opens the endpoint with the keys of the settings; must be called within a runtime.
 pub(crate) fn open_network(address: SocketAddr, keys: &KeySettings) -> Result<Network, NetError> {
     let files = KeyFiles {
         authority: keys.authority.clone(),
         certificate: keys.certificate.clone(),
         private_key: keys.private_key.clone(),
     };
-    Network::bind(
-        address,
-        &files,
-        NetworkConfig::default(),
-        Default::default(),
-    )
+    let config = NetworkConfig::default();
+    Network::bind(address, &files, config, Default::default())
 }
--- a/crates/claims/cloverfold_claims_process/src/entry.rs
+++ b/crates/claims/cloverfold_claims_process/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry process.
+//! The start of an entry.
 
 use cloverfold_app::{App, Running};
 use cloverfold_claims_settings::{CellSettings, EntrySettings};
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 ///
-/// Says which file, address or key is unusable.
+/// Returns which file, address or key is unusable.
 pub async fn start_entry(settings: EntrySettings) -> Result<Running, ProcessError> {
     let cell: CellSettings = read_settings(&settings.cell)?;
     let network = open_network(settings.peer_address, &settings.keys)?;
--- a/crates/claims/cloverfold_claims_process/src/error.rs
+++ b/crates/claims/cloverfold_claims_process/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a process could not start.
+//! The errors of starting a process.
 
 use cloverfold_app::BuildError;
 use cloverfold_net::NetError;
@@ -13,7 +13,7 @@
     /// The endpoint to other processes could not be opened.
     #[error(transparent)]
     Net(#[from] NetError),
-    /// The plugins do not fit together or the system refused something.
+    /// The process could not be built from its plugins, or the system refused something.
     #[error(transparent)]
     Build(#[from] BuildError),
     /// The cell's file does not name this guard.
--- a/crates/claims/cloverfold_claims_process/src/guard.rs
+++ b/crates/claims/cloverfold_claims_process/src/guard.rs
@@ -1,4 +1,4 @@
-//! The guard process.
+//! The start of a guard.
 
 use cloverfold_app::{App, Running};
 use cloverfold_base::unix_now;
@@ -13,11 +13,11 @@
 use crate::endpoint::open_network;
 use crate::error::ProcessError;
 
-/// Starts a guard; its life begins now.
+/// Starts a guard; its incarnation is the time of the start in microseconds, so that a restarted guard has a greater one.
 ///
 /// # Errors
 ///
-/// Says which file, address or key is unusable.
+/// Returns which file, address or key is unusable, or that the cell's file does not name the guard.
 pub async fn start_guard(settings: GuardSettings) -> Result<Running, ProcessError> {
     let cell: CellSettings = read_settings(&settings.cell)?;
     if !cell.guards.iter().any(|place| place.id == settings.id) {
--- a/crates/claims/cloverfold_claims_process/src/operator.rs
+++ b/crates/claims/cloverfold_claims_process/src/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator's command needs to speak to the guards.
+//! An operator's endpoint, and the addresses of a cell's guards.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// Says which key file is unusable.
+/// Returns which key file is unusable.
 pub fn open_operator_network(folder: &Path, name: &str) -> Result<Network, ProcessError> {
     let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
     let keys = KeyFiles::in_folder(folder, name);
@@ -20,7 +20,7 @@
     Ok(Network::bind(any, &keys, config, Default::default())?)
 }
 
-/// Lists where the guards of a cell are reached.
+/// Lists the names and addresses of a cell's guards.
 pub fn list_guard_addresses(cell: &CellSettings) -> Vec<PeerAddress> {
     let guards = cell.guards.iter();
     guards
