--- a/crates/leased/cloverfold_leased_entry/src/state.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state.rs
@@ -229,7 +229,7 @@
             PeerMessage::ToRunner(_)
             | PeerMessage::Invite { .. }
             | PeerMessage::Consensus(_)
-            | PeerMessage::Offer(_)
+            | PeerMessage::Proposal(_)
             | PeerMessage::Read { .. }
             | PeerMessage::ReadReply { .. } => {}
         }
