--- a/benches/benches/capacity.rs
+++ b/benches/benches/capacity.rs
@@ -1,4 +1,6 @@
-//! What real processes spend at several sizes: processor time, memory, bytes.
+//! What real processes spend at several sizes of a cell: processor time, memory and bytes.
+//!
+//! Prints the first table of `docs/CAPACITY.md`. Relies on release binaries that were built before.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,8 +12,12 @@
 use tokio::time::sleep;
 
 const ENTRIES: usize = 3;
+/// Length of each run.
 const LENGTH: Duration = Duration::from_secs(8);
+/// Numbers of guards.
 const SIZES: [usize; 4] = [5, 11, 22, 44];
+/// Wait until the gauges of bytes, updated every 500 ms by `cloverfold_app`, hold all that was sent.
+const GAUGES_DELAY: Duration = Duration::from_millis(600);
 
 /// Load of one run.
 struct Load {
@@ -39,12 +45,13 @@
     },
 ];
 
-/// What one process had used at a time.
+/// What one process had used at a point in time.
 struct Snapshot {
     usage: Usage,
     metrics: MetricsTotals,
 }
 
+/// What the processes of one role used during a run, added up.
 #[derive(Default)]
 struct RoleSum {
     processes: f64,
@@ -118,8 +125,7 @@
 }
 
 async fn take_snapshots(system: &ProcessSystem) -> Result<Vec<Snapshot>> {
-    // The gauges of bytes are brought up to date every half second.
-    sleep(Duration::from_millis(600)).await;
+    sleep(GAUGES_DELAY).await;
     let mut snapshots = Vec::new();
     for (_, pid, http) in system.list_processes() {
         let pages: [SocketAddr; 1] = [http];
--- a/benches/benches/decisions.rs
+++ b/benches/benches/decisions.rs
@@ -1,4 +1,6 @@
 //! How the time of one decision grows with the number of boxes.
+//!
+//! Prints the second table of `docs/CAPACITY.md`. Relies on `cloverfold_claims_core` only: no process is started.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -9,9 +11,14 @@
 };
 
 const BOXES: [usize; 4] = [10, 100, 1_000, 8_000];
+/// Workspaces that submit, as at the size of `docs/CAPACITY.md`.
 const TEAMS: usize = 120;
+/// Decisions of which the mean is shown.
 const ROUNDS: u32 = 200;
+/// Time of all decisions.
 const NOW: Duration = Duration::from_secs(1);
+/// Age at which a report counts as stale; all reports here are younger.
+const SILENCE: Duration = Duration::from_secs(2);
 
 fn main() {
     // The test runner lists benches with a flag that asks for no run.
@@ -51,6 +58,7 @@
     }
 }
 
+/// Returns the mean time of a decision.
 fn time(mut decide: impl FnMut(u32)) -> Duration {
     let began = Instant::now();
     for round in 0..ROUNDS {
@@ -95,9 +103,8 @@
 
 fn place(table: &mut GuardTable, count: usize, round: u32) {
     let policy = PlacementPolicy::LeastLoaded;
-    let silence = Duration::from_secs(2);
     let draw = |bound: usize| round as usize % bound;
-    for place in table.place(policy, count, NOW, silence, draw) {
+    for place in table.place(policy, count, NOW, SILENCE, draw) {
         table.discharge(place.guard);
     }
 }
--- a/benches/benches/faults.rs
+++ b/benches/benches/faults.rs
@@ -1,4 +1,6 @@
 //! Response and waste while processes die or stop under load.
+//!
+//! Prints the table of faults of `docs/MEASUREMENTS.md`. Relies on release binaries that were built before.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,15 +17,22 @@
 
 const GUARDS: usize = 11;
 const ENTRIES: usize = 3;
+/// Length of each run.
 const LENGTH: Duration = Duration::from_secs(10);
+/// Time of the fault from the start of the run.
 const FAULT_AFTER: Duration = Duration::from_secs(4);
+/// Share of all slots that the load occupies.
 const LOAD_SHARE: f64 = 0.4;
+/// Least and most tasks of a job.
 const JOB_SIZE: (usize, usize) = (1, 4);
+/// Place of the lead in the list of processes.
 const LEAD: usize = 0;
+/// Place of some other guard.
 const GUARD: usize = 5;
+/// Place of the first entry.
 const ENTRY: usize = GUARDS;
 
-/// What happens in one run.
+/// The fault of one run.
 struct Fault {
     name: &'static str,
     process: usize,
@@ -110,8 +119,8 @@
 fn build_plan(system: &ProcessSystem, fault: &Fault) -> LoadPlan {
     let mut entries = system.entry_addresses();
     if fault.process == ENTRY {
-        // The platform's balancer, played here by the plan, leaves the stopping entry out from the start;
-        // the run shows that the others are not touched.
+        // A balancer takes a stopping entry out of use. The plan does so from the start, so that the run shows
+        // whether the others are affected.
         entries.remove(0);
     }
     let even = EvenLoad {
--- a/benches/src/process_system.rs
+++ b/benches/src/process_system.rs
@@ -1,4 +1,6 @@
-//! A system of real processes on this machine, with sample targets in the bench's own process.
+//! A claims installation of real processes on this box, with sample targets in the bench's own process.
+//!
+//! Owns the processes, the targets and the folder of their settings; all end with it. Relies on release binaries that were built before.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -7,6 +9,7 @@
 
 use cloverfold_claim::found_cell;
 use cloverfold_claims_process::{list_guard_addresses, open_operator_network};
+use cloverfold_claims_settings::CellSettings;
 use cloverfold_load::{CallerClient, CallerKey, read_metrics};
 use cloverfold_solo::{GuardAddresses, Installation, OPERATOR, SoloWorkspace, find_free_addresses};
 use cloverfold_target::SampleTarget;
@@ -16,11 +19,18 @@
 use tempfile::TempDir;
 use tokio::time::sleep;
 
+/// How long the system may take to become ready. Chosen, not measured.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// How often a page is asked whether its process is ready. Chosen, not measured.
+const PAGE_POLL: Duration = Duration::from_millis(20);
+/// How often the guards are asked whether they know each other; each time reads a page of every guard. Chosen, not measured.
+const MEMBERS_POLL: Duration = Duration::from_millis(100);
+/// Slots of each target.
 const SLOTS: usize = 8;
+/// Names of the workspaces that submit.
 const WORKSPACES: [&str; 4] = ["pharmacy", "clinic", "station", "depot"];
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The guard that coordinates all jobs.
@@ -39,7 +49,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself, and then there is nothing to end.
+        // An error means that it has ended by itself, as a bench of faults wants it to.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -55,22 +65,38 @@
 }
 
 impl ProcessSystem {
-    /// Starts guards and entries and waits until they are ready.
+    /// Starts guards and entries and waits until they are ready and all guards know each other.
     ///
     /// # Errors
     ///
-    /// Says what could not start; the release binaries must have been built.
+    /// Returns what could not start or become ready; the release binaries must have been built.
     pub async fn start(guards: usize, entries: usize) -> Result<Self> {
         let folder = tempfile::tempdir()?;
         let installation = Installation::create(folder.path(), guards, entries)?;
-        let peers = find_free_addresses(guards)?;
+        let mut system = Self {
+            _folder: folder,
+            targets: Vec::new(),
+            guards,
+            processes: Vec::new(),
+            client: CallerClient::new()?,
+        };
+        let cell = system.start_guards(&installation).await?;
+        system.start_entries(&installation, entries)?;
+        system.wait_pages("/healthz").await?;
+        found(&installation, &cell).await?;
+        system.wait_pages("/readyz").await?;
+        system.wait_acquainted().await?;
+        Ok(system)
+    }
+
+    /// Writes the cell's file and starts a target and a guard for each place in it.
+    async fn start_guards(&mut self, installation: &Installation) -> Result<CellSettings> {
+        let peers = find_free_addresses(self.guards)?;
         let workspaces: Vec<_> = WORKSPACES
             .iter()
             .map(|name| SoloWorkspace::named(name))
             .collect();
         let cell = installation.write_cell(&peers, &workspaces, json!({}))?;
-        let mut targets = Vec::new();
-        let mut processes = Vec::new();
         for (index, peer) in peers.into_iter().enumerate() {
             let target = SampleTarget::start((Ipv4Addr::LOCALHOST, 0).into()).await?;
             let http = find_free_addresses(1)?[0];
@@ -82,28 +108,21 @@
             };
             let file = installation.write_guard(index + 1, &addresses, SLOTS, json!({}))?;
             let role = if index == 0 { Role::Lead } else { Role::Guard };
-            processes.push(spawn(role, "cloverfold-guard", &[file.as_path()], http)?);
-            targets.push(target);
+            let process = spawn(role, "cloverfold-guard", &[file.as_path()], http)?;
+            self.processes.push(process);
+            self.targets.push(target);
         }
+        Ok(cell)
+    }
+
+    fn start_entries(&mut self, installation: &Installation, entries: usize) -> Result<()> {
         for (index, http) in find_free_addresses(entries)?.into_iter().enumerate() {
             let file = installation.write_entry(index + 1, http, json!({}))?;
             let args = [Path::new("entry"), file.as_path()];
-            processes.push(spawn(Role::Entry, "cloverfold", &args, http)?);
+            self.processes
+                .push(spawn(Role::Entry, "cloverfold", &args, http)?);
         }
-        let system = Self {
-            _folder: folder,
-            targets,
-            guards,
-            processes,
-            client: CallerClient::new()?,
-        };
-        system.wait_pages("/healthz").await?;
-        let network = open_operator_network(&installation.key_folder(), OPERATOR)?;
-        found_cell(&network, &list_guard_addresses(&cell)).await?;
-        network.close().await;
-        system.wait_pages("/readyz").await?;
-        system.wait_acquainted().await?;
-        Ok(system)
+        Ok(())
     }
 
     /// Returns the number of guards.
@@ -159,6 +178,7 @@
         &self.client
     }
 
+    /// Waits until a page of every process answers 200.
     async fn wait_pages(&self, path: &str) -> Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         for process in &self.processes {
@@ -170,13 +190,13 @@
                 if Instant::now() > until {
                     bail!("{:?} at {} shows no {path}", process.role, process.http);
                 }
-                sleep(Duration::from_millis(20)).await;
+                sleep(PAGE_POLL).await;
             }
         }
         Ok(())
     }
 
-    /// Waits until every guard takes every other for able to work.
+    /// Waits until every guard counts every other as live.
     async fn wait_acquainted(&self) -> Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         let guards: Vec<_> = self
@@ -194,11 +214,19 @@
             if Instant::now() > until {
                 bail!("the guards do not all know each other");
             }
-            sleep(Duration::from_millis(100)).await;
+            sleep(MEMBERS_POLL).await;
         }
     }
 }
 
+/// Founds the cell, as an operator does once all guards have started.
+async fn found(installation: &Installation, cell: &CellSettings) -> Result<()> {
+    let network = open_operator_network(&installation.key_folder(), OPERATOR)?;
+    found_cell(&network, &list_guard_addresses(cell)).await?;
+    network.close().await;
+    Ok(())
+}
+
 fn spawn(role: Role, binary: &str, args: &[&Path], http: SocketAddr) -> Result<Process> {
     let child = Command::new(find_binary(binary)?)
         .args(args)
@@ -208,7 +236,7 @@
     Ok(Process { role, http, child })
 }
 
-/// The binaries stand beside the folder of the bench's own executable.
+/// Finds a binary in the folder above the one of the bench's own executable.
 fn find_binary(name: &str) -> Result<PathBuf> {
     let own = std::env::current_exe()?;
     let folder = own.parent().and_then(Path::parent);
--- a/benches/src/usage.rs
+++ b/benches/src/usage.rs
@@ -1,12 +1,16 @@
-//! What a process has used, as the system accounts for it.
+//! The processor time and memory of a process, as the system accounts for them.
+//!
+//! Owns no state. Relies on Linux's `/proc`.
 
 use std::time::Duration;
 
 use eyre::{Result, eyre};
 
-/// Linux counts processor time in hundredths of a second.
+/// Unit of processor time in `/proc/PID/stat`: Linux shows hundredths of a second (`USER_HZ`).
 const TICK: Duration = Duration::from_millis(10);
+/// Place of the user time in `/proc/PID/stat`, counted from 0 after the command's name.
 const USER_FIELD: usize = 11;
+/// Place of the system time, counted likewise.
 const SYSTEM_FIELD: usize = 12;
 
 /// Processor time and memory of a process.
@@ -22,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// Says that the process is gone or the system's pages have another form.
+/// Returns that the process is gone or that the system's pages have another form.
 pub fn read_usage(pid: u32) -> Result<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let (_, fields) = stat
--- a/crates/common/cloverfold_base/src/hash.rs
+++ b/crates/common/cloverfold_base/src/hash.rs
@@ -1,11 +1,13 @@
 //! Short hashes of byte strings.
+//!
+//! Owns no state. Relies on SHA-256.
 
 use sha2::{Digest as _, Sha256};
 
-/// Length of a hash, in bytes.
+/// Length of a hash, in bytes: 128 bits of a SHA-256, so that a collision needs about 2^64 hashes.
 pub const HASH_LEN: usize = 16;
 
-/// Hashes a list of parts; the length of each part is hashed too, so that parts cannot run together.
+/// Hashes a list of parts with the length of each, so that lists which differ only in where a part ends have different hashes.
 pub fn hash_parts(parts: &[&[u8]]) -> [u8; HASH_LEN] {
     let mut hasher = Sha256::new();
     for part in parts {
--- a/crates/common/cloverfold_base/src/random.rs
+++ b/crates/common/cloverfold_base/src/random.rs
@@ -1,11 +1,13 @@
-//! Random numbers from the system's generator.
+//! Random numbers, seeded by the system.
+//!
+//! Owns no state. Relies on `rand`'s generator of each thread.
 
 /// Returns a random number.
 pub fn random_u64() -> u64 {
     rand::random()
 }
 
-/// Returns a random number below `bound`.
+/// Returns a random number below `bound`; the bias of the remainder is negligible for bounds far below 2^64.
 ///
 /// # Panics
 ///
