--- a/crates/tools/cloverfold_target/src/journal.rs
+++ b/crates/tools/cloverfold_target/src/journal.rs
@@ -2,7 +2,6 @@
 //!
 //! Owns the starts of one target. Relies on the target to record each start and end.
 
-use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Lists all starts.
+    /// Lists all starts, as the system tests check.
     pub fn list_starts(&self) -> Vec<StartRecord> {
         self.lock().clone()
     }
@@ -55,18 +54,6 @@
         self.lock().len()
     }
 
-    /// Lists the tasks that started more than once, over several journals.
-    pub fn list_repeated<'a>(journals: impl IntoIterator<Item = &'a Journal>) -> Vec<String> {
-        let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-        for journal in journals {
-            for start in journal.lock().iter() {
-                *counts.entry(start.task.clone()).or_default() += 1;
-            }
-        }
-        let repeated = counts.into_iter().filter(|(_, count)| *count > 1);
-        repeated.map(|(task, _)| task).collect()
-    }
-
     fn lock(&self) -> MutexGuard<'_, Vec<StartRecord>> {
         self.starts.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/tools/cloverfold_target/src/target.rs
+++ b/crates/tools/cloverfold_target/src/target.rs
@@ -1,11 +1,10 @@
 //! The HTTP server of the sample target.
 //!
-//! Owns the journal, the speed and the cancelled tasks of one target. Relies on `volo-http`.
+//! Owns the journal and the cancelled tasks of one target. Relies on `volo-http`.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 use http::StatusCode;
@@ -22,9 +21,6 @@
 use crate::journal::Journal;
 use crate::task::SampleTask;
 
-/// Slowness of a target that runs tasks for their given time, in thousandths.
-const FULL_SPEED: u64 = 1_000;
-
 /// A running sample target; it stops when dropped.
 pub struct SampleTarget {
     address: SocketAddr,
@@ -34,8 +30,6 @@
 
 struct TargetState {
     journal: Journal,
-    /// Factor on the time of each task, in thousandths.
-    slowness: AtomicU64,
     /// Names of the tasks that were cancelled, running or not.
     cancelled: watch::Sender<BTreeSet<String>>,
 }
@@ -51,7 +45,6 @@
         let address = listener.local_addr()?;
         let state = Arc::new(TargetState {
             journal: Journal::default(),
-            slowness: AtomicU64::new(FULL_SPEED),
             cancelled: watch::Sender::default(),
         });
         let server = Server::new(build_routes(&state)).http1_only();
@@ -76,16 +69,10 @@
         &self.state.journal
     }
 
-    /// Lists the tasks that were cancelled.
+    /// Lists the tasks that were cancelled, as the system tests check.
     pub fn list_cancelled(&self) -> Vec<String> {
         self.state.cancelled.borrow().iter().cloned().collect()
     }
-
-    /// Makes tasks take `factor` times as long from now on.
-    pub fn slow_down(&self, factor: f64) {
-        let thousandths = (factor * FULL_SPEED as f64) as u64;
-        self.state.slowness.store(thousandths, Ordering::Relaxed);
-    }
 }
 
 impl Drop for SampleTarget {
@@ -144,8 +131,7 @@
     let Ok(sample) = serde_json::from_slice::<SampleTask>(&body) else {
         return (StatusCode::UNPROCESSABLE_ENTITY, "not a sample task".into());
     };
-    let slowness = state.slowness.load(Ordering::Relaxed);
-    let length = Duration::from_millis(sample.duration_ms * slowness / FULL_SPEED);
+    let length = Duration::from_millis(sample.duration_ms);
     let is_cancelled = tokio::select! {
         () = sleep(length) => false,
         () = wait_cancelled(&state, &task) => true,
