--- a/crates/cloverfold/tests/control_processes.rs
+++ b/crates/cloverfold/tests/control_processes.rs
@@ -5,44 +5,36 @@
 mod programs;
 
 use std::io::Write;
-use std::net::{Ipv4Addr, TcpListener};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU8, AtomicU32, Ordering};
 
-use programs::{CLOVERFOLD, Program, run, wait_until};
+use programs::addresses::BOXES;
+use programs::{Addresses, CLOVERFOLD, Program, empty_configuration, run, wait_until};
 use rustix::process::Signal;
 use serde_json::Value;
 
-const CONTROLS: usize = 3;
+/// Control processes, one on each box.
+const CONTROLS: usize = BOXES;
+/// Port of the operators' interface, from the peer port.
+const OPERATOR_OFFSET: u16 = 1;
+/// Lines of each log that a failed test shows.
+const SHOWN_LINES: usize = 40;
 
-/// A group of control processes that bears the loss of one.
+/// A group of control processes that tolerates the loss of one.
 struct Group {
     folder: tempfile::TempDir,
-    ip: [Ipv4Addr; CONTROLS],
-    port: u16,
+    addresses: Addresses,
     running: [Option<Program>; CONTROLS],
     backups: AtomicU32,
 }
 
-fn configuration(version: u64) -> String {
-    format!(
-        r#"{{"Version":{version},"Routes":[],"Services":[],"Limits":{{"MaxHeaderBytes":16384,"MaxBodyBytes":262144,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}}}"#
-    )
-}
-
 impl Group {
     fn start() -> Self {
-        static NEXT: AtomicU8 = AtomicU8::new(0);
-        let process = 1 + (std::process::id() % 200) as u8;
-        let block = 100 + NEXT.fetch_add(1, Ordering::Relaxed);
-        let ip = [1, 2, 3].map(|last| Ipv4Addr::new(127, process, block, last));
-        let probe = TcpListener::bind((ip[0], 0)).unwrap();
-        let port = probe.local_addr().unwrap().port().min(u16::MAX - 10);
-        drop(probe);
+        static NEXT_BLOCK: AtomicU8 = AtomicU8::new(100);
+        let block = NEXT_BLOCK.fetch_add(1, Ordering::Relaxed);
         let mut group = Self {
             folder: tempfile::tempdir().unwrap(),
-            ip,
-            port,
+            addresses: Addresses::choose(block),
             running: [None, None, None],
             backups: AtomicU32::new(0),
         };
@@ -57,24 +49,24 @@
     }
 
     fn operator(&self, index: usize) -> String {
-        format!("{}:{}", self.ip[index], self.port + 1)
+        self.addresses.at(index, OPERATOR_OFFSET).to_string()
     }
 
     fn start_control(&mut self, index: usize, may_found: bool) {
-        let (own, port) = (self.ip[index], self.port);
-        let (metrics, operator) = (port + 3, self.operator(index));
+        let name = format!("control-{index}");
+        let peer = self.addresses.peer_settings(&name, index, &[0, 1, 2]);
+        let operator = self.operator(index);
         let data = self.data_folder(index);
         let data = data.display();
-        let seeds = self.ip.map(|seed| format!(r#""{seed}:1""#)).join(", ");
         let text = format!(
-            r#"{{ "peer": {{ "name": "control-{index}", "hall": "a", "ip": "{own}", "port": {port}, "seeds": [{seeds}], "metrics_port": {metrics} }}, "operator_address": "{operator}", "data_folder": "{data}", "may_found": {may_found}, "tolerated_losses": 1, "log": {{ "stream": "stdout", "lines_per_second": 500 }} }}"#
+            r#"{{ {peer}, "operator_address": "{operator}", "data_folder": "{data}", "may_found": {may_found}, "tolerated_losses": 1, "log": {{ "stream": "stdout", "lines_per_second": 500 }} }}"#
         );
         let file = self.folder.path().join(format!("control-{index}.jsonc"));
         std::fs::write(&file, text).unwrap();
         self.running[index] = Some(Program::start(CLOVERFOLD, &["control"], &file));
     }
 
-    /// Ends a process without a word.
+    /// Kills a process.
     fn kill(&mut self, index: usize) {
         self.running[index] = None;
     }
@@ -86,7 +78,7 @@
     /// Sends a configuration to one process until it is acknowledged.
     fn acknowledge(&self, index: usize, version: u64) {
         let file = self.folder.path().join(format!("version-{version}.json"));
-        std::fs::write(&file, configuration(version)).unwrap();
+        std::fs::write(&file, empty_configuration(version)).unwrap();
         let at = self.operator(index);
         wait_until("an acknowledgement", || {
             let answer = run(&[
@@ -121,7 +113,11 @@
     /// Waits until a process reads; it must read this version at once.
     fn expect_read(&self, index: usize, version: u64) {
         let found = wait_until("a read", || self.read(index));
-        assert_eq!(found, configuration(version), "nothing older is ever shown");
+        assert_eq!(
+            found,
+            empty_configuration(version),
+            "nothing older is ever shown"
+        );
     }
 
     fn find_leader(&self) -> usize {
@@ -146,7 +142,7 @@
             let file = self.folder.path().join(format!("control-{index}.log"));
             let log = std::fs::read_to_string(file).unwrap_or_default();
             let lines: Vec<&str> = log.lines().collect();
-            for line in &lines[lines.len().saturating_sub(40)..] {
+            for line in &lines[lines.len().saturating_sub(SHOWN_LINES)..] {
                 eprintln!("control-{index}: {line}");
             }
         }
@@ -175,7 +171,7 @@
     for version in 4..8 {
         let leader = group.find_leader();
         let file = group.folder.path().join(format!("cut-{version}.json"));
-        std::fs::write(&file, configuration(version)).unwrap();
+        std::fs::write(&file, empty_configuration(version)).unwrap();
         let order = Program::start(
             CLOVERFOLD,
             &["configuration", "--at", &group.operator(leader), "restore"],
--- a/crates/cloverfold/tests/leased_processes.rs
+++ b/crates/cloverfold/tests/leased_processes.rs
@@ -4,44 +4,46 @@
 
 mod programs;
 
-use std::net::{Ipv4Addr, TcpListener};
+use std::net::TcpListener;
 use std::path::PathBuf;
 
-use programs::{CLOVERFOLD, GUARD, Program, run, wait_until};
+use programs::{Addresses, CLOVERFOLD, GUARD, Program, empty_configuration, run, wait_until};
 use rustix::process::Signal;
 use serde_json::Value;
 
-const CONFIGURATION: &str = r#"{"Version":3,"Routes":[],"Services":[],"Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":262144,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}"#;
-
-struct Place {
+/// Block of addresses that the tests of this file share; the tests of control processes use those from 100 on.
+const BLOCK: u8 = 200;
+/// Port of the operators', clients' or registrations' interface, from the peer port.
+const INTERFACE_OFFSET: u16 = 1;
+/// Port at which an entry's readiness is asked, from the peer port.
+const READY_OFFSET: u16 = 2;
+/// Version of the configuration that is restored.
+const VERSION: u64 = 3;
+/// Boxes of the three processes.
+const CONTROL_BOX: usize = 0;
+const ENTRY_BOX: usize = 1;
+const GUARD_BOX: usize = 2;
+
+/// The settings of an installation with one process of each kind.
+struct Installation {
     folder: tempfile::TempDir,
-    ip: [Ipv4Addr; 3],
-    port: u16,
+    addresses: Addresses,
 }
 
-impl Place {
+impl Installation {
     fn new() -> Self {
-        let block = 1 + (std::process::id() % 200) as u8;
-        let ip = [1, 2, 3].map(|last| Ipv4Addr::new(127, block, 200, last));
-        let probe = TcpListener::bind((ip[0], 0)).unwrap();
-        let port = probe.local_addr().unwrap().port().min(u16::MAX - 10);
         Self {
             folder: tempfile::tempdir().unwrap(),
-            ip,
-            port,
+            addresses: Addresses::choose(BLOCK),
         }
     }
 
     fn peer(&self, name: &str, index: usize) -> String {
-        let (own, seed, port) = (self.ip[index], self.ip[0], self.port);
-        let metrics = port + 3;
-        format!(
-            r#""peer": {{ "name": "{name}", "hall": "a", "ip": "{own}", "port": {port}, "seeds": ["{seed}:1"], "metrics_port": {metrics} }}"#
-        )
+        self.addresses.peer_settings(name, index, &[CONTROL_BOX])
     }
 
-    fn address(&self, index: usize, offset: u16) -> String {
-        format!("{}:{}", self.ip[index], self.port + offset)
+    fn operator_address(&self) -> String {
+        self.addresses.at(CONTROL_BOX, INTERFACE_OFFSET).to_string()
     }
 
     fn write(&self, name: &str, text: &str) -> PathBuf {
@@ -51,7 +53,8 @@
     }
 
     fn control_settings(&self) -> String {
-        let (peer, operators) = (self.peer("control-1", 0), self.address(0, 1));
+        let peer = self.peer("control-1", CONTROL_BOX);
+        let operators = self.operator_address();
         let data = self.folder.path().join("data");
         let data = data.display();
         format!(
@@ -60,15 +63,17 @@
     }
 
     fn entry_settings(&self) -> String {
-        let peer = self.peer("entry-1", 1);
-        let (clients, ready) = (self.address(1, 1), self.address(1, 2));
+        let peer = self.peer("entry-1", ENTRY_BOX);
+        let clients = self.addresses.at(ENTRY_BOX, INTERFACE_OFFSET);
+        let ready = self.addresses.at(ENTRY_BOX, READY_OFFSET);
         format!(
             r#"{{ {peer}, "client_address": "{clients}", "ready_address": "{ready}", "linger_ms": 50, "drain_ms": 2000, "log": {{ "stream": "stdout", "lines_per_second": 500 }} }}"#
         )
     }
 
     fn guard_settings(&self) -> String {
-        let (peer, registration) = (self.peer("guard-1", 2), self.address(2, 1));
+        let peer = self.peer("guard-1", GUARD_BOX);
+        let registration = self.addresses.at(GUARD_BOX, INTERFACE_OFFSET);
         format!(
             r#"{{ {peer}, "registration_address": "{registration}", "drain_ms": 2000, "log": {{ "stream": "stdout", "lines_per_second": 500 }} }}"#
         )
@@ -77,15 +82,15 @@
 
 #[test]
 fn an_installation_is_started_configured_asked_reloaded_and_stopped() {
-    let place = Place::new();
-    let settings = place.write("control.jsonc", &place.control_settings());
+    let installation = Installation::new();
+    let settings = installation.write("control.jsonc", &installation.control_settings());
     let control = Program::start(CLOVERFOLD, &["control"], &settings);
-    let entry_file = place.write("entry.jsonc", &place.entry_settings());
+    let entry_file = installation.write("entry.jsonc", &installation.entry_settings());
     let entry = Program::start(CLOVERFOLD, &["leased-entry"], &entry_file);
-    let guard_file = place.write("guard.jsonc", &place.guard_settings());
+    let guard_file = installation.write("guard.jsonc", &installation.guard_settings());
     let guard = Program::start(GUARD, &["--leased"], &guard_file);
-    let saved = place.write("saved.json", CONFIGURATION);
-    let at = place.address(0, 1);
+    let saved = installation.write("saved.json", &empty_configuration(VERSION));
+    let at = installation.operator_address();
     let ask = |action: &[&str]| run(&[&["configuration", "--at", &at], action].concat());
 
     wait_until("an acknowledged configuration", || {
@@ -102,20 +107,27 @@
         let holds = |name: &str| {
             processes
                 .iter()
-                .any(|p| p["name"] == name && p["version"] == 3)
+                .any(|p| p["name"] == name && p["version"] == VERSION)
         };
         (holds("entry-1") && holds("guard-1")).then_some(status)
     });
     assert_eq!(status["role"], "leader");
     let audit: Value = serde_json::from_slice(&ask(&["audit"]).stdout).unwrap();
     assert_eq!(audit["audit"][0]["outcome"], "taken");
-    let backup = place.folder.path().join("backup.json");
+    let backup = installation.folder.path().join("backup.json");
     assert!(ask(&["backup", backup.to_str().unwrap()]).status.success());
-    assert_eq!(std::fs::read_to_string(&backup).unwrap(), CONFIGURATION);
+    assert_eq!(
+        std::fs::read_to_string(&backup).unwrap(),
+        empty_configuration(VERSION)
+    );
     let again = ask(&["backup", backup.to_str().unwrap()]);
     assert!(!again.status.success(), "a backup overwrites nothing");
 
-    std::fs::write(&entry_file, place.entry_settings().replace("entry-1", "")).unwrap();
+    std::fs::write(
+        &entry_file,
+        installation.entry_settings().replace("entry-1", ""),
+    )
+    .unwrap();
     let fault = entry.wait_for_line("changed settings are not taken");
     assert!(
         fault["message"]
@@ -123,7 +135,7 @@
             .unwrap()
             .contains("peer.name: must not be empty")
     );
-    std::fs::write(&entry_file, place.entry_settings()).unwrap();
+    std::fs::write(&entry_file, installation.entry_settings()).unwrap();
     entry.signal(Signal::HUP);
     entry.wait_for_line("settings are read anew");
 
@@ -134,11 +146,11 @@
 
 #[test]
 fn wrong_settings_are_refused_with_file_line_field_and_mend_and_nothing_else() {
-    let place = Place::new();
-    let text = place
+    let installation = Installation::new();
+    let text = installation
         .control_settings()
         .replace("\"tolerated_losses\": 0", "\"tolerated_losses\": 9");
-    let settings = place.write("control.jsonc", &text);
+    let settings = installation.write("control.jsonc", &text);
     let file = settings.to_str().unwrap();
     for arguments in [["control", file], ["check", file]] {
         let output = run(&arguments);
@@ -154,9 +166,9 @@
 
 #[test]
 fn an_address_that_is_taken_is_named_with_its_setting() {
-    let place = Place::new();
-    let _taken = TcpListener::bind((place.ip[1], place.port + 1)).unwrap();
-    let settings = place.write("entry.jsonc", &place.entry_settings());
+    let installation = Installation::new();
+    let _taken = TcpListener::bind(installation.addresses.at(ENTRY_BOX, INTERFACE_OFFSET)).unwrap();
+    let settings = installation.write("entry.jsonc", &installation.entry_settings());
 
     let output = run(&["leased-entry", settings.to_str().unwrap()]);
 
--- a/crates/cloverfold/tests/programs/mod.rs
+++ b/crates/cloverfold/tests/programs/mod.rs
@@ -1,8 +1,10 @@
-//! Real programs as processes of their own.
+//! Real programs as processes of their own, and the addresses and settings that they are started with.
 
 // Each test file uses a part.
 #![allow(dead_code)]
 
+pub mod addresses;
+
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output};
@@ -12,10 +14,14 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
+pub use addresses::Addresses;
+
 pub const CLOVERFOLD: &str = env!("CARGO_BIN_EXE_cloverfold");
 pub const GUARD: &str = env!("CARGO_BIN_EXE_cloverfold-guard");
 /// Bounds waits for what must come; nothing is measured by it.
 const PATIENCE: Duration = Duration::from_secs(120);
+/// How often a wait looks again.
+const POLL: Duration = Duration::from_millis(20);
 
 /// A program that runs, and the file that its log lines go to.
 pub struct Program {
@@ -24,6 +30,7 @@
 }
 
 impl Program {
+    /// Starts a program with a settings file; its output is appended to a log beside the file.
     pub fn start(program: &str, arguments: &[&str], settings: &Path) -> Self {
         let log = settings.with_extension("log");
         let output = File::options().create(true).append(true).open(&log);
@@ -58,6 +65,7 @@
         })
     }
 
+    /// Stops the program as planned; returns its exit code.
     pub fn stop(mut self) -> Option<i32> {
         self.signal(Signal::TERM);
         self.child.wait().unwrap().code()
@@ -66,23 +74,31 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // An error means that it has ended by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
+/// Polls until something is found, and fails the test if it never is.
 pub fn wait_until<T>(what: &str, mut find: impl FnMut() -> Option<T>) -> T {
     let began = Instant::now();
     while began.elapsed() < PATIENCE {
         if let Some(found) = find() {
             return found;
         }
-        thread::sleep(Duration::from_millis(20));
+        thread::sleep(POLL);
     }
     panic!("{what} does not come");
 }
 
+/// Writes a configuration without routes or services.
+pub fn empty_configuration(version: u64) -> String {
+    format!(
+        r#"{{"Version":{version},"Routes":[],"Services":[],"Limits":{{"MaxHeaderBytes":16384,"MaxBodyBytes":262144,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}}}"#
+    )
+}
+
 /// Runs an operator's command to its end.
 pub fn run(arguments: &[&str]) -> Output {
     Command::new(CLOVERFOLD).args(arguments).output().unwrap()
