--- a/crates/claims/cloverfold_coordinate/src/job_context.rs
+++ b/crates/claims/cloverfold_coordinate/src/job_context.rs
@@ -33,7 +33,7 @@
 
     /// Returns until when fences must remember the tasks of a submission.
     pub(crate) fn keep_until(&self, submission: &Submission) -> UnixTime {
-        submission.submitted_at + self.cell.retention() * 2
+        submission.submitted_at + self.cell.retention * 2
     }
 
     /// Takes one retry out of the budget; returns whether there was one.
--- a/crates/tools/cloverfold_target/src/target.rs
+++ b/crates/tools/cloverfold_target/src/target.rs
@@ -1,9 +1,10 @@
-//! The sample target's HTTP server.
+//! The HTTP server of the sample target.
+//!
+//! Owns the journal and the cancelled tasks of one target. Relies on `volo-http`.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 use http::StatusCode;
@@ -20,9 +21,6 @@
 use crate::journal::Journal;
 use crate::task::SampleTask;
 
-/// Factor in thousandths by which tasks take their given time.
-const FULL_SPEED: u64 = 1_000;
-
 /// A running sample target; it stops when dropped.
 pub struct SampleTarget {
     address: SocketAddr,
@@ -32,7 +30,7 @@
 
 struct TargetState {
     journal: Journal,
-    slowness: AtomicU64,
+    /// Names of the tasks that were cancelled, running or not.
     cancelled: watch::Sender<BTreeSet<String>>,
 }
 
@@ -47,12 +45,11 @@
         let address = listener.local_addr()?;
         let state = Arc::new(TargetState {
             journal: Journal::default(),
-            slowness: AtomicU64::new(FULL_SPEED),
             cancelled: watch::Sender::default(),
         });
         let server = Server::new(build_routes(&state)).http1_only();
         let server = tokio::spawn(async move {
-            // Serving ends with the target; its errors show at the guard.
+            // The server ends only with the target; an error before shows at the guard, which gets no answer.
             let _ = server.run(DefaultIncoming::from(listener)).await;
         });
         Ok(Self {
@@ -72,16 +69,10 @@
         &self.state.journal
     }
 
-    /// Lists the tasks that were cancelled.
+    /// Lists the tasks that were cancelled, as the system tests check.
     pub fn list_cancelled(&self) -> Vec<String> {
         self.state.cancelled.borrow().iter().cloned().collect()
     }
-
-    /// Makes tasks take `factor` times as long from now on.
-    pub fn slow_down(&self, factor: f64) {
-        let thousandths = (factor * FULL_SPEED as f64) as u64;
-        self.state.slowness.store(thousandths, Ordering::Relaxed);
-    }
 }
 
 impl Drop for SampleTarget {
@@ -109,6 +100,7 @@
         )
 }
 
+/// Returns `<submission>/<index>` of a request.
 fn name_task(req: &Request) -> String {
     req.uri().path().trim_start_matches("/v1/tasks/").to_owned()
 }
@@ -123,10 +115,11 @@
 
 async fn wait_cancelled(state: &TargetState, task: &str) {
     let mut rx = state.cancelled.subscribe();
-    // The sender lives as long as the target.
+    // The only error is that the sender is gone; it lives in the state that is borrowed here.
     let _ = rx.wait_for(|tasks| tasks.contains(task)).await;
 }
 
+/// Records the start, runs as long as the body asks and answers as it asks; 409 for a task that is cancelled meanwhile.
 async fn run_task(state: Arc<TargetState>, req: Request) -> (StatusCode, String) {
     let task = name_task(&req);
     let Ok(body) = req.into_body().collect().await else {
@@ -134,17 +127,16 @@
     };
     let body = body.to_bytes();
     let began = Instant::now();
-    let number = state.journal.note_start(&task, &body);
+    let number = state.journal.record_start(&task, &body);
     let Ok(sample) = serde_json::from_slice::<SampleTask>(&body) else {
         return (StatusCode::UNPROCESSABLE_ENTITY, "not a sample task".into());
     };
-    let slowness = state.slowness.load(Ordering::Relaxed);
-    let length = Duration::from_millis(sample.duration_ms * slowness / FULL_SPEED);
+    let length = Duration::from_millis(sample.duration_ms);
     let is_cancelled = tokio::select! {
         () = sleep(length) => false,
         () = wait_cancelled(&state, &task) => true,
     };
-    state.journal.note_end(number);
+    state.journal.record_end(number);
     if is_cancelled {
         return (StatusCode::CONFLICT, "cancelled".into());
     }
