--- a/crates/leased/cloverfold_lease/src/runner/answers.rs
+++ b/crates/leased/cloverfold_lease/src/runner/answers.rs
@@ -75,14 +75,14 @@
         /// The target's clock, in milliseconds.
         clock: TargetTime,
     },
-    /// The run was not started by this order.
+    /// The run was not started by this order; with the target's clock in milliseconds, if the answer contains it.
     Refused(StartRefusal, Option<TargetTime>),
     /// No answer came; the order may still be carried out.
     Unanswered,
 }
 
 impl StartAnswer {
-    /// Returns the target's clock, where the answer tells it.
+    /// Returns the target's clock, if the answer contains it.
     pub(super) fn clock(&self) -> Option<TargetTime> {
         match self {
             Self::Started { clock } => Some(*clock),
@@ -113,7 +113,7 @@
     pub task: TaskId,
     /// Number of the run.
     pub run: u64,
-    /// How much of its work is done, in percent; none if the target does not tell.
+    /// How much of its work is done, in percent; none if the target does not report it.
     pub progress: Option<u8>,
 }
 
--- a/crates/leased/cloverfold_lease/src/runner/assignment.rs
+++ b/crates/leased/cloverfold_lease/src/runner/assignment.rs
@@ -17,7 +17,7 @@
     /// Accepts an assignment and starts it if it fits, or gives it back at once.
     pub(super) fn assign(&mut self, session: SessionId, assignment: Assignment, now: Timestamp) {
         let Some(state) = self.sessions.get_mut(&session) else {
-            // The link is gone, and with it whoever would be told.
+            // The session is closed; its dispatcher counts the run as over with the session.
             return;
         };
         state.assignments_seen += 1;
@@ -66,7 +66,7 @@
         if !is_valid || now > assignment.valid_until {
             return Some(RunRefusal::Expired);
         }
-        let Some(target) = self.target.as_ref().filter(|target| target.takes_work()) else {
+        let Some(target) = self.target.as_ref().filter(|target| target.accepts_work()) else {
             return Some(self.refusal_without_target());
         };
         if self.is_leaving {
--- a/crates/leased/cloverfold_lease/src/runner/ending.rs
+++ b/crates/leased/cloverfold_lease/src/runner/ending.rs
@@ -1,4 +1,4 @@
-//! Ends of runs and what dispatchers are told of them.
+//! Ends of runs and their reports to dispatchers.
 //!
 //! For: forgetting a run and reporting its outcome. Owns nothing beyond the runner's state; relies on `reports` for what is free.
 
@@ -10,7 +10,7 @@
 use crate::runner::run::Run;
 use crate::runner::{Runner, RunnerAction};
 
-/// The end of one run, as its dispatcher is told.
+/// The report of one run's end to its dispatcher.
 pub(super) struct EndReport {
     pub(super) task: TaskId,
     /// The dispatcher's number of the run.
@@ -21,7 +21,7 @@
 }
 
 impl Runner {
-    /// Forgets a run whose end is certain and tells its dispatcher.
+    /// Forgets a run whose end is certain and reports it to its dispatcher.
     ///
     /// The caller must know that the run does not run and can't start any more, since the dispatcher may then start the task elsewhere.
     /// That is certain when
@@ -71,13 +71,14 @@
         }
     }
 
-    /// Tells a dispatcher of an end, together with what is free now.
+    /// Sends the report of an end to a dispatcher, together with the present free capacity.
     pub(super) fn send_end(&mut self, session: SessionId, report: EndReport, now: Timestamp) {
         let free_capacity = self.free_capacity_for(session, now);
         let message = RunnerMessage::Ended {
             task: report.task,
             run: report.run,
             outcome: report.outcome,
+            // Milliseconds of a run fit: u32 covers 49 days.
             ran_ms: report.ran.as_millis() as u32,
             free_capacity,
         };
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -151,7 +151,7 @@
     /// Does what has fallen due; call it every few tens of milliseconds.
     pub fn tick(&mut self, now: Timestamp) {
         self.expire_sessions(now);
-        self.watch_target(now);
+        self.check_responsiveness(now);
         self.end_target_pause(now);
         self.expire_waiting(now);
         self.repeat_unanswered_starts(now);
--- a/crates/leased/cloverfold_lease/src/runner/performance.rs
+++ b/crates/leased/cloverfold_lease/src/runner/performance.rs
@@ -46,8 +46,8 @@
     is_paused: bool,
     /// Until then it is offered in part.
     probation_until: Option<Timestamp>,
-    /// Whether a run was ever seen to advance: some targets tell nothing of progress, or always the same.
-    tells_progress: bool,
+    /// Whether a run was ever seen to advance: some targets report no progress, or always the same.
+    reports_progress: bool,
     /// Speeds of its newest runs, oldest measurement first.
     speeds: VecDeque<MeasuredSpeed>,
 }
@@ -74,19 +74,19 @@
             health: TargetHealth::new(HealthLimits::default()),
             is_paused: false,
             probation_until: None,
-            tells_progress: false,
+            reports_progress: false,
             speeds: VecDeque::with_capacity(MEASURED_RUNS),
         }
     }
 
     /// Records that a run was seen to advance.
     pub(super) fn record_progress(&mut self) {
-        self.tells_progress = true;
+        self.reports_progress = true;
     }
 
-    /// Returns whether the progress that this target tells can be used to judge it.
-    pub(super) fn tells_progress(&self) -> bool {
-        self.tells_progress
+    /// Returns whether the target reports progress by which it can be judged.
+    pub(super) fn reports_progress(&self) -> bool {
+        self.reports_progress
     }
 
     /// Records a measurement of one run's speed, which replaces the one before; 1 is as fast as estimated.
--- a/crates/leased/cloverfold_lease/src/runner/progress.rs
+++ b/crates/leased/cloverfold_lease/src/runner/progress.rs
@@ -3,7 +3,7 @@
 //! For: finding runs that are stuck or slow at a target that looks well.
 //! Owns: what was seen of one run's progress. Relies on nothing; every point in time comes from the caller.
 //!
-//! Progress is told by the target in whole percent, with each renewal of the lease. Some targets tell none.
+//! Targets report progress in whole percent in each answer to a renewal of the lease. Some report none.
 
 use std::time::Duration;
 
--- a/crates/leased/cloverfold_lease/src/runner/refused_start.rs
+++ b/crates/leased/cloverfold_lease/src/runner/refused_start.rs
@@ -23,7 +23,7 @@
 ///
 /// A refusal for a low fencing token or a late deadline is mended by sending again, up to [`MAX_START_ATTEMPTS`] starts. Everything else
 /// is given back to the dispatcher, which tries elsewhere. After the second start nothing is certain about the first one: a refusal
-/// tells only of the start that it answers.
+/// concerns only the start that it answers.
 pub(super) fn step_after_refused_start(refusal: StartRefusal, attempts: u32) -> RefusedStartStep {
     let is_first = attempts == 1;
     let is_mendable = matches!(refusal, StartRefusal::Fenced | StartRefusal::Late);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Returns what a dispatcher is told of a start that the target refused for good.
+/// Returns the refusal that is reported to the dispatcher for a start that the target refused for good.
 fn reason_for_dispatcher(refusal: StartRefusal) -> RunRefusal {
     match refusal {
         StartRefusal::Fenced | StartRefusal::Late | StartRefusal::OtherIncarnation => {
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -13,7 +13,7 @@
 use crate::runner::unlisted::ListTimes;
 use crate::timings::TargetTime;
 
-/// What the target tells in its answer to a renewal.
+/// The contents of the target's answer to a renewal.
 struct TargetList {
     /// The target's clock.
     clock: TargetTime,
@@ -49,7 +49,7 @@
     /// Processes the answer to a renewal.
     ///
     /// An answer from another incarnation, or one that was overtaken by the answer to a later renewal, changes nothing. No answer
-    /// changes nothing here either: `watch_target` notices the silence.
+    /// changes nothing here either: `check_responsiveness` notices it.
     pub fn receive_renewal_answer(
         &mut self,
         order: &RenewalOrder,
@@ -83,6 +83,7 @@
             return;
         };
         if order.sent_at < target.newest_renewal_sent_at {
+            // The answer to a later renewal has overtaken this one.
             return;
         }
         target.newest_renewal_sent_at = order.sent_at;
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -1,7 +1,7 @@
-//! What dispatchers are told unasked: heartbeats, free capacity, the target.
+//! Messages to dispatchers that no message of theirs asks for: heartbeats, free capacity, the target.
 //!
 //! For: the runner's side of the messages to dispatchers. Owns nothing beyond the runner's state; relies on [`Session`] for
-//! what each dispatcher was told last.
+//! what was reported to each dispatcher last.
 //!
 //! [`Session`]: crate::runner::session::Session
 
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Reports the free capacity to every session that was told another one.
+    /// Reports the free capacity to every session whose last report differs.
     ///
-    /// Not only with the heartbeats: entries that know little of a target refuse work which would fit.
+    /// The heartbeats alone would be too late: a dispatcher that does not know of free capacity refuses work which would fit.
     pub(super) fn report_free_capacity(&mut self, now: Timestamp) {
         let free = self.free_after_waiting();
         let stale: Vec<SessionId> = self
@@ -72,14 +72,14 @@
         }
     }
 
-    /// Tells each session of the target, if it was told something else before.
+    /// Announces the target to each session, or that there is none that accepts work, if the last announcement differs.
     ///
-    /// While a run of an earlier session is not certainly over, no session is told of a target for the first time: being told lets
-    /// a dispatcher conclude that nothing it lost sight of runs here.
+    /// While a run of an earlier session is not certainly over, no target is announced to a session that knows of
+    /// none: from the announcement a dispatcher concludes that nothing it lost sight of runs here.
     pub(super) fn announce_target(&mut self) {
         let has_leftovers = self.runs.values().any(|run| run.session.is_none());
         let target = self.target.as_ref();
-        let offered = target.filter(|target| target.takes_work() && !self.is_leaving);
+        let offered = target.filter(|target| target.accepts_work() && !self.is_leaving);
         let announcement = offered.map_or(Announcement::NoTarget, |target| {
             Announcement::Target(target.number())
         });
--- a/crates/leased/cloverfold_lease/src/runner/run.rs
+++ b/crates/leased/cloverfold_lease/src/runner/run.rs
@@ -1,7 +1,7 @@
 //! One run of a task and the states that it passes through.
 //!
 //! For: the life cycle of a run at the target, as far as the runner knows it.
-//! Owns: the state of one run, who has to be told of its end, and its progress.
+//! Owns: the state of one run, the session that gets the report of its end, and its progress.
 //! Relies on: [`ProgressTracker`]; every point in time comes from the caller.
 //!
 //! ```text
@@ -88,7 +88,7 @@
 /// One run of a task and for whom it is executed.
 #[derive(Clone, Debug)]
 pub(super) struct Run {
-    /// The session that wants to know its end; none once that session is over.
+    /// The session that gets the report of its end; none once that session is over.
     pub(super) session: Option<SessionId>,
     /// Order of arrival in this process.
     pub(super) sequence: u64,
--- a/crates/leased/cloverfold_lease/src/runner/session.rs
+++ b/crates/leased/cloverfold_lease/src/runner/session.rs
@@ -1,13 +1,13 @@
 //! One session with a dispatcher.
 //!
-//! For: how long a dispatcher's runs may go on without a word from it, and what it was told last.
+//! For: how long a dispatcher's runs may go on without an echo from it, and what was reported to it last.
 //! Owns: that state of one session. Relies on nothing; every point in time comes from the caller.
 
 use cloverfold_base::Timestamp;
 
 use crate::resources::Resources;
 
-/// What a dispatcher was told last of the target.
+/// The last announcement of the target to a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Announcement {
     /// Nothing yet.
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -1,7 +1,7 @@
 //! Decision: how long sessions with dispatchers are valid, and what ends with them.
 //!
 //! For: opening, prolonging and ending sessions. Owns nothing beyond the runner's state.
-//! Relies on `stops` to end the runs of a session, on `reports` for what a new one is told.
+//! Relies on `stops` to end the runs of a session, on `reports` for the first messages to a new one.
 //!
 //! A dispatcher counts the runs of a session as over some time after its last echo; see [`Timings`](crate::Timings). That
 //! holds only because a session here ends [`Timings::session`](crate::Timings::session) after the runner's own clock reading that was echoed.
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Stops all that a session has assigned; nobody is told of these ends.
+    /// Stops all that a session has assigned; these ends are reported to nobody.
     fn stop_session_runs(&mut self, session: SessionId, now: Timestamp) {
         let tasks: Vec<TaskId> = self
             .runs
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Records the clock and the fencing token that an answer tells; returns whether it came from the present target.
+    /// Records what an answer shows of the target's clock and fencing token; returns whether it came from the present target.
     fn learn_from_start_answer(
         &mut self,
         order: &StartOrder,
--- a/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
@@ -14,7 +14,7 @@
     /// A target of which no run was ever seen to advance is not judged: it may tell no progress at all.
     pub(super) fn stop_stuck_runs(&mut self, now: Timestamp) {
         let target = self.target.as_ref();
-        if !target.is_some_and(|target| target.performance.tells_progress()) {
+        if !target.is_some_and(|target| target.performance.reports_progress()) {
             return;
         }
         for task in self.find_stuck_runs(now) {
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes over what the present incarnation tells anew; one that was overtaken by a newer one changes nothing.
+    /// Updates the registration of the present incarnation; one that was overtaken by a newer one changes nothing.
     fn update_registration(&mut self, registration: TargetRegistration, now: Timestamp) {
         let Some(target) = &mut self.target else {
             return;
@@ -96,7 +96,7 @@
     /// that a renewal may wait.
     ///
     /// An unresponsive target gets no new work. Its runs may go on until its lease has lapsed; then they are lost.
-    pub(super) fn watch_target(&mut self, now: Timestamp) {
+    pub(super) fn check_responsiveness(&mut self, now: Timestamp) {
         let limit = self.timings.silence + self.timings.renewal_wait;
         let Some(target) = &mut self.target else {
             return;
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -118,7 +118,7 @@
         self.registration.is_draining
     }
 
-    pub(super) fn takes_work(&self) -> bool {
+    pub(super) fn accepts_work(&self) -> bool {
         self.find_unavailable_reason().is_none()
     }
 
