--- a/crates/claims/cloverfold_claims_core/src/guard_table.rs
+++ b/crates/claims/cloverfold_claims_core/src/guard_table.rs
@@ -15,11 +15,11 @@
 /// Phase of a guard, as it reports it itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardPhase {
-    /// It runs but takes no work yet.
+    /// It runs but accepts no work yet.
     Joining,
-    /// It takes work.
+    /// It accepts work.
     Live,
-    /// It ends what runs and takes nothing new.
+    /// It ends what runs and accepts nothing new.
     Leaving,
 }
 
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Places tasks on the guards that were heard within the given silence, and charges them.
+    /// Places tasks on the guards that have reported within the given time, and charges them.
     pub fn place(
         &mut self,
         policy: PlacementPolicy,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Finds the first of the given guards that takes work, was heard within the given silence, and is whole.
+    /// Finds the first of the given guards that accepts work, has reported within the given time, and is whole.
     pub fn find_lead(
         &self,
         order: &[GuardId],
@@ -169,7 +169,7 @@
         order.iter().copied().find(can_lead)
     }
 
-    /// Counts the slots of the guards that were heard within the given silence.
+    /// Counts the slots of the guards that have reported within the given time.
     pub fn count_capacity(&self, now: Duration, silence: Duration) -> Capacity {
         let mut capacity = Capacity::default();
         for candidate in self.list_candidates(now, silence) {
@@ -180,7 +180,7 @@
         capacity
     }
 
-    /// Lists the live guards that were heard within the given silence.
+    /// Lists the live guards that have reported within the given time.
     pub fn list_candidates(&self, now: Duration, silence: Duration) -> Vec<Candidate> {
         let usable = self.guards.values().filter(|guard| {
             guard.report.phase == GuardPhase::Live
--- a/crates/claims/cloverfold_claims_core/src/job_events.rs
+++ b/crates/claims/cloverfold_claims_core/src/job_events.rs
@@ -54,7 +54,7 @@
         /// Its answer.
         verdict: ReleaseVerdict,
     },
-    /// A place is gone or out of reach for good, with what it had of a task.
+    /// A place has restarted or stayed out of reach, with what it had of a task.
     PlaceLost {
         /// The task.
         task: TaskIndex,
--- a/crates/claims/cloverfold_claims_core/src/outcome.rs
+++ b/crates/claims/cloverfold_claims_core/src/outcome.rs
@@ -23,7 +23,7 @@
     KeyConflict,
     /// The key is older than the retention, so nothing is known of it any more.
     KeyExpired,
-    /// Too few replicas of the key can vote to say what became of it.
+    /// Too few replicas of the key can vote to know its claim.
     NoQuorum,
     /// No process that can run the job was reached.
     Unavailable,
@@ -31,7 +31,7 @@
     QueueFull,
     /// The deadline passed, or would pass before the task can end.
     DeadlinePassed,
-    /// The process is stopping and takes no new work.
+    /// The process is stopping and accepts no new work.
     Leaving,
     /// The target answered that the task failed.
     TargetFailed,
@@ -46,7 +46,7 @@
 }
 
 impl ReasonCode {
-    /// Returns the code as it stands in answers, logs and metrics.
+    /// Returns the code as written in answers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::KeyConflict => "key_conflict",
--- a/crates/claims/cloverfold_coordinate/src/admitter.rs
+++ b/crates/claims/cloverfold_coordinate/src/admitter.rs
@@ -29,7 +29,7 @@
 
 /// Slots for a job, given back as its tasks end.
 pub(crate) struct Grant {
-    /// One charge for each task; none when no guard can take work.
+    /// One charge for each task; none when no guard accepts work.
     pub(crate) charges: Vec<Charge>,
     /// Counts the job's tasks to its flow.
     pub(crate) flow_charge: FlowCharge,
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -25,7 +25,7 @@
 
 /// Events that may wait for the driver; a sender waits when the queue is full. Chosen, not measured.
 const EVENT_QUEUE: usize = 256;
-/// When a caller is told to retry after a refusal for want of a place. Chosen, not measured.
+/// When a caller is told to retry after a refusal because no target was free. Chosen, not measured.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Runs a job to its answer.
@@ -33,7 +33,7 @@
     let is_sole_attempt = submit.is_sole_attempt;
     let JobPlan { wanted, grant } = plan_job(&context, &submit).await;
     if is_sole_attempt && let Some(reason) = wanted.refusal {
-        // No other guard has the submission, so this one alone can say that nothing runs.
+        // No other guard has the submission, so this one can answer that nothing runs.
         return JobAnswer::of_sole_attempt(refuse(reason));
     }
     match context.claims.agree(submit.submission, wanted).await {
--- a/crates/claims/cloverfold_entry/src/lib.rs
+++ b/crates/claims/cloverfold_entry/src/lib.rs
@@ -4,7 +4,7 @@
 //! jobs: when it dies, the same submission through another entry finds the same job. The interface is described in
 //! `docs/API.md`.
 //!
-//! Owns only the number of requests in flight. Relies on `cloverfold_membership` for the guards that take work, and on
+//! Owns only the number of requests in flight. Relies on `cloverfold_membership` for the guards that accept work, and on
 //! `cloverfold_coordinate` at the guards for everything else.
 
 mod answer;
--- a/crates/claims/cloverfold_entry/src/routing.rs
+++ b/crates/claims/cloverfold_entry/src/routing.rs
@@ -1,6 +1,6 @@
 //! Routes submissions and queries to the guards that may coordinate them.
 //!
-//! Owns nothing. Relies on [`Membership`] for the acting lead and the guards that take work; a wrong view of them costs a
+//! Owns nothing. Relies on [`Membership`] for the acting lead and the guards that accept work; a wrong view of them costs a
 //! further attempt and cannot start a task twice.
 
 use std::collections::BTreeSet;
@@ -29,7 +29,7 @@
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long after its deadline a job may still be running its last tasks. Chosen, not measured.
 const ANSWER_GRACE: Duration = Duration::from_secs(60);
-/// When a caller is told to retry after no guard took the submission. Chosen, not measured.
+/// When a caller is told to retry after no guard accepted the submission. Chosen, not measured.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Finds coordinators for keys and exchanges requests with them.
@@ -97,7 +97,7 @@
     }
 
     /// Orders who may coordinate a key: the acting lead, then the key's group by rank, with those that
-    /// are not known to take work last.
+    /// are not known to accept work last.
     async fn order_coordinators(&self, key: &SubmissionKey) -> Vec<GuardId> {
         let group = self.cell.choose_replica_group(key);
         let mut ordered: Vec<GuardId> = Vec::new();
--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -22,7 +22,7 @@
 ///
 /// A task that is returned runs elsewhere only after its release was answered here; without an answer the
 /// job fails with `guard_lost`. The time has to cover what a coordinator may need for an assignment that it
-/// placed before it heard of the stop, and for the release after it. Chosen, not measured.
+/// placed before it learnt of the stop, and for the release after it. Chosen, not measured.
 const DRAIN_QUIET: Duration = Duration::from_secs(1);
 
 /// The tasks of this guard and who is told of their ends.
--- a/crates/claims/cloverfold_execute/src/task_runner.rs
+++ b/crates/claims/cloverfold_execute/src/task_runner.rs
@@ -74,7 +74,7 @@
         sink.finish().await;
     }
 
-    /// Lists the guards beside this one that can take work.
+    /// Lists the other guards that accept work.
     async fn list_others(&self, own: Placement) -> Vec<Candidate> {
         let mut others = self.membership.list_candidates().await;
         others.retain(|candidate| candidate.placement.guard != own.guard);
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -131,13 +131,13 @@
         self.with_table(|table, now| table.reports(now)).await
     }
 
-    /// Lists the guards that can take work, with their load.
+    /// Lists the guards that accept work, with their load.
     pub async fn list_candidates(&self) -> Vec<Candidate> {
         self.with_table(|table, now| table.list_candidates(now, SILENCE_LIMIT))
             .await
     }
 
-    /// Counts the slots of the guards that can take work.
+    /// Counts the slots of the guards that accept work.
     pub async fn count_capacity(&self) -> Capacity {
         self.with_table(|table, now| table.count_capacity(now, SILENCE_LIMIT))
             .await
