--- a/crates/leased/cloverfold_lease/tests/runner/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/fixture.rs
@@ -12,7 +12,7 @@
 /// The session that [`ready`] opens.
 pub const SESSION: u64 = 7;
 /// The number of every run.
-const RUN: u64 = 5;
+pub const RUN: u64 = 5;
 /// The target's clock when it registers, in milliseconds.
 pub const TARGET_CLOCK: u64 = 50_000;
 const FIRST_FENCING_TOKEN: u64 = 1_000;
--- a/crates/leased/cloverfold_lease/tests/runner/main.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/main.rs
@@ -6,5 +6,6 @@
 mod fixture;
 mod sessions;
 mod starts;
+mod stops;
 mod stuck_runs;
 mod target;
--- a/crates/leased/cloverfold_lease/tests/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/starts.rs
@@ -82,3 +82,50 @@
     assert_eq!(take_ends(&mut runner), []);
     assert_eq!(runner.run_count(), 1, "the first may still be carried out");
 }
+
+#[test]
+fn a_start_is_sent_six_times_at_most() {
+    let mut runner = ready();
+    runner.receive(SESSION, assign(1, at(600)), at(110));
+    let mut sent = take_starts(&mut runner);
+
+    for now in (140..400).step_by(30) {
+        runner.tick(at(now));
+        sent.extend(take_starts(&mut runner));
+    }
+
+    let attempts: Vec<u32> = sent.iter().map(|order| order.attempt).collect();
+    assert_eq!(attempts, [1, 2, 3, 4, 5, 6]);
+    let first = sent[0].deadline;
+    assert!(sent.iter().all(|order| order.deadline == first));
+    assert_eq!(runner.run_count(), 1, "any of them may be carried out");
+}
+
+#[test]
+fn the_only_start_that_came_too_late_is_replaced_by_one_with_a_new_deadline() {
+    let mut runner = ready();
+    runner.receive(SESSION, assign(1, at(600)), at(110));
+    let first = take_starts(&mut runner).remove(0);
+
+    let late = StartAnswer::Refused(StartRefusal::Late, Some(first.deadline + 1));
+    runner.receive_start_answer(&first, late, at(112));
+
+    let second = take_starts(&mut runner).remove(0);
+    assert!(second.deadline > first.deadline + 1);
+    assert_eq!(second.run, first.run);
+}
+
+#[test]
+fn a_repeated_start_that_came_too_late_keeps_its_deadline() {
+    let mut runner = ready();
+    runner.receive(SESSION, assign(1, at(600)), at(110));
+    let first = take_starts(&mut runner).remove(0);
+    runner.receive_start_answer(&first, StartAnswer::Unanswered, at(140));
+    let second = take_starts(&mut runner).remove(0);
+
+    let late = StartAnswer::Refused(StartRefusal::Late, Some(first.deadline + 1));
+    runner.receive_start_answer(&second, late, at(145));
+
+    let third = take_starts(&mut runner).remove(0);
+    assert_eq!(third.deadline, first.deadline);
+}
