--- a/crates/leased/cloverfold_lease/src/runner/actions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/actions.rs
@@ -1,7 +1,6 @@
 //! What a runner asks of the process around it.
 //!
-//! For: the edge between the decisions, which do no I/O, and the guard process, which does.
-//! Owns nothing. Relies on the messages and on the orders to the target.
+//! Separates the decisions, which do no I/O, from the guard process, which does. Owns nothing. Relies on the messages and on the orders to the target.
 
 use crate::messages::{RunnerMessage, SessionId};
 use crate::runner::orders::{StartOrder, StopOrder};
--- a/crates/leased/cloverfold_lease/src/runner/answers.rs
+++ b/crates/leased/cloverfold_lease/src/runner/answers.rs
@@ -1,7 +1,6 @@
 //! What a runner learns from its target: registrations and answers to orders.
 //!
-//! For: the edge between the decisions and the package that speaks to targets. Owns nothing. Relies on no wire format: that is the
-//! platform's.
+//! Separates the decisions from the package that speaks to targets, which owns the wire format. Owns no state.
 
 use std::fmt;
 
--- a/crates/leased/cloverfold_lease/src/runner/assignment.rs
+++ b/crates/leased/cloverfold_lease/src/runner/assignment.rs
@@ -1,6 +1,6 @@
 //! Decision: which assignments are accepted, and the withdrawal of accepted ones.
 //!
-//! For: what dispatchers order. Owns nothing beyond the runner's state.
+//! Handles what dispatchers order. Changes the runner's runs and owns no state besides.
 //! Relies on `waiting` to start what is accepted, on `stops` and `ending` to withdraw it.
 
 use std::time::Duration;
--- a/crates/leased/cloverfold_lease/src/runner/ending.rs
+++ b/crates/leased/cloverfold_lease/src/runner/ending.rs
@@ -1,6 +1,6 @@
 //! Ends of runs and their reports to dispatchers.
 //!
-//! For: forgetting a run and reporting its outcome. Owns nothing beyond the runner's state; relies on `reports` for what is free.
+//! The only place that removes a run. Owns no state besides the runner's; relies on `reports` for the free capacity.
 
 use std::time::Duration;
 
--- a/crates/leased/cloverfold_lease/src/runner/listing.rs
+++ b/crates/leased/cloverfold_lease/src/runner/listing.rs
@@ -1,6 +1,6 @@
 //! Comparison of what the target lists with what should run there.
 //!
-//! For: ends, confirmed starts, progress, missing runs and orphans. Owns nothing beyond the runner's state.
+//! Finds ends, confirmed starts, progress, missing runs and orphans. Owns no state besides the runner's.
 //! Relies on `unlisted` for the decision on missing runs, on `progress` and `performance` for the judgement by what is seen.
 
 use cloverfold_base::Timestamp;
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -1,9 +1,9 @@
 //! The runner: executes at one target what dispatchers assign.
 //!
-//! For: the leased guard, which does the I/O around it. A runner accepts or refuses assignments, starts and stops runs, renews
+//! A runner serves the leased guard, which does the I/O around it. It accepts or refuses assignments, starts and stops runs, renews
 //! the target's lease, and reports ends.
-//! Owns: the sessions with dispatchers, the runs at the target, and what is known of the target. Nothing is stored.
-//! Relies on: the caller's clock, which must not go back, and on [`Runner::tick`] every few tens of milliseconds.
+//! Owns the sessions with dispatchers, the runs at the target, and what is known of the target. Nothing is stored.
+//! Relies on the caller's clock, which must not go back, and on [`Runner::tick`] every few tens of milliseconds.
 //!
 //! | decision | module |
 //! |---|---|
@@ -15,7 +15,7 @@
 //! | when the end of a run is certain | `ending`, `unlisted` |
 //! | whether a run is stuck, how fast it is | `progress` |
 //! | whether the target is paused or on probation, how slow it is | `performance` |
-//! | whether the target accepts work, when its lease has lapsed | `target_incarnation` |
+//! | whether the target accepts work, when its lease has lapsed, when the fencing token rises | `target_incarnation` |
 //! | whether the target is unresponsive | `target` |
 //! | when a lease is extended | `renewals` |
 //! | when a session is over | `sessions` |
--- a/crates/leased/cloverfold_lease/src/runner/orders.rs
+++ b/crates/leased/cloverfold_lease/src/runner/orders.rs
@@ -1,7 +1,6 @@
 //! Orders of a runner to its target.
 //!
-//! For: the edge between the decisions and the package that speaks to targets. Owns nothing. Relies on no wire format: that is the
-//! platform's.
+//! Separates the decisions from the package that speaks to targets, which owns the wire format. Owns no state.
 //!
 //! Every order names the incarnation that is meant and carries a fencing token; a target refuses an order to another incarnation, or
 //! with a token below the highest that it has seen.
--- a/crates/leased/cloverfold_lease/src/runner/performance.rs
+++ b/crates/leased/cloverfold_lease/src/runner/performance.rs
@@ -1,7 +1,7 @@
 //! Decision: whether a target is paused or on probation, and how slow it is.
 //!
-//! For: the judgement on one target by all its runs, whichever dispatcher they belong to.
-//! Owns: the results and speeds of its newest runs. Relies on [`TargetHealth`] for when a pause begins and how long it lasts.
+//! Judges one target by all its runs, whichever dispatcher they belong to.
+//! Owns the results and speeds of its newest runs. Relies on [`TargetHealth`] for when a pause begins and how long it lasts.
 //!
 //! ```text
 //! offered ──stuck runs──> paused ──time──> on probation ──a run is done, or time──> offered
--- a/crates/leased/cloverfold_lease/src/runner/progress.rs
+++ b/crates/leased/cloverfold_lease/src/runner/progress.rs
@@ -1,7 +1,7 @@
 //! Decision: whether one run makes progress, and how fast.
 //!
-//! For: finding runs that are stuck or slow at a target that looks well.
-//! Owns: what was seen of one run's progress. Relies on nothing; every point in time comes from the caller.
+//! Finds runs that are stuck or slow at a target that looks well.
+//! Owns what was seen of one run's progress. Relies on nothing; every point in time comes from the caller.
 //!
 //! Targets report progress in whole percent in each answer to a renewal of the lease. Some report none.
 
--- a/crates/leased/cloverfold_lease/src/runner/refused_start.rs
+++ b/crates/leased/cloverfold_lease/src/runner/refused_start.rs
@@ -1,6 +1,6 @@
 //! Decision: what follows when the target refuses a start.
 //!
-//! Pure: owns nothing. Carried out by `Runner::receive_start_refusal`.
+//! Pure: owns no state, relies on [`StartRefusal`] alone. Carried out by `Runner::receive_start_refusal`.
 
 use crate::messages::RunRefusal;
 use crate::runner::answers::StartRefusal;
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -1,6 +1,6 @@
 //! Renewals of the target's lease, and their answers.
 //!
-//! For: keeping the target's runs alive while this runner is, and learning what runs there. Owns nothing beyond the runner's state.
+//! They keep the target's runs alive while this runner is, and show what runs there. Owns no state besides the runner's.
 //! Relies on `listing` for the comparison of what is listed with what should run.
 
 use std::time::Duration;
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -1,6 +1,6 @@
 //! Messages to dispatchers that no message of theirs asks for: heartbeats, free capacity, the target.
 //!
-//! For: the runner's side of the messages to dispatchers. Owns nothing beyond the runner's state; relies on [`Session`] for
+//! Owns no state besides the runner's. Relies on [`Session`] for
 //! what was reported to each dispatcher last.
 //!
 //! [`Session`]: crate::runner::session::Session
--- a/crates/leased/cloverfold_lease/src/runner/run.rs
+++ b/crates/leased/cloverfold_lease/src/runner/run.rs
@@ -1,19 +1,19 @@
 //! One run of a task and the states that it passes through.
 //!
-//! For: the life cycle of a run at the target, as far as the runner knows it.
-//! Owns: the state of one run, the session that gets the report of its end, and its progress.
-//! Relies on: [`ProgressTracker`]; every point in time comes from the caller.
+//! The life cycle of a run at the target, as far as the runner knows it.
+//! Owns the state of one run, the session that gets the report of its end, and its progress.
+//! Relies on [`ProgressTracker`]; every point in time comes from the caller.
 //!
 //! ```text
 //! Waiting ──begin_start──> Starting ──confirm_start──> Running
-//!    │                        │                           │
-//!    │                        └────────begin_stop─────────┤
-//!    │                                                    v
-//!    └───────────────> (over, forgotten) <──────────── Stopping
+//!                             │                           │
+//!                             └───────begin_stop──────────┤
+//!                                                         v
+//!                                                      Stopping
 //! ```
 //!
-//! A run leaves every state but `Waiting` only when it is certain that it does not run and can't start any more: see
-//! `Runner::end_run`. Until then it counts against the target's capacity.
+//! From each state a run can end; then it is removed by `Runner::end_run`. Once a start was sent that requires that the run certainly
+//! neither runs nor can start any more. Until then it counts against the target's capacity.
 
 use std::time::Duration;
 
--- a/crates/leased/cloverfold_lease/src/runner/session.rs
+++ b/crates/leased/cloverfold_lease/src/runner/session.rs
@@ -1,7 +1,7 @@
 //! One session with a dispatcher.
 //!
-//! For: how long a dispatcher's runs may go on without an echo from it, and what was reported to it last.
-//! Owns: that state of one session. Relies on nothing; every point in time comes from the caller.
+//! Holds how long a dispatcher's runs may go on without an echo from it, and what was reported to it last.
+//! Owns that state of one session. Relies on nothing; every point in time comes from the caller.
 
 use cloverfold_base::Timestamp;
 
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -1,6 +1,6 @@
 //! Decision: how long sessions with dispatchers are valid, and what ends with them.
 //!
-//! For: opening, prolonging and ending sessions. Owns nothing beyond the runner's state.
+//! Opens, prolongs and ends sessions. Owns no state besides the runner's.
 //! Relies on `stops` to end the runs of a session, on `reports` for the first messages to a new one.
 //!
 //! A dispatcher counts the runs of a session as over some time after its last echo; see [`Timings`](crate::Timings). That
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -1,7 +1,7 @@
 //! Starts of runs: sending, answers, repeats.
 //!
-//! For: bringing a waiting run to the target. Owns nothing beyond the runner's state.
-//! Relies on: [`Run`](crate::runner::run::Run) for the life cycle, `refused_start` for what follows a refusal.
+//! Brings a waiting run to the target. Owns no state besides the runner's.
+//! Relies on [`Run`](crate::runner::run::Run) for the life cycle, `refused_start` for what follows a refusal.
 //!
 //! Sending a start twice is safe: it carries the same run number and deadline, and the target takes a run that is there as started.
 
--- a/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
@@ -1,7 +1,7 @@
 //! What follows from stuck runs: they are stopped, and their target is paused.
 //!
-//! For: the consequences of the verdicts of `progress` (one run) and `performance` (the target).
-//! Owns nothing beyond the runner's state; relies on those two, on `stops` and on `waiting`.
+//! Carries out the verdicts of `progress` (one run) and `performance` (the target).
+//! Owns no state besides the runner's; relies on those two, on `stops` and on `waiting`.
 
 use cloverfold_base::Timestamp;
 
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -1,6 +1,6 @@
 //! The target beside a runner: registration, incarnations, and whether it responds.
 //!
-//! For: learning of the target and of its end. Owns nothing beyond the runner's state.
+//! Learns of the target and of its end. Owns no state besides the runner's.
 //! Relies on [`TargetIncarnation`], and on `ending` for the runs of an incarnation that is over.
 
 use cloverfold_base::Timestamp;
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -1,7 +1,7 @@
 //! One incarnation of the target beside a runner: its clock, its leases, whether it accepts work.
 //!
-//! For: what is known of the target from its registration to its end.
-//! Owns: that knowledge. Relies on [`TargetPerformance`] for the judgement by its runs, on [`Timings`] for the bounds.
+//! Holds what is known of the target from its registration to its end.
+//! Owns that knowledge. Relies on [`TargetPerformance`] for the judgement by its runs, on [`Timings`] for the bounds.
 
 use std::time::Duration;
 
--- a/crates/leased/cloverfold_lease/src/runner/unlisted.rs
+++ b/crates/leased/cloverfold_lease/src/runner/unlisted.rs
@@ -1,6 +1,6 @@
 //! Decision: what a run that the target does not list has come to.
 //!
-//! For: the one rule that ends a run without a word of the target about it. Pure: owns nothing, relies on [`RunState`].
+//! The one rule that ends a run although the target reports no end. Pure: owns no state, relies on [`RunState`].
 
 use cloverfold_base::Timestamp;
 
--- a/crates/leased/cloverfold_lease/src/runner/waiting.rs
+++ b/crates/leased/cloverfold_lease/src/runner/waiting.rs
@@ -1,6 +1,6 @@
 //! Decision: which waiting run starts next, and when a waiting run is given back.
 //!
-//! For: the queue at the target and the account of its capacity. Owns nothing beyond the runner's state.
+//! Keeps the queue at the target and the account of its capacity. Owns no state besides the runner's.
 //! Relies on `starts` and `ending`.
 
 use cloverfold_base::Timestamp;
