--- a/crates/leased/cloverfold_configuration/src/format.rs
+++ b/crates/leased/cloverfold_configuration/src/format.rs
@@ -1,13 +1,14 @@
-//! How a configuration is written.
+//! The interface to the ways in which a configuration is written; the adapter of a platform implements it.
 
-use crate::configuration::{Configuration, ConfigurationFault};
+use crate::configuration::Configuration;
+use crate::faults::ConfigurationFault;
 
-/// A way to write configurations as text.
+/// A text format of configurations.
 pub trait ConfigurationFormat: Send + Sync {
-    /// Reads a text.
+    /// Decodes a text.
     ///
     /// # Errors
     ///
-    /// Names the place that can't be read.
+    /// Returns [`ConfigurationFault::Unreadable`] with the place that can't be read.
     fn decode(&self, text: &[u8]) -> Result<Configuration, ConfigurationFault>;
 }
--- a/crates/leased/cloverfold_configuration/src/state.rs
+++ b/crates/leased/cloverfold_configuration/src/state.rs
@@ -1,82 +1,39 @@
-//! What the control processes replicate.
+//! The state that the control processes replicate.
+//!
+//! [`ConfigurationState`] owns the configuration in force and the audit trail. It relies on the log: every control process applies the
+//! same proposals in the same order.
 
 use std::collections::VecDeque;
-use std::sync::Arc;
-use std::time::Duration;
 
-use cloverfold_base::hash_parts;
+use cloverfold_base::{UnixTime, hash_parts};
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::Version;
+use crate::proposal::{Proposal, ProposalOutcome, StoredConfiguration, judge_proposal};
 
-/// Audit records that are kept.
+/// Audit records that are kept; older ones are dropped. Chosen, not measured.
 const MAX_AUDIT_RECORDS: usize = 4_096;
 
-/// A configuration as it was sent.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoredConfiguration {
-    /// Its number.
-    pub version: Version,
-    /// Its text.
-    pub text: Arc<[u8]>,
-}
-
-/// A valid configuration that an operator wants to hold.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Proposal {
-    /// The configuration.
-    pub configuration: StoredConfiguration,
-    /// The control process that took it.
-    pub source: String,
-    /// When it did, as the span since the Unix epoch.
-    pub received_at: Duration,
-}
-
-/// What became of a proposal.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ProposalOutcome {
-    /// It holds.
-    Taken,
-    /// It held already.
-    Repeated,
-    /// A higher version held already.
-    Outdated,
-    /// The same version held with another text, which holds on.
-    Conflicting,
-}
-
-impl ProposalOutcome {
-    /// Returns the name that log lines and the audit trail use; it never changes.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            Self::Taken => "Taken",
-            Self::Repeated => "Repeated",
-            Self::Outdated => "Outdated",
-            Self::Conflicting => "Conflicting",
-        }
-    }
-}
-
 /// One decision on a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
     /// The version proposed.
     pub version: Version,
-    /// The version that held before.
+    /// The version in force before.
     pub held_before: Version,
     /// What became of it.
     pub outcome: ProposalOutcome,
-    /// The control process that took it.
+    /// Name of the control process that received it.
     pub source: String,
-    /// When it did, as the span since the Unix epoch.
-    pub received_at: Duration,
+    /// When it received it, by its wall clock.
+    pub received_at: UnixTime,
     /// First bytes of the hash of its text.
     pub digest: [u8; 16],
-    /// Length of its text and of the text that held before, in bytes.
+    /// Length of its text, then of the text in force before; in bytes.
     pub lengths: (u32, u32),
 }
 
-/// The highest version and how it came about.
+/// The configuration in force and how it came about.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationState {
     current: Option<StoredConfiguration>,
@@ -84,35 +41,35 @@
 }
 
 impl ConfigurationState {
-    /// Reads a state from its encoded form; an empty text is the state of a new installation.
+    /// Decodes a state; no bytes at all are the state of a new installation.
     ///
     /// # Errors
     ///
-    /// Says that the text is no state.
-    pub fn decode(text: &[u8]) -> Result<Self, postcard::Error> {
-        if text.is_empty() {
+    /// Returns the decoder's error if the bytes are no state.
+    pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
+        if bytes.is_empty() {
             return Ok(Self::default());
         }
-        postcard::from_bytes(text)
+        postcard::from_bytes(bytes)
     }
 
-    /// Writes the state.
+    /// Encodes the state.
     ///
     /// # Panics
     ///
-    /// Never: every state can be written.
+    /// Never: every state can be encoded.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("a state in memory can be written")
+        postcard::to_stdvec(self).expect("a state in memory can be encoded")
     }
 
-    /// Returns the configuration that holds.
+    /// Returns the configuration in force.
     pub fn current(&self) -> Option<&StoredConfiguration> {
         self.current.as_ref()
     }
 
-    /// Returns the version that holds; 0 before the first.
+    /// Returns the version in force; 0 before the first.
     pub fn version(&self) -> Version {
-        self.current.as_ref().map_or(0, |held| held.version)
+        self.current.as_ref().map_or(0, |current| current.version)
     }
 
     /// Returns the decisions, oldest first.
@@ -120,22 +77,10 @@
         self.audit.iter()
     }
 
-    /// Says what would become of a proposal.
-    pub fn judge(&self, proposed: &StoredConfiguration) -> ProposalOutcome {
-        match &self.current {
-            Some(held) if held.version > proposed.version => ProposalOutcome::Outdated,
-            Some(held) if held.version == proposed.version && held.text == proposed.text => {
-                ProposalOutcome::Repeated
-            }
-            Some(held) if held.version == proposed.version => ProposalOutcome::Conflicting,
-            _ => ProposalOutcome::Taken,
-        }
-    }
-
-    /// Takes a proposal and notes what became of it.
+    /// Applies a proposal and records what became of it.
     pub fn apply(&mut self, proposal: Proposal) -> ProposalOutcome {
-        let outcome = self.judge(&proposal.configuration);
-        let held = self.current.as_ref().map_or(0, |held| held.text.len());
+        let outcome = judge_proposal(&proposal.configuration, self.current());
+        let len_before = self.current().map_or(0, |current| current.text.len());
         self.audit.push_back(AuditRecord {
             version: proposal.configuration.version,
             held_before: self.version(),
@@ -143,7 +88,7 @@
             source: proposal.source,
             received_at: proposal.received_at,
             digest: hash_parts(&[&proposal.configuration.text]),
-            lengths: (proposal.configuration.text.len() as u32, held as u32),
+            lengths: (proposal.configuration.text.len() as u32, len_before as u32),
         });
         if self.audit.len() > MAX_AUDIT_RECORDS {
             self.audit.pop_front();
--- /dev/null
+++ b/crates/leased/cloverfold_configuration/tests/configurations.rs
@@ -0,0 +1,87 @@
+//! Which configurations are valid, and which route a request takes.
+
+use std::time::Duration;
+
+use cloverfold_configuration::{Configuration, ConfigurationFault, Route, Service, TrafficLimits};
+
+fn route(name: &str, path_prefix: &str) -> Route {
+    Route {
+        name: name.into(),
+        host: "jobs.example".into(),
+        path_prefix: path_prefix.into(),
+        service: "render".into(),
+        timeout: Duration::from_secs(1),
+        target_latency: Duration::from_millis(10),
+        priority: 0,
+        max_attempts: 3,
+        stretch: 1.5,
+    }
+}
+
+fn configuration(routes: Vec<Route>) -> Configuration {
+    Configuration {
+        version: 1,
+        routes,
+        services: vec![Service {
+            name: "render".into(),
+        }],
+        limits: TrafficLimits {
+            header_bytes: 8_192,
+            body_bytes: 65_536,
+            header_timeout: Duration::from_secs(1),
+            idle_timeout: Duration::from_secs(10),
+        },
+    }
+}
+
+#[test]
+fn a_valid_configuration_has_no_faults() {
+    let configuration = configuration(vec![route("all", "/"), route("images", "/images")]);
+
+    assert!(configuration.find_faults().is_empty());
+}
+
+#[test]
+fn every_fault_is_found_in_the_order_of_the_routes() {
+    let unlisted = Route {
+        service: "print".into(),
+        timeout: Duration::ZERO,
+        ..route("a", "/a")
+    };
+    let first = route("b", "/b");
+    let second = Route {
+        host: "JOBS.example".into(),
+        ..route("c", "/b")
+    };
+
+    let faults = configuration(vec![unlisted, first, second]).find_faults();
+
+    let expected = [
+        ConfigurationFault::UnknownService {
+            route: "a".into(),
+            service: "print".into(),
+        },
+        ConfigurationFault::NoTimeout { route: "a".into() },
+        ConfigurationFault::SamePlace {
+            first: "b".into(),
+            second: "c".into(),
+            host: "JOBS.example".into(),
+            path_prefix: "/b".into(),
+        },
+    ];
+    assert_eq!(faults, expected);
+}
+
+#[test]
+fn the_longest_prefix_of_the_host_is_the_route() {
+    let configuration = configuration(vec![route("all", "/"), route("images", "/images")]);
+    let find = |host, path| {
+        configuration
+            .find_route(host, path)
+            .map(|r| r.name.as_str())
+    };
+
+    assert_eq!(find("Jobs.Example", "/images/1"), Some("images"));
+    assert_eq!(find("jobs.example", "/other"), Some("all"));
+    assert_eq!(find("other.example", "/images/1"), None);
+}
--- a/crates/leased/cloverfold_control/src/state/proposals.rs
+++ b/crates/leased/cloverfold_control/src/state/proposals.rs
@@ -2,7 +2,7 @@
 //!
 //! Rule: a process that doesn't lead passes a proposal to the leader. The leader appends it unless its version is not above the one in
 //! force, or the same version was appended and is not committed yet. Which version then holds is decided where the entry is applied
-//! (`ConfigurationState::judge`).
+//! (`cloverfold_configuration::ProposalOutcome`).
 //!
 //! Inputs: the version proposed, the version in force here, the index at which the same version was appended, the committed index.
 //!
