--- /dev/null
+++ b/crates/leased/cloverfold_consensus/tests/rules/fixtures.rs
@@ -0,0 +1,146 @@
+//! A replica to which a test sends messages, and the messages.
+
+use std::time::Duration;
+
+use cloverfold_base::Timestamp;
+use cloverfold_consensus::{
+    Append, AppendReply, Entry, LogIndex, Member, Members, Message, Outgoing, Payload, Ready,
+    RecoveredState, Replica, ReplicaConfig, ReplicaId, Role, Snapshot, Term, Vote, VoteReply,
+};
+
+pub const NOW: Timestamp = Timestamp::from_start(Duration::from_secs(100));
+
+pub fn members() -> Members {
+    let member = |id: ReplicaId| Member {
+        id,
+        address: format!("10.0.0.{id}:7000").parse().unwrap(),
+    };
+    Members {
+        voters: vec![member(1), member(2), member(3)],
+    }
+}
+
+pub fn entry(index: LogIndex, term: Term) -> Entry {
+    Entry {
+        index,
+        term,
+        payload: Payload::Command(vec![term as u8]),
+    }
+}
+
+/// Returns a replica with a bootstrap snapshot at index 1 and entries of the given terms after it.
+pub fn replica(term: Term, terms: &[Term]) -> Replica {
+    let entries = terms
+        .iter()
+        .zip(2..)
+        .map(|(term, index)| entry(index, *term))
+        .collect();
+    let state = RecoveredState {
+        term,
+        snapshot: Snapshot {
+            index: 1,
+            term: 1,
+            members: members(),
+            state: Vec::new(),
+        },
+        entries,
+        ..RecoveredState::default()
+    };
+    let mut replica = Replica::new(1, ReplicaConfig::default(), state, 5, NOW);
+    replica.take_ready();
+    replica
+}
+
+pub fn append(
+    term: Term,
+    previous: (LogIndex, Term),
+    entries: Vec<Entry>,
+    commit: LogIndex,
+) -> Message {
+    Message::Append(Append {
+        term,
+        previous_index: previous.0,
+        previous_term: previous.1,
+        entries,
+        commit,
+        round: 1,
+    })
+}
+
+pub fn vote(term: Term, last: (LogIndex, Term), is_pre_vote: bool) -> Message {
+    Message::Vote(Vote {
+        term,
+        is_pre_vote,
+        last_index: last.0,
+        last_term: last.1,
+    })
+}
+
+pub fn vote_reply(ready: &Ready) -> (&VoteReply, bool) {
+    let found = ready
+        .messages
+        .iter()
+        .find_map(|outgoing| match &outgoing.message {
+            Message::VoteReply(reply) => Some((reply, outgoing.after_sync)),
+            _ => None,
+        });
+    found.expect("a reply to the vote")
+}
+
+pub fn append_reply(messages: &[Outgoing]) -> &AppendReply {
+    let found = messages
+        .iter()
+        .rev()
+        .find_map(|outgoing| match &outgoing.message {
+            Message::AppendReply(reply) => Some(reply),
+            _ => None,
+        });
+    found.expect("a reply to the entries")
+}
+
+/// Makes replica 1 leader by a vote of replica 2; returns what it wants written first.
+pub fn elect(replica: &mut Replica) -> Ready {
+    let now = NOW + Duration::from_secs(5);
+    replica.tick(now);
+    let asked = replica.take_ready();
+    let term = replica.status().term + 1;
+    assert!(matches!(
+        asked.messages[0].message,
+        Message::Vote(Vote {
+            is_pre_vote: true,
+            ..
+        })
+    ));
+    let granted = |is_pre_vote| {
+        Message::VoteReply(VoteReply {
+            term,
+            is_pre_vote,
+            is_granted: true,
+        })
+    };
+    replica.receive(2, granted(true), now);
+    replica.take_ready();
+    replica.receive(2, granted(false), now);
+    assert_eq!(replica.status().role, Role::Leader);
+    replica.take_ready()
+}
+
+pub fn matching(term: Term, index: LogIndex, round: u64) -> Message {
+    Message::AppendReply(AppendReply {
+        term,
+        is_matching: true,
+        index,
+        round,
+    })
+}
+
+/// Returns replica 1 as a leader whose first entry is committed.
+pub fn established_leader() -> Replica {
+    let mut replica = replica(3, &[3]);
+    let ready = elect(&mut replica);
+    let status = replica.status();
+    replica.persisted(ready.batch.unwrap(), NOW);
+    replica.receive(2, matching(status.term, status.last_index, 1), NOW);
+    replica.take_ready();
+    replica
+}
--- /dev/null
+++ b/crates/leased/cloverfold_consensus/tests/rules/followers.rs
@@ -0,0 +1,89 @@
+//! How a follower takes over its leader's log.
+
+use cloverfold_consensus::{InstallSnapshot, Message, Record, Snapshot};
+
+use crate::fixtures::{NOW, append, append_reply, entry, members, replica};
+
+#[test]
+fn entries_are_acknowledged_once_they_are_synced() {
+    let mut replica = replica(3, &[3]);
+    replica.receive(2, append(3, (2, 3), vec![entry(3, 3), entry(4, 3)], 2), NOW);
+    let ready = replica.take_ready();
+    assert_eq!(
+        append_reply(&ready.messages).index,
+        2,
+        "only what was there before"
+    );
+
+    replica.persisted(ready.batch.unwrap(), NOW);
+
+    assert_eq!(append_reply(&replica.take_ready().messages).index, 4);
+}
+
+#[test]
+fn entries_of_an_earlier_leader_are_not_acknowledged_to_the_next() {
+    let mut replica = replica(3, &[3]);
+    replica.receive(2, append(3, (2, 3), vec![entry(3, 3), entry(4, 3)], 2), NOW);
+    let ready = replica.take_ready();
+
+    replica.receive(3, append(4, (2, 3), Vec::new(), 2), NOW);
+    replica.take_ready();
+    replica.persisted(ready.batch.unwrap(), NOW);
+
+    assert_eq!(append_reply(&replica.take_ready().messages).index, 2);
+}
+
+#[test]
+fn entries_that_clash_are_replaced_and_their_sync_counts_for_nothing() {
+    let mut replica = replica(3, &[3]);
+    replica.receive(2, append(3, (2, 3), vec![entry(3, 3), entry(4, 3)], 2), NOW);
+    let first = replica.take_ready();
+    replica.receive(3, append(4, (2, 3), vec![entry(3, 4)], 2), NOW);
+    let second = replica.take_ready();
+
+    replica.persisted(first.batch.unwrap(), NOW);
+    assert_eq!(
+        append_reply(&replica.take_ready().messages).index,
+        2,
+        "the new entry is not synced"
+    );
+    replica.persisted(second.batch.unwrap(), NOW);
+
+    assert_eq!(append_reply(&replica.take_ready().messages).index, 3);
+    assert_eq!(replica.status().last_index, 3);
+}
+
+#[test]
+fn a_snapshot_of_what_is_there_drops_no_entry_after_it() {
+    let mut replica = replica(3, &[3, 3, 3]);
+    let snapshot = Snapshot {
+        index: 3,
+        term: 3,
+        members: members(),
+        state: vec![1],
+    };
+    let install = InstallSnapshot {
+        term: 3,
+        snapshot,
+        round: 4,
+    };
+
+    replica.receive(2, Message::InstallSnapshot(install), NOW);
+
+    let ready = replica.take_ready();
+    assert_eq!(replica.status().last_index, 4);
+    assert!(ready.restored.is_none());
+    assert_eq!(replica.status().commit, 3);
+}
+
+#[test]
+fn what_is_committed_is_written_down_and_nobody_waits_for_it() {
+    let mut replica = replica(3, &[3]);
+    replica.receive(2, append(3, (2, 3), Vec::new(), 2), NOW);
+
+    let ready = replica.take_ready();
+
+    assert!(ready.records.contains(&Record::Commit { index: 2 }));
+    assert_eq!(append_reply(&ready.messages).index, 2);
+    assert!(ready.messages.iter().all(|outgoing| !outgoing.after_sync));
+}
