--- /dev/null
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -0,0 +1,96 @@
+//! Renewals of the target's lease, and their answers.
+//!
+//! For: keeping the target's runs alive while this runner is, and learning what runs there. Owns nothing beyond the runner's state.
+//! Relies on `listing` for the comparison of what is listed with what should run.
+
+use std::time::Duration;
+
+use cloverfold_base::Timestamp;
+
+use crate::runner::Runner;
+use crate::runner::orders::{EndedRun, HeldRun, HoldAnswer, HoldOrder};
+use crate::runner::unlisted::ListTimes;
+use crate::timings::TargetTime;
+
+/// What the target tells in its answer to a renewal.
+struct TargetList {
+    /// The target's clock.
+    clock: TargetTime,
+    running: Vec<HeldRun>,
+    ended: Vec<EndedRun>,
+}
+
+impl Runner {
+    /// Plans the next renewal of the lease; `None` without a target.
+    ///
+    /// The lease is not extended while the target may run something that this runner did not start: that must be able to lapse, since
+    /// nobody else can end it for certain. Such a renewal is answered at once instead of waiting for an end.
+    pub fn plan_hold(&mut self, now: Timestamp) -> Option<HoldOrder> {
+        let lease = self.timings.lease;
+        let target = self.target.as_mut()?;
+        let (deadline, wait) = if target.has_only_own_runs {
+            (target.extend_lease(now, lease), self.timings.hold_wait)
+        } else {
+            (None, Duration::ZERO)
+        };
+        Some(HoldOrder {
+            instance: target.registration.instance.clone(),
+            address: target.registration.address.clone(),
+            deadline,
+            token: target.fencing_token,
+            last_noted: target.last_acknowledged_end,
+            wait,
+            limit: wait + self.timings.answer_slack,
+            sent_at: now,
+        })
+    }
+
+    /// Processes the answer to a renewal.
+    ///
+    /// An answer from another incarnation, or one that was overtaken by the answer to a later renewal, changes nothing. No answer
+    /// changes nothing here either: `watch_target` notices the silence.
+    pub fn hold_answered(&mut self, order: &HoldOrder, answer: HoldAnswer, now: Timestamp) {
+        self.expire_sessions(now);
+        let Some(target) = self.target_with_instance(&order.instance) else {
+            return;
+        };
+        match answer {
+            HoldAnswer::Listed {
+                clock,
+                running,
+                ended,
+            } => {
+                let list = TargetList {
+                    clock,
+                    running,
+                    ended,
+                };
+                self.receive_list(order, list, now);
+            }
+            HoldAnswer::Fenced => target.raise_fencing_token(order.token),
+            HoldAnswer::OtherInstance | HoldAnswer::Unanswered => {}
+        }
+    }
+
+    fn receive_list(&mut self, order: &HoldOrder, list: TargetList, now: Timestamp) {
+        let Some(target) = &mut self.target else {
+            return;
+        };
+        if order.sent_at < target.newest_renewal_sent_at {
+            return;
+        }
+        target.newest_renewal_sent_at = order.sent_at;
+        target.answered_at = now;
+        target.is_unresponsive = false;
+        target.read_clock(list.clock, now);
+        let times = ListTimes {
+            asked_at: order.sent_at,
+            clock: list.clock,
+        };
+        self.record_ends(list.ended, now);
+        self.reconcile_runs(&list.running, times, now);
+        self.stop_stuck_runs(now);
+        self.start_waiting(now);
+        self.announce_target();
+    }
+}
