--- a/crates/common/cloverfold_link/src/dial.rs
+++ b/crates/common/cloverfold_link/src/dial.rs
@@ -11,8 +11,7 @@
 use serde::de::DeserializeOwned;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
-use tokio::sync::mpsc;
-use tokio::task::JoinHandle;
+use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
 use crate::frame::encode_frame;
@@ -86,16 +85,11 @@
     }
 }
 
-/// Keeps a link to an address open until it is dropped; then the link closes without a [`LinkEvent::Closed`].
+/// Keeps a link to an address open until it is dropped; then the link closes.
 #[derive(Debug)]
 pub struct Dialer {
-    task: JoinHandle<()>,
-}
-
-impl Drop for Dialer {
-    fn drop(&mut self) {
-        self.task.abort();
-    }
+    /// The task stops when this is dropped.
+    _alive: watch::Sender<()>,
 }
 
 impl Dialer {
@@ -112,8 +106,9 @@
     where
         M: Serialize + DeserializeOwned + Send + 'static,
     {
-        let task = tokio::spawn(keep_dialing(address, backoff, events));
-        Self { task }
+        let (alive, stop) = watch::channel(());
+        tokio::spawn(keep_dialing(address, backoff, events, stop));
+        Self { _alive: alive }
     }
 }
 
@@ -121,24 +116,38 @@
     address: SocketAddr,
     backoff: DialBackoff,
     events: mpsc::Sender<LinkEvent<M>>,
+    stop: watch::Receiver<()>,
 ) where
     M: Serialize + DeserializeOwned + Send + 'static,
 {
     let mut failures = 0;
     loop {
         let attempt = backoff.attempt_after(failures);
-        match timeout(attempt.connect_timeout, TcpStream::connect(address)).await {
+        let connected = tokio::select! {
+            connected = timeout(attempt.connect_timeout, TcpStream::connect(address)) => connected,
+            () = wait_until_dropped(stop.clone()) => return,
+        };
+        match connected {
             Ok(Ok(stream)) => {
                 failures = 0;
-                run_link(stream, address, true, &events).await;
+                let stopped = wait_until_dropped(stop.clone());
+                run_link(stream, address, true, &events, stopped).await;
             }
             // Not logged: peers that are away are dialed several times a second, and the state logs which peers are connected.
             Ok(Err(_)) | Err(_) => failures = failures.saturating_add(1),
         }
-        sleep(add_jitter(attempt.pause)).await;
+        tokio::select! {
+            () = sleep(add_jitter(attempt.pause)) => {}
+            () = wait_until_dropped(stop.clone()) => return,
+        }
     }
 }
 
+/// Waits until the sender's side is dropped; nothing is ever sent.
+async fn wait_until_dropped(mut stop: watch::Receiver<()>) {
+    while stop.changed().await.is_ok() {}
+}
+
 /// Sends one message over a connection of its own, and closes it.
 ///
 /// # Errors
--- a/crates/common/cloverfold_link/src/link.rs
+++ b/crates/common/cloverfold_link/src/link.rs
@@ -103,7 +103,8 @@
         match listener.accept().await {
             Ok((stream, address)) => {
                 let events = events.clone();
-                tokio::spawn(async move { run_link(stream, address, false, &events).await });
+                let never = std::future::pending();
+                tokio::spawn(async move { run_link(stream, address, false, &events, never).await });
             }
             Err(cause) => {
                 log::warn!("a link cannot be accepted: {cause}");
@@ -113,12 +114,13 @@
     }
 }
 
-/// Runs one link until it is over.
+/// Runs one link until it is over or `stopped` completes.
 pub(crate) async fn run_link<M>(
     stream: TcpStream,
     address: SocketAddr,
     dialed: bool,
     events: &mpsc::Sender<LinkEvent<M>>,
+    stopped: impl Future<Output = ()>,
 ) where
     M: Serialize + DeserializeOwned + Send + 'static,
 {
@@ -143,6 +145,7 @@
     tokio::select! {
         () = read_messages(reader, link, events) => {}
         () = write_messages(writer, rx) => {}
+        () = stopped => {}
     }
     // Nobody receives events any more only while the process ends.
     let _ = events.send(LinkEvent::Closed { link }).await;
@@ -171,6 +174,7 @@
         }
         buf.reserve(READ_BUFFER);
         match timeout(SILENCE_TIMEOUT, reader.read_buf(&mut buf)).await {
+            // Not logged: the link is over, which its event tells, and the state logs whose it was.
             Ok(Ok(0) | Err(_)) => return,
             Ok(Ok(_)) => {}
             Err(_) => {
--- a/crates/common/cloverfold_link/tests/links.rs
+++ b/crates/common/cloverfold_link/tests/links.rs
@@ -149,3 +149,20 @@
     assert!(matches!(given_up, LinkEvent::Closed { .. }));
     assert!(living_events.try_recv().is_err(), "the idle link stands");
 }
+
+#[tokio::test]
+async fn a_link_whose_dialer_is_dropped_closes_at_both_ends() {
+    let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
+    let address = listener.local_addr().unwrap();
+    let (server_tx, mut server) = mpsc::channel(16);
+    let (client_tx, mut client) = mpsc::channel(16);
+    tokio::spawn(accept_links(listener, server_tx));
+    let dialer = Dialer::start(address, DialBackoff::default(), client_tx);
+    // The senders within the events keep the link open from both sides.
+    let _opened = [next(&mut client).await, next(&mut server).await];
+
+    drop(dialer);
+
+    assert!(matches!(next(&mut client).await, LinkEvent::Closed { .. }));
+    assert!(matches!(next(&mut server).await, LinkEvent::Closed { .. }));
+}
--- a/crates/leased/cloverfold_peer/src/addresses.rs
+++ b/crates/leased/cloverfold_peer/src/addresses.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Keeps links to these addresses and no others: other links close, without an event of their own (see [`Dialer`]).
+    /// Keeps links to these addresses and no others: other links close.
     ///
     /// # Panics
     ///
