--- a/crates/common/cloverfold_link/src/link.rs
+++ b/crates/common/cloverfold_link/src/link.rs
@@ -3,8 +3,10 @@
 //! Carries typed messages over a TCP connection from either side and notices when it is over. Owns the queue of messages that wait to
 //! be sent, and the numbers of links. Relies on `frame` for the form of messages and on `socket` for the options.
 
+use std::marker::PhantomData;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
@@ -14,12 +16,13 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
+use tokio::sync::mpsc::error::TrySendError;
 use tokio::time::{sleep, timeout};
 
 use crate::frame::{decode_frame, encode_frame, encode_heartbeat};
 use crate::socket::tune_socket;
 
-/// Messages that may wait for a slow peer; further ones are refused. Chosen, not measured.
+/// Messages that may wait for a slow peer; further ones are refused and the first of them is logged. Chosen, not measured.
 const SEND_QUEUE: usize = 4_096;
 /// Messages that are written with one system call at the most. Chosen, not measured.
 const WRITE_BATCH: usize = 64;
@@ -69,14 +72,27 @@
 #[derive(Debug)]
 pub struct LinkSender<M> {
     tx: mpsc::Sender<Bytes>,
-    message: std::marker::PhantomData<fn(M)>,
+    /// Whether a full queue was logged on this link.
+    is_full_logged: Arc<AtomicBool>,
+    message: PhantomData<fn(M)>,
+}
+
+impl<M> LinkSender<M> {
+    fn new(tx: mpsc::Sender<Bytes>) -> Self {
+        Self {
+            tx,
+            is_full_logged: Arc::default(),
+            message: PhantomData,
+        }
+    }
 }
 
 impl<M> Clone for LinkSender<M> {
     fn clone(&self) -> Self {
         Self {
             tx: self.tx.clone(),
-            message: std::marker::PhantomData,
+            is_full_logged: self.is_full_logged.clone(),
+            message: PhantomData,
         }
     }
 }
@@ -90,7 +106,22 @@
             log::error!("a message is not sent: {cause}");
             return false;
         }
-        self.tx.try_send(buf.freeze()).is_ok()
+        match self.tx.try_send(buf.freeze()) {
+            Ok(()) => true,
+            // Not logged: the event of the closed link tells it.
+            Err(TrySendError::Closed(_)) => false,
+            Err(TrySendError::Full(_)) => {
+                self.log_full_queue();
+                false
+            }
+        }
+    }
+
+    /// Logs the first message that is refused on this link: a peer that reads nothing would else fill the log.
+    fn log_full_queue(&self) {
+        if !self.is_full_logged.swap(true, Ordering::Relaxed) {
+            log::warn!(queue = SEND_QUEUE; "a message is dropped: its link's queue is full");
+        }
     }
 }
 
@@ -129,15 +160,11 @@
     let link = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
     let (reader, writer) = stream.into_split();
     let (tx, rx) = mpsc::channel(SEND_QUEUE);
-    let sender = LinkSender {
-        tx,
-        message: std::marker::PhantomData,
-    };
     let opened = LinkEvent::Opened {
         link,
         address,
         dialed,
-        sender,
+        sender: LinkSender::new(tx),
     };
     if events.send(opened).await.is_err() {
         return;
--- a/crates/common/cloverfold_link/tests/links.rs
+++ b/crates/common/cloverfold_link/tests/links.rs
@@ -166,3 +166,29 @@
     assert!(matches!(next(&mut client).await, LinkEvent::Closed { .. }));
     assert!(matches!(next(&mut server).await, LinkEvent::Closed { .. }));
 }
+
+#[tokio::test]
+async fn a_message_to_a_peer_that_reads_too_slowly_is_refused_and_earlier_ones_arrive() {
+    let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
+    let address = listener.local_addr().unwrap();
+    let (server_tx, mut server) = mpsc::channel(16);
+    let (client_tx, mut client) = mpsc::channel(16);
+    tokio::spawn(accept_links(listener, server_tx));
+    let _dialer = Dialer::start(address, DialBackoff::default(), client_tx);
+    let LinkEvent::Opened { sender, .. } = next(&mut client).await else {
+        panic!("the dialed link opens first");
+    };
+    let _opened = next(&mut server).await;
+
+    // The link's task gets no time between these calls.
+    let accepted = (0..10_000).take_while(|number| sender.send(&format!("{number}")));
+    let accepted = accepted.count();
+
+    assert!((1..10_000).contains(&accepted), "{accepted}");
+    for number in 0..accepted {
+        let LinkEvent::Received { message, .. } = next(&mut server).await else {
+            panic!("a message");
+        };
+        assert_eq!(message, number.to_string());
+    }
+}
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -200,7 +200,7 @@
     fn carry_out(&mut self, action: DispatcherAction) {
         match action {
             DispatcherAction::Send(session, message) => {
-                // Lost if the link has closed, which ends its session as well.
+                // Lost if the link has closed, which ends its session as well, or if its queue is full, which is logged.
                 self.links.send(session, &PeerMessage::ToRunner(message));
             }
             DispatcherAction::CloseSession(session) => {
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -150,7 +150,7 @@
         match action {
             RunnerAction::Send(session, message) => {
                 log_end(&message);
-                // Lost if the link has closed, which ends its session as well.
+                // Lost if the link has closed, which ends its session as well, or if its queue is full, which is logged.
                 let message = PeerMessage::ToDispatcher(message);
                 self.links.send(session, &message);
             }
