--- a/crates/leased/cloverfold_leased_entry/src/callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/callers.rs
@@ -7,13 +7,13 @@
 
 use cloverfold_configuration::{Configuration, Route};
 use cloverfold_http::{Request, Response, json_response, plain_response};
-use cloverfold_lease::JobRequest;
+use cloverfold_lease::{JobRequest, RETRY_AFTER};
 use cloverfold_leased_process::Shared;
 use http::StatusCode;
 
 use crate::metrics::EntryMetrics;
 use crate::protocol::{JobProtocol, JobState, QueueCall};
-use crate::responses::{RETRY_AFTER, job_state_response, no_such_job_response, refusal_response};
+use crate::responses::{job_state_response, no_such_job_response, refusal_response};
 use crate::state::EntryState;
 
 /// Answers callers.
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -25,7 +25,6 @@
 use crate::event_log::log_event;
 use crate::known_guards::KnownGuards;
 use crate::protocol::JobProtocol;
-use crate::responses::RETRY_AFTER;
 use crate::run_numbers::first_run_number;
 
 /// The state of an entry.
@@ -233,10 +232,7 @@
 
 /// Answers a job that the dispatcher never sees.
 fn refuse_stalled(caller: oneshot::Sender<JobAnswer>) {
-    let answer = JobAnswer::Refused {
-        cause: JobRefusal::Stalled,
-        retry_after: RETRY_AFTER,
-    };
+    let answer = JobAnswer::refused(JobRefusal::Stalled);
     // Can't fail: the receiver is returned to the caller afterwards.
     let _ = caller.send(answer);
 }
