--- /dev/null
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/main.rs
@@ -0,0 +1,10 @@
+//! Single rules of a dispatcher, one file for each duty.
+
+#![allow(clippy::unwrap_used)]
+
+mod admission;
+mod fixture;
+mod judging;
+mod placement;
+mod run_ends;
+mod sessions;
