--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -1,6 +1,6 @@
 //! Which target a waiting task goes to.
 //!
-//! Jobs are served in the order of their [`QueuePosition`](crate::dispatcher::job::QueuePosition). For each waiting task:
+//! Jobs are served in the order of their [`QueuePosition`]. For each waiting task:
 //!
 //! 1. **Candidates** are the targets that accept work, serve the service, have the required label, have free capacity for the task
 //!    and hold fewer tasks of its step than one target may ([`Dispatcher::list_candidates`]).
--- a/crates/leased/cloverfold_lease/src/lib.rs
+++ b/crates/leased/cloverfold_lease/src/lib.rs
@@ -1,16 +1,19 @@
 //! Decisions on leased runs, without I/O or a clock.
 //!
-//! A **dispatcher** (in an entry) coordinates the repeatable jobs that it took: it places their tasks, tries again what
-//! did not run, and answers. A **runner** (in a guard) executes them at the one target beside it: it accounts
-//! for the target's room, keeps the target's lease renewed while it is alive, and stops what nobody vouches for.
+//! A [`Dispatcher`] (in an entry) coordinates the repeatable jobs that it accepted: it places their tasks, retries what did not run,
+//! and answers. A [`Runner`] (in a guard) executes them at the one target beside it: it accounts for the target's capacity, keeps the
+//! target's lease renewed while it is alive, and stops runs without a valid session.
 //!
 //! Nothing is agreed on and nothing is stored. That no two runs of a task overlap rests on time alone:
 //!
 //! - a dispatcher's *session* with a runner is valid until [`Timings::session`] after the runner's own clock reading that the
-//!   dispatcher last echoed; a runner stops the tasks of a session that is over;
+//!   dispatcher last echoed; a runner stops the runs of a session that is over;
 //! - a target kills everything when its lease of [`Timings::lease`] is not renewed;
-//! - a dispatcher starts a task elsewhere only after its end was reported, or after
-//!   [`Timings::runs_over_after`] has passed since its last echo.
+//! - a dispatcher starts a task elsewhere only after its end was reported, or after [`Timings::runs_over_after`] has passed since its
+//!   last echo.
+//!
+//! The inequality behind this stands in `timings`. Each process owns one dispatcher or one runner, calls it with the time and with
+//! what it hears, and carries out the actions that it returns.
 
 mod dispatcher;
 mod health;
--- a/crates/leased/cloverfold_lease/src/messages.rs
+++ b/crates/leased/cloverfold_lease/src/messages.rs
@@ -1,14 +1,16 @@
 //! Messages between dispatchers and runners.
-
-use serde::{Deserialize, Serialize};
+//!
+//! Owns no state. Relies on the link to keep the order of messages. The bytes are fixed by the order of fields and variants (recorded
+//! in `compatibility/`), not by their names.
 
 use std::fmt;
 
 use cloverfold_base::Timestamp;
+use serde::{Deserialize, Serialize};
 
 use crate::resources::Resources;
 
-/// Number of one session, that is of one link between a dispatcher and a runner, in the process that uses it.
+/// Number of one session, that is of one link between a dispatcher and a runner; each process counts its own.
 pub type SessionId = u64;
 
 /// Name of one task; the same in every run of it.
@@ -29,7 +31,7 @@
 pub struct Assignment {
     /// The task.
     pub task: TaskId,
-    /// Number of the run; rises over a task's whole life.
+    /// Number of the run; rises with each run of the task, also over submissions.
     pub run: u64,
     /// What the target is told to do.
     pub spec: String,
@@ -37,11 +39,11 @@
     pub demand: Resources,
     /// 0 comes first.
     pub priority: u32,
-    /// How long it may wait at the runner for room, in milliseconds.
+    /// How long it may wait at the runner for free capacity, in milliseconds.
     pub wait_ms: u32,
     /// How long it is expected to run, in milliseconds.
     pub estimate_ms: u32,
-    /// On the runner's clock: after this the assignment is void. It is the end of the session as the dispatcher knows it.
+    /// After this the assignment is void: the end of the session as the dispatcher knows it, on the runner's clock.
     pub valid_until: Timestamp,
 }
 
@@ -67,7 +69,7 @@
 /// Why a run was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RunRefusal {
-    /// There was no room in time.
+    /// There was no free capacity in time.
     NoRoom,
     /// No target that takes work is known.
     NoTarget,
@@ -75,15 +77,15 @@
     Draining,
     /// The assignment came after the end of its session.
     Expired,
-    /// Another session still holds a run of this task.
+    /// A run of this task is not over yet.
     Held,
     /// The target has seen this run or a later one.
     Stale,
     /// The target did not answer and certainly runs nothing.
     Unanswered,
-    /// The target says that it can't work at present.
+    /// The target can't work at present.
     Unhealthy,
-    /// The target takes the order for invalid.
+    /// The target refused the order as invalid.
     Rejected,
     /// The dispatcher withdrew it first.
     Withdrawn,
@@ -107,7 +109,7 @@
     }
 }
 
-/// How a run ended; each of these says that it is surely over.
+/// How a run ended. Whatever the outcome, the run is over for certain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RunOutcome {
     /// Its work is done.
@@ -116,7 +118,7 @@
     Failed,
     /// It was stopped by an order.
     Stopped,
-    /// It stood still at the target and was stopped.
+    /// It made no progress at the target and was stopped.
     Stuck,
     /// Its lease lapsed or its target died.
     Lost,
@@ -138,21 +140,21 @@
     }
 }
 
-/// What is left at a runner's target.
+/// What is free at a runner's target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FreeCapacity {
-    /// Free after all that runs and waits there; negative when more waits than fits.
+    /// Free after all that runs and waits there; negative if more waits than fits.
     pub free: Resources,
-    /// How many assignments of this session it accounts for.
+    /// How many assignments of this session it accounts for, since the start of the session.
     pub assignments_seen: u64,
     /// How slowly runs get on there at present, in thousandths of their estimated durations; 0 while that is not known.
     pub slowness_permille: u32,
 }
 
-/// A target that takes work.
+/// A target that accepts work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetDescription {
-    /// The life of the target.
+    /// The incarnation of the target: a new one begins when the target restarts.
     pub incarnation: String,
     /// What it runs.
     pub service: String,
@@ -165,16 +167,16 @@
 /// From a runner to a dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunnerMessage {
-    /// The runner lives.
+    /// The runner is alive.
     Heartbeat {
         /// Its clock, to be echoed.
         clock: Timestamp,
-        /// What is left at its target.
+        /// What is free at its target.
         free_capacity: FreeCapacity,
     },
-    /// What is left at its target, which has changed; needs no echo.
+    /// What is free at its target has changed; needs no echo.
     FreeCapacity(FreeCapacity),
-    /// Its target now, if it takes work. Sent only while nothing of an earlier session runs there.
+    /// Its target now, if that accepts work. Sent only while nothing of an earlier session runs there.
     Target(Option<TargetDescription>),
     /// A run is over or was not started.
     Ended {
@@ -186,7 +188,7 @@
         outcome: RunOutcome,
         /// How long it ran as the runner saw it, in milliseconds.
         ran_ms: u32,
-        /// What is left now.
+        /// What is free now.
         free_capacity: FreeCapacity,
     },
 }
--- a/crates/leased/cloverfold_lease/src/request.rs
+++ b/crates/leased/cloverfold_lease/src/request.rs
@@ -1,17 +1,24 @@
-//! What a caller asks for.
+//! What a caller asks for: a repeatable job of steps, each of tasks that are all alike.
+//!
+//! Owns no state. Relies on the process to have checked that dependencies point to earlier steps.
 
 use std::time::Duration;
 
 use crate::resources::Resources;
 
-/// The tasks of one step of a job, all alike.
+/// Lowest factor on the duration of the work: no answer can be due before the work is done.
+const LOWEST_STRETCH: f64 = 1.0;
+/// Highest factor on the duration of the work, so that a wrong configuration keeps no job for hours. Chosen, not measured.
+const HIGHEST_STRETCH: f64 = 100.0;
+
+/// The tasks of one step of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StepRequest {
     /// How many tasks.
     pub count: u32,
     /// What each uses.
     pub demand: Resources,
-    /// The caller's rough guess of a task's duration.
+    /// The caller's rough estimate of a task's duration; zero if it gave none.
     pub estimate: Duration,
     /// Earlier steps, by number, whose tasks must all have ended.
     pub depends_on: Vec<usize>,
@@ -19,14 +26,14 @@
     pub required_label: Option<String>,
     /// A label whose targets are preferred.
     pub preferred_label: Option<String>,
-    /// How many tasks of the step one target may hold.
+    /// How many tasks of the step may be assigned to one target at once.
     pub most_per_target: Option<u32>,
 }
 
-/// When an answer is worth its whole credit.
+/// Until when an answer is worth most to its caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Objective {
-    /// Factor on the duration of the work.
+    /// Factor on the duration of the work; taken as between 1 and 100.
     pub stretch: f64,
     /// Time allowed on top.
     pub allowance: Duration,
@@ -35,7 +42,8 @@
 impl Objective {
     /// Returns the time in which work of this duration should be answered.
     pub fn span(&self, work: Duration) -> Duration {
-        work.mul_f64(self.stretch.clamp(1.0, 100.0)) + self.allowance
+        let stretch = self.stretch.clamp(LOWEST_STRETCH, HIGHEST_STRETCH);
+        work.mul_f64(stretch) + self.allowance
     }
 }
 
@@ -56,9 +64,9 @@
     pub priority: u32,
     /// Ends `failed` after which a task is not tried again.
     pub max_attempts: u32,
-    /// When the answer is worth most.
+    /// Until when the answer is worth most.
     pub objective: Objective,
-    /// How long the caller waits, where it says so.
+    /// How long the caller waits for the answer, if it says so.
     pub patience: Option<Duration>,
 }
 
