--- a/crates/leased/cloverfold_leased_settings/src/lib.rs
+++ b/crates/leased/cloverfold_leased_settings/src/lib.rs
@@ -3,8 +3,14 @@
 //! Each process has a type here that is read from one file; [`PeerSettings`] and [`LeaseSettings`] stand in several of them. Owns the
 //! checks of single values and of values against each other. Relies on `cloverfold_settings` for reading files and placing faults.
 
-mod leased;
+mod control;
+mod entry;
+mod guard;
+mod lease;
+mod peer;
 
-pub use leased::{
-    ControlSettings, LeaseSettings, LeasedEntrySettings, LeasedGuardSettings, PeerSettings,
-};
+pub use control::ControlSettings;
+pub use entry::LeasedEntrySettings;
+pub use guard::LeasedGuardSettings;
+pub use lease::LeaseSettings;
+pub use peer::PeerSettings;
--- /dev/null
+++ b/crates/leased/cloverfold_leased_settings/src/peer.rs
@@ -0,0 +1,69 @@
+//! What every process of a leased installation is told: its name, its address and the seeds.
+//!
+//! Owns the checks of [`PeerSettings`]; relies on nothing else.
+
+use std::net::{IpAddr, SocketAddr};
+
+use cloverfold_settings::FaultList;
+use serde::Deserialize;
+
+/// What all processes of a leased installation are told.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct PeerSettings {
+    /// Name of this process; no other has it.
+    pub name: String,
+    /// The data hall it stands in. No program reads it; the files of all installations name it.
+    #[serde(rename = "hall")]
+    pub data_hall: String,
+    /// Address of this box, on which it listens.
+    pub ip: IpAddr,
+    /// TCP port at which every process of the installation listens to the others.
+    pub port: u16,
+    /// Control processes at the start, by any address of theirs; only the IP address counts.
+    pub seeds: Vec<SocketAddr>,
+    /// TCP port of `/healthz`, `/readyz` and `/metrics`; none are served without.
+    pub metrics_port: Option<u16>,
+}
+
+impl PeerSettings {
+    /// Returns where this process listens to the others.
+    pub fn address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, self.port)
+    }
+
+    /// Returns where the seeds listen to other processes, in order.
+    pub fn seed_addresses(&self) -> Vec<SocketAddr> {
+        let seeds = self.seeds.iter();
+        let mut addresses: Vec<_> = seeds
+            .map(|seed| SocketAddr::new(seed.ip(), self.port))
+            .collect();
+        addresses.sort_unstable();
+        addresses.dedup();
+        addresses
+    }
+
+    /// Returns where the metrics are served.
+    pub fn metrics_address(&self) -> Option<SocketAddr> {
+        self.metrics_port.map(|port| SocketAddr::new(self.ip, port))
+    }
+
+    pub(crate) fn check(&self, faults: &mut FaultList) {
+        faults.add_if(self.name.is_empty(), "peer.name", "must not be empty");
+        faults.add_if(
+            self.port == 0,
+            "peer.port",
+            "must be above 0, the same for all processes",
+        );
+        faults.add_if(
+            self.seeds.is_empty(),
+            "peer.seeds",
+            "must name at least one control process",
+        );
+        faults.add_if(
+            self.metrics_port == Some(self.port),
+            "peer.metrics_port",
+            "must differ from peer.port",
+        );
+    }
+}
