--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -93,7 +93,7 @@
 
     /// Returns how many runs the guard has, also those that wait to be started.
     pub(crate) fn held(&self) -> usize {
-        self.runner.held()
+        self.runner.run_count()
     }
 
     pub(crate) fn has_ready_target(&self) -> bool {
@@ -134,7 +134,7 @@
     pub(crate) fn receive_start_answer(&mut self, order: &StartOrder, answer: StartAnswer) {
         let now = self.clock.now();
         log_unacknowledged_start(order, &answer);
-        self.runner.start_answered(order, answer, now);
+        self.runner.receive_start_answer(order, answer, now);
         self.advance();
     }
 
@@ -179,7 +179,7 @@
         let reason = unready.map(UnavailableReason::as_str).unwrap_or_default();
         log::info!(
             ready = unready.is_none(), reason, stuck_runs = self.runner.counts().stuck,
-            held_runs = self.runner.held();
+            held_runs = self.runner.run_count();
             "the target's readiness has changed"
         );
     }
