--- a/crates/common/cloverfold_link/src/dial.rs
+++ b/crates/common/cloverfold_link/src/dial.rs
@@ -25,8 +25,8 @@
 /// about 1.2 s.
 const QUICK_ATTEMPTS: u32 = 12;
 
-/// A tenth of a second in all. Measured on `trouble-1` of textovka-sk-grown, where all power is lost for a second: with attempts of
-/// 250 ms throughout, jobs refused after its return were 686, with these 510 (commit c872f27).
+/// A tenth of a second in all. Measured on `trouble-1` of textovka-sk-grown, where all power is lost for about a second: with
+/// attempts of 250 ms throughout, 686 jobs were refused in that window, with these 510 (commit c872f27).
 const QUICK_ATTEMPT: DialAttempt = DialAttempt {
     connect_timeout: Duration::from_millis(70),
     pause: Duration::from_millis(30),
--- a/crates/leased/cloverfold_leased_entry/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_entry/src/metrics.rs
@@ -31,10 +31,10 @@
 pub(crate) struct EntryMetrics {
     metrics: ProcessMetrics,
     answers: Family<OutcomeLabel, Counter>,
-    seconds: Histogram,
+    answer_seconds: Histogram,
     runs: CauseGauges,
     version: Gauge,
-    targets: Gauge,
+    ready_targets: Gauge,
     open_jobs: Gauge,
 }
 
@@ -43,16 +43,17 @@
         let mut metrics = MetricsBuilder::new("cloverfold_entry");
         let answers = Family::default();
         let answers = metrics.add("answers", "Submissions by outcome", answers);
-        let seconds = Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_GROWTH, BUCKETS));
-        let seconds = metrics.add("answer_seconds", "Time to the answer", seconds);
+        let answer_seconds =
+            Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_GROWTH, BUCKETS));
+        let answer_seconds = metrics.add("answer_seconds", "Time to the answer", answer_seconds);
         let help = "Runs since the start, by what became of them";
         let runs = metrics.add_cause_gauges("runs", help);
         Self {
             version: metrics.add_gauge("configuration_version", "Version in force here"),
-            targets: metrics.add_gauge("ready_targets", "Targets that take work"),
+            ready_targets: metrics.add_gauge("ready_targets", "Targets that take work"),
             open_jobs: metrics.add_gauge("open_jobs", "Jobs without an answer yet"),
             answers,
-            seconds,
+            answer_seconds,
             runs,
             metrics: metrics.finish(),
         }
@@ -63,7 +64,7 @@
     }
 
     pub(crate) fn observe_answer_time(&self, took: Duration) {
-        self.seconds.observe(took.as_secs_f64());
+        self.answer_seconds.observe(took.as_secs_f64());
     }
 
     /// Writes the metrics as text.
@@ -82,7 +83,7 @@
             ("target_pauses", counts.pauses),
         ]);
         self.version.set(state.version() as i64);
-        self.targets.set(state.ready_targets() as i64);
+        self.ready_targets.set(state.ready_targets() as i64);
         self.open_jobs.set(state.open_jobs() as i64);
         self.metrics.write()
     }
--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -1,6 +1,6 @@
 //! The submission of a job: reads it, waits for its one answer, and cancels it if the caller disconnects first.
 //!
-//! Owns nothing beyond the request. Relies on [`EntryState`] to accept the job and to answer it through a channel.
+//! Owns nothing beyond the request. Relies on the entry's state to accept the job and to answer it through a channel.
 
 use std::time::{Duration, Instant};
 
--- a/crates/leased/cloverfold_leased_guard/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_guard/src/metrics.rs
@@ -13,8 +13,8 @@
 pub(crate) struct GuardMetrics {
     metrics: ProcessMetrics,
     runs: CauseGauges,
-    held: Gauge,
-    ready: Gauge,
+    run_count: Gauge,
+    is_target_ready: Gauge,
 }
 
 impl GuardMetrics {
@@ -23,8 +23,8 @@
         let help = "Runs since the start, by what became of them";
         let runs = metrics.add_cause_gauges("runs", help);
         Self {
-            held: metrics.add_gauge("held_runs", "Runs held now, also those that wait"),
-            ready: metrics.add_gauge("target_ready", "1 while the target takes work"),
+            run_count: metrics.add_gauge("held_runs", "Runs held now, also those that wait"),
+            is_target_ready: metrics.add_gauge("target_ready", "1 while the target takes work"),
             runs,
             metrics: metrics.finish(),
         }
@@ -44,8 +44,9 @@
             ("stuck", counts.stuck),
             ("target_pauses", counts.pauses),
         ]);
-        self.held.set(state.held() as i64);
-        self.ready.set(i64::from(state.has_ready_target()));
+        self.run_count.set(state.run_count() as i64);
+        self.is_target_ready
+            .set(i64::from(state.has_ready_target()));
         self.metrics.write()
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -65,7 +65,7 @@
     /// Returns whether all runs have ended in time.
     async fn wait_until_drained(&self) -> bool {
         let drained = async {
-            while self.state.lock().held() > 0 {
+            while self.state.lock().run_count() > 0 {
                 sleep(DRAIN_CHECK_INTERVAL).await;
             }
         };
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -92,7 +92,7 @@
     }
 
     /// Returns how many runs the guard has, also those that wait to be started.
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn run_count(&self) -> usize {
         self.runner.run_count()
     }
 
