--- a/benches/src/process_system.rs
+++ b/benches/src/process_system.rs
@@ -14,7 +14,6 @@
 use cloverfold_solo::{GuardAddresses, Installation, OPERATOR, SoloWorkspace, find_free_addresses};
 use cloverfold_target::SampleTarget;
 use eyre::{Result, bail};
-use rustix::process::{Pid, Signal, kill_process};
 use serde_json::json;
 use tempfile::TempDir;
 use tokio::time::sleep;
@@ -49,7 +48,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // An error means that it has ended by itself, as a bench of faults wants it to.
+        // An error means that it has ended by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -157,22 +156,6 @@
             .collect()
     }
 
-    /// Returns the number of starts at all targets.
-    pub fn count_starts(&self) -> u64 {
-        let journals = self.targets.iter().map(SampleTarget::journal);
-        journals.map(|journal| journal.count_starts() as u64).sum()
-    }
-
-    /// Sends a signal to a process by its place in [`ProcessSystem::list_processes`].
-    ///
-    /// # Errors
-    ///
-    /// Returns the system's error.
-    pub fn signal(&self, place: usize, signal: Signal) -> Result<()> {
-        let pid = Pid::from_child(&self.processes[place].child);
-        Ok(kill_process(pid, signal)?)
-    }
-
     /// Returns the client that reads pages.
     pub fn client(&self) -> &CallerClient {
         &self.client
