--- a/crates/leased/cloverfold_lease/src/lib.rs
+++ b/crates/leased/cloverfold_lease/src/lib.rs
@@ -10,7 +10,7 @@
 //!   dispatcher last echoed; a runner stops the tasks of a session that is over;
 //! - a target kills everything when its lease of [`Timings::lease`] is not renewed;
 //! - a dispatcher starts a task elsewhere only after its end was reported, or after
-//!   [`Timings::surely_over`] has passed since its last echo.
+//!   [`Timings::runs_over_after`] has passed since its last echo.
 
 mod dispatcher;
 mod health;
@@ -18,21 +18,26 @@
 mod request;
 mod resources;
 mod runner;
+mod stall;
 mod timings;
 
 pub use dispatcher::{
     Dispatcher, DispatcherAction, DispatcherCounts, DispatcherEvent, JobAnswer, JobNumber,
-    RefusalCause,
+    JobRefusal,
 };
 pub use health::{HealthLimits, TargetHealth};
 pub use messages::{
-    Assignment, DispatcherMessage, Refusal, Room, RunOutcome, RunnerMessage, SessionId,
+    Assignment, DispatcherMessage, FreeCapacity, RunOutcome, RunRefusal, RunnerMessage, SessionId,
     TargetDescription, TaskId,
 };
 pub use request::{JobRequest, Objective, StepRequest};
 pub use resources::Resources;
 pub use runner::{
-    EndCause, EndedRun, HeldRun, HoldAnswer, HoldOrder, Runner, RunnerAction, RunnerCounts,
-    StartAnswer, StartOrder, StartRefusal, StopOrder, TargetRegistration, TargetUnfitness,
+    EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder, Runner, RunnerAction, RunnerCounts,
+    StartAnswer, StartOrder, StartRefusal, StopOrder, TargetRegistration, UnavailableReason,
+};
+pub use stall::{JOB_STALL, REQUEST_STALL};
+pub use timings::{
+    CLOCK_DRIFT_PERMILLE, DEFAULT_LEASE, DEFAULT_RESEND, DEFAULT_SESSION, DEFAULT_STOP, TargetTime,
+    Timings,
 };
-pub use timings::{TargetTime, Timings};
--- a/crates/leased/cloverfold_lease/src/runner/listing.rs
+++ b/crates/leased/cloverfold_lease/src/runner/listing.rs
@@ -7,7 +7,7 @@
 
 use crate::messages::{RunOutcome, TaskId};
 use crate::runner::Runner;
-use crate::runner::orders::{EndCause, EndedRun, HeldRun};
+use crate::runner::orders::{EndCause, EndedRun, ListedRun};
 use crate::runner::run::Run;
 use crate::runner::unlisted::{ListTimes, outcome_of_unlisted_run};
 
@@ -42,7 +42,12 @@
     }
 
     /// Compares the runs that the target lists with those that this runner holds.
-    pub(super) fn reconcile_runs(&mut self, running: &[HeldRun], times: ListTimes, now: Timestamp) {
+    pub(super) fn reconcile_runs(
+        &mut self,
+        running: &[ListedRun],
+        times: ListTimes,
+        now: Timestamp,
+    ) {
         for row in running {
             self.record_sighting(row, now);
         }
@@ -51,7 +56,7 @@
     }
 
     /// Records that the target lists a run: its start is confirmed, and its progress is known.
-    fn record_sighting(&mut self, row: &HeldRun, now: Timestamp) {
+    fn record_sighting(&mut self, row: &ListedRun, now: Timestamp) {
         let run = self.runs.get_mut(&row.task);
         let Some(run) = run.filter(|run| run.number == row.run) else {
             return;
@@ -72,9 +77,9 @@
     }
 
     /// Ends the runs that the target leaves out, where that makes their end certain.
-    fn end_unlisted_runs(&mut self, running: &[HeldRun], times: ListTimes, now: Timestamp) {
+    fn end_unlisted_runs(&mut self, running: &[ListedRun], times: ListTimes, now: Timestamp) {
         let is_listed = |task: &TaskId, run: &Run| {
-            let is_same = |row: &HeldRun| row.run == run.number && row.task == *task;
+            let is_same = |row: &ListedRun| row.run == run.number && row.task == *task;
             running.iter().any(is_same)
         };
         let over: Vec<(TaskId, RunOutcome)> = self
@@ -94,12 +99,12 @@
     /// Stops what runs at the target and is not held here: runs of an earlier process of this runner, or starts that were carried out late.
     ///
     /// As long as there are any the target gets no work and its lease is not extended.
-    fn stop_orphans(&mut self, running: &[HeldRun]) {
-        let is_own = |row: &HeldRun| {
+    fn stop_orphans(&mut self, running: &[ListedRun]) {
+        let is_own = |row: &ListedRun| {
             let run = self.runs.get(&row.task);
             run.is_some_and(|run| run.number == row.run)
         };
-        let orphans: Vec<&HeldRun> = running.iter().filter(|row| !is_own(row)).collect();
+        let orphans: Vec<&ListedRun> = running.iter().filter(|row| !is_own(row)).collect();
         if let Some(target) = &mut self.target {
             target.has_only_own_runs = orphans.is_empty();
         }
--- a/crates/leased/cloverfold_lease/src/runner/refused_start.rs
+++ b/crates/leased/cloverfold_lease/src/runner/refused_start.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure: owns nothing. Carried out by `Runner::receive_start_refusal`.
 
-use crate::messages::Refusal;
+use crate::messages::RunRefusal;
 use crate::runner::orders::StartRefusal;
 use crate::runner::run::MAX_START_ATTEMPTS;
 
@@ -14,9 +14,9 @@
     /// Send the same start again: an earlier one may still be carried out, so its deadline must not move.
     Repeat,
     /// Give the run back at once: the only start that was sent has had no effect.
-    GiveBack(Refusal),
+    GiveBack(RunRefusal),
     /// Give the run back when its end is certain: an earlier start may still be carried out.
-    StopThenGiveBack(Refusal),
+    StopThenGiveBack(RunRefusal),
 }
 
 /// Decides what follows a refusal; `attempts` is the number of starts that were sent, 1 or more.
@@ -43,15 +43,15 @@
 }
 
 /// Returns what a dispatcher is told of a start that the target refused for good.
-fn reason_for_dispatcher(refusal: StartRefusal) -> Refusal {
+fn reason_for_dispatcher(refusal: StartRefusal) -> RunRefusal {
     match refusal {
-        StartRefusal::Fenced | StartRefusal::Late | StartRefusal::OtherInstance => {
-            Refusal::NoTarget
+        StartRefusal::Fenced | StartRefusal::Late | StartRefusal::OtherIncarnation => {
+            RunRefusal::NoTarget
         }
-        StartRefusal::Stale => Refusal::Stale,
-        StartRefusal::NoRoom => Refusal::NoRoom,
-        StartRefusal::Unhealthy => Refusal::Unhealthy,
-        StartRefusal::Unreachable => Refusal::Unanswered,
-        StartRefusal::Invalid => Refusal::Rejected,
+        StartRefusal::Stale => RunRefusal::Stale,
+        StartRefusal::NoRoom => RunRefusal::NoRoom,
+        StartRefusal::Unhealthy => RunRefusal::Unhealthy,
+        StartRefusal::Unreachable => RunRefusal::Unanswered,
+        StartRefusal::Invalid => RunRefusal::Rejected,
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -34,13 +34,13 @@
             return;
         };
         let order = StartOrder {
-            instance: target.registration.instance.clone(),
+            incarnation: target.registration.incarnation.clone(),
             address: target.registration.address.clone(),
             task: task.clone(),
             run: run.number,
             spec: run.spec.clone(),
             deadline: start.deadline,
-            token: target.fencing_token,
+            fencing_token: target.fencing_token,
             attempt: start.attempts,
             limit: self.timings.order_timeout,
         };
@@ -82,14 +82,14 @@
         answer: StartAnswer,
         now: Timestamp,
     ) -> bool {
-        let Some(target) = self.target_with_instance(&order.instance) else {
+        let Some(target) = self.target_of_incarnation(&order.incarnation) else {
             return false;
         };
         if let Some(clock) = answer.clock() {
             target.read_clock(clock, now);
         }
         if matches!(answer, StartAnswer::Refused(StartRefusal::Fenced, _)) {
-            target.raise_fencing_token(order.token);
+            target.raise_fencing_token(order.fencing_token);
         }
         true
     }
--- a/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
@@ -5,7 +5,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Refusal, RunOutcome, TaskId};
+use crate::messages::{RunOutcome, RunRefusal, TaskId};
 use crate::runner::Runner;
 
 impl Runner {
@@ -45,7 +45,7 @@
 
     fn begin_target_pause(&mut self, now: Timestamp) {
         self.counts.pauses += 1;
-        self.give_back_waiting(Refusal::NoTarget, now);
+        self.give_back_waiting(RunRefusal::NoTarget, now);
         self.announce_target();
     }
 
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -8,7 +8,7 @@
 use cloverfold_http::{
     HttpLimits, ListenError, Request, Serving, json_response, plain_response, serve_at,
 };
-use cloverfold_lease::{HoldAnswer, Runner, Timings};
+use cloverfold_lease::{RenewalAnswer, Runner};
 use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
 use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_peer::{ControlLinks, Hello, PeerRole};
@@ -23,9 +23,9 @@
 
 /// How often the guard looks what has fallen due. Chosen, not measured.
 const TICK: Duration = Duration::from_millis(20);
-/// Pause after a hold that was not answered at all.
+/// Pause after a renewal that was not answered at all.
 const HOLD_PAUSE: Duration = Duration::from_millis(10);
-/// The same while the target has been silent for some time: each hold that is not answered costs a connection.
+/// The same while the target has been silent for some time: each renewal that is not answered costs a connection.
 const SILENT_PAUSE: Duration = Duration::from_millis(60);
 /// Pause while no target is known.
 const NO_TARGET_PAUSE: Duration = Duration::from_millis(200);
@@ -77,8 +77,8 @@
 ) -> Result<LeasedGuard, ListenError> {
     let port = PeerPort::new(settings.peer.address());
     let (orders_tx, orders_rx) = mpsc::unbounded_channel();
-    let hold_now = Arc::new(Notify::new());
-    let state = build_state(settings, &port, orders_tx, hold_now.clone());
+    let renew_now = Arc::new(Notify::new());
+    let state = build_state(settings, &port, orders_tx, renew_now.clone());
     let state = Shared::new(state);
     log::info!(name = settings.peer.name.as_str(); "a guard starts");
 
@@ -97,7 +97,7 @@
         orders_rx,
         interface.clone(),
     ));
-    tasks.spawn(keep_holding(state.clone(), interface, hold_now));
+    tasks.spawn(keep_holding(state.clone(), interface, renew_now));
     port.run(state.clone(), TICK, &mut tasks);
     Ok(LeasedGuard {
         state,
@@ -112,7 +112,7 @@
     settings: &LeasedGuardSettings,
     port: &PeerPort,
     orders: mpsc::UnboundedSender<TargetOrder>,
-    hold_now: Arc<Notify>,
+    renew_now: Arc<Notify>,
 ) -> GuardState {
     let own = Hello {
         name: settings.peer.name.clone(),
@@ -120,12 +120,11 @@
         address: settings.peer.address(),
         version: 0,
     };
-    let lease = &settings.lease;
-    let timings = Timings::with_bounds(lease.session(), lease.lease(), lease.stop());
+    let timings = settings.lease.timings();
     // A later life begins at a later time; should the clock have gone back, the target's refusals raise the token.
     let runner = Runner::new(timings, unix_now().as_millis() as u64);
     let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dial_peers());
-    GuardState::new(own, runner, controls, port.dial_peers(), orders, hold_now)
+    GuardState::new(own, runner, controls, port.dial_peers(), orders, renew_now)
 }
 
 /// Sends each order to the target by itself: none waits for the answer to another.
@@ -162,15 +161,15 @@
     now: Arc<Notify>,
 ) {
     loop {
-        let order = state.lock().plan_hold();
+        let order = state.lock().plan_renewal();
         let Some(order) = order else {
             // Whether it is told or not, it looks again.
             let _ = timeout(NO_TARGET_PAUSE, now.notified()).await;
             continue;
         };
-        let answer = interface.hold(order.clone()).await;
-        let is_listed = matches!(answer, HoldAnswer::Listed { .. });
-        state.lock().hold_answered(&order, answer);
+        let answer = interface.renew(order.clone()).await;
+        let is_listed = matches!(answer, RenewalAnswer::Listed { .. });
+        state.lock().receive_renewal_answer(&order, answer);
         if !is_listed {
             let is_silent = !state.lock().has_ready_target();
             sleep(if is_silent { SILENT_PAUSE } else { HOLD_PAUSE }).await;
