--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -6,7 +6,7 @@
 
 use cloverfold_app::{App, BuildError, Plugin};
 use cloverfold_base::unix_now;
-use cloverfold_claims_core::{ClaimReplica, Placement};
+use cloverfold_claims_core::{CLOCK_MARGIN, ClaimReplica, Placement};
 use cloverfold_claims_settings::CellSettings;
 use cloverfold_membership::{Directory, Membership, OwnState};
 use cloverfold_net::{Peer, PeerRole};
@@ -17,8 +17,6 @@
 use crate::messages::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
 use crate::recovery::PAGE_LIMIT;
 
-/// Allowance for clocks of boxes that disagree (docs/design/1-submissions.md). Chosen, not measured.
-pub(crate) const CLOCK_MARGIN: Duration = Duration::from_secs(5);
 /// How often the readiness check and the gauge are brought up to date. Chosen, not measured.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(200);
 
--- a/crates/claims/cloverfold_claims_core/src/claim.rs
+++ b/crates/claims/cloverfold_claims_core/src/claim.rs
@@ -3,6 +3,8 @@
 //! Used by the proposer ([`crate::Proposer`]) and the acceptor ([`crate::ClaimReplica`]). The types are encoded
 //! with postcard, by the order of their fields and variants, and go over the wire between guards.
 
+use std::time::Duration;
+
 use cloverfold_base::UnixTime;
 use serde::{Deserialize, Serialize};
 
@@ -10,6 +12,9 @@
 use crate::outcome::ReasonCode;
 use crate::{BodyDigest, GuardId, Incarnation, Placement, SubmissionKey, TaskIndex};
 
+/// How far the clocks of callers and boxes may disagree (docs/design/1-submissions.md). Chosen, not measured.
+pub const CLOCK_MARGIN: Duration = Duration::from_secs(5);
+
 /// Order of attempts to fix a claim; a larger ballot overrules a smaller one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
--- a/crates/claims/cloverfold_claims_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -39,7 +39,9 @@
 pub use admission::{Admission, Capacity, Ticket, TicketId};
 pub use cell::{Cell, Location, quorum_of};
 pub use choice::{Candidate, PlacementPolicy, choose_free_place, choose_placements, rank_by_load};
-pub use claim::{Accepted, Ballot, Claim, ClaimReply, ClaimRequest, ReplicaReply, Submission};
+pub use claim::{
+    Accepted, Ballot, CLOCK_MARGIN, Claim, ClaimReply, ClaimRequest, ReplicaReply, Submission,
+};
 pub use claim_records::ReplicaRecord;
 pub use fair_queue::{FairQueue, Flow};
 pub use fence::{
--- a/crates/claims/cloverfold_entry/src/submission.rs
+++ b/crates/claims/cloverfold_entry/src/submission.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cloverfold_base::{UnixTime, hash_parts};
-use cloverfold_claims_core::{BodyDigest, Repeat, Submission, derive_submission_key};
+use cloverfold_claims_core::{BodyDigest, CLOCK_MARGIN, Repeat, Submission, derive_submission_key};
 use http::StatusCode;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -15,8 +15,6 @@
 pub const MAX_TASKS: usize = 1_900;
 /// Longest idempotency key, in bytes. Chosen, not measured.
 const MAX_KEY_LEN: usize = 128;
-/// How far a caller's clock may be ahead (docs/design/1-submissions.md). Chosen, not measured.
-const CLOCK_MARGIN: Duration = Duration::from_secs(5);
 
 /// Bounds from the entry's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
