--- a/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
@@ -15,10 +15,10 @@
 
 use cloverfold_base::Timestamp;
 
+use crate::dispatcher::Dispatcher;
 use crate::dispatcher::answers::{JobAnswer, JobRefusal};
-use crate::dispatcher::job::Job;
-use crate::dispatcher::sessions::RunnerSession;
-use crate::dispatcher::{Dispatcher, JobNumber};
+use crate::dispatcher::job::{Job, JobNumber};
+use crate::dispatcher::runner_session::RunnerSession;
 use crate::request::JobRequest;
 use crate::stall::JOB_STALL;
 
--- a/crates/leased/cloverfold_lease/src/dispatcher/closing.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/closing.rs
@@ -5,9 +5,10 @@
 //!
 //! Owns [`DetachedRun`]. Relies on the sessions to report ends and to be settled.
 
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::actions::DispatcherAction;
 use crate::dispatcher::answers::JobAnswer;
-use crate::dispatcher::job::{TaskPhase, TaskPosition};
-use crate::dispatcher::{Dispatcher, DispatcherAction, JobNumber};
+use crate::dispatcher::job::{JobNumber, TaskPhase, TaskPosition};
 use crate::messages::{DispatcherMessage, SessionId};
 
 /// A run whose job is closed and whose end is not known.
--- a/crates/leased/cloverfold_lease/src/dispatcher/job.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/job.rs
@@ -5,11 +5,13 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::dispatcher::JobNumber;
 use crate::dispatcher::deadlines::JobDeadlines;
 use crate::messages::{SessionId, TaskId};
 use crate::request::{JobRequest, StepRequest};
 
+/// Number of one submission within this process, from 1.
+pub type JobNumber = u64;
+
 /// Which task of which job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TaskPosition {
--- a/crates/leased/cloverfold_lease/src/dispatcher/judging.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/judging.rs
@@ -25,10 +25,10 @@
 const LOWEST_RUN_RATIO: f64 = 0.2;
 /// Highest ratio of one run that is taken in, as [`LOWEST_RUN_RATIO`].
 const HIGHEST_RUN_RATIO: f64 = 8.0;
-/// Lowest ratio that the expected duration of a run is reckoned with; narrower than the bounds of a single run, since the mean of
-/// many is meant and a run must not be withdrawn for the wrong estimates of others. Chosen, not measured.
+/// Lowest ratio that the expected duration of a run is calculated with: narrower than the bounds of one run, which move the mean only
+/// a little, since this one decides on a run at once. Chosen, not measured.
 const LOWEST_EXPECTED_RATIO: f64 = 0.5;
-/// Highest ratio that the expected duration of a run is reckoned with, as [`LOWEST_EXPECTED_RATIO`].
+/// Highest ratio that the expected duration of a run is calculated with, as [`LOWEST_EXPECTED_RATIO`].
 const HIGHEST_EXPECTED_RATIO: f64 = 4.0;
 
 /// A run is overdue after this many times its expected duration and [`OVERDUE_ALLOWANCE`]. Chosen, not measured.
--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -8,13 +8,18 @@
 //! - `sessions`, `runner_session`: what is known of runners, and when the runs of a lost session are over;
 //! - `closing`: what a closed job leaves behind; `reports`: what operators are told.
 //!
+//! The types between them are in `job`, `answers`, `actions`, `events` and `counts`.
+//!
 //! Owns all jobs, tasks and sessions of the entry. Relies on the process to call [`Dispatcher::tick`], to carry out the
 //! actions in order, and to pass on each message and each closed link.
 
+mod actions;
 mod admission;
 mod answers;
 mod closing;
+mod counts;
 mod deadlines;
+mod events;
 mod job;
 mod judging;
 mod placement;
@@ -33,8 +38,11 @@
 use crate::messages::{Assignment, DispatcherMessage, SessionId, TaskId};
 use crate::request::JobRequest;
 use crate::timings::Timings;
+pub use actions::DispatcherAction;
 pub use answers::{JobAnswer, JobRefusal, RETRY_AFTER};
-pub use reports::{DispatcherEvent, TargetCounts};
+pub use counts::DispatcherCounts;
+pub use events::{DispatcherEvent, TargetCounts};
+pub use job::JobNumber;
 
 use closing::DetachedRun;
 use job::{Job, QueuePosition, Task, TaskPosition};
@@ -42,47 +50,6 @@
 use runner_session::RunnerSession;
 use sessions::LostSession;
 
-/// Number of one submission within this process, from 1.
-pub type JobNumber = u64;
-
-/// What the process around a dispatcher has to do.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DispatcherAction {
-    /// Send a message to a runner.
-    Send(SessionId, DispatcherMessage),
-    /// Close the link of a session whose runner is silent.
-    CloseSession(SessionId),
-    /// Answer a submission.
-    Answer(JobNumber, JobAnswer),
-    /// Tell operators of a decision.
-    Report(DispatcherEvent),
-}
-
-/// Counts since the start, by cause.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DispatcherCounts {
-    /// Runs assigned.
-    pub assigned: u64,
-    /// Runs given back without a start.
-    pub given_back: u64,
-    /// Runs that ended `failed`.
-    pub failed: u64,
-    /// Runs whose target or lease was lost.
-    pub lost: u64,
-    /// Runs that stood still at their target and were stopped there.
-    pub stuck: u64,
-    /// Runs withdrawn because they took far longer than expected.
-    pub overdue: u64,
-    /// Runs withdrawn from a slow target to be begun anew elsewhere.
-    pub stragglers: u64,
-    /// Runs withdrawn because their caller left or their job was given up.
-    pub withdrawn: u64,
-    /// Jobs given up because the process stood still.
-    pub stalled: u64,
-    /// Times a target was paused.
-    pub pauses: u64,
-}
-
 /// Coordinates the repeatable jobs that one entry accepted.
 #[derive(Debug)]
 pub struct Dispatcher {
--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -15,9 +15,9 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-use crate::dispatcher::job::{Job, QueuePosition, Task, TaskPhase, TaskPosition};
-use crate::dispatcher::sessions::RunnerSession;
-use crate::dispatcher::{Dispatcher, JobNumber};
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::job::{Job, JobNumber, QueuePosition, Task, TaskPhase, TaskPosition};
+use crate::dispatcher::runner_session::RunnerSession;
 use crate::messages::{Assignment, SessionId};
 
 /// How many candidates are drawn, of which the emptiest is taken: dispatchers that choose at the same moment from the same reports
--- a/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
@@ -14,10 +14,10 @@
 
 use cloverfold_base::Timestamp;
 
+use crate::dispatcher::Dispatcher;
 use crate::dispatcher::answers::JobAnswer;
 use crate::dispatcher::closing::DetachedRun;
-use crate::dispatcher::job::{TaskPhase, TaskPosition};
-use crate::dispatcher::{Dispatcher, JobNumber};
+use crate::dispatcher::job::{JobNumber, TaskPhase, TaskPosition};
 use crate::messages::{RunOutcome, RunRefusal, SessionId, TaskId};
 
 /// How far the run number rises when a target has seen a later run: above what another submission can have used, also where the
--- a/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
@@ -10,11 +10,12 @@
 
 use cloverfold_base::Timestamp;
 
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::actions::DispatcherAction;
 use crate::dispatcher::closing::DetachedRun;
-use crate::dispatcher::job::{TaskPhase, TaskPosition};
-use crate::dispatcher::reports::DispatcherEvent;
-pub(crate) use crate::dispatcher::runner_session::RunnerSession;
-use crate::dispatcher::{Dispatcher, DispatcherAction, JobNumber};
+use crate::dispatcher::events::DispatcherEvent;
+use crate::dispatcher::job::{JobNumber, TaskPhase, TaskPosition};
+use crate::dispatcher::runner_session::RunnerSession;
 use crate::health::TargetHealth;
 use crate::messages::{DispatcherMessage, RunnerMessage, SessionId, TargetDescription, TaskId};
 
--- a/crates/leased/cloverfold_lease/src/messages.rs
+++ b/crates/leased/cloverfold_lease/src/messages.rs
@@ -71,7 +71,7 @@
 pub enum RunRefusal {
     /// There was no free capacity in time.
     NoRoom,
-    /// No target that takes work is known.
+    /// No target that accepts work is known.
     NoTarget,
     /// The target is leaving.
     Draining,
--- a/crates/leased/cloverfold_lease/src/timings.rs
+++ b/crates/leased/cloverfold_lease/src/timings.rs
@@ -27,26 +27,27 @@
 /// How long a lease lasts unless the settings say otherwise. Chosen within the inequality above, not measured; a shorter one
 /// was ruled out, since it leaves less time for a guard that is held up (commit "Make a lost answer cost less").
 pub const DEFAULT_LEASE: Duration = Duration::from_millis(650);
-/// How long a target may take to end a stopped run unless the settings say otherwise. What targets keep (design note 6), not measured.
+/// How long a target may take to end a stopped run unless the settings say otherwise. Kept by targets (design note 6), not
+/// measured.
 pub const DEFAULT_STOP: Duration = Duration::from_millis(50);
 /// After this a caller sends again what got no answer, unless the settings say otherwise. Given by the callers (design note 6).
 pub const DEFAULT_RESEND: Duration = Duration::from_millis(1_300);
 /// How much slower than a true clock a target's may be, in thousandths. Given by the platform (design note 6).
 pub const CLOCK_DRIFT_PERMILLE: u32 = 20;
 
-/// Four in a session. Chosen, not measured.
+/// [`Timings::heartbeat`]: four fit in a session. Chosen, not measured.
 const HEARTBEAT: Duration = Duration::from_millis(120);
-/// Measured with [`ANSWER_SLACK`] and [`SILENCE`]: own day of lost answers 0.853 -> 0.862 of the worth (MEASUREMENTS, "a lost answer costs
-/// less"; 40 ms before).
+/// [`Timings::renewal_wait`]. Measured in one trial with [`ANSWER_SLACK`] and [`SILENCE`]: own day of lost answers 0.853 -> 0.862 of
+/// the worth (MEASUREMENTS, "a lost answer costs less"; 40 ms before).
 const RENEWAL_WAIT: Duration = Duration::from_millis(25);
-/// Measured with [`RENEWAL_WAIT`] (30 ms before).
+/// [`Timings::answer_slack`]. Measured with [`RENEWAL_WAIT`] (30 ms before).
 const ANSWER_SLACK: Duration = Duration::from_millis(15);
-/// Chosen, not measured.
+/// [`Timings::order_timeout`]. Chosen, not measured.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Measured with the renewals' wait of its time: own day of late orders 0.654 -> 0.834 of the worth (commit "Notice ends sooner when
-/// a hold's answer is lost"; 60 ms before).
+/// [`Timings::start_timeout`]. Measured in one trial with a shorter wait of renewals: own day of late orders 0.654 -> 0.834 of the
+/// worth (commit "Notice ends sooner when a hold's answer is lost"; 60 ms before).
 const START_TIMEOUT: Duration = Duration::from_millis(20);
-/// Measured with [`RENEWAL_WAIT`] (430 ms before).
+/// [`Timings::silence`]. Measured with [`RENEWAL_WAIT`] (430 ms before).
 const SILENCE: Duration = Duration::from_millis(200);
 
 /// Bounds that runners and dispatchers of an installation share.
