--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -84,7 +84,7 @@
         self.context.metrics.count_job(&answer.outcome);
         log_answer(&key, &answer.outcome);
         let kept = answer.clone();
-        let retention = self.context.cell.answer_retention();
+        let retention = self.context.cell.answer_retention;
         let now = unix_now();
         self.jobs
             .with(move |jobs| jobs.finish(key, &kept, now, retention))
