--- a/crates/leased/cloverfold_lease/src/runner/assignment.rs
+++ b/crates/leased/cloverfold_lease/src/runner/assignment.rs
@@ -7,7 +7,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::{Assignment, Refusal, RunOutcome, SessionId, TaskId};
+use crate::messages::{Assignment, RunOutcome, RunRefusal, SessionId, TaskId};
 use crate::runner::Runner;
 use crate::runner::ending::EndReport;
 use crate::runner::run::Run;
@@ -35,7 +35,7 @@
         &mut self,
         session: SessionId,
         assignment: Assignment,
-        refusal: Refusal,
+        refusal: RunRefusal,
         now: Timestamp,
     ) {
         self.counts.refused += 1;
@@ -52,7 +52,7 @@
     ///
     /// 1. `Expired`: its session is over, or it arrives after the end of the session as the dispatcher knew it (runner's clock). The
     ///    dispatcher may already count its runs here as over.
-    /// 2. `Draining` or `NoTarget`: the target accepts no work, see [`TargetIncarnation::find_unfitness`].
+    /// 2. `Draining` or `NoTarget`: the target accepts no work, see [`TargetIncarnation::find_unavailable_reason`].
     /// 3. `Draining`: this runner is leaving.
     /// 4. `Held`: a run of the same task is not certainly over; two at once must not happen.
     /// 5. `NoRoom`: it is larger than the whole target. What fits into the target but not now waits instead.
@@ -61,33 +61,33 @@
         session: SessionId,
         assignment: &Assignment,
         now: Timestamp,
-    ) -> Option<Refusal> {
+    ) -> Option<RunRefusal> {
         let is_valid = self.sessions.get(&session).is_some_and(|s| !s.is_over(now));
         if !is_valid || now > assignment.valid_until {
-            return Some(Refusal::Expired);
+            return Some(RunRefusal::Expired);
         }
         let Some(target) = self.target.as_ref().filter(|target| target.takes_work()) else {
             return Some(self.refusal_without_target());
         };
         if self.is_leaving {
-            return Some(Refusal::Draining);
+            return Some(RunRefusal::Draining);
         }
         if self.runs.contains_key(&assignment.task) {
-            return Some(Refusal::Held);
+            return Some(RunRefusal::Held);
         }
         let fits = target.capacity().covers(&assignment.demand);
-        (!fits).then_some(Refusal::NoRoom)
+        (!fits).then_some(RunRefusal::NoRoom)
     }
 
-    fn refusal_without_target(&self) -> Refusal {
+    fn refusal_without_target(&self) -> RunRefusal {
         let is_draining = self
             .target
             .as_ref()
             .is_some_and(TargetIncarnation::is_draining);
         if is_draining {
-            Refusal::Draining
+            RunRefusal::Draining
         } else {
-            Refusal::NoTarget
+            RunRefusal::NoTarget
         }
     }
 
@@ -95,7 +95,7 @@
     pub(super) fn withdraw(&mut self, session: SessionId, task: &TaskId, run: u64, now: Timestamp) {
         let is_meant = |held: &Run| held.number == run && held.session == Some(session);
         if self.runs.get(task).is_some_and(is_meant) {
-            self.stop_run(task, RunOutcome::NotStarted(Refusal::Withdrawn), now);
+            self.stop_run(task, RunOutcome::NotStarted(RunRefusal::Withdrawn), now);
         }
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -5,7 +5,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::messages::Refusal;
+use crate::messages::RunRefusal;
 use crate::runner::orders::TargetRegistration;
 use crate::runner::target_incarnation::TargetIncarnation;
 use crate::runner::{Runner, RunnerAction};
@@ -18,12 +18,15 @@
 impl Runner {
     /// Processes a registration of the target; one that comes late from an earlier incarnation changes nothing.
     ///
-    /// A new instance name is a new incarnation: all runs of the one before are over.
+    /// A name not heard before is a new incarnation: all runs of the one before are over.
     pub fn register(&mut self, registration: TargetRegistration, now: Timestamp) {
-        if self.ended_incarnations.contains(&registration.instance) {
+        if self.ended_incarnations.contains(&registration.incarnation) {
             return;
         }
-        if self.target_with_instance(&registration.instance).is_some() {
+        if self
+            .target_of_incarnation(&registration.incarnation)
+            .is_some()
+        {
             self.update_registration(registration, now);
         } else {
             self.begin_target_incarnation(registration, now);
@@ -45,26 +48,26 @@
             return;
         }
         if is_draining {
-            self.give_back_waiting(Refusal::Draining, now);
+            self.give_back_waiting(RunRefusal::Draining, now);
         }
         self.announce_target();
     }
 
     /// Forgets the target that reports its own end, and ends its runs.
-    pub fn unregister(&mut self, instance: &str, now: Timestamp) {
-        if self.target_with_instance(instance).is_some() {
+    pub fn unregister(&mut self, incarnation: &str, now: Timestamp) {
+        if self.target_of_incarnation(incarnation).is_some() {
             self.end_target_incarnation(now);
             self.announce_target();
         }
     }
 
     /// Returns the present target if its incarnation has this name.
-    pub(super) fn target_with_instance(
+    pub(super) fn target_of_incarnation(
         &mut self,
-        instance: &str,
+        incarnation: &str,
     ) -> Option<&mut TargetIncarnation> {
         let target = self.target.as_mut();
-        target.filter(|target| target.registration.instance == instance)
+        target.filter(|target| target.registration.incarnation == incarnation)
     }
 
     fn begin_target_incarnation(&mut self, registration: TargetRegistration, now: Timestamp) {
@@ -74,14 +77,14 @@
         let token = self.first_fencing_token;
         self.target = Some(TargetIncarnation::new(registration, number, token, now));
         self.announce_target();
-        self.actions.push(RunnerAction::HoldNow);
+        self.actions.push(RunnerAction::RenewNow);
     }
 
     /// Ends the present incarnation, if there is one, and with it all that ran there.
     fn end_target_incarnation(&mut self, now: Timestamp) {
         if let Some(target) = self.target.take() {
             self.ended_incarnations
-                .push_back(target.registration.instance);
+                .push_back(target.registration.incarnation);
             if self.ended_incarnations.len() > REMEMBERED_INCARNATIONS {
                 self.ended_incarnations.pop_front();
             }
@@ -94,7 +97,7 @@
     ///
     /// An unresponsive target gets no new work. Its runs may go on until its lease has lapsed; then they are lost.
     pub(super) fn watch_target(&mut self, now: Timestamp) {
-        let limit = self.timings.silence + self.timings.hold_wait;
+        let limit = self.timings.silence + self.timings.renewal_wait;
         let Some(target) = &mut self.target else {
             return;
         };
@@ -103,7 +106,7 @@
         }
         if !target.is_unresponsive {
             target.is_unresponsive = true;
-            self.give_back_waiting(Refusal::NoTarget, now);
+            self.give_back_waiting(RunRefusal::NoTarget, now);
             self.announce_target();
         }
         self.end_runs_of_lapsed_lease(now);
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -21,7 +21,7 @@
 
 /// Why a target gets no work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TargetUnfitness {
+pub enum UnavailableReason {
     /// No target has registered.
     NoTarget,
     /// It is about to leave.
@@ -36,7 +36,7 @@
     NoClock,
 }
 
-impl TargetUnfitness {
+impl UnavailableReason {
     /// Returns the name by which logs and answers call it; it is part of the outside interface.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -119,24 +119,24 @@
     }
 
     pub(super) fn takes_work(&self) -> bool {
-        self.find_unfitness().is_none()
+        self.find_unavailable_reason().is_none()
     }
 
     /// Returns why the target gets no work, if there is a reason; the first that applies.
     ///
     /// It gets work while it does not drain, answers, lets its runs make progress, runs nothing that this runner did not start, and its
     /// clock is known.
-    pub(super) fn find_unfitness(&self) -> Option<TargetUnfitness> {
+    pub(super) fn find_unavailable_reason(&self) -> Option<UnavailableReason> {
         if self.registration.is_draining {
-            Some(TargetUnfitness::Draining)
+            Some(UnavailableReason::Draining)
         } else if self.is_unresponsive {
-            Some(TargetUnfitness::Silent)
+            Some(UnavailableReason::Silent)
         } else if self.performance.is_paused() {
-            Some(TargetUnfitness::RunsStandStill)
+            Some(UnavailableReason::RunsStandStill)
         } else if !self.has_only_own_runs {
-            Some(TargetUnfitness::OtherRuns)
+            Some(UnavailableReason::OtherRuns)
         } else if self.clock.is_none() {
-            Some(TargetUnfitness::NoClock)
+            Some(UnavailableReason::NoClock)
         } else {
             None
         }
@@ -149,7 +149,7 @@
 
     pub(super) fn describe(&self) -> TargetDescription {
         TargetDescription {
-            instance: self.registration.instance.clone(),
+            incarnation: self.registration.incarnation.clone(),
             service: self.registration.service.clone(),
             capacity: self.registration.capacity,
             labels: self.registration.labels.clone(),
@@ -180,14 +180,14 @@
     /// Returns whether every lease that the target may hold is certainly over, so that nothing runs there.
     ///
     /// The latest deadline that was sent lies `left` after the newest reading of the target's clock. That clock may be slow, so `left` lasts
-    /// up to [`Timings::stretch`] of it here; then the target has [`Timings::stop`] to end its runs. Without a reading no order
+    /// up to [`Timings::longest_true_span`] of it here; then the target has [`Timings::stop`] to end its runs. Without a reading no order
     /// had a deadline, so there is no lease.
     pub(super) fn has_lease_lapsed(&self, timings: &Timings, now: Timestamp) -> bool {
         let Some(reading) = self.clock else {
             return true;
         };
         let left = self.latest_deadline.saturating_sub(reading.clock);
-        let longest = timings.stretch(Duration::from_millis(left));
+        let longest = timings.longest_true_span(Duration::from_millis(left));
         now > reading.received_at + longest + timings.stop
     }
 
