--- a/crates/leased/cloverfold_control/src/operators.rs
+++ b/crates/leased/cloverfold_control/src/operators.rs
@@ -135,6 +135,7 @@
         match timeout(READ_TIMEOUT, self.read_newest()).await {
             Ok(Some(text)) => json_response(StatusCode::OK, text),
             Ok(None) => try_elsewhere("no configuration was taken yet\n"),
+            // Out of time: no leader proved that it leads.
             Err(_) => try_elsewhere("the newest configuration is not known here at present\n"),
         }
     }
--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -1,4 +1,6 @@
 //! What the replica wants done, and what the group has decided.
+//!
+//! Owns what was last logged of the group. Relies on the replica for every decision, and on the disk and the links to carry them out.
 
 use cloverfold_configuration::{ConfigurationState, Proposal};
 use cloverfold_consensus::{
@@ -127,7 +129,7 @@
         self.send_directory();
     }
 
-    /// Tells operators' calls and attached processes of a version that has come into force.
+    /// Announces a version that has come into force to the waiting calls of operators, and to entries and guards.
     fn announce_new_version(&mut self) {
         let version = self.state.version();
         if version != *self.version.borrow() {
@@ -148,6 +150,7 @@
             return;
         }
         self.logged_view = view;
+        // A leader that is not known is logged as an empty text.
         let leader = status.leader.map(format_id).unwrap_or_default();
         log::info!(
             term = status.term, role = status.role.as_str(), leader = leader.as_str(), commit = status.commit;
--- a/crates/leased/cloverfold_control/src/state/directory.rs
+++ b/crates/leased/cloverfold_control/src/state/directory.rs
@@ -1,4 +1,6 @@
-//! What attached processes, entries and guards, are told: where everybody is and which version holds.
+//! What entries and guards are sent: the version in force and the addresses of the other processes.
+//!
+//! Owns when the last notice was sent. Relies on the links of the state; a notice that is lost is followed by the next.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +11,7 @@
 
 use super::ControlState;
 
-/// How often every attached process is told which version holds, also when nothing has changed: a notice may be lost. Chosen, not
+/// How often entries and guards are sent the version in force, also when nothing has changed: a notice may be lost. Chosen, not
 /// measured; four of them fit into the 2 s in which a configuration must be in force everywhere (docs/design/7-control.md).
 const NOTICE_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Tells every attached process which version holds here.
+    /// Sends every entry and guard the version in force here.
     pub(super) fn send_notice(&mut self) {
         self.last_notice = LastNotice {
             sent_at: self.clock.now(),
@@ -38,7 +40,7 @@
         self.send_to_attached(&self.notice());
     }
 
-    /// Tells a process that has just connected everything.
+    /// Sends an entry or guard that has just connected the version in force and all addresses.
     pub(super) fn welcome(&self, link: LinkId) {
         // A link that closed meanwhile is dialed again by the process.
         self.links.send(link, &self.notice());
@@ -46,7 +48,7 @@
             .send(link, &PeerMessage::Directory(self.directory()));
     }
 
-    /// Tells every attached process where the others are.
+    /// Sends every entry and guard the addresses of all processes.
     pub(super) fn send_directory(&self) {
         self.send_to_attached(&PeerMessage::Directory(self.directory()));
     }
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -10,7 +10,7 @@
 //! | `bootstrap` | when the group begins |
 //! | `proposals`, `reads`, `pending_reads` | calls of operators, here and at the leader |
 //! | `peers` | links to the other processes |
-//! | `directory`, `known_entries` | what entries and guards are told |
+//! | `directory`, `known_entries` | what entries and guards are sent |
 //! | `pending_writes` | what waits for the disk |
 //! | `status` | what operators are shown |
 
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -1,4 +1,6 @@
-//! Links to the other processes of the installation.
+//! Links to the other processes of the installation, and the messages that they bring.
+//!
+//! Relies on `PeerLinks` for who is at the other end of each link.
 
 use cloverfold_consensus::{Member, ReplicaId};
 use cloverfold_link::{LinkEvent, LinkId};
--- a/crates/leased/cloverfold_control/src/state/pending_reads.rs
+++ b/crates/leased/cloverfold_control/src/state/pending_reads.rs
@@ -41,7 +41,7 @@
         token
     }
 
-    /// Ends a read: tells the waiting call of this process, or returns the control process to be told.
+    /// Ends a read: passes its outcome to the waiting call of this process, or returns the control process that waits for it.
     pub(super) fn finish(&mut self, token: ReadToken, index: Option<LogIndex>) -> Option<PeerRead> {
         if let Some(waiting) = self.own.remove(&token) {
             // An operator that gave up waiting needs no outcome.
--- a/crates/leased/cloverfold_control/src/state/status.rs
+++ b/crates/leased/cloverfold_control/src/state/status.rs
@@ -20,7 +20,7 @@
             .has_quorum_contact(QUORUM_CONTACT_SPAN, self.clock.now())
     }
 
-    /// Describes the replica, the group and the connected processes.
+    /// Describes the replica, the group and the connected processes. The keys never change; `is_fresh` stands for contact with a majority.
     pub(crate) fn describe(&self) -> Value {
         let status = self.replica.status();
         let voters = status.members.voters.iter();
