--- a/crates/leased/cloverfold_control/src/operators.rs
+++ b/crates/leased/cloverfold_control/src/operators.rs
@@ -4,7 +4,7 @@
 //! has; otherwise it submits it to the leader every 250 ms and acknowledges it once a version as high is committed, also if that was
 //! another configuration: a version never decides whether a call is refused. Without that in 2.5 s the answer is 503, and the
 //! configuration may yet come into force. Reason: an acknowledged configuration is never lost, and an operator who calls again with
-//! the same configuration does no harm (docs/design/7-control.md, "Orders").
+//! the same configuration does no harm (docs/design/7-control.md, "Proposals").
 //!
 //! Owns no state; relies on [`ControlState`] for everything that is asked.
 
@@ -23,9 +23,9 @@
 
 use crate::state::ControlState;
 
-/// How long a call waits until its configuration is committed. Chosen, not measured (docs/design/7-control.md, "Orders").
+/// How long a call waits until its configuration is committed. Chosen, not measured (docs/design/7-control.md, "Proposals").
 const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How often a configuration is submitted again, to whoever leads then. Chosen, not measured (docs/design/7-control.md, "Orders").
+/// How often a configuration is submitted again, to whoever leads then. Chosen, not measured (docs/design/7-control.md, "Proposals").
 const PROPOSAL_RESEND_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a call waits for the proof that what it reads is the newest. Chosen, not measured (docs/design/7-control.md, "Reads").
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
--- a/crates/leased/cloverfold_control/src/state/bootstrap.rs
+++ b/crates/leased/cloverfold_control/src/state/bootstrap.rs
@@ -6,7 +6,7 @@
 //! Inputs: `may_found` as stored on disk, the seeds of the settings, the introductions of the peers that this process dialed.
 //!
 //! Reason: two groups would each accept configurations. If a majority of the seeds could begin, two halves could do so when their
-//! settings differ (docs/design/7-control.md, "Founding").
+//! settings differ (docs/design/7-control.md, "Bootstrap").
 
 use std::net::SocketAddr;
 
