--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -27,15 +27,15 @@
     if let DispatcherEvent::Refused {
         job,
         cause,
-        held,
+        waited,
         targets,
         waiting,
         oldest_report,
     } = event
     {
         log::info!(
-            job = job.as_str(), cause = cause.as_str(), held_ms = millis(held),
-            ready_targets = targets.0, targets = targets.1, waiting,
+            job = job.as_str(), cause = cause.as_str(), held_ms = millis(waited),
+            ready_targets = targets.ready, targets = targets.connected, waiting,
             oldest_report_ms = millis(oldest_report), version;
             "a job is refused"
         );
--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -6,12 +6,12 @@
 
 use cloverfold_configuration::Route;
 use cloverfold_http::{Request, Response, plain_response};
-use cloverfold_lease::{JobAnswer, JobNumber, JobRequest};
+use cloverfold_lease::{JobAnswer, JobNumber, JobRequest, RETRY_AFTER};
 use http::StatusCode;
 
 use crate::callers::Callers;
 use crate::protocol::{JobForm, MalformedJob};
-use crate::responses::{RETRY_AFTER, answer_response, refusal_response};
+use crate::responses::{answer_response, refusal_response};
 
 /// Why a job is not run.
 enum UnrunnableJob {
--- a/crates/tools/cloverfold_target/src/journal.rs
+++ b/crates/tools/cloverfold_target/src/journal.rs
@@ -1,6 +1,7 @@
-//! Record of every start at a target.
+//! The record of every start at a target.
+//!
+//! Owns the starts of one target. Relies on the target to record each start and end.
 
-use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
@@ -17,15 +18,15 @@
     pub body: Vec<u8>,
 }
 
-/// Starts in their order; clones share one record.
+/// The starts at a target in their order; clones share one record.
 #[derive(Clone, Debug, Default)]
 pub struct Journal {
     starts: Arc<Mutex<Vec<StartRecord>>>,
 }
 
 impl Journal {
-    /// Notes a start and returns its number.
-    pub fn note_start(&self, task: &str, body: &[u8]) -> usize {
+    /// Records a start and returns its number.
+    pub fn record_start(&self, task: &str, body: &[u8]) -> usize {
         let mut starts = self.lock();
         starts.push(StartRecord {
             task: task.into(),
@@ -36,14 +37,14 @@
         starts.len() - 1
     }
 
-    /// Notes the end of a start.
-    pub fn note_end(&self, number: usize) {
+    /// Records the end of the start with this number.
+    pub fn record_end(&self, number: usize) {
         if let Some(start) = self.lock().get_mut(number) {
             start.ended_at = Some(Instant::now());
         }
     }
 
-    /// Lists all starts.
+    /// Lists all starts, as the system tests check.
     pub fn list_starts(&self) -> Vec<StartRecord> {
         self.lock().clone()
     }
@@ -53,18 +54,6 @@
         self.lock().len()
     }
 
-    /// Lists the tasks that started more than once, over several journals.
-    pub fn list_repeated<'a>(journals: impl IntoIterator<Item = &'a Journal>) -> Vec<String> {
-        let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-        for journal in journals {
-            for start in journal.lock().iter() {
-                *counts.entry(start.task.clone()).or_default() += 1;
-            }
-        }
-        let repeated = counts.into_iter().filter(|(_, count)| *count > 1);
-        repeated.map(|(task, _)| task).collect()
-    }
-
     fn lock(&self) -> MutexGuard<'_, Vec<StartRecord>> {
         self.starts.lock().unwrap_or_else(PoisonError::into_inner)
     }
