--- a/crates/leased/cloverfold_lease/src/runner/answers.rs
+++ b/crates/leased/cloverfold_lease/src/runner/answers.rs
@@ -1,7 +1,6 @@
 //! What a runner learns from its target: registrations and answers to orders.
 //!
-//! For: the edge between the decisions and the package that speaks to targets. Owns nothing. Relies on no wire format: that is the
-//! platform's.
+//! Separates the decisions from the package that speaks to targets, which owns the wire format. Owns no state.
 
 use std::fmt;
 
@@ -75,14 +74,14 @@
         /// The target's clock, in milliseconds.
         clock: TargetTime,
     },
-    /// The run was not started by this order.
+    /// The run was not started by this order; with the target's clock in milliseconds, if the answer contains it.
     Refused(StartRefusal, Option<TargetTime>),
     /// No answer came; the order may still be carried out.
     Unanswered,
 }
 
 impl StartAnswer {
-    /// Returns the target's clock, where the answer tells it.
+    /// Returns the target's clock, if the answer contains it.
     pub(super) fn clock(&self) -> Option<TargetTime> {
         match self {
             Self::Started { clock } => Some(*clock),
@@ -113,7 +112,7 @@
     pub task: TaskId,
     /// Number of the run.
     pub run: u64,
-    /// How much of its work is done, in percent; none if the target does not tell.
+    /// How much of its work is done, in percent; none if the target does not report it.
     pub progress: Option<u8>,
 }
 
