--- a/crates/claims/cloverfold_app/src/error.rs
+++ b/crates/claims/cloverfold_app/src/error.rs
@@ -1,4 +1,6 @@
 //! The errors of building and running a process.
+//!
+//! Owns nothing; plugins and `App` return them.
 
 /// Why a process could not be built or started.
 #[derive(Debug, thiserror::Error)]
--- a/crates/claims/cloverfold_claims_process/src/endpoint.rs
+++ b/crates/claims/cloverfold_claims_process/src/endpoint.rs
@@ -1,4 +1,6 @@
 //! The endpoint at which a process reaches other processes and is reached.
+//!
+//! Owns nothing: the endpoint belongs to the process. Relies on `cloverfold_net`.
 
 use std::net::SocketAddr;
 
--- a/crates/claims/cloverfold_claims_process/src/entry.rs
+++ b/crates/claims/cloverfold_claims_process/src/entry.rs
@@ -1,4 +1,6 @@
 //! The start of an entry.
+//!
+//! Owns nothing: the running process goes to the caller. Relies on the plugins of membership and of the entry.
 
 use cloverfold_app::{App, Running};
 use cloverfold_claims_settings::{CellSettings, EntrySettings};
--- a/crates/claims/cloverfold_claims_process/src/error.rs
+++ b/crates/claims/cloverfold_claims_process/src/error.rs
@@ -1,4 +1,6 @@
 //! The errors of starting a process.
+//!
+//! Owns nothing; starts of processes and operators' endpoints return them.
 
 use cloverfold_app::BuildError;
 use cloverfold_net::NetError;
--- a/crates/claims/cloverfold_claims_process/src/guard.rs
+++ b/crates/claims/cloverfold_claims_process/src/guard.rs
@@ -1,4 +1,6 @@
 //! The start of a guard.
+//!
+//! Owns nothing: the running process goes to the caller. Relies on the plugins of membership, claims, execution and coordination.
 
 use cloverfold_app::{App, Running};
 use cloverfold_base::unix_now;
--- a/crates/claims/cloverfold_claims_process/src/operator.rs
+++ b/crates/claims/cloverfold_claims_process/src/operator.rs
@@ -1,4 +1,6 @@
 //! An operator's endpoint, and the addresses of a cell's guards.
+//!
+//! Owns nothing: the endpoint belongs to the command. Relies on `cloverfold_net` and on the cell's settings.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
--- a/crates/cloverfold/src/bin/cloverfold/control.rs
+++ b/crates/cloverfold/src/bin/cloverfold/control.rs
@@ -1,4 +1,6 @@
 //! `cloverfold control`: runs a control process of a leased installation.
+//!
+//! Owns the process from its settings to its planned stop. Relies on `cloverfold_control` for what it does.
 
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/cloverfold/src/bin/cloverfold/entry.rs
+++ b/crates/cloverfold/src/bin/cloverfold/entry.rs
@@ -1,4 +1,6 @@
 //! `cloverfold entry`: runs an entry of a claims installation.
+//!
+//! Owns the process from its settings to its planned stop. Relies on `cloverfold_claims_process` for what it does.
 
 use std::path::PathBuf;
 
--- a/crates/cloverfold/src/bin/cloverfold/found.rs
+++ b/crates/cloverfold/src/bin/cloverfold/found.rs
@@ -1,4 +1,6 @@
 //! `cloverfold found`: founds a cell of a claims installation.
+//!
+//! Owns nothing. Relies on `cloverfold_claim` for the founding and on `operator` for the calls.
 
 use std::path::PathBuf;
 
--- a/crates/cloverfold/src/bin/cloverfold/keys.rs
+++ b/crates/cloverfold/src/bin/cloverfold/keys.rs
@@ -1,4 +1,6 @@
 //! `cloverfold keys`: makes the keys of the processes of a claims installation.
+//!
+//! Owns nothing after the files are written. Relies on `cloverfold_net` for the keys.
 
 use std::path::PathBuf;
 
--- a/crates/cloverfold/src/bin/cloverfold/leased_entry.rs
+++ b/crates/cloverfold/src/bin/cloverfold/leased_entry.rs
@@ -1,4 +1,6 @@
 //! `cloverfold leased-entry`: runs an entry of a leased installation.
+//!
+//! Owns the process from its settings to its planned stop. Relies on `cloverfold_leased_entry` for what it does.
 
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/cloverfold/src/bin/cloverfold/leave.rs
+++ b/crates/cloverfold/src/bin/cloverfold/leave.rs
@@ -1,4 +1,6 @@
 //! `cloverfold leave`: stops a guard of a claims installation as planned.
+//!
+//! Owns nothing. Relies on `cloverfold_membership` for the message and on `operator` for the call.
 
 use std::path::PathBuf;
 
--- a/crates/cloverfold/src/bin/cloverfold/status.rs
+++ b/crates/cloverfold/src/bin/cloverfold/status.rs
@@ -1,4 +1,6 @@
 //! `cloverfold status`: shows the claim records of each guard of a claims installation.
+//!
+//! Owns nothing. Relies on `cloverfold_claim` for the message and on `operator` for the calls.
 
 use std::path::PathBuf;
 
--- a/crates/tools/cloverfold_solo/src/error.rs
+++ b/crates/tools/cloverfold_solo/src/error.rs
@@ -1,4 +1,6 @@
 //! The errors of the solo system.
+//!
+//! Owns nothing; the start and the measurement of the system return them.
 
 use cloverfold_claim::FoundError;
 use cloverfold_claims_process::ProcessError;
--- a/crates/tools/cloverfold_target/src/task.rs
+++ b/crates/tools/cloverfold_target/src/task.rs
@@ -1,4 +1,6 @@
 //! The body of a task for the sample target.
+//!
+//! Owns nothing. Tests and the load write it, the target reads it.
 
 use serde::{Deserialize, Serialize};
 
