--- a/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
@@ -1,7 +1,7 @@
 //! What follows from stuck runs: they are stopped, and their target is paused.
 //!
-//! For: the consequences of the verdicts of `progress` (one run) and `performance` (the target).
-//! Owns nothing beyond the runner's state; relies on those two, on `stops` and on `waiting`.
+//! Carries out the verdicts of `progress` (one run) and `performance` (the target).
+//! Owns no state besides the runner's; relies on those two, on `stops` and on `waiting`.
 
 use cloverfold_base::Timestamp;
 
@@ -14,7 +14,7 @@
     /// A target of which no run was ever seen to advance is not judged: it may tell no progress at all.
     pub(super) fn stop_stuck_runs(&mut self, now: Timestamp) {
         let target = self.target.as_ref();
-        if !target.is_some_and(|target| target.performance.tells_progress()) {
+        if !target.is_some_and(|target| target.performance.reports_progress()) {
             return;
         }
         for task in self.find_stuck_runs(now) {
