--- a/crates/claims/cloverfold_claims_core/src/guard_table.rs
+++ b/crates/claims/cloverfold_claims_core/src/guard_table.rs
@@ -57,8 +57,8 @@
     reported_at: Duration,
     /// Tasks that the report shows beyond those that this process had there when it came.
     load_of_others: u32,
-    /// It could not be reached since the report.
-    is_suspected: bool,
+    /// When it last could not be reached, unless it made a report after that.
+    suspected_at: Option<Duration>,
 }
 
 /// The newest report of each guard, and what this process itself has in flight there.
@@ -82,12 +82,18 @@
         let is_new_incarnation =
             |held: &KnownGuard| held.report.placement.incarnation != report.placement.incarnation;
         let has_restarted = held.is_some_and(is_new_incarnation);
+        let reported_at = now.saturating_sub(report.age);
+        // A report from before the suspicion, passed on late, does not show that the guard can be reached.
+        let suspected_at = held
+            .filter(|_| !has_restarted)
+            .and_then(|held| held.suspected_at)
+            .filter(|suspected_at| reported_at <= *suspected_at);
         let load = report.running + report.queued;
         let known = KnownGuard {
             report,
-            reported_at: now.saturating_sub(report.age),
+            reported_at,
             load_of_others: load.saturating_sub(self.in_flight_at(guard)),
-            is_suspected: false,
+            suspected_at,
         };
         self.guards.insert(guard, known);
         has_restarted
@@ -147,10 +153,10 @@
         places
     }
 
-    /// Excludes a guard that could not be reached from new work until it reports anew.
-    pub fn suspect(&mut self, guard: GuardId) {
+    /// Excludes a guard that could not be reached from new work until a report that it made after `now` comes.
+    pub fn suspect(&mut self, guard: GuardId, now: Duration) {
         if let Some(guard) = self.guards.get_mut(&guard) {
-            guard.is_suspected = true;
+            guard.suspected_at = Some(now);
         }
     }
 
@@ -184,7 +190,7 @@
     pub fn list_candidates(&self, now: Duration, silence: Duration) -> Vec<Candidate> {
         let usable = self.guards.values().filter(|guard| {
             guard.report.phase == GuardPhase::Live
-                && !guard.is_suspected
+                && guard.suspected_at.is_none()
                 && now.saturating_sub(guard.reported_at) <= silence
         });
         let describe = |guard: &KnownGuard| Candidate {
--- a/crates/claims/cloverfold_claims_core/tests/guard_table.rs
+++ b/crates/claims/cloverfold_claims_core/tests/guard_table.rs
@@ -45,7 +45,7 @@
 fn a_suspected_guard_gets_nothing_until_it_reports_anew() {
     let mut table = GuardTable::default();
     table.absorb(report(1, 0), at(0));
-    table.suspect(1);
+    table.suspect(1, at(5));
     table.absorb(report(1, 0), at(10));
     let suspected = table.list_candidates(at(10), SILENCE).len();
 
@@ -55,6 +55,39 @@
     assert_eq!(table.list_candidates(at(20), SILENCE).len(), 1);
 }
 
+#[test]
+fn a_suspected_guard_gets_nothing_for_an_older_report_that_is_passed_on() {
+    let mut first = GuardTable::default();
+    let mut second = GuardTable::default();
+    first.absorb(report(2, 0), at(100));
+    second.absorb(report(1, 0), at(0));
+    second.suspect(1, at(600));
+
+    for passed_on in first.reports(at(700)) {
+        second.absorb(passed_on, at(700));
+    }
+    let suspected = second.list_candidates(at(700), SILENCE).len();
+    second.absorb(report(3, 0), at(800));
+
+    assert_eq!(suspected, 0);
+    assert_eq!(second.list_candidates(at(800), SILENCE).len(), 1);
+}
+
+#[test]
+fn a_restart_ends_the_suspicion_of_the_incarnation_before() {
+    let mut table = GuardTable::default();
+    table.absorb(report(1, 0), at(0));
+    table.suspect(1, at(500));
+    let mut restarted = report(1, 0);
+    restarted.placement.incarnation = 2;
+    restarted.age = at(200);
+
+    let has_restarted = table.absorb(restarted, at(600));
+
+    assert!(has_restarted);
+    assert_eq!(table.list_candidates(at(600), SILENCE).len(), 1);
+}
+
 #[test]
 fn own_tasks_are_counted_once_and_foreign_ones_are_added() {
     let mut table = GuardTable::default();
--- a/crates/claims/cloverfold_membership/src/gossip.rs
+++ b/crates/claims/cloverfold_membership/src/gossip.rs
@@ -130,7 +130,7 @@
             Ok(reports) => self.membership.absorb(reports),
             Err(cause) => {
                 log::debug!(guard = guard; "heartbeat: {cause}");
-                // Its next report, by whatever way that comes, ends the suspicion.
+                // The next report that it makes, by whatever way that comes, ends the suspicion.
                 self.membership.suspect(guard);
             }
         }
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -172,9 +172,10 @@
         }
     }
 
-    /// Records that a guard could not be reached, so that it gets no new task until it reports again.
+    /// Records that a guard could not be reached, so that it gets no new task until it makes a further report.
     pub fn suspect(&self, guard: GuardId) {
-        self.table.post(move |table| table.suspect(guard));
+        let now = self.started.elapsed();
+        self.table.post(move |table| table.suspect(guard, now));
     }
 
     /// Waits until a later incarnation of a place's guard is known.
