--- a/crates/cloverfold/src/bin/cloverfold-guard.rs
+++ b/crates/cloverfold/src/bin/cloverfold-guard.rs
@@ -15,7 +15,7 @@
 use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_platform::Platform;
 use cloverfold_programs::{RuntimeThreads, report_outcome, start_runtime};
-use cloverfold_settings::SettingsWithPaths;
+use cloverfold_settings::{SettingsWithPaths, read_settings};
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
@@ -58,14 +58,13 @@
 
 /// Runs the guard of a leased installation until a signal stops it; reloads changed settings.
 fn run_leased_guard(file: &Path) -> Result<()> {
-    let settings = LeasedGuardSettings::read(file)?;
+    let settings: LeasedGuardSettings = read_settings(file)?;
     start_logging(&settings.log)?;
     start_leased_runtime()?.block_on(async {
         let process = start_leased_guard(&settings, Arc::new(Platform::default()))?;
         let watch = SettingsWatch::start(file)?;
-        let reload = |settings| process.reload(&settings);
         watch
-            .run_until_stop(LeasedGuardSettings::read, reload)
+            .run_until_stop(|settings| process.reload(&settings))
             .await;
         process.stop().await;
         Ok(())
--- a/crates/cloverfold/src/bin/cloverfold/check.rs
+++ b/crates/cloverfold/src/bin/cloverfold/check.rs
@@ -54,9 +54,9 @@
         };
         match role {
             Role::Cell => check_cell(&self.file)?,
-            Role::Control => drop(ControlSettings::read(&self.file)?),
-            Role::LeasedEntry => drop(LeasedEntrySettings::read(&self.file)?),
-            Role::LeasedGuard => drop(LeasedGuardSettings::read(&self.file)?),
+            Role::Control => drop(read_settings::<ControlSettings>(&self.file)?),
+            Role::LeasedEntry => drop(read_settings::<LeasedEntrySettings>(&self.file)?),
+            Role::LeasedGuard => drop(read_settings::<LeasedGuardSettings>(&self.file)?),
             Role::Entry => check_cell(&EntrySettings::read(&self.file)?.cell)?,
             Role::Guard => check_guard(&self.file)?,
         }
--- a/crates/cloverfold/src/bin/cloverfold/control.rs
+++ b/crates/cloverfold/src/bin/cloverfold/control.rs
@@ -10,6 +10,7 @@
 use cloverfold_leased_process::{SettingsWatch, start_leased_runtime};
 use cloverfold_leased_settings::ControlSettings;
 use cloverfold_platform::Platform;
+use cloverfold_settings::read_settings;
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
@@ -25,13 +26,14 @@
 impl ControlCommand {
     /// Runs the process until a signal stops it; reloads changed settings.
     pub(crate) fn run(self) -> Result<()> {
-        let settings = ControlSettings::read(&self.settings)?;
+        let settings: ControlSettings = read_settings(&self.settings)?;
         start_logging(&settings.log)?;
         start_leased_runtime()?.block_on(async {
             let process = start_control(&settings, Arc::new(Platform::default()))?;
             let watch = SettingsWatch::start(&self.settings)?;
-            let reload = |settings| process.reload(&settings);
-            watch.run_until_stop(ControlSettings::read, reload).await;
+            watch
+                .run_until_stop(|settings| process.reload(&settings))
+                .await;
             process.stop().await;
             Ok(())
         })
--- a/crates/cloverfold/src/bin/cloverfold/leased_entry.rs
+++ b/crates/cloverfold/src/bin/cloverfold/leased_entry.rs
@@ -10,6 +10,7 @@
 use cloverfold_leased_process::{SettingsWatch, start_leased_runtime};
 use cloverfold_leased_settings::LeasedEntrySettings;
 use cloverfold_platform::Platform;
+use cloverfold_settings::read_settings;
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
@@ -25,14 +26,13 @@
 impl LeasedEntryCommand {
     /// Runs the process until a signal stops it; reloads changed settings.
     pub(crate) fn run(self) -> Result<()> {
-        let settings = LeasedEntrySettings::read(&self.settings)?;
+        let settings: LeasedEntrySettings = read_settings(&self.settings)?;
         start_logging(&settings.log)?;
         start_leased_runtime()?.block_on(async {
             let process = start_leased_entry(&settings, Arc::new(Platform::default()))?;
             let watch = SettingsWatch::start(&self.settings)?;
-            let reload = |settings| process.reload(&settings);
             watch
-                .run_until_stop(LeasedEntrySettings::read, reload)
+                .run_until_stop(|settings| process.reload(&settings))
                 .await;
             process.stop().await;
             Ok(())
--- a/crates/leased/cloverfold_leased_process/src/settings_watch.rs
+++ b/crates/leased/cloverfold_leased_process/src/settings_watch.rs
@@ -1,11 +1,13 @@
 //! The signals of a process, and settings that change while it runs.
 //!
-//! Owns the signal handlers and what is known of the settings file. Relies on the caller to read the settings and to apply them.
+//! Owns the signal handlers and what is known of the settings file. Relies on `cloverfold_settings` to read the settings and on the
+//! caller to apply them.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-use cloverfold_settings::SettingsError;
+use cloverfold_settings::{Check, read_settings};
+use serde::de::DeserializeOwned;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::{Interval, MissedTickBehavior, interval};
 
@@ -50,11 +52,7 @@
 
     /// Waits for SIGTERM or SIGINT. On SIGHUP and when the file has changed, reads the file again and passes valid settings to
     /// `apply`; invalid ones are logged with file, line and field, and change nothing.
-    pub async fn run_until_stop<T>(
-        mut self,
-        read: impl Fn(&Path) -> Result<T, SettingsError>,
-        apply: impl Fn(T),
-    ) {
+    pub async fn run_until_stop<T: DeserializeOwned + Check>(mut self, apply: impl Fn(T)) {
         loop {
             tokio::select! {
                 _ = self.term.recv() => return,
@@ -67,12 +65,12 @@
                 }
             }
             self.last_stamp = read_stamp(&self.file);
-            self.reload(&read, &apply);
+            self.reload(&apply);
         }
     }
 
-    fn reload<T>(&self, read: impl Fn(&Path) -> Result<T, SettingsError>, apply: impl Fn(T)) {
-        match read(&self.file) {
+    fn reload<T: DeserializeOwned + Check>(&self, apply: impl Fn(T)) {
+        match read_settings(&self.file) {
             Ok(settings) => {
                 let file = self.file.display().to_string();
                 log::info!(file = file.as_str(); "settings are read anew");
--- a/crates/leased/cloverfold_leased_settings/src/control.rs
+++ b/crates/leased/cloverfold_leased_settings/src/control.rs
@@ -3,9 +3,9 @@
 //! Owns the checks of [`ControlSettings`]. Relies on the settings that it shares with the other processes.
 
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
-use cloverfold_settings::{Check, FaultList, LogSettings, SettingsError, read_settings};
+use cloverfold_settings::{Check, FaultList, LogSettings};
 use serde::Deserialize;
 
 use crate::peer::PeerSettings;
@@ -32,17 +32,6 @@
     pub log: LogSettings,
 }
 
-impl ControlSettings {
-    /// Reads and checks the file.
-    ///
-    /// # Errors
-    ///
-    /// As [`cloverfold_settings::read_settings`].
-    pub fn read(file: &Path) -> Result<Self, SettingsError> {
-        read_settings(file)
-    }
-}
-
 impl Check for ControlSettings {
     fn check(&self, faults: &mut FaultList) {
         self.peer.check(faults);
--- a/crates/leased/cloverfold_leased_settings/src/entry.rs
+++ b/crates/leased/cloverfold_leased_settings/src/entry.rs
@@ -3,10 +3,9 @@
 //! Owns the checks of [`LeasedEntrySettings`]. Relies on the settings that it shares with the other processes.
 
 use std::net::SocketAddr;
-use std::path::Path;
 use std::time::Duration;
 
-use cloverfold_settings::{Check, FaultList, LogSettings, SettingsError, read_settings};
+use cloverfold_settings::{Check, FaultList, LogSettings};
 use serde::Deserialize;
 
 use crate::lease::LeaseSettings;
@@ -43,15 +42,6 @@
 }
 
 impl LeasedEntrySettings {
-    /// Reads and checks the file.
-    ///
-    /// # Errors
-    ///
-    /// As [`cloverfold_settings::read_settings`].
-    pub fn read(file: &Path) -> Result<Self, SettingsError> {
-        read_settings(file)
-    }
-
     /// Returns how long a planned stop may take.
     pub fn drain_timeout(&self) -> Duration {
         Duration::from_millis(self.drain_ms)
--- a/crates/leased/cloverfold_leased_settings/src/guard.rs
+++ b/crates/leased/cloverfold_leased_settings/src/guard.rs
@@ -3,10 +3,9 @@
 //! Owns the checks of [`LeasedGuardSettings`]. Relies on the settings that it shares with the other processes.
 
 use std::net::SocketAddr;
-use std::path::Path;
 use std::time::Duration;
 
-use cloverfold_settings::{Check, FaultList, LogSettings, SettingsError, read_settings};
+use cloverfold_settings::{Check, FaultList, LogSettings};
 use serde::Deserialize;
 
 use crate::lease::LeaseSettings;
@@ -31,15 +30,6 @@
 }
 
 impl LeasedGuardSettings {
-    /// Reads and checks the file.
-    ///
-    /// # Errors
-    ///
-    /// As [`cloverfold_settings::read_settings`].
-    pub fn read(file: &Path) -> Result<Self, SettingsError> {
-        read_settings(file)
-    }
-
     /// Returns how long a planned stop may take.
     pub fn drain_timeout(&self) -> Duration {
         Duration::from_millis(self.drain_ms)
