--- a/crates/common/cloverfold_http/src/server.rs
+++ b/crates/common/cloverfold_http/src/server.rs
@@ -219,9 +219,7 @@
         let follow = follow.clone();
         async move {
             let mut response = answer(request, &limits, handler.as_ref()).await;
-            if *follow.borrow() >= StopPhase::Turning {
-                ask_to_reconnect(&mut response);
-            }
+            ask_to_reconnect(&mut response, *follow.borrow());
             Ok::<_, std::convert::Infallible>(response)
         }
     });
@@ -244,10 +242,12 @@
     }
 }
 
-/// Tells the client to open a new connection for its next request.
-fn ask_to_reconnect(response: &mut Response) {
-    let close = HeaderValue::from_static("close");
-    response.headers_mut().insert(CONNECTION, close);
+/// Tells the client to open a new connection for its next request, from [`StopPhase::Turning`] on.
+fn ask_to_reconnect(response: &mut Response, phase: StopPhase) {
+    if phase >= StopPhase::Turning {
+        let close = HeaderValue::from_static("close");
+        response.headers_mut().insert(CONNECTION, close);
+    }
 }
 
 /// Reads the body within the limits and runs the handler; a body that breaks a limit is refused without the handler.
