--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -182,11 +182,11 @@
 
 fn refusals() -> Vec<Sample<RunRefusal>> {
     each_variant!(RunRefusal {
-        RunRefusal::NoRoom => one("no-room", RunRefusal::NoRoom),
+        RunRefusal::NoCapacity => one("no-room", RunRefusal::NoCapacity),
         RunRefusal::NoTarget => one("no-target", RunRefusal::NoTarget),
         RunRefusal::Draining => one("draining", RunRefusal::Draining),
         RunRefusal::Expired => one("expired", RunRefusal::Expired),
-        RunRefusal::Held => one("held", RunRefusal::Held),
+        RunRefusal::EarlierRunOpen => one("held", RunRefusal::EarlierRunOpen),
         RunRefusal::Stale => one("stale", RunRefusal::Stale),
         RunRefusal::Unanswered => one("unanswered", RunRefusal::Unanswered),
         RunRefusal::Unhealthy => one("unhealthy", RunRefusal::Unhealthy),
--- a/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
@@ -3,7 +3,7 @@
 //! | when | rule | answer |
 //! |---|---|---|
 //! | at the submission | the process leaves, or no target of the service accepts work | refused |
-//! | at the queue deadline | no task was ever offered to a target, or all came back unstarted | refused, `NoRoom` |
+//! | at the queue deadline | no task was ever offered to a target, or all came back unstarted | refused, `NoCapacity` |
 //! | at the give-up deadline | parts may have run | given up |
 //! | after a stall of [`JOB_STALL`] | callers may have left and asked elsewhere | all open jobs given up |
 //!
@@ -83,9 +83,9 @@
         if let Some(job) = self.jobs.get(&number) {
             let id = job.request.id.clone();
             let waited = now.saturating_duration_since(job.submitted_at);
-            self.report_refusal(&id, JobRefusal::NoRoom, waited, now);
+            self.report_refusal(&id, JobRefusal::NoCapacity, waited, now);
         }
-        self.finish_job(number, JobAnswer::refused(JobRefusal::NoRoom));
+        self.finish_job(number, JobAnswer::refused(JobRefusal::NoCapacity));
     }
 
     /// Gives up all open jobs after the process stood still: a caller may have left meanwhile and asked elsewhere, and nothing
--- a/crates/leased/cloverfold_lease/src/dispatcher/answers.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/answers.rs
@@ -10,8 +10,8 @@
 /// Why a job was refused; it has not run and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum JobRefusal {
-    /// No target had free capacity in time.
-    NoRoom,
+    /// No target had free capacity in time. Written `NoRoom`.
+    NoCapacity,
     /// No target of the service is known.
     NoTarget,
     /// The process is stopping.
@@ -24,7 +24,7 @@
     /// Returns the name by which logs and answers call it; it is part of the outside interface.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::NoRoom => "NoRoom",
+            Self::NoCapacity => "NoRoom",
             Self::NoTarget => "NoTarget",
             Self::Leaving => "Leaving",
             Self::Stalled => "Stalled",
--- a/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
@@ -133,7 +133,7 @@
     ) {
         self.counts.given_back += 1;
         match refusal {
-            RunRefusal::NoRoom | RunRefusal::NoTarget | RunRefusal::Draining => {
+            RunRefusal::NoCapacity | RunRefusal::NoTarget | RunRefusal::Draining => {
                 if let Some(runner) = self.sessions.get_mut(&session) {
                     runner.record_full();
                 }
@@ -148,7 +148,7 @@
                     task.next_run += STALE_RUN_STEP;
                 }
             }
-            RunRefusal::Expired | RunRefusal::Held | RunRefusal::Withdrawn => {}
+            RunRefusal::Expired | RunRefusal::EarlierRunOpen | RunRefusal::Withdrawn => {}
         }
         self.avoid_session(position, session);
         self.queue_task(position);
--- a/crates/leased/cloverfold_lease/src/messages.rs
+++ b/crates/leased/cloverfold_lease/src/messages.rs
@@ -69,16 +69,16 @@
 /// Why a run was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RunRefusal {
-    /// There was no free capacity in time.
-    NoRoom,
+    /// There was no free capacity in time. Written `NoRoom`.
+    NoCapacity,
     /// No target that accepts work is known.
     NoTarget,
     /// The target is leaving.
     Draining,
     /// The assignment came after the end of its session.
     Expired,
-    /// A run of this task is not over yet.
-    Held,
+    /// The runner still has an earlier run of this task, whose end is not certain. Written `Held`.
+    EarlierRunOpen,
     /// The target has seen this run or a later one.
     Stale,
     /// The target did not answer and certainly runs nothing.
@@ -95,11 +95,11 @@
     /// Returns the name by which logs and answers call it; it is part of the outside interface.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::NoRoom => "NoRoom",
+            Self::NoCapacity => "NoRoom",
             Self::NoTarget => "NoTarget",
             Self::Draining => "Draining",
             Self::Expired => "Expired",
-            Self::Held => "Held",
+            Self::EarlierRunOpen => "Held",
             Self::Stale => "Stale",
             Self::Unanswered => "Unanswered",
             Self::Unhealthy => "Unhealthy",
--- a/crates/leased/cloverfold_lease/src/runner/answers.rs
+++ b/crates/leased/cloverfold_lease/src/runner/answers.rs
@@ -38,8 +38,8 @@
     Stale,
     /// Its clock was past the deadline of the order.
     Late,
-    /// It has no free capacity.
-    NoRoom,
+    /// It has no free capacity. Written `NoRoom`.
+    NoCapacity,
     /// It can't work at present and has done nothing.
     Unhealthy,
     /// There was no connection to it, so it has not received the order.
@@ -57,7 +57,7 @@
             Self::Fenced => "Fenced",
             Self::Stale => "Stale",
             Self::Late => "Late",
-            Self::NoRoom => "NoRoom",
+            Self::NoCapacity => "NoRoom",
             Self::Unhealthy => "Unhealthy",
             Self::Unreachable => "Unreachable",
             Self::OtherIncarnation => "OtherInstance",
--- a/crates/leased/cloverfold_lease/src/runner/assignment.rs
+++ b/crates/leased/cloverfold_lease/src/runner/assignment.rs
@@ -54,8 +54,8 @@
     ///    dispatcher may already count its runs here as over.
     /// 2. `Draining` or `NoTarget`: the target accepts no work, see [`TargetIncarnation::find_unavailable_reason`].
     /// 3. `Draining`: this runner is leaving.
-    /// 4. `Held`: a run of the same task is not certainly over; two at once must not happen.
-    /// 5. `NoRoom`: it is larger than the whole target. What fits into the target but not now waits instead.
+    /// 4. `EarlierRunOpen`: a run of the same task is not certainly over; two at once must not happen.
+    /// 5. `NoCapacity`: it is larger than the whole target. What fits into the target but not now waits instead.
     fn find_refusal(
         &self,
         session: SessionId,
@@ -73,10 +73,10 @@
             return Some(RunRefusal::Draining);
         }
         if self.runs.contains_key(&assignment.task) {
-            return Some(RunRefusal::Held);
+            return Some(RunRefusal::EarlierRunOpen);
         }
         let fits = target.capacity().covers(&assignment.demand);
-        (!fits).then_some(RunRefusal::NoRoom)
+        (!fits).then_some(RunRefusal::NoCapacity)
     }
 
     fn refusal_without_target(&self) -> RunRefusal {
--- a/crates/leased/cloverfold_lease/src/runner/refused_start.rs
+++ b/crates/leased/cloverfold_lease/src/runner/refused_start.rs
@@ -49,7 +49,7 @@
             RunRefusal::NoTarget
         }
         StartRefusal::Stale => RunRefusal::Stale,
-        StartRefusal::NoRoom => RunRefusal::NoRoom,
+        StartRefusal::NoCapacity => RunRefusal::NoCapacity,
         StartRefusal::Unhealthy => RunRefusal::Unhealthy,
         StartRefusal::Unreachable => RunRefusal::Unanswered,
         StartRefusal::Invalid => RunRefusal::Rejected,
--- a/crates/leased/cloverfold_lease/src/runner/waiting.rs
+++ b/crates/leased/cloverfold_lease/src/runner/waiting.rs
@@ -40,7 +40,7 @@
             .map(|(task, _)| task.clone())
             .collect();
         for task in late {
-            self.end_run(&task, RunOutcome::NotStarted(RunRefusal::NoRoom), now);
+            self.end_run(&task, RunOutcome::NotStarted(RunRefusal::NoCapacity), now);
         }
     }
 
--- a/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
@@ -21,7 +21,7 @@
     let [(answered, JobAnswer::Refused { cause, retry_after })] = answers[..] else {
         panic!("{answers:?}");
     };
-    assert_eq!((answered, cause), (number, JobRefusal::NoRoom));
+    assert_eq!((answered, cause), (number, JobRefusal::NoCapacity));
     assert!(retry_after > Duration::ZERO);
 }
 
--- a/crates/leased/cloverfold_lease/tests/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/run_ends.rs
@@ -72,13 +72,13 @@
     fixture.pass(60, &[1]);
     assert!(fixture.answers().is_empty(), "it may be at work");
 
-    fixture.end(&run, RunOutcome::NotStarted(RunRefusal::NoRoom));
+    fixture.end(&run, RunOutcome::NotStarted(RunRefusal::NoCapacity));
     fixture.heartbeat(1, FULL, u64::MAX);
     fixture.dispatcher.tick(fixture.now);
 
     let answers = fixture.answers();
     assert!(
-        matches!(answers[..], [(n, JobAnswer::Refused { cause: JobRefusal::NoRoom, .. })] if n == number),
+        matches!(answers[..], [(n, JobAnswer::Refused { cause: JobRefusal::NoCapacity, .. })] if n == number),
         "{answers:?}"
     );
 }
--- a/crates/leased/cloverfold_lease/tests/runner/assignments.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/assignments.rs
@@ -16,7 +16,7 @@
 
     assert_eq!(
         take_ends(&mut runner),
-        [(2, RunOutcome::NotStarted(RunRefusal::NoRoom))]
+        [(2, RunOutcome::NotStarted(RunRefusal::NoCapacity))]
     );
 }
 
--- a/crates/leased/cloverfold_lease/tests/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/starts.rs
@@ -24,7 +24,7 @@
     let first = take_starts(&mut runner).remove(0);
     runner.receive_start_answer(&first, StartAnswer::Unanswered, at(140));
     let second = take_starts(&mut runner).remove(0);
-    let refused = StartAnswer::Refused(StartRefusal::NoRoom, Some(50_050));
+    let refused = StartAnswer::Refused(StartRefusal::NoCapacity, Some(50_050));
 
     runner.receive_start_answer(&second, refused, at(145));
 
@@ -36,7 +36,7 @@
     renew(&mut runner, at(150), list(first.deadline, vec![], &[]));
     assert_eq!(take_ends(&mut runner), []);
     renew(&mut runner, at(160), list(first.deadline + 1, vec![], &[]));
-    let expected = [(1, RunOutcome::NotStarted(RunRefusal::NoRoom))];
+    let expected = [(1, RunOutcome::NotStarted(RunRefusal::NoCapacity))];
     assert_eq!(take_ends(&mut runner), expected);
 }
 
--- a/crates/leased/cloverfold_lease/tests/world/target.rs
+++ b/crates/leased/cloverfold_lease/tests/world/target.rs
@@ -199,7 +199,7 @@
             return refused(StartRefusal::Stale);
         }
         if (self.running.len() as i64 + 1) * DEMAND > CAPACITY {
-            return refused(StartRefusal::NoRoom);
+            return refused(StartRefusal::NoCapacity);
         }
         let work: u64 = order.spec.parse().unwrap();
         self.highest_run.insert(order.task.clone(), order.run);
--- a/crates/leased/cloverfold_lease/tests/written_names.rs
+++ b/crates/leased/cloverfold_lease/tests/written_names.rs
@@ -7,11 +7,11 @@
 #[test]
 fn each_reason_not_to_start_a_run_keeps_its_written_name() {
     let names = [
-        (RunRefusal::NoRoom, "NoRoom"),
+        (RunRefusal::NoCapacity, "NoRoom"),
         (RunRefusal::NoTarget, "NoTarget"),
         (RunRefusal::Draining, "Draining"),
         (RunRefusal::Expired, "Expired"),
-        (RunRefusal::Held, "Held"),
+        (RunRefusal::EarlierRunOpen, "Held"),
         (RunRefusal::Stale, "Stale"),
         (RunRefusal::Unanswered, "Unanswered"),
         (RunRefusal::Unhealthy, "Unhealthy"),
@@ -45,7 +45,7 @@
 #[test]
 fn each_refusal_of_a_job_keeps_its_written_name() {
     let names = [
-        (JobRefusal::NoRoom, "NoRoom"),
+        (JobRefusal::NoCapacity, "NoRoom"),
         (JobRefusal::NoTarget, "NoTarget"),
         (JobRefusal::Leaving, "Leaving"),
         (JobRefusal::Stalled, "Stalled"),
@@ -78,7 +78,7 @@
         (StartRefusal::Fenced, "Fenced"),
         (StartRefusal::Stale, "Stale"),
         (StartRefusal::Late, "Late"),
-        (StartRefusal::NoRoom, "NoRoom"),
+        (StartRefusal::NoCapacity, "NoRoom"),
         (StartRefusal::Unhealthy, "Unhealthy"),
         (StartRefusal::Unreachable, "Unreachable"),
         (StartRefusal::OtherIncarnation, "OtherInstance"),
