--- a/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
@@ -90,7 +90,7 @@
 
     /// Gives up all open jobs after the process stood still: a caller may have left meanwhile and asked elsewhere, and nothing
     /// may be started for it any more. Called before anything else in each call of the dispatcher.
-    pub(super) fn notice_stall(&mut self, now: Timestamp) {
+    pub(super) fn give_up_after_stall(&mut self, now: Timestamp) {
         let gap = now.saturating_duration_since(self.last_call_at);
         self.last_call_at = now;
         if gap <= JOB_STALL {
--- a/crates/leased/cloverfold_lease/src/dispatcher/closing.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/closing.rs
@@ -57,8 +57,8 @@
             return;
         };
         self.waiting.remove(&job.queue_position(number));
-        if self.numbers.get(&job.request.id) == Some(&number) {
-            self.numbers.remove(&job.request.id);
+        if self.open_jobs_by_name.get(&job.request.id) == Some(&number) {
+            self.open_jobs_by_name.remove(&job.request.id);
         }
         for task in job.tasks {
             if let Some(run) = DetachedRun::from_phase(task.phase) {
--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -60,8 +60,8 @@
     /// Sessions that ended with runs whose end is not known.
     lost_sessions: Vec<LostSession>,
     jobs: BTreeMap<JobNumber, Job>,
-    /// Open jobs by the caller's names for them.
-    numbers: HashMap<String, JobNumber>,
+    /// Numbers of the open jobs, by the caller's names for them.
+    open_jobs_by_name: HashMap<String, JobNumber>,
     /// Jobs with waiting tasks, in the order in which they are served.
     waiting: BTreeSet<QueuePosition>,
     /// Runs of jobs that are closed; until they are over, no task of the same name is started.
@@ -86,7 +86,7 @@
             sessions: BTreeMap::new(),
             lost_sessions: Vec::new(),
             jobs: BTreeMap::new(),
-            numbers: HashMap::new(),
+            open_jobs_by_name: HashMap::new(),
             waiting: BTreeSet::new(),
             detached_runs: HashMap::new(),
             next_job: 1,
@@ -129,7 +129,7 @@
 
     /// Returns whether a job of this name is open.
     pub fn is_open(&self, id: &str) -> bool {
-        self.numbers.contains_key(id)
+        self.open_jobs_by_name.contains_key(id)
     }
 
     /// Counts the targets that accept work.
@@ -146,8 +146,8 @@
     /// Submits a job and returns its number; a job of the same name that is open is given up first, since its caller has turned
     /// to a new request.
     pub fn submit(&mut self, request: JobRequest, now: Timestamp) -> JobNumber {
-        self.notice_stall(now);
-        if let Some(&earlier) = self.numbers.get(&request.id) {
+        self.give_up_after_stall(now);
+        if let Some(&earlier) = self.open_jobs_by_name.get(&request.id) {
             self.finish_job(earlier, JobAnswer::GivenUp);
         }
         let number = self.next_job;
@@ -156,7 +156,7 @@
             self.refuse_at_once(number, &request.id, cause, now);
             return number;
         }
-        self.numbers.insert(request.id.clone(), number);
+        self.open_jobs_by_name.insert(request.id.clone(), number);
         let job = Job::new(request, self.first_run, now);
         self.waiting.insert(job.queue_position(number));
         self.jobs.insert(number, job);
@@ -171,7 +171,7 @@
 
     /// Stops a job by its name; returns whether it was open.
     pub fn cancel_named(&mut self, id: &str) -> bool {
-        let Some(&number) = self.numbers.get(id) else {
+        let Some(&number) = self.open_jobs_by_name.get(id) else {
             return false;
         };
         self.finish_job(number, JobAnswer::GivenUp);
@@ -180,9 +180,9 @@
 
     /// Does what has fallen due; call it every few tens of milliseconds.
     pub fn tick(&mut self, now: Timestamp) {
-        self.notice_stall(now);
+        self.give_up_after_stall(now);
         self.close_silent_sessions(now);
-        self.settle_expired_sessions(now);
+        self.release_expired_lost_sessions(now);
         self.place_waiting(now);
         self.end_late_jobs(now);
         self.withdraw_late_runs(now);
--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -159,8 +159,8 @@
         }
         let free = runner.free();
         let has_space = free.covers(&step.demand);
-        let may_hold_more = |most: u32| job.count_assigned(task.step, session) < most;
-        if !has_space || !step.most_per_target.is_none_or(may_hold_more) {
+        let allows_one_more = |most: u32| job.count_assigned(task.step, session) < most;
+        if !has_space || !step.most_per_target.is_none_or(allows_one_more) {
             return None;
         }
         Some(Candidate {
--- a/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
@@ -120,6 +120,8 @@
     /// Returns the name of a session's runner; empty if the session is gone.
     fn name_runner(&self, session: SessionId) -> String {
         let runner = self.sessions.get(&session);
-        runner.map(|held| held.runner.clone()).unwrap_or_default()
+        runner
+            .map(|session| session.runner.clone())
+            .unwrap_or_default()
     }
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
@@ -60,7 +60,7 @@
 
     /// Returns the task that is assigned to a session as this run.
     fn find_run(&self, id: &TaskId, from: SessionId, of: u64) -> Option<TaskPosition> {
-        let number: JobNumber = *self.numbers.get(&id.job)?;
+        let number: JobNumber = *self.open_jobs_by_name.get(&id.job)?;
         let job = self.jobs.get(&number)?;
         let index = job.find_task(id)?;
         match job.tasks[index].phase {
--- a/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
@@ -53,7 +53,7 @@
 
     /// Ends a session whose link is gone.
     pub fn close_session(&mut self, session: SessionId, now: Timestamp) {
-        self.notice_stall(now);
+        self.give_up_after_stall(now);
         let Some(closed) = self.sessions.remove(&session) else {
             return;
         };
@@ -110,7 +110,7 @@
 
     /// Handles a message of a runner.
     pub fn receive(&mut self, session: SessionId, message: RunnerMessage, now: Timestamp) {
-        self.notice_stall(now);
+        self.give_up_after_stall(now);
         let Some(runner) = self.sessions.get_mut(&session) else {
             return;
         };
@@ -156,16 +156,16 @@
         }
         if is_offered {
             let name = runner.runner.clone();
-            self.settle_sessions(|lost| lost.runner == name);
+            self.release_lost_sessions(|lost| lost.runner == name);
         }
     }
 
     /// Counts a trouble against the target of a session; it may be paused by it.
     pub(super) fn record_trouble(&mut self, session: SessionId, now: Timestamp) {
-        if let Some(held) = self.sessions.get_mut(&session)
-            && held.health.record_trouble(now)
+        if let Some(target) = self.sessions.get_mut(&session)
+            && target.health.record_trouble(now)
         {
-            let runner = held.runner.clone();
+            let runner = target.runner.clone();
             self.counts.pauses += 1;
             self.report(DispatcherEvent::TargetPaused { runner });
         }
@@ -177,7 +177,7 @@
         let silent: Vec<SessionId> = self
             .sessions
             .iter()
-            .filter(|(_, held)| now > held.last_message_at + limit)
+            .filter(|(_, runner)| now > runner.last_message_at + limit)
             .map(|(session, _)| *session)
             .collect();
         for session in silent {
@@ -187,22 +187,22 @@
     }
 
     /// Lets the tasks wait again whose lost sessions are over by time.
-    pub(super) fn settle_expired_sessions(&mut self, now: Timestamp) {
-        self.settle_sessions(|lost| now >= lost.over_at);
+    pub(super) fn release_expired_lost_sessions(&mut self, now: Timestamp) {
+        self.release_lost_sessions(|lost| now >= lost.over_at);
     }
 
     /// Settles the lost sessions of which nothing runs any more.
-    fn settle_sessions(&mut self, is_over: impl Fn(&LostSession) -> bool) {
+    fn release_lost_sessions(&mut self, is_over: impl Fn(&LostSession) -> bool) {
         let (over, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.lost_sessions)
             .into_iter()
             .partition(is_over);
         self.lost_sessions = open;
         for task in over.into_iter().flat_map(|lost| lost.tasks) {
-            self.settle_task(&task);
+            self.release_task(&task);
         }
     }
 
-    fn settle_task(&mut self, lost: &LostTask) {
+    fn release_task(&mut self, lost: &LostTask) {
         if self.detached_runs.get(&lost.id) == Some(&DetachedRun::Uncertain) {
             self.detached_runs.remove(&lost.id);
         }
--- a/crates/leased/cloverfold_lease/src/runner/assignment.rs
+++ b/crates/leased/cloverfold_lease/src/runner/assignment.rs
@@ -93,8 +93,8 @@
 
     /// Stops a run or gives it back, if this session assigned it.
     pub(super) fn withdraw(&mut self, session: SessionId, task: &TaskId, run: u64, now: Timestamp) {
-        let is_meant = |held: &Run| held.number == run && held.session == Some(session);
-        if self.runs.get(task).is_some_and(is_meant) {
+        let is_withdrawn_run = |known: &Run| known.number == run && known.session == Some(session);
+        if self.runs.get(task).is_some_and(is_withdrawn_run) {
             self.stop_run(task, RunOutcome::NotStarted(RunRefusal::Withdrawn), now);
         }
     }
