--- a/crates/claims/cloverfold_claim/src/error.rs
+++ b/crates/claims/cloverfold_claim/src/error.rs
@@ -1,4 +1,7 @@
 //! Errors of the agreement on a claim.
+//!
+//! For the callers of [`crate::Claims::agree`], which then answer the submission without a claim. Owns no state and relies
+//! on nothing.
 
 /// Why [`crate::Claims::agree`] brought no claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -1,4 +1,7 @@
 //! Registers the replica with a guard: its handlers, background tasks, readiness check and gauge.
+//!
+//! Creates the [`ClaimReplica`] on the control thread and owns nothing afterwards; the state belongs to [`Claims`]. Relies on
+//! the membership plugin, which adds [`Directory`], [`Membership`] and [`OwnState`] before.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
--- a/crates/claims/cloverfold_claims_core/src/ids.rs
+++ b/crates/claims/cloverfold_claims_core/src/ids.rs
@@ -1,4 +1,7 @@
 //! Identities that all packages of a claims installation share.
+//!
+//! Guards, incarnations, tasks, workspaces and submissions are named by these types in messages, records and logs. Owns no
+//! state. Relies on `cloverfold_base` for the hash, which must give the same key in every process.
 
 use cloverfold_base::{HASH_LEN, hash_parts};
 use serde::{Deserialize, Serialize};
--- a/crates/claims/cloverfold_claims_core/src/incarnations.rs
+++ b/crates/claims/cloverfold_claims_core/src/incarnations.rs
@@ -1,4 +1,8 @@
-//! The newest incarnation that a replica knows of each guard.
+//! The newest known incarnation of each guard.
+//!
+//! A replica sends it with each reply, so that a proposer does not count the vote of an incarnation that has ended
+//! ([`crate::Proposer`]). Owns the numbers by guard; a number never falls. Relies on a later incarnation having a larger
+//! number.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +10,7 @@
 
 use crate::{GuardId, Incarnation};
 
-/// The newest incarnation known of each guard.
+/// The newest known incarnation of each guard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Incarnations(BTreeMap<GuardId, Incarnation>);
 
--- a/crates/claims/cloverfold_claims_core/src/outcome.rs
+++ b/crates/claims/cloverfold_claims_core/src/outcome.rs
@@ -1,4 +1,7 @@
-//! What a caller is told about a job: outcomes and the codes of their causes.
+//! Outcomes of jobs as callers receive them, and the codes of their causes.
+//!
+//! Shared by the guard that decides an outcome and the entry that answers with it. Owns no state. Relies on nothing; callers
+//! rely on the names of the codes, which therefore stay as they are.
 
 use std::time::Duration;
 
--- a/crates/claims/cloverfold_claims_core/src/task_progress.rs
+++ b/crates/claims/cloverfold_claims_core/src/task_progress.rs
@@ -1,4 +1,7 @@
 //! One task of a job as its driver follows it from place to place.
+//!
+//! Owns the task's status, its present place and its earlier ones. Does not decide when a task moves; that is
+//! [`crate::JobProgress`], which relies on this file for the bound on moves and for never choosing a place twice.
 
 use crate::job_events::JobAction;
 use crate::{Placement, TaskIndex};
@@ -6,7 +9,7 @@
 /// How often one task may be moved before its job fails. Chosen, not measured.
 const MAX_MOVES: usize = 3;
 
-/// What the driver knows of one task.
+/// The status of one task, as far as its driver knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TaskStatus {
     /// It was assigned to its place.
--- a/crates/claims/cloverfold_coordinate/src/job_context.rs
+++ b/crates/claims/cloverfold_coordinate/src/job_context.rs
@@ -1,4 +1,7 @@
-//! What everything that works on the jobs of one guard shares.
+//! Services and state that all jobs of one guard share.
+//!
+//! Passed to the plan, the driver and the assignments of each job. Owns the retry budget of the process; the other fields are
+//! handles to services that the plugin has set up. Relies on [`Membership`] for who leads and on [`Claims`] for the own guard.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
--- a/crates/claims/cloverfold_coordinate/src/job_plan.rs
+++ b/crates/claims/cloverfold_coordinate/src/job_plan.rs
@@ -1,4 +1,7 @@
 //! Plans a job: waits for slots and proposes where each task runs.
+//!
+//! The plan is a proposal; the claim that the replicas agree on may be another guard's. Owns nothing: the slots belong to the
+//! [`Grant`] that the plan returns. Relies on the admitter for slots and on the cell's settings for weights.
 
 use std::collections::BTreeMap;
 
--- a/crates/claims/cloverfold_coordinate/src/metrics.rs
+++ b/crates/claims/cloverfold_coordinate/src/metrics.rs
@@ -1,4 +1,7 @@
 //! Metrics of coordinated jobs.
+//!
+//! Owns the counters, all since the start of the process. Relies on the coordinator, the driver, the assignments and the job
+//! context to count. Names and help texts are part of the interface to operators and stay as they are.
 
 use cloverfold_app::App;
 use cloverfold_claims_core::Outcome;
--- a/crates/claims/cloverfold_coordinate/src/plugin.rs
+++ b/crates/claims/cloverfold_coordinate/src/plugin.rs
@@ -1,4 +1,7 @@
-//! Registers the coordinator with a guard.
+//! Registers the coordinator with a guard: its handlers, background tasks and drain step.
+//!
+//! Creates the queue and the table of jobs on the control thread and owns nothing afterwards. Relies on the claim and
+//! membership plugins, which add [`Claims`], [`Membership`] and [`Directory`] before.
 
 use std::sync::{Arc, Mutex};
 
--- a/crates/claims/cloverfold_entry/src/metrics.rs
+++ b/crates/claims/cloverfold_entry/src/metrics.rs
@@ -1,4 +1,7 @@
 //! Metrics of the answers to callers.
+//!
+//! Owns the counters, the gauge and the histogram of one entry. Relies on the callers' handlers and on the routing of
+//! submissions to count. Names and help texts are part of the interface to operators and stay as they are.
 
 use std::time::Duration;
 
--- a/crates/claims/cloverfold_entry/src/plugin.rs
+++ b/crates/claims/cloverfold_entry/src/plugin.rs
@@ -1,4 +1,7 @@
-//! Registers the callers' interface with an entry.
+//! Registers the callers' interface with an entry: its HTTP routes and its drain step.
+//!
+//! Creates the [`Api`] and the [`JobRouting`] and owns nothing afterwards. Relies on the membership plugin, which adds
+//! [`Membership`] and [`Directory`] before.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
--- a/crates/claims/cloverfold_execute/src/metrics.rs
+++ b/crates/claims/cloverfold_execute/src/metrics.rs
@@ -1,4 +1,7 @@
 //! Metrics of the execution of tasks.
+//!
+//! Owns the counters of this guard and the target's own count of starts beside them, so that the two can be compared. Relies
+//! on the task runner to set them.
 
 use cloverfold_app::App;
 use prometheus_client::metrics::counter::Counter;
--- a/crates/claims/cloverfold_execute/src/plugin.rs
+++ b/crates/claims/cloverfold_execute/src/plugin.rs
@@ -1,4 +1,7 @@
-//! Registers the execution of tasks with a guard.
+//! Registers the execution of tasks with a guard: its handlers, background tasks and drain step.
+//!
+//! Creates the [`Execution`] on the control thread and the client of the target, and owns nothing afterwards. Relies on the
+//! membership plugin, which adds [`Membership`] and [`OwnState`] before.
 
 use cloverfold_app::{App, BuildError, Plugin};
 use cloverfold_claims_core::{FenceLimits, Placement};
--- a/crates/claims/cloverfold_membership/src/directory.rs
+++ b/crates/claims/cloverfold_membership/src/directory.rs
@@ -1,4 +1,7 @@
 //! The addresses of the cell's guards, as its settings list them.
+//!
+//! Used by every package that sends requests to guards. Owns the addresses and the order in which guards lead; neither changes
+//! while the process runs. Relies on [`CellSettings`]; whether a guard is alive is a question for [`crate::Membership`].
 
 use std::collections::BTreeMap;
 
--- a/crates/claims/cloverfold_membership/src/metrics.rs
+++ b/crates/claims/cloverfold_membership/src/metrics.rs
@@ -1,9 +1,11 @@
-//! Metrics of what a process knows of its cell.
+//! Metrics of a process's view of its cell.
+//!
+//! Owns two gauges, which show the view of this process alone. Relies on the heartbeats' task to set them after each turn.
 
 use cloverfold_app::App;
 use prometheus_client::metrics::gauge::Gauge;
 
-/// What this process knows of the guards.
+/// Gauges of this process's view of the guards.
 #[derive(Clone, Default)]
 pub(crate) struct MembershipMetrics {
     /// Guards that this process takes to be able to work.
--- a/crates/claims/cloverfold_membership/src/plugin.rs
+++ b/crates/claims/cloverfold_membership/src/plugin.rs
@@ -1,4 +1,7 @@
-//! Registers heartbeats with a process.
+//! Registers heartbeats with a process: its handlers, background task and drain step.
+//!
+//! Creates [`Membership`], [`Directory`] and [`OwnState`], on which the plugins of the other packages rely, and owns nothing
+//! afterwards. Relies on [`CellSettings`] being added before.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
--- a/crates/claims/cloverfold_net/src/config.rs
+++ b/crates/claims/cloverfold_net/src/config.rs
@@ -1,4 +1,7 @@
 //! Bounds and times of the connections between processes.
+//!
+//! Owns the default values and no state. Relies on the transport library to enforce the bounds of one connection;
+//! [`crate::Network`] enforces `unused_timeout`, `connect_timeout` and `requests`.
 
 use std::time::Duration;
 
@@ -6,9 +9,9 @@
 
 use crate::error::NetError;
 
-/// 1.8 s and not 2.5 s, so that a dead lead is missed sooner (docs/MEASUREMENTS.md, the lead killed, round 2).
+/// 1.8 s and not 2.5 s, so that a dead lead is detected sooner (docs/MEASUREMENTS.md, the lead killed, round 2).
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// 600 ms and not 800 ms, so that a dead lead is missed sooner (docs/CAPACITY.md); a third of [`IDLE_TIMEOUT`].
+/// 600 ms and not 800 ms, so that a dead lead is detected sooner (docs/CAPACITY.md); a third of [`IDLE_TIMEOUT`].
 const KEEP_ALIVE: Duration = Duration::from_millis(600);
 /// Set among savings that were measured together (docs/MEASUREMENTS.md, "What processes spend").
 const UNUSED_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/claims/cloverfold_net/src/connections.rs
+++ b/crates/claims/cloverfold_net/src/connections.rs
@@ -1,4 +1,7 @@
 //! The connections that this process has opened to its peers, one for each peer.
+//!
+//! Owns the connections and the times of their last use. Opens none itself: relies on [`crate::Network`] for handshakes and for
+//! the calls that close unused connections. Connections that peers have opened are not kept here.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -66,7 +69,7 @@
         cell.clone()
     }
 
-    /// Closes and forgets the connection to a peer, if there is one.
+    /// Closes and removes the connection to a peer, if there is one.
     pub(crate) fn close(&self, peer: &PeerAddress, reason: &[u8]) {
         let cell = self.lock().remove(peer);
         if let Some(cell) = cell {
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Closes and forgets the connections that no request has used for so long.
+    /// Closes and removes the connections that no request has used for longer than `limit`.
     pub(crate) fn close_unused(&self, limit: Duration) {
         self.lock().retain(|_, cell| {
             let is_unused = cell.is_unused(limit);
--- a/crates/claims/cloverfold_net/src/error.rs
+++ b/crates/claims/cloverfold_net/src/error.rs
@@ -1,4 +1,7 @@
 //! Errors of the transport between processes.
+//!
+//! [`CallError`] separates requests that certainly were not handled from those that may have been; callers rely on this
+//! when they send a request again. Owns no state.
 
 use std::fmt::Display;
 use std::path::PathBuf;
--- a/crates/claims/cloverfold_net/src/message.rs
+++ b/crates/claims/cloverfold_net/src/message.rs
@@ -1,4 +1,7 @@
 //! Typed requests and their replies.
+//!
+//! Each package implements [`Message`] for the requests that it serves. Owns no state. Relies on the packages to choose
+//! different numbers; the layout on the wire is in `frame`.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/claims/cloverfold_net/src/metrics.rs
+++ b/crates/claims/cloverfold_net/src/metrics.rs
@@ -1,4 +1,7 @@
 //! Counts of messages and bytes between processes.
+//!
+//! Owns the counters of one endpoint since the start of the process. Relies on [`crate::Network`] to count. Bytes here are
+//! those of requests alone; the bytes of whole connections are in `traffic`.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -12,7 +15,7 @@
     pub message: String,
 }
 
-/// What a process sends to its peers.
+/// Counters of what a process sends to its peers.
 #[derive(Clone, Debug, Default)]
 pub struct NetMetrics {
     requests: Family<MessageLabel, Counter>,
--- a/crates/claims/cloverfold_net/src/peer.rs
+++ b/crates/claims/cloverfold_net/src/peer.rs
@@ -1,4 +1,7 @@
 //! Names, roles and addresses of the processes at the other end.
+//!
+//! A peer's role decides which requests it may send. Owns no state. Relies on the certificates that the installation's
+//! authority signs: a name in one begins with the role.
 
 use std::net::SocketAddr;
 
--- a/crates/claims/cloverfold_net/src/replies.rs
+++ b/crates/claims/cloverfold_net/src/replies.rs
@@ -1,4 +1,7 @@
 //! The replies to one request, as its sender reads them.
+//!
+//! Owns the receiving half of the request's stream, and keeps the connection marked as in use until it is dropped. Relies on
+//! `frame` for the layout; takes no decision on whether a request is sent again.
 
 use std::marker::PhantomData;
 use std::sync::Arc;
--- a/crates/claims/cloverfold_net/src/serving.rs
+++ b/crates/claims/cloverfold_net/src/serving.rs
@@ -1,4 +1,7 @@
-//! Serving the requests of one connection.
+//! Serves the requests of one connection.
+//!
+//! Owns the connection while it is open, and a permit for each request until it is handled. Relies on `tls` for the peer's
+//! identity, on [`Router`] for the handlers, and on the caller for the number of permits, which all connections share.
 
 use std::sync::Arc;
 
--- a/crates/claims/cloverfold_net/src/tls.rs
+++ b/crates/claims/cloverfold_net/src/tls.rs
@@ -1,4 +1,7 @@
 //! TLS settings: both ends show a certificate of the installation's authority.
+//!
+//! Reads the key files once, at the start of the process, and owns nothing afterwards. Relies on `rustls` to verify
+//! certificates; a peer's name and role are taken only from a certificate that it has verified.
 
 use std::sync::Arc;
 
--- a/crates/claims/cloverfold_net/src/traffic.rs
+++ b/crates/claims/cloverfold_net/src/traffic.rs
@@ -1,4 +1,7 @@
 //! Counts of the bytes of all connections, as the transport library sees them.
+//!
+//! Owns a handle to each connection until it is found closed, and the sum of the closed ones. Relies on [`crate::Network`] to
+//! report each new connection, and on `quinn` for the counts.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/cloverfold/src/outcome.rs
+++ b/crates/cloverfold/src/outcome.rs
@@ -1,4 +1,6 @@
-//! How a program ends.
+//! Reports how a program ended: the exit code and the error for its operator.
+//!
+//! Used by both programs as their last step. Owns no state. Relies on each error's text to be readable without the code.
 
 use std::process::ExitCode;
 
--- a/crates/leased/cloverfold_configuration/src/configuration.rs
+++ b/crates/leased/cloverfold_configuration/src/configuration.rs
@@ -1,4 +1,7 @@
-//! What a configuration says, and which route a request takes.
+//! The values of a configuration, and the choice of a request's route.
+//!
+//! Entries route requests and limit connections by it. Owns no state: a configuration does not change, a newer version replaces it. Relies on a
+//! [`crate::ConfigurationFormat`] to decode it and on the control process to refuse one with faults (`faults`).
 
 use std::time::Duration;
 
--- a/crates/leased/cloverfold_configuration/src/format.rs
+++ b/crates/leased/cloverfold_configuration/src/format.rs
@@ -1,4 +1,7 @@
-//! The interface to the ways in which a configuration is written; the adapter of a platform implements it.
+//! The interface to the text formats of configurations.
+//!
+//! Keeps the format out of this package: the adapter of a platform implements [`ConfigurationFormat`]. Owns no state. Relies on every process
+//! of an installation using the same implementation, so that a text means the same everywhere.
 
 use crate::configuration::Configuration;
 use crate::faults::ConfigurationFault;
--- a/crates/leased/cloverfold_consensus/src/replica/status.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/status.rs
@@ -1,4 +1,7 @@
 //! The role of a replica, and its status for operators.
+//!
+//! Owns no state: a status is a copy made when it is asked for. Relies on nothing; log lines and operators' answers rely on the names of the
+//! roles.
 
 use crate::log_entries::{LogIndex, Term};
 use crate::members::{Members, ReplicaId};
--- a/crates/leased/cloverfold_consensus/src/replica/transitions.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/transitions.rs
@@ -1,4 +1,7 @@
 //! What changes when a replica becomes leader or follower.
+//!
+//! The only place where a replica becomes leader or follower after its start. Changes the replica's role, term, vote and election timer and
+//! owns no state besides. Relies on `election` and the handlers of messages to decide when a role changes.
 
 use cloverfold_base::Timestamp;
 
--- a/crates/leased/cloverfold_control/src/state/status.rs
+++ b/crates/leased/cloverfold_control/src/state/status.rs
@@ -1,4 +1,7 @@
-//! The status of a control process, as operators see it, and whether it can be up to date.
+//! The status of a control process for operators, and whether it is in contact with a majority.
+//!
+//! Owns no state: everything is read off [`ControlState`] when it is asked for. Relies on the replica for the group and its members, on the
+//! links for the connected processes and the versions that they have announced.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/leased/cloverfold_lease/src/runner/counts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/counts.rs
@@ -1,4 +1,7 @@
 //! Counters of a runner, for the metrics of its process.
+//!
+//! Owns the counts of one runner; nothing is stored, so they begin at 0 with the process. Relies on the other files of the runner to count. No
+//! decision depends on them.
 
 /// Counts since the start of the process, by cause. They only rise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/leased/cloverfold_leased_entry/src/run_numbers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/run_numbers.rs
@@ -1,4 +1,8 @@
 //! The numbers of runs.
+//!
+//! A target refuses a run (`Stale`) if it has seen that run or a later one of the task end, so a job that is submitted again must begin above
+//! its earlier runs. Owns no state.
+//! Relies on the wall clocks of the entries; where one is behind, the run is refused and the dispatcher raises the number.
 
 use std::time::Duration;
 
--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -1,4 +1,7 @@
 //! The entry's peers: who is connected, what they announce, and whom the entry invites.
+//!
+//! Handles the events of links: passes guards' messages to the dispatcher, and fetches newer configurations. Changes the links, sessions and
+//! configuration of [`EntryState`] and owns no state besides. Relies on `cloverfold_link` for links, on `known_guards` for when to invite.
 
 use cloverfold_base::Timestamp;
 use cloverfold_configuration::{StoredConfiguration, Version};
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Tells the control processes which version is in force here, for operators who ask them.
+    /// Sends the version in force here to the control processes, for operators who ask them.
     fn announce_version(&self) {
         let notice = PeerMessage::VersionNotice {
             version: self.version(),
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -1,4 +1,7 @@
 //! The guard's peers: who is connected, what they announce, and whom the guard dials.
+//!
+//! Handles the events of links: passes entries' messages to the runner, and plans fetches of newer configurations. Changes the links, sessions
+//! and addresses of [`GuardState`] and owns no state besides. Relies on `cloverfold_link` for links and on control processes for the directory.
 
 use cloverfold_configuration::{StoredConfiguration, Version};
 use cloverfold_link::{LinkEvent, LinkId};
--- a/crates/leased/cloverfold_leased_process/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_process/src/metrics.rs
@@ -1,4 +1,7 @@
-//! The metrics that every leased process has, and the way they are written.
+//! The metrics that every leased process has, and how they are written.
+//!
+//! Owns the registry of one process. Relies on each process to declare its metrics once and to set them before they are written, and on
+//! `cloverfold_telemetry` for the text and the count of dropped log lines.
 
 use cloverfold_telemetry::{CauseGauges, count_dropped_lines, write_metrics};
 use prometheus_client::metrics::gauge::Gauge;
@@ -34,7 +37,7 @@
         CauseGauges::register(&mut self.registry, name, help)
     }
 
-    /// Adds what every process counts.
+    /// Adds the metrics that every process has and ends the declaration.
     pub fn finish(mut self) -> ProcessMetrics {
         let help = "Log lines dropped since the start";
         let dropped_lines = self.add_gauge("dropped_log_lines", help);
--- a/crates/leased/cloverfold_leased_process/src/operations.rs
+++ b/crates/leased/cloverfold_leased_process/src/operations.rs
@@ -1,4 +1,7 @@
-//! The pages for operators, read off the state of the process.
+//! The HTTP pages for operators, read off the state of the process.
+//!
+//! Gives every leased process the same pages. Owns nothing: the caller keeps the [`Serving`]. Relies on `cloverfold_http` to serve, and on the
+//! two functions of the caller to be quick, since the state is locked while they run.
 
 use std::net::SocketAddr;
 
--- a/crates/leased/cloverfold_leased_process/src/runtime.rs
+++ b/crates/leased/cloverfold_leased_process/src/runtime.rs
@@ -1,4 +1,7 @@
 //! The runtime of a leased process.
+//!
+//! Owns nothing: the program keeps the runtime. Relies on tasks not to block its one thread; what blocks, such as the disk of a control
+//! process, has a thread of its own.
 
 use tokio::runtime::Runtime;
 
--- a/crates/leased/cloverfold_leased_process/src/shared.rs
+++ b/crates/leased/cloverfold_leased_process/src/shared.rs
@@ -1,4 +1,7 @@
 //! State that the tasks of one process share.
+//!
+//! [`Shared`] owns the state of a process behind one lock, so that each event sees what the one before has left. Relies on its users to hold
+//! the lock briefly.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
