--- a/crates/leased/cloverfold_lease/src/dispatcher/actions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/actions.rs
@@ -16,6 +16,6 @@
     CloseSession(SessionId),
     /// Answer a submission.
     Answer(JobNumber, JobAnswer),
-    /// Tell operators of a decision.
+    /// Log a decision for operators.
     Report(DispatcherEvent),
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
@@ -23,7 +23,7 @@
 use crate::stall::JOB_STALL;
 
 impl Dispatcher {
-    /// Returns why a job can't be taken, if there is a reason.
+    /// Returns why a job is refused at its submission, if there is a reason.
     pub(super) fn find_refusal(&self, request: &JobRequest, now: Timestamp) -> Option<JobRefusal> {
         if self.is_leaving {
             return Some(JobRefusal::Leaving);
@@ -79,6 +79,7 @@
             .collect()
     }
 
+    /// Refuses a job of which nothing has run.
     fn refuse_queued(&mut self, number: JobNumber, now: Timestamp) {
         if let Some(job) = self.jobs.get(&number) {
             let id = job.request.id.clone();
@@ -88,8 +89,8 @@
         self.finish_job(number, JobAnswer::refused(JobRefusal::NoCapacity));
     }
 
-    /// Gives up all open jobs after the process stood still: a caller may have left meanwhile and asked elsewhere, and nothing
-    /// may be started for it any more. Called before anything else in each call of the dispatcher.
+    /// Gives up all open jobs if the process was stalled for more than [`JOB_STALL`] since the last call: a caller may have left
+    /// meanwhile and asked elsewhere, and nothing may be started for it any more. Called before anything else in each call of the dispatcher.
     pub(super) fn give_up_after_stall(&mut self, now: Timestamp) {
         let gap = now.saturating_duration_since(self.last_call_at);
         self.last_call_at = now;
--- a/crates/leased/cloverfold_lease/src/dispatcher/answers.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/answers.rs
@@ -16,7 +16,7 @@
     NoTarget,
     /// The process is stopping.
     Leaving,
-    /// The process stood still and can't tell how old the request is.
+    /// The process was stalled, so the age of the request is unknown.
     Stalled,
 }
 
--- a/crates/leased/cloverfold_lease/src/dispatcher/closing.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/closing.rs
@@ -1,9 +1,9 @@
 //! How jobs are closed, and what is left of them.
 //!
-//! A job that is closed may leave **detached runs** behind: they were told to stop, but their end is not known yet. Until it is, no
+//! A job that is closed may leave **detached runs** behind: their stop was ordered, but their end is not known yet. Until it is, no
 //! task of the same name is started.
 //!
-//! Owns [`DetachedRun`]. Relies on the sessions to report ends and to be settled.
+//! Owns [`DetachedRun`]. Relies on `run_ends` and `sessions` to remove them when they are over.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::actions::DispatcherAction;
@@ -21,7 +21,7 @@
         /// The run.
         run: u64,
     },
-    /// The session is lost; the run is over when the session is settled.
+    /// The session is lost; the run counts as over when the lost session is released.
     Uncertain,
 }
 
@@ -43,6 +43,7 @@
         self.answer(number, answer);
     }
 
+    /// Asks the process to answer a submission.
     pub(super) fn answer(&mut self, number: JobNumber, answer: JobAnswer) {
         self.actions.push(DispatcherAction::Answer(number, answer));
     }
--- a/crates/leased/cloverfold_lease/src/dispatcher/counts.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/counts.rs
@@ -13,15 +13,15 @@
     pub failed: u64,
     /// Runs whose target or lease was lost.
     pub lost: u64,
-    /// Runs that stood still at their target and were stopped there.
+    /// Runs that made no progress at their target and were stopped there.
     pub stuck: u64,
     /// Runs withdrawn because they took far longer than expected.
     pub overdue: u64,
-    /// Runs withdrawn from a slow target to be begun anew elsewhere.
+    /// Runs withdrawn from a slow target to restart elsewhere.
     pub stragglers: u64,
     /// Runs withdrawn because their caller left or their job was given up.
     pub withdrawn: u64,
-    /// Jobs given up because the process stood still.
+    /// Jobs given up because the process was stalled.
     pub stalled: u64,
     /// Times a target was paused.
     pub pauses: u64,
--- a/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
@@ -22,7 +22,7 @@
 /// [`QUEUE_WAIT_SHARE`] and measured together with it only.
 const ANSWERED_SHARE: f64 = 0.9;
 
-/// Until when what is done for a job.
+/// The points in time at which a job is refused or given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct JobDeadlines {
     /// The job is refused then unless a task was offered to a target.
@@ -41,11 +41,13 @@
     }
 }
 
+/// Returns how long a job may wait to be offered to a target.
 fn longest_queue_wait(request: &JobRequest) -> Duration {
     let objective = request.objective.span(request.estimate_work());
     objective.mul_f64(QUEUE_WAIT_SHARE)
 }
 
+/// Returns how long a job is worked on, counted from its submission.
 fn longest_work(request: &JobRequest) -> Duration {
     let slow_work = request.estimate_work().mul_f64(ESTIMATE_MARGIN);
     let longest = request.objective.span(slow_work).mul_f64(GIVE_UP_FACTOR);
--- a/crates/leased/cloverfold_lease/src/dispatcher/events.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/events.rs
@@ -69,7 +69,7 @@
         /// How long it was expected to run.
         estimate: Duration,
     },
-    /// A run at a slow target is withdrawn, since it ends sooner if it begins anew elsewhere.
+    /// A run at a slow target is withdrawn, since it ends sooner if it restarts elsewhere.
     RunMoved {
         /// The task.
         task: TaskId,
@@ -79,7 +79,7 @@
         runner: String,
         /// How long it has run.
         age: Duration,
-        /// How slowly runs get on there, in thousandths of their estimated durations.
+        /// How slowly runs advance there, in thousandths of their estimated durations.
         slowness_permille: u32,
         /// How long the runner's report is ago.
         report_age: Duration,
--- a/crates/leased/cloverfold_lease/src/dispatcher/job.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/job.rs
@@ -1,7 +1,7 @@
 //! One job and its tasks: how far each has come.
 //!
-//! Owns [`Job`], [`Task`] and the positions by which the other modules refer to them. Relies on nobody: what a phase means for others is
-//! decided elsewhere.
+//! Owns [`Job`], [`Task`] and the positions by which the other modules refer to them. Relies on nothing: what
+//! follows from a phase is decided elsewhere.
 
 use cloverfold_base::Timestamp;
 
@@ -98,6 +98,7 @@
 }
 
 impl Job {
+    /// Returns a job of which nothing is assigned; its tasks begin with the run number `first_run`.
     pub(crate) fn new(request: JobRequest, first_run: u64, now: Timestamp) -> Self {
         let deadlines = JobDeadlines::new(&request, now);
         let tasks = build_tasks(&request, first_run);
@@ -118,10 +119,12 @@
         }
     }
 
+    /// Returns the step of one of its tasks.
     pub(crate) fn step(&self, task: &Task) -> &StepRequest {
         &self.request.steps[task.step]
     }
 
+    /// Returns whether all tasks are done.
     pub(crate) fn is_done(&self) -> bool {
         self.tasks.iter().all(|task| task.phase == TaskPhase::Done)
     }
@@ -132,6 +135,7 @@
         self.has_run || self.tasks.iter().any(is_out)
     }
 
+    /// Returns whether a task waits for a target.
     pub(crate) fn has_waiting(&self) -> bool {
         self.tasks
             .iter()
@@ -155,7 +159,7 @@
         self.tasks.iter().position(|task| task.id == *id)
     }
 
-    /// Lets the tasks wait of each step whose earlier steps are all done.
+    /// Moves the tasks of each step whose earlier steps are all done from `Blocked` to `Waiting`.
     pub(crate) fn unblock_steps(&mut self) {
         for index in 0..self.tasks.len() {
             let task = &self.tasks[index];
@@ -175,6 +179,7 @@
     }
 }
 
+/// Makes the tasks of all steps, in order; those of steps without dependencies wait at once.
 fn build_tasks(request: &JobRequest, first_run: u64) -> Vec<Task> {
     let mut tasks = Vec::new();
     for (step_number, step) in request.steps.iter().enumerate() {
--- a/crates/leased/cloverfold_lease/src/dispatcher/judging.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/judging.rs
@@ -3,10 +3,10 @@
 //! Two rules, each a pure function of the expected duration of a run, its age and the slowness of its target:
 //!
 //! - a run is **overdue** if it takes far longer than expected; it is withdrawn, and its target gets the blame;
-//! - a run is a **straggler** if its target is slow and it would be over sooner if it began anew elsewhere; it is moved, if a target that
+//! - a run is a **straggler** if its target is slow and it would be over sooner if it restarted elsewhere; it is moved, if a target that
 //!   is not slow has free capacity.
 //!
-//! Runs that stand still are judged by the runner beside the target, which sees their progress.
+//! Runs that make no progress are judged by the runner beside the target, which sees their progress.
 //!
 //! Owns the ratio of durations to estimates ([`DurationRatio`]). Relies on the slowness that runners report.
 
@@ -20,10 +20,10 @@
 
 /// Weight of the newest run in the ratio of durations to estimates. Chosen, not measured.
 const RATIO_WEIGHT: f64 = 0.02;
-/// Lowest ratio of one run that is taken in: one further off says more about the estimate than about the targets. Chosen, not
+/// Lowest ratio of one run that counts: one further off reflects a wrong estimate rather than the targets. Chosen, not
 /// measured.
 const LOWEST_RUN_RATIO: f64 = 0.2;
-/// Highest ratio of one run that is taken in, as [`LOWEST_RUN_RATIO`].
+/// Highest ratio of one run that counts, as [`LOWEST_RUN_RATIO`].
 const HIGHEST_RUN_RATIO: f64 = 8.0;
 /// Lowest ratio that the expected duration of a run is calculated with: narrower than the bounds of one run, which move the mean only
 /// a little, since this one decides on a run at once. Chosen, not measured.
@@ -36,7 +36,7 @@
 /// Time allowed on top of [`OVERDUE_FACTOR`], for short runs. Chosen, not measured.
 const OVERDUE_ALLOWANCE: Duration = Duration::from_millis(120);
 
-/// Slowness of a target, against all others, from which its runs may begin anew elsewhere. Measured with [`STRAGGLER_GAIN`] and the
+/// Slowness of a target, against all others, from which its runs may restart elsewhere. Measured with [`STRAGGLER_GAIN`] and the
 /// reported slowness: own day with slow targets 0.877 -> 0.978 (design note 8); the value itself was not varied.
 const STRAGGLER_SLOWNESS: f64 = 2.5;
 /// What is left of a run must be longer than a whole run elsewhere by this factor, and by [`RESTART_COST`]. As
@@ -61,7 +61,7 @@
         self.0
     }
 
-    /// Takes in a run that is done; one without an estimate says nothing.
+    /// Records a run that is done; one without an estimate is ignored.
     pub(crate) fn record(&mut self, ran: Duration, estimate: Duration) {
         if estimate.is_zero() {
             return;
@@ -82,7 +82,7 @@
     age > expected.mul_f64(OVERDUE_FACTOR) + OVERDUE_ALLOWANCE
 }
 
-/// Returns whether a run of this age would be over sooner if it began anew elsewhere; `slowness` is that of its target against all.
+/// Returns whether a run of this age would be over sooner if it restarted elsewhere; `slowness` is that of its target against all.
 fn is_straggler(expected: Duration, age: Duration, slowness: f64) -> bool {
     let left = expected.mul_f64(slowness).saturating_sub(age);
     slowness >= STRAGGLER_SLOWNESS && left > expected.mul_f64(STRAGGLER_GAIN) + RESTART_COST
@@ -113,6 +113,7 @@
         }
     }
 
+    /// Lists the runs that take too long, with what follows.
     fn judge_runs(&self, now: Timestamp) -> Vec<(TaskPosition, Verdict)> {
         let mut verdicts = Vec::new();
         for (number, job) in &self.jobs {
@@ -140,6 +141,7 @@
         verdicts
     }
 
+    /// Returns whether a run of this estimate and age takes too long at a session's target, and in which way.
     fn judge_run(&self, session: SessionId, estimate: Duration, age: Duration) -> Option<Verdict> {
         let expected = self.duration_ratio.expected_duration(estimate);
         if is_overdue(expected, age) {
@@ -150,6 +152,7 @@
         is_straggler(expected, age, slowness).then_some(Verdict::Straggler)
     }
 
+    /// Withdraws a straggler if a target that is not slow could run its task now.
     fn move_straggler(&mut self, task: TaskPosition, now: Timestamp) {
         if self.has_faster_target(task, now) {
             self.counts.stragglers += 1;
@@ -158,6 +161,7 @@
         }
     }
 
+    /// Withdraws an overdue run and counts it against its target.
     fn withdraw_overdue(&mut self, task: TaskPosition, session: SessionId, now: Timestamp) {
         self.counts.overdue += 1;
         self.report_overdue(task, session, now);
--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -6,7 +6,7 @@
 //! - `placement`: which target a task goes to;
 //! - `run_ends`: what follows from the end of a run; `judging`: which runs take too long;
 //! - `sessions`, `runner_session`: what is known of runners, and when the runs of a lost session are over;
-//! - `closing`: what a closed job leaves behind; `reports`: what operators are told.
+//! - `closing`: what a closed job leaves behind; `reports`: the decisions that are logged.
 //!
 //! The types between them are in `job`, `answers`, `actions`, `events` and `counts`.
 //!
@@ -69,6 +69,7 @@
     next_job: JobNumber,
     /// When the process last called; a long gap is a stall.
     last_call_at: Timestamp,
+    /// Number of the first run of a new task.
     first_run: u64,
     duration_ratio: DurationRatio,
     is_leaving: bool,
@@ -164,12 +165,12 @@
         number
     }
 
-    /// Stops a job whose caller has left; it gets no answer.
+    /// Closes a job whose caller has disconnected; it gets no answer.
     pub fn cancel(&mut self, number: JobNumber) {
         self.close_job(number);
     }
 
-    /// Stops a job by its name; returns whether it was open.
+    /// Gives up a job by its name; returns whether it was open.
     pub fn cancel_named(&mut self, id: &str) -> bool {
         let Some(&number) = self.open_jobs_by_name.get(id) else {
             return false;
@@ -178,7 +179,8 @@
         true
     }
 
-    /// Does what has fallen due; call it every few tens of milliseconds.
+    /// Does what has fallen due; call it every few tens of milliseconds. A gap above [`JOB_STALL`](crate::JOB_STALL) ends all open
+    /// jobs.
     pub fn tick(&mut self, now: Timestamp) {
         self.give_up_after_stall(now);
         self.close_silent_sessions(now);
@@ -188,6 +190,7 @@
         self.withdraw_late_runs(now);
     }
 
+    /// Returns a task; `None` once its job is closed.
     fn task(&self, position: TaskPosition) -> Option<&Task> {
         self.jobs.get(&position.job)?.tasks.get(position.index)
     }
@@ -197,6 +200,7 @@
         job.tasks.get_mut(position.index)
     }
 
+    /// Counts an assignment and sends it to a runner.
     fn send_assignment(&mut self, session: SessionId, assignment: Assignment) {
         self.counts.assigned += 1;
         let message = DispatcherMessage::Assign(assignment);
--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -3,7 +3,7 @@
 //! Jobs are served in the order of their [`QueuePosition`]. For each waiting task:
 //!
 //! 1. **Candidates** are the targets that accept work, serve the service, have the required label, have free capacity for the task
-//!    and hold fewer tasks of its step than one target may ([`Dispatcher::list_candidates`]).
+//!    and have fewer tasks of its step than one target may ([`Dispatcher::list_candidates`]).
 //! 2. The candidates are narrowed three times, each time only if one is left: to those with the preferred label, to those that are
 //!    not slow, to another session than the one on which the task did not do well ([`narrow`]).
 //! 3. Of [`DRAWN_TARGETS`] drawn at random the emptiest is taken ([`draw_emptiest`]).
@@ -24,7 +24,7 @@
 /// should not all choose the same target. Chosen, not measured.
 const DRAWN_TARGETS: usize = 3;
 /// How long an assignment may wait at the runner when others were faster, in milliseconds. Measured with reports of changed capacity
-/// within 20 ms: 60 -> 25 gave fewer refusals on every loaded day (commit "Report changed room within 20 ms").
+/// within 20 ms: 60 -> 25 gave fewer refusals on every loaded day (commit bbc5f00).
 const RUNNER_WAIT_MS: u32 = 25;
 /// Jobs without a candidate that later ones may overtake in one pass. Chosen, not measured.
 const MAX_OVERTAKEN_JOBS: usize = 4;
@@ -35,7 +35,7 @@
     session: SessionId,
     /// Whether it has the label that the step prefers.
     is_preferred: bool,
-    /// Whether its runs get on slowly against those of all targets.
+    /// Whether its runs advance slowly against those of all targets.
     is_slow: bool,
     /// Whether the task did not do well there.
     is_avoided: bool,
@@ -108,6 +108,7 @@
             .collect()
     }
 
+    /// Chooses a target for a task; `None` if no target could run it now.
     fn choose_target(&mut self, position: TaskPosition, now: Timestamp) -> Option<SessionId> {
         let job = self.jobs.get(&position.job)?;
         let task = &job.tasks[position.index];
@@ -141,6 +142,7 @@
         })
     }
 
+    /// Returns a target as a candidate if it could run a task now.
     fn check_candidate(
         &self,
         job: &Job,
@@ -172,6 +174,7 @@
         })
     }
 
+    /// Begins the next run of a task at a target.
     fn assign(&mut self, position: TaskPosition, session: SessionId, now: Timestamp) {
         let session_span = self.timings.session;
         let Some(job) = self.jobs.get_mut(&position.job) else {
--- a/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
@@ -14,10 +14,12 @@
 use crate::messages::{RunOutcome, SessionId};
 
 impl Dispatcher {
+    /// Asks the process to log a decision.
     pub(super) fn report(&mut self, event: DispatcherEvent) {
         self.actions.push(DispatcherAction::Report(event));
     }
 
+    /// Reports that a job is refused; `waited` is how long it was queued.
     pub(super) fn report_refusal(
         &mut self,
         job: &str,
@@ -40,6 +42,7 @@
         });
     }
 
+    /// Reports that a job is given up because its give-up deadline has passed.
     pub(super) fn report_late(&mut self, number: JobNumber, now: Timestamp) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -51,6 +54,7 @@
         });
     }
 
+    /// Reports that the present run of a task is overdue.
     pub(super) fn report_overdue(
         &mut self,
         position: TaskPosition,
@@ -72,6 +76,7 @@
         }
     }
 
+    /// Reports that the present run of a task is withdrawn from a slow target.
     pub(super) fn report_moved(&mut self, position: TaskPosition, now: Timestamp) {
         let Some(task) = self.task(position) else {
             return;
@@ -98,6 +103,7 @@
         });
     }
 
+    /// Reports the end of a run that is not done; a failure is included in the count.
     pub(super) fn report_run(
         &mut self,
         position: TaskPosition,
--- a/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
@@ -4,9 +4,9 @@
 //! |---|---|---|
 //! | `Done` | is done | credited |
 //! | `Failed` | is tried elsewhere until its attempts are used up; then the job has failed | blamed for the task's first failure |
-//! | `Stopped`, `Lost` | is begun again | – |
-//! | `Stuck` | is begun elsewhere; no attempt is counted | judged by its runner already |
-//! | `NotStarted` | is begun elsewhere; `Rejected` fails the job | full, or blamed if it did not answer or can't work |
+//! | `Stopped`, `Lost` | is queued again | – |
+//! | `Stuck` | is retried elsewhere; no attempt is counted | judged by its runner already |
+//! | `NotStarted` | is retried elsewhere; `Rejected` fails the job | full, or blamed if it did not answer or can't work |
 //!
 //! Owns no state. Relies on the runner to report an end only when the run is over.
 
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Marks a task as done, unblocks the steps after it, and completes the job if it was the last.
     fn run_done(&mut self, position: TaskPosition, session: SessionId, ran: Duration) {
         let Some(job) = self.jobs.get_mut(&position.job) else {
             return;
@@ -91,6 +92,7 @@
         }
     }
 
+    /// Counts a failure of a task: it is retried elsewhere, or its job fails after the last attempt.
     fn run_failed(&mut self, position: TaskPosition, session: SessionId, now: Timestamp) {
         self.counts.failed += 1;
         let Some(job) = self.jobs.get_mut(&position.job) else {
@@ -112,18 +114,21 @@
         }
     }
 
-    /// The runner has judged its target already, for all dispatchers; here only this task is begun elsewhere.
+    /// The runner has judged its target already, for all dispatchers; here only this task is retried elsewhere.
     fn run_stuck(&mut self, position: TaskPosition, session: SessionId) {
         self.counts.stuck += 1;
         self.avoid_session(position, session);
         self.queue_task(position);
     }
 
+    /// Retries a task whose run ended because its lease lapsed or its target died.
     fn run_lost(&mut self, position: TaskPosition) {
         self.counts.lost += 1;
         self.queue_task(position);
     }
 
+    /// Handles a run that was not started. `Rejected` fails the job; otherwise the task is queued again, and the reason decides whether
+    /// the target counts as full, whether it is blamed, and whether the run number rises.
     fn run_refused(
         &mut self,
         position: TaskPosition,
@@ -154,13 +159,14 @@
         self.queue_task(position);
     }
 
+    /// Makes the task prefer other targets than that of this session.
     fn avoid_session(&mut self, position: TaskPosition, session: SessionId) {
         if let Some(task) = self.task_mut(position) {
             task.avoided_session = Some(session);
         }
     }
 
-    /// Lets a task wait for a target again.
+    /// Queues a task again, to wait for a target.
     pub(super) fn queue_task(&mut self, position: TaskPosition) {
         if let Some(job) = self.jobs.get_mut(&position.job) {
             job.tasks[position.index].phase = TaskPhase::Waiting;
--- a/crates/leased/cloverfold_lease/src/dispatcher/runner_session.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/runner_session.rs
@@ -36,6 +36,7 @@
 }
 
 impl RunnerSession {
+    /// Returns a session over which nothing was received; the target gets no work before its first heartbeat and announcement.
     pub(crate) fn new(runner: &str, health: TargetHealth, now: Timestamp) -> Self {
         Self {
             runner: runner.into(),
@@ -57,6 +58,7 @@
             && self.health.accepts_work(now)
     }
 
+    /// Returns whether the target runs this service.
     pub(crate) fn serves(&self, service: &str) -> bool {
         let description = self.description.as_ref();
         description.is_some_and(|description| description.service == service)
@@ -82,12 +84,12 @@
         resources.cpu_milli as f64 / capacity as f64
     }
 
-    /// Returns how slowly runs get on there, in thousandths of their estimated durations; 0 while it is not known.
+    /// Returns how slowly runs advance there, in thousandths of their estimated durations; 0 while it is not known.
     pub(crate) fn slowness_permille(&self) -> u32 {
         self.free_capacity.slowness_permille
     }
 
-    /// Returns how slowly runs get on there against `usual`, the ratio over all targets; 1 while it is not known.
+    /// Returns how slowly runs advance there against `usual`, the ratio over all targets; 1 while it is not known.
     pub(crate) fn slowness_against(&self, usual: f64) -> f64 {
         match self.free_capacity.slowness_permille {
             0 => 1.0,
@@ -105,6 +107,7 @@
         now.saturating_duration_since(self.last_message_at)
     }
 
+    /// Records a demand that was assigned; it counts as used until a report accounts for it.
     pub(crate) fn record_assignment(&mut self, demand: Resources) {
         self.assignments_sent += 1;
         self.unreported.push_back(demand);
@@ -127,7 +130,7 @@
         self.last_echo_at = now;
     }
 
-    /// Takes the target for full until its runner reports again.
+    /// Counts the target as full until its runner reports again.
     pub(crate) fn record_full(&mut self) {
         let free = &mut self.free_capacity.free;
         free.cpu_milli = free.cpu_milli.min(0);
--- a/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
@@ -1,10 +1,10 @@
-//! Sessions with runners: how they begin, what is heard over them, and how they end.
+//! Sessions with runners: how they begin, what their messages change, and how they end.
 //!
 //! A session ends when its link is gone or its runner has been silent for the length of a session. Its runs may go on until the
 //! bound [`Timings::runs_over_after`](crate::Timings::runs_over_after) has passed since the last echo; until then the session is kept as a [`LostSession`] and its
 //! tasks wait.
 //!
-//! Owns [`LostSession`]; the sessions themselves are in `runner_session`. Relies on the process to say when a link is gone.
+//! Owns [`LostSession`]; the sessions themselves are in `runner_session`. Relies on the process to report closed links.
 
 use std::time::Duration;
 
@@ -144,8 +144,8 @@
         self.place_waiting(now);
     }
 
-    /// Handles what a runner's target is now. A runner offers one only when nothing of earlier sessions runs there, so that
-    /// the runner's lost sessions are settled.
+    /// Handles the announcement of a runner's target. A runner announces one only when nothing of earlier sessions runs there, so the
+    /// runner's lost sessions are released.
     fn receive_target(&mut self, session: SessionId, description: Option<TargetDescription>) {
         let Some(runner) = self.sessions.get_mut(&session) else {
             return;
@@ -186,12 +186,12 @@
         }
     }
 
-    /// Lets the tasks wait again whose lost sessions are over by time.
+    /// Queues the tasks again of the lost sessions whose runs are over by time.
     pub(super) fn release_expired_lost_sessions(&mut self, now: Timestamp) {
         self.release_lost_sessions(|lost| now >= lost.over_at);
     }
 
-    /// Settles the lost sessions of which nothing runs any more.
+    /// Forgets the lost sessions whose runs are all over, and queues their tasks again.
     fn release_lost_sessions(&mut self, is_over: impl Fn(&LostSession) -> bool) {
         let (over, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.lost_sessions)
             .into_iter()
@@ -202,6 +202,7 @@
         }
     }
 
+    /// Queues a task of a lost session again, or forgets its run if its job is closed.
     fn release_task(&mut self, lost: &LostTask) {
         if self.detached_runs.get(&lost.id) == Some(&DetachedRun::Uncertain) {
             self.detached_runs.remove(&lost.id);
--- a/crates/leased/cloverfold_lease/src/lib.rs
+++ b/crates/leased/cloverfold_lease/src/lib.rs
@@ -1,19 +1,43 @@
 //! Decisions on leased runs, without I/O or a clock.
 //!
-//! A [`Dispatcher`] (in an entry) coordinates the repeatable jobs that it accepted: it places their tasks, retries what did not run,
-//! and answers. A [`Runner`] (in a guard) executes them at the one target beside it: it accounts for the target's capacity, keeps the
-//! target's lease renewed while it is alive, and stops runs without a valid session.
+//! A caller submits a *job* to an entry. A job has steps, a step has tasks, and a *run* is one attempt to execute a task at a target
+//! (the back end beside a guard).
 //!
-//! Nothing is agreed on and nothing is stored. That no two runs of a task overlap rests on time alone:
+//! - A [`Dispatcher`], in an entry, admits or refuses jobs, chooses a target for each task, retries what did not run, and answers the
+//!   job once.
+//! - A [`Runner`], in a guard, executes runs at the one target beside it: it accounts for the target's capacity, starts and stops
+//!   runs, renews the target's lease while it is alive, and stops the runs of a session that is over.
 //!
-//! - a dispatcher's *session* with a runner is valid until [`Timings::session`] after the runner's own clock reading that the
-//!   dispatcher last echoed; a runner stops the runs of a session that is over;
-//! - a target kills everything when its lease of [`Timings::lease`] is not renewed;
-//! - a dispatcher starts a task elsewhere only after its end was reported, or after [`Timings::runs_over_after`] has passed since its
-//!   last echo.
+//! # The way of a job
 //!
-//! The inequality behind this stands in `timings`. Each process owns one dispatcher or one runner, calls it with the time and with
-//! what it hears, and carries out the actions that it returns.
+//! 1. [`Dispatcher::submit`] refuses the job at once (`dispatcher/admission`) or queues it.
+//! 2. `dispatcher/placement` sends an [`Assignment`] to a runner. A job that gets none before its queue deadline
+//!    (`dispatcher/deadlines`) is refused.
+//! 3. The runner gives the assignment back (`runner/assignment`, [`RunRefusal`]) or starts it (`runner/starts`, [`StartOrder`]).
+//! 4. The runner learns of the end from the target's list (`runner/listing`), which each renewal of the lease returns, and reports a
+//!    [`RunOutcome`].
+//! 5. `dispatcher/run_ends` completes the job, fails it, or queues the task again.
+//!
+//! # Why two runs of a task never overlap
+//!
+//! Neither side stores anything or votes; the guarantee rests on time alone:
+//!
+//! - A dispatcher's *session* with a runner is valid for [`Timings::session`] after the runner's own clock reading that the dispatcher
+//!   echoed last. A runner stops the runs of a session that is over.
+//! - A target kills all its runs when its lease of [`Timings::lease`] is not renewed.
+//! - A dispatcher starts a task elsewhere only after the end of its run was reported, after the runner announced its target to a new
+//!   session (it does so only when no run of an earlier session is left), or [`Timings::runs_over_after`] after its last echo.
+//!
+//! The inequality behind this stands in `timings`.
+//!
+//! # How it is driven
+//!
+//! Each process owns one dispatcher or one runner. It passes in each message, each closed link and the time, calls `tick` every few
+//! tens of milliseconds, and carries out the actions that `take_actions` returns, in order. No call returns an error: failures are
+//! variants of messages and answers.
+//!
+//! Log lines write the names that `as_str` or `Display` return, which can differ from the variant: `NoRoom` is
+//! [`JobRefusal::NoCapacity`]. To find a variant, search for the written name in quotes.
 
 mod dispatcher;
 mod health;
--- a/crates/leased/cloverfold_lease/src/messages.rs
+++ b/crates/leased/cloverfold_lease/src/messages.rs
@@ -33,7 +33,7 @@
     pub task: TaskId,
     /// Number of the run; rises with each run of the task, also over submissions.
     pub run: u64,
-    /// What the target is told to do.
+    /// The work description that the target executes; opaque here.
     pub spec: String,
     /// What the task uses.
     pub demand: Resources,
@@ -147,7 +147,7 @@
     pub free: Resources,
     /// How many assignments of this session it accounts for, since the start of the session.
     pub assignments_seen: u64,
-    /// How slowly runs get on there at present, in thousandths of their estimated durations; 0 while that is not known.
+    /// How slowly runs advance there at present, in thousandths of their estimated durations; 0 while that is not known.
     pub slowness_permille: u32,
 }
 
--- a/crates/leased/cloverfold_lease/src/request.rs
+++ b/crates/leased/cloverfold_lease/src/request.rs
@@ -40,7 +40,7 @@
 }
 
 impl Objective {
-    /// Returns the time in which work of this duration should be answered.
+    /// Returns the time after its submission in which work of this duration should be answered.
     pub fn span(&self, work: Duration) -> Duration {
         let stretch = self.stretch.clamp(LOWEST_STRETCH, HIGHEST_STRETCH);
         work.mul_f64(stretch) + self.allowance
@@ -56,7 +56,7 @@
     pub queue: String,
     /// The service whose targets run it.
     pub service: String,
-    /// What targets are told to do.
+    /// The work description that targets execute; opaque here.
     pub spec: String,
     /// The steps; their dependencies point to earlier ones.
     pub steps: Vec<StepRequest>,
@@ -66,7 +66,7 @@
     pub max_attempts: u32,
     /// Until when the answer is worth most.
     pub objective: Objective,
-    /// How long the caller waits for the answer, if it says so.
+    /// How long the caller waits for the answer, if it names a limit.
     pub patience: Option<Duration>,
 }
 
--- a/crates/leased/cloverfold_lease/src/runner/assignment.rs
+++ b/crates/leased/cloverfold_lease/src/runner/assignment.rs
@@ -31,6 +31,7 @@
         self.start_waiting(now);
     }
 
+    /// Gives an assignment back at once.
     fn refuse(
         &mut self,
         session: SessionId,
@@ -79,6 +80,7 @@
         (!fits).then_some(RunRefusal::NoCapacity)
     }
 
+    /// Returns `Draining` if the target is about to leave, otherwise `NoTarget`.
     fn refusal_without_target(&self) -> RunRefusal {
         let is_draining = self
             .target
--- a/crates/leased/cloverfold_lease/src/runner/ending.rs
+++ b/crates/leased/cloverfold_lease/src/runner/ending.rs
@@ -29,7 +29,7 @@
     /// - no start of it was sent, or the only start was refused;
     /// - the target reported its end;
     /// - the target's list leaves it out, under the conditions of `outcome_of_unlisted_run`;
-    /// - the target's incarnation is over, or every lease that it may hold has lapsed.
+    /// - the target's incarnation is over, or every lease that it may have has lapsed.
     pub(super) fn end_run(&mut self, task: &TaskId, outcome: RunOutcome, now: Timestamp) {
         let Some(run) = self.runs.remove(task) else {
             return;
--- a/crates/leased/cloverfold_lease/src/runner/listing.rs
+++ b/crates/leased/cloverfold_lease/src/runner/listing.rs
@@ -19,6 +19,7 @@
         }
     }
 
+    /// Processes one end that the target lists: acknowledges it, judges the target by it, and removes the run.
     fn record_end(&mut self, end: &EndedRun, now: Timestamp) {
         let Some(target) = &mut self.target else {
             return;
@@ -41,7 +42,7 @@
         self.end_run(&end.task, outcome, now);
     }
 
-    /// Compares the runs that the target lists with those that this runner holds.
+    /// Compares the runs that the target lists with those of this runner.
     pub(super) fn reconcile_runs(
         &mut self,
         running: &[ListedRun],
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Stops what runs at the target and is not held here: runs of an earlier process of this runner, or starts that were carried out late.
+    /// Stops what runs at the target and is unknown here: runs of an earlier process of this runner, or starts that were carried out late.
     ///
     /// As long as there are any the target gets no work and its lease is not extended.
     fn stop_orphans(&mut self, running: &[ListedRun]) {
@@ -115,6 +116,7 @@
     }
 }
 
+/// Returns the outcome to report for a cause that the target lists.
 fn outcome_of_end(cause: EndCause) -> RunOutcome {
     match cause {
         EndCause::Done => RunOutcome::Done,
--- a/crates/leased/cloverfold_lease/src/runner/orders.rs
+++ b/crates/leased/cloverfold_lease/src/runner/orders.rs
@@ -3,7 +3,7 @@
 //! Separates the decisions from the package that speaks to targets, which owns the wire format. Owns no state.
 //!
 //! Every order names the incarnation that is meant and carries a fencing token; a target refuses an order to another incarnation, or
-//! with a token below the highest that it has seen.
+//! with a fencing token below the highest that it has seen.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 /// Order to start a run, which also extends the lease.
 ///
-/// Sent again it has the same deadline, and the target takes a run that is there as started.
+/// Sent again it has the same deadline, and the target acknowledges a run that it already has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
     /// The incarnation of the target that is meant.
@@ -25,7 +25,7 @@
     pub task: TaskId,
     /// Number of the run.
     pub run: u64,
-    /// What the target is told to do; opaque here.
+    /// The work description that the target executes; opaque here.
     pub spec: String,
     /// On the target's clock, in milliseconds: it refuses to start later than this, and extends its lease to it.
     pub deadline: TargetTime,
--- a/crates/leased/cloverfold_lease/src/runner/performance.rs
+++ b/crates/leased/cloverfold_lease/src/runner/performance.rs
@@ -63,6 +63,7 @@
 }
 
 impl MeasuredSpeed {
+    /// Returns whether the measurement is recent enough to count.
     fn counts(&self, now: Timestamp) -> bool {
         now < self.measured_at + SPEED_MEMORY
     }
--- a/crates/leased/cloverfold_lease/src/runner/progress.rs
+++ b/crates/leased/cloverfold_lease/src/runner/progress.rs
@@ -19,7 +19,7 @@
 const STALL_SHARE: f64 = 0.12;
 /// Sightings without progress that the verdict takes at least, after the one at which the percent was new.
 ///
-/// docs/design/8-progress.md: a runner that itself stood still must not judge its target by one late list.
+/// docs/design/8-progress.md: a runner that was itself stalled must not judge its target by one late list.
 const MIN_SIGHTINGS: u32 = 3;
 
 /// The shortest span over which a speed is measured. Chosen, not measured (commit 4fcd71c).
--- a/crates/leased/cloverfold_lease/src/runner/refused_start.rs
+++ b/crates/leased/cloverfold_lease/src/runner/refused_start.rs
@@ -21,7 +21,7 @@
 
 /// Decides what follows a refusal; `attempts` is the number of starts that were sent, 1 or more.
 ///
-/// A refusal for a low fencing token or a late deadline is mended by sending again, up to [`MAX_START_ATTEMPTS`] starts. Everything else
+/// A refusal for a low fencing token or a late deadline is answered by sending the start again, up to [`MAX_START_ATTEMPTS`] starts. Everything else
 /// is given back to the dispatcher, which tries elsewhere. After the second start nothing is certain about the first one: a refusal
 /// concerns only the start that it answers.
 pub(super) fn step_after_refused_start(refusal: StartRefusal, attempts: u32) -> RefusedStartStep {
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -25,7 +25,7 @@
     /// Plans the next renewal of the lease; `None` without a target.
     ///
     /// The lease is not extended while the target may run something that this runner did not start: that must be able to lapse, since
-    /// nobody else can end it for certain. Such a renewal is answered at once instead of waiting for an end.
+    /// nothing else ends it for certain. Such a renewal is answered at once instead of waiting for an end.
     pub fn plan_renewal(&mut self, now: Timestamp) -> Option<RenewalOrder> {
         let lease = self.timings.lease;
         let target = self.target.as_mut()?;
@@ -78,6 +78,7 @@
         }
     }
 
+    /// Brings runs and target up to date with a list, unless a newer list was processed.
     fn receive_list(&mut self, order: &RenewalOrder, list: TargetList, now: Timestamp) {
         let Some(target) = &mut self.target else {
             return;
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -26,6 +26,7 @@
         }
     }
 
+    /// Sends a heartbeat with the clock reading that the dispatcher echoes.
     pub(super) fn send_heartbeat(&mut self, session: SessionId, now: Timestamp) {
         let free_capacity = self.free_capacity_for(session, now);
         if let Some(state) = self.sessions.get_mut(&session) {
@@ -75,7 +76,7 @@
     /// Announces the target to each session, or that there is none that accepts work, if the last announcement differs.
     ///
     /// While a run of an earlier session is not certainly over, no target is announced to a session that knows of
-    /// none: from the announcement a dispatcher concludes that nothing it lost sight of runs here.
+    /// none: from the announcement a dispatcher concludes that no run of its lost sessions is left here.
     pub(super) fn announce_target(&mut self) {
         let has_leftovers = self.runs.values().any(|run| run.session.is_none());
         let target = self.target.as_ref();
--- a/crates/leased/cloverfold_lease/src/runner/run.rs
+++ b/crates/leased/cloverfold_lease/src/runner/run.rs
@@ -1,6 +1,6 @@
 //! One run of a task and the states that it passes through.
 //!
-//! The life cycle of a run at the target, as far as the runner knows it.
+//! Models how far a run has come at the target, as far as the runner knows it.
 //! Owns the state of one run, the session that gets the report of its end, and its progress.
 //! Relies on [`ProgressTracker`]; every point in time comes from the caller.
 //!
@@ -74,7 +74,7 @@
     Stopping(PendingStop),
 }
 
-/// What a request to stop a run comes to.
+/// What has to be done to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopStep {
     /// Nothing was sent for it yet: it is over.
@@ -109,6 +109,7 @@
 }
 
 impl Run {
+    /// Returns a run that waits for capacity, until the wait that its assignment allows is over.
     pub(super) fn new(
         session: SessionId,
         sequence: u64,
--- a/crates/leased/cloverfold_lease/src/runner/session.rs
+++ b/crates/leased/cloverfold_lease/src/runner/session.rs
@@ -1,7 +1,7 @@
 //! One session with a dispatcher.
 //!
-//! Holds how long a dispatcher's runs may go on without an echo from it, and what was reported to it last.
-//! Owns that state of one session. Relies on nothing; every point in time comes from the caller.
+//! Tracks how long a dispatcher's runs may go on without an echo from it, and what was reported to it last.
+//! Owns the state of one session. Relies on nothing; every point in time comes from the caller.
 
 use cloverfold_base::Timestamp;
 
@@ -19,6 +19,7 @@
 }
 
 impl Announcement {
+    /// Returns whether a target was announced.
     pub(super) fn names_target(self) -> bool {
         matches!(self, Self::Target(_))
     }
@@ -54,6 +55,7 @@
         self.valid_until = self.valid_until.max(valid_until);
     }
 
+    /// Returns whether the session has ended, so that its runs must be stopped.
     pub(super) fn is_over(&self, now: Timestamp) -> bool {
         now > self.valid_until
     }
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Stops all that a session has assigned; these ends are reported to nobody.
+    /// Stops all that a session has assigned; these ends are not reported.
     fn stop_session_runs(&mut self, session: SessionId, now: Timestamp) {
         let tasks: Vec<TaskId> = self
             .runs
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -1,9 +1,9 @@
 //! Starts of runs: sending, answers, repeats.
 //!
 //! Brings a waiting run to the target. Owns no state besides the runner's.
-//! Relies on [`Run`](crate::runner::run::Run) for the life cycle, `refused_start` for what follows a refusal.
+//! Relies on [`Run`](crate::runner::run::Run) for the states of a run, `refused_start` for what follows a refusal.
 //!
-//! Sending a start twice is safe: it carries the same run number and deadline, and the target takes a run that is there as started.
+//! Sending a start twice is safe: it carries the same run number and deadline, and the target acknowledges a run that it already has.
 
 use cloverfold_base::Timestamp;
 
@@ -29,6 +29,7 @@
         self.send_start(task, start);
     }
 
+    /// Sends a start with the deadline and attempt of `start`; does nothing without one.
     fn send_start(&mut self, task: &TaskId, start: Option<PendingStart>) {
         let (Some(target), Some(run), Some(start)) = (&self.target, self.runs.get(task), start)
         else {
@@ -100,6 +101,7 @@
         true
     }
 
+    /// Carries out what follows from a refusal, see [`step_after_refused_start`].
     fn receive_start_refusal(
         &mut self,
         task: &TaskId,
--- a/crates/leased/cloverfold_lease/src/runner/stops.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stops.rs
@@ -1,7 +1,7 @@
 //! Stops of runs: sending and repeats.
 //!
 //! Ends a run before it is done. Owns no state besides the runner's.
-//! Relies on [`Run`](crate::runner::run::Run) for the life cycle. That a stop has had its effect is seen only in the target's list
+//! Relies on [`Run`](crate::runner::run::Run) for the states of a run. That a stop has had its effect is seen only in the target's list
 //! (`unlisted`) or in an end that it reports; the answer to a stop is not used.
 
 use std::time::Duration;
--- a/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
@@ -11,7 +11,7 @@
 impl Runner {
     /// Stops the runs that are stuck, and pauses the target if there are too many of them.
     ///
-    /// A target of which no run was ever seen to advance is not judged: it may tell no progress at all.
+    /// A target of which no run was ever seen to advance is not judged: it may report no progress at all.
     pub(super) fn stop_stuck_runs(&mut self, now: Timestamp) {
         let target = self.target.as_ref();
         if !target.is_some_and(|target| target.performance.reports_progress()) {
@@ -35,6 +35,7 @@
             .collect()
     }
 
+    /// Stops a run that is stuck; its end is reported as [`RunOutcome::Stuck`].
     fn stop_stuck_run(&mut self, task: &TaskId, now: Timestamp) {
         if let Some(run) = self.runs.get_mut(task) {
             run.is_stopped_as_stuck = true;
@@ -43,6 +44,7 @@
         self.stop_run(task, RunOutcome::Stuck, now);
     }
 
+    /// Gives back what waits and announces that the target accepts no work.
     fn begin_target_pause(&mut self, now: Timestamp) {
         self.counts.pauses += 1;
         self.give_back_waiting(RunRefusal::NoTarget, now);
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -18,7 +18,7 @@
 impl Runner {
     /// Processes a registration of the target; one that comes late from an earlier incarnation changes nothing.
     ///
-    /// A name not heard before is a new incarnation: all runs of the one before are over.
+    /// An unknown name is a new incarnation: all runs of the one before are over.
     pub fn register(&mut self, registration: TargetRegistration, now: Timestamp) {
         if self.ended_incarnations.contains(&registration.incarnation) {
             return;
@@ -70,12 +70,18 @@
         target.filter(|target| target.registration.incarnation == incarnation)
     }
 
+    /// Replaces the target by a new incarnation, which ends all runs of the one before, and asks for its list.
     fn begin_target_incarnation(&mut self, registration: TargetRegistration, now: Timestamp) {
         self.end_target_incarnation(now);
         self.next_sequence += 1;
         let number = self.next_sequence;
-        let token = self.first_fencing_token;
-        self.target = Some(TargetIncarnation::new(registration, number, token, now));
+        let fencing_token = self.first_fencing_token;
+        self.target = Some(TargetIncarnation::new(
+            registration,
+            number,
+            fencing_token,
+            now,
+        ));
         self.announce_target();
         self.actions.push(RunnerAction::RenewNow);
     }
@@ -112,6 +118,7 @@
         self.end_runs_of_lapsed_lease(now);
     }
 
+    /// Ends all runs as lost once every lease of the target has lapsed.
     fn end_runs_of_lapsed_lease(&mut self, now: Timestamp) {
         let Some(target) = &self.target else {
             return;
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -1,7 +1,7 @@
 //! One incarnation of the target beside a runner: its clock, its leases, whether it accepts work.
 //!
-//! Holds what is known of the target from its registration to its end.
-//! Owns that knowledge. Relies on [`TargetPerformance`] for the judgement by its runs, on [`Timings`] for the bounds.
+//! Tracks the target from its registration to its end.
+//! Owns what is known of it. Relies on [`TargetPerformance`] for the judgement by its runs, on [`Timings`] for the bounds.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 
 /// How far the fencing token rises above one that the target has refused.
 ///
-/// Tokens are milliseconds since 1970 at the start of the guard (docs/design/6-leased-runs.md, "Fencing tokens"), so this is 10 s of a
+/// Fencing tokens are milliseconds since 1970 at the start of the guard (docs/design/6-leased-runs.md, "Fencing tokens"), so this is 10 s of a
 /// clock that was put back. Chosen, not measured.
 const FENCING_TOKEN_STEP: u64 = 10_000;
 
@@ -147,6 +147,7 @@
         self.performance.offer(self.capacity())
     }
 
+    /// Returns what dispatchers are sent about the target.
     pub(super) fn describe(&self) -> TargetDescription {
         TargetDescription {
             incarnation: self.registration.incarnation.clone(),
@@ -177,7 +178,7 @@
         Some(deadline)
     }
 
-    /// Returns whether every lease that the target may hold is certainly over, so that nothing runs there.
+    /// Returns whether every lease that the target may have is certainly over, so that nothing runs there.
     ///
     /// The latest deadline that was sent lies `left` after the newest reading of the target's clock. That clock may be slow, so `left` lasts
     /// up to [`Timings::longest_true_span`] of it here; then the target has [`Timings::stop`] to end its runs. Without a reading no order
@@ -193,7 +194,7 @@
 
     /// Raises the fencing token above one that the target has refused; an answer to an older, lower one changes nothing.
     ///
-    /// The target refuses tokens below the highest that it has seen: one of an earlier process whose clock was ahead.
+    /// The target refuses fencing tokens below the highest that it has seen: one of an earlier process whose clock was ahead.
     pub(super) fn raise_fencing_token(&mut self, refused: u64) {
         if refused >= self.fencing_token {
             self.fencing_token = refused + FENCING_TOKEN_STEP;
--- a/crates/leased/cloverfold_lease/src/runner/unlisted.rs
+++ b/crates/leased/cloverfold_lease/src/runner/unlisted.rs
@@ -1,4 +1,4 @@
-//! Decision: what a run that the target does not list has come to.
+//! Decision: whether a run that the target does not list is over, and with which outcome.
 //!
 //! The one rule that ends a run although the target reports no end. Pure: owns no state, relies on [`RunState`].
 
@@ -19,13 +19,13 @@
 
 /// Decides whether a run that a list leaves out is certainly over, and with which outcome; none while it may run or start.
 ///
-/// - Waiting: nothing was sent, so a list says nothing of it.
+/// - Waiting: nothing was sent, so no list can contain it.
 /// - Starting: the target refuses a start after its deadline. Once the target's clock is past it, the run never ran.
 /// - Running: confirmed before the target was asked, so it has been there and is gone: lost. A list that was asked for before the
 ///   confirmation may be older than the run.
 /// - Stopping: see [`outcome_of_unlisted_stop`].
 ///
-/// No constant: the deadline of a start is set by `TargetIncarnation::next_deadline`.
+/// No constant: the deadline of a start is set by `TargetIncarnation::extend_lease`.
 pub(super) fn outcome_of_unlisted_run(state: &RunState, list: ListTimes) -> Option<RunOutcome> {
     match state {
         RunState::Waiting { .. } => None,
--- a/crates/leased/cloverfold_lease/src/runner/waiting.rs
+++ b/crates/leased/cloverfold_lease/src/runner/waiting.rs
@@ -14,7 +14,7 @@
 impl Runner {
     /// Starts waiting runs in order of priority, then of arrival, while they fit.
     ///
-    /// The first that does not fit holds up all behind it: small runs do not overtake a large one again and again.
+    /// The first that does not fit blocks all behind it: small runs do not overtake a large one again and again.
     pub(super) fn start_waiting(&mut self, now: Timestamp) {
         if !self.has_ready_target() {
             return;
@@ -63,6 +63,7 @@
         self.capacity_minus(busy.map(|run| run.demand))
     }
 
+    /// Returns the offered capacity without these demands; negative where they exceed it.
     fn capacity_minus(&self, demands: impl Iterator<Item = Resources>) -> Resources {
         let capacity = self
             .target
@@ -74,6 +75,7 @@
         })
     }
 
+    /// Lists the waiting runs in order of priority, then of arrival.
     fn waiting_in_order(&self) -> Vec<TaskId> {
         let is_waiting = |(_, run): &(&TaskId, &Run)| run.is_waiting();
         let mut waiting: Vec<(&TaskId, &Run)> = self.runs.iter().filter(is_waiting).collect();
--- a/crates/leased/cloverfold_lease/src/stall.rs
+++ b/crates/leased/cloverfold_lease/src/stall.rs
@@ -1,4 +1,4 @@
-//! How long a process may stand still before it must distrust what it knows.
+//! How long a process may be stalled (frozen or starved of processor time) before its state counts as out of date.
 //!
 //! Owns no state. Relies on both measures being taken between two calls of the same process, by its own steady clock.
 //!
@@ -6,8 +6,8 @@
 //!
 //! | limit | what is distrusted | reaction | cost if it was needless |
 //! |---|---|---|---|
-//! | [`REQUEST_STALL`], 300 ms | requests that arrived during the stall: their callers may have sent them elsewhere | the entry refuses them | one more attempt; nothing has run |
-//! | [`JOB_STALL`], 700 ms | open jobs: their callers may have left and sent them elsewhere | the dispatcher gives all of them up | the work that was done for them |
+//! | [`REQUEST_STALL`], 300 ms | requests that arrived during the stall: their callers may have sent them elsewhere | the entry refuses them (`EntryState::submit`) | one more attempt; nothing has run |
+//! | [`JOB_STALL`], 700 ms | open jobs: their callers may have left and sent them elsewhere | the dispatcher gives all of them up (`Dispatcher::give_up_after_stall`) | the work that was done for them |
 //!
 //! Both must stay well below the time after which a caller sends again ([`DEFAULT_RESEND`](crate::DEFAULT_RESEND), 1,300 ms).
 
--- a/crates/leased/cloverfold_lease/src/timings.rs
+++ b/crates/leased/cloverfold_lease/src/timings.rs
@@ -1,12 +1,12 @@
 //! The bounds in time that leased runs rest on.
 //!
-//! Owns no state: [`Timings`] is a copy of what the settings say. Relies on targets that keep their leases, and on their clocks,
+//! Owns no state: [`Timings`] is a copy of the settings. Relies on targets that keep their leases, and on their clocks,
 //! which may be slower than a true one by [`CLOCK_DRIFT_PERMILLE`] at the most.
 //!
 //! # Why no two runs of a task overlap
 //!
 //! A caller that lost its connection sends its job again after the resend interval, perhaps to another entry. By then each run
-//! that the first entry started must be over, also if that entry and the guard of the run are frozen. One inequality says so:
+//! that the first entry started must be over, also if that entry and the guard of the run are frozen. One inequality guarantees it:
 //!
 //! ```text
 //! session + lease on a slow clock + stop < resend
@@ -25,7 +25,7 @@
 /// measured.
 pub const DEFAULT_SESSION: Duration = Duration::from_millis(500);
 /// How long a lease lasts unless the settings say otherwise. Chosen within the inequality above, not measured; a shorter one
-/// was ruled out, since it leaves less time for a guard that is held up (commit "Make a lost answer cost less").
+/// was ruled out, since it leaves less time for a guard that is delayed (commit 17223cb).
 pub const DEFAULT_LEASE: Duration = Duration::from_millis(650);
 /// How long a target may take to end a stopped run unless the settings say otherwise. Kept by targets (design note 6), not
 /// measured.
@@ -45,7 +45,7 @@
 /// [`Timings::order_timeout`]. Chosen, not measured.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 /// [`Timings::start_timeout`]. Measured in one trial with a shorter wait of renewals: own day of late orders 0.654 -> 0.834 of the
-/// worth (commit "Notice ends sooner when a hold's answer is lost"; 60 ms before).
+/// worth (commit 897526f; 60 ms before).
 const START_TIMEOUT: Duration = Duration::from_millis(20);
 /// [`Timings::silence`]. Measured with [`RENEWAL_WAIT`] (430 ms before).
 const SILENCE: Duration = Duration::from_millis(200);
--- a/crates/leased/cloverfold_leased_entry/src/callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/callers.rs
@@ -49,6 +49,7 @@
         }
     }
 
+    /// Finds the queue and the call of a request and answers it.
     async fn answer_with(&self, configuration: &Configuration, request: &Request) -> Response {
         let path = request.uri.path();
         let Some(route) = configuration.find_route(request.host(), path) else {
@@ -65,6 +66,7 @@
         }
     }
 
+    /// Answers whether a job is open; answered jobs are not remembered.
     fn show(&self, id: &str) -> Response {
         if self.lock().is_open(id) {
             job_state_response(self.protocol.as_ref(), JobState::Running)
@@ -73,6 +75,7 @@
         }
     }
 
+    /// Gives up a job by its name.
     fn cancel(&self, id: &str) -> Response {
         if self.lock().cancel_named(id) {
             json_response(StatusCode::OK, "{}")
@@ -81,6 +84,7 @@
         }
     }
 
+    /// Answers how many jobs of a queue are open and have not started.
     fn count(&self, route: &Route) -> Response {
         let is_in_queue = |job: &JobRequest| job.queue == route.name;
         let queued = self.lock().count_queued(is_in_queue);
--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -23,6 +23,7 @@
     }
 }
 
+/// Logs a refusal; the key `held_ms` is how long the job waited in the queue.
 fn log_refused(event: &DispatcherEvent, version: Version) {
     if let DispatcherEvent::Refused {
         job,
@@ -124,6 +125,7 @@
     }
 }
 
+/// Returns a span in whole milliseconds, as all keys that end in `_ms` have it.
 fn millis(span: &Duration) -> u64 {
     span.as_millis() as u64
 }
--- a/crates/leased/cloverfold_leased_entry/src/known_guards.rs
+++ b/crates/leased/cloverfold_leased_entry/src/known_guards.rs
@@ -1,6 +1,6 @@
 //! The guards that an entry knows, and when it invites one that is no longer connected.
 //!
-//! Guards dial entries, so an entry that a restarted guard has not heard of yet must ask to be dialed. Owns the addresses of guards that
+//! Guards dial entries, so an entry that a restarted guard does not know yet must ask to be dialed. Owns the addresses of guards that
 //! are or were connected. Relies on the caller to send the invitations.
 
 use std::collections::BTreeMap;
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -74,6 +74,7 @@
         self.clients.advance(StopPhase::Turning);
     }
 
+    /// Refuses jobs and new client connections from now on; open connections close once they are idle.
     fn stop_accepting_jobs(&self) {
         self.callers.lock().stop_accepting_jobs();
         self.clients.advance(StopPhase::Closing);
@@ -181,6 +182,7 @@
     serve_at("ready_address", address, HttpLimits::default, answer)
 }
 
+/// Answers the balancer: 200 if ready, otherwise 503 with the reason.
 fn answer_readiness(callers: &Callers, request: &Request) -> Response {
     let path = request.uri.path();
     if !callers.protocol.asks_readiness(&request.method, path) {
--- a/crates/leased/cloverfold_leased_entry/src/protocol.rs
+++ b/crates/leased/cloverfold_leased_entry/src/protocol.rs
@@ -17,7 +17,7 @@
     Show(String),
     /// Cancels the job with this id.
     Cancel(String),
-    /// Asks how many jobs wait.
+    /// Asks how many jobs of the queue are open and have not started.
     Count,
 }
 
@@ -64,7 +64,7 @@
     /// Writes the state of a job.
     fn write_state(&self, state: JobState) -> Vec<u8>;
 
-    /// Writes how many jobs wait.
+    /// Writes how many jobs of a queue are open and have not started.
     fn write_count(&self, waiting: usize) -> Vec<u8>;
 
     /// Returns whether a request at the balancer's address asks for readiness.
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -40,6 +40,7 @@
     guards: KnownGuards,
     /// Where the callers of open jobs wait for their answers.
     answers: HashMap<JobNumber, oneshot::Sender<JobAnswer>>,
+    /// When the last tick was; a long gap is a stall.
     ticked_at: Timestamp,
     is_draining: bool,
     was_ready: bool,
@@ -153,7 +154,8 @@
         self.dispatcher.leave();
     }
 
-    /// Submits a job; its one answer comes through the channel.
+    /// Submits a job; its one answer comes through the channel. After a stall of [`REQUEST_STALL`] the job is refused and has no
+    /// number.
     pub(crate) fn submit(
         &mut self,
         request: JobRequest,
@@ -196,6 +198,7 @@
         }
     }
 
+    /// Carries out one action of the dispatcher.
     fn carry_out(&mut self, action: DispatcherAction) {
         match action {
             DispatcherAction::Send(session, message) => {
@@ -211,6 +214,7 @@
         }
     }
 
+    /// Passes an answer to the caller that waits for it.
     fn answer(&mut self, number: JobNumber, answer: JobAnswer) {
         if let Some(caller) = self.answers.remove(&number) {
             // Harmless: a caller that has disconnected needs no answer.
@@ -218,6 +222,7 @@
         }
     }
 
+    /// Logs a change of readiness, with the reason why the entry is not ready.
     fn log_readiness(&mut self) {
         let unreadiness = self.find_unreadiness();
         let is_ready = unreadiness.is_none();
--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -68,6 +68,7 @@
         }
     }
 
+    /// Submits a job and waits for its answer; cancels it if this future is dropped first.
     async fn run_job(&self, id: &str, job: JobRequest) -> JobAnswer {
         let (number, answer) = self.lock().submit(job);
         let mut cancel = CancelOnDrop {
@@ -81,6 +82,7 @@
         answer
     }
 
+    /// Counts an answer and logs it unless the dispatcher has done so.
     fn record_answer(&self, id: &str, route: &Route, answer: JobAnswer, took: Duration) {
         let took_ms = took.as_millis() as u64;
         let route = route.name.as_str();
--- a/crates/leased/cloverfold_leased_guard/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_guard/src/event_log.rs
@@ -1,4 +1,4 @@
-//! Log lines on runs that didn't start or end as they should.
+//! Log lines for starts that were not acknowledged, stops, and runs that ended without success.
 //!
 //! Operators read these lines at night; docs/OPERATIONS.md explains them by their texts and keys, so that keys never change. Owns
 //! nothing.
--- a/crates/leased/cloverfold_leased_guard/src/lib.rs
+++ b/crates/leased/cloverfold_leased_guard/src/lib.rs
@@ -1,6 +1,6 @@
 //! The guard of a leased installation: it stands beside one target and runs what entries assign to it.
 //!
-//! It dials every entry that it hears of, starts and stops runs at its target, and renews the target's lease for as long as it is alive
+//! It dials every entry that it learns of, starts and stops runs at its target, and renews the target's lease for as long as it is alive
 //! itself. How the target is called is decided by a [`TargetInterface`].
 //!
 //! Owns what is known of the target and of its runs, and a copy of the configuration for entries that can't reach a control process.
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -128,7 +128,7 @@
         version: 0,
     };
     let timings = settings.lease.timings();
-    // A restarted guard begins with a higher token; should the clock have gone back, the target's refusals raise it.
+    // A restarted guard begins with a higher fencing token; should the clock have gone back, the target's refusals raise it.
     let fencing_token = unix_now().as_millis() as u64;
     let runner = Runner::new(timings, fencing_token);
     let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dial_peers());
@@ -149,6 +149,7 @@
     serve_at("registration_address", address, HttpLimits::default, answer)
 }
 
+/// Passes a call of the target to the state and acknowledges it.
 fn answer_registration(
     state: &Shared<GuardState>,
     interface: &dyn TargetInterface,
--- a/crates/leased/cloverfold_leased_guard/src/renewals.rs
+++ b/crates/leased/cloverfold_leased_guard/src/renewals.rs
@@ -17,7 +17,7 @@
 /// Pause after a renewal that was not answered, or that listed runs which are being stopped. 30 ms before; with shorter waits for
 /// answers and more starts the benches' day of lost answers rose from 0.853 to 0.862 (commit 17223cb).
 const RENEWAL_PAUSE: Duration = Duration::from_millis(10);
-/// Pause after a renewal that was not answered by a target that takes no work, since each costs a connection: 11,410 connections on the
+/// Pause after a renewal that was not answered by a target that accepts no work, since each costs a connection: 11,410 connections on the
 /// day of lost answers without it, 8,745 with it (commit 17223cb).
 const UNREADY_PAUSE: Duration = Duration::from_millis(60);
 /// How long to wait before looking again whether there is a target, unless the state notifies earlier. Chosen, not measured.
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -35,7 +35,7 @@
     orders: mpsc::UnboundedSender<TargetOrder>,
     /// Notified when the lease is to be renewed without waiting.
     renew_now: Arc<Notify>,
-    /// Why the target takes no work, as logged last.
+    /// Why the target accepts no work, as logged last.
     logged_reason: Option<UnavailableReason>,
 }
 
@@ -100,7 +100,7 @@
         self.runner.has_ready_target()
     }
 
-    /// Begins the planned stop: no further run is accepted, and those that the guard has end.
+    /// Begins the planned stop: no further run is accepted, and those that it already has may finish.
     pub(crate) fn begin_draining(&mut self) {
         self.runner.leave(self.clock.now());
         self.advance();
@@ -125,12 +125,14 @@
         self.runner.plan_renewal(now)
     }
 
+    /// Handles the answer to a renewal that [`Self::plan_renewal`] planned.
     pub(crate) fn receive_renewal_answer(&mut self, order: &RenewalOrder, answer: RenewalAnswer) {
         let now = self.clock.now();
         self.runner.receive_renewal_answer(order, answer, now);
         self.advance();
     }
 
+    /// Handles the answer to a start, which is logged if the target did not acknowledge it.
     pub(crate) fn receive_start_answer(&mut self, order: &StartOrder, answer: StartAnswer) {
         let now = self.clock.now();
         log_unacknowledged_start(order, &answer);
@@ -146,6 +148,7 @@
         self.log_readiness();
     }
 
+    /// Carries out one action of the runner.
     fn carry_out(&mut self, action: RunnerAction) {
         match action {
             RunnerAction::Send(session, message) => {
@@ -164,18 +167,20 @@
         }
     }
 
+    /// Queues an order to the target.
     fn order(&self, order: TargetOrder) {
         // Can't fail: the receiver lives as long as the process.
         let _ = self.orders.send(order);
     }
 
+    /// Logs a change of why the target accepts no work.
     fn log_readiness(&mut self) {
         let unready = self.runner.find_unavailable_reason();
         if unready == self.logged_reason {
             return;
         }
         self.logged_reason = unready;
-        // A target that takes work has no reason not to: the key is empty then.
+        // A target that accepts work has no reason not to: the key is empty then.
         let reason = unready.map(UnavailableReason::as_str).unwrap_or_default();
         log::info!(
             ready = unready.is_none(), reason, stuck_runs = self.runner.counts().stuck,
--- a/crates/leased/cloverfold_leased_guard/src/target_orders.rs
+++ b/crates/leased/cloverfold_leased_guard/src/target_orders.rs
@@ -38,6 +38,7 @@
     }
 }
 
+/// Sends a start; its answer goes to the state when it arrives.
 fn send_start(state: &Shared<GuardState>, interface: &Arc<dyn TargetInterface>, order: StartOrder) {
     let answer = interface.start(order.clone());
     let state = state.clone();
