--- a/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
@@ -1,11 +1,16 @@
 //! Which jobs are refused or given up without an end of a run.
 //!
-//! | when | rule | answer |
-//! |---|---|---|
-//! | at the submission | the process leaves, or no target of the service accepts work | refused |
-//! | at the queue deadline | no task was ever offered to a target, or all came back unstarted | refused, `NoCapacity` |
-//! | at the give-up deadline | parts may have run | given up |
-//! | after a stall of [`JOB_STALL`] | callers may have left and asked elsewhere | all open jobs given up |
+//! | when | condition | answer, `cause` in the log | bound |
+//! |---|---|---|---|
+//! | at the submission | the process is leaving | refused, `Leaving` | – |
+//! | at the submission | no target of the service accepts work | refused, `NoTarget` | – |
+//! | at the queue deadline | no task was ever offered to a target, or all came back unstarted | refused, `NoRoom` | `QUEUE_WAIT_SHARE` in `deadlines` |
+//! | at the give-up deadline | nothing has run or may yet run | refused, `NoRoom` | `GIVE_UP_FACTOR`, `ANSWERED_SHARE` in `deadlines` |
+//! | at the give-up deadline | parts may have run | given up | the same |
+//! | at the first call after a stall | callers may have left and asked elsewhere | all open jobs given up | [`JOB_STALL`] |
+//!
+//! `NoRoom` is the written name of [`JobRefusal::NoCapacity`]. The entry itself refuses with `Stalled`, before a job comes here; see
+//! `stall`.
 //!
 //! A job is refused only if none of its tasks has run or may yet run: its caller may then submit it again without loss.
 //!
--- a/crates/leased/cloverfold_lease/src/runner/answers.rs
+++ b/crates/leased/cloverfold_lease/src/runner/answers.rs
@@ -44,7 +44,7 @@
     Unhealthy,
     /// There was no connection to it, so it has not received the order.
     Unreachable,
-    /// Another incarnation of the target answered.
+    /// Another incarnation of the target answered. Written `OtherInstance`.
     OtherIncarnation,
     /// It considers the order invalid.
     Invalid,
--- a/crates/leased/cloverfold_lease/src/runner/refused_start.rs
+++ b/crates/leased/cloverfold_lease/src/runner/refused_start.rs
@@ -26,8 +26,8 @@
 /// concerns only the start that it answers.
 pub(super) fn step_after_refused_start(refusal: StartRefusal, attempts: u32) -> RefusedStartStep {
     let is_first = attempts == 1;
-    let is_mendable = matches!(refusal, StartRefusal::Fenced | StartRefusal::Late);
-    if is_mendable && attempts < MAX_START_ATTEMPTS {
+    let can_succeed_later = matches!(refusal, StartRefusal::Fenced | StartRefusal::Late);
+    if can_succeed_later && attempts < MAX_START_ATTEMPTS {
         return if is_first {
             RefusedStartStep::Replace
         } else {
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -26,9 +26,9 @@
     NoTarget,
     /// It is about to leave.
     Draining,
-    /// It answers no renewals.
+    /// It answers no renewals. Written `Silent`.
     Unresponsive,
-    /// Its runs made no progress.
+    /// Its runs made no progress. Written `RunsStandStill`.
     StuckRuns,
     /// Runs are there that this runner did not start.
     OtherRuns,
