--- a/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
@@ -15,7 +15,7 @@
     memory_mb: 8_000,
     accelerators: 0,
 };
-/// What each task uses: a target holds four.
+/// What each task uses: a target has capacity for four.
 pub const DEMAND: Resources = Resources {
     cpu_milli: 2_000,
     memory_mb: 64,
@@ -137,7 +137,7 @@
         self.tell(session, RunnerMessage::FreeCapacity(free_capacity));
     }
 
-    /// Returns the sessions that were told to withdraw a run since the last call.
+    /// Returns the sessions that were ordered to withdraw a run since the last call.
     pub fn withdrawn(&mut self) -> Vec<SessionId> {
         let actions = self.dispatcher.take_actions().into_iter();
         actions
--- a/crates/leased/cloverfold_lease/tests/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/placement.rs
@@ -37,7 +37,10 @@
     let assigned = fixture.assigned();
 
     for session in 1..=3 {
-        let there = assigned.iter().filter(|(held, _)| *held == session).count();
+        let there = assigned
+            .iter()
+            .filter(|(assigned_to, _)| *assigned_to == session)
+            .count();
         assert_eq!(there, 4, "8,000 thousandths take four tasks of 2,000");
     }
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/sessions.rs
@@ -56,7 +56,7 @@
     let other = 3 - run.0;
     fixture.dispatcher.close_session(run.0, fixture.now);
 
-    // Its run is surely over after 1.3 s; no other target has room, and its time is over after 9.8 s.
+    // Its run is surely over after 1.3 s; no other target has free capacity, and its time is over after 9.8 s.
     fixture.pass(12_000, &[other]);
 
     assert_eq!(fixture.answers(), [(number, JobAnswer::GivenUp)]);
--- a/crates/leased/cloverfold_lease/tests/runner/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/fixture.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// A target with room for two runs of [`assignment`].
+/// A target with capacity for two runs of [`assignment`].
 pub fn registration(incarnation: u32) -> TargetRegistration {
     TargetRegistration {
         incarnation: format!("incarnation-{incarnation}"),
@@ -140,12 +140,12 @@
     starts.collect()
 }
 
-/// Takes the actions of a runner and returns the ends that [`SESSION`] is told, as task and outcome.
+/// Takes the actions of a runner and returns the ends that are reported to [`SESSION`], as task and outcome.
 pub fn take_ends(runner: &mut Runner) -> Vec<(u32, RunOutcome)> {
     ends(&runner.take_actions())
 }
 
-/// Returns the ends that [`SESSION`] is told, as task and outcome.
+/// Returns the ends that are reported to [`SESSION`], as task and outcome.
 pub fn ends(actions: &[RunnerAction]) -> Vec<(u32, RunOutcome)> {
     let messages = actions.iter().filter_map(|action| match action {
         RunnerAction::Send(SESSION, RunnerMessage::Ended { task, outcome, .. }) => {
@@ -156,7 +156,7 @@
     messages.collect()
 }
 
-/// Returns the tasks whose runs the target is told to stop.
+/// Returns the tasks whose runs the target is ordered to stop.
 pub fn stops(actions: &[RunnerAction]) -> Vec<u32> {
     let stops = actions.iter().filter_map(|action| match action {
         RunnerAction::Stop(order) => Some(order.task.index),
--- a/crates/leased/cloverfold_lease/tests/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: how long they are valid, what ends with them, what they are told.
+//! Sessions: how long they are valid, what ends with them, what is reported over them.
 
 use cloverfold_lease::{EndCause, Runner, RunnerAction, RunnerMessage};
 
@@ -69,18 +69,18 @@
     runner.tick(at(101));
     runner.take_actions();
     started(&mut runner, 1, at(110));
-    let told = |runner: &mut Runner| -> Vec<u64> {
+    let reported_sessions = |runner: &mut Runner| -> Vec<u64> {
         let actions = runner.take_actions().into_iter();
-        let told = actions.filter_map(|action| match action {
+        let reported_sessions = actions.filter_map(|action| match action {
             RunnerAction::Send(session, RunnerMessage::FreeCapacity(_)) => Some(session),
             _ => None,
         });
-        told.collect()
+        reported_sessions.collect()
     };
 
     runner.tick(at(120));
 
-    assert_eq!(told(&mut runner), [SESSION, 8]);
+    assert_eq!(reported_sessions(&mut runner), [SESSION, 8]);
     runner.tick(at(130));
-    assert_eq!(told(&mut runner), []);
+    assert_eq!(reported_sessions(&mut runner), []);
 }
--- a/crates/leased/cloverfold_lease/tests/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/stuck_runs.rs
@@ -249,15 +249,15 @@
     assert!((800..1_300).contains(&slowness), "{slowness}");
 }
 
-/// Returns the free processors that the session was told last.
+/// Returns the free processors that were last reported to the session.
 fn free(bench: &Bench) -> Option<i64> {
     free_capacity(bench).map(|free_capacity| free_capacity.free.cpu_milli)
 }
 
-/// Returns what the session was told last of its target's room.
+/// Returns the free capacity that was last reported to the session.
 fn free_capacity(bench: &Bench) -> Option<FreeCapacity> {
     let actions = bench.actions.iter().enumerate();
-    let told = actions.filter_map(|(order, action)| match action {
+    let reports = actions.filter_map(|(order, action)| match action {
         RunnerAction::Send(
             _,
             RunnerMessage::FreeCapacity(free_capacity)
@@ -266,6 +266,7 @@
         ) => Some((order, *free_capacity)),
         _ => None,
     });
-    told.max_by_key(|(order, _)| *order)
+    reports
+        .max_by_key(|(order, _)| *order)
         .map(|(_, free_capacity)| free_capacity)
 }
--- a/crates/leased/cloverfold_lease/tests/world/mod.rs
+++ b/crates/leased/cloverfold_lease/tests/world/mod.rs
@@ -20,7 +20,7 @@
 const DISPATCHERS: usize = 2;
 const RESEND_MS: u64 = 1_300;
 const CLIENT_PATIENCE_MS: u64 = 1_500;
-const HOLD_TIMEOUT_MS: u64 = 220;
+const RENEWAL_TIMEOUT_MS: u64 = 220;
 const QUIET_MS: u64 = 4_000;
 
 /// Which faults come, and how long a session is valid.
@@ -70,7 +70,7 @@
     frozen_until: u64,
     starts_at: u64,
     target: Target,
-    hold_at: u64,
+    renewal_due_at: u64,
     registered_at: u64,
 }
 
@@ -117,7 +117,7 @@
                 frozen_until: 0,
                 starts_at: 0,
                 target: Target::new(index, rng.random_range(0.98..=1.0)),
-                hold_at: 0,
+                renewal_due_at: 0,
                 registered_at: 0,
             })
             .collect();
@@ -233,13 +233,13 @@
         }
     }
 
-    fn close_links(&mut self, is_meant: impl Fn(&(usize, usize)) -> bool) {
+    fn close_links(&mut self, matches: impl Fn(&(usize, usize)) -> bool) {
         let now = at(self.now);
         let keys: Vec<_> = self
             .links
             .keys()
             .copied()
-            .filter(|key| is_meant(key))
+            .filter(|key| matches(key))
             .collect();
         for key in keys {
             let link = self.links.remove(&key).unwrap();
@@ -269,7 +269,7 @@
             if node.runner.is_none() && self.now >= node.starts_at {
                 node.runner = Some(Runner::new(self.faults.timings(), 1_000 + self.now));
                 node.registered_at = 0;
-                node.hold_at = 0;
+                node.renewal_due_at = 0;
                 self.links.retain(|key, _| key.1 != index);
             }
         }
@@ -292,10 +292,10 @@
                     && self.dispatchers[dispatcher].dispatcher.is_some()
                     && self.now >= self.runners[runner].frozen_until
                     && self.now >= self.dispatchers[dispatcher].frozen_until;
-                let held = self.links.get(&key);
-                let is_sound = held.is_some_and(|link| link.dispatcher_open && link.runner_open);
-                let is_cut = held.is_some_and(|link| link.is_cut);
-                if is_sound || is_cut || !is_alive {
+                let link = self.links.get(&key);
+                let is_open = link.is_some_and(|link| link.dispatcher_open && link.runner_open);
+                let is_cut = link.is_some_and(|link| link.is_cut);
+                if is_open || is_cut || !is_alive {
                     continue;
                 }
                 if let Some(link) = self.links.remove(&key) {
@@ -432,13 +432,13 @@
             runner.register(node.target.register(now), at(now));
             node.registered_at = now + 1_500;
         }
-        if now >= node.hold_at {
-            node.hold_at = now + 15;
+        if now >= node.renewal_due_at {
+            node.renewal_due_at = now + 15;
             if let Some(order) = runner.plan_renewal(at(now)) {
                 let is_late = self.faults.is_troubled && self.rng.random_bool(0.03);
-                let answer = node.target.hold(&order, now, is_late);
+                let answer = node.target.renew(&order, now, is_late);
                 if answer == RenewalAnswer::Unanswered {
-                    node.hold_at = now + HOLD_TIMEOUT_MS;
+                    node.renewal_due_at = now + RENEWAL_TIMEOUT_MS;
                 }
                 runner.receive_renewal_answer(&order, answer, at(now));
             }
@@ -476,7 +476,7 @@
                             .target
                             .stop(&order, now, is_late, &mut self.rng);
                     }
-                    RunnerAction::RenewNow => self.runners[index].hold_at = now,
+                    RunnerAction::RenewNow => self.runners[index].renewal_due_at = now,
                 }
             }
         }
--- a/crates/leased/cloverfold_lease/tests/world/target.rs
+++ b/crates/leased/cloverfold_lease/tests/world/target.rs
@@ -20,7 +20,7 @@
 pub struct Target {
     index: usize,
     rate: f64,
-    life: u64,
+    incarnation: u64,
     life_began: u64,
     pub cut_until: u64,
     lease: u64,
@@ -40,7 +40,7 @@
         Self {
             index,
             rate,
-            life: 1,
+            incarnation: 1,
             life_began: 0,
             cut_until: 0,
             lease: 0,
@@ -73,7 +73,7 @@
     }
 
     pub fn crash(&mut self, now: u64, gap: u64) {
-        self.life += 1;
+        self.incarnation += 1;
         self.life_began = now + gap;
         self.running.clear();
         self.ended.clear();
@@ -85,7 +85,7 @@
     }
 
     fn incarnation(&self) -> String {
-        format!("target-{}-{}", self.index, self.life)
+        format!("target-{}-{}", self.index, self.incarnation)
     }
 
     pub fn register(&mut self, now: u64) -> TargetRegistration {
@@ -121,12 +121,12 @@
     /// Ends what is done or has lapsed and carries out late orders; returns how many runs began since the last call.
     pub fn step(&mut self, now: u64) -> u64 {
         let late = std::mem::take(&mut self.late);
-        for (at, life, order) in late {
-            if life != self.life {
+        for (at, incarnation, order) in late {
+            if incarnation != self.incarnation {
                 continue;
             }
             if at > now {
-                self.late.push((at, life, order));
+                self.late.push((at, incarnation, order));
                 continue;
             }
             match order {
@@ -167,7 +167,8 @@
         }
         if is_late {
             let at = now + rng.random_range(200..12_000);
-            self.late.push((at, self.life, Late::Start(order.clone())));
+            self.late
+                .push((at, self.incarnation, Late::Start(order.clone())));
             return StartAnswer::Unanswered;
         }
         self.do_start(order, now)
@@ -215,7 +216,8 @@
         }
         if is_late {
             let at = now + rng.random_range(200..12_000);
-            self.late.push((at, self.life, Late::Stop(order.clone())));
+            self.late
+                .push((at, self.incarnation, Late::Stop(order.clone())));
             return;
         }
         self.do_stop(order);
@@ -234,7 +236,7 @@
         }
     }
 
-    pub fn hold(&mut self, order: &RenewalOrder, now: u64, is_late: bool) -> RenewalAnswer {
+    pub fn renew(&mut self, order: &RenewalOrder, now: u64, is_late: bool) -> RenewalAnswer {
         if !self.is_reached(&order.incarnation, now) || is_late {
             return RenewalAnswer::Unanswered;
         }
