--- a/compatibility/tests/control_disk.rs
+++ b/compatibility/tests/control_disk.rs
@@ -17,7 +17,7 @@
     AuditRecord, ConfigurationState, Proposal, ProposalOutcome, StoredConfiguration,
 };
 use cloverfold_consensus::{
-    Entry, Member, Members, Payload, Record, RecoveredState, Snapshot, Store,
+    DiskIdentity, Entry, Member, Members, Payload, Record, RecoveredState, Snapshot, Store,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -41,7 +41,7 @@
     match record {
         Record::Identity {
             id: _,
-            may_found: _,
+            may_bootstrap: _,
         } => "control-disk/identity.log",
         Record::HardState {
             term: _,
@@ -142,12 +142,13 @@
 fn audit_record(outcome: ProposalOutcome) -> AuditRecord {
     AuditRecord {
         version: 300,
-        held_before: 299,
+        version_before: 299,
         outcome,
         source: "control-a".into(),
         received_at: Duration::new(1_790_000_000, 123_456_789),
         digest: *b"0123456789abcdef",
-        lengths: (70_000, 12),
+        text_len: 70_000,
+        text_len_before: 12,
     }
 }
 
@@ -189,10 +190,13 @@
         (
             vec![Record::Identity {
                 id: u64::MAX,
-                may_found: true,
+                may_bootstrap: true,
             }],
             RecoveredState {
-                identity: Some((u64::MAX, true)),
+                identity: Some(DiskIdentity {
+                    id: u64::MAX,
+                    may_bootstrap: true,
+                }),
                 ..RecoveredState::default()
             },
         ),
@@ -251,7 +255,7 @@
     vec![
         vec![Record::Identity {
             id: 300,
-            may_found: true,
+            may_bootstrap: true,
         }],
         vec![
             hard_state(1, None),
@@ -305,7 +309,10 @@
 fn history_state() -> RecoveredState {
     let [_, second, repeated, ..] = offers();
     RecoveredState {
-        identity: Some((300, true)),
+        identity: Some(DiskIdentity {
+            id: 300,
+            may_bootstrap: true,
+        }),
         term: 3,
         voted_for: None,
         commit: 7,
@@ -540,7 +547,7 @@
 
     let decisions: Vec<_> = state
         .audit()
-        .map(|record| (record.version, record.held_before, record.outcome))
+        .map(|record| (record.version, record.version_before, record.outcome))
         .collect();
     let expected = [
         (1, 0, ProposalOutcome::Taken),
--- a/crates/leased/cloverfold_configuration/src/faults.rs
+++ b/crates/leased/cloverfold_configuration/src/faults.rs
@@ -31,7 +31,7 @@
     },
     /// Two routes serve the same requests.
     #[error("routes {first} and {second}: both serve {host}{path_prefix}; change one")]
-    SamePlace {
+    DuplicateRoute {
         /// One route.
         first: String,
         /// The other.
@@ -57,7 +57,7 @@
         for (index, route) in self.routes.iter().enumerate() {
             faults.extend(find_unknown_service(route, &services));
             faults.extend(find_missing_timeout(route));
-            faults.extend(find_same_place(route, &self.routes[..index]));
+            faults.extend(find_duplicate_route(route, &self.routes[..index]));
         }
         faults
     }
@@ -78,11 +78,11 @@
     })
 }
 
-fn find_same_place(route: &Route, earlier: &[Route]) -> Option<ConfigurationFault> {
+fn find_duplicate_route(route: &Route, earlier: &[Route]) -> Option<ConfigurationFault> {
     let twin = earlier.iter().find(|other| {
         other.path_prefix == route.path_prefix && other.host.eq_ignore_ascii_case(&route.host)
     })?;
-    Some(ConfigurationFault::SamePlace {
+    Some(ConfigurationFault::DuplicateRoute {
         first: twin.name.clone(),
         second: route.name.clone(),
         host: route.host.clone(),
--- a/crates/leased/cloverfold_configuration/src/state.rs
+++ b/crates/leased/cloverfold_configuration/src/state.rs
@@ -14,13 +14,13 @@
 /// Audit records that are kept; older ones are dropped. Chosen, not measured.
 const MAX_AUDIT_RECORDS: usize = 4_096;
 
-/// One decision on a proposal.
+/// One decision on a proposal. The order of the fields is the format on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
     /// The version proposed.
     pub version: Version,
-    /// The version in force before.
-    pub held_before: Version,
+    /// The version in force before; 0 before the first.
+    pub version_before: Version,
     /// What became of it.
     pub outcome: ProposalOutcome,
     /// Name of the control process that received it.
@@ -29,8 +29,10 @@
     pub received_at: UnixTime,
     /// First bytes of the hash of its text.
     pub digest: [u8; 16],
-    /// Length of its text, then of the text in force before; in bytes.
-    pub lengths: (u32, u32),
+    /// Length of its text, in bytes.
+    pub text_len: u32,
+    /// Length of the text in force before, in bytes; 0 before the first.
+    pub text_len_before: u32,
 }
 
 /// The configuration in force and how it came about.
@@ -83,12 +85,13 @@
         let len_before = self.current().map_or(0, |current| current.text.len());
         self.audit.push_back(AuditRecord {
             version: proposal.configuration.version,
-            held_before: self.version(),
+            version_before: self.version(),
             outcome,
             source: proposal.source,
             received_at: proposal.received_at,
             digest: hash_parts(&[&proposal.configuration.text]),
-            lengths: (proposal.configuration.text.len() as u32, len_before as u32),
+            text_len: proposal.configuration.text.len() as u32,
+            text_len_before: len_before as u32,
         });
         if self.audit.len() > MAX_AUDIT_RECORDS {
             self.audit.pop_front();
--- a/crates/leased/cloverfold_configuration/tests/configurations.rs
+++ b/crates/leased/cloverfold_configuration/tests/configurations.rs
@@ -62,7 +62,7 @@
             service: "print".into(),
         },
         ConfigurationFault::NoTimeout { route: "a".into() },
-        ConfigurationFault::SamePlace {
+        ConfigurationFault::DuplicateRoute {
             first: "b".into(),
             second: "c".into(),
             host: "JOBS.example".into(),
--- a/crates/leased/cloverfold_configuration/tests/proposals.rs
+++ b/crates/leased/cloverfold_configuration/tests/proposals.rs
@@ -52,9 +52,10 @@
     let records: Vec<_> = state.audit().collect();
     assert_eq!(records.len(), 2);
     assert_eq!(records[1].version, 4);
-    assert_eq!(records[1].held_before, 5);
+    assert_eq!(records[1].version_before, 5);
     assert_eq!(records[1].outcome, ProposalOutcome::Outdated);
-    assert_eq!(records[1].lengths, (4, 4));
+    assert_eq!(records[1].text_len, 4);
+    assert_eq!(records[1].text_len_before, 4);
 }
 
 #[test]
--- a/crates/leased/cloverfold_consensus/src/records.rs
+++ b/crates/leased/cloverfold_consensus/src/records.rs
@@ -14,8 +14,8 @@
     Identity {
         /// The identity.
         id: ReplicaId,
-        /// Whether the whole installation started for the first time when the disk was first used.
-        may_found: bool,
+        /// Whether the operator declared the first start of the whole installation when the disk was first used.
+        may_bootstrap: bool,
     },
     /// The term, and who got the vote in it.
     HardState {
@@ -40,11 +40,20 @@
     Snapshot(Snapshot),
 }
 
+/// The identity of a disk, drawn when it was first used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DiskIdentity {
+    /// The identity of the replica that uses the disk.
+    pub id: ReplicaId,
+    /// Whether its process may begin a group.
+    pub may_bootstrap: bool,
+}
+
 /// The state that a store had recorded when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredState {
-    /// The identity of the disk and whether its process may begin a group; `None` of a disk that was never used.
-    pub identity: Option<(ReplicaId, bool)>,
+    /// The identity of the disk; `None` if it was never used.
+    pub identity: Option<DiskIdentity>,
     /// The current term.
     pub term: Term,
     /// Who got this replica's vote in that term.
@@ -61,7 +70,9 @@
     /// Applies one record.
     pub(crate) fn apply(&mut self, record: Record) {
         match record {
-            Record::Identity { id, may_found } => self.identity = Some((id, may_found)),
+            Record::Identity { id, may_bootstrap } => {
+                self.identity = Some(DiskIdentity { id, may_bootstrap });
+            }
             Record::HardState { term, voted_for } => {
                 self.term = term;
                 self.voted_for = voted_for;
@@ -82,8 +93,8 @@
     /// Returns the fewest records that yield this state.
     pub(crate) fn to_records(&self) -> Vec<Record> {
         let mut records = Vec::new();
-        if let Some((id, may_found)) = self.identity {
-            records.push(Record::Identity { id, may_found });
+        if let Some(DiskIdentity { id, may_bootstrap }) = self.identity {
+            records.push(Record::Identity { id, may_bootstrap });
         }
         records.push(Record::HardState {
             term: self.term,
--- a/crates/leased/cloverfold_consensus/tests/store.rs
+++ b/crates/leased/cloverfold_consensus/tests/store.rs
@@ -5,7 +5,7 @@
 use std::fs::OpenOptions;
 use std::io::Write;
 
-use cloverfold_consensus::{Entry, Payload, Record, Snapshot, Store};
+use cloverfold_consensus::{DiskIdentity, Entry, Payload, Record, Snapshot, Store};
 
 fn entry(index: u64) -> Record {
     Record::Entry(Entry {
@@ -27,7 +27,7 @@
     store
         .append(&[Record::Identity {
             id: 9,
-            may_found: true,
+            may_bootstrap: true,
         }])
         .unwrap();
     store
@@ -48,7 +48,13 @@
 
     let (_, state) = Store::open(folder.path()).unwrap();
 
-    assert_eq!(state.identity, Some((9, true)));
+    assert_eq!(
+        state.identity,
+        Some(DiskIdentity {
+            id: 9,
+            may_bootstrap: true,
+        })
+    );
     assert_eq!((state.term, state.voted_for), (4, Some(9)));
     assert_eq!(indexes(&state.entries), [1, 2, 3]);
 }
@@ -106,7 +112,7 @@
     store
         .append(&[Record::Identity {
             id: 3,
-            may_found: false,
+            may_bootstrap: false,
         }])
         .unwrap();
     let state = vec![7; 200_000];
@@ -129,7 +135,13 @@
     let (_, state) = Store::open(folder.path()).unwrap();
 
     assert!(len < 6 * 1024 * 1024, "{len} bytes");
-    assert_eq!(state.identity, Some((3, false)));
+    assert_eq!(
+        state.identity,
+        Some(DiskIdentity {
+            id: 3,
+            may_bootstrap: false,
+        })
+    );
     assert_eq!(state.snapshot.index, 60);
     assert_eq!(indexes(&state.entries), [61]);
 }
--- a/crates/leased/cloverfold_control/src/operators.rs
+++ b/crates/leased/cloverfold_control/src/operators.rs
@@ -191,13 +191,13 @@
         .collect();
     json!({
         "version": record.version,
-        "held_before": record.held_before,
+        "held_before": record.version_before,
         "outcome": record.outcome.as_str().to_lowercase(),
         "source": record.source,
         "unix_ms": record.received_at.as_millis() as u64,
         "digest": digest,
-        "bytes": record.lengths.0,
-        "bytes_before": record.lengths.1,
+        "bytes": record.text_len,
+        "bytes_before": record.text_len_before,
     })
 }
 
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cloverfold_base::{Timestamp, random_u64};
-use cloverfold_consensus::{Record, Replica, ReplicaConfig, ReplicaId, Store};
+use cloverfold_consensus::{DiskIdentity, Record, Replica, ReplicaConfig, ReplicaId, Store};
 use cloverfold_http::{HttpLimits, ListenError, Request, Serving, StopPhase, serve_at};
 use cloverfold_leased_process::{
     ListeningPeerPort, PeerPort, Shared, serve_state_operations, start_ticks,
@@ -99,21 +99,26 @@
         Some(identity) => identity,
         None => create_identity(&mut store, settings.may_found)?,
     };
-    let (replica_id, may_found) = identity;
     let has_empty_log = recovered.entries.is_empty() && recovered.snapshot.index == 0;
-    let own = introduce(settings, replica_id, has_empty_log);
+    let own = introduce(settings, identity.id, has_empty_log);
     let seeds = settings.peer.seed_addresses();
-    let bootstrap = Bootstrap::plan(may_found, has_empty_log, own.address, &seeds);
+    let bootstrap = Bootstrap::plan(identity.may_bootstrap, has_empty_log, own.address, &seeds);
     log::info!(
-        name = own.name.as_str(), replica = format_id(replica_id).as_str(),
-        is_blank = has_empty_log, may_found, is_founder = bootstrap.is_some();
+        name = own.name.as_str(), replica = format_id(identity.id).as_str(),
+        is_blank = has_empty_log, may_found = identity.may_bootstrap, is_founder = bootstrap.is_some();
         "a control process starts"
     );
     let config = ReplicaConfig {
         voters: 2 * settings.tolerated_losses + 1,
         ..ReplicaConfig::default()
     };
-    let replica = Replica::new(replica_id, config, recovered, random_u64(), Timestamp::ZERO);
+    let replica = Replica::new(
+        identity.id,
+        config,
+        recovered,
+        random_u64(),
+        Timestamp::ZERO,
+    );
     let disk = Disk::start(store, disk_events).map_err(ControlError::Thread)?;
     Ok(ControlState::new(
         own,
@@ -126,10 +131,11 @@
 
 /// Draws the identity of a new disk. It and the right to begin a group are synced before anything else, so that a process that dies
 /// while it begins a group goes on with that.
-fn create_identity(store: &mut Store, may_found: bool) -> Result<(ReplicaId, bool), ControlError> {
+fn create_identity(store: &mut Store, may_bootstrap: bool) -> Result<DiskIdentity, ControlError> {
+    // An identity is never 0.
     let id = random_u64() | 1;
-    store.append(&[Record::Identity { id, may_found }])?;
-    Ok((id, may_found))
+    store.append(&[Record::Identity { id, may_bootstrap }])?;
+    Ok(DiskIdentity { id, may_bootstrap })
 }
 
 fn introduce(settings: &ControlSettings, replica: ReplicaId, has_empty_log: bool) -> Hello {
--- a/crates/leased/cloverfold_control/src/state/bootstrap.rs
+++ b/crates/leased/cloverfold_control/src/state/bootstrap.rs
@@ -1,9 +1,9 @@
 //! Decision: when the group of an installation begins.
 //!
-//! Rule: only at the very first start of an installation (`may_found` when the disk was first used), only by the first seed by address,
+//! Rule: only at the very first start of an installation (the setting `may_found` when the disk was first used), only by the first seed by address,
 //! and only once it has links to all other seeds and their logs are empty. The seeds become the voters.
 //!
-//! Inputs: `may_found` as stored on disk, the seeds of the settings, the introductions of the peers that this process dialed.
+//! Inputs: the setting as stored on disk (`DiskIdentity::may_bootstrap`), the seeds of the settings, the introductions of the peers that this process dialed.
 //!
 //! Reason: two groups would each accept configurations. If a majority of the seeds could begin, two halves could do so when their
 //! settings differ (docs/design/7-control.md, "Bootstrap").
@@ -25,13 +25,13 @@
 impl Bootstrap {
     /// Returns the group that this process is to begin, if it is the one to do so. `seeds` are in order.
     pub(crate) fn plan(
-        may_found: bool,
+        may_bootstrap: bool,
         has_empty_log: bool,
         own: SocketAddr,
         seeds: &[SocketAddr],
     ) -> Option<Self> {
         let is_first = seeds.first() == Some(&own);
-        (may_found && has_empty_log && is_first).then(|| Self {
+        (may_bootstrap && has_empty_log && is_first).then(|| Self {
             seeds: seeds.to_vec(),
         })
     }
