--- a/crates/common/cloverfold_http/src/client.rs
+++ b/crates/common/cloverfold_http/src/client.rs
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 /// Longest body of an answer, in bytes. Chosen, not measured.
-const MAX_ANSWER: usize = 4 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 /// Idle connections that are kept to one address. Chosen, not measured.
-const MAX_IDLE: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 type Connection = SendRequest<Full<Bytes>>;
 
@@ -69,7 +69,7 @@
         let unanswered = |cause: hyper::Error| HttpCallError::Unanswered(cause.to_string());
         let response = connection.send_request(request).await.map_err(unanswered)?;
         let (head, body) = response.into_parts();
-        let body = Limited::new(body, MAX_ANSWER)
+        let body = Limited::new(body, MAX_ANSWER_BYTES)
             .collect()
             .await
             .map_err(|cause| HttpCallError::Unanswered(cause.to_string()))?
@@ -78,7 +78,7 @@
         Ok((head.status, head.headers, body))
     }
 
-    /// Takes an idle connection that is still open, or opens one.
+    /// Returns an idle connection that is still open, or opens one.
     async fn connect(&self, address: SocketAddr) -> Result<Connection, HttpCallError> {
         while let Some(mut connection) = self.take_idle(address) {
             if connection.ready().await.is_ok() {
@@ -102,7 +102,7 @@
         Ok(connection)
     }
 
-    /// Takes the connection to an address that was used last.
+    /// Removes and returns the idle connection to an address that was used last.
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&address)?;
@@ -113,11 +113,11 @@
         connection
     }
 
-    /// Keeps a connection for the next call, up to [`MAX_IDLE`].
+    /// Keeps a connection for the next call, up to [`MAX_IDLE_CONNECTIONS`].
     fn keep(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.entry(address).or_default();
-        if connections.len() < MAX_IDLE && !connection.is_closed() {
+        if connections.len() < MAX_IDLE_CONNECTIONS && !connection.is_closed() {
             connections.push(connection);
         }
     }
--- a/crates/common/cloverfold_link/src/frame.rs
+++ b/crates/common/cloverfold_link/src/frame.rs
@@ -47,7 +47,8 @@
     out.put_u32_le(HEARTBEAT_LEN);
 }
 
-/// Takes the first whole message off a buffer, and the heartbeats before it; `None` while more bytes are needed.
+/// Removes the first complete message and the heartbeats before it from a buffer, and returns the message; `None` while more bytes are
+/// needed.
 ///
 /// # Errors
 ///
--- a/crates/common/cloverfold_link/src/link.rs
+++ b/crates/common/cloverfold_link/src/link.rs
@@ -1,6 +1,6 @@
 //! One connection: its reader, its writer, and the events they raise.
 //!
-//! Carries typed messages over a TCP connection from either side and notices when it is over. Owns the queue of messages that wait to
+//! Carries typed messages over a TCP connection from either side and detects when it is over. Owns the queue of messages that wait to
 //! be sent, and the numbers of links. Relies on `frame` for the form of messages and on `socket` for the options.
 
 use std::marker::PhantomData;
@@ -23,17 +23,17 @@
 use crate::socket::tune_socket;
 
 /// Messages that may wait for a slow peer; further ones are refused and the first of them is logged. Chosen, not measured.
-const SEND_QUEUE: usize = 4_096;
+const SEND_QUEUE_MESSAGES: usize = 4_096;
 /// Messages that are written with one system call at the most. Chosen, not measured.
-const WRITE_BATCH: usize = 64;
+const WRITE_BATCH_MESSAGES: usize = 64;
 /// How long a link may be idle before a heartbeat is sent: a third of [`SILENCE_TIMEOUT`], so that one that is late closes nothing.
 /// Chosen, not measured.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// Without any byte for this long the peer counts as lost: it may have no power or be cut off. Why there is a bound:
 /// docs/incidents/1-half-open-links.md; its length is chosen, not measured.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Room made for each read, in bytes. Chosen, not measured.
-const READ_BUFFER: usize = 4 * 1024;
+/// Buffer space reserved for each read, in bytes. Chosen, not measured.
+const READ_BUFFER_BYTES: usize = 4 * 1024;
 /// Pause after a connection could not be accepted, for instance because the process has no file descriptor left. Chosen, not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
@@ -108,7 +108,7 @@
         }
         match self.tx.try_send(buf.freeze()) {
             Ok(()) => true,
-            // Not logged: the event of the closed link tells it.
+            // Not logged: a `LinkEvent::Closed` follows, and its receiver logs it.
             Err(TrySendError::Closed(_)) => false,
             Err(TrySendError::Full(_)) => {
                 self.log_full_queue();
@@ -120,7 +120,7 @@
     /// Logs the first message that is refused on this link: a peer that reads nothing would else fill the log.
     fn log_full_queue(&self) {
         if !self.is_full_logged.swap(true, Ordering::Relaxed) {
-            log::warn!(queue = SEND_QUEUE; "a message is dropped: its link's queue is full");
+            log::warn!(queue = SEND_QUEUE_MESSAGES; "a message is dropped: its link's queue is full");
         }
     }
 }
@@ -159,7 +159,7 @@
     tune_socket(&stream);
     let link = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
     let (reader, writer) = stream.into_split();
-    let (tx, rx) = mpsc::channel(SEND_QUEUE);
+    let (tx, rx) = mpsc::channel(SEND_QUEUE_MESSAGES);
     let opened = LinkEvent::Opened {
         link,
         address,
@@ -174,7 +174,7 @@
         () = write_messages(writer, rx) => {}
         () = stopped => {}
     }
-    // Nobody receives events any more only while the process ends.
+    // Fails only while the process ends: nothing receives events any more.
     let _ = events.send(LinkEvent::Closed { link }).await;
 }
 
@@ -183,7 +183,7 @@
     link: LinkId,
     events: &mpsc::Sender<LinkEvent<M>>,
 ) {
-    let mut buf = BytesMut::with_capacity(READ_BUFFER);
+    let mut buf = BytesMut::with_capacity(READ_BUFFER_BYTES);
     loop {
         match decode_frame(&mut buf) {
             Ok(Some(message)) => {
@@ -199,9 +199,9 @@
                 return;
             }
         }
-        buf.reserve(READ_BUFFER);
+        buf.reserve(READ_BUFFER_BYTES);
         match timeout(SILENCE_TIMEOUT, reader.read_buf(&mut buf)).await {
-            // Not logged: the link is over, which its event tells, and the state logs whose it was.
+            // Not logged: the event of the closed link follows, and its receiver logs which peer it was.
             Ok(Ok(0) | Err(_)) => return,
             Ok(Ok(_)) => {}
             Err(_) => {
@@ -213,10 +213,15 @@
 }
 
 async fn write_messages(mut writer: OwnedWriteHalf, mut rx: mpsc::Receiver<Bytes>) {
-    let mut batch = Vec::with_capacity(WRITE_BATCH);
+    let mut batch = Vec::with_capacity(WRITE_BATCH_MESSAGES);
     let mut buf = BytesMut::new();
     loop {
-        match timeout(HEARTBEAT_INTERVAL, rx.recv_many(&mut batch, WRITE_BATCH)).await {
+        match timeout(
+            HEARTBEAT_INTERVAL,
+            rx.recv_many(&mut batch, WRITE_BATCH_MESSAGES),
+        )
+        .await
+        {
             Ok(0) => return,
             Ok(_) => {}
             Err(_) => encode_heartbeat(&mut buf),
--- a/crates/common/cloverfold_settings/src/document.rs
+++ b/crates/common/cloverfold_settings/src/document.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Lists the faults in the order in which they were found.
+    /// Returns the faults in the order in which they were found.
     pub fn faults(&self) -> &[Fault] {
         &self.0
     }
--- a/crates/leased/cloverfold_configuration/src/configuration.rs
+++ b/crates/leased/cloverfold_configuration/src/configuration.rs
@@ -1,11 +1,14 @@
-//! What a configuration says, and which route a request takes.
+//! The content of a configuration.
+//!
+//! Decision: which route serves a request. Rule: of the routes for its host (without case), the one with the longest prefix of its path;
+//! a request without one is served by none. Owns no state.
 
 use std::time::Duration;
 
-/// Number of a configuration, chosen by its operator; the highest is in force. 0 stands for none.
+/// Number of a configuration, chosen by its operator; the highest that was committed is in force. 0 stands for none.
 pub type Version = u64;
 
-/// A queue: which requests it takes, and which service runs them.
+/// A queue: which requests belong to it, and which service runs their jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
@@ -18,13 +21,13 @@
     pub service: String,
     /// Longest time for one request, from its arrival to its answer.
     pub timeout: Duration,
-    /// Time allowed on top of the stretched work.
-    pub target_latency: Duration,
-    /// 0 is the most urgent.
+    /// Time allowed for an answer in addition to `stretch` times the duration of the work.
+    pub allowance: Duration,
+    /// Urgency of its jobs; 0 is the most urgent.
     pub priority: u32,
-    /// Failed runs after which a task is given up.
+    /// Failed runs after which a task fails.
     pub max_attempts: u32,
-    /// Factor on the duration of the work within which an answer is due.
+    /// Factor on the duration of the work: an answer is due within this many times it, plus `allowance`.
     pub stretch: f64,
 }
 
--- a/crates/leased/cloverfold_configuration/src/proposal.rs
+++ b/crates/leased/cloverfold_configuration/src/proposal.rs
@@ -38,7 +38,7 @@
 /// What became of a proposal. The order of the variants is the format on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is in force.
+    /// It came into force.
     Taken,
     /// It was in force already.
     Repeated,
--- a/crates/leased/cloverfold_configuration/tests/configurations.rs
+++ b/crates/leased/cloverfold_configuration/tests/configurations.rs
@@ -11,7 +11,7 @@
         path_prefix: path_prefix.into(),
         service: "render".into(),
         timeout: Duration::from_secs(1),
-        target_latency: Duration::from_millis(10),
+        allowance: Duration::from_millis(10),
         priority: 0,
         max_attempts: 3,
         stretch: 1.5,
--- a/crates/leased/cloverfold_consensus/src/log_entries.rs
+++ b/crates/leased/cloverfold_consensus/src/log_entries.rs
@@ -8,12 +8,12 @@
 
 use crate::members::Members;
 
-/// Number of a term, the time of one leader; rises.
+/// Number of a term; each term has at most one leader, and the number only rises.
 pub type Term = u64;
 /// Index of an entry in the log, from 1.
 pub type LogIndex = u64;
 
-/// What an entry says. The order of the variants is the format on disk and on the wire.
+/// The content of an entry. The order of the variants is the format on disk and on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
     /// Nothing: a leader's first entry of its term.
@@ -31,7 +31,7 @@
     pub index: LogIndex,
     /// The term of the leader that appended it.
     pub term: Term,
-    /// What it says.
+    /// Its content.
     pub payload: Payload,
 }
 
@@ -108,7 +108,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Removes all entries from `index` on.
+    /// Removes the entry at `index` and all after it.
     pub(crate) fn truncate(&mut self, index: LogIndex) {
         let keep = index.saturating_sub(self.snapshot.index + 1) as usize;
         self.entries.truncate(keep);
--- a/crates/leased/cloverfold_consensus/src/members.rs
+++ b/crates/leased/cloverfold_consensus/src/members.rs
@@ -1,4 +1,4 @@
-//! Who takes part in the log.
+//! The replicas that vote.
 //!
 //! Members are entries of the log; which replicas become members is decided in `replica::replacement`.
 
--- a/crates/leased/cloverfold_consensus/src/messages.rs
+++ b/crates/leased/cloverfold_consensus/src/messages.rs
@@ -41,7 +41,7 @@
     pub previous_term: Term,
     /// The entries, in order.
     pub entries: Vec<Entry>,
-    /// Index of the last entry that the leader knows to be committed.
+    /// Index of the last entry that is known to the leader to be committed.
     pub commit: LogIndex,
     /// Number of the leader's round of messages. The reply echoes it, which proves that the leader was followed after it began the round.
     pub round: u64,
--- a/crates/leased/cloverfold_consensus/src/record_codec.rs
+++ b/crates/leased/cloverfold_consensus/src/record_codec.rs
@@ -1,13 +1,13 @@
 //! The bytes of the records of a file.
 //!
-//! A record is its length and its CRC-32, each as four bytes in little-endian order, and its body in the postcard format. What follows the
-//! last record that is whole and has the right checksum counts for nothing: it was never acknowledged.
+//! A record is its length and its CRC-32, each as four bytes in little-endian order, and its body in the postcard format. Bytes after
+//! the last record that is complete and has the right checksum are ignored: they were never acknowledged.
 
 use crate::records::{Record, RecoveredState};
 
 /// Length and checksum before each record, in bytes.
 const HEADER_LEN: usize = 8;
-/// Longest record that is read, in bytes; a longer length is taken for damage. Chosen, not measured: four times the longest
+/// Longest record that is read, in bytes; a longer length counts as damage. Chosen, not measured: four times the longest
 /// configuration that a control process accepts.
 const MAX_RECORD_LEN: usize = 64 * 1024 * 1024;
 
@@ -16,7 +16,7 @@
 pub(crate) struct ReadRecords {
     /// The state that they add up to.
     pub(crate) state: RecoveredState,
-    /// How many bytes they take.
+    /// Their length, in bytes.
     pub(crate) len: usize,
 }
 
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-/// Reads the records of a file up to the first that is damaged or not whole.
+/// Reads the records of a file up to the first that is damaged or incomplete.
 pub(crate) fn read_records(bytes: &[u8]) -> ReadRecords {
     let mut state = RecoveredState::default();
     let mut offset = 0;
--- a/crates/leased/cloverfold_consensus/src/records.rs
+++ b/crates/leased/cloverfold_consensus/src/records.rs
@@ -31,7 +31,8 @@
         /// Index of the first removed entry.
         from: LogIndex,
     },
-    /// All entries up to here are committed. Nothing waits for this record: after a restart it only tells early what a leader will tell.
+    /// All entries up to here are committed. Nothing waits for this record: it lets a restarted replica apply entries before a leader
+    /// sends it the committed index.
     Commit {
         /// Index of the last committed entry.
         index: LogIndex,
--- a/crates/leased/cloverfold_consensus/src/replica/commit.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/commit.rs
@@ -1,7 +1,8 @@
 //! Decision: which entries are committed.
 //!
 //! Rule: a leader commits up to the highest index that a majority of the voters has synced, if that entry is of its own term. It counts
-//! itself only as far as its own disk has synced. Followers commit what the leader names, as far as their log matches the leader's.
+//! itself only as far as its own disk has synced. Followers commit up to the index that the leader sends, as far as their log matches
+//! the leader's.
 //!
 //! Inputs: for each voter the last index that it reported as synced.
 //!
@@ -59,7 +60,7 @@
         self.log.term_at(self.commit) == Some(self.term)
     }
 
-    /// Raises the committed index. The record only tells a restarted replica early what its leader would tell it.
+    /// Raises the committed index. The record lets a restarted replica apply these entries before a leader sends it the index.
     pub(super) fn commit_to(&mut self, index: LogIndex) {
         if index > self.commit {
             self.commit = index;
--- a/crates/leased/cloverfold_consensus/src/replica/compaction.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/compaction.rs
@@ -1,6 +1,6 @@
 //! Decision: when a snapshot replaces the beginning of the log.
 //!
-//! Rule: once the log holds `keep_entries` entries, what is applied is replaced by a snapshot of the state after it.
+//! Rule: once the log holds `compaction_threshold` entries, what is applied is replaced by a snapshot of the state after it.
 //!
 //! Inputs: the length of the log, the applied index.
 //!
@@ -35,7 +35,7 @@
 
     /// Replaces the log up to `index`, which must be applied, by the state after it, if the log has become long.
     pub fn maybe_compact(&mut self, index: LogIndex, state: impl FnOnce() -> Vec<u8>) {
-        if self.log.len() < self.config.keep_entries || index <= self.log.snapshot.index {
+        if self.log.len() < self.config.compaction_threshold || index <= self.log.snapshot.index {
             return;
         }
         let Some(term) = self.log.term_at(index) else {
--- a/crates/leased/cloverfold_consensus/src/replica/config.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/config.rs
@@ -15,7 +15,7 @@
 const MAX_BATCH_ENTRIES: usize = 64;
 /// Entries after which the log is compacted. Chosen, not measured.
 const COMPACTION_THRESHOLD: usize = 256;
-/// Voters of a group that bears the loss of one; control processes derive theirs from the setting `tolerated_losses`.
+/// Voters of a group that tolerates the loss of one; control processes derive theirs from the setting `tolerated_losses`.
 const DEFAULT_VOTERS: usize = 3;
 /// Silence after which a voter may be replaced. Chosen, not measured (docs/design/7-control.md, "Voters").
 const REPLACE_AFTER: Duration = Duration::from_millis(2_500);
@@ -24,15 +24,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaConfig {
     /// How often a leader sends to every follower, with or without entries.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Shortest time without a leader after which a replica asks for votes.
-    pub election_min: Duration,
+    pub election_timeout_min: Duration,
     /// Longest time without a leader after which a replica asks for votes.
-    pub election_max: Duration,
+    pub election_timeout_max: Duration,
     /// Most entries in one message.
-    pub batch: usize,
+    pub max_batch_entries: usize,
     /// Entries after which the log is compacted: a snapshot replaces its beginning.
-    pub keep_entries: usize,
+    pub compaction_threshold: usize,
     /// How many voters the group should have.
     pub voters: usize,
     /// How long a voter may be silent before a learner replaces it.
@@ -42,11 +42,11 @@
 impl Default for ReplicaConfig {
     fn default() -> Self {
         Self {
-            heartbeat: HEARTBEAT_INTERVAL,
-            election_min: ELECTION_TIMEOUT_MIN,
-            election_max: ELECTION_TIMEOUT_MAX,
-            batch: MAX_BATCH_ENTRIES,
-            keep_entries: COMPACTION_THRESHOLD,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            election_timeout_min: ELECTION_TIMEOUT_MIN,
+            election_timeout_max: ELECTION_TIMEOUT_MAX,
+            max_batch_entries: MAX_BATCH_ENTRIES,
+            compaction_threshold: COMPACTION_THRESHOLD,
             voters: DEFAULT_VOTERS,
             replace_after: REPLACE_AFTER,
         }
--- a/crates/leased/cloverfold_consensus/src/replica/election.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/election.rs
@@ -1,11 +1,11 @@
 //! Decision: who becomes leader.
 //!
 //! Rule: a replica whose election timer has run out first asks in a pre-vote whether it would win, and begins a term only if a majority
-//! of the voters says yes; it leads once a majority has voted for it in that term. A voter grants a vote once a term, and only to a
+//! of the voters grants it; it leads once a majority has voted for it in that term. A voter grants a vote once a term, and only to a
 //! replica whose log ends at least as late as its own (by term, then by index). In a pre-vote it promises nothing, and refuses while
-//! it has heard a leader within `election_min`.
+//! a leader's message has arrived within `election_timeout_min`.
 //!
-//! Inputs: the votes of the current term, the ends of both logs, the time since a leader was heard (ms).
+//! Inputs: the votes of the current term, the ends of both logs, the time since a leader's message arrived (ms).
 //!
 //! Reason: a majority and one vote a term give at most one leader a term; the comparison of logs keeps committed entries. The pre-vote
 //! keeps a replica that was cut off from ending the term of a leader that is alive.
@@ -19,7 +19,7 @@
 impl Replica {
     /// Begins a pre-vote if the election timer has run out and this replica may vote.
     pub(super) fn start_due_election(&mut self, now: Timestamp) {
-        // A disk that is busy could not keep up with a leader's duties, and a vote that is being written must not be overtaken.
+        // A replica whose disk is busy would be a slow leader, and it must not start an election while an earlier vote is being written.
         if self.election_timer.is_due(now) && self.is_voter() && self.sync_progress.is_idle() {
             self.begin_pre_vote(now);
         }
@@ -45,7 +45,8 @@
         self.count_votes(now);
     }
 
-    /// Requests are sent after this replica's own vote is synced, so that the replies imply it.
+    /// Sends every other voter a request. Requests for a vote wait until this replica's own vote is synced, so that it may be counted
+    /// together with the replies; requests of a pre-vote don't wait.
     fn request_votes(&mut self, is_pre_vote: bool) {
         let term = if is_pre_vote {
             self.term + 1
@@ -118,8 +119,9 @@
     }
 
     fn has_recent_leader(&self, now: Timestamp) -> bool {
-        let heard_at = self.following.heard_leader_at;
-        self.role == Role::Leader || heard_at.is_some_and(|at| now < at + self.config.election_min)
+        let contact_at = self.following.last_leader_contact_at;
+        self.role == Role::Leader
+            || contact_at.is_some_and(|at| now < at + self.config.election_timeout_min)
     }
 
     pub(super) fn receive_vote_reply(
--- a/crates/leased/cloverfold_consensus/src/replica/election_timer.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/election_timer.rs
@@ -1,9 +1,10 @@
-//! Decision: when a replica that hears no leader asks for votes.
+//! Decision: when a replica without a leader asks for votes.
 //!
-//! Rule: after a random time between the two election timeouts, plus twice the time that the newest sync took. Every contact with a
-//! leader or with a candidate that got the vote begins the wait anew. The first wait of a replica that starts is a third of that.
+//! Rule: after a random time between the two election timeouts, plus twice the time that the newest sync took. The wait begins anew with
+//! every message of a leader, every vote that is granted, every higher term, every pre-vote or election of the replica's own, and every
+//! sync of a replica that doesn't lead. The first wait of a replica that starts is a third of that.
 //!
-//! Inputs: `election_min` and `election_max` (ms), the time of the newest sync, a seeded random number.
+//! Inputs: `election_timeout_min` and `election_timeout_max` (ms), the time of the newest sync, a seeded random number.
 //!
 //! Reason: random timeouts keep candidates apart. A candidate sends its request only after its own vote is synced, and voters answer
 //! after their sync: without the allowance for syncs, a disk that takes longer than the timeout keeps a group from ever electing a
@@ -41,8 +42,8 @@
     /// Begins the first wait.
     pub(super) fn new(config: &ReplicaConfig, seed: u64, now: Timestamp) -> Self {
         let mut timer = Self {
-            min: config.election_min,
-            max: config.election_max,
+            min: config.election_timeout_min,
+            max: config.election_timeout_max,
             rng: SmallRng::seed_from_u64(seed),
             sync_time: Duration::ZERO,
             due_at: now,
--- a/crates/leased/cloverfold_consensus/src/replica/following.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/following.rs
@@ -1,7 +1,7 @@
-//! How a follower takes over the log of its leader.
+//! How a follower replicates the log of its leader.
 //!
-//! Owns how far the log matches the present leader's and when a leader was last heard ([`FollowerState`]). It acknowledges only what
-//! both matches and is synced.
+//! Owns how far the log matches the present leader's and when a leader's message last arrived ([`FollowerState`]). It acknowledges only
+//! what both matches and is synced.
 
 use cloverfold_base::Timestamp;
 
@@ -11,11 +11,11 @@
 use crate::messages::{Append, AppendReply, InstallSnapshot, Message};
 use crate::records::Record;
 
-/// What a follower knows of its leader.
+/// What a follower records of its leader.
 #[derive(Debug, Default)]
 pub(super) struct FollowerState {
-    /// When a leader was last heard.
-    pub(super) heard_leader_at: Option<Timestamp>,
+    /// When a leader's message last arrived.
+    pub(super) last_leader_contact_at: Option<Timestamp>,
     /// The leader's newest round; acknowledgements echo it.
     round: u64,
     /// Last entry that is the same in the present leader's log.
@@ -30,7 +30,7 @@
             return false;
         }
         self.become_follower(term, Some(from), now);
-        self.following.heard_leader_at = Some(now);
+        self.following.last_leader_contact_at = Some(now);
         true
     }
 
--- a/crates/leased/cloverfold_consensus/src/replica/mod.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/mod.rs
@@ -1,7 +1,7 @@
 //! The state machine of one replica.
 //!
-//! [`Replica`] is told of messages, of synced records and of the time, and answers with [`Ready`] batches: what to write, send and apply.
-//! It owns the term, the vote, the log, and what a leader or follower knows of the others. It has no I/O and reads no clock; it relies
+//! [`Replica`] gets messages, synced batches and ticks as calls, and returns [`Ready`] batches: what to write, send and apply.
+//! It owns the term, the vote, the log, and a leader's or follower's view of the others. It has no I/O and reads no clock; it relies
 //! on the process for both.
 //!
 //! | file | duty |
@@ -55,7 +55,7 @@
     NotLeader(Option<ReplicaId>),
 }
 
-/// One replica.
+/// One replica of the log.
 #[derive(Debug)]
 pub struct Replica {
     id: ReplicaId,
@@ -153,7 +153,7 @@
         Ok(self.append_entry(Payload::Command(command), now))
     }
 
-    /// Takes what is to be done; call it after every other call.
+    /// Returns what is to be done and clears it; call it after every other call.
     pub fn take_ready(&mut self) -> Ready {
         self.deliver_committed();
         let mut ready = std::mem::take(&mut self.ready);
--- a/crates/leased/cloverfold_consensus/src/replica/reads.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/reads.rs
@@ -1,6 +1,6 @@
 //! Decision: when a leader may answer a read.
 //!
-//! Rule: a read notes the committed index and begins a new round of messages; it succeeds once a majority of the voters has answered
+//! Rule: a read records the committed index and begins a new round of messages; it succeeds once a majority of the voters has answered
 //! that round or a later one. It fails if this replica does not lead, stops leading, or has not committed in its term yet.
 //!
 //! Inputs: for each voter the last round that it answered.
--- a/crates/leased/cloverfold_consensus/src/replica/ready.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/ready.rs
@@ -1,7 +1,7 @@
 //! What a replica wants done.
 //!
 //! A replica has no I/O. It collects the records to write, the messages to send and the entries to apply in a [`Ready`] batch,
-//! which the process takes with [`Replica::take_ready`](crate::Replica::take_ready) and carries out.
+//! which the process gets from [`Replica::take_ready`](crate::Replica::take_ready) and carries out.
 
 use crate::log_entries::{Entry, LogIndex, Snapshot};
 use crate::members::ReplicaId;
@@ -19,7 +19,7 @@
 pub struct Outgoing {
     /// The receiver.
     pub to: ReplicaId,
-    /// What it says.
+    /// The message.
     pub message: Message,
     /// Whether it must wait until the records of its batch are synced.
     pub after_sync: bool,
@@ -34,7 +34,7 @@
     pub index: Option<LogIndex>,
 }
 
-/// What a replica wants done, in this order: write, send, apply.
+/// What a replica wants done, in this order: write, send, apply. Messages with `after_sync` are sent only once the batch is synced.
 #[derive(Debug, Default)]
 pub struct Ready {
     /// Number to pass to [`Replica::persisted`](crate::Replica::persisted) once `records` are synced; `None` without records.
--- a/crates/leased/cloverfold_consensus/src/replica/replacement.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/replacement.rs
@@ -2,16 +2,16 @@
 //!
 //! Rules, one change at a time and the next only once the last is committed:
 //!
-//! 1. a voter whose address another replica uses now is removed: its disk is gone for good;
+//! 1. a voter whose address another replica uses now is removed: its disk was replaced;
 //! 2. a learner that has caught up becomes a voter while there are fewer voters than there should be;
 //! 3. a voter that was silent for `replace_after` is removed if a learner that has caught up can take its place.
 //!
-//! A voter is removed only if a majority of the rest was heard within `election_max`, so that the change can be committed.
+//! A voter is removed only if a majority of the rest has replied within `election_timeout_max`, so that the change can be committed.
 //!
-//! Inputs: the newest members, the learners and their addresses, when each replica was last heard and how far its log reaches.
+//! Inputs: the newest members, the learners and their addresses, when each replica last replied and how far its log reaches.
 //!
-//! Reason: a group that waits for an operator after the loss of a box bears no second loss. With one change at a time any majority of
-//! the old voters and any majority of the new ones have a voter in common. Learners don't vote, so that a replica whose log is
+//! Reason: a group that waits for an operator after the loss of a box doesn't survive a second loss. With one change at a time any majority
+//! of the old voters and any majority of the new ones have a voter in common. Learners don't vote, so that a replica whose log is
 //! still short doesn't count for a majority (docs/design/7-control.md).
 
 use cloverfold_base::Timestamp;
@@ -59,7 +59,7 @@
     }
 
     fn choose_next_members(&self, members: &Members, now: Timestamp) -> Option<Members> {
-        if let Some(gone) = self.find_voter_without_disk(members) {
+        if let Some(gone) = self.find_replaced_voter(members) {
             return self.remove_if_rest_can_commit(members, gone, now);
         }
         let learner = self.find_caught_up_learner(members, now)?;
@@ -70,8 +70,8 @@
         self.remove_if_rest_can_commit(members, silent, now)
     }
 
-    /// Finds a voter whose address another identity uses now.
-    fn find_voter_without_disk(&self, members: &Members) -> Option<ReplicaId> {
+    /// Finds a voter whose address another identity uses now: its process runs on a new disk.
+    fn find_replaced_voter(&self, members: &Members) -> Option<ReplicaId> {
         let mut learners = self.learners.values();
         learners.find_map(|learner| {
             let voter = members.find_by_address(learner.address)?;
@@ -83,7 +83,7 @@
         let mut learners = self.learners.values();
         learners.find(|learner| {
             !members.contains(learner.id)
-                && self.is_heard_within(learner.id, self.config.election_max, now)
+                && self.has_replied_within(learner.id, self.config.election_timeout_max, now)
                 && self.is_caught_up(learner.id)
         })
     }
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Finds a voter that this leader has not heard for `replace_after`; none before it has led for that long.
+    /// Finds a voter that has not replied to this leader for `replace_after`; none before it has led for that long.
     fn find_silent_voter(&self, members: &Members, now: Timestamp) -> Option<ReplicaId> {
         let limit = self.config.replace_after;
         if now < self.leading.since + limit {
@@ -104,8 +104,8 @@
         let others = members.voters.iter().filter(|member| member.id != self.id);
         let mut silent = others.filter(|member| {
             let progress = self.leading.progress.get(&member.id);
-            let heard_at = progress.and_then(|progress| progress.heard_at);
-            heard_at.is_none_or(|at| now > at + limit)
+            let last_reply_at = progress.and_then(|progress| progress.last_reply_at);
+            last_reply_at.is_none_or(|at| now > at + limit)
         });
         silent.next().map(|member| member.id)
     }
@@ -117,9 +117,9 @@
         now: Timestamp,
     ) -> Option<Members> {
         let rest = members.without(gone);
-        let span = self.config.election_max;
+        let span = self.config.election_timeout_max;
         let voters = rest.voters.iter();
-        let heard = voters.filter(|member| self.is_heard_within(member.id, span, now));
-        (heard.count() >= rest.majority()).then_some(rest)
+        let replied = voters.filter(|member| self.has_replied_within(member.id, span, now));
+        (replied.count() >= rest.majority()).then_some(rest)
     }
 }
--- a/crates/leased/cloverfold_consensus/src/replica/replication.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/replication.rs
@@ -1,7 +1,7 @@
 //! How a leader sends its log to the others.
 //!
 //! Owns, for each other replica, how far its log matches and what was sent ([`Progress`]). Entries are sent ahead of acknowledgements;
-//! a replica that refuses them is sent earlier ones, and one that lacks what the log no longer has is sent the snapshot.
+//! a replica that refuses them is sent earlier ones, and one that needs entries which the log no longer has is sent the snapshot.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// Time after which a snapshot that was not acknowledged is sent again. Chosen, not measured.
 const SNAPSHOT_RESEND_AFTER: Duration = Duration::from_millis(1_000);
 
-/// What a leader keeps.
+/// The state that only a leader uses.
 #[derive(Debug)]
 pub(super) struct LeaderState {
     /// Since when this replica has led.
@@ -44,7 +44,7 @@
     }
 }
 
-/// What a leader knows of another replica.
+/// A leader's view of another replica.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
     /// Last entry that is synced there.
@@ -52,7 +52,7 @@
     /// First entry that was not sent yet.
     next: LogIndex,
     /// When it last answered.
-    pub(super) heard_at: Option<Timestamp>,
+    pub(super) last_reply_at: Option<Timestamp>,
     /// The newest round that it answered.
     pub(super) acked_round: u64,
     snapshot_sent_at: Option<Timestamp>,
@@ -63,7 +63,7 @@
         Self {
             matching: 0,
             next,
-            heard_at: None,
+            last_reply_at: None,
             acked_round: 0,
             snapshot_sent_at: None,
         }
@@ -71,7 +71,7 @@
 
     /// Records an answer; `last` is the last index of the leader's log.
     fn record_reply(&mut self, reply: &AppendReply, last: LogIndex, now: Timestamp) {
-        self.heard_at = Some(now);
+        self.last_reply_at = Some(now);
         self.acked_round = self.acked_round.max(reply.round);
         if !reply.is_matching {
             self.next = (reply.index + 1).min(self.next).max(1);
@@ -138,7 +138,7 @@
             self.become_follower(self.term, None, now);
             return;
         }
-        if now >= self.leading.round_sent_at + self.config.heartbeat {
+        if now >= self.leading.round_sent_at + self.config.heartbeat_interval {
             self.broadcast(now);
         }
         self.manage_members(now);
@@ -163,7 +163,7 @@
             self.send_snapshot(id, now);
             return;
         };
-        let entries = self.log.after(previous, self.config.batch);
+        let entries = self.log.after(previous, self.config.max_batch_entries);
         progress.next = previous + entries.len() as u64 + 1;
         let append = Append {
             term: self.term,
--- a/crates/leased/cloverfold_consensus/src/replica/status.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/status.rs
@@ -37,12 +37,12 @@
     pub role: Role,
     /// Its term.
     pub term: Term,
-    /// The leader of that term, if the replica knows it.
+    /// The leader of that term, if it is known.
     pub leader: Option<ReplicaId>,
     /// The newest members in its log, committed or not.
     pub members: Members,
     /// Index of the last entry in its log.
     pub last_index: LogIndex,
-    /// Index of the last entry that it knows to be committed.
+    /// Index of the last entry that is known to be committed here.
     pub commit: LogIndex,
 }
--- a/crates/leased/cloverfold_consensus/tests/group/simulation.rs
+++ b/crates/leased/cloverfold_consensus/tests/group/simulation.rs
@@ -136,8 +136,8 @@
     /// Starts the process on a box from what its disk holds.
     pub fn start(&mut self, place: usize) {
         let config = ReplicaConfig {
-            keep_entries: 8,
-            batch: 3,
+            compaction_threshold: 8,
+            max_batch_entries: 3,
             ..ReplicaConfig::default()
         };
         self.next_seed += 1;
--- a/crates/leased/cloverfold_control/src/lib.rs
+++ b/crates/leased/cloverfold_control/src/lib.rs
@@ -1,8 +1,26 @@
-//! The control process: it replicates the configuration with its peers and tells every process of the installation which version holds.
+//! The control process: it replicates the configuration with its peers and announces the version in force to every process of the
+//! installation.
 //!
 //! [`start_control`] runs it. One state (`state::ControlState`) reacts to links, ticks, the disk and operators; records are written from a
 //! thread of its own (`disk`). It owns its data folder. It relies on `cloverfold_consensus` for the replicated log, on
-//! `cloverfold_configuration` for what a configuration is and which of two holds, and on `cloverfold_peer` for links.
+//! `cloverfold_configuration` for what a configuration is and which of two is in force, and on `cloverfold_peer` for links.
+//!
+//! # From an operator's call to a configuration in force at an entry
+//!
+//! 1. `operators`: a control process decodes and checks the body. An invalid one is answered 400; a valid one becomes a proposal.
+//! 2. `state::proposals`: the proposal goes to the leader, which appends it to the log. This is repeated every 250 ms
+//!    until a version as high is in force here.
+//! 3. `cloverfold_consensus`: the leader commits the entry once a majority has synced it.
+//! 4. `state::applying`: every control process applies the entry; `cloverfold_configuration` decides whether it comes into force. The
+//!    waiting call is answered 200, by the process that received it.
+//! 5. `state::directory`: every control process sends the new version to the entries and guards that are connected to it, and repeats it
+//!    every 500 ms.
+//! 6. An entry with an older version fetches the text, which `state::peers` sends. The entry decodes it, puts it in force, and reports its
+//!    version back; `GET /v1/status` shows it under `processes`.
+//!
+//! The answer 200 therefore says that the configuration is committed, not that entries have it yet. To look for a version that does not
+//! arrive: `version` in the status of each control process (steps 2 to 4), then `version` of the entry in `processes` (5 and 6), then the
+//! entry's log, since it keeps its present configuration if it cannot decode the new one.
 
 mod disk;
 mod error;
--- a/crates/leased/cloverfold_control/src/operators.rs
+++ b/crates/leased/cloverfold_control/src/operators.rs
@@ -1,12 +1,12 @@
-//! What operators ask over HTTP.
+//! Operators' calls over HTTP.
 //!
-//! Decision: when an operator's configuration is acknowledged. Rule: any control process checks it and refuses it with every fault that it
-//! has; otherwise it submits it to the leader every 250 ms and acknowledges it once a version as high is committed, also if that was
-//! another configuration: a version never decides whether a call is refused. Without that in 2.5 s the answer is 503, and the
-//! configuration may yet come into force. Reason: an acknowledged configuration is never lost, and an operator who calls again with
-//! the same configuration does no harm (docs/design/7-control.md, "Proposals").
+//! Decision: when an operator's configuration is acknowledged. Rule: any control process checks it and answers 400 with every fault that
+//! it has; a valid one it submits to the leader every 250 ms, and acknowledges it once a version as high is committed, also if that was
+//! another configuration: no call is refused for its version, and the audit trail shows which one came into force. If none is committed
+//! within 2.5 s the answer is 503, and the configuration may still come into force later. Reason: an acknowledged configuration is never
+//! lost, and an operator who calls again with the same configuration does no harm (docs/design/7-control.md, "Proposals").
 //!
-//! Owns no state; relies on [`ControlState`] for everything that is asked.
+//! Owns no state; relies on [`ControlState`] for the answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +25,8 @@
 
 /// How long a call waits until its configuration is committed. Chosen, not measured (docs/design/7-control.md, "Proposals").
 const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How often a configuration is submitted again, to whoever leads then. Chosen, not measured (docs/design/7-control.md, "Proposals").
+/// How often a configuration is submitted again, to the leader of that moment. Chosen, not measured (docs/design/7-control.md,
+/// "Proposals").
 const PROPOSAL_RESEND_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a call waits for the proof that what it reads is the newest. Chosen, not measured (docs/design/7-control.md, "Reads").
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
@@ -34,7 +35,7 @@
 /// Seconds after which a client that was answered 503 should call again. Chosen, not measured.
 const RETRY_AFTER_SECONDS: HeaderValue = HeaderValue::from_static("1");
 
-/// What an operator asks.
+/// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
     /// Bring the configuration in the body into force.
@@ -47,9 +48,9 @@
     GetStatus,
 }
 
-/// How operators' calls are written beside the product's own (`/v1/configuration`, `/v1/audit`, `/v1/status`).
+/// Further paths of operators' calls, beside the product's own (`/v1/configuration`, `/v1/audit`, `/v1/status`).
 pub trait OperatorInterface: ConfigurationFormat {
-    /// Returns what a request asks; `None` if the call is unknown.
+    /// Returns which call a request is; `None` if it is unknown.
     fn classify(&self, method: &Method, path: &str) -> Option<OperatorCall>;
 }
 
@@ -76,26 +77,27 @@
     /// Answers one request.
     pub(crate) async fn answer(&self, request: Request) -> Response {
         let path = request.uri.path();
-        let own = classify_own(&request.method, path);
-        match own.or_else(|| self.interface.classify(&request.method, path)) {
-            Some(OperatorCall::PutConfiguration) => self.put(&request).await,
-            Some(OperatorCall::GetConfiguration) => self.get().await,
+        let call = classify_product_call(&request.method, path);
+        match call.or_else(|| self.interface.classify(&request.method, path)) {
+            Some(OperatorCall::PutConfiguration) => self.put_configuration(&request).await,
+            Some(OperatorCall::GetConfiguration) => self.get_configuration().await,
             Some(OperatorCall::GetAudit) => self.show_audit(),
             Some(OperatorCall::GetStatus) => self.show_status(),
             None => plain_response(StatusCode::NOT_FOUND, "no such call\n"),
         }
     }
 
-    async fn put(&self, request: &Request) -> Response {
+    async fn put_configuration(&self, request: &Request) -> Response {
         let text = &request.body;
         let configuration = match self.interface.decode(text) {
             Ok(configuration) => configuration,
-            Err(fault) => return refuse(0, &[fault]),
+            // Its version is unknown, which is logged as 0.
+            Err(fault) => return refuse_configuration(0, &[fault]),
         };
         let version = configuration.version;
         let faults = configuration.find_faults();
         if !faults.is_empty() {
-            return refuse(version, &faults);
+            return refuse_configuration(version, &faults);
         }
         let proposal = Proposal {
             configuration: StoredConfiguration {
@@ -111,7 +113,9 @@
         if is_taken {
             json_response(StatusCode::OK, "{}")
         } else {
-            try_elsewhere("it is not known whether the configuration is taken; send it again\n")
+            answer_unavailable(
+                "it is not known whether the configuration is taken; send it again\n",
+            )
         }
     }
 
@@ -131,12 +135,12 @@
         }
     }
 
-    async fn get(&self) -> Response {
+    async fn get_configuration(&self) -> Response {
         match timeout(READ_TIMEOUT, self.read_newest()).await {
             Ok(Some(text)) => json_response(StatusCode::OK, text),
-            Ok(None) => try_elsewhere("no configuration was taken yet\n"),
-            // Out of time: no leader proved that it leads.
-            Err(_) => try_elsewhere("the newest configuration is not known here at present\n"),
+            Ok(None) => answer_unavailable("no configuration was taken yet\n"),
+            // Timed out: no leader could prove that it still leads.
+            Err(_) => answer_unavailable("the newest configuration is not known here at present\n"),
         }
     }
 
@@ -172,8 +176,8 @@
     }
 }
 
-/// The product's own calls.
-fn classify_own(method: &Method, path: &str) -> Option<OperatorCall> {
+/// Returns which of the product's own calls a request is; `None` for any other.
+fn classify_product_call(method: &Method, path: &str) -> Option<OperatorCall> {
     match (method, path) {
         (&Method::PUT, "/v1/configuration") => Some(OperatorCall::PutConfiguration),
         (&Method::GET, "/v1/configuration") => Some(OperatorCall::GetConfiguration),
@@ -201,14 +205,14 @@
     })
 }
 
-fn refuse(version: u64, faults: &[ConfigurationFault]) -> Response {
+fn refuse_configuration(version: u64, faults: &[ConfigurationFault]) -> Response {
     let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
     log::warn!(version, faults = faults.join("; ").as_str(); "an invalid configuration is refused");
     let body = json!({ "faults": faults }).to_string();
     json_response(StatusCode::BAD_REQUEST, body)
 }
 
-fn try_elsewhere(text: &str) -> Response {
+fn answer_unavailable(text: &str) -> Response {
     let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, text);
     response
         .headers_mut()
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -25,7 +25,7 @@
 use crate::operators::{OperatorInterface, Operators};
 use crate::state::{Bootstrap, ControlState, format_id};
 
-/// How often the process looks what has fallen due. Chosen, not measured: three times in a heartbeat of the log.
+/// How often the process does the work that is due. Chosen, not measured: three times in a heartbeat of the log.
 const TICK: Duration = Duration::from_millis(25);
 /// Longest configuration that is accepted, in bytes. Chosen, not measured.
 const MAX_CONFIGURATION_BYTES: usize = 16 * 1024 * 1024;
--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -12,7 +12,7 @@
 use super::status::format_id;
 use crate::disk::DiskEvent;
 
-/// What a replica knows of its group; logged when it changes.
+/// The term and leader as this replica sees them; logged when they change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GroupView {
     term: Term,
--- a/crates/leased/cloverfold_control/src/state/directory.rs
+++ b/crates/leased/cloverfold_control/src/state/directory.rs
@@ -23,7 +23,7 @@
 }
 
 impl ControlState {
-    /// Sends notices if they are due or if contact with the majority was lost or found again.
+    /// Sends notices if they are due or if contact with the majority was lost or restored.
     pub(super) fn send_due_notice(&mut self, now: Timestamp) {
         let is_due = now >= self.last_notice.sent_at + NOTICE_INTERVAL;
         if is_due || self.has_quorum() != self.last_notice.had_quorum {
--- a/crates/leased/cloverfold_control/src/state/known_entries.rs
+++ b/crates/leased/cloverfold_control/src/state/known_entries.rs
@@ -5,7 +5,7 @@
 //! Inputs: how many links an entry has, since when it has none.
 //!
 //! Reason: guards dial the entries that are named. An entry that restarts or is cut off for a moment must not lose its guards; one that
-//! is gone for good must not be dialed for ever.
+//! was removed must not be dialed for ever.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,8 +18,9 @@
 
 #[derive(Debug, Default)]
 struct KnownEntry {
+    /// How many links to it are open.
     links: usize,
-    /// Since when there is no link.
+    /// When its last link closed; `None` while it has one.
     gone_at: Option<Timestamp>,
 }
 
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -61,7 +61,7 @@
     links: PeerLinks,
     /// The dialed link to each other replica; messages of the log go over these only.
     replica_links: HashMap<ReplicaId, LinkId>,
-    /// Addresses of control processes: the seeds and whoever has connected.
+    /// Addresses of control processes: the seeds and all that have connected.
     known_controls: BTreeSet<SocketAddr>,
     entries: KnownEntries,
     /// `None` once the group exists or if another process begins it.
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Does what has fallen due.
+    /// Does the work that is due by now.
     pub(crate) fn tick(&mut self) {
         let now = self.clock.now();
         self.replica.tick(now);
--- a/crates/leased/cloverfold_control/src/state/pending_reads.rs
+++ b/crates/leased/cloverfold_control/src/state/pending_reads.rs
@@ -1,6 +1,6 @@
 //! Reads that wait for the proof that they are the newest.
 //!
-//! Owns, for each read under way in this process, who waits for it: an operator's call here or a control process that asked this one.
+//! Owns, for each read under way in this process, what waits for it: an operator's call here or another control process.
 
 use std::collections::HashMap;
 
--- a/crates/leased/cloverfold_control/src/state/pending_writes.rs
+++ b/crates/leased/cloverfold_control/src/state/pending_writes.rs
@@ -8,7 +8,7 @@
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::{BatchNumber, Outgoing};
 
-/// A write that takes longer is logged, and again after each further span. Chosen, not measured.
+/// Time after which a write that is not synced is logged as slow, and logged again after each further span. Chosen, not measured.
 const SLOW_WRITE: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
--- a/crates/leased/cloverfold_control/src/state/proposals.rs
+++ b/crates/leased/cloverfold_control/src/state/proposals.rs
@@ -1,12 +1,12 @@
 //! Decision: what becomes of a proposed configuration on its way into the log.
 //!
 //! Rule: a process that doesn't lead passes a proposal to the leader. The leader appends it unless its version is not above the one in
-//! force, or the same version was appended and is not committed yet. Which version then holds is decided where the entry is applied
+//! force, or the same version was appended and is not committed yet. Which version is then in force is decided where the entry is applied
 //! (`cloverfold_configuration::ProposalOutcome`).
 //!
 //! Inputs: the version proposed, the version in force here, the index at which the same version was appended, the committed index.
 //!
-//! Reason: whoever received a proposal submits it again every 250 ms until a version as high is committed; without the check each
+//! Reason: the process that received a proposal submits it again every 250 ms until a version as high is committed; without the check each
 //! repetition would become an entry.
 
 use std::collections::HashMap;
@@ -39,8 +39,8 @@
 }
 
 impl ControlState {
-    /// Appends a proposal if this process leads, and passes it to the leader otherwise. Where neither is possible it is lost, and
-    /// submitted again by whoever received it.
+    /// Appends a proposal if this process leads, and passes it to the leader otherwise. Where neither is possible it is dropped;
+    /// the process that received it from the operator submits it again.
     pub(crate) fn submit_proposal(&mut self, proposal: &Proposal) {
         if self.replica.status().role == Role::Leader {
             self.append_proposal(proposal);
--- a/crates/leased/cloverfold_control/src/state/reads.rs
+++ b/crates/leased/cloverfold_control/src/state/reads.rs
@@ -35,7 +35,7 @@
         self.replica.begin_read(own, self.clock.now());
     }
 
-    /// Passes the outcome of a read to whoever waits for it.
+    /// Passes the outcome of a read to the call or the control process that waits for it.
     pub(super) fn finish_read(&mut self, token: ReadToken, index: Option<LogIndex>) {
         if let Some(PeerRead { link, token }) = self.reads.finish(token, index) {
             // A peer whose link is closed asks again.
--- a/crates/leased/cloverfold_peer/src/links.rs
+++ b/crates/leased/cloverfold_peer/src/links.rs
@@ -1,7 +1,7 @@
-//! The open links of one process, and who is at the other end of each.
+//! The open links of one process, and the peer at the other end of each.
 //!
 //! Every process of a leased installation keeps one [`PeerLinks`]. It owns the senders of the links and the peers' introductions
-//! ([`Hello`]); it takes no decision. Relies on `cloverfold_link`, which reports when a link opens, brings a message, or closes.
+//! ([`Hello`]); it decides nothing. Relies on `cloverfold_link`, which reports when a link opens, brings a message, or closes.
 
 use std::collections::HashMap;
 
--- a/crates/leased/cloverfold_peer/src/messages.rs
+++ b/crates/leased/cloverfold_peer/src/messages.rs
@@ -11,7 +11,7 @@
 use cloverfold_lease::{DispatcherMessage, RunnerMessage};
 use serde::{Deserialize, Serialize};
 
-/// The part that a process plays.
+/// The role of a process in its installation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerRole {
     /// A leased entry: serves callers.
@@ -32,7 +32,7 @@
 pub struct Hello {
     /// Name of the process, the same after a restart.
     pub name: String,
-    /// The part that it plays.
+    /// Its role.
     pub role: PeerRole,
     /// The address on which it accepts links.
     pub address: SocketAddr,
@@ -54,9 +54,9 @@
 pub enum PeerMessage {
     /// The sender introduces itself.
     Hello(Hello),
-    /// From an entry to a guard.
+    /// From an entry's dispatcher to a guard's runner.
     ToRunner(DispatcherMessage),
-    /// From a guard to an entry.
+    /// From a guard's runner to an entry's dispatcher.
     ToDispatcher(RunnerMessage),
     /// Announces the version in force at the sender; a receiver whose version is older may fetch it.
     VersionNotice {
@@ -69,27 +69,28 @@
     Fetch,
     /// The configuration in force at the sender.
     Configuration(StoredConfiguration),
-    /// Addresses that a control process knows.
+    /// The addresses that a control process has, sent to entries and guards.
     Directory(Directory),
     /// From an entry to a guard that is no longer connected to it: asks to be dialed.
     Invite {
         /// The address on which the entry accepts links.
         entry: SocketAddr,
     },
-    /// Between control processes.
+    /// A message of the replicated log, between control processes.
     Consensus(Message),
-    /// From a control process to the leader.
+    /// From a control process to the leader: a configuration to append to the log. It is not answered.
     Proposal(Proposal),
-    /// From a control process to the leader: prove that you lead and say up to where all is committed.
+    /// From a control process to the leader: asks for the committed index, with proof that the receiver still leads.
     Read {
-        /// To be echoed.
+        /// Number of the read, chosen by the sender; the reply echoes it.
         token: u64,
     },
-    /// The answer to a read; without a place it is not proved.
+    /// The answer to a read.
     ReadReply {
-        /// As asked.
+        /// As in the request.
         token: u64,
-        /// Up to where the asker must have applied the log.
+        /// Index up to which the asking process must have applied the log before it answers; `None` if the read failed and must be
+        /// repeated.
         index: Option<LogIndex>,
     },
 }
