--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -14,6 +14,7 @@
     ListeningPeerPort, PeerPort, Shared, serve_state_operations, start_ticks,
 };
 use cloverfold_leased_settings::ControlSettings;
+use cloverfold_link::MAX_FRAME_LEN;
 use cloverfold_peer::{Hello, PeerRole};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -27,8 +28,12 @@
 
 /// How often the process does the work that is due. Chosen, not measured: three times in a heartbeat of the log.
 const TICK: Duration = Duration::from_millis(25);
-/// Longest configuration that is accepted, in bytes. Chosen, not measured.
-const MAX_CONFIGURATION_BYTES: usize = 16 * 1024 * 1024;
+/// What a message needs beside a configuration, in bytes, at most: a snapshot also has the audit trail, 4,096 records of some 150
+/// bytes. Chosen, not measured.
+const MESSAGE_OVERHEAD_BYTES: usize = 1024 * 1024;
+/// Longest configuration that is accepted, in bytes. The other control processes must be able to get it over a link: one that fits no
+/// frame would be appended by the leader and hold up all later entries.
+const MAX_CONFIGURATION_BYTES: usize = MAX_FRAME_LEN - MESSAGE_OVERHEAD_BYTES;
 /// How long a stopping process waits for operators' calls to end. Chosen, not measured.
 const STOP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
