--- a/compatibility/tests/control_peers.rs
+++ b/compatibility/tests/control_peers.rs
@@ -4,17 +4,17 @@
 
 mod support;
 
-use cloverfold_peer::{GuardTraits, RememberedPeers};
+use cloverfold_peer::{GuardAttributes, StoredPeers};
 use support::{assert_recorded, read_or_record};
 
 const FIXTURE: &str = "control-disk/peers.bin";
 
-fn peers() -> RememberedPeers {
-    let guard = |service: Option<&str>, hall: Option<&str>| GuardTraits {
+fn peers() -> StoredPeers {
+    let guard = |service: Option<&str>, hall: Option<&str>| GuardAttributes {
         service: service.map(Into::into),
         data_hall: hall.map(Into::into),
     };
-    RememberedPeers {
+    StoredPeers {
         entries: ["192.0.2.1:7400", "[2001:db8::2]:7400"]
             .map(|address| address.parse().unwrap())
             .into(),
@@ -33,6 +33,6 @@
 
     assert_recorded(FIXTURE, &bytes);
     let recorded = read_or_record(FIXTURE, &bytes);
-    let decoded: RememberedPeers = postcard::from_bytes(&recorded).unwrap();
+    let decoded: StoredPeers = postcard::from_bytes(&recorded).unwrap();
     assert_eq!(decoded, peers());
 }
--- a/compatibility/tests/older_builds.rs
+++ b/compatibility/tests/older_builds.rs
@@ -57,6 +57,6 @@
     let Some(PeerMessage::Hello(hello)) = decoded else {
         panic!("{decoded:?}");
     };
-    assert!(!hello.knows_evacuations());
+    assert!(!hello.supports_evacuations());
     assert_eq!(hello.data_hall(), None);
 }
--- a/crates/leased/cloverfold_control/src/peer_file.rs
+++ b/crates/leased/cloverfold_control/src/peer_file.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc;
 use std::thread;
 
-use cloverfold_peer::RememberedPeers;
+use cloverfold_peer::StoredPeers;
 
 const FILE_NAME: &str = "peers";
 const NEW_FILE_NAME: &str = "peers.new";
@@ -18,7 +18,7 @@
 /// Hands what is to be remembered to the thread that writes it.
 #[derive(Debug)]
 pub(crate) struct PeerFile {
-    tx: mpsc::Sender<RememberedPeers>,
+    tx: mpsc::Sender<StoredPeers>,
 }
 
 impl PeerFile {
@@ -27,7 +27,7 @@
     /// # Errors
     ///
     /// Returns the system's error if it gives no thread.
-    pub(crate) fn open(folder: &Path) -> io::Result<(Self, RememberedPeers)> {
+    pub(crate) fn open(folder: &Path) -> io::Result<(Self, StoredPeers)> {
         let remembered = read_peers(folder);
         let (tx, rx) = mpsc::channel();
         let folder = folder.to_owned();
@@ -37,29 +37,29 @@
     }
 
     /// Remembers these processes from now on.
-    pub(crate) fn write(&self, peers: RememberedPeers) {
+    pub(crate) fn write(&self, peers: StoredPeers) {
         // The thread ends only when the process stops, and then nothing needs to be remembered.
         let _ = self.tx.send(peers);
     }
 }
 
-fn read_peers(folder: &Path) -> RememberedPeers {
+fn read_peers(folder: &Path) -> StoredPeers {
     let bytes = match fs::read(folder.join(FILE_NAME)) {
         Ok(bytes) => bytes,
-        Err(cause) if cause.kind() == io::ErrorKind::NotFound => return RememberedPeers::default(),
+        Err(cause) if cause.kind() == io::ErrorKind::NotFound => return StoredPeers::default(),
         Err(cause) => {
             log::warn!("the remembered processes cannot be read: {cause}");
-            return RememberedPeers::default();
+            return StoredPeers::default();
         }
     };
     postcard::from_bytes(&bytes).unwrap_or_else(|cause| {
         log::warn!("the remembered processes cannot be decoded: {cause}");
-        RememberedPeers::default()
+        StoredPeers::default()
     })
 }
 
 /// Writes until the process stops; of all that wait at once only the newest.
-fn write_newest(folder: &Path, rx: &mpsc::Receiver<RememberedPeers>) {
+fn write_newest(folder: &Path, rx: &mpsc::Receiver<StoredPeers>) {
     while let Ok(mut peers) = rx.recv() {
         while let Ok(newer) = rx.try_recv() {
             peers = newer;
@@ -70,7 +70,7 @@
     }
 }
 
-fn replace_file(folder: &Path, peers: &RememberedPeers) -> io::Result<()> {
+fn replace_file(folder: &Path, peers: &StoredPeers) -> io::Result<()> {
     let bytes = postcard::to_stdvec(peers).map_err(io::Error::other)?;
     let new: PathBuf = folder.join(NEW_FILE_NAME);
     let mut file = File::create(&new)?;
--- a/crates/leased/cloverfold_control/src/state/directories.rs
+++ b/crates/leased/cloverfold_control/src/state/directories.rs
@@ -15,7 +15,7 @@
 use cloverfold_lease::TargetDescription;
 use cloverfold_link::LinkId;
 use cloverfold_peer::{
-    Directory, EntrySubsets, GuardTraits, KnownGuards, PeerMessage, PeerRole, choose_entries,
+    Directory, EntrySubsets, GuardAttributes, KnownGuards, PeerMessage, PeerRole, choose_entries,
 };
 
 use super::ControlState;
@@ -110,7 +110,7 @@
         self.halls.retain(|guard, _| guards.contains(guard));
         let targets = &mut self.upkeep_duty.targets;
         targets.retain(|guard, _| guards.contains(guard));
-        let describe = |guard| GuardTraits {
+        let describe = |guard| GuardAttributes {
             service: self.services.get(&guard).cloned(),
             data_hall: self.halls.get(&guard).cloned(),
         };
@@ -119,7 +119,7 @@
     }
 
     fn list_attached(&self) -> Vec<AttachedPeer> {
-        let peers = self.links.introduced();
+        let peers = self.links.identified();
         let attached =
             peers.filter(|(_, hello)| matches!(hello.role, PeerRole::Entry | PeerRole::Guard));
         let peers = attached.map(|(link, hello)| AttachedPeer {
--- a/crates/leased/cloverfold_control/src/state/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/state/evacuations.rs
@@ -41,7 +41,10 @@
         let leader = self.find_other_leader();
         let link = leader.and_then(|leader| self.replica_links.get(&leader));
         if let Some(&link) = link
-            && self.links.hello(link).is_some_and(Hello::knows_evacuations)
+            && self
+                .links
+                .hello(link)
+                .is_some_and(Hello::supports_evacuations)
         {
             let message = PeerMessage::EvacuationOrder(order.clone());
             self.links.send(link, &message);
@@ -62,7 +65,7 @@
         {
             return;
         }
-        if let Some(name) = self.find_older_control(Hello::knows_evacuations) {
+        if let Some(name) = self.find_older_control(Hello::supports_evacuations) {
             log::warn!(hall = order.hall.as_str(), process = name; "an evacuation is not possible: a control process is of an older build");
             return;
         }
--- a/crates/leased/cloverfold_control/src/state/founding.rs
+++ b/crates/leased/cloverfold_control/src/state/founding.rs
@@ -59,7 +59,7 @@
         if !others.all(|voter| self.is_ready_to_found(voter)) {
             return None;
         }
-        if self.find_older_control(Hello::knows_kept_jobs).is_some() {
+        if self.find_older_control(Hello::supports_kept_jobs).is_some() {
             return None;
         }
         let founders = members.voters.iter().map(|voter| Founder {
@@ -78,6 +78,6 @@
     fn is_ready_to_found(&self, voter: &Member) -> bool {
         let link = self.replica_links.get(&voter.id);
         let hello = link.and_then(|link| self.links.hello(*link));
-        hello.is_some_and(Hello::knows_kept_jobs)
+        hello.is_some_and(Hello::supports_kept_jobs)
     }
 }
--- a/crates/leased/cloverfold_control/src/state/job_calls.rs
+++ b/crates/leased/cloverfold_control/src/state/job_calls.rs
@@ -125,7 +125,7 @@
 
     /// Tells an entry unasked what it has to drive or drop; one that is not connected is told with its next renewal.
     pub(super) fn push_to_entry(&self, group: GroupId, entry: &str, reply: RenewalReply) {
-        let mut peers = self.links.introduced();
+        let mut peers = self.links.identified();
         let is_meant = |hello: &Hello| hello.role == PeerRole::Entry && hello.name == entry;
         let Some((link, _)) = peers.find(|(_, hello)| is_meant(hello)) else {
             return;
--- a/crates/leased/cloverfold_control/src/state/jobs.rs
+++ b/crates/leased/cloverfold_control/src/state/jobs.rs
@@ -21,7 +21,7 @@
         };
         log::info!(groups = groups.count, founders = groups.founders.len(); "the groups that keep jobs are agreed on");
         self.jobs.begin_to_open(&groups);
-        let links: Vec<LinkId> = self.links.introduced().map(|(link, _)| link).collect();
+        let links: Vec<LinkId> = self.links.identified().map(|(link, _)| link).collect();
         for link in links {
             self.tell_job_groups(link);
         }
@@ -34,7 +34,7 @@
         };
         let hello = self.links.hello(link);
         let is_told = |hello: &Hello| {
-            matches!(hello.role, PeerRole::Entry | PeerRole::Guard) && hello.knows_kept_jobs()
+            matches!(hello.role, PeerRole::Entry | PeerRole::Guard) && hello.supports_kept_jobs()
         };
         if hello.is_some_and(is_told) {
             // One whose queue is full is told when it connects again.
@@ -61,7 +61,7 @@
         let members = links.filter_map(|(&id, &link)| {
             let hello = self.links.hello(link)?;
             let address = hello.address;
-            hello.knows_kept_jobs().then_some(Member { id, address })
+            hello.supports_kept_jobs().then_some(Member { id, address })
         });
         let members: Vec<Member> = members.collect();
         if let Some(host) = self.jobs.find_mut(group) {
@@ -73,7 +73,11 @@
 
     /// Records that another control process is connected.
     pub(super) fn job_replica_connected(&mut self, link: LinkId, member: &Member) {
-        if self.links.hello(link).is_some_and(Hello::knows_kept_jobs) {
+        if self
+            .links
+            .hello(link)
+            .is_some_and(Hello::supports_kept_jobs)
+        {
             for group in self.jobs.open_groups_mut() {
                 group.connected(member.clone());
             }
@@ -152,7 +156,10 @@
     fn send_to_group_replica(&self, to: ReplicaId, message: &PeerMessage) {
         let link = self.replica_links.get(&to);
         if let Some(&link) = link
-            && self.links.hello(link).is_some_and(Hello::knows_kept_jobs)
+            && self
+                .links
+                .hello(link)
+                .is_some_and(Hello::supports_kept_jobs)
         {
             // A message that is lost is sent again by the replica.
             self.links.send(link, message);
--- a/crates/leased/cloverfold_control/src/state/memory.rs
+++ b/crates/leased/cloverfold_control/src/state/memory.rs
@@ -6,7 +6,7 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_link::send_once;
-use cloverfold_peer::{Invitations, PeerMessage, RememberedPeers};
+use cloverfold_peer::{Invitations, PeerMessage, StoredPeers};
 
 use super::ControlState;
 use crate::peer_file::PeerFile;
@@ -18,14 +18,14 @@
 #[derive(Debug)]
 pub(crate) struct PeerMemory {
     file: PeerFile,
-    written: RememberedPeers,
+    written: StoredPeers,
     checked_at: Timestamp,
     pub(super) invitations: Invitations,
 }
 
 impl PeerMemory {
     /// Goes on from what was remembered at the start.
-    pub(crate) fn new(file: PeerFile, remembered: RememberedPeers, now: Timestamp) -> Self {
+    pub(crate) fn new(file: PeerFile, remembered: StoredPeers, now: Timestamp) -> Self {
         Self {
             file,
             invitations: Invitations::new(&remembered, now),
@@ -35,7 +35,7 @@
     }
 
     /// Returns what was remembered last.
-    pub(super) fn remembered(&self) -> &RememberedPeers {
+    pub(super) fn remembered(&self) -> &StoredPeers {
         &self.written
     }
 }
@@ -64,7 +64,7 @@
             return;
         }
         self.memory.checked_at = now;
-        let peers = RememberedPeers {
+        let peers = StoredPeers {
             entries: self.entries.addresses(),
             guards: self.list_guards(),
         };
--- a/crates/leased/cloverfold_control/src/state/status.rs
+++ b/crates/leased/cloverfold_control/src/state/status.rs
@@ -70,7 +70,7 @@
 
     /// Describes the connected processes, each once, with the version in force there.
     fn describe_processes(&self) -> Vec<Value> {
-        let peers = self.links.introduced();
+        let peers = self.links.identified();
         let by_name: BTreeMap<&str, (LinkId, &Hello)> = peers
             .map(|(link, hello)| (hello.name.as_str(), (link, hello)))
             .collect();
--- a/crates/leased/cloverfold_control/src/state/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep.rs
@@ -68,7 +68,10 @@
         let leader = self.find_other_leader();
         let link = leader.and_then(|leader| self.replica_links.get(&leader));
         if let Some(&link) = link
-            && self.links.hello(link).is_some_and(Hello::knows_kept_jobs)
+            && self
+                .links
+                .hello(link)
+                .is_some_and(Hello::supports_kept_jobs)
         {
             let command = UpkeepCommand::Order(order.clone());
             self.links.send(link, &PeerMessage::UpkeepCommand(command));
@@ -94,7 +97,7 @@
         {
             return;
         }
-        if let Some(name) = self.find_older_control(Hello::knows_kept_jobs) {
+        if let Some(name) = self.find_older_control(Hello::supports_kept_jobs) {
             log::warn!(wave = order.wave, process = name; "no wave is possible: a control process is of an older build");
             return;
         }
--- a/crates/leased/cloverfold_control/src/state/upkeep_targets.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep_targets.rs
@@ -60,8 +60,8 @@
         let Some((guard, _)) = guard else {
             return;
         };
-        let mut peers = self.links.introduced();
-        let link = peers.find(|(_, hello)| hello.address == *guard && hello.knows_kept_jobs());
+        let mut peers = self.links.identified();
+        let link = peers.find(|(_, hello)| hello.address == *guard && hello.supports_kept_jobs());
         if let Some((link, _)) = link {
             let held = HeldTarget {
                 incarnation: incarnation.into(),
--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -37,7 +37,7 @@
             PeerMessage::Fetch | PeerMessage::FetchSince { .. } => self.send_configuration(link),
             PeerMessage::Configuration(stored) => self.receive_configuration(stored),
             PeerMessage::ConfigurationChange(change) => self.receive_change(link, &change),
-            PeerMessage::Directory(directory) => self.controls.set_listed(directory.controls),
+            PeerMessage::Directory(directory) => self.controls.set_controls(directory.controls),
             PeerMessage::DialControls(controls) => self.controls.accept_invitation(controls),
             PeerMessage::Evacuations(told) => self.receive_evacuations(link, told),
             PeerMessage::Goodbye => self.release_guard(link),
@@ -65,7 +65,7 @@
         log::info!(peer = hello.name.as_str(), link, version; "peer connected");
         if hello.role == PeerRole::Guard {
             self.dispatcher.open_session(link, &hello.name, now);
-            if hello.knows_kept_jobs() {
+            if hello.supports_kept_jobs() {
                 self.dispatcher.set_knows_kept_jobs(link);
             }
             if let Some(hall) = hello.data_hall() {
@@ -74,7 +74,7 @@
             self.guards.record_connected(hello.address, now);
         }
         self.links.record_hello(link, hello);
-        self.evacuations.tell_peers(&self.links);
+        self.evacuations.announce(&self.links);
         self.fetch_if_newer(link, version);
     }
 
@@ -124,7 +124,7 @@
     /// Puts a configuration in force that was sent as a change.
     fn receive_change(&mut self, link: LinkId, change: &ConfigurationChange) {
         let base = self.configuration.stored();
-        if let Some(stored) = self.links.read_change(link, change, base) {
+        if let Some(stored) = self.links.apply_change(link, change, base) {
             self.receive_configuration(stored);
         }
     }
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -11,7 +11,7 @@
 use cloverfold_evacuation::EvacuatedHalls;
 use cloverfold_lease::{RunnerMessage, TargetDescription};
 use cloverfold_link::{LinkEvent, LinkId};
-use cloverfold_peer::{DepartureStep, Directory, Hello, PeerMessage, PeerRole};
+use cloverfold_peer::{Directory, Hello, LinkDrainStep, PeerMessage, PeerRole};
 use cloverfold_upkeep::HeldTarget;
 
 use super::GuardState;
@@ -83,7 +83,7 @@
         log::info!(peer = hello.name.as_str(), link, version; "peer connected");
         let role = hello.role;
         self.links.record_hello(link, hello);
-        self.evacuations.tell_peers(&self.links);
+        self.evacuations.announce(&self.links);
         match role {
             PeerRole::Entry => self.runner.open_session(link, now),
             PeerRole::Control { .. } => self.tell_of_target(link),
@@ -126,7 +126,7 @@
         };
         match hello.role {
             PeerRole::Entry => self.runner.close_session(link, now),
-            PeerRole::Control { .. } => self.chosen.forget_control(link),
+            PeerRole::Control { .. } => self.chosen.remove_control(link),
             PeerRole::Guard => {}
         }
     }
@@ -145,7 +145,7 @@
     /// Keeps a configuration that was sent as a change.
     fn receive_change(&mut self, link: LinkId, change: &ConfigurationChange) {
         let base = self.configuration.stored();
-        if let Some(stored) = self.links.read_change(link, change, base) {
+        if let Some(stored) = self.links.apply_change(link, change, base) {
             self.receive_configuration(stored);
         }
     }
@@ -176,11 +176,11 @@
 
     /// Dials the entries that a control process names, and the control processes.
     fn receive_directory(&mut self, link: LinkId, directory: Directory) {
-        self.chosen.record_named(link, directory.entries);
+        self.chosen.set_entries(link, directory.entries);
         for entry in self.chosen.wanted() {
             self.entries.add(*entry);
         }
-        self.controls.set_listed(directory.controls);
+        self.controls.set_controls(directory.controls);
     }
 
     fn receive_invitation(&mut self, entry: SocketAddr) {
@@ -197,7 +197,7 @@
         let connected = entries.map(|peer| peer.address).collect();
         let left = self
             .chosen
-            .list_left(dialed.iter().copied(), &connected, now);
+            .list_unneeded(dialed.iter().copied(), &connected, now);
         if left.is_empty() && self.departures.is_empty() {
             return;
         }
@@ -221,15 +221,15 @@
     ) {
         let has_runs = self.runner.count_session_runs(link) > 0;
         match self.departures.advance(link, is_left, has_runs, now) {
-            DepartureStep::Stay => {}
-            DepartureStep::Retire => self.runner.retire_session(link, true),
-            DepartureStep::Restore => self.runner.retire_session(link, false),
-            DepartureStep::SayGoodbye => {
+            LinkDrainStep::NoChange => {}
+            LinkDrainStep::StopOffering => self.runner.retire_session(link, true),
+            LinkDrainStep::ResumeOffering => self.runner.retire_session(link, false),
+            LinkDrainStep::SendGoodbye => {
                 log::info!(entry = entry.to_string().as_str(), link; "an entry is left");
                 // One that misses it invites this guard for a while, which changes nothing.
                 self.links.send(link, &PeerMessage::Goodbye);
             }
-            DepartureStep::Close => self.entries.remove(entry),
+            LinkDrainStep::Close => self.entries.remove(entry),
         }
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -18,7 +18,7 @@
 use cloverfold_leased_process::{LeasedState, Stalls, Suspensions};
 use cloverfold_link::LinkEvent;
 use cloverfold_peer::{
-    ChosenEntries, ControlLinks, Departures, DialedPeers, Hello, KnownEvacuations, PeerLinks,
+    ChosenEntries, ControlLinks, DialedPeers, Hello, KnownEvacuations, LinkDrains, PeerLinks,
     PeerMessage, SentCounts, send_group_call,
 };
 use tokio::sync::{Notify, mpsc};
@@ -44,7 +44,7 @@
     controls: ControlLinks,
     entries: DialedPeers,
     chosen: ChosenEntries,
-    departures: Departures,
+    departures: LinkDrains,
     recorder: Recorder,
     orders: mpsc::UnboundedSender<TargetOrder>,
     /// Notified when the lease is to be renewed without waiting.
@@ -103,7 +103,7 @@
             controls,
             entries,
             chosen: ChosenEntries::default(),
-            departures: Departures::default(),
+            departures: LinkDrains::default(),
             recorder: Recorder::default(),
             orders,
             renew_now,
@@ -319,14 +319,14 @@
     fn can_read(&self, session: SessionId, message: &RunnerMessage) -> bool {
         let is_hint = matches!(message, RunnerMessage::UsualSpeed(_));
         let entry = self.links.hello(session);
-        !is_hint || entry.is_some_and(Hello::knows_kept_jobs)
+        !is_hint || entry.is_some_and(Hello::supports_kept_jobs)
     }
 
     /// Returns a message as the entry at the other end can read it: a build that does not know of evacuations is told that the target
     /// drains, which it handles alike.
     fn make_readable(&self, session: SessionId, message: RunnerMessage) -> RunnerMessage {
         let entry = self.links.hello(session);
-        if entry.is_some_and(Hello::knows_evacuations) {
+        if entry.is_some_and(Hello::supports_evacuations) {
             return message;
         }
         message.without_evacuated()
--- a/crates/leased/cloverfold_peer/src/addresses.rs
+++ b/crates/leased/cloverfold_peer/src/addresses.rs
@@ -103,7 +103,7 @@
     }
 
     /// Replaces the control processes by those of a newer directory, and dials them.
-    pub fn set_listed(&mut self, controls: Vec<SocketAddr>) {
+    pub fn set_controls(&mut self, controls: Vec<SocketAddr>) {
         self.listed = controls;
         self.dial();
     }
@@ -113,7 +113,7 @@
     pub fn accept_invitation(&mut self, controls: Vec<SocketAddr>) {
         if self.listed.is_empty() {
             log::info!(controls = controls.len(); "a control process invites");
-            self.set_listed(controls);
+            self.set_controls(controls);
         }
     }
 
--- a/crates/leased/cloverfold_peer/src/chosen_entries.rs
+++ b/crates/leased/cloverfold_peer/src/chosen_entries.rs
@@ -34,13 +34,13 @@
 
 impl ChosenEntries {
     /// Records what a control process names.
-    pub fn record_named(&mut self, control: LinkId, entries: impl IntoIterator<Item = SocketAddr>) {
+    pub fn set_entries(&mut self, control: LinkId, entries: impl IntoIterator<Item = SocketAddr>) {
         self.named.insert(control, entries.into_iter().collect());
         self.unite();
     }
 
     /// Forgets what a control process named whose link has closed; what the last one named stays.
-    pub fn forget_control(&mut self, control: LinkId) {
+    pub fn remove_control(&mut self, control: LinkId) {
         if self.named.remove(&control).is_some() && !self.named.is_empty() {
             self.unite();
         }
@@ -63,7 +63,7 @@
 
     /// Returns which of the dialed entries to leave: none has named them for [`LEAVE_AFTER`], and all that are named are connected, so
     /// that no control process that sees little can leave this guard without entries.
-    pub fn list_left(
+    pub fn list_unneeded(
         &mut self,
         dialed: impl IntoIterator<Item = SocketAddr>,
         connected: &BTreeSet<SocketAddr>,
--- a/crates/leased/cloverfold_peer/src/entry_subsets.rs
+++ b/crates/leased/cloverfold_peer/src/entry_subsets.rs
@@ -32,7 +32,7 @@
 
 /// What the choice of a guard's entries depends on. The order of the fields is the format on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GuardTraits {
+pub struct GuardAttributes {
     /// The service that its target runs; `None` while it is not known.
     pub service: Option<String>,
     /// The data hall it stands in; `None` if it does not tell.
@@ -40,7 +40,7 @@
 }
 
 /// The guards that count, by the address at which they listen to peers.
-pub type KnownGuards = BTreeMap<SocketAddr, GuardTraits>;
+pub type KnownGuards = BTreeMap<SocketAddr, GuardAttributes>;
 /// The entries that each guard works with, by the addresses at which they listen to peers.
 pub type EntrySubsets = BTreeMap<SocketAddr, BTreeSet<SocketAddr>>;
 
--- a/crates/leased/cloverfold_peer/src/group_calls.rs
+++ b/crates/leased/cloverfold_peer/src/group_calls.rs
@@ -27,7 +27,7 @@
 }
 
 fn choose_link(links: &PeerLinks, route: &CallRoute) -> Option<LinkId> {
-    let usable = links.introduced().filter(|(_, hello)| is_usable(hello));
+    let usable = links.identified().filter(|(_, hello)| is_usable(hello));
     let mut usable: Vec<(LinkId, &Hello)> = usable.collect();
     usable.sort_unstable_by_key(|(link, _)| *link);
     if let Some(leader) = &route.leader
@@ -40,5 +40,5 @@
 }
 
 fn is_usable(hello: &Hello) -> bool {
-    matches!(hello.role, PeerRole::Control { .. }) && hello.knows_kept_jobs()
+    matches!(hello.role, PeerRole::Control { .. }) && hello.supports_kept_jobs()
 }
--- a/crates/leased/cloverfold_peer/src/known_evacuations.rs
+++ b/crates/leased/cloverfold_peer/src/known_evacuations.rs
@@ -28,7 +28,7 @@
         let is_newer = self.newest.update(told);
         if is_newer {
             self.log_halls();
-            self.tell_peers(links);
+            self.announce(links);
         }
         let sender = links.hello(from).map(|hello| hello.role);
         if matches!(sender, Some(PeerRole::Control { .. })) {
@@ -45,7 +45,7 @@
 
     /// Sends the evacuated halls to the peers that have not shown to know them. To be called when a peer has introduced itself, before
     /// anything else is sent to it: it then knows them before it begins work.
-    pub fn tell_peers(&self, links: &PeerLinks) {
+    pub fn announce(&self, links: &PeerLinks) {
         if self.newest.revision > 0 {
             links.send_evacuations(&self.newest, |_| true);
         }
--- a/crates/leased/cloverfold_peer/src/lib.rs
+++ b/crates/leased/cloverfold_peer/src/lib.rs
@@ -12,26 +12,26 @@
 
 mod addresses;
 mod chosen_entries;
-mod departures;
 mod entry_subsets;
 mod group_calls;
 mod known_evacuations;
+mod link_drains;
 mod links;
 mod messages;
-mod remembered_peers;
 mod sent_counts;
+mod stored_peers;
 mod trailing;
 
 pub use addresses::{ControlLinks, DialedPeers};
 pub use chosen_entries::ChosenEntries;
-pub use departures::{DepartureStep, Departures};
-pub use entry_subsets::{EntrySubsets, GuardTraits, KnownGuards, choose_entries};
+pub use entry_subsets::{EntrySubsets, GuardAttributes, KnownGuards, choose_entries};
 pub use group_calls::{has_group_link, send_group_call};
 pub use known_evacuations::KnownEvacuations;
+pub use link_drains::{LinkDrainStep, LinkDrains};
 pub use links::{PeerLinks, SharedMessage};
 pub use messages::{
     Directory, Hello, PROTOCOL_VERSION, PeerDetails, PeerMessage, PeerRole, ProtocolVersion,
 };
-pub use remembered_peers::{Invitations, RememberedPeers};
-pub use sent_counts::{SentCounts, SentKind};
+pub use sent_counts::{SentCounts, SentTotals};
+pub use stored_peers::{Invitations, StoredPeers};
 pub use trailing::Trailing;
--- a/crates/leased/cloverfold_peer/src/departures.rs
+++ b/crates/leased/cloverfold_peer/src/link_drains.rs
@@ -6,7 +6,7 @@
 //!     └────named again───┘
 //! ```
 //!
-//! Owns how far each link has come ([`Departures`]). Relies on the guard to carry out each step, and to take one every few tens of
+//! Owns how far each link has come ([`LinkDrains`]). Relies on the guard to carry out each step, and to take one every few tens of
 //! milliseconds.
 
 use std::collections::HashMap;
@@ -30,26 +30,26 @@
 
 /// What the guard does next on a link to an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DepartureStep {
+pub enum LinkDrainStep {
     /// Nothing changes.
-    Stay,
+    NoChange,
     /// Offer the entry no target any more.
-    Retire,
+    StopOffering,
     /// Offer the entry the target again.
-    Restore,
+    ResumeOffering,
     /// Send [`PeerMessage::Goodbye`](crate::PeerMessage::Goodbye).
-    SayGoodbye,
+    SendGoodbye,
     /// Close the link: what was sent before is on its way.
     Close,
 }
 
 /// The links on which entries are being left.
 #[derive(Debug, Default)]
-pub struct Departures {
+pub struct LinkDrains {
     links: HashMap<LinkId, Departure>,
 }
 
-impl Departures {
+impl LinkDrains {
     /// Takes the next step on a link whose entry `is_left` or not, and of whose session runs are left here or not.
     pub fn advance(
         &mut self,
@@ -57,29 +57,29 @@
         is_left: bool,
         has_runs: bool,
         now: Timestamp,
-    ) -> DepartureStep {
+    ) -> LinkDrainStep {
         let before = self.links.get(&link).copied();
         match before {
             None if is_left => {
                 self.links.insert(link, Departure::Retired { since: now });
-                DepartureStep::Retire
+                LinkDrainStep::StopOffering
             }
-            None => DepartureStep::Stay,
+            None => LinkDrainStep::NoChange,
             Some(Departure::Retired { .. }) if !is_left => {
                 self.links.remove(&link);
-                DepartureStep::Restore
+                LinkDrainStep::ResumeOffering
             }
             Some(Departure::Retired { since }) if has_runs || now < since + RETIRED_SPAN => {
-                DepartureStep::Stay
+                LinkDrainStep::NoChange
             }
             Some(Departure::Retired { .. }) => {
                 self.links.insert(link, Departure::Farewell);
-                DepartureStep::SayGoodbye
+                LinkDrainStep::SendGoodbye
             }
             // Also if the entry is named again meanwhile: it has been told, and is dialed anew.
             Some(Departure::Farewell) => {
                 self.links.remove(&link);
-                DepartureStep::Close
+                LinkDrainStep::Close
             }
         }
     }
--- a/crates/leased/cloverfold_peer/src/links.rs
+++ b/crates/leased/cloverfold_peer/src/links.rs
@@ -46,7 +46,7 @@
     /// Returns whether the peer can read the evacuated halls and has not shown to know them.
     fn lacks(&self, halls: &EvacuatedHalls) -> bool {
         let hello = self.hello.as_ref();
-        hello.is_some_and(Hello::knows_evacuations) && self.evacuations < halls.revision
+        hello.is_some_and(Hello::supports_evacuations) && self.evacuations < halls.revision
     }
 }
 
@@ -159,14 +159,14 @@
     }
 
     /// Returns all links whose peer has introduced itself, with who that is, in no order.
-    pub fn introduced(&self) -> impl Iterator<Item = (LinkId, &Hello)> {
+    pub fn identified(&self) -> impl Iterator<Item = (LinkId, &Hello)> {
         let links = self.links.iter();
         links.filter_map(|(link, open)| Some((*link, open.hello.as_ref()?)))
     }
 
     /// Returns all peers that have introduced themselves, in no order. A peer with two links is returned twice.
     pub fn peers(&self) -> impl Iterator<Item = &Hello> {
-        self.introduced().map(|(_, hello)| hello)
+        self.identified().map(|(_, hello)| hello)
     }
 
     /// Returns the peers that this process has dialed and that have introduced themselves, in no order.
@@ -194,7 +194,7 @@
     pub fn fetch_configuration(&self, link: LinkId, known: Version) {
         let tells_changes = self
             .hello(link)
-            .is_some_and(Hello::knows_configuration_changes);
+            .is_some_and(Hello::supports_configuration_changes);
         let message = if known > 0 && tells_changes {
             PeerMessage::FetchSince { known }
         } else {
@@ -205,7 +205,7 @@
 
     /// Returns the configuration that a peer has sent as a change; `base` is the one in force here. One that is not newer is left out. Where
     /// the change does not fit, the peer is asked for the whole configuration.
-    pub fn read_change(
+    pub fn apply_change(
         &self,
         link: LinkId,
         change: &ConfigurationChange,
--- a/crates/leased/cloverfold_peer/src/messages.rs
+++ b/crates/leased/cloverfold_peer/src/messages.rs
@@ -90,17 +90,17 @@
     }
 
     /// Returns whether the process can read what is sent about evacuations.
-    pub fn knows_evacuations(&self) -> bool {
+    pub fn supports_evacuations(&self) -> bool {
         self.reads(EVACUATIONS_SINCE)
     }
 
     /// Returns whether the process can read what is sent about kept jobs, planned upkeep and usual speeds.
-    pub fn knows_kept_jobs(&self) -> bool {
+    pub fn supports_kept_jobs(&self) -> bool {
         self.reads(KEPT_JOBS_SINCE)
     }
 
     /// Returns whether the process can read what is sent about changes of configurations.
-    pub fn knows_configuration_changes(&self) -> bool {
+    pub fn supports_configuration_changes(&self) -> bool {
         self.reads(CONFIGURATION_CHANGES_SINCE)
     }
 
--- a/crates/leased/cloverfold_peer/src/sent_counts.rs
+++ b/crates/leased/cloverfold_peer/src/sent_counts.rs
@@ -174,7 +174,7 @@
 
 /// Messages of one kind that were sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SentKind {
+pub struct SentTotals {
     /// Its name in the metrics.
     pub kind: &'static str,
     /// How many.
@@ -192,9 +192,9 @@
     }
 
     /// Returns each kind with its counts.
-    pub fn iter(&self) -> impl Iterator<Item = SentKind> {
+    pub fn iter(&self) -> impl Iterator<Item = SentTotals> {
         let counts = MessageKind::ALL.into_iter().zip(&self.by_kind);
-        counts.map(|(kind, count)| SentKind {
+        counts.map(|(kind, count)| SentTotals {
             kind: kind.as_str(),
             messages: count.messages.load(Ordering::Relaxed),
             bytes: count.bytes.load(Ordering::Relaxed),
--- a/crates/leased/cloverfold_peer/src/remembered_peers.rs
+++ b/crates/leased/cloverfold_peer/src/stored_peers.rs
@@ -27,14 +27,14 @@
 
 /// The entries and guards that were connected to a control process. The order of the fields is the format on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RememberedPeers {
+pub struct StoredPeers {
     /// The addresses at which entries listen to peers.
     pub entries: BTreeSet<SocketAddr>,
     /// The guards.
     pub guards: KnownGuards,
 }
 
-impl RememberedPeers {
+impl StoredPeers {
     /// Returns the addresses of all of them.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let guards = self.guards.keys();
@@ -52,7 +52,7 @@
 
 impl Invitations {
     /// Plans to invite these processes from `now` on, the start of the control process.
-    pub fn new(peers: &RememberedPeers, now: Timestamp) -> Self {
+    pub fn new(peers: &StoredPeers, now: Timestamp) -> Self {
         Self {
             waiting: peers.addresses().map(|address| (address, now)).collect(),
             ends_at: now + INVITE_SPAN,
--- a/crates/leased/cloverfold_peer/tests/chosen_entries.rs
+++ b/crates/leased/cloverfold_peer/tests/chosen_entries.rs
@@ -8,7 +8,7 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_link::LinkId;
-use cloverfold_peer::{ChosenEntries, DepartureStep, Departures};
+use cloverfold_peer::{ChosenEntries, LinkDrainStep, LinkDrains};
 
 const CONTROL: LinkId = 1;
 const OTHER_CONTROL: LinkId = 2;
@@ -29,7 +29,7 @@
 /// What a guard knows to which one control process has named entries 1 and 2.
 fn named_by_one() -> ChosenEntries {
     let mut chosen = ChosenEntries::default();
-    chosen.record_named(CONTROL, entries([1, 2]));
+    chosen.set_entries(CONTROL, entries([1, 2]));
     chosen
 }
 
@@ -37,7 +37,7 @@
 fn an_entry_is_wanted_that_any_control_process_names() {
     let mut chosen = named_by_one();
 
-    chosen.record_named(OTHER_CONTROL, entries([2, 3]));
+    chosen.set_entries(OTHER_CONTROL, entries([2, 3]));
 
     assert_eq!(*chosen.wanted(), entries([1, 2, 3]));
 }
@@ -50,7 +50,7 @@
     until_ms: u64,
 ) -> BTreeSet<SocketAddr> {
     let looks = (from_ms..=until_ms).step_by(100);
-    let left = looks.map(|ms| chosen.list_left(connected.clone(), connected, at(ms)));
+    let left = looks.map(|ms| chosen.list_unneeded(connected.clone(), connected, at(ms)));
     left.last().unwrap()
 }
 
@@ -58,7 +58,7 @@
 fn what_was_named_last_holds_while_no_control_process_is_connected() {
     let mut chosen = named_by_one();
 
-    chosen.forget_control(CONTROL);
+    chosen.remove_control(CONTROL);
 
     assert_eq!(*chosen.wanted(), entries([1, 2]));
 }
@@ -90,7 +90,7 @@
 fn a_control_process_that_sees_no_entry_makes_a_guard_leave_none() {
     let mut chosen = named_by_one();
 
-    chosen.record_named(CONTROL, entries([]));
+    chosen.set_entries(CONTROL, entries([]));
 
     let left = look_until(&mut chosen, &entries([1, 2]), 1_000, 20_000);
     assert_eq!(left, entries([]));
@@ -100,12 +100,12 @@
 fn a_control_process_that_knows_little_yet_moves_no_links() {
     let mut chosen = named_by_one();
     let connected = entries([1, 2]);
-    chosen.record_named(CONTROL, entries([2]));
+    chosen.set_entries(CONTROL, entries([2]));
     let partly = look_until(&mut chosen, &connected, 1_000, 3_900);
 
-    chosen.record_named(CONTROL, entries([1, 2]));
+    chosen.set_entries(CONTROL, entries([1, 2]));
     let named_again = look_until(&mut chosen, &connected, 4_000, 4_100);
-    chosen.record_named(CONTROL, entries([2]));
+    chosen.set_entries(CONTROL, entries([2]));
     let counted_anew = look_until(&mut chosen, &connected, 4_200, 7_000);
 
     assert_eq!(partly, entries([]));
@@ -118,18 +118,18 @@
     let mut chosen = ChosenEntries::default();
     let before = chosen.accepts_invitation(entry(4));
 
-    chosen.record_named(CONTROL, entries([1]));
+    chosen.set_entries(CONTROL, entries([1]));
 
     assert!(before);
     assert!(!chosen.accepts_invitation(entry(4)));
     assert!(chosen.accepts_invitation(entry(1)));
-    chosen.forget_control(CONTROL);
+    chosen.remove_control(CONTROL);
     assert!(chosen.accepts_invitation(entry(4)));
 }
 
 #[test]
 fn an_entry_is_left_in_steps_and_only_when_its_runs_have_ended() {
-    let mut departures = Departures::default();
+    let mut departures = LinkDrains::default();
     let mut step = |has_runs, ms| departures.advance(ENTRY_LINK, true, has_runs, at(ms));
 
     let steps = [
@@ -140,18 +140,21 @@
         step(false, 940),
     ];
 
-    use DepartureStep::{Close, Retire, SayGoodbye, Stay};
-    assert_eq!(steps, [Retire, Stay, Stay, SayGoodbye, Close]);
+    use LinkDrainStep::{Close, NoChange, SendGoodbye, StopOffering};
+    assert_eq!(
+        steps,
+        [StopOffering, NoChange, NoChange, SendGoodbye, Close]
+    );
 }
 
 #[test]
 fn an_entry_that_is_named_again_before_the_farewell_is_kept() {
-    let mut departures = Departures::default();
+    let mut departures = LinkDrains::default();
     departures.advance(ENTRY_LINK, true, true, at(0));
 
     let named_again = departures.advance(ENTRY_LINK, false, true, at(100));
     let later = departures.advance(ENTRY_LINK, false, true, at(5_000));
 
-    assert_eq!(named_again, DepartureStep::Restore);
-    assert_eq!(later, DepartureStep::Stay);
+    assert_eq!(named_again, LinkDrainStep::ResumeOffering);
+    assert_eq!(later, LinkDrainStep::NoChange);
 }
--- a/crates/leased/cloverfold_peer/tests/entry_subsets.rs
+++ b/crates/leased/cloverfold_peer/tests/entry_subsets.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
 
-use cloverfold_peer::{EntrySubsets, GuardTraits, KnownGuards, choose_entries};
+use cloverfold_peer::{EntrySubsets, GuardAttributes, KnownGuards, choose_entries};
 use proptest::prelude::*;
 
 /// Addresses in data halls of their own, as boxes are numbered in them.
@@ -19,8 +19,8 @@
 }
 
 /// A guard, in no data hall that it tells, whose target runs a service.
-fn guard_of(service: Option<&str>) -> GuardTraits {
-    GuardTraits {
+fn guard_of(service: Option<&str>) -> GuardAttributes {
+    GuardAttributes {
         service: service.map(Into::into),
         data_hall: None,
     }
@@ -43,7 +43,7 @@
                 (number / 250) as u8,
                 (number % 250) as u8,
             );
-            let traits = GuardTraits {
+            let traits = GuardAttributes {
                 data_hall: Some(format!("hall-{hall}")),
                 ..guard_of(Some("send"))
             };
--- a/crates/leased/cloverfold_peer/tests/invitations.rs
+++ b/crates/leased/cloverfold_peer/tests/invitations.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
-use cloverfold_peer::{GuardTraits, Invitations, RememberedPeers};
+use cloverfold_peer::{GuardAttributes, Invitations, StoredPeers};
 use proptest::prelude::*;
 
 fn at(ms: u64) -> Timestamp {
@@ -18,12 +18,12 @@
 }
 
 /// One entry, and so many guards less one.
-fn remembered(count: u16) -> RememberedPeers {
+fn remembered(count: u16) -> StoredPeers {
     let guards = 1..count;
-    RememberedPeers {
+    StoredPeers {
         entries: [address(0)].into(),
         guards: guards
-            .map(|number| (address(number), GuardTraits::default()))
+            .map(|number| (address(number), GuardAttributes::default()))
             .collect(),
     }
 }
