--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_base::draw_below;
+use cloverfold_base::random_below;
 use cloverfold_claim::ClaimError;
 use cloverfold_claims_core::{
     Claim, JobAction, JobEvent, JobOptions, JobProgress, Outcome, Placement, ReasonCode, TaskEnd,
@@ -171,7 +171,7 @@
     /// Lists where a task can go that did not stay at its place, best first.
     async fn list_next_places(&self) -> Vec<Placement> {
         let mut candidates = self.link.context.membership.list_candidates().await;
-        rank_by_load(&mut candidates, draw_below)
+        rank_by_load(&mut candidates, random_below)
     }
 
     /// Starts the assignments and releases that the progress asks for; returns the answer if it is among the actions.
--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use cloverfold_base::{UnixTime, draw_below};
+use cloverfold_base::{UnixTime, random_below};
 use cloverfold_claims_core::{
     AssignVerdict, Candidate, Fence, FenceLimits, Flow, Incarnation, Placement, QueuedTask,
     ReasonCode, ReleaseVerdict, TaskEnd, TaskId, TaskState, choose_free_place,
@@ -112,7 +112,7 @@
         if !task.may_pass_on || self.fence.can_start_now() {
             return None;
         }
-        choose_free_place(others, &task.previous_guards, draw_below)
+        choose_free_place(others, &task.previous_guards, random_below)
     }
 
     /// Records how a task ended and returns what starts in its place.
--- a/crates/claims/cloverfold_membership/src/gossip.rs
+++ b/crates/claims/cloverfold_membership/src/gossip.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cloverfold_app::{Lifecycle, Phase};
-use cloverfold_base::draw_below;
+use cloverfold_base::random_below;
 use cloverfold_claims_core::GuardId;
 use cloverfold_net::Network;
 use tokio::time::sleep;
@@ -110,7 +110,7 @@
         let mut peers = self.list_peers();
         let mut drawn = Vec::with_capacity(count);
         while drawn.len() < count && !peers.is_empty() {
-            let index = draw_below(peers.len());
+            let index = random_below(peers.len());
             drawn.push(peers.swap_remove(index));
         }
         drawn
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use cloverfold_app::{ControlThread, ThreadState};
-use cloverfold_base::draw_below;
+use cloverfold_base::random_below;
 use cloverfold_claims_core::{
     Candidate, Capacity, GuardId, GuardReport, GuardTable, Placement, PlacementPolicy,
 };
@@ -151,7 +151,7 @@
     /// Places tasks by the cell's policy, one charge for each.
     pub async fn place_tasks(&self, policy: PlacementPolicy, count: usize) -> Vec<Charge> {
         let place = move |table: &mut GuardTable, now| {
-            table.place(policy, count, now, SILENCE_LIMIT, draw_below)
+            table.place(policy, count, now, SILENCE_LIMIT, random_below)
         };
         let places = self.with_table(place).await;
         let charge = |place| Charge {
--- a/crates/common/cloverfold_base/src/lib.rs
+++ b/crates/common/cloverfold_base/src/lib.rs
@@ -8,13 +8,13 @@
 mod clock;
 mod hash;
 mod random;
-mod stall_watch;
+mod stall_detector;
 mod suspension;
 mod system_clocks;
 
 pub use clock::{ProcessClock, Timestamp, UnixTime, unix_now};
 pub use hash::{HASH_LEN, hash_parts};
-pub use random::{draw_below, random_u64};
-pub use stall_watch::{PROCESS_STALL, StallWatch};
-pub use suspension::{ClockLead, SuspensionWatch};
+pub use random::{random_below, random_u64};
+pub use stall_detector::{STALL_THRESHOLD, StallDetector};
+pub use suspension::{ClockOffset, SuspensionDetector};
 pub use system_clocks::has_boot_clock;
--- a/crates/common/cloverfold_base/src/random.rs
+++ b/crates/common/cloverfold_base/src/random.rs
@@ -12,6 +12,6 @@
 /// # Panics
 ///
 /// Panics if `bound` is 0.
-pub fn draw_below(bound: usize) -> usize {
+pub fn random_below(bound: usize) -> usize {
     (random_u64() % bound as u64) as usize
 }
--- a/crates/common/cloverfold_base/src/stall_watch.rs
+++ b/crates/common/cloverfold_base/src/stall_detector.rs
@@ -8,19 +8,19 @@
 use crate::clock::Timestamp;
 
 /// A gap between two calls of a process from which it counts as stalled: five of its ticks.
-pub const PROCESS_STALL: Duration = Duration::from_millis(100);
+pub const STALL_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// Watches the gaps between the calls of a process.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StallWatch {
+pub struct StallDetector {
     called_at: Timestamp,
 }
 
-impl StallWatch {
+impl StallDetector {
     /// Records a call; returns the time since the one before if the process was stalled in between.
     pub fn record_call(&mut self, now: Timestamp) -> Option<Duration> {
         let gap = now.saturating_duration_since(self.called_at);
         self.called_at = now;
-        (gap > PROCESS_STALL).then_some(gap)
+        (gap > STALL_THRESHOLD).then_some(gap)
     }
 }
--- a/crates/common/cloverfold_base/src/suspension.rs
+++ b/crates/common/cloverfold_base/src/suspension.rs
@@ -1,6 +1,6 @@
 //! How long the box was suspended, read off two clocks of the system.
 //!
-//! Owns how much of the difference between them is accounted for ([`SuspensionWatch`]). Relies on the steady clock standing still while the
+//! Owns how much of the difference between them is accounted for ([`SuspensionDetector`]). Relies on the steady clock standing still while the
 //! box is suspended, and on the boot clock going on.
 
 use std::time::Duration;
@@ -12,60 +12,60 @@
 
 /// How far the boot clock is ahead of the steady one. The clocks can't be read at the same instant, so that only bounds are known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClockLead {
+pub struct ClockOffset {
     /// It is no less.
-    pub least: Duration,
+    pub min: Duration,
     /// It is no more.
-    pub most: Duration,
+    pub max: Duration,
 }
 
-impl ClockLead {
+impl ClockOffset {
     /// Reads both clocks.
     fn read() -> Self {
         let before = read_steady_clock();
         let boot = read_boot_clock();
         let after = read_steady_clock();
         Self {
-            least: boot.saturating_sub(after),
-            most: boot.saturating_sub(before),
+            min: boot.saturating_sub(after),
+            max: boot.saturating_sub(before),
         }
     }
 }
 
 /// Notices that the box was suspended.
 #[derive(Clone, Copy, Debug)]
-pub struct SuspensionWatch {
+pub struct SuspensionDetector {
     /// The lead of the boot clock that no longer counts as news; the true one is no less unless it has grown since.
     accounted: Duration,
 }
 
-impl Default for SuspensionWatch {
+impl Default for SuspensionDetector {
     fn default() -> Self {
-        Self::new(ClockLead::read())
+        Self::new(ClockOffset::read())
     }
 }
 
-impl SuspensionWatch {
+impl SuspensionDetector {
     /// Begins with what the clocks say now.
-    pub const fn new(lead: ClockLead) -> Self {
+    pub const fn new(lead: ClockOffset) -> Self {
         Self {
-            accounted: lead.most,
+            accounted: lead.max,
         }
     }
 
     /// Reads the clocks; returns for how long the box was suspended since the last call, at the least. `None` if it was not.
-    pub fn look(&mut self) -> Option<Duration> {
-        self.compare(ClockLead::read())
+    pub fn poll(&mut self) -> Option<Duration> {
+        self.observe(ClockOffset::read())
     }
 
-    /// Compares a reading with what is accounted for; returns as [`Self::look`] does. What a blurred reading hides, a later one shows.
-    pub fn compare(&mut self, lead: ClockLead) -> Option<Duration> {
-        let span = lead.least.saturating_sub(self.accounted);
+    /// Compares a reading with what is accounted for; returns as [`Self::poll`] does. What a blurred reading hides, a later one shows.
+    pub fn observe(&mut self, lead: ClockOffset) -> Option<Duration> {
+        let span = lead.min.saturating_sub(self.accounted);
         if span < SHORTEST_SUSPENSION {
-            self.accounted = self.accounted.min(lead.most);
+            self.accounted = self.accounted.min(lead.max);
             return None;
         }
-        self.accounted = lead.least;
+        self.accounted = lead.min;
         Some(span)
     }
 }
--- a/crates/leased/cloverfold_lease/src/stall.rs
+++ b/crates/leased/cloverfold_lease/src/stall.rs
@@ -6,7 +6,7 @@
 //!
 //! | limit | what is distrusted | reaction | cost if it was needless |
 //! |---|---|---|---|
-//! | [`PROCESS_STALL`](cloverfold_base::PROCESS_STALL), 100 ms | the silence of others: what they sent meanwhile may be unread | their silence during the stall does not count, and nothing is concluded from it in a [`CatchUp`] | what has really failed is noticed later |
+//! | [`STALL_THRESHOLD`](cloverfold_base::STALL_THRESHOLD), 100 ms | the silence of others: what they sent meanwhile may be unread | their silence during the stall does not count, and nothing is concluded from it in a [`CatchUp`] | what has really failed is noticed later |
 //! | [`JOB_STALL`], 700 ms | open jobs and requests that arrived during the stall: their callers may have left and sent them elsewhere | the dispatcher gives up all jobs (`Dispatcher::give_up_after_stall`), and the entry refuses requests ([`is_request_outdated`]) | the work that was done for them, or one more attempt |
 //!
 //! The second must stay well below the time after which a caller sends again ([`DEFAULT_RESEND`](crate::DEFAULT_RESEND), 1,300 ms).
--- a/crates/leased/cloverfold_lease/tests/world/mod.rs
+++ b/crates/leased/cloverfold_lease/tests/world/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use cloverfold_base::{StallWatch, Timestamp};
+use cloverfold_base::{StallDetector, Timestamp};
 use cloverfold_lease::{
     Dispatcher, JobNumber, JobRequest, Runner, TargetRegistration, TaskId, Timings,
 };
@@ -121,7 +121,7 @@
     runner: Option<Runner>,
     frozen_until: u64,
     clock: BoxClock,
-    stalls: StallWatch,
+    stalls: StallDetector,
     starts_at: u64,
     target: Target,
     renewal_due_at: u64,
@@ -134,7 +134,7 @@
     dispatcher: Option<Dispatcher>,
     frozen_until: u64,
     clock: BoxClock,
-    stalls: StallWatch,
+    stalls: StallDetector,
     starts_at: u64,
     clients: BTreeMap<JobNumber, Client>,
     /// Requests that it has not read, and who sent them.
@@ -180,7 +180,7 @@
                 runner: Some(Runner::new(faults.timings(), 1_000)),
                 frozen_until: 0,
                 clock: BoxClock::default(),
-                stalls: StallWatch::default(),
+                stalls: StallDetector::default(),
                 starts_at: 0,
                 target: Target::new(index, rng.random_range(0.98..=1.0)),
                 renewal_due_at: 0,
@@ -193,7 +193,7 @@
                 dispatcher: Some(new_dispatcher(faults, seed + index as u64)),
                 frozen_until: 0,
                 clock: BoxClock::default(),
-                stalls: StallWatch::default(),
+                stalls: StallDetector::default(),
                 starts_at: 0,
                 clients: BTreeMap::new(),
                 unread: Vec::new(),
--- a/crates/leased/cloverfold_leased_process/src/stalls.rs
+++ b/crates/leased/cloverfold_leased_process/src/stalls.rs
@@ -4,12 +4,12 @@
 
 use std::time::Duration;
 
-use cloverfold_base::{StallWatch, Timestamp};
+use cloverfold_base::{StallDetector, Timestamp};
 
 /// Notices and logs the stalls of a process.
 #[derive(Debug, Default)]
 pub struct Stalls {
-    watch: StallWatch,
+    watch: StallDetector,
 }
 
 impl Stalls {
--- a/crates/leased/cloverfold_leased_process/src/suspensions.rs
+++ b/crates/leased/cloverfold_leased_process/src/suspensions.rs
@@ -4,12 +4,12 @@
 
 use std::time::Duration;
 
-use cloverfold_base::{SuspensionWatch, has_boot_clock};
+use cloverfold_base::{SuspensionDetector, has_boot_clock};
 
 /// The suspensions of the box that a process has noticed.
 #[derive(Debug)]
 pub struct Suspensions {
-    watch: SuspensionWatch,
+    watch: SuspensionDetector,
     noticed: u64,
 }
 
@@ -22,7 +22,7 @@
             );
         }
         Self {
-            watch: SuspensionWatch::default(),
+            watch: SuspensionDetector::default(),
             noticed: 0,
         }
     }
@@ -31,7 +31,7 @@
 impl Suspensions {
     /// Returns for how long the box was suspended since the last call, at the least; `None` if it was not.
     pub fn look(&mut self) -> Option<Duration> {
-        let span = self.watch.look()?;
+        let span = self.watch.poll()?;
         self.noticed += 1;
         log::warn!(suspended_ms = span.as_millis() as u64; "the box was suspended");
         Some(span)
