--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -13,7 +13,7 @@
 use cloverfold_evacuation::HallNames;
 use cloverfold_http::{HttpLimits, ListenError, Request, Serving, StopPhase, serve_at};
 use cloverfold_leased_process::{
-    ListeningPeerPort, PeerPort, Shared, serve_state_operations, start_ticks,
+    ListeningPeerPort, PeerPort, Shared, serve_state_operations, tick_interval,
 };
 use cloverfold_leased_settings::ControlSettings;
 use cloverfold_link::MAX_FRAME_LEN;
@@ -135,7 +135,7 @@
     Ok(ControlState::new(
         own,
         ReplicaHost::new(replica, disk),
-        port.dial_peers(),
+        port.dialed_peers(),
         bootstrap,
         memory,
         plan_jobs(settings, identity.id, disk_events),
@@ -239,7 +239,7 @@
     let state = state.clone();
     tasks.spawn(async move {
         state.lock().begin(&seeds);
-        let mut ticks = start_ticks(TICK);
+        let mut ticks = tick_interval(TICK);
         loop {
             tokio::select! {
                 Some(event) = link_rx.recv() => state.lock().link_event(event),
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -50,7 +50,7 @@
 use cloverfold_configuration::{AuditRecord, RecentConfigurations, Version};
 use cloverfold_consensus::{LogIndex, ReplicaId};
 use cloverfold_evacuation::{DataHall, EvacuationRevision, OrderId};
-use cloverfold_leased_process::Suspensions;
+use cloverfold_leased_process::SuspensionMonitor;
 use cloverfold_link::LinkId;
 use cloverfold_peer::{DialedPeers, Hello, PeerLinks, SentCounts, SharedMessage};
 use tokio::sync::watch;
@@ -73,7 +73,7 @@
 /// The state of a control process.
 pub(crate) struct ControlState {
     clock: ProcessClock,
-    suspensions: Suspensions,
+    suspensions: SuspensionMonitor,
     /// How this process introduces itself.
     own: Hello,
     replica_id: ReplicaId,
@@ -128,7 +128,7 @@
     ) -> Self {
         Self {
             clock: ProcessClock::default(),
-            suspensions: Suspensions::default(),
+            suspensions: SuspensionMonitor::default(),
             own,
             replica_id: host.replica.status().id,
             host,
@@ -177,7 +177,7 @@
     /// Does the work that is due by now.
     pub(crate) fn tick(&mut self) {
         // Logged and counted here; what follows from it, follows from the gap in time.
-        self.suspensions.look();
+        self.suspensions.poll();
         let now = self.clock.now();
         self.host.replica.tick(now);
         self.try_bootstrap();
@@ -229,7 +229,7 @@
     }
 
     /// Returns the suspensions of the box that were noticed.
-    pub(crate) fn suspensions(&self) -> &Suspensions {
+    pub(crate) fn suspensions(&self) -> &SuspensionMonitor {
         &self.suspensions
     }
 
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -171,7 +171,7 @@
     };
     let timings = settings.lease.timings();
     let dispatcher = Dispatcher::new(timings, HealthLimits::default(), random_u64());
-    let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dial_peers());
+    let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dialed_peers());
     EntryState::new(own, protocol, dispatcher, controls)
 }
 
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -20,7 +20,7 @@
     Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRefusal, JobRequest,
     find_configuration_wait, is_request_outdated,
 };
-use cloverfold_leased_process::{LeasedState, Stalls, Suspensions};
+use cloverfold_leased_process::{LeasedState, StallMonitor, SuspensionMonitor};
 use cloverfold_link::LinkEvent;
 use cloverfold_peer::{ControlLinks, Hello, KnownEvacuations, PeerLinks, PeerMessage, SentCounts};
 use tokio::sync::{oneshot, watch};
@@ -36,8 +36,8 @@
 /// The state of an entry.
 pub(crate) struct EntryState {
     clock: ProcessClock,
-    suspensions: Suspensions,
-    stalls: Stalls,
+    suspensions: SuspensionMonitor,
+    stalls: StallMonitor,
     own: Hello,
     protocol: Arc<dyn JobProtocol>,
     dispatcher: Dispatcher,
@@ -63,11 +63,11 @@
 }
 
 impl LeasedState for EntryState {
-    fn begin(&mut self) {
+    fn on_start(&mut self) {
         self.controls.dial();
     }
 
-    fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
+    fn on_link_event(&mut self, event: LinkEvent<PeerMessage>) {
         let now = self.look_at_clock();
         self.check_driver_leases(now);
         self.handle_link_event(event);
@@ -76,7 +76,7 @@
 
     fn tick(&mut self) {
         // Logged and counted here; what follows from it, follows from the gap in time.
-        self.suspensions.look();
+        self.suspensions.poll();
         let now = self.look_at_clock();
         self.ticked_at = now;
         self.check_driver_leases(now);
@@ -98,8 +98,8 @@
         let driver = Driver::new(&own.name, KeptTimings::default(), random_u64());
         Self {
             clock: ProcessClock::default(),
-            suspensions: Suspensions::default(),
-            stalls: Stalls::default(),
+            suspensions: SuspensionMonitor::default(),
+            stalls: StallMonitor::default(),
             own,
             protocol,
             dispatcher,
@@ -155,14 +155,14 @@
     }
 
     /// Returns the suspensions of the box that were noticed.
-    pub(crate) fn suspensions(&self) -> &Suspensions {
+    pub(crate) fn suspensions(&self) -> &SuspensionMonitor {
         &self.suspensions
     }
 
     /// Returns the present point in time, after the dispatcher has heard of a stall of this process.
     fn look_at_clock(&mut self) -> Timestamp {
         let now = self.clock.now();
-        if let Some(stall) = self.stalls.look(now) {
+        if let Some(stall) = self.stalls.poll(now) {
             self.dispatcher.allow_for_stall(stall, now);
         }
         now
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -133,8 +133,15 @@
     // A restarted guard begins with a higher fencing token; should the clock have gone back, the target's refusals raise it.
     let fencing_token = unix_now().as_millis() as u64;
     let runner = Runner::new(timings, fencing_token);
-    let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dial_peers());
-    GuardState::new(own, runner, controls, port.dial_peers(), orders, renew_now)
+    let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dialed_peers());
+    GuardState::new(
+        own,
+        runner,
+        controls,
+        port.dialed_peers(),
+        orders,
+        renew_now,
+    )
 }
 
 fn start_registrations(
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -15,7 +15,7 @@
     IncarnationId, ProcessorUse, RenewalAnswer, RenewalOrder, RenewalPause, Runner, RunnerAction,
     RunnerCounts, RunnerMessage, SessionId, StartAnswer, StartOrder, UnavailableReason, UsualSpeed,
 };
-use cloverfold_leased_process::{LeasedState, Stalls, Suspensions};
+use cloverfold_leased_process::{LeasedState, StallMonitor, SuspensionMonitor};
 use cloverfold_link::LinkEvent;
 use cloverfold_peer::{
     ChosenEntries, ControlLinks, DialedPeers, Hello, KnownEvacuations, LinkDrains, PeerLinks,
@@ -34,8 +34,8 @@
 /// The state of a guard.
 pub(crate) struct GuardState {
     clock: ProcessClock,
-    suspensions: Suspensions,
-    stalls: Stalls,
+    suspensions: SuspensionMonitor,
+    stalls: StallMonitor,
     own: Hello,
     runner: Runner,
     configuration: ConfigurationCopy,
@@ -60,11 +60,11 @@
 }
 
 impl LeasedState for GuardState {
-    fn begin(&mut self) {
+    fn on_start(&mut self) {
         self.controls.dial();
     }
 
-    fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
+    fn on_link_event(&mut self, event: LinkEvent<PeerMessage>) {
         self.handle_link_event(event);
         self.advance();
     }
@@ -93,8 +93,8 @@
     ) -> Self {
         Self {
             clock: ProcessClock::default(),
-            suspensions: Suspensions::default(),
-            stalls: Stalls::default(),
+            suspensions: SuspensionMonitor::default(),
+            stalls: StallMonitor::default(),
             own,
             runner,
             configuration: ConfigurationCopy::default(),
@@ -129,16 +129,16 @@
     }
 
     /// Returns the suspensions of the box that were noticed.
-    pub(crate) fn suspensions(&self) -> &Suspensions {
+    pub(crate) fn suspensions(&self) -> &SuspensionMonitor {
         &self.suspensions
     }
 
     /// Returns the present point in time, after the runner has heard of a suspension of the box, in which its target may have been
     /// suspended too, or else of a stall of this process.
     fn now(&mut self) -> Timestamp {
-        let suspension = self.suspensions.look();
+        let suspension = self.suspensions.poll();
         let now = self.clock.now();
-        let stall = self.stalls.look(now);
+        let stall = self.stalls.poll(now);
         if let Some(span) = suspension {
             self.runner.allow_for_suspension(span);
         } else if let Some(stall) = stall {
--- a/crates/leased/cloverfold_leased_process/src/lib.rs
+++ b/crates/leased/cloverfold_leased_process/src/lib.rs
@@ -18,9 +18,9 @@
 
 pub use metrics::{MetricsBuilder, ProcessMetrics};
 pub use operations::serve_state_operations;
-pub use peer_port::{LeasedState, ListeningPeerPort, PeerPort, start_ticks};
+pub use peer_port::{LeasedState, ListeningPeerPort, PeerPort, tick_interval};
 pub use runtime::start_leased_runtime;
 pub use settings_watch::SettingsWatch;
 pub use shared::Shared;
-pub use stalls::Stalls;
-pub use suspensions::Suspensions;
+pub use stalls::StallMonitor;
+pub use suspensions::SuspensionMonitor;
--- a/crates/leased/cloverfold_leased_process/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_process/src/metrics.rs
@@ -8,7 +8,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::{Metric, Registry};
 
-use crate::suspensions::Suspensions;
+use crate::suspensions::SuspensionMonitor;
 
 /// Metrics that are being declared; they are written in the order of their declaration.
 #[derive(Debug)]
@@ -72,8 +72,9 @@
 
 impl ProcessMetrics {
     /// Writes all metrics as text, in the format of Prometheus; `sent` is what the process has sent to others.
-    pub fn write(&self, sent: &SentCounts, suspensions: &Suspensions) -> String {
-        self.box_suspensions.set(suspensions.noticed() as i64);
+    pub fn write(&self, sent: &SentCounts, suspensions: &SuspensionMonitor) -> String {
+        self.box_suspensions
+            .set(suspensions.detected_count() as i64);
         self.dropped_lines.set(count_dropped_lines() as i64);
         for sent in sent.iter() {
             self.sent_messages.set(&[(sent.kind, sent.messages)]);
--- a/crates/leased/cloverfold_leased_process/src/peer_port.rs
+++ b/crates/leased/cloverfold_leased_process/src/peer_port.rs
@@ -23,10 +23,10 @@
 /// A state that is driven by its links and by time.
 pub trait LeasedState: Send + 'static {
     /// Begins to dial; called once, within the runtime, before anything else.
-    fn begin(&mut self);
+    fn on_start(&mut self);
 
     /// Handles an event of a link.
-    fn link_event(&mut self, event: LinkEvent<PeerMessage>);
+    fn on_link_event(&mut self, event: LinkEvent<PeerMessage>);
 
     /// Does what has fallen due.
     fn tick(&mut self);
@@ -55,7 +55,7 @@
     }
 
     /// Returns a set of dialed peers, empty at first, whose links report here.
-    pub fn dial_peers(&self) -> DialedPeers {
+    pub fn dialed_peers(&self) -> DialedPeers {
         DialedPeers::new(self.address, self.events_tx.clone())
     }
 
@@ -98,7 +98,7 @@
 
 /// Returns the ticks of a process. After a delay the next tick comes a whole interval later: a process that stood still has no missed
 /// ticks to catch up with.
-pub fn start_ticks(tick: Duration) -> Interval {
+pub fn tick_interval(tick: Duration) -> Interval {
     let mut ticks = interval(tick);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks
@@ -109,11 +109,11 @@
     tick: Duration,
     mut events_rx: mpsc::Receiver<LinkEvent<PeerMessage>>,
 ) {
-    state.lock().begin();
-    let mut ticks = start_ticks(tick);
+    state.lock().on_start();
+    let mut ticks = tick_interval(tick);
     loop {
         tokio::select! {
-            Some(event) = events_rx.recv() => state.lock().link_event(event),
+            Some(event) = events_rx.recv() => state.lock().on_link_event(event),
             _ = ticks.tick() => state.lock().tick(),
         }
     }
--- a/crates/leased/cloverfold_leased_process/src/stalls.rs
+++ b/crates/leased/cloverfold_leased_process/src/stalls.rs
@@ -8,13 +8,13 @@
 
 /// Notices and logs the stalls of a process.
 #[derive(Debug, Default)]
-pub struct Stalls {
+pub struct StallMonitor {
     watch: StallDetector,
 }
 
-impl Stalls {
+impl StallMonitor {
     /// Returns for how long the process was stalled since the last call; `None` if it was not.
-    pub fn look(&mut self, now: Timestamp) -> Option<Duration> {
+    pub fn poll(&mut self, now: Timestamp) -> Option<Duration> {
         let stall = self.watch.record_call(now)?;
         log::warn!(gap_ms = stall.as_millis() as u64; "the process stood still");
         Some(stall)
--- a/crates/leased/cloverfold_leased_process/src/suspensions.rs
+++ b/crates/leased/cloverfold_leased_process/src/suspensions.rs
@@ -8,12 +8,12 @@
 
 /// The suspensions of the box that a process has noticed.
 #[derive(Debug)]
-pub struct Suspensions {
+pub struct SuspensionMonitor {
     watch: SuspensionDetector,
-    noticed: u64,
+    detected_count: u64,
 }
 
-impl Default for Suspensions {
+impl Default for SuspensionMonitor {
     /// Begins to watch; logs if the system has no clock that would show a suspension.
     fn default() -> Self {
         if !has_boot_clock() {
@@ -23,22 +23,22 @@
         }
         Self {
             watch: SuspensionDetector::default(),
-            noticed: 0,
+            detected_count: 0,
         }
     }
 }
 
-impl Suspensions {
+impl SuspensionMonitor {
     /// Returns for how long the box was suspended since the last call, at the least; `None` if it was not.
-    pub fn look(&mut self) -> Option<Duration> {
+    pub fn poll(&mut self) -> Option<Duration> {
         let span = self.watch.poll()?;
-        self.noticed += 1;
+        self.detected_count += 1;
         log::warn!(suspended_ms = span.as_millis() as u64; "the box was suspended");
         Some(span)
     }
 
     /// Returns how many were noticed since the start.
     pub fn noticed(&self) -> u64 {
-        self.noticed
+        self.detected_count
     }
 }
