--- a/crates/common/cloverfold_http/src/lib.rs
+++ b/crates/common/cloverfold_http/src/lib.rs
@@ -14,5 +14,6 @@
 pub use client::{HttpCallError, HttpClient};
 pub use operations::{ListenError, listen_at, serve_at, serve_operations};
 pub use server::{
-    HttpLimits, Request, Response, Serving, StopPhase, json_response, plain_response, serve,
+    HttpLimits, Request, Response, ServerHandle, ShutdownPhase, json_response, plain_response,
+    serve,
 };
--- a/crates/common/cloverfold_http/src/operations.rs
+++ b/crates/common/cloverfold_http/src/operations.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use tokio::net::TcpListener;
 
-use crate::server::{HttpLimits, Request, Response, Serving, plain_response, serve};
+use crate::server::{HttpLimits, Request, Response, ServerHandle, plain_response, serve};
 
 /// An address of the settings that cannot be listened on.
 #[derive(Debug, thiserror::Error)]
@@ -44,7 +44,7 @@
     address: SocketAddr,
     limits: L,
     handler: H,
-) -> Result<Serving, ListenError>
+) -> Result<ServerHandle, ListenError>
 where
     L: Fn() -> HttpLimits + Send + 'static,
     H: Fn(Request) -> F + Send + Sync + 'static,
@@ -69,7 +69,7 @@
     address: Option<SocketAddr>,
     write_metrics: M,
     find_unreadiness: R,
-) -> Result<Option<Serving>, ListenError>
+) -> Result<Option<ServerHandle>, ListenError>
 where
     M: Fn() -> String + Send + Sync + 'static,
     R: Fn() -> Option<&'static str> + Send + Sync + 'static,
--- a/crates/common/cloverfold_http/src/server.rs
+++ b/crates/common/cloverfold_http/src/server.rs
@@ -60,12 +60,12 @@
 
 /// How far a planned stop of a server has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum StopPhase {
+pub enum ShutdownPhase {
     /// It serves.
     #[default]
     Serving,
     /// It serves, and answers with `Connection: close` so that clients reconnect elsewhere.
-    Turning,
+    Draining,
     /// It accepts no connection, finishes requests in flight and closes idle connections.
     Closing,
 }
@@ -115,21 +115,21 @@
     response
 }
 
-/// Handle of a running server; dropping it stops the server as [`StopPhase::Closing`] does.
+/// Handle of a running server; dropping it stops the server as [`ShutdownPhase::Closing`] does.
 #[derive(Debug)]
-pub struct Serving {
-    phase: watch::Sender<StopPhase>,
+pub struct ServerHandle {
+    phase: watch::Sender<ShutdownPhase>,
     address: SocketAddr,
 }
 
-impl Serving {
+impl ServerHandle {
     /// Returns the address that is listened on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Advances the planned stop to a later phase; an earlier one changes nothing.
-    pub fn advance(&self, phase: StopPhase) {
+    pub fn advance(&self, phase: ShutdownPhase) {
         self.phase.send_if_modified(|held| {
             let is_later = phase > *held;
             *held = (*held).max(phase);
@@ -150,21 +150,21 @@
 /// # Errors
 ///
 /// Returns the system's error if the listener has no local address.
-pub fn serve<L, H, F>(listener: TcpListener, limits: L, handler: H) -> std::io::Result<Serving>
+pub fn serve<L, H, F>(listener: TcpListener, limits: L, handler: H) -> std::io::Result<ServerHandle>
 where
     L: Fn() -> HttpLimits + Send + 'static,
     H: Fn(Request) -> F + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
     let address = listener.local_addr()?;
-    let (phase, follow) = watch::channel(StopPhase::Serving);
+    let (phase, follow) = watch::channel(ShutdownPhase::Serving);
     tokio::spawn(accept_connections(
         listener,
         limits,
         Arc::new(handler),
         follow,
     ));
-    Ok(Serving { phase, address })
+    Ok(ServerHandle { phase, address })
 }
 
 /// Accepts connections until the server closes, each served by a task of its own.
@@ -172,7 +172,7 @@
     listener: TcpListener,
     limits: L,
     handler: Arc<H>,
-    phase: watch::Receiver<StopPhase>,
+    phase: watch::Receiver<ShutdownPhase>,
 ) where
     L: Fn() -> HttpLimits,
     H: Fn(Request) -> F + Send + Sync + 'static,
@@ -198,16 +198,18 @@
 }
 
 /// Waits until the server closes or its handle is gone.
-async fn wait_closing(phase: &mut watch::Receiver<StopPhase>) {
+async fn wait_closing(phase: &mut watch::Receiver<ShutdownPhase>) {
     // The only error is that the handle was dropped, which closes the server too.
-    let _ = phase.wait_for(|phase| *phase == StopPhase::Closing).await;
+    let _ = phase
+        .wait_for(|phase| *phase == ShutdownPhase::Closing)
+        .await;
 }
 
 async fn serve_connection<H, F>(
     stream: TcpStream,
     limits: HttpLimits,
     handler: Arc<H>,
-    mut phase: watch::Receiver<StopPhase>,
+    mut phase: watch::Receiver<ShutdownPhase>,
 ) where
     H: Fn(Request) -> F + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
@@ -243,9 +245,9 @@
     }
 }
 
-/// Tells the client to open a new connection for its next request, from [`StopPhase::Turning`] on.
-fn ask_to_reconnect(response: &mut Response, phase: StopPhase) {
-    if phase >= StopPhase::Turning {
+/// Tells the client to open a new connection for its next request, from [`ShutdownPhase::Draining`] on.
+fn ask_to_reconnect(response: &mut Response, phase: ShutdownPhase) {
+    if phase >= ShutdownPhase::Draining {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
--- a/crates/common/cloverfold_http/tests/server.rs
+++ b/crates/common/cloverfold_http/tests/server.rs
@@ -10,7 +10,8 @@
 use bytes::Bytes;
 use cloverfold_faults::TcpProxy;
 use cloverfold_http::{
-    HttpCallError, HttpClient, HttpLimits, Request, Serving, StopPhase, plain_response, serve,
+    HttpCallError, HttpClient, HttpLimits, Request, ServerHandle, ShutdownPhase, plain_response,
+    serve,
 };
 use http::{Method, StatusCode};
 use http_body_util::Full;
@@ -54,7 +55,7 @@
 }
 
 /// Answers with the host once the gate is open, and counts handlers that were dropped before.
-fn start(gate: Arc<Semaphore>, seen: Seen) -> Serving {
+fn start(gate: Arc<Semaphore>, seen: Seen) -> ServerHandle {
     struct CountDrop(Option<Arc<AtomicUsize>>);
     impl Drop for CountDrop {
         fn drop(&mut self) {
@@ -160,11 +161,11 @@
     let seen = Seen::default();
     let serving = start(gate.clone(), seen.clone());
     let address = serving.address();
-    serving.advance(StopPhase::Turning);
+    serving.advance(ShutdownPhase::Draining);
     let in_flight = tokio::spawn(async move { post(&HttpClient::default(), address, "x").await });
     seen.wait_begun().await;
 
-    serving.advance(StopPhase::Closing);
+    serving.advance(ShutdownPhase::Closing);
     gate.add_permits(10);
 
     let (status, headers, _) = in_flight.await.unwrap().unwrap();
@@ -239,7 +240,7 @@
 }
 
 /// A server behind a proxy, and a client with six idle connections to it.
-async fn six_idle_connections() -> (Serving, TcpProxy, Arc<HttpClient>) {
+async fn six_idle_connections() -> (ServerHandle, TcpProxy, Arc<HttpClient>) {
     let gate = Arc::new(Semaphore::new(0));
     let seen = Seen::default();
     let serving = start(gate.clone(), seen.clone());
@@ -329,7 +330,7 @@
         .unwrap();
     client.read_u8().await.unwrap();
 
-    serving.advance(StopPhase::Closing);
+    serving.advance(ShutdownPhase::Closing);
 
     tokio::time::timeout(PATIENCE, serving.wait_closed())
         .await
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -11,7 +11,7 @@
 use cloverfold_base::{Timestamp, random_u64};
 use cloverfold_consensus::{DiskIdentity, Record, Replica, ReplicaConfig, ReplicaId, Store};
 use cloverfold_evacuation::HallNames;
-use cloverfold_http::{HttpLimits, ListenError, Request, Serving, StopPhase, serve_at};
+use cloverfold_http::{HttpLimits, ListenError, Request, ServerHandle, ShutdownPhase, serve_at};
 use cloverfold_leased_process::{
     ListeningPeerPort, PeerPort, Shared, serve_state_operations, tick_interval,
 };
@@ -46,8 +46,8 @@
 /// A control process that runs.
 pub struct ControlProcess {
     state: Shared<ControlState>,
-    operators: Serving,
-    _operations: Option<Serving>,
+    operators: ServerHandle,
+    _operations: Option<ServerHandle>,
     /// Aborted on drop.
     _tasks: JoinSet<()>,
 }
@@ -66,7 +66,7 @@
 
     /// Answers the calls under way and stops.
     pub async fn stop(self) {
-        self.operators.advance(StopPhase::Closing);
+        self.operators.advance(ShutdownPhase::Closing);
         // A client that never ends its request is cut off.
         let _ = timeout(STOP_TIMEOUT, self.operators.wait_closed()).await;
         log::info!("stopped");
@@ -193,7 +193,7 @@
     settings: &ControlSettings,
     state: &Shared<ControlState>,
     interface: Arc<dyn OperatorInterface>,
-) -> Result<Serving, ListenError> {
+) -> Result<ServerHandle, ListenError> {
     let address = settings.operator_address;
     let name = settings.peer.name.clone();
     let halls = HallNames::new(settings.halls.iter().cloned());
@@ -218,7 +218,7 @@
 fn start_operations(
     settings: &ControlSettings,
     state: &Shared<ControlState>,
-) -> Result<Option<Serving>, ListenError> {
+) -> Result<Option<ServerHandle>, ListenError> {
     let metrics = ControlMetrics::new();
     serve_state_operations(
         settings.peer.metrics_address(),
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -9,8 +9,8 @@
 
 use cloverfold_base::random_u64;
 use cloverfold_http::{
-    HttpLimits, ListenError, Request, Response, Serving, StopPhase, json_response, plain_response,
-    serve_at,
+    HttpLimits, ListenError, Request, Response, ServerHandle, ShutdownPhase, json_response,
+    plain_response, serve_at,
 };
 use cloverfold_lease::{Dispatcher, HealthLimits};
 use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
@@ -34,10 +34,10 @@
 /// A running entry; dropping it stops it at once.
 pub struct LeasedEntry {
     callers: Arc<Callers>,
-    clients: Serving,
-    readiness: Serving,
+    clients: ServerHandle,
+    readiness: ServerHandle,
     /// Serves until it is dropped.
-    _operations: Option<Serving>,
+    _operations: Option<ServerHandle>,
     linger: Duration,
     drain_timeout: Duration,
     /// Aborted on drop.
@@ -75,13 +75,13 @@
     fn begin_draining(&self) {
         log::info!("draining");
         self.callers.lock().begin_draining();
-        self.clients.advance(StopPhase::Turning);
+        self.clients.advance(ShutdownPhase::Draining);
     }
 
     /// Refuses jobs and new client connections from now on; open connections close once they are idle.
     fn stop_accepting_jobs(&self) {
         self.callers.lock().stop_accepting_jobs();
-        self.clients.advance(StopPhase::Closing);
+        self.clients.advance(ShutdownPhase::Closing);
     }
 
     /// Returns whether all open jobs were answered in time.
@@ -175,7 +175,7 @@
     EntryState::new(own, protocol, dispatcher, controls)
 }
 
-fn start_clients(address: SocketAddr, callers: &Arc<Callers>) -> Result<Serving, ListenError> {
+fn start_clients(address: SocketAddr, callers: &Arc<Callers>) -> Result<ServerHandle, ListenError> {
     let limits = {
         let callers = callers.clone();
         move || read_limits(&callers)
@@ -203,7 +203,10 @@
     }
 }
 
-fn start_readiness(address: SocketAddr, callers: &Arc<Callers>) -> Result<Serving, ListenError> {
+fn start_readiness(
+    address: SocketAddr,
+    callers: &Arc<Callers>,
+) -> Result<ServerHandle, ListenError> {
     let callers = callers.clone();
     let answer = move |request: Request| {
         let response = answer_readiness(&callers, &request);
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -9,7 +9,8 @@
 
 use cloverfold_base::unix_now;
 use cloverfold_http::{
-    HttpLimits, ListenError, Request, Response, Serving, json_response, plain_response, serve_at,
+    HttpLimits, ListenError, Request, Response, ServerHandle, json_response, plain_response,
+    serve_at,
 };
 use cloverfold_lease::Runner;
 use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
@@ -34,9 +35,9 @@
 /// A running guard; dropping it stops it at once.
 pub struct LeasedGuard {
     state: Shared<GuardState>,
-    registrations: Serving,
+    registrations: ServerHandle,
     /// Serves until it is dropped.
-    _operations: Option<Serving>,
+    _operations: Option<ServerHandle>,
     drain_timeout: Duration,
     /// Aborted on drop.
     _tasks: JoinSet<()>,
@@ -148,7 +149,7 @@
     address: SocketAddr,
     state: &Shared<GuardState>,
     interface: &Arc<dyn TargetInterface>,
-) -> Result<Serving, ListenError> {
+) -> Result<ServerHandle, ListenError> {
     let state = state.clone();
     let interface = interface.clone();
     let answer = move |request: Request| {
--- a/crates/leased/cloverfold_leased_process/src/operations.rs
+++ b/crates/leased/cloverfold_leased_process/src/operations.rs
@@ -1,11 +1,11 @@
 //! The HTTP pages for operators, read off the state of the process.
 //!
-//! Gives every leased process the same pages. Owns nothing: the caller keeps the [`Serving`]. Relies on `cloverfold_http` to serve, and on the
+//! Gives every leased process the same pages. Owns nothing: the caller keeps the [`ServerHandle`]. Relies on `cloverfold_http` to serve, and on the
 //! two functions of the caller to be quick, since the state is locked while they run.
 
 use std::net::SocketAddr;
 
-use cloverfold_http::{ListenError, Serving, serve_operations};
+use cloverfold_http::{ListenError, ServerHandle, serve_operations};
 
 use crate::shared::Shared;
 
@@ -20,7 +20,7 @@
     state: &Shared<S>,
     write_metrics: W,
     find_unreadiness: R,
-) -> Result<Option<Serving>, ListenError>
+) -> Result<Option<ServerHandle>, ListenError>
 where
     S: Send + 'static,
     W: Fn(&S) -> String + Send + Sync + 'static,
