--- a/crates/claims/cloverfold_claims_settings/src/cell.rs
+++ b/crates/claims/cloverfold_claims_settings/src/cell.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cloverfold_claims_core::{Cell, Flow, GuardId, Location, PlacementPolicy};
-use cloverfold_settings::{Check, FaultList, deserialize_millis};
+use cloverfold_settings::{Validate, ValidationErrors, deserialize_millis};
 use serde::Deserialize;
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq;
@@ -196,8 +196,8 @@
     }
 }
 
-impl Check for CellSettings {
-    fn check(&self, faults: &mut FaultList) {
+impl Validate for CellSettings {
+    fn validate(&self, faults: &mut ValidationErrors) {
         faults.add_if(
             !ALLOWED_REPLICAS.contains(&self.replicas),
             "replicas",
@@ -236,7 +236,7 @@
 }
 
 impl CellSettings {
-    fn check_guards(&self, faults: &mut FaultList) {
+    fn check_guards(&self, faults: &mut ValidationErrors) {
         let mut ids = BTreeSet::new();
         let mut addresses = BTreeSet::new();
         for (index, guard) in self.guards.iter().enumerate() {
@@ -254,7 +254,7 @@
         }
     }
 
-    fn check_names(&self, faults: &mut FaultList) {
+    fn check_names(&self, faults: &mut ValidationErrors) {
         let mut names = BTreeSet::new();
         for (index, service) in self.services.iter().enumerate() {
             let is_wrong = service.name.is_empty() || !names.insert(service.name.as_str());
@@ -271,7 +271,7 @@
 }
 
 impl WorkspaceSettings {
-    fn check(&self, field: &str, faults: &mut FaultList) {
+    fn check(&self, field: &str, faults: &mut ValidationErrors) {
         faults.add_if(
             decode_key_hash(&self.key_sha256).is_none(),
             format!("{field}.key_sha256"),
--- a/crates/claims/cloverfold_claims_settings/src/entry.rs
+++ b/crates/claims/cloverfold_claims_settings/src/entry.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cloverfold_settings::{
-    Check, FaultList, KeySettings, LogSettings, SettingsWithPaths, deserialize_millis,
+    KeySettings, LogSettings, SettingsWithPaths, Validate, ValidationErrors, deserialize_millis,
 };
 use serde::Deserialize;
 
@@ -117,8 +117,8 @@
     }
 }
 
-impl Check for EntrySettings {
-    fn check(&self, faults: &mut FaultList) {
+impl Validate for EntrySettings {
+    fn validate(&self, faults: &mut ValidationErrors) {
         faults.add_if(
             !self.name.starts_with("entry-"),
             "name",
--- a/crates/claims/cloverfold_claims_settings/src/guard.rs
+++ b/crates/claims/cloverfold_claims_settings/src/guard.rs
@@ -8,7 +8,7 @@
 
 use cloverfold_claims_core::GuardId;
 use cloverfold_settings::{
-    Check, FaultList, KeySettings, LogSettings, SettingsWithPaths, deserialize_millis,
+    KeySettings, LogSettings, SettingsWithPaths, Validate, ValidationErrors, deserialize_millis,
 };
 use serde::Deserialize;
 
@@ -105,8 +105,8 @@
     }
 }
 
-impl Check for GuardSettings {
-    fn check(&self, faults: &mut FaultList) {
+impl Validate for GuardSettings {
+    fn validate(&self, faults: &mut ValidationErrors) {
         let target = &self.target;
         faults.add_if(target.slots == 0, "target.slots", "must be at least 1");
         faults.add_if(
--- a/crates/common/cloverfold_settings/src/common.rs
+++ b/crates/common/cloverfold_settings/src/common.rs
@@ -8,7 +8,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer};
 
-use crate::document::{Check, SettingsError, read_settings};
+use crate::document::{SettingsError, Validate, read_settings};
 
 /// The key files of a process; paths are relative to the settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -32,7 +32,7 @@
 }
 
 /// Settings that name other files by paths relative to their own file.
-pub trait SettingsWithPaths: DeserializeOwned + Check {
+pub trait SettingsWithPaths: DeserializeOwned + Validate {
     /// Makes the paths absolute or relative to the working folder; `folder` is that of the settings file.
     fn resolve_paths(&mut self, folder: &Path);
 
--- a/crates/common/cloverfold_settings/src/document.rs
+++ b/crates/common/cloverfold_settings/src/document.rs
@@ -11,37 +11,37 @@
 use serde::de::DeserializeOwned;
 
 /// Settings that can check their own values.
-pub trait Check {
-    /// Adds a fault for each impossible value.
-    fn check(&self, faults: &mut FaultList);
+pub trait Validate {
+    /// Adds an error for each invalid value.
+    fn validate(&self, errors: &mut ValidationErrors);
 }
 
 /// One impossible value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ValidationError {
     /// The field, as in `guards[2].hall`.
     pub field: String,
     /// What is wrong, and what would be right.
     pub message: String,
 }
 
-/// The faults found in one settings file.
+/// The invalid values found in one settings file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct FaultList(Vec<Fault>);
+pub struct ValidationErrors(Vec<ValidationError>);
 
-impl FaultList {
-    /// Adds a fault when `is_wrong` holds.
+impl ValidationErrors {
+    /// Adds an error when `is_wrong` holds.
     pub fn add_if(&mut self, is_wrong: bool, field: impl Into<String>, message: impl Into<String>) {
         if is_wrong {
-            self.0.push(Fault {
+            self.0.push(ValidationError {
                 field: field.into(),
                 message: message.into(),
             });
         }
     }
 
-    /// Returns the faults in the order in which they were found.
-    pub fn faults(&self) -> &[Fault] {
+    /// Returns the errors in the order in which they were found.
+    pub fn errors(&self) -> &[ValidationError] {
         &self.0
     }
 }
@@ -86,7 +86,7 @@
 /// # Errors
 ///
 /// Returns that the file cannot be read, or the faults that [`parse_settings`] found.
-pub fn read_settings<T: DeserializeOwned + Check>(file: &Path) -> Result<T, SettingsError> {
+pub fn read_settings<T: DeserializeOwned + Validate>(file: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(file)
         .map_err(|e| single_error(file, None, "", format!("cannot be read: {e}")))?;
     parse_settings(file, &text)
@@ -97,7 +97,7 @@
 /// # Errors
 ///
 /// Returns the first syntax or type error, or else all impossible values.
-pub fn parse_settings<T: DeserializeOwned + Check>(
+pub fn parse_settings<T: DeserializeOwned + Validate>(
     file: &Path,
     text: &str,
 ) -> Result<T, SettingsError> {
@@ -116,19 +116,19 @@
         let line = find_line(text, &root, &field);
         single_error(file, line, &field, e.inner().to_string())
     })?;
-    let mut faults = FaultList::default();
-    settings.check(&mut faults);
-    if faults.0.is_empty() {
+    let mut errors = ValidationErrors::default();
+    settings.validate(&mut errors);
+    if errors.0.is_empty() {
         return Ok(settings);
     }
-    let locate = |fault: Fault| FaultLine {
+    let locate = |fault: ValidationError| FaultLine {
         line: find_line(text, &root, &fault.field),
         field: fault.field,
         message: fault.message,
     };
     Err(SettingsError {
         file: file.into(),
-        lines: faults.0.into_iter().map(locate).collect(),
+        lines: errors.0.into_iter().map(locate).collect(),
     })
 }
 
--- a/crates/common/cloverfold_settings/src/lib.rs
+++ b/crates/common/cloverfold_settings/src/lib.rs
@@ -12,4 +12,6 @@
 pub use common::{
     KeySettings, LogLevel, LogSettings, LogStream, SettingsWithPaths, deserialize_millis,
 };
-pub use document::{Check, Fault, FaultList, SettingsError, parse_settings, read_settings};
+pub use document::{
+    SettingsError, Validate, ValidationError, ValidationErrors, parse_settings, read_settings,
+};
--- a/crates/leased/cloverfold_leased_process/src/settings_watch.rs
+++ b/crates/leased/cloverfold_leased_process/src/settings_watch.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-use cloverfold_settings::{Check, read_settings};
+use cloverfold_settings::{Validate, read_settings};
 use serde::de::DeserializeOwned;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::{Interval, MissedTickBehavior, interval};
@@ -52,7 +52,7 @@
 
     /// Waits for SIGTERM or SIGINT. On SIGHUP and when the file has changed, reads the file again and passes valid settings to
     /// `apply`; invalid ones are logged with file, line and field, and change nothing.
-    pub async fn run_until_stop<T: DeserializeOwned + Check>(mut self, apply: impl Fn(T)) {
+    pub async fn run_until_stop<T: DeserializeOwned + Validate>(mut self, apply: impl Fn(T)) {
         loop {
             tokio::select! {
                 _ = self.term.recv() => return,
@@ -69,7 +69,7 @@
         }
     }
 
-    fn reload<T: DeserializeOwned + Check>(&self, apply: impl Fn(T)) {
+    fn reload<T: DeserializeOwned + Validate>(&self, apply: impl Fn(T)) {
         match read_settings(&self.file) {
             Ok(settings) => {
                 let file = self.file.display().to_string();
--- a/crates/leased/cloverfold_leased_settings/src/control.rs
+++ b/crates/leased/cloverfold_leased_settings/src/control.rs
@@ -8,7 +8,7 @@
 
 use cloverfold_evacuation::{DataHall, HallNames};
 use cloverfold_kept_jobs::MAX_GROUPS;
-use cloverfold_settings::{Check, FaultList, LogSettings};
+use cloverfold_settings::{LogSettings, Validate, ValidationErrors};
 use serde::Deserialize;
 
 use crate::peer::PeerSettings;
@@ -52,27 +52,27 @@
     pub log: LogSettings,
 }
 
-impl Check for ControlSettings {
-    fn check(&self, faults: &mut FaultList) {
-        self.peer.check(faults);
-        faults.add_if(
+impl Validate for ControlSettings {
+    fn validate(&self, errors: &mut ValidationErrors) {
+        self.peer.validate(errors);
+        errors.add_if(
             self.data_folder.as_os_str().is_empty(),
             "data_folder",
             "must name a folder",
         );
-        faults.add_if(
+        errors.add_if(
             self.tolerated_losses > MAX_TOLERATED_LOSSES,
             "tolerated_losses",
             "must be at most 4: nine control processes",
         );
-        faults.add_if(
+        errors.add_if(
             self.job_groups > MAX_GROUPS,
             "job_groups",
             "must be at most 16",
         );
-        self.check_halls(faults);
+        self.check_halls(errors);
         if let Some(upkeep) = &self.upkeep {
-            upkeep.check(faults);
+            upkeep.validate(errors);
         }
     }
 }
@@ -91,15 +91,15 @@
         Duration::from_secs(self.status_s)
     }
 
-    fn check_halls(&self, faults: &mut FaultList) {
+    fn check_halls(&self, errors: &mut ValidationErrors) {
         let any_name = HallNames::default();
         let is_malformed = |hall: &DataHall| any_name.check(hall).is_err();
-        faults.add_if(
+        errors.add_if(
             self.halls.iter().any(is_malformed),
             "halls",
             "each must have 1 to 128 letters, digits, dots, hyphens or underscores",
         );
         let is_own_missing = !self.halls.is_empty() && !self.halls.contains(&self.peer.data_hall);
-        faults.add_if(is_own_missing, "halls", "must name peer.hall");
+        errors.add_if(is_own_missing, "halls", "must name peer.hall");
     }
 }
--- a/crates/leased/cloverfold_leased_settings/src/entry.rs
+++ b/crates/leased/cloverfold_leased_settings/src/entry.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cloverfold_settings::{Check, FaultList, LogSettings};
+use cloverfold_settings::{LogSettings, Validate, ValidationErrors};
 use serde::Deserialize;
 
 use crate::lease::LeaseSettings;
@@ -53,16 +53,16 @@
     }
 }
 
-impl Check for LeasedEntrySettings {
-    fn check(&self, faults: &mut FaultList) {
-        self.peer.check(faults);
-        self.lease.check(faults);
-        faults.add_if(
+impl Validate for LeasedEntrySettings {
+    fn validate(&self, errors: &mut ValidationErrors) {
+        self.peer.validate(errors);
+        self.lease.validate(errors);
+        errors.add_if(
             self.client_address == self.ready_address,
             "ready_address",
             "must differ from client_address",
         );
-        faults.add_if(
+        errors.add_if(
             self.linger_ms >= self.drain_ms,
             "linger_ms",
             "must be below drain_ms",
--- a/crates/leased/cloverfold_leased_settings/src/guard.rs
+++ b/crates/leased/cloverfold_leased_settings/src/guard.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cloverfold_settings::{Check, FaultList, LogSettings};
+use cloverfold_settings::{LogSettings, Validate, ValidationErrors};
 use serde::Deserialize;
 
 use crate::lease::LeaseSettings;
@@ -36,9 +36,9 @@
     }
 }
 
-impl Check for LeasedGuardSettings {
-    fn check(&self, faults: &mut FaultList) {
-        self.peer.check(faults);
-        self.lease.check(faults);
+impl Validate for LeasedGuardSettings {
+    fn validate(&self, errors: &mut ValidationErrors) {
+        self.peer.validate(errors);
+        self.lease.validate(errors);
     }
 }
--- a/crates/leased/cloverfold_leased_settings/src/lease.rs
+++ b/crates/leased/cloverfold_leased_settings/src/lease.rs
@@ -7,7 +7,7 @@
 use cloverfold_lease::{
     DEFAULT_LEASE, DEFAULT_LONGEST_LEASE, DEFAULT_RESEND, DEFAULT_SESSION, DEFAULT_STOP, Timings,
 };
-use cloverfold_settings::FaultList;
+use cloverfold_settings::ValidationErrors;
 use serde::Deserialize;
 
 /// Shortest lease that leaves time for a lost renewal, in milliseconds. Chosen, not measured.
@@ -53,19 +53,19 @@
         .with_resend(Duration::from_millis(self.resend_ms))
     }
 
-    pub(crate) fn check(&self, faults: &mut FaultList) {
+    pub(crate) fn validate(&self, errors: &mut ValidationErrors) {
         let resend = Duration::from_millis(self.resend_ms);
-        faults.add_if(
+        errors.add_if(
             !self.timings().are_runs_over_before(resend),
             "lease.session_ms",
             "with lease_ms and stop_ms it must be over before resend_ms; make one of them shorter",
         );
-        faults.add_if(
+        errors.add_if(
             self.longest_lease_ms < self.lease_ms,
             "lease.longest_lease_ms",
             "must be at least lease_ms: targets cut longer leases to it",
         );
-        faults.add_if(
+        errors.add_if(
             self.lease_ms < MIN_LEASE_MS,
             "lease.lease_ms",
             "must be at least 200, so that a lost renewal can be repeated",
--- a/crates/leased/cloverfold_leased_settings/src/lib.rs
+++ b/crates/leased/cloverfold_leased_settings/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each process has a type here that [`cloverfold_settings::read_settings`] reads from one file; [`PeerSettings`] and
 //! [`LeaseSettings`] stand in several of them. Owns the checks of single values and of values against each other. Relies on
-//! `cloverfold_settings` for reading files and placing faults.
+//! `cloverfold_settings` for reading files and placing errors.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_leased_settings/src/peer.rs
+++ b/crates/leased/cloverfold_leased_settings/src/peer.rs
@@ -4,7 +4,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use cloverfold_settings::FaultList;
+use cloverfold_settings::ValidationErrors;
 use serde::Deserialize;
 
 /// What all processes of a leased installation are told.
@@ -57,19 +57,19 @@
         self.metrics_port.map(|port| SocketAddr::new(self.ip, port))
     }
 
-    pub(crate) fn check(&self, faults: &mut FaultList) {
-        faults.add_if(self.name.is_empty(), "peer.name", "must not be empty");
-        faults.add_if(
+    pub(crate) fn validate(&self, errors: &mut ValidationErrors) {
+        errors.add_if(self.name.is_empty(), "peer.name", "must not be empty");
+        errors.add_if(
             self.port == 0,
             "peer.port",
             "must be above 0, the same for all processes",
         );
-        faults.add_if(
+        errors.add_if(
             self.seeds.is_empty(),
             "peer.seeds",
             "must name at least one control process",
         );
-        faults.add_if(
+        errors.add_if(
             self.metrics_port == Some(self.port),
             "peer.metrics_port",
             "must differ from peer.port",
--- a/crates/leased/cloverfold_leased_settings/src/upkeep.rs
+++ b/crates/leased/cloverfold_leased_settings/src/upkeep.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cloverfold_settings::FaultList;
+use cloverfold_settings::ValidationErrors;
 use serde::Deserialize;
 
 /// How control processes call for the upkeep of boxes; without these settings they take no order of a wave.
@@ -98,25 +98,25 @@
         Duration::from_secs_f64(2.0 / self.readings_per_second)
     }
 
-    pub(crate) fn check(&self, faults: &mut FaultList) {
+    pub(crate) fn validate(&self, errors: &mut ValidationErrors) {
         let is_rate = |rate: f64| (0.01..=1e6).contains(&rate);
         let is_span = |seconds: f64| (0.0..=86_400.0).contains(&seconds);
-        faults.add_if(
+        errors.add_if(
             !is_rate(self.calls_per_second),
             "upkeep.calls_per_second",
             "must be from 0.01 to 1000000",
         );
-        faults.add_if(
+        errors.add_if(
             !is_rate(self.readings_per_second),
             "upkeep.readings_per_second",
             "must be from 0.01 to 1000000",
         );
-        faults.add_if(
+        errors.add_if(
             !is_span(self.maintenance_s),
             "upkeep.maintenance_s",
             "must be from 0 to 86400",
         );
-        faults.add_if(
+        errors.add_if(
             !is_span(self.list_lag_s),
             "upkeep.list_lag_s",
             "must be from 0 to 86400",
