--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -153,7 +153,7 @@
         groups: GroupSettings {
             replica,
             voters: 2 * settings.tolerated_losses + 1,
-            status: settings.status(),
+            status: settings.status_retention(),
         },
         seeds: settings.peer.seed_addresses(),
         data_folder: settings.data_folder.clone(),
--- a/crates/leased/cloverfold_control/src/upkeep_caller.rs
+++ b/crates/leased/cloverfold_control/src/upkeep_caller.rs
@@ -166,7 +166,7 @@
         if next.is_none() {
             return Ok(boxes);
         }
-        sleep(settings.reading_spacing()).await;
+        sleep(settings.reading_interval()).await;
     }
     Err(ListError::Failed("the list does not end".into()))
 }
@@ -174,11 +174,11 @@
 /// Returns the spans that a holder keeps under these settings.
 fn find_timings(settings: &UpkeepSettings) -> HolderTimings {
     HolderTimings {
-        maintenance: settings.maintenance(),
-        takeover: settings.quiet_span() + MAX_PROOF_AGE + CALL_LIMIT,
+        maintenance: settings.maintenance_duration(),
+        takeover: settings.takeover_delay() + MAX_PROOF_AGE + CALL_LIMIT,
         list_lag: settings.list_lag(),
-        empty: settings.empty_span(),
-        call_spacing: settings.call_spacing(),
+        empty: settings.drain_duration(),
+        call_spacing: settings.call_interval(),
     }
 }
 
--- a/crates/leased/cloverfold_leased_settings/src/control.rs
+++ b/crates/leased/cloverfold_leased_settings/src/control.rs
@@ -87,7 +87,7 @@
 
 impl ControlSettings {
     /// Returns how long a kept job is remembered after its end.
-    pub fn status(&self) -> Duration {
+    pub fn status_retention(&self) -> Duration {
         Duration::from_secs(self.status_s)
     }
 
--- a/crates/leased/cloverfold_leased_settings/src/upkeep.rs
+++ b/crates/leased/cloverfold_leased_settings/src/upkeep.rs
@@ -69,7 +69,7 @@
 
 impl UpkeepSettings {
     /// Returns how long a box is away for its upkeep.
-    pub fn maintenance(&self) -> Duration {
+    pub fn maintenance_duration(&self) -> Duration {
         Duration::from_secs_f64(self.maintenance_s)
     }
 
@@ -79,22 +79,22 @@
     }
 
     /// Returns how long a process leaves a box alone that another may have called.
-    pub fn quiet_span(&self) -> Duration {
+    pub fn takeover_delay(&self) -> Duration {
         Duration::from_millis(self.lease_ms + self.thaw_ms)
     }
 
     /// Returns how long a box gets no new work before it is called.
-    pub fn empty_span(&self) -> Duration {
+    pub fn drain_duration(&self) -> Duration {
         Duration::from_millis(self.empty_ms)
     }
 
     /// Returns the span between two calls that keeps to half of the platform's rate: a process that is being replaced may still call.
-    pub fn call_spacing(&self) -> Duration {
+    pub fn call_interval(&self) -> Duration {
         Duration::from_secs_f64(2.0 / self.calls_per_second)
     }
 
     /// Returns the span between two readings that keeps to half of the platform's rate.
-    pub fn reading_spacing(&self) -> Duration {
+    pub fn reading_interval(&self) -> Duration {
         Duration::from_secs_f64(2.0 / self.readings_per_second)
     }
 
