--- a/crates/common/cloverfold_telemetry/src/bounded_log.rs
+++ b/crates/common/cloverfold_telemetry/src/bounded_log.rs
@@ -31,7 +31,7 @@
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 /// Returns how many log lines were dropped since the start of the process, over the limit or with a full queue.
-pub fn count_dropped_lines() -> u64 {
+pub fn dropped_line_count() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
@@ -117,7 +117,7 @@
         while let Ok(line) = rx.try_recv() {
             buf.extend_from_slice(&line);
         }
-        let dropped = count_dropped_lines();
+        let dropped = dropped_line_count();
         if dropped > reported {
             buf.extend_from_slice(format_dropped_note(dropped).as_bytes());
             reported = dropped;
--- a/crates/common/cloverfold_telemetry/src/lib.rs
+++ b/crates/common/cloverfold_telemetry/src/lib.rs
@@ -10,7 +10,7 @@
 mod logging;
 mod metrics;
 
-pub use bounded_log::count_dropped_lines;
+pub use bounded_log::dropped_line_count;
 pub use cause_gauges::CauseGauges;
 pub use logging::{LoggingError, start_logging};
 pub use metrics::{encode_metrics, write_metrics};
--- a/crates/leased/cloverfold_leased_process/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_process/src/metrics.rs
@@ -4,7 +4,7 @@
 //! `cloverfold_telemetry` for the text and the count of dropped log lines.
 
 use cloverfold_peer::SentCounts;
-use cloverfold_telemetry::{CauseGauges, count_dropped_lines, write_metrics};
+use cloverfold_telemetry::{CauseGauges, dropped_line_count, write_metrics};
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::{Metric, Registry};
 
@@ -75,7 +75,7 @@
     pub fn write(&self, sent: &SentCounts, suspensions: &SuspensionMonitor) -> String {
         self.box_suspensions
             .set(suspensions.detected_count() as i64);
-        self.dropped_lines.set(count_dropped_lines() as i64);
+        self.dropped_lines.set(dropped_line_count() as i64);
         for sent in sent.iter() {
             self.sent_messages.set(&[(sent.kind, sent.messages)]);
             self.sent_bytes.set(&[(sent.kind, sent.bytes)]);
