--- a/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
@@ -169,7 +169,7 @@
 
     /// Returns how long a call to a group may take.
     fn limit(&self, request: &Request, longest: Duration) -> Duration {
-        match self.protocol.read_patience(&request.headers) {
+        match self.protocol.read_client_timeout(&request.headers) {
             Some(patience) => longest.min(patience.mul_f64(ANSWERED_SHARE)),
             None => longest,
         }
--- a/crates/leased/cloverfold_leased_entry/src/lib.rs
+++ b/crates/leased/cloverfold_leased_entry/src/lib.rs
@@ -29,4 +29,4 @@
 
 pub use kept_body::KeptBody;
 pub use process::{LeasedEntry, start_leased_entry};
-pub use protocol::{JobForm, JobProtocol, JobState, MalformedJob, QueueCall};
+pub use protocol::{JobProtocol, JobState, MalformedJob, ParsedJob, QueueCall};
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -218,7 +218,7 @@
 /// Answers the balancer: 200 if ready, otherwise 503 with the reason.
 fn answer_readiness(callers: &Callers, request: &Request) -> Response {
     let path = request.uri.path();
-    if !callers.protocol.asks_readiness(&request.method, path) {
+    if !callers.protocol.is_readiness_request(&request.method, path) {
         return plain_response(StatusCode::NOT_FOUND, "no such call\n");
     }
     match callers.lock().find_unreadiness() {
--- a/crates/leased/cloverfold_leased_entry/src/protocol.rs
+++ b/crates/leased/cloverfold_leased_entry/src/protocol.rs
@@ -23,7 +23,7 @@
 
 /// A job that could be read.
 #[derive(Clone, Debug, PartialEq)]
-pub enum JobForm {
+pub enum ParsedJob {
     /// A job whose tasks may all run again if an answer is lost.
     Repeatable(JobRequest),
     /// A job that must be kept, and may run only once.
@@ -62,13 +62,13 @@
     /// # Errors
     ///
     /// Returns [`MalformedJob`] with the field that cannot be read.
-    fn read_job(&self, id: &str, route: &Route, body: &[u8]) -> Result<JobForm, MalformedJob>;
+    fn parse_job(&self, id: &str, route: &Route, body: &[u8]) -> Result<ParsedJob, MalformedJob>;
 
     /// Returns whether a job of this name can be kept.
     fn can_be_kept(&self, id: &str) -> bool;
 
     /// Returns how long the caller waits for the answer, if its request names a bound.
-    fn read_patience(&self, headers: &HeaderMap) -> Option<Duration>;
+    fn read_client_timeout(&self, headers: &HeaderMap) -> Option<Duration>;
 
     /// Writes the state of a job.
     fn write_state(&self, state: JobState) -> Vec<u8>;
@@ -77,5 +77,5 @@
     fn write_count(&self, waiting: usize) -> Vec<u8>;
 
     /// Returns whether a request at the balancer's address asks for readiness.
-    fn asks_readiness(&self, method: &Method, path: &str) -> bool;
+    fn is_readiness_request(&self, method: &Method, path: &str) -> bool;
 }
--- a/crates/leased/cloverfold_leased_entry/src/state/kept.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/kept.rs
@@ -18,7 +18,7 @@
 use crate::driven_jobs::DrivenJob;
 use crate::event_log::{log_driven, log_not_driven, log_undrivable};
 use crate::kept_body::KeptBody;
-use crate::protocol::JobForm;
+use crate::protocol::ParsedJob;
 
 /// Where the answer of a group comes.
 pub(crate) type GroupAnswer = oneshot::Receiver<CallAnswer>;
@@ -203,10 +203,10 @@
         let body = KeptBody::decode(&order.body).map_err(|fault| fault.to_string())?;
         let configuration = self.configuration();
         let route = body.route(configuration.as_deref());
-        match self.protocol.read_job(&order.job, &route, &body.text) {
-            Ok(JobForm::Kept(request)) => Ok(request),
-            Ok(JobForm::Repeatable(_)) => Err("it need not be kept".into()),
-            Ok(JobForm::Unsupported(what)) => Err(what.into()),
+        match self.protocol.parse_job(&order.job, &route, &body.text) {
+            Ok(ParsedJob::Kept(request)) => Ok(request),
+            Ok(ParsedJob::Repeatable(_)) => Err("it need not be kept".into()),
+            Ok(ParsedJob::Unsupported(what)) => Err(what.into()),
             Err(fault) => Err(fault.to_string()),
         }
     }
--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -12,7 +12,7 @@
 use crate::callers::Callers;
 use crate::job_counts::JobOutcome;
 use crate::kept_callers::conflict_response;
-use crate::protocol::{JobForm, MalformedJob};
+use crate::protocol::{MalformedJob, ParsedJob};
 use crate::responses::{answer_response, refusal_response};
 
 /// A job that is run.
@@ -49,7 +49,7 @@
 impl Callers {
     /// Submits the job in a request's body and waits for its answer.
     pub(crate) async fn submit(&self, id: &str, route: &Route, request: &Request) -> Response {
-        let job = match self.read_job(id, route, request) {
+        let job = match self.parse_job(id, route, request) {
             Ok(ReadJob::Repeatable(job)) => job,
             Ok(ReadJob::Kept(job)) => return self.submit_kept(id, route, request, &job).await,
             Err(cause) => return reject_job(id, route, &cause),
@@ -68,19 +68,19 @@
     }
 
     /// Reads a job and how long its caller waits.
-    fn read_job(
+    fn parse_job(
         &self,
         id: &str,
         route: &Route,
         request: &Request,
     ) -> Result<ReadJob, UnrunnableJob> {
-        match self.protocol.read_job(id, route, &request.body) {
-            Ok(JobForm::Repeatable(job)) => {
-                let patience = self.protocol.read_patience(&request.headers);
+        match self.protocol.parse_job(id, route, &request.body) {
+            Ok(ParsedJob::Repeatable(job)) => {
+                let patience = self.protocol.read_client_timeout(&request.headers);
                 Ok(ReadJob::Repeatable(JobRequest { patience, ..job }))
             }
-            Ok(JobForm::Kept(job)) => Ok(ReadJob::Kept(job)),
-            Ok(JobForm::Unsupported(what)) => Err(UnrunnableJob::Unsupported(what)),
+            Ok(ParsedJob::Kept(job)) => Ok(ReadJob::Kept(job)),
+            Ok(ParsedJob::Unsupported(what)) => Err(UnrunnableJob::Unsupported(what)),
             Err(fault) => Err(UnrunnableJob::Malformed(fault)),
         }
     }
