--- a/crates/leased/cloverfold_leased_guard/src/interface.rs
+++ b/crates/leased/cloverfold_leased_guard/src/interface.rs
@@ -12,7 +12,7 @@
 };
 
 /// The answer to a call that was sent.
-pub type Answer<T> = Pin<Box<dyn Future<Output = T> + Send>>;
+pub type CallFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 /// A call of a target at the registration address.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     /// The target is up, in this state; repeated as a heartbeat.
     Register(TargetRegistration),
     /// This incarnation of the target has ended.
-    Leave {
+    Deregister {
         /// The incarnation; the word may leave out when it started.
         incarnation: IncarnationId,
     },
@@ -49,11 +49,11 @@
     fn write_acknowledgement(&self) -> Vec<u8>;
 
     /// Starts a run. An order whose answer is lost may still be carried out.
-    fn start(&self, order: StartOrder) -> Answer<StartAnswer>;
+    fn start(&self, order: StartOrder) -> CallFuture<StartAnswer>;
 
     /// Stops a run; whether it has ended is seen from a later renewal.
-    fn stop(&self, order: StopOrder) -> Answer<()>;
+    fn stop(&self, order: StopOrder) -> CallFuture<()>;
 
     /// Renews the lease, and asks what runs and what has ended.
-    fn renew(&self, order: RenewalOrder) -> Answer<RenewalAnswer>;
+    fn renew(&self, order: RenewalOrder) -> CallFuture<RenewalAnswer>;
 }
--- a/crates/leased/cloverfold_leased_guard/src/lib.rs
+++ b/crates/leased/cloverfold_leased_guard/src/lib.rs
@@ -18,5 +18,5 @@
 mod state;
 mod target_orders;
 
-pub use interface::{Answer, RegistrationCall, RegistrationRefusal, TargetInterface};
+pub use interface::{CallFuture, RegistrationCall, RegistrationRefusal, TargetInterface};
 pub use process::{LeasedGuard, start_leased_guard};
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -206,7 +206,7 @@
                 let verdict = self.runner.register(registration.clone(), now);
                 log_registration(&registration, verdict);
             }
-            RegistrationCall::Leave { incarnation } => {
+            RegistrationCall::Deregister { incarnation } => {
                 let is_taken = self.runner.unregister(&incarnation, now);
                 log_departure(&incarnation, is_taken);
             }
--- a/crates/leased/cloverfold_leased_process/src/suspensions.rs
+++ b/crates/leased/cloverfold_leased_process/src/suspensions.rs
@@ -38,7 +38,7 @@
     }
 
     /// Returns how many were noticed since the start.
-    pub fn noticed(&self) -> u64 {
+    pub fn detected_count(&self) -> u64 {
         self.detected_count
     }
 }
--- a/crates/tools/cloverfold_leased_solo/src/local_target.rs
+++ b/crates/tools/cloverfold_leased_solo/src/local_target.rs
@@ -12,7 +12,7 @@
     BornMs, IncarnationId, RenewalAnswer, RenewalOrder, Resources, StartAnswer, StartOrder,
     StopOrder, TargetRegistration, TargetTime,
 };
-use cloverfold_leased_guard::{Answer, RegistrationCall, RegistrationRefusal, TargetInterface};
+use cloverfold_leased_guard::{CallFuture, RegistrationCall, RegistrationRefusal, TargetInterface};
 use http::Method;
 use http_body_util::Full;
 use tokio::sync::Notify;
@@ -157,7 +157,7 @@
         Vec::new()
     }
 
-    fn start(&self, order: StartOrder) -> Answer<StartAnswer> {
+    fn start(&self, order: StartOrder) -> CallFuture<StartAnswer> {
         let target = self.0.clone();
         Box::pin(async move {
             let answer = target.lock().start(&order, target.now());
@@ -166,7 +166,7 @@
         })
     }
 
-    fn stop(&self, order: StopOrder) -> Answer<()> {
+    fn stop(&self, order: StopOrder) -> CallFuture<()> {
         let target = self.0.clone();
         Box::pin(async move {
             target.lock().stop(&order, target.now());
@@ -174,7 +174,7 @@
         })
     }
 
-    fn renew(&self, order: RenewalOrder) -> Answer<RenewalAnswer> {
+    fn renew(&self, order: RenewalOrder) -> CallFuture<RenewalAnswer> {
         let target = self.0.clone();
         Box::pin(async move { target.answer_renewal(&order).await })
     }
