--- a/crates/common/cloverfold_base/src/suspension.rs
+++ b/crates/common/cloverfold_base/src/suspension.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockOffset {
     /// It is no less.
-    pub min: Duration,
+    pub lower_bound: Duration,
     /// It is no more.
-    pub max: Duration,
+    pub upper_bound: Duration,
 }
 
 impl ClockOffset {
@@ -26,8 +26,8 @@
         let boot = read_boot_clock();
         let after = read_steady_clock();
         Self {
-            min: boot.saturating_sub(after),
-            max: boot.saturating_sub(before),
+            lower_bound: boot.saturating_sub(after),
+            upper_bound: boot.saturating_sub(before),
         }
     }
 }
@@ -49,7 +49,7 @@
     /// Begins with what the clocks say now.
     pub const fn new(lead: ClockOffset) -> Self {
         Self {
-            accounted: lead.max,
+            accounted: lead.upper_bound,
         }
     }
 
@@ -60,12 +60,12 @@
 
     /// Compares a reading with what is accounted for; returns as [`Self::poll`] does. What a blurred reading hides, a later one shows.
     pub fn observe(&mut self, lead: ClockOffset) -> Option<Duration> {
-        let span = lead.min.saturating_sub(self.accounted);
+        let span = lead.lower_bound.saturating_sub(self.accounted);
         if span < SHORTEST_SUSPENSION {
-            self.accounted = self.accounted.min(lead.max);
+            self.accounted = self.accounted.min(lead.upper_bound);
             return None;
         }
-        self.accounted = lead.min;
+        self.accounted = lead.lower_bound;
         Some(span)
     }
 }
--- a/crates/common/cloverfold_base/tests/clocks.rs
+++ b/crates/common/cloverfold_base/tests/clocks.rs
@@ -17,8 +17,8 @@
 /// A reading that was interrupted before and after the boot clock was read.
 fn blurred(lead_ms: u64, before_ms: u64, after_ms: u64) -> ClockOffset {
     ClockOffset {
-        min: ms(lead_ms).saturating_sub(ms(after_ms)),
-        max: ms(lead_ms + before_ms),
+        lower_bound: ms(lead_ms).saturating_sub(ms(after_ms)),
+        upper_bound: ms(lead_ms + before_ms),
     }
 }
 
