--- a/compatibility/tests/kept_jobs.rs
+++ b/compatibility/tests/kept_jobs.rs
@@ -8,7 +8,7 @@
 
 use cloverfold_consensus::{Entry, Member, Members, Payload, Record, Snapshot, Store};
 use cloverfold_kept_jobs::{
-    Assignee, EndOutcome, JobCommand, JobSubmission, JobTable, TaskEnd, group_of,
+    EndOutcome, JobCommand, JobReassignment, JobSubmission, JobTable, TaskEnd, group_of,
 };
 use support::{assert_recorded, read_or_record};
 
@@ -48,7 +48,7 @@
         end("job-8", 1, 1_048_578, EndOutcome::Failed),
         end("job-9", 0, 1_048_579, EndOutcome::Done),
     ];
-    let assignee = Assignee {
+    let assignee = JobReassignment {
         job: "job-8".into(),
         after: 1,
         driver: 10_000,
--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -20,9 +20,9 @@
 };
 use cloverfold_evacuation::{EvacuatedHalls, EvacuationOrder, HallChange};
 use cloverfold_kept_jobs::{
-    CallRefusal, CancelOutcome, DriveOrder, DrivenJob, EndDecision, EndOutcome, Founder, HowEnded,
+    CallRefusal, CancelOutcome, DrivenJob, EndDecision, EndOutcome, Founder, JobAssignment,
     JobCall, JobCallMessage, JobGroups, JobPhase, JobReply, JobReplyMessage, JobSubmission,
-    ReleasedJob, Renewal, RenewalReply, SubmitOutcome, TaskEnd, TaskProgress,
+    ReleasedJob, Renewal, RenewalReply, SubmitOutcome, TaskEnd, TaskProgress, TerminalState,
 };
 use cloverfold_lease::{
     Assignment, DispatcherMessage, FreeCapacity, KeptAssignment, Resources, RunOutcome, RunRefusal,
@@ -614,7 +614,7 @@
     };
     RenewalReply {
         driver: 117_000,
-        drive: vec![DriveOrder {
+        drive: vec![JobAssignment {
             job: "job-118".to_owned(),
             epoch: 119,
             body: vec![120, 121],
@@ -634,16 +634,16 @@
     ]);
     let cancelled = several([
         ("cancelled", CancelOutcome::Cancelled),
-        ("cancelled-ended", CancelOutcome::Ended(HowEnded::Completed)),
+        ("cancelled-ended", CancelOutcome::Ended(TerminalState::Completed)),
         ("cancelled-unknown", CancelOutcome::Unknown),
     ]);
     let shown = several([
         ("shown-nothing", None),
         ("shown-queued", Some(JobPhase::Queued)),
         ("shown-running", Some(JobPhase::Running)),
-        ("shown-completed", Some(JobPhase::Ended(HowEnded::Completed))),
-        ("shown-failed", Some(JobPhase::Ended(HowEnded::Failed))),
-        ("shown-cancelled", Some(JobPhase::Ended(HowEnded::Cancelled))),
+        ("shown-completed", Some(JobPhase::Ended(TerminalState::Completed))),
+        ("shown-failed", Some(JobPhase::Ended(TerminalState::Failed))),
+        ("shown-cancelled", Some(JobPhase::Ended(TerminalState::Cancelled))),
     ]);
     let refused = several([
         ("refused-no-leader", CallRefusal::NoLeader),
--- a/crates/leased/cloverfold_control/src/job_groups/applying.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/applying.rs
@@ -5,8 +5,8 @@
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::{LogIndex, Term};
 use cloverfold_kept_jobs::{
-    Assignee, CommandOutcome, DriverId, EndDecision, Epoch, HowEnded, JobCommand, JobId, JobReply,
-    OpenJob, RenewalReply, SubmitOutcome, order_to_drive,
+    CommandOutcome, DriverId, EndDecision, Epoch, JobCommand, JobId, JobReassignment, JobReply,
+    OpenJob, RenewalReply, SubmitOutcome, TerminalState, job_assignment,
 };
 use log::Level;
 
@@ -116,8 +116,8 @@
             leading.open_since.remove(&open.job);
         }
         let level = match ended.how {
-            HowEnded::Completed => USUAL_LEVEL,
-            HowEnded::Failed | HowEnded::Cancelled => Level::Info,
+            TerminalState::Completed => USUAL_LEVEL,
+            TerminalState::Failed | TerminalState::Cancelled => Level::Info,
         };
         log::log!(
             level, job = open.job.as_str(), how:? = ended.how, epoch = open.epoch, group = self.id;
@@ -178,12 +178,12 @@
     }
 
     /// Tells drivers of the jobs that they were given. An entry that hears of one unasked renews at once, and drives it by the reply.
-    fn tell_assigned(&mut self, assignees: &[Assignee], assigned: &[JobId]) {
+    fn tell_assigned(&mut self, assignees: &[JobReassignment], assigned: &[JobId]) {
         if let Some(leading) = &mut self.leading {
             let jobs = assignees.iter().map(|assignee| &assignee.job);
-            leading.drivers.assigned(jobs);
+            leading.drivers.complete_handover(jobs);
         }
-        for Assignee { job, driver, .. } in assignees {
+        for JobReassignment { job, driver, .. } in assignees {
             if !assigned.contains(job) {
                 continue;
             }
@@ -192,7 +192,7 @@
             };
             let reply = RenewalReply {
                 driver: *driver,
-                drive: vec![order_to_drive(job, open)],
+                drive: vec![job_assignment(job, open)],
                 drop: Vec::new(),
             };
             self.push_to_driver(reply);
--- a/crates/leased/cloverfold_control/src/job_groups/calls.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/calls.rs
@@ -136,7 +136,9 @@
             return;
         };
         let reply = match read.read {
-            Read::Renewal(driver) => JobReply::Renewed(leading.drivers.answer(&self.table, driver)),
+            Read::Renewal(driver) => {
+                JobReply::Renewed(leading.drivers.renewal_reply(&self.table, driver))
+            }
             Read::Show(job) if self.table.open().contains_key(&job) => {
                 leading.watches.add(&job, read.caller, now);
                 return;
--- a/crates/leased/cloverfold_control/src/job_groups/leading.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/leading.rs
@@ -5,7 +5,7 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::Term;
-use cloverfold_kept_jobs::{DriverTable, JobCommand, JobId, JobTable, KeptTimings};
+use cloverfold_kept_jobs::{DriverTable, JobCommand, JobId, JobTable, KeptJobTimings};
 
 use super::batches::Batches;
 use super::ended::EndTimes;
@@ -38,7 +38,7 @@
         Self {
             open_since: open.map(|job| (job.clone(), now)).collect(),
             term,
-            drivers: DriverTable::new(KeptTimings::default(), now),
+            drivers: DriverTable::new(KeptJobTimings::default(), now),
             batches: Batches::default(),
             reads: ReadRounds::default(),
             watches: JobWatches::default(),
@@ -72,7 +72,7 @@
         let command = JobCommand::Assign(assignees.clone());
         if !self.batches.push(&command, None) {
             let jobs = assignees.iter().map(|assignee| &assignee.job);
-            self.drivers.not_assigned(jobs);
+            self.drivers.abort_handover(jobs);
         }
     }
 
--- a/crates/leased/cloverfold_control/src/operators/jobs.rs
+++ b/crates/leased/cloverfold_control/src/operators/jobs.rs
@@ -6,7 +6,7 @@
 //! groups must also be had where a group has no majority.
 
 use cloverfold_http::{Response, json_response, plain_response};
-use cloverfold_kept_jobs::{CancelOutcome, HowEnded, JobCall, JobPhase, JobReply, group_of};
+use cloverfold_kept_jobs::{CancelOutcome, JobCall, JobPhase, JobReply, TerminalState, group_of};
 use http::StatusCode;
 use serde_json::{Value, json};
 use tokio::time::{sleep, timeout};
@@ -70,7 +70,7 @@
 fn describe_reply(job: &str, group: u32, reply: &JobReply) -> Response {
     let state = match reply {
         JobReply::Shown(Some(phase)) => describe_phase(*phase),
-        JobReply::Cancelled(CancelOutcome::Cancelled) => describe_how(HowEnded::Cancelled),
+        JobReply::Cancelled(CancelOutcome::Cancelled) => describe_how(TerminalState::Cancelled),
         JobReply::Cancelled(CancelOutcome::Ended(how)) => describe_how(*how),
         JobReply::Shown(None) | JobReply::Cancelled(CancelOutcome::Unknown) => {
             return plain_response(StatusCode::GONE, "no such job\n");
@@ -89,11 +89,11 @@
     }
 }
 
-fn describe_how(how: HowEnded) -> &'static str {
+fn describe_how(how: TerminalState) -> &'static str {
     match how {
-        HowEnded::Completed => "completed",
-        HowEnded::Failed => "failed",
-        HowEnded::Cancelled => "cancelled",
+        TerminalState::Completed => "completed",
+        TerminalState::Failed => "failed",
+        TerminalState::Cancelled => "cancelled",
     }
 }
 
--- a/crates/leased/cloverfold_kept_jobs/src/calls.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/calls.rs
@@ -85,7 +85,7 @@
 
 /// Makes an entry drive a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DriveOrder {
+pub struct JobAssignment {
     /// The job.
     pub job: JobId,
     /// The epoch in which it drives it.
@@ -102,7 +102,7 @@
     /// The driver that is meant; another one ignores it.
     pub driver: DriverId,
     /// Jobs that it has to drive and did not name.
-    pub drive: Vec<DriveOrder>,
+    pub drive: Vec<JobAssignment>,
     /// Jobs that it named and must not drive any more, with the epoch that it named: they are over or another entry's.
     pub drop: Vec<(JobId, Epoch)>,
 }
--- a/crates/leased/cloverfold_kept_jobs/src/commands.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/commands.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{DriverId, EndSequence, Epoch, JobDigest, JobId, TaskIndex};
-use crate::job::HowEnded;
+use crate::job::TerminalState;
 
 /// A job as its entry submits it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
 
 /// Gives a job to another driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Assignee {
+pub struct JobReassignment {
     /// The job.
     pub job: JobId,
     /// The epoch that ends; the new driver's is the next one.
@@ -71,7 +71,7 @@
     /// End a job.
     Cancel(JobId),
     /// Give jobs to other drivers; proposed by the leader alone.
-    Assign(Vec<Assignee>),
+    Assign(Vec<JobReassignment>),
     /// Forget the jobs that ended up to this one; proposed by the leader alone.
     Expire(EndSequence),
 }
@@ -106,7 +106,7 @@
     /// The job is cancelled, now or before.
     Cancelled,
     /// It had ended in another way.
-    Ended(HowEnded),
+    Ended(TerminalState),
     /// There is no such job.
     Unknown,
 }
--- a/crates/leased/cloverfold_kept_jobs/src/driver/actions.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/actions.rs
@@ -1,6 +1,6 @@
 //! What a driver asks of the process around it, and how it answers callers.
 
-use crate::calls::{CallRefusal, CallToken, DriveOrder, JobCallMessage};
+use crate::calls::{CallRefusal, CallToken, JobAssignment, JobCallMessage};
 use crate::commands::CancelOutcome;
 use crate::ids::{Epoch, JobId};
 use crate::job::JobPhase;
@@ -16,7 +16,7 @@
 
 /// Why a caller's call had no effect and never will have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RefusedCall {
+pub enum RefusalReason {
     /// The groups are not known here yet.
     NoGroups,
     /// This entry has no lease as a driver of the group.
@@ -29,7 +29,7 @@
     ByGroup(CallRefusal),
 }
 
-impl RefusedCall {
+impl RefusalReason {
     /// Returns the name by which logs and answers call it.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -56,7 +56,7 @@
     /// How many jobs of the queue have not begun in the group.
     Pending(u64),
     /// The call had no effect and never will have.
-    Refused(RefusedCall),
+    Refused(RefusalReason),
     /// Whether the call had an effect is not known.
     Unknown,
 }
@@ -67,7 +67,7 @@
     /// Send a call to a control process.
     Send(CallRoute, JobCallMessage),
     /// Drive this job from now on.
-    Drive(DriveOrder),
+    Drive(JobAssignment),
     /// Drive this job no more: withdraw its runs and forget it.
     StopDriving {
         /// The job.
--- a/crates/leased/cloverfold_kept_jobs/src/driver/callers.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/callers.rs
@@ -5,7 +5,7 @@
 use crate::calls::{CallToken, JobCall, JobCallMessage};
 use crate::commands::JobSubmission;
 use crate::driver::Driver;
-use crate::driver::actions::{CallAnswer, CallRoute, DriverAction, RefusedCall};
+use crate::driver::actions::{CallAnswer, CallRoute, DriverAction, RefusalReason};
 use crate::groups::GroupId;
 use crate::ids::{JobDigest, JobId, TaskIndex};
 
@@ -29,13 +29,13 @@
 impl Driver {
     /// Submits a job; the answer comes under the number that is returned. The caller's disconnect changes nothing.
     pub fn submit(&mut self, job: NewJob, deadline: Timestamp, now: Timestamp) -> CallToken {
-        self.expire(now);
+        self.expire_leases(now);
         let Some(index) = self.group_index(&job.id) else {
-            return self.refuse(RefusedCall::NoGroups);
+            return self.refuse(RefusalReason::NoGroups);
         };
         let group = &self.groups[index];
         if !group.lease.is_valid(now) {
-            return self.refuse(RefusedCall::NoLease);
+            return self.refuse(RefusalReason::NoLease);
         }
         let submission = JobSubmission {
             driver: group.id,
@@ -53,7 +53,7 @@
     pub fn show(&mut self, job: &str, deadline: Timestamp, now: Timestamp) -> CallToken {
         match self.group_index(job) {
             Some(index) => self.call(index, JobCall::Show(job.into()), deadline, now),
-            None => self.refuse(RefusedCall::NoGroups),
+            None => self.refuse(RefusalReason::NoGroups),
         }
     }
 
@@ -61,7 +61,7 @@
     pub fn cancel(&mut self, job: &str, deadline: Timestamp, now: Timestamp) -> CallToken {
         match self.group_index(job) {
             Some(index) => self.call(index, JobCall::Cancel(job.into()), deadline, now),
-            None => self.refuse(RefusedCall::NoGroups),
+            None => self.refuse(RefusalReason::NoGroups),
         }
     }
 
@@ -77,12 +77,12 @@
             let call = JobCall::CountPending(queue.into());
             self.call(group as usize, call, deadline, now)
         } else {
-            self.refuse(RefusedCall::NoGroups)
+            self.refuse(RefusalReason::NoGroups)
         }
     }
 
     /// Answers a call that is not sent.
-    pub(super) fn refuse(&mut self, cause: RefusedCall) -> CallToken {
+    pub(super) fn refuse(&mut self, cause: RefusalReason) -> CallToken {
         let token = self.next_token();
         self.answer(token, CallAnswer::Refused(cause));
         token
@@ -97,7 +97,7 @@
         now: Timestamp,
     ) -> CallToken {
         if self.calls.is_full() {
-            return self.refuse(RefusedCall::Busy);
+            return self.refuse(RefusalReason::Busy);
         }
         let token = self.next_token();
         let group = index as GroupId;
--- a/crates/leased/cloverfold_kept_jobs/src/driver/group.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/group.rs
@@ -11,7 +11,7 @@
 use crate::driver::lease::DriverLease;
 use crate::driver::observed_ends::ObservedEnds;
 use crate::ids::{DriverId, Epoch, JobId};
-use crate::timings::KeptTimings;
+use crate::timings::KeptJobTimings;
 
 /// How long a release is remembered after the leader has answered it: a leader that is elected before the job was handed on does not know of
 /// it. Chosen, not measured: a job is handed on within seconds unless no other driver takes jobs.
@@ -129,7 +129,7 @@
     pub(super) fn record_renewal(
         &mut self,
         token: CallToken,
-        timings: &KeptTimings,
+        timings: &KeptJobTimings,
         now: Timestamp,
     ) {
         let driven = &self.driven;
--- a/crates/leased/cloverfold_kept_jobs/src/driver/lease.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/lease.rs
@@ -1,6 +1,6 @@
 //! Decision: until when an entry may drive the jobs of a group.
 //!
-//! Rule: until [`KeptTimings::driver_lease`](crate::KeptTimings::driver_lease) after it *sent* the newest renewal that was answered. Only
+//! Rule: until [`KeptJobTimings::driver_lease`](crate::KeptJobTimings::driver_lease) after it *sent* the newest renewal that was answered. Only
 //! the reply to a renewal counts; the content of a reply that was overtaken by the reply to a later renewal is ignored.
 //!
 //! Inputs: the numbers of the renewals and when they were sent, the numbers of the replies.
--- a/crates/leased/cloverfold_kept_jobs/src/driver/mod.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/mod.rs
@@ -36,13 +36,13 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-pub use actions::{CallAnswer, CallRoute, DriverAction, RefusedCall, StopCause};
+pub use actions::{CallAnswer, CallRoute, DriverAction, RefusalReason, StopCause};
 pub use callers::NewJob;
 
-use crate::calls::{CallToken, DriveOrder, JobCall};
+use crate::calls::{CallToken, JobAssignment, JobCall};
 use crate::groups::{GroupId, group_of};
 use crate::ids::{Epoch, JobId};
-use crate::timings::KeptTimings;
+use crate::timings::KeptJobTimings;
 use group::{Driven, Finished, GroupDriver};
 use pending_calls::{PendingCalls, with_jitter};
 
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Driver {
     entry: String,
-    timings: KeptTimings,
+    timings: KeptJobTimings,
     rng: SmallRng,
     /// By the number of the group; empty while the groups are not known.
     groups: Vec<GroupDriver>,
@@ -62,7 +62,7 @@
 
 impl Driver {
     /// Returns a driver that knows no groups. What it draws follows from `seed`, which must differ between processes.
-    pub fn new(entry: &str, timings: KeptTimings, seed: u64) -> Self {
+    pub fn new(entry: &str, timings: KeptJobTimings, seed: u64) -> Self {
         Self {
             entry: entry.into(),
             timings,
@@ -76,7 +76,7 @@
     }
 
     /// Records how many groups there are, which never changes; the first renewals are spread over an interval.
-    pub fn set_groups(&mut self, count: u32, now: Timestamp) {
+    pub fn set_group_count(&mut self, count: u32, now: Timestamp) {
         if !self.groups.is_empty() {
             return;
         }
@@ -109,7 +109,7 @@
     }
 
     /// Returns how many groups this entry has a lease of.
-    pub fn valid_leases(&self, now: Timestamp) -> usize {
+    pub fn valid_lease_count(&self, now: Timestamp) -> usize {
         let valid = self.groups.iter().filter(|group| group.lease.is_valid(now));
         valid.count()
     }
@@ -138,7 +138,7 @@
     }
 
     /// Returns the jobs that are driven and not finished.
-    pub fn list_unfinished(&self) -> Vec<JobId> {
+    pub fn unfinished_jobs(&self) -> Vec<JobId> {
         let driven = self.groups.iter().flat_map(|group| &group.driven);
         let unfinished = driven.filter(|(_, driven)| driven.finished.is_none());
         unfinished.map(|(job, _)| job.clone()).collect()
@@ -153,7 +153,7 @@
 
     /// Does what has fallen due; call it every few tens of milliseconds.
     pub fn tick(&mut self, now: Timestamp) {
-        self.expire(now);
+        self.expire_leases(now);
         for group in &mut self.groups {
             group.forget_gone(now);
         }
@@ -167,7 +167,7 @@
     }
 
     /// Ends the drivers whose lease has lapsed. Call it before anything else may begin a run: after a stall nothing may be driven on.
-    pub fn expire(&mut self, now: Timestamp) {
+    pub fn expire_leases(&mut self, now: Timestamp) {
         for index in 0..self.groups.len() {
             if self.groups[index].lease.has_lapsed(now) {
                 self.end_driver(index, now);
@@ -230,7 +230,7 @@
     }
 
     /// Begins to drive a job, unless it is driven or was released in this epoch; gives it back at once if no further job is taken.
-    fn begin_driving(&mut self, index: usize, order: DriveOrder, now: Timestamp) {
+    fn begin_driving(&mut self, index: usize, order: JobAssignment, now: Timestamp) {
         let group = &mut self.groups[index];
         if group.is_release_lost(&order.job, order.epoch, now) {
             // It is long over here: nothing of it runs.
--- a/crates/leased/cloverfold_kept_jobs/src/driver/pending_calls.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/pending_calls.rs
@@ -22,7 +22,7 @@
 use rand::rngs::SmallRng;
 
 use crate::calls::{CallRefusal, CallToken, JobCall};
-use crate::driver::actions::{CallAnswer, RefusedCall};
+use crate::driver::actions::{CallAnswer, RefusalReason};
 use crate::groups::GroupId;
 
 /// After this a call without a reply is sent again. Chosen, not measured: two syncs and four messages take less than a third.
@@ -43,7 +43,7 @@
     pub(super) sent: u32,
     /// How many of these were refused.
     refused: u32,
-    refusal: Option<RefusedCall>,
+    refusal: Option<RefusalReason>,
     next_send_at: Timestamp,
     /// After this its caller is answered; `None` for a call that is repeated until it is answered.
     deadline: Option<Timestamp>,
@@ -145,14 +145,14 @@
     pub(super) fn record_refusal(
         &mut self,
         token: CallToken,
-        refusal: RefusedCall,
+        refusal: RefusalReason,
         now: Timestamp,
         rng: &mut SmallRng,
     ) -> Option<CallAnswer> {
         let pending = self.calls.get_mut(&token)?;
         pending.refused += 1;
         pending.refusal = Some(refusal);
-        let is_worth_repeating = refusal == RefusedCall::ByGroup(CallRefusal::NoLeader);
+        let is_worth_repeating = refusal == RefusalReason::ByGroup(CallRefusal::NoLeader);
         if is_worth_repeating || pending.deadline.is_none() {
             let again_at = now + with_jitter(LEADER_PAUSE, rng);
             pending.next_send_at = pending.next_send_at.min(again_at);
--- a/crates/leased/cloverfold_kept_jobs/src/driver/releases.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/releases.rs
@@ -18,7 +18,7 @@
 impl Driver {
     /// Gives jobs back, each with whether no run of it is left that is not certainly over.
     pub fn release(&mut self, jobs: &[(JobId, bool)], now: Timestamp) {
-        self.expire(now);
+        self.expire_leases(now);
         for index in 0..self.groups.len() {
             self.release_of(index, jobs, now);
         }
--- a/crates/leased/cloverfold_kept_jobs/src/driver/replies.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/replies.rs
@@ -5,11 +5,11 @@
 use cloverfold_base::Timestamp;
 
 use crate::calls::{
-    CallRefusal, CallToken, DriveOrder, JobCall, JobReply, JobReplyMessage, RenewalReply,
+    CallRefusal, CallToken, JobAssignment, JobCall, JobReply, JobReplyMessage, RenewalReply,
 };
 use crate::commands::{JobSubmission, SubmitOutcome};
 use crate::driver::Driver;
-use crate::driver::actions::{CallAnswer, DriverAction, RefusedCall, StopCause};
+use crate::driver::actions::{CallAnswer, DriverAction, RefusalReason, StopCause};
 use crate::driver::group::{Driven, Gone};
 use crate::ids::{Epoch, JobId};
 
@@ -19,7 +19,7 @@
 impl Driver {
     /// Handles a reply of a group.
     pub fn receive(&mut self, message: JobReplyMessage, now: Timestamp) {
-        self.expire(now);
+        self.expire_leases(now);
         let index = message.group as usize;
         let Some(group) = self.groups.get_mut(index) else {
             return;
@@ -44,8 +44,8 @@
     }
 
     /// Records that a copy of a call could not be sent, so that it has no effect.
-    pub fn record_unsent(&mut self, token: CallToken, now: Timestamp) {
-        let cause = RefusedCall::ByGroup(CallRefusal::NoLeader);
+    pub fn record_send_failure(&mut self, token: CallToken, now: Timestamp) {
+        let cause = RefusalReason::ByGroup(CallRefusal::NoLeader);
         self.record_refusal(token, cause, now);
     }
 
@@ -130,7 +130,7 @@
                 self.renew_soon(index, RENEWAL_PAUSE, now);
             }
             SubmitOutcome::Conflict => self.settle(token, CallAnswer::Conflict),
-            SubmitOutcome::Full => self.record_refusal(token, RefusedCall::Full, now),
+            SubmitOutcome::Full => self.record_refusal(token, RefusalReason::Full, now),
         }
     }
 
@@ -145,7 +145,7 @@
         };
         if submission.driver == self.groups[index].id {
             let JobSubmission { id, body, .. } = submission;
-            let order = DriveOrder {
+            let order = JobAssignment {
                 job: id,
                 epoch,
                 body,
@@ -185,11 +185,11 @@
         if self.groups[index].lease.awaits(token) {
             self.renew_soon(index, 4 * RENEWAL_PAUSE, now);
         } else {
-            self.record_refusal(token, RefusedCall::ByGroup(refusal), now);
+            self.record_refusal(token, RefusalReason::ByGroup(refusal), now);
         }
     }
 
-    fn record_refusal(&mut self, token: CallToken, cause: RefusedCall, now: Timestamp) {
+    fn record_refusal(&mut self, token: CallToken, cause: RefusalReason, now: Timestamp) {
         let settled = self.calls.record_refusal(token, cause, now, &mut self.rng);
         if let Some(answer) = settled {
             self.answer(token, answer);
--- a/crates/leased/cloverfold_kept_jobs/src/drivers.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/drivers.rs
@@ -4,8 +4,8 @@
 //!
 //! | | counts as over |
 //! |---|---|
-//! | a driver that has renewed with this leader | [`KeptTimings::driver_lease`] after its last renewal came |
-//! | any other | [`KeptTimings::driver_lease`] after this leader was elected |
+//! | a driver that has renewed with this leader | [`KeptJobTimings::driver_lease`] after its last renewal came |
+//! | any other | [`KeptJobTimings::driver_lease`] after this leader was elected |
 //!
 //! A renewal is answered with the jobs that the driver should drive and does not name, and with those that it names and must not
 //! drive. Which driver a job is given to next is decided in `handover`.
@@ -21,11 +21,11 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::calls::{DriveOrder, ReleasedJob, Renewal, RenewalReply};
+use crate::calls::{JobAssignment, ReleasedJob, Renewal, RenewalReply};
 use crate::ids::{DriverId, Epoch, JobId};
 use crate::job::{JobPhase, OpenJob};
 use crate::table::JobTable;
-use crate::timings::KeptTimings;
+use crate::timings::KeptJobTimings;
 
 /// Bytes of bodies that one reply orders to be driven, at most; the rest follows with the next renewal. Chosen, not measured: an entry
 /// takes over 800 jobs of 1,200 bytes in one renewal, and a link is not held up.
@@ -52,7 +52,7 @@
 /// All drivers of a group, as its leader sees them. A new leader begins with an empty one.
 #[derive(Clone, Debug)]
 pub struct DriverTable {
-    pub(crate) timings: KeptTimings,
+    pub(crate) timings: KeptJobTimings,
     elected_at: Timestamp,
     pub(crate) drivers: BTreeMap<DriverId, KnownDriver>,
     pub(crate) released: BTreeMap<JobId, Release>,
@@ -62,7 +62,7 @@
 
 impl DriverTable {
     /// Begins with what a leader knows that was elected at `elected_at`, or earlier.
-    pub fn new(timings: KeptTimings, elected_at: Timestamp) -> Self {
+    pub fn new(timings: KeptJobTimings, elected_at: Timestamp) -> Self {
         Self {
             timings,
             elected_at,
@@ -106,7 +106,7 @@
             let wait = if is_clean {
                 Default::default()
             } else {
-                self.timings.runs_over_after
+                self.timings.run_termination_bound
             };
             let runs_over_at = now + wait;
             self.released.insert(
@@ -120,7 +120,7 @@
     }
 
     /// Returns when the lease of a driver is over, unless it renews before.
-    pub fn lease_over_at(&self, driver: DriverId) -> Timestamp {
+    pub fn lease_expires_at(&self, driver: DriverId) -> Timestamp {
         let known = self.drivers.get(&driver);
         let since = known.map_or(self.elected_at, |known| known.renewed_at);
         since + self.timings.driver_lease
@@ -128,7 +128,7 @@
 
     /// Returns whether a driver has renewed with this leader and its lease is not over.
     pub fn is_alive(&self, driver: DriverId, now: Timestamp) -> bool {
-        self.drivers.contains_key(&driver) && now < self.lease_over_at(driver)
+        self.drivers.contains_key(&driver) && now < self.lease_expires_at(driver)
     }
 
     /// Returns the name of the entry of a driver that has renewed with this leader.
@@ -138,7 +138,7 @@
     }
 
     /// Returns what to answer to the last renewal of a driver.
-    pub fn answer(&self, table: &JobTable, driver: DriverId) -> RenewalReply {
+    pub fn renewal_reply(&self, table: &JobTable, driver: DriverId) -> RenewalReply {
         let mut reply = RenewalReply {
             driver,
             drive: Vec::new(),
@@ -166,7 +166,7 @@
             if bytes > MAX_ORDER_BYTES && !reply.drive.is_empty() {
                 break;
             }
-            reply.drive.push(order_to_drive(job, open));
+            reply.drive.push(job_assignment(job, open));
         }
         reply
     }
@@ -215,9 +215,9 @@
 }
 
 /// Returns the order to drive a job in its present epoch.
-pub fn order_to_drive(job: &str, open: &OpenJob) -> DriveOrder {
+pub fn job_assignment(job: &str, open: &OpenJob) -> JobAssignment {
     let progress = open.progress().iter();
-    DriveOrder {
+    JobAssignment {
         job: job.to_owned(),
         epoch: open.epoch(),
         body: open.submission().body.clone(),
--- a/crates/leased/cloverfold_kept_jobs/src/handover.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/handover.rs
@@ -1,6 +1,6 @@
 //! Decision: when a job is given to another driver, and to which.
 //!
-//! Rule: a job may be given on [`KeptTimings::runs_over_after`](crate::KeptTimings::runs_over_after) after its driver is over, or as
+//! Rule: a job may be given on [`KeptJobTimings::run_termination_bound`](crate::KeptJobTimings::run_termination_bound) after its driver is over, or as
 //! soon as no run of a driver that gave it back is left. It goes to a driver that is alive, takes jobs and is the newest of its entry;
 //! among these to the one with the fewest open jobs, those given to it at the same time included. Where there is none it waits.
 //!
@@ -12,7 +12,7 @@
 
 use cloverfold_base::Timestamp;
 
-use crate::commands::Assignee;
+use crate::commands::JobReassignment;
 use crate::drivers::DriverTable;
 use crate::ids::{DriverId, JobId};
 use crate::job::OpenJob;
@@ -24,8 +24,8 @@
 const MAX_IDLE_DRIVERS: usize = 1_024;
 
 impl DriverTable {
-    /// Plans which jobs are given on now. They count as being given on until [`Self::assigned`] or [`Self::not_assigned`].
-    pub fn plan_handover(&mut self, table: &JobTable, now: Timestamp) -> Vec<Assignee> {
+    /// Plans which jobs are given on now. They count as being given on until [`Self::complete_handover`] or [`Self::abort_handover`].
+    pub fn plan_handover(&mut self, table: &JobTable, now: Timestamp) -> Vec<JobReassignment> {
         self.forget_idle(table, now);
         let due = self.find_due(table, now);
         let mut loads = self.find_takers(table, now);
@@ -35,7 +35,7 @@
                 break;
             };
             *load += 1;
-            planned.push(Assignee {
+            planned.push(JobReassignment {
                 job: job.clone(),
                 after: open.epoch(),
                 driver,
@@ -47,7 +47,7 @@
     }
 
     /// Records that a hand-over is decided: the jobs have the drivers that were proposed, or are over.
-    pub fn assigned<'a>(&mut self, jobs: impl IntoIterator<Item = &'a JobId>) {
+    pub fn complete_handover<'a>(&mut self, jobs: impl IntoIterator<Item = &'a JobId>) {
         for job in jobs {
             self.assigning.remove(job);
             self.released.remove(job);
@@ -55,7 +55,7 @@
     }
 
     /// Records that a hand-over was not proposed.
-    pub fn not_assigned<'a>(&mut self, jobs: impl IntoIterator<Item = &'a JobId>) {
+    pub fn abort_handover<'a>(&mut self, jobs: impl IntoIterator<Item = &'a JobId>) {
         for job in jobs {
             self.assigning.remove(job);
         }
@@ -65,7 +65,7 @@
     fn find_due<'a>(&self, table: &'a JobTable, now: Timestamp) -> Vec<(&'a JobId, &'a OpenJob)> {
         let mut due = Vec::new();
         for (&driver, jobs) in table.by_driver() {
-            let runs_over_at = self.lease_over_at(driver) + self.timings.runs_over_after;
+            let runs_over_at = self.lease_expires_at(driver) + self.timings.run_termination_bound;
             let is_over = now >= runs_over_at;
             if !is_over && self.released.is_empty() {
                 continue;
--- a/crates/leased/cloverfold_kept_jobs/src/job.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/job.rs
@@ -17,7 +17,7 @@
 
 /// How a job ended. The order of the variants is the format on disk and on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum HowEnded {
+pub enum TerminalState {
     /// All its tasks are done.
     Completed,
     /// A task has failed as often as it may.
@@ -34,7 +34,7 @@
     /// A task has begun.
     Running,
     /// It has ended.
-    Ended(HowEnded),
+    Ended(TerminalState),
 }
 
 /// What is recorded of a task that has ended at least once. The order of the fields is the format on disk and on the wire.
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedJob {
     /// How it ended.
-    pub how: HowEnded,
+    pub how: TerminalState,
     /// Hash of what the caller sent.
     pub digest: JobDigest,
     /// Its place in the order of the ends.
@@ -76,7 +76,7 @@
 
 impl EndedJob {
     /// Decides on an end that comes after the job has ended. One of an earlier driver stays fenced: its task may have begun anew since.
-    pub fn judge(&self, end: &TaskEnd) -> EndDecision {
+    pub fn decide_late_end(&self, end: &TaskEnd) -> EndDecision {
         if end.epoch == self.epoch {
             EndDecision::JobOver
         } else {
@@ -167,20 +167,20 @@
     }
 
     /// Returns how the job has ended by what is recorded; `None` while it goes on.
-    pub fn find_end(&self) -> Option<HowEnded> {
+    pub fn terminal_state(&self) -> Option<TerminalState> {
         let limit = self.submission.max_attempts.max(1);
         let has_failed = |task: &TaskProgress| !task.is_done && task.failures >= limit;
         if self.progress.values().any(has_failed) {
-            Some(HowEnded::Failed)
+            Some(TerminalState::Failed)
         } else if self.done >= self.submission.tasks {
-            Some(HowEnded::Completed)
+            Some(TerminalState::Completed)
         } else {
             None
         }
     }
 
     /// Ends the job.
-    pub fn end(self, how: HowEnded, sequence: EndSequence) -> EndedJob {
+    pub fn end(self, how: TerminalState, sequence: EndSequence) -> EndedJob {
         EndedJob {
             how,
             digest: self.submission.digest,
--- a/crates/leased/cloverfold_kept_jobs/src/lib.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/lib.rs
@@ -35,21 +35,21 @@
 mod timings;
 
 pub use calls::{
-    CallRefusal, CallToken, DriveOrder, DrivenJob, JobCall, JobCallMessage, JobReply,
+    CallRefusal, CallToken, DrivenJob, JobAssignment, JobCall, JobCallMessage, JobReply,
     JobReplyMessage, ReleasedJob, Renewal, RenewalReply,
 };
 pub use commands::{
-    Assignee, CancelOutcome, CommandOutcome, EndDecision, EndOutcome, JobCommand, JobSubmission,
-    SubmitOutcome, TaskEnd,
+    CancelOutcome, CommandOutcome, EndDecision, EndOutcome, JobCommand, JobReassignment,
+    JobSubmission, SubmitOutcome, TaskEnd,
 };
-pub use driver::{CallAnswer, CallRoute, Driver, DriverAction, NewJob, RefusedCall, StopCause};
-pub use drivers::{DriverTable, order_to_drive};
+pub use driver::{CallAnswer, CallRoute, Driver, DriverAction, NewJob, RefusalReason, StopCause};
+pub use drivers::{DriverTable, job_assignment};
 pub use groups::{Founder, GroupId, JobGroups, MAX_GROUPS, group_of};
 pub use ids::{
     DriverId, EndSequence, Epoch, FIRST_KEPT_RUN, JobDigest, JobId, RUNS_PER_EPOCH, TaskIndex,
     first_run_of, is_kept_run,
 };
-pub use job::{EndedJob, HowEnded, JobPhase, OpenJob, TaskProgress};
+pub use job::{EndedJob, JobPhase, OpenJob, TaskProgress, TerminalState};
 pub use recorder::{Recorder, RecorderAction};
 pub use table::{JobTable, MAX_ENDED_JOBS, MAX_OPEN_BYTES};
-pub use timings::KeptTimings;
+pub use timings::KeptJobTimings;
--- a/crates/leased/cloverfold_kept_jobs/src/recorder.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/recorder.rs
@@ -66,7 +66,7 @@
 
 impl Recorder {
     /// Records how many groups there are, which never changes.
-    pub fn set_groups(&mut self, count: u32, now: Timestamp) {
+    pub fn set_group_count(&mut self, count: u32, now: Timestamp) {
         if !self.groups.is_empty() || count == 0 {
             return;
         }
--- a/crates/leased/cloverfold_kept_jobs/src/table.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/table.rs
@@ -19,11 +19,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::commands::{
-    Assignee, CancelOutcome, CommandOutcome, EndDecision, JobCommand, JobSubmission, SubmitOutcome,
-    TaskEnd,
+    CancelOutcome, CommandOutcome, EndDecision, JobCommand, JobReassignment, JobSubmission,
+    SubmitOutcome, TaskEnd,
 };
 use crate::ids::{DriverId, EndSequence, JobId};
-use crate::job::{EndedJob, HowEnded, OpenJob};
+use crate::job::{EndedJob, OpenJob, TerminalState};
 
 /// Bytes that the names, queues and bodies of open jobs may take in one group. Chosen, not measured: 27,000 jobs of 1,200 bytes, half a
 /// minute of them at 850 a second, in a process that may have 384 MB.
@@ -145,10 +145,10 @@
         let Some(job) = self.open.get_mut(&end.job) else {
             let ended = self.ended.get(&end.job);
             // Of a job that is forgotten nothing is known, also not whether its task began anew.
-            return ended.map_or(EndDecision::Fenced, |ended| ended.judge(end));
+            return ended.map_or(EndDecision::Fenced, |ended| ended.decide_late_end(end));
         };
         let decision = job.record(end);
-        if let Some(how) = job.find_end() {
+        if let Some(how) = job.terminal_state() {
             self.end(&end.job, how);
         }
         decision
@@ -156,18 +156,18 @@
 
     fn cancel(&mut self, job: &str) -> CancelOutcome {
         if self.open.contains_key(job) {
-            self.end(job, HowEnded::Cancelled);
+            self.end(job, TerminalState::Cancelled);
         }
         match self.ended.get(job).map(|ended| ended.how) {
-            Some(HowEnded::Cancelled) => CancelOutcome::Cancelled,
+            Some(TerminalState::Cancelled) => CancelOutcome::Cancelled,
             Some(how) => CancelOutcome::Ended(how),
             None => CancelOutcome::Unknown,
         }
     }
 
-    fn assign(&mut self, assignees: Vec<Assignee>) -> Vec<JobId> {
+    fn assign(&mut self, assignees: Vec<JobReassignment>) -> Vec<JobId> {
         let mut assigned = Vec::new();
-        for Assignee { job, after, driver } in assignees {
+        for JobReassignment { job, after, driver } in assignees {
             let Some(open) = self.open.get_mut(&job) else {
                 continue;
             };
@@ -196,7 +196,7 @@
     }
 
     /// Moves a job from the open ones to the ended ones.
-    fn end(&mut self, job: &str, how: HowEnded) {
+    fn end(&mut self, job: &str, how: TerminalState) {
         let Some((id, open)) = self.open.remove_entry(job) else {
             return;
         };
--- a/crates/leased/cloverfold_kept_jobs/src/timings.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/timings.rs
@@ -2,9 +2,9 @@
 //!
 //! # Why no two drivers' runs of a task overlap
 //!
-//! A driver begins runs only while its lease is valid: [`KeptTimings::driver_lease`] from when it *sent* a renewal that was answered with
+//! A driver begins runs only while its lease is valid: [`KeptJobTimings::driver_lease`] from when it *sent* a renewal that was answered with
 //! proof. A leader counts a driver as over no earlier than that span after it *received* a renewal, or after it was elected. From
-//! then on the runs of the driver end by themselves within [`KeptTimings::runs_over_after`]: its sessions with guards end, a guard
+//! then on the runs of the driver end by themselves within [`KeptJobTimings::run_termination_bound`]: its sessions with guards end, a guard
 //! stops renewing the lease of a target that does not stop a kept run, and that lease lapses:
 //!
 //! ```text
@@ -16,34 +16,34 @@
 
 use std::time::Duration;
 
-/// [`KeptTimings::driver_lease`]. Chosen, not measured: longer than the longest election (0.7 s) and two renewals.
+/// [`KeptJobTimings::driver_lease`]. Chosen, not measured: longer than the longest election (0.7 s) and two renewals.
 const DRIVER_LEASE: Duration = Duration::from_millis(1_500);
-/// [`KeptTimings::renewal_interval`]. Chosen, not measured: five fit into a lease.
+/// [`KeptJobTimings::renewal_interval`]. Chosen, not measured: five fit into a lease.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
-/// [`KeptTimings::runs_over_after`] with the default leases.
-const RUNS_OVER_AFTER: Duration = Duration::from_millis(1_464);
-/// [`KeptTimings::stop_grace`]. Chosen, not measured: a stop is repeated twice in it.
+/// [`KeptJobTimings::run_termination_bound`] with the default leases.
+const RUN_TERMINATION_BOUND: Duration = Duration::from_millis(1_464);
+/// [`KeptJobTimings::stop_grace`]. Chosen, not measured: a stop is repeated twice in it.
 const STOP_GRACE: Duration = Duration::from_millis(250);
 
 /// Bounds that drivers, guards and leaders of groups share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeptTimings {
+pub struct KeptJobTimings {
     /// How long a driver may drive after it sent a renewal that was answered.
     pub driver_lease: Duration,
     /// How often it renews.
     pub renewal_interval: Duration,
     /// How long after a driver is over its last run is over.
-    pub runs_over_after: Duration,
+    pub run_termination_bound: Duration,
     /// How long a stop of a kept run may show no effect before the guard lets the lease of the target lapse.
     pub stop_grace: Duration,
 }
 
-impl Default for KeptTimings {
+impl Default for KeptJobTimings {
     fn default() -> Self {
         Self {
             driver_lease: DRIVER_LEASE,
             renewal_interval: RENEWAL_INTERVAL,
-            runs_over_after: RUNS_OVER_AFTER,
+            run_termination_bound: RUN_TERMINATION_BOUND,
             stop_grace: STOP_GRACE,
         }
     }
--- a/crates/leased/cloverfold_kept_jobs/tests/driver.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/driver.rs
@@ -6,9 +6,10 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{
-    CallAnswer, CallRefusal, CallToken, DriveOrder, Driver, DriverAction, DriverId, EndDecision,
-    EndOutcome, Epoch, JobCall, JobCallMessage, JobPhase, JobReply, JobReplyMessage, KeptTimings,
-    NewJob, RefusedCall, Renewal, RenewalReply, StopCause, SubmitOutcome, TaskEnd, first_run_of,
+    CallAnswer, CallRefusal, CallToken, Driver, DriverAction, DriverId, EndDecision, EndOutcome,
+    Epoch, JobAssignment, JobCall, JobCallMessage, JobPhase, JobReply, JobReplyMessage,
+    KeptJobTimings, NewJob, RefusalReason, Renewal, RenewalReply, StopCause, SubmitOutcome,
+    TaskEnd, first_run_of,
 };
 use proptest::prelude::*;
 
@@ -29,8 +30,8 @@
     }
 }
 
-fn order(job: &str, epoch: Epoch) -> DriveOrder {
-    DriveOrder {
+fn order(job: &str, epoch: Epoch) -> JobAssignment {
+    JobAssignment {
         job: job.into(),
         epoch,
         body: vec![1, 2, 3],
@@ -47,7 +48,7 @@
     }
 }
 
-fn renewed(driver: DriverId, drive: Vec<DriveOrder>, drop: Vec<(&str, Epoch)>) -> JobReply {
+fn renewed(driver: DriverId, drive: Vec<JobAssignment>, drop: Vec<(&str, Epoch)>) -> JobReply {
     let drop = drop.into_iter().map(|(job, epoch)| (job.into(), epoch));
     JobReply::Renewed(RenewalReply {
         driver,
@@ -99,8 +100,8 @@
 
 /// A driver of one group that has a lease from 400 ms on, and its identity.
 fn leased() -> (Driver, DriverId) {
-    let mut driver = Driver::new("entry-1", KeptTimings::default(), 5);
-    driver.set_groups(1, at(0));
+    let mut driver = Driver::new("entry-1", KeptJobTimings::default(), 5);
+    driver.set_group_count(1, at(0));
     driver.tick(at(400));
     let (token, renewal) = renewals(&driver.take_actions()).remove(0);
     let empty = renewed(renewal.driver, vec![], vec![]);
@@ -147,14 +148,14 @@
 
 #[test]
 fn nothing_is_submitted_without_a_lease() {
-    let mut driver = Driver::new("entry-1", KeptTimings::default(), 5);
+    let mut driver = Driver::new("entry-1", KeptJobTimings::default(), 5);
     let unknown = driver.submit(new_job("a"), at(2_500), at(10));
-    driver.set_groups(1, at(20));
+    driver.set_group_count(1, at(20));
     let leaseless = driver.submit(new_job("a"), at(2_500), at(30));
 
     let expected = [
-        (unknown, CallAnswer::Refused(RefusedCall::NoGroups)),
-        (leaseless, CallAnswer::Refused(RefusedCall::NoLease)),
+        (unknown, CallAnswer::Refused(RefusalReason::NoGroups)),
+        (leaseless, CallAnswer::Refused(RefusalReason::NoLease)),
     ];
     let actions = driver.take_actions();
     assert_eq!(answers(&actions), expected);
@@ -165,9 +166,9 @@
 fn the_lease_counts_from_the_sending_of_the_renewal() {
     let (mut driver, _) = driving("a");
 
-    driver.expire(at(400 + LEASE - 1));
+    driver.expire_leases(at(400 + LEASE - 1));
     assert_eq!(stopped(&driver.take_actions()), []);
-    driver.expire(at(400 + LEASE));
+    driver.expire_leases(at(400 + LEASE));
 
     let actions = driver.take_actions();
     assert_eq!(stopped(&actions), [("a".to_owned(), StopCause::Lapsed)]);
@@ -190,7 +191,7 @@
     let (mut driver, identity) = driving("a");
 
     driver.receive(reply(0, renewed(identity, vec![], vec![])), at(1_800));
-    driver.expire(at(400 + LEASE));
+    driver.expire_leases(at(400 + LEASE));
 
     let actions = driver.take_actions();
     assert_eq!(stopped(&actions), [("a".to_owned(), StopCause::Lapsed)]);
@@ -306,7 +307,7 @@
     assert_eq!(answers(&driver.take_actions()), [], "one copy is left");
     driver.receive(reply(token, refused), at(820));
 
-    let disk = RefusedCall::ByGroup(CallRefusal::Disk);
+    let disk = RefusalReason::ByGroup(CallRefusal::Disk);
     let actions = driver.take_actions();
     assert_eq!(answers(&actions), [(token, CallAnswer::Refused(disk))]);
 }
@@ -567,8 +568,8 @@
         events in prop::collection::vec(event(), 1..120),
     ) {
         let mut now = 0;
-        let mut driver = Driver::new("entry-1", KeptTimings::default(), 9);
-        driver.set_groups(1, at(0));
+        let mut driver = Driver::new("entry-1", KeptJobTimings::default(), 9);
+        driver.set_group_count(1, at(0));
         let mut unanswered: Vec<JobCallMessage> = Vec::new();
         let mut sent_at: std::collections::BTreeMap<CallToken, u64> = Default::default();
         let mut begun: Vec<(String, Epoch, DriverId)> = Vec::new();
@@ -643,7 +644,7 @@
                     _ => {}
                 }
             }
-            driver.expire(at(now));
+            driver.expire_leases(at(now));
             if now >= newest_granted + LEASE {
                 prop_assert_eq!(driver.driven_count(), 0, "driven after the lapse");
             }
--- a/crates/leased/cloverfold_kept_jobs/tests/drivers.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/drivers.rs
@@ -6,21 +6,21 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{
-    Assignee, DrivenJob, DriverId, DriverTable, JobCommand, JobPhase, JobSubmission, JobTable,
-    KeptTimings, ReleasedJob, Renewal,
+    DrivenJob, DriverId, DriverTable, JobCommand, JobPhase, JobReassignment, JobSubmission,
+    JobTable, KeptJobTimings, ReleasedJob, Renewal,
 };
 
 const ELECTED: Timestamp = Timestamp::from_start(Duration::from_secs(100));
 const MS: Duration = Duration::from_millis(1);
 
 fn drivers() -> DriverTable {
-    DriverTable::new(KeptTimings::default(), ELECTED)
+    DriverTable::new(KeptJobTimings::default(), ELECTED)
 }
 
 /// From the last renewal of a driver to the hand-over of its jobs.
 fn wait() -> Duration {
-    let timings = KeptTimings::default();
-    timings.driver_lease + timings.runs_over_after
+    let timings = KeptJobTimings::default();
+    timings.driver_lease + timings.run_termination_bound
 }
 
 fn table(jobs: &[(&str, DriverId)]) -> JobTable {
@@ -61,8 +61,8 @@
     }]
 }
 
-fn assignee(job: &str, driver: DriverId) -> Assignee {
-    Assignee {
+fn assignee(job: &str, driver: DriverId) -> JobReassignment {
+    JobReassignment {
         job: job.into(),
         after: 1,
         driver,
@@ -121,9 +121,9 @@
     drivers.release(&table, 1, release("running", false), now);
     drivers.release(&table, 2, release("running", true), now);
 
-    let answered = drivers.answer(&table, 1);
+    let answered = drivers.renewal_reply(&table, 1);
     let first = drivers.plan_handover(&table, now);
-    let runs_over = now + KeptTimings::default().runs_over_after;
+    let runs_over = now + KeptJobTimings::default().run_termination_bound;
     drivers.renew(renewal(2, "entry-2", &[]), runs_over - MS);
     let early = drivers.plan_handover(&table, runs_over - MS);
     let second = drivers.plan_handover(&table, runs_over);
@@ -165,7 +165,7 @@
     ];
     drivers.renew(renewal(1, "entry-1", &named), ELECTED);
 
-    let answer = drivers.answer(&table, 1);
+    let answer = drivers.renewal_reply(&table, 1);
 
     let ordered: Vec<(&str, u64)> = answer
         .drive
@@ -185,7 +185,7 @@
     let mut drivers = drivers();
     drivers.renew(renewal(1, "entry-1", &[]), ELECTED);
 
-    assert_eq!(drivers.answer(&table, 1).drive.len(), 3);
+    assert_eq!(drivers.renewal_reply(&table, 1).drive.len(), 3);
 }
 
 #[test]
--- a/crates/leased/cloverfold_kept_jobs/tests/recorder.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/recorder.rs
@@ -62,7 +62,7 @@
 
 fn recorder() -> Recorder {
     let mut recorder = Recorder::default();
-    recorder.set_groups(1, at(0));
+    recorder.set_group_count(1, at(0));
     recorder
 }
 
@@ -113,7 +113,7 @@
     recorder.record(end(1), at(10));
     assert_eq!(sent(&mut recorder).len(), 0);
 
-    recorder.set_groups(4, at(20));
+    recorder.set_group_count(4, at(20));
 
     assert_eq!(runs(&sent(&mut recorder)[0]), [1]);
 }
--- a/crates/leased/cloverfold_kept_jobs/tests/table.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/table.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use cloverfold_kept_jobs::{
-    Assignee, CancelOutcome, CommandOutcome, EndDecision, EndOutcome, HowEnded, JobCommand,
-    JobSubmission, JobTable, MAX_OPEN_BYTES, SubmitOutcome, TaskEnd,
+    CancelOutcome, CommandOutcome, EndDecision, EndOutcome, JobCommand, JobReassignment,
+    JobSubmission, JobTable, MAX_OPEN_BYTES, SubmitOutcome, TaskEnd, TerminalState,
 };
 use proptest::prelude::*;
 
@@ -100,7 +100,7 @@
             Some(JobCommand::RecordEnds(vec![end]))
         }
         Step::Cancel(job) => Some(JobCommand::Cancel(name(job))),
-        Step::Assign { job, after } => Some(JobCommand::Assign(vec![Assignee {
+        Step::Assign { job, after } => Some(JobCommand::Assign(vec![JobReassignment {
             job: name(job),
             after,
             driver: after + 1,
@@ -114,7 +114,7 @@
 #[derive(Default)]
 struct Told {
     digests: BTreeMap<String, [u8; 16]>,
-    ended: BTreeMap<String, HowEnded>,
+    ended: BTreeMap<String, TerminalState>,
     /// Tasks with a recorded end `Done`, and the run.
     done: BTreeMap<(String, u32), u64>,
     failures: BTreeMap<(String, u32), BTreeSet<u64>>,
@@ -138,7 +138,7 @@
             (JobCommand::Cancel(job), CommandOutcome::Cancel(outcome)) => {
                 let expected = match (self.digests.get(job), self.ended.get(job)) {
                     (None, _) => CancelOutcome::Unknown,
-                    (_, Some(HowEnded::Cancelled) | None) => CancelOutcome::Cancelled,
+                    (_, Some(TerminalState::Cancelled) | None) => CancelOutcome::Cancelled,
                     (_, Some(how)) => CancelOutcome::Ended(*how),
                 };
                 assert_eq!(*outcome, expected);
@@ -179,19 +179,19 @@
         }
     }
 
-    fn check_how(&self, job: &str, how: HowEnded) {
+    fn check_how(&self, job: &str, how: TerminalState) {
         let is_done = |task| self.done.contains_key(&(job.to_owned(), task));
         let failures = |task| {
             let failures = self.failures.get(&(job.to_owned(), task));
             failures.map_or(0, BTreeSet::len)
         };
         match how {
-            HowEnded::Completed => assert!((0..TASKS).all(is_done), "{job}"),
-            HowEnded::Failed => {
+            TerminalState::Completed => assert!((0..TASKS).all(is_done), "{job}"),
+            TerminalState::Failed => {
                 let limit = MAX_ATTEMPTS as usize;
                 assert!((0..TASKS).any(|task| failures(task) >= limit), "{job}");
             }
-            HowEnded::Cancelled => {}
+            TerminalState::Cancelled => {}
         }
     }
 
@@ -253,7 +253,7 @@
     let first = end(0, 0, 1, 1, true);
     let second = end(0, 1, 1, 1, true);
     table.apply(JobCommand::RecordEnds(vec![first.clone()]));
-    table.apply(JobCommand::Assign(vec![Assignee {
+    table.apply(JobCommand::Assign(vec![JobReassignment {
         job: name(0),
         after: 1,
         driver: 2,
@@ -279,14 +279,14 @@
     let after_both = table.ended(&name(0)).map(|job| job.how);
 
     assert_eq!(after_one, None);
-    assert_eq!(after_both, Some(HowEnded::Failed));
+    assert_eq!(after_both, Some(TerminalState::Failed));
 }
 
 #[test]
 fn an_end_of_an_earlier_driver_stays_fenced_after_its_job_has_ended_and_once_that_is_forgotten() {
     let mut table = JobTable::default();
     table.apply(JobCommand::Submit(submission(0, 0)));
-    table.apply(JobCommand::Assign(vec![Assignee {
+    table.apply(JobCommand::Assign(vec![JobReassignment {
         job: name(0),
         after: 1,
         driver: 2,
--- a/crates/leased/cloverfold_kept_jobs/tests/world/entries.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/entries.rs
@@ -4,7 +4,8 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{
-    DriveOrder, DrivenJob, DriverId, Epoch, JobId, KeptTimings, RUNS_PER_EPOCH, Renewal, TaskIndex,
+    DrivenJob, DriverId, Epoch, JobAssignment, JobId, KeptJobTimings, RUNS_PER_EPOCH, Renewal,
+    TaskIndex,
 };
 
 use crate::draws::Draws;
@@ -68,7 +69,7 @@
 
     /// Lets the lease go for good: nothing is driven, and the runs end within the bound.
     pub fn lapse(&mut self, draws: &mut Draws, now: Timestamp) {
-        let bound = KeptTimings::default().runs_over_after.as_millis() as u64;
+        let bound = KeptJobTimings::default().run_termination_bound.as_millis() as u64;
         for run in &mut self.runs {
             run.stopped_at.get_or_insert(now + draws.millis(0, bound));
         }
@@ -94,7 +95,7 @@
     }
 
     /// Begins to drive a job, unless it drives it in that epoch or has given it back.
-    pub fn drive(&mut self, order: &DriveOrder, now: Timestamp) {
+    pub fn drive(&mut self, order: &JobAssignment, now: Timestamp) {
         let known = self.driving.get(&order.job);
         let is_newer = known.is_none_or(|driven| driven.epoch < order.epoch);
         let is_gone = self.gone.contains(&(order.job.clone(), order.epoch));
--- a/crates/leased/cloverfold_kept_jobs/tests/world/simulation.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/simulation.rs
@@ -4,9 +4,9 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{
-    CancelOutcome, CommandOutcome, DriveOrder, DriverTable, EndDecision, EndOutcome, JobCommand,
-    JobId, JobSubmission, JobTable, KeptTimings, ReleasedJob, RenewalReply, SubmitOutcome, TaskEnd,
-    order_to_drive,
+    CancelOutcome, CommandOutcome, DriverTable, EndDecision, EndOutcome, JobAssignment, JobCommand,
+    JobId, JobSubmission, JobTable, KeptJobTimings, ReleasedJob, RenewalReply, SubmitOutcome,
+    TaskEnd, job_assignment,
 };
 
 use crate::checker::{History, SeenRun};
@@ -67,10 +67,10 @@
     pub history: History,
 }
 
-fn timings(fault: Fault) -> KeptTimings {
-    let mut timings = KeptTimings::default();
+fn timings(fault: Fault) -> KeptJobTimings {
+    let mut timings = KeptJobTimings::default();
     if fault == Fault::NoWait {
-        timings.runs_over_after = Duration::ZERO;
+        timings.run_termination_bound = Duration::ZERO;
     }
     timings
 }
@@ -207,10 +207,11 @@
             }
             (JobCommand::Assign(assignees), CommandOutcome::Assigned(jobs)) => {
                 self.history.handed_on += jobs.len() as u64;
-                self.drivers.assigned(assignees.iter().map(|a| &a.job));
+                self.drivers
+                    .complete_handover(assignees.iter().map(|a| &a.job));
                 for assignee in assignees.iter().filter(|a| jobs.contains(&a.job)) {
                     let open = self.table.open().get(&assignee.job);
-                    let order = open.map(|open| order_to_drive(&assignee.job, open));
+                    let order = open.map(|open| job_assignment(&assignee.job, open));
                     self.push(assignee.driver, order);
                 }
             }
@@ -246,7 +247,7 @@
     }
 
     /// Tells a driver unasked of a job that it was given.
-    fn push(&mut self, driver: u64, order: Option<DriveOrder>) {
+    fn push(&mut self, driver: u64, order: Option<JobAssignment>) {
         let name = self.drivers.entry_of(driver).map(str::to_owned);
         let place = self
             .entries
@@ -304,7 +305,7 @@
             }
             Event::Proved(term, place, sent_at, driver) => {
                 if term == self.term {
-                    let reply = self.drivers.answer(&self.table, driver);
+                    let reply = self.drivers.renewal_reply(&self.table, driver);
                     self.send(Event::Renewed(place, Some(sent_at), reply));
                 }
             }
@@ -333,7 +334,7 @@
                 && entry.driver == driver
             {
                 let body = vec![tasks];
-                let order = DriveOrder {
+                let order = JobAssignment {
                     job: job.clone(),
                     epoch,
                     body,
@@ -371,7 +372,7 @@
             return;
         };
         entry.answered = Some(sent_at);
-        let until = sent_at + KeptTimings::default().driver_lease;
+        let until = sent_at + KeptJobTimings::default().driver_lease;
         entry.lease_until = entry.lease_until.max(Some(until));
         for order in &reply.drive {
             self.take_order(place, order);
@@ -379,7 +380,7 @@
     }
 
     /// Drives a job that is ordered, or gives it back once more: the first release may be lost.
-    fn take_order(&mut self, place: EntryPlace, order: &DriveOrder) {
+    fn take_order(&mut self, place: EntryPlace, order: &JobAssignment) {
         let now = self.now;
         let entry = &mut self.entries[place];
         let (job, epoch) = (order.job.clone(), order.epoch);
@@ -403,7 +404,7 @@
         if entry.lease_until.is_some_and(|until| now >= until) {
             entry.lapse(&mut self.draws, now);
         }
-        let interval = KeptTimings::default().renewal_interval;
+        let interval = KeptJobTimings::default().renewal_interval;
         let is_away = now < entry.away_until;
         if now >= entry.renewed_at + interval && !is_away {
             entry.renewed_at = now;
--- a/crates/leased/cloverfold_lease/src/runner/lapses.rs
+++ b/crates/leased/cloverfold_lease/src/runner/lapses.rs
@@ -3,7 +3,7 @@
 //! Rule: it is not extended, and nothing starts,
 //!
 //! - while an end is held that only a lapse lets go of (`held_ends`);
-//! - while a kept run that was told to stop is still there after [`KeptTimings::stop_grace`](cloverfold_kept_jobs::KeptTimings).
+//! - while a kept run that was told to stop is still there after [`KeptJobTimings::stop_grace`](cloverfold_kept_jobs::KeptJobTimings).
 //!
 //! It has lapsed once every deadline that this runner has sent is over ([`TargetIncarnation::has_lease_lapsed`]) and the longest lease that an
 //! earlier process beside the target can have given it, counted from when a target was heard of first. Then all runs are over, and no end
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -80,7 +80,7 @@
 pub use target_incarnation::UnavailableReason;
 
 use cloverfold_base::Timestamp;
-use cloverfold_kept_jobs::KeptTimings;
+use cloverfold_kept_jobs::KeptJobTimings;
 
 use crate::messages::{
     DispatcherMessage, RunRefusal, SessionId, TargetDescription, TaskId, UsualSpeed,
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 pub struct Runner {
     timings: Timings,
-    kept_timings: KeptTimings,
+    kept_timings: KeptJobTimings,
     /// The fencing token with which each incarnation of the target is first spoken to.
     first_fencing_token: u64,
     sessions: BTreeMap<SessionId, Session>,
@@ -135,7 +135,7 @@
     pub fn new(timings: Timings, first_fencing_token: u64) -> Self {
         Self {
             timings,
-            kept_timings: KeptTimings::default(),
+            kept_timings: KeptJobTimings::default(),
             first_fencing_token,
             sessions: BTreeMap::new(),
             runs: BTreeMap::new(),
--- a/crates/leased/cloverfold_lease/tests/world/kept.rs
+++ b/crates/leased/cloverfold_lease/tests/world/kept.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 
 use cloverfold_kept_jobs::{
-    Assignee, CommandOutcome, DriveOrder, Driver, DriverAction, DriverId, EndDecision, EndOutcome,
-    Epoch, JobCall, JobCallMessage, JobCommand, JobId, JobReply, JobReplyMessage, JobTable,
-    KeptTimings, NewJob, OpenJob, Recorder, RecorderAction, Renewal, RenewalReply, TaskEnd,
-    TaskIndex,
+    CommandOutcome, Driver, DriverAction, DriverId, EndDecision, EndOutcome, Epoch, JobAssignment,
+    JobCall, JobCallMessage, JobCommand, JobId, JobReassignment, JobReply, JobReplyMessage,
+    JobTable, KeptJobTimings, NewJob, OpenJob, Recorder, RecorderAction, Renewal, RenewalReply,
+    TaskEnd, TaskIndex,
 };
 use cloverfold_lease::{JobNumber, KeptJob, TaskId};
 use rand::RngExt;
@@ -163,8 +163,8 @@
             released.any(|(of, epoch, due)| of == id && *epoch == job.epoch() && *due <= now)
         };
         let over = open.filter(|(id, job)| self.is_over(job.driver(), now) || is_released(id, job));
-        let assignees: Vec<Assignee> = over
-            .map(|(id, job)| Assignee {
+        let assignees: Vec<JobReassignment> = over
+            .map(|(id, job)| JobReassignment {
                 job: id.clone(),
                 after: job.epoch(),
                 driver,
@@ -227,7 +227,7 @@
         };
         let open = self.table.open().iter();
         let drive = open.filter(|(id, job)| is_mine(job) && !is_named(id, job));
-        let drive = drive.map(|(id, job)| DriveOrder {
+        let drive = drive.map(|(id, job)| JobAssignment {
             job: id.clone(),
             epoch: job.epoch(),
             body: job.submission().body.clone(),
@@ -290,8 +290,8 @@
                 node.life += 1;
                 let name = format!("entry-{index}");
                 let seed = self.rng.random();
-                let mut driver = Driver::new(&name, KeptTimings::default(), seed);
-                driver.set_groups(1, at(self.now));
+                let mut driver = Driver::new(&name, KeptJobTimings::default(), seed);
+                driver.set_group_count(1, at(self.now));
                 node.driver = Some(driver);
             } else if !lives {
                 node.driver = None;
@@ -303,7 +303,7 @@
             if lives && node.recorder.is_none() {
                 node.life += 1;
                 let mut recorder = Recorder::default();
-                recorder.set_groups(1, at(self.now));
+                recorder.set_group_count(1, at(self.now));
                 node.recorder = Some(recorder);
             } else if !lives {
                 node.recorder = None;
@@ -407,7 +407,7 @@
             return;
         };
         if let Some(driver) = &mut kept.drivers[index].driver {
-            driver.expire(at(self.now));
+            driver.expire_leases(at(self.now));
         }
         self.act_driver(&mut kept, index);
         self.kept = Some(kept);
--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cloverfold_configuration::Version;
-use cloverfold_kept_jobs::{DriveOrder, Epoch, StopCause};
+use cloverfold_kept_jobs::{Epoch, JobAssignment, StopCause};
 use cloverfold_lease::DispatcherEvent;
 
 /// Logs a decision; `version` is that of the configuration in force.
@@ -127,7 +127,7 @@
 }
 
 /// Logs that a kept job is driven here; one that another entry has driven before is rare and worth a line.
-pub(crate) fn log_driven(order: &DriveOrder) {
+pub(crate) fn log_driven(order: &JobAssignment) {
     let (job, epoch, recorded_tasks) = (order.job.as_str(), order.epoch, order.progress.len());
     if epoch == 1 {
         log::debug!(job, epoch, recorded_tasks; "a kept job is driven here");
@@ -147,7 +147,7 @@
 }
 
 /// Logs that a stored job cannot be read and is handed on.
-pub(crate) fn log_undrivable(order: &DriveOrder, fault: &str) {
+pub(crate) fn log_undrivable(order: &JobAssignment, fault: &str) {
     let (job, epoch) = (order.job.as_str(), order.epoch);
     log::error!(job, epoch, fault; "a kept job cannot be read and is handed on");
 }
--- a/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
@@ -24,7 +24,7 @@
 use cloverfold_configuration::Route;
 use cloverfold_http::{Request, Response, json_response, plain_response};
 use cloverfold_kept_jobs::{
-    CallAnswer, CallRefusal, CancelOutcome, HowEnded, JobPhase, NewJob, RefusedCall,
+    CallAnswer, CallRefusal, CancelOutcome, JobPhase, NewJob, RefusalReason, TerminalState,
 };
 use cloverfold_lease::{JobRefusal, JobRequest, RETRY_AFTER};
 use http::StatusCode;
@@ -201,9 +201,9 @@
     };
     let is_disk_or_busy = |refusal| matches!(refusal, CallRefusal::Disk | CallRefusal::Busy);
     match cause {
-        RefusedCall::Full => true,
-        RefusedCall::ByGroup(refusal) => is_disk_or_busy(refusal),
-        RefusedCall::NoGroups | RefusedCall::NoLease | RefusedCall::Busy => false,
+        RefusalReason::Full => true,
+        RefusalReason::ByGroup(refusal) => is_disk_or_busy(refusal),
+        RefusalReason::NoGroups | RefusalReason::NoLease | RefusalReason::Busy => false,
     }
 }
 
@@ -211,9 +211,9 @@
     match phase {
         JobPhase::Queued => JobState::Queued,
         JobPhase::Running => JobState::Running,
-        JobPhase::Ended(HowEnded::Completed) => JobState::Completed,
-        JobPhase::Ended(HowEnded::Failed) => JobState::Failed,
-        JobPhase::Ended(HowEnded::Cancelled) => JobState::Cancelled,
+        JobPhase::Ended(TerminalState::Completed) => JobState::Completed,
+        JobPhase::Ended(TerminalState::Failed) => JobState::Failed,
+        JobPhase::Ended(TerminalState::Cancelled) => JobState::Cancelled,
     }
 }
 
--- a/crates/leased/cloverfold_leased_entry/src/state/kept.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/kept.rs
@@ -7,7 +7,7 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{
-    CallAnswer, CallToken, DriveOrder, DriverAction, EndOutcome, Epoch, GroupId, JobId, NewJob,
+    CallAnswer, CallToken, DriverAction, EndOutcome, Epoch, GroupId, JobAssignment, JobId, NewJob,
     StopCause, TaskEnd, TaskIndex,
 };
 use cloverfold_lease::{JobAnswer, JobNumber, JobRefusal, JobRequest, KeptJob};
@@ -84,13 +84,13 @@
 
     /// Returns how many groups this entry has a lease of.
     pub(crate) fn valid_leases(&self) -> usize {
-        self.driver.valid_leases(self.clock.now())
+        self.driver.valid_lease_count(self.clock.now())
     }
 
     /// Takes no further kept job, and hands on those of which nothing runs.
     pub(super) fn hand_on_idle_jobs(&mut self) {
         self.driver.stop_taking_jobs();
-        let unfinished = self.driver.list_unfinished();
+        let unfinished = self.driver.unfinished_jobs();
         let idle = unfinished.into_iter().filter(|id| self.is_idle(id));
         let idle: Vec<(JobId, bool)> = idle.map(|id| (id, true)).collect();
         self.driver.release(&idle, self.clock.now());
@@ -99,7 +99,7 @@
 
     /// Hands on all kept jobs, whether anything of them runs or not.
     pub(crate) fn hand_on_all_jobs(&mut self) {
-        let unfinished = self.driver.list_unfinished();
+        let unfinished = self.driver.unfinished_jobs();
         let jobs = unfinished.into_iter().map(|id| {
             let is_clean = self.is_idle(&id);
             (id, is_clean)
@@ -130,7 +130,7 @@
 
     /// Drives nothing whose lease has lapsed; called before anything else may begin a run.
     pub(super) fn check_driver_leases(&mut self, now: Timestamp) {
-        self.driver.expire(now);
+        self.driver.expire_leases(now);
         self.carry_out_driver();
     }
 
@@ -155,7 +155,7 @@
                 DriverAction::Send(route, call) => {
                     let token = call.token;
                     if !send_group_call(&self.links, &route, call) {
-                        self.driver.record_unsent(token, self.clock.now());
+                        self.driver.record_send_failure(token, self.clock.now());
                     }
                 }
                 DriverAction::Drive(order) => self.drive(order),
@@ -174,7 +174,7 @@
     }
 
     /// Gives a job to the dispatcher; one that cannot be read is handed on, to an entry that may be of a later build.
-    fn drive(&mut self, order: DriveOrder) {
+    fn drive(&mut self, order: JobAssignment) {
         let now = self.clock.now();
         let request = match self.read_kept(&order) {
             Ok(request) => request,
@@ -199,7 +199,7 @@
     }
 
     /// Reads a stored job with the queue as it is now.
-    fn read_kept(&self, order: &DriveOrder) -> Result<JobRequest, String> {
+    fn read_kept(&self, order: &JobAssignment) -> Result<JobRequest, String> {
         let body = KeptBody::decode(&order.body).map_err(|fault| fault.to_string())?;
         let configuration = self.configuration();
         let route = body.route(configuration.as_deref());
--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -54,7 +54,7 @@
             | PeerMessage::UpkeepCommand(_)
             | PeerMessage::HoldTarget(_)
             | PeerMessage::RememberedSpeed(_) => {}
-            PeerMessage::JobGroups(groups) => self.driver.set_groups(groups.count, now),
+            PeerMessage::JobGroups(groups) => self.driver.set_group_count(groups.count, now),
             PeerMessage::JobReply(reply) => self.driver.receive(reply, now),
         }
     }
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -15,7 +15,7 @@
 use cloverfold_base::{ProcessClock, Timestamp, random_u64, unix_now};
 use cloverfold_configuration::{Configuration, Version};
 use cloverfold_evacuation::EvacuatedHalls;
-use cloverfold_kept_jobs::{CallAnswer, CallToken, Driver, KeptTimings};
+use cloverfold_kept_jobs::{CallAnswer, CallToken, Driver, KeptJobTimings};
 use cloverfold_lease::{
     Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRefusal, JobRequest,
     find_configuration_wait, is_request_outdated,
@@ -95,7 +95,7 @@
         dispatcher: Dispatcher,
         controls: ControlLinks,
     ) -> Self {
-        let driver = Driver::new(&own.name, KeptTimings::default(), random_u64());
+        let driver = Driver::new(&own.name, KeptJobTimings::default(), random_u64());
         Self {
             clock: ProcessClock::default(),
             suspensions: Suspensions::default(),
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -58,7 +58,7 @@
             | PeerMessage::JobCall(_)
             | PeerMessage::JobConsensus { .. }
             | PeerMessage::UpkeepCommand(_) => {}
-            PeerMessage::JobGroups(groups) => self.recorder.set_groups(groups.count, now),
+            PeerMessage::JobGroups(groups) => self.recorder.set_group_count(groups.count, now),
             PeerMessage::JobReply(reply) => self.recorder.receive(reply, now),
             // Not used yet.
             PeerMessage::RememberedSpeed(_) => {}
