--- a/crates/leased/cloverfold_control/src/operators/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/operators/evacuations.rs
@@ -6,7 +6,7 @@
 //! decided within 2.5 s the answer is 503, and the order may still be taken later. Reason: every acknowledgement stands for a place in
 //! the log, so that a process that lags behind acknowledges nothing that has been undone since (docs/design/10-evacuations.md).
 
-use cloverfold_evacuation::{DataHall, HallChange, HallNameFault, OrderOutcome};
+use cloverfold_evacuation::{DataHall, HallChange, HallNameError, OrderOutcome};
 use cloverfold_http::{Request, Response, json_response};
 use http::StatusCode;
 use serde_json::json;
@@ -64,10 +64,10 @@
     }
 }
 
-fn find_status(fault: &HallNameFault) -> StatusCode {
+fn find_status(fault: &HallNameError) -> StatusCode {
     match fault {
-        HallNameFault::Malformed => StatusCode::BAD_REQUEST,
-        HallNameFault::Unknown { .. } => StatusCode::NOT_FOUND,
+        HallNameError::Malformed => StatusCode::BAD_REQUEST,
+        HallNameError::Unknown { .. } => StatusCode::NOT_FOUND,
     }
 }
 
--- a/crates/leased/cloverfold_evacuation/src/hall_names.rs
+++ b/crates/leased/cloverfold_evacuation/src/hall_names.rs
@@ -13,7 +13,7 @@
 
 /// Why a name cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum HallNameFault {
+pub enum HallNameError {
     /// It can name no data hall.
     #[error(
         "a data hall's name has 1 to {MAX_NAME_BYTES} letters, digits, dots, hyphens or underscores"
@@ -48,15 +48,15 @@
     /// # Errors
     ///
     /// Returns why it cannot be used.
-    pub fn check(&self, name: &str) -> Result<(), HallNameFault> {
+    pub fn check(&self, name: &str) -> Result<(), HallNameError> {
         if !is_well_formed(name) {
-            return Err(HallNameFault::Malformed);
+            return Err(HallNameError::Malformed);
         }
         if self.known.is_empty() || self.known.contains(name) {
             return Ok(());
         }
         let known: Vec<&str> = self.known.iter().map(String::as_str).collect();
-        Err(HallNameFault::Unknown {
+        Err(HallNameError::Unknown {
             name: name.into(),
             known: known.join(", "),
         })
--- a/crates/leased/cloverfold_evacuation/src/lib.rs
+++ b/crates/leased/cloverfold_evacuation/src/lib.rs
@@ -13,6 +13,6 @@
 mod state;
 
 pub use evacuated_halls::{DataHall, EvacuatedHalls, EvacuationRevision};
-pub use hall_names::{HallNameFault, HallNames};
+pub use hall_names::{HallNameError, HallNames};
 pub use order::{EvacuationOrder, HallChange, OrderId, OrderOutcome};
 pub use state::{Evacuation, EvacuationRecord, EvacuationState};
--- a/crates/leased/cloverfold_evacuation/tests/orders.rs
+++ b/crates/leased/cloverfold_evacuation/tests/orders.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cloverfold_evacuation::{
-    EvacuatedHalls, EvacuationOrder, EvacuationState, HallChange, HallNameFault, HallNames,
+    EvacuatedHalls, EvacuationOrder, EvacuationState, HallChange, HallNameError, HallNames,
     OrderOutcome,
 };
 use proptest::prelude::*;
@@ -119,7 +119,7 @@
 
     assert_eq!(names.check("hall-b"), Ok(()));
     for name in ["", "a/b", "a b", "höll", &"x".repeat(129)] {
-        assert_eq!(names.check(name), Err(HallNameFault::Malformed), "{name}");
+        assert_eq!(names.check(name), Err(HallNameError::Malformed), "{name}");
     }
     let unknown = names.check("hall-x").unwrap_err();
     assert_eq!(
