--- a/crates/leased/cloverfold_control/src/operators/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/operators/upkeep.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use cloverfold_http::{Request, Response, json_response};
-use cloverfold_upkeep::{Wave, WaveFault, WaveNumber, WaveOrder, WaveOutcome, WaveRequest};
+use cloverfold_upkeep::{Wave, WaveNumber, WaveOrder, WaveOutcome, WaveRequest, WaveRequestError};
 use http::StatusCode;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -50,20 +50,22 @@
             Err(fault) => return refuse_wave(0, &[fault]),
         };
         let number = wave.wave;
-        let mut faults = wave.find_faults();
+        let mut faults = wave.validation_errors();
         if faults.is_empty() && self.upkeep.is_none() {
-            faults.push(WaveFault::NotServed);
+            faults.push(WaveRequestError::NotServed);
         }
         if !faults.is_empty() {
             return refuse_wave(number, &faults);
         }
         let order = self.state.lock().make_wave_order(wave);
         if let Some(name) = self.find_unknown_box(&order).await {
-            return refuse_wave(number, &[WaveFault::UnknownBox(name)]);
+            return refuse_wave(number, &[WaveRequestError::UnknownBox(name)]);
         }
         let decided = timeout(PROPOSAL_TIMEOUT, self.decide_wave(&order)).await;
         match decided {
-            Ok(WaveOutcome::Conflicting) => refuse_wave(number, &[WaveFault::Conflicting(number)]),
+            Ok(WaveOutcome::Conflicting) => {
+                refuse_wave(number, &[WaveRequestError::Conflicting(number)])
+            }
             Ok(WaveOutcome::Taken | WaveOutcome::Repeated) => {
                 log::info!(wave = number, is_taken = true; "an operator's order of a wave");
                 json_response(StatusCode::OK, "{}")
@@ -75,12 +77,16 @@
         }
     }
 
-    fn decode_wave(&self, format: CallFormat, body: &[u8]) -> Result<WaveRequest, WaveFault> {
+    fn decode_wave(
+        &self,
+        format: CallFormat,
+        body: &[u8],
+    ) -> Result<WaveRequest, WaveRequestError> {
         if format == CallFormat::Platform {
             return self.interface.decode_wave(body);
         }
         let body: WaveBody =
-            serde_json::from_slice(body).map_err(|cause| WaveFault::Unreadable {
+            serde_json::from_slice(body).map_err(|cause| WaveRequestError::Unreadable {
                 field: "body".into(),
                 cause: cause.to_string(),
             })?;
@@ -94,7 +100,7 @@
 
     /// Returns a box of a new order that the platform does not list; `None` also if the list or the newest state is not known in time.
     async fn find_unknown_box(&self, order: &WaveOrder) -> Option<String> {
-        let is_known = || self.state.lock().upkeep().judge(order).is_some();
+        let is_known = || self.state.lock().upkeep().order_outcome(order).is_some();
         if is_known() {
             return None;
         }
@@ -112,7 +118,7 @@
     /// Submits an order until its number is known here.
     async fn decide_wave(&self, order: &WaveOrder) -> WaveOutcome {
         let submit = |state: &mut ControlState| state.submit_wave(order);
-        let find_outcome = |state: &ControlState| state.upkeep().judge(order);
+        let find_outcome = |state: &ControlState| state.upkeep().order_outcome(order);
         self.decide(submit, find_outcome).await
     }
 
@@ -188,15 +194,15 @@
     described
 }
 
-fn find_status(fault: &WaveFault) -> StatusCode {
+fn find_status(fault: &WaveRequestError) -> StatusCode {
     match fault {
-        WaveFault::UnknownBox(_) | WaveFault::NotServed => StatusCode::NOT_FOUND,
-        WaveFault::Conflicting(_) => StatusCode::CONFLICT,
+        WaveRequestError::UnknownBox(_) | WaveRequestError::NotServed => StatusCode::NOT_FOUND,
+        WaveRequestError::Conflicting(_) => StatusCode::CONFLICT,
         _ => StatusCode::BAD_REQUEST,
     }
 }
 
-fn refuse_wave(wave: WaveNumber, faults: &[WaveFault]) -> Response {
+fn refuse_wave(wave: WaveNumber, faults: &[WaveRequestError]) -> Response {
     let status = faults.first().map_or(StatusCode::BAD_REQUEST, find_status);
     let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
     log::warn!(wave, faults = faults.join("; ").as_str(); "an order of a wave is refused");
--- a/crates/leased/cloverfold_control/src/state/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep.rs
@@ -17,8 +17,9 @@
 use cloverfold_consensus::{LogIndex, Role, Term};
 use cloverfold_peer::{Hello, PeerMessage};
 use cloverfold_upkeep::{
-    BoxOfWave, CallOutcome, HOLD_FOR, Holder, HolderMoment, HolderStep, HolderTimings, ListedBox,
-    Outlook, UpkeepCommand, UpkeepState, WaveNumber, WaveOrder, WaveRequest,
+    CallOutcome, ListedBox, SchedulerAction, SchedulerInput, SchedulerTimings,
+    TARGET_HOLD_DURATION, UpkeepCommand, UpkeepScheduler, UpkeepState, WaveBox, WaveNumber,
+    WaveOrder, WaveRequest, WaveStatus,
 };
 
 use super::ControlState;
@@ -31,7 +32,7 @@
 pub(super) struct UpkeepDuty {
     appended: AppendedEntries<WaveNumber>,
     /// The holder, and the term that it holds in.
-    holder: Option<(Term, Holder)>,
+    holder: Option<(Term, UpkeepScheduler)>,
     /// The guards' targets, by the guard's address.
     pub(super) targets: HashMap<SocketAddr, KnownTarget>,
     /// The waves that were logged as late.
@@ -86,7 +87,7 @@
 
     fn append_wave(&mut self, order: &WaveOrder) {
         let commit = self.host.replica.status().commit;
-        if self.upkeep().judge(order).is_some()
+        if self.upkeep().order_outcome(order).is_some()
             || self
                 .upkeep_duty
                 .appended
@@ -122,7 +123,7 @@
                 log::info!(wave, name, step, index; "the upkeep of a box goes on");
             }
             if let Some((_, holder)) = &mut self.upkeep_duty.holder {
-                holder.applied(&key);
+                holder.record_applied(&key);
             }
         } else if let Some(record) = self.upkeep().audit().last() {
             log::info!(
@@ -154,17 +155,17 @@
     }
 
     /// Begins to hold the upkeep in a term.
-    pub(crate) fn hold_upkeep(&mut self, term: Term, timings: HolderTimings) {
-        let holder = Holder::new(timings, self.upkeep(), self.clock.now());
+    pub(crate) fn hold_upkeep(&mut self, term: Term, timings: SchedulerTimings) {
+        let holder = UpkeepScheduler::new(timings, self.upkeep(), self.clock.now());
         self.upkeep_duty.holder = Some((term, holder));
         log::info!(term; "this process holds the upkeep");
     }
 
     /// Carries out what the holder wants of the log and of guards; returns what it wants of the platform.
-    pub(crate) fn take_upkeep_steps(&mut self) -> Vec<HolderStep> {
+    pub(crate) fn take_upkeep_steps(&mut self) -> Vec<SchedulerAction> {
         let evacuated = self.evacuations().halls().halls;
         let loads = self.list_loads();
-        let moment = HolderMoment {
+        let moment = SchedulerInput {
             now: self.clock.now(),
             wall: unix_now(),
             evacuated: &evacuated,
@@ -173,22 +174,24 @@
         let Some((_, holder)) = &mut self.upkeep_duty.holder else {
             return Vec::new();
         };
-        let steps = holder.take_steps(&self.state.upkeep, &moment);
+        let steps = holder.next_actions(&self.state.upkeep, &moment);
         self.log_late_waves();
         let mut calls = Vec::new();
         for step in steps {
             match step {
-                HolderStep::Chosen((wave, name)) => {
+                SchedulerAction::BoxChosen((wave, name)) => {
                     log::info!(wave, name = name.as_str(); "a box is next and is emptied");
                 }
-                HolderStep::Propose(command) => {
+                SchedulerAction::Propose(command) => {
                     log_emptied(&command);
                     // One that is not appended is proposed again.
                     let _ = self.append_upkeep(command);
                 }
-                HolderStep::Hold(target) => self.tell_guard(&target, HOLD_FOR),
-                HolderStep::AskLoad(target) => self.tell_guard(&target, Duration::ZERO),
-                HolderStep::Call(_) | HolderStep::ReadList => calls.push(step),
+                SchedulerAction::HoldTarget(target) => {
+                    self.tell_guard(&target, TARGET_HOLD_DURATION)
+                }
+                SchedulerAction::QueryLoad(target) => self.tell_guard(&target, Duration::ZERO),
+                SchedulerAction::Call(_) | SchedulerAction::ReadList => calls.push(step),
             }
         }
         self.advance();
@@ -196,7 +199,7 @@
     }
 
     /// Records the outcome of a call for the upkeep of a box.
-    pub(crate) fn upkeep_call_ended(&mut self, term: Term, key: &BoxOfWave, outcome: CallOutcome) {
+    pub(crate) fn upkeep_call_ended(&mut self, term: Term, key: &WaveBox, outcome: CallOutcome) {
         self.count_upkeep(outcome.as_str());
         let (wave, name) = (key.0, key.1.as_str());
         log::info!(wave, name, outcome = outcome.as_str(), term; "a call for upkeep has ended");
@@ -204,7 +207,7 @@
         if let Some((held, holder)) = &mut self.upkeep_duty.holder
             && *held == term
         {
-            holder.call_ended(key, outcome, now, random_u64());
+            holder.record_call_outcome(key, outcome, now, random_u64());
         }
     }
 
@@ -223,8 +226,8 @@
             return;
         }
         match boxes {
-            Some(boxes) => holder.list_read(&self.state.upkeep, boxes, began_at),
-            None => holder.list_failed(now, random_u64()),
+            Some(boxes) => holder.record_list(&self.state.upkeep, boxes, began_at),
+            None => holder.record_list_failure(now, random_u64()),
         }
     }
 
@@ -239,9 +242,9 @@
     }
 
     /// Returns how the holder sees an open wave; `None` if this process doesn't hold the upkeep.
-    pub(crate) fn outlook(&self, wave: WaveNumber) -> Option<&Outlook> {
+    pub(crate) fn outlook(&self, wave: WaveNumber) -> Option<&WaveStatus> {
         let (_, holder) = self.upkeep_duty.holder.as_ref()?;
-        holder.outlooks().get(&wave)
+        holder.wave_statuses().get(&wave)
     }
 
     /// Logs once of each wave that it is expected to miss its time.
@@ -249,7 +252,7 @@
         let Some((_, holder)) = &self.upkeep_duty.holder else {
             return;
         };
-        for (wave, outlook) in holder.outlooks() {
+        for (wave, outlook) in holder.wave_statuses() {
             if let Some(late_by) = outlook.late_by.filter(|_| outlook.waiting > 0)
                 && self.upkeep_duty.late.insert(*wave)
             {
@@ -268,7 +271,7 @@
 }
 
 /// Returns the box that a command is about, and the name of what it changes; `None` of an order.
-fn describe_command(command: &UpkeepCommand) -> Option<(BoxOfWave, &'static str)> {
+fn describe_command(command: &UpkeepCommand) -> Option<(WaveBox, &'static str)> {
     match command {
         UpkeepCommand::Order(_) => None,
         UpkeepCommand::Call { wave, name } => Some(((*wave, name.clone()), "called")),
--- a/crates/leased/cloverfold_control/src/upkeep_caller.rs
+++ b/crates/leased/cloverfold_control/src/upkeep_caller.rs
@@ -14,7 +14,7 @@
 use cloverfold_leased_process::Shared;
 use cloverfold_leased_settings::UpkeepSettings;
 use cloverfold_upkeep::{
-    BoxOfWave, CallOutcome, HolderStep, HolderTimings, ListError, ListedBox, UpkeepCall,
+    CallOutcome, ListError, ListedBox, SchedulerAction, SchedulerTimings, UpkeepCall, WaveBox,
 };
 use tokio::time::{sleep, timeout};
 
@@ -85,17 +85,17 @@
         for step in steps {
             let caller = self.clone();
             match step {
-                HolderStep::Call(key) => {
+                SchedulerAction::Call(key) => {
                     tokio::spawn(async move { caller.call(term, &key).await });
                 }
-                HolderStep::ReadList => {
+                SchedulerAction::ReadList => {
                     tokio::spawn(async move { caller.read_boxes(term).await });
                 }
                 // The state has carried these out.
-                HolderStep::Propose(_)
-                | HolderStep::Hold(_)
-                | HolderStep::AskLoad(_)
-                | HolderStep::Chosen(_) => {}
+                SchedulerAction::Propose(_)
+                | SchedulerAction::HoldTarget(_)
+                | SchedulerAction::QueryLoad(_)
+                | SchedulerAction::BoxChosen(_) => {}
             }
         }
     }
@@ -117,14 +117,14 @@
         state.leading_term() == Some(term) && age <= MAX_PROOF_AGE
     }
 
-    async fn call(&self, term: Term, key: &BoxOfWave) {
+    async fn call(&self, term: Term, key: &WaveBox) {
         let call = UpkeepCall {
             address: self.settings.address,
             name: key.1.clone(),
             wave: key.0,
             holder: self.name.clone(),
             fencing_token: term,
-            limit: CALL_LIMIT,
+            timeout: CALL_LIMIT,
         };
         let outcome = if self.proves(term).await {
             self.interface.call_upkeep(&call).await
@@ -172,12 +172,12 @@
 }
 
 /// Returns the spans that a holder keeps under these settings.
-fn find_timings(settings: &UpkeepSettings) -> HolderTimings {
-    HolderTimings {
+fn find_timings(settings: &UpkeepSettings) -> SchedulerTimings {
+    SchedulerTimings {
         maintenance: settings.maintenance(),
-        takeover: settings.quiet_span() + MAX_PROOF_AGE + CALL_LIMIT,
+        takeover_delay: settings.quiet_span() + MAX_PROOF_AGE + CALL_LIMIT,
         list_lag: settings.list_lag(),
-        empty: settings.empty_span(),
+        drain_time: settings.empty_span(),
         call_spacing: settings.call_spacing(),
     }
 }
--- a/crates/leased/cloverfold_upkeep/src/box_list.rs
+++ b/crates/leased/cloverfold_upkeep/src/box_list.rs
@@ -14,7 +14,7 @@
 use cloverfold_base::Timestamp;
 
 use crate::boxes::ListedBox;
-use crate::calls::find_pause;
+use crate::calls::retry_backoff;
 use crate::wave::BoxName;
 
 /// For how long a reading is good enough to choose a box by. Chosen, not measured.
@@ -104,7 +104,7 @@
     pub(crate) fn fail(&mut self, now: Timestamp, random: u64) {
         self.is_under_way = false;
         self.failures += 1;
-        self.next_at = now + find_pause(self.failures, random);
+        self.next_at = now + retry_backoff(self.failures, random);
     }
 
     /// Returns whether any box is missing from the last reading, but not for long enough.
--- a/crates/leased/cloverfold_upkeep/src/boxes.rs
+++ b/crates/leased/cloverfold_upkeep/src/boxes.rs
@@ -73,7 +73,7 @@
     /// Rises with each holder.
     pub fencing_token: u64,
     /// Longest wait for the answer.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// What became of a call for the upkeep of a box.
@@ -123,7 +123,7 @@
         &'a self,
         address: SocketAddr,
         page: Option<&'a str>,
-        limit: Duration,
+        timeout: Duration,
     ) -> BoxFuture<'a, Result<BoxPage, ListError>>;
 
     /// Calls for the upkeep of a box.
--- a/crates/leased/cloverfold_upkeep/src/calls.rs
+++ b/crates/leased/cloverfold_upkeep/src/calls.rs
@@ -13,7 +13,7 @@
 //! That a box has left for good is decided by the list alone (`box_list`): a call that the platform cannot read may be refused like one
 //! for a box that is not there, and a wave must not be called completed for that.
 //!
-//! A call counts as open until an answer says that the upkeep has begun, or for [`LATE_BOUND`]. Calls are repeated after a pause that
+//! A call counts as open until an answer says that the upkeep has begun, or for [`MAX_CALL_DELAY`]. Calls are repeated after a pause that
 //! doubles from [`FIRST_PAUSE`] to [`LONGEST_PAUSE`], up to half of it drawn at random.
 //!
 //! Inputs: the outcomes in their order, the time passed. Reason: a call without an answer may have been done; repeating it is harmless,
@@ -30,10 +30,10 @@
 /// Longest pause between two calls for a box. Chosen, not measured.
 const LONGEST_PAUSE: Duration = Duration::from_secs(4);
 /// After this a call without an answer is not carried out any more. Chosen, not measured: the platform carries calls out seconds late.
-pub const LATE_BOUND: Duration = Duration::from_secs(30);
+pub const MAX_CALL_DELAY: Duration = Duration::from_secs(30);
 
 /// Returns the pause before the call that follows so many calls without success; `random` spreads it.
-pub fn find_pause(failures: u32, random: u64) -> Duration {
+pub fn retry_backoff(failures: u32, random: u64) -> Duration {
     let doubled = FIRST_PAUSE.saturating_mul(1 << failures.saturating_sub(1).min(8));
     let longest = doubled.min(LONGEST_PAUSE);
     let spread = (longest / 2).as_millis().max(1) as u64;
@@ -129,7 +129,7 @@
             CallOutcome::NotSent | CallOutcome::TooMany => {}
         }
         self.failures += 1;
-        self.next_at = now + find_pause(self.failures, random);
+        self.next_at = now + retry_backoff(self.failures, random);
     }
 
     /// Allows the next call to a box that was refused.
@@ -145,6 +145,6 @@
 
     fn is_open(&self, now: Timestamp) -> bool {
         self.open_since
-            .is_some_and(|since| now < since + LATE_BOUND)
+            .is_some_and(|since| now < since + MAX_CALL_DELAY)
     }
 }
--- a/crates/leased/cloverfold_upkeep/src/choice.rs
+++ b/crates/leased/cloverfold_upkeep/src/choice.rs
@@ -54,7 +54,7 @@
 }
 
 /// Chooses the next box among those that may go down now.
-pub fn choose_next<'a>(
+pub fn choose_next_box<'a>(
     candidates: impl Iterator<Item = &'a ListedBox>,
     listed: &BTreeMap<BoxName, ListedBox>,
     down: &BTreeSet<BoxName>,
--- a/crates/leased/cloverfold_upkeep/src/emptying.rs
+++ b/crates/leased/cloverfold_upkeep/src/emptying.rs
@@ -1,18 +1,18 @@
 //! Boxes that were chosen: their targets are held, and their calls announced once they are empty or were held for long enough.
 //!
 //! Decision: whether a chosen box has been emptied for long enough. Rule: it has no target, or its guard told after the hold that nothing
-//! runs there; otherwise after [`HolderTimings::empty`], or, where its guard told that something runs, after up to [`LONGEST_EMPTY`] times
+//! runs there; otherwise after [`SchedulerTimings::drain_time`], or, where its guard told that something runs, after up to [`LONGEST_EMPTY`] times
 //! that as far as a quarter of what is left of the span allows. Inputs: what the guard told, the time. Reason: nothing should be cut that
 //! can end in time.
 //!
-//! [`HolderTimings::empty`]: crate::HolderTimings::empty
+//! [`SchedulerTimings::drain_time`]: crate::SchedulerTimings::drain_time
 
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
 
 use crate::calls::BoxCalls;
-use crate::holder::{BoxOfWave, HOLD_INTERVAL, Holder, HolderMoment, HolderStep};
+use crate::holder::{HOLD_INTERVAL, SchedulerAction, SchedulerInput, UpkeepScheduler, WaveBox};
 use crate::state::{BoxPhase, UpkeepState, Wave};
 use crate::wave::{UpkeepCommand, WaveNumber};
 
@@ -39,16 +39,16 @@
     }
 }
 
-impl Holder {
+impl UpkeepScheduler {
     /// Holds the targets of the chosen boxes, and announces the calls of those that were held for long enough.
     pub(crate) fn empty_boxes(
         &mut self,
         number: WaveNumber,
         wave: &Wave,
         state: &UpkeepState,
-        moment: &HolderMoment,
+        moment: &SchedulerInput,
         left: Duration,
-        steps: &mut Vec<HolderStep>,
+        steps: &mut Vec<SchedulerAction>,
     ) {
         let now = moment.now;
         let chosen = self.emptying.keys().filter(|(wave, _)| *wave == number);
@@ -60,7 +60,7 @@
             }
             self.hold_target(&key, now, steps);
             let emptying = &self.emptying[&key];
-            if !is_emptied(emptying, self.timings.empty, left, moment) {
+            if !is_emptied(emptying, self.timings.drain_time, left, moment) {
                 continue;
             }
             let target = emptying.target.clone();
@@ -74,7 +74,7 @@
     }
 
     /// Tells the guard of a chosen box's target to hold it, if that is due.
-    fn hold_target(&mut self, key: &BoxOfWave, now: Timestamp, steps: &mut Vec<HolderStep>) {
+    fn hold_target(&mut self, key: &WaveBox, now: Timestamp, steps: &mut Vec<SchedulerAction>) {
         let Some(emptying) = self.emptying.get_mut(key) else {
             return;
         };
@@ -83,7 +83,7 @@
             .is_none_or(|told| now >= told + HOLD_INTERVAL);
         if let Some(target) = emptying.target.clone().filter(|_| is_due) {
             emptying.told_at = Some(now);
-            steps.push(HolderStep::Hold(target));
+            steps.push(SchedulerAction::HoldTarget(target));
         }
     }
 
@@ -92,7 +92,7 @@
         &mut self,
         state: &UpkeepState,
         now: Timestamp,
-        steps: &mut Vec<HolderStep>,
+        steps: &mut Vec<SchedulerAction>,
     ) {
         let mut open = state.open_waves();
         let is_choosing = open.any(|(_, wave)| wave.waiting().next().is_some());
@@ -107,12 +107,17 @@
         let asked = self.list.boxes.values();
         let asked = asked.filter(|listed| !away.contains(&listed.name));
         let targets = asked.filter_map(|listed| listed.target.clone());
-        steps.extend(targets.map(HolderStep::AskLoad));
+        steps.extend(targets.map(SchedulerAction::QueryLoad));
     }
 }
 
 /// Returns whether a chosen box has been emptied for long enough.
-fn is_emptied(emptying: &Emptying, empty: Duration, left: Duration, moment: &HolderMoment) -> bool {
+fn is_emptied(
+    emptying: &Emptying,
+    drain_time: Duration,
+    left: Duration,
+    moment: &SchedulerInput,
+) -> bool {
     let Some(target) = &emptying.target else {
         return true;
     };
@@ -120,8 +125,8 @@
     let load = load.filter(|load| load.at >= emptying.since + SETTLED_AFTER);
     let longest = match load {
         Some(load) if load.is_empty => return true,
-        Some(_) => empty.max((empty * LONGEST_EMPTY).min(left / 4)),
-        None => empty,
+        Some(_) => drain_time.max((drain_time * LONGEST_EMPTY).min(left / 4)),
+        None => drain_time,
     };
     moment.now >= emptying.since + longest
 }
--- a/crates/leased/cloverfold_upkeep/src/holder.rs
+++ b/crates/leased/cloverfold_upkeep/src/holder.rs
@@ -3,17 +3,17 @@
 //! Decision: what the holder does next. Rule, in this order, for every wave that is not over, the one with the earliest end first:
 //!
 //! 1. a box that counts as down is driven on: called until its upkeep has begun, watched until it is up again (`progress`);
-//! 2. while fewer boxes of the wave are down than its pace and its order allow, the next box is chosen ([`choose_next`](crate::choose_next)), its target held
-//!    for [`HolderTimings::empty`], and its call announced in the log;
+//! 2. while fewer boxes of the wave are down than its pace and its order allow, the next box is chosen ([`choose_next_box`](crate::choose_next_box)), its target held
+//!    for [`SchedulerTimings::drain_time`], and its call announced in the log;
 //! 3. a call is sent only once its announcement is applied, so that every later holder counts the box as down.
 //!
 //! A box of several waves goes down for one at a time and counts in all of them. A box that an earlier holder may have called is not
-//! called before [`HolderTimings::takeover`] has passed since this one began.
+//! called before [`SchedulerTimings::takeover_delay`] has passed since this one began.
 //!
 //! Inputs: the replicated state, the list of boxes, the outcomes of the calls, the evacuated halls, the time. Reason: at most as many
 //! boxes as an order allows may ever be down, whichever holder called, whichever answer is lost, and however late a call is done.
 //!
-//! [`Holder`] owns what only this holder knows. It does no I/O and reads no clock.
+//! [`UpkeepScheduler`] owns what only this holder knows. It does no I/O and reads no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,10 +22,10 @@
 
 use crate::box_list::BoxList;
 use crate::boxes::{CallOutcome, ListedBox};
-use crate::calls::{BoxCalls, find_pause};
+use crate::calls::{BoxCalls, retry_backoff};
 use crate::emptying::Emptying;
 use crate::load::TargetLoads;
-use crate::outlook::Outlook;
+use crate::outlook::WaveStatus;
 use crate::progress::AwayBox;
 use crate::state::{UpkeepState, Wave};
 use crate::wave::{BoxName, UpkeepCommand, WaveNumber};
@@ -33,57 +33,57 @@
 /// After this a command that is not applied yet is proposed again. Chosen, not measured.
 const PROPOSE_AGAIN_AFTER: Duration = Duration::from_millis(500);
 /// How long the guard of a held target leaves it alone after the last word. Chosen, not measured: three times [`HOLD_INTERVAL`].
-pub const HOLD_FOR: Duration = Duration::from_millis(1_500);
+pub const TARGET_HOLD_DURATION: Duration = Duration::from_millis(1_500);
 /// How often a guard is told to hold its target. Chosen, not measured.
 pub(crate) const HOLD_INTERVAL: Duration = Duration::from_millis(500);
 /// What a box needs between the end of its upkeep and the choice of the next one. Chosen, not measured.
 const OVERHEAD: Duration = Duration::from_millis(1_500);
 
 /// A box in a wave.
-pub type BoxOfWave = (WaveNumber, BoxName);
+pub type WaveBox = (WaveNumber, BoxName);
 
 /// The spans that a holder keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HolderTimings {
+pub struct SchedulerTimings {
     /// How long a box is away for its upkeep.
     pub maintenance: Duration,
     /// How long after its beginning a holder leaves a box alone that an earlier one may have called.
-    pub takeover: Duration,
+    pub takeover_delay: Duration,
     /// How old the platform's list may be.
     pub list_lag: Duration,
     /// How long a target is held before its box is called.
-    pub empty: Duration,
+    pub drain_time: Duration,
     /// Shortest span between two calls.
     pub call_spacing: Duration,
 }
 
-impl HolderTimings {
+impl SchedulerTimings {
     /// Returns how long a box takes from its choice until the next can be chosen.
     pub fn cycle(&self) -> Duration {
-        self.maintenance + self.empty + OVERHEAD
+        self.maintenance + self.drain_time + OVERHEAD
     }
 }
 
 /// What the process is to do for the holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HolderStep {
+pub enum SchedulerAction {
     /// Propose a command to the log.
     Propose(UpkeepCommand),
-    /// Call for the upkeep of a box, if this process still leads; [`Holder::call_ended`] follows.
-    Call(BoxOfWave),
-    /// Read the whole list; [`Holder::list_read`] or [`Holder::list_failed`] follows.
+    /// Call for the upkeep of a box, if this process still leads; [`UpkeepScheduler::record_call_outcome`] follows.
+    Call(WaveBox),
+    /// Read the whole list; [`UpkeepScheduler::record_list`] or [`UpkeepScheduler::record_list_failure`] follows.
     ReadList,
     /// Tell the guard of this incarnation to hold its target.
-    Hold(String),
+    HoldTarget(String),
     /// Log that this box is next; its target is held from now on.
-    Chosen(BoxOfWave),
+    BoxChosen(WaveBox),
     /// Ask the guard of this incarnation what is free at its target.
-    AskLoad(String),
+    QueryLoad(String),
 }
 
 /// The present, as the process sees it.
 #[derive(Clone, Debug)]
-pub struct HolderMoment<'a> {
+pub struct SchedulerInput<'a> {
     /// By the steady clock.
     pub now: Timestamp,
     /// By the wall clock.
@@ -96,30 +96,30 @@
 
 /// What only the holder knows.
 #[derive(Clone, Debug)]
-pub struct Holder {
-    pub(crate) timings: HolderTimings,
+pub struct UpkeepScheduler {
+    pub(crate) timings: SchedulerTimings,
     began_at: Timestamp,
     /// Boxes that earlier holders may have called.
     foreign: BTreeSet<BoxName>,
     pub(crate) list: BoxList,
-    pub(crate) calls: BTreeMap<BoxOfWave, BoxCalls>,
-    pub(crate) emptying: BTreeMap<BoxOfWave, Emptying>,
+    pub(crate) calls: BTreeMap<WaveBox, BoxCalls>,
+    pub(crate) emptying: BTreeMap<WaveBox, Emptying>,
     /// Commands that are proposed and not applied yet, by the box, and when they were proposed last.
-    proposed: BTreeMap<BoxOfWave, Timestamp>,
+    proposed: BTreeMap<WaveBox, Timestamp>,
     /// The boxes whose upkeep has begun.
-    pub(crate) away: BTreeMap<BoxOfWave, AwayBox>,
+    pub(crate) away: BTreeMap<WaveBox, AwayBox>,
     /// When this holder saw a wave first.
     pub(crate) seen_at: BTreeMap<WaveNumber, Timestamp>,
     next_call_at: Timestamp,
     refusals_in_a_row: u32,
     /// When guards were asked last what is free.
     pub(crate) asked_at: Option<Timestamp>,
-    pub(crate) outlooks: BTreeMap<WaveNumber, Outlook>,
+    pub(crate) wave_statuses: BTreeMap<WaveNumber, WaveStatus>,
 }
 
-impl Holder {
+impl UpkeepScheduler {
     /// Creates the holder that begins now, with all commands of earlier holders applied.
-    pub fn new(timings: HolderTimings, state: &UpkeepState, now: Timestamp) -> Self {
+    pub fn new(timings: SchedulerTimings, state: &UpkeepState, now: Timestamp) -> Self {
         let phases = state.waves().values().flat_map(|wave| wave.phases.keys());
         Self {
             timings,
@@ -134,17 +134,21 @@
             next_call_at: now,
             refusals_in_a_row: 0,
             asked_at: None,
-            outlooks: BTreeMap::new(),
+            wave_statuses: BTreeMap::new(),
         }
     }
 
     /// Returns how each open wave goes on, as of the last steps.
-    pub fn outlooks(&self) -> &BTreeMap<WaveNumber, Outlook> {
-        &self.outlooks
+    pub fn wave_statuses(&self) -> &BTreeMap<WaveNumber, WaveStatus> {
+        &self.wave_statuses
     }
 
     /// Returns what to do now.
-    pub fn take_steps(&mut self, state: &UpkeepState, moment: &HolderMoment) -> Vec<HolderStep> {
+    pub fn next_actions(
+        &mut self,
+        state: &UpkeepState,
+        moment: &SchedulerInput,
+    ) -> Vec<SchedulerAction> {
         self.forget_finished(state);
         let mut steps = Vec::new();
         let mut open: Vec<(WaveNumber, &Wave)> = state.open_waves().collect();
@@ -162,9 +166,9 @@
     }
 
     /// Records the outcome of a call.
-    pub fn call_ended(
+    pub fn record_call_outcome(
         &mut self,
-        key: &BoxOfWave,
+        key: &WaveBox,
         outcome: CallOutcome,
         now: Timestamp,
         random: u64,
@@ -175,42 +179,42 @@
         // The platform as a whole takes no calls at present: all wait.
         if matches!(outcome, CallOutcome::TooMany | CallOutcome::NotSent) {
             self.refusals_in_a_row += 1;
-            self.next_call_at = now + find_pause(self.refusals_in_a_row, random);
+            self.next_call_at = now + retry_backoff(self.refusals_in_a_row, random);
         } else {
             self.refusals_in_a_row = 0;
         }
     }
 
     /// Takes over a complete reading of the list that began at a time.
-    pub fn list_read(&mut self, state: &UpkeepState, boxes: Vec<ListedBox>, began_at: Timestamp) {
+    pub fn record_list(&mut self, state: &UpkeepState, boxes: Vec<ListedBox>, began_at: Timestamp) {
         let open = state.open_waves();
         let awaited = open.flat_map(|(_, wave)| wave.order.boxes.iter());
         self.list.take(boxes, began_at, awaited);
     }
 
     /// Records that the list could not be read whole.
-    pub fn list_failed(&mut self, now: Timestamp, random: u64) {
+    pub fn record_list_failure(&mut self, now: Timestamp, random: u64) {
         self.list.fail(now, random);
     }
 
     /// Proposes a command about a box unless the same was proposed a moment ago.
     pub(crate) fn propose(
         &mut self,
-        key: &BoxOfWave,
+        key: &WaveBox,
         command: UpkeepCommand,
         now: Timestamp,
-        steps: &mut Vec<HolderStep>,
+        steps: &mut Vec<SchedulerAction>,
     ) {
         let proposed = self.proposed.get(key);
         if proposed.is_some_and(|at| now < *at + PROPOSE_AGAIN_AFTER) {
             return;
         }
         self.proposed.insert(key.clone(), now);
-        steps.push(HolderStep::Propose(command));
+        steps.push(SchedulerAction::Propose(command));
     }
 
     /// Records that a command about a box was applied; the next one may be proposed at once.
-    pub fn applied(&mut self, key: &BoxOfWave) {
+    pub fn record_applied(&mut self, key: &WaveBox) {
         self.proposed.remove(key);
     }
 
@@ -225,7 +229,7 @@
 
     /// Returns whether no earlier holder can be calling a box any more.
     pub(crate) fn may_touch(&self, name: &str, now: Timestamp) -> bool {
-        now >= self.began_at + self.timings.takeover || !self.foreign.contains(name)
+        now >= self.began_at + self.timings.takeover_delay || !self.foreign.contains(name)
     }
 
     fn forget_finished(&mut self, state: &UpkeepState) {
@@ -238,7 +242,7 @@
         self.proposed.retain(|(number, _), _| is_open(number));
         self.away.retain(|(number, _), _| is_open(number));
         self.seen_at.retain(|number, _| is_open(number));
-        self.outlooks.retain(|number, _| is_open(number));
+        self.wave_statuses.retain(|number, _| is_open(number));
     }
 
     /// Returns the boxes that are down, may be, or are about to go.
@@ -249,7 +253,7 @@
         down.map(|(name, _)| name.clone()).chain(emptying).collect()
     }
 
-    fn read_list(&mut self, state: &UpkeepState, now: Timestamp, steps: &mut Vec<HolderStep>) {
+    fn read_list(&mut self, state: &UpkeepState, now: Timestamp, steps: &mut Vec<SchedulerAction>) {
         let mut open = state.open_waves();
         let is_choosing = open.any(|(_, wave)| wave.waiting().next().is_some());
         let maintenance = self.timings.maintenance;
@@ -260,7 +264,7 @@
         }
         if self.list.is_due(is_choosing, return_due_at, now) {
             self.list.begin_reading();
-            steps.push(HolderStep::ReadList);
+            steps.push(SchedulerAction::ReadList);
         }
     }
 }
--- a/crates/leased/cloverfold_upkeep/src/load.rs
+++ b/crates/leased/cloverfold_upkeep/src/load.rs
@@ -11,7 +11,7 @@
 use cloverfold_base::Timestamp;
 
 use crate::boxes::{BoxStatus, ListedBox};
-use crate::pace::find_pace;
+use crate::pace::plan_pace;
 use crate::wave::{BoxName, WaveOrder};
 
 /// The part of the processors of a pool that may be in use, in thousandths. Chosen, not measured.
@@ -83,6 +83,6 @@
 /// Returns whether a wave that goes on two cycles later still begins in time, with a quarter of its span to spare.
 pub(crate) fn can_wait(waiting: usize, order: &WaveOrder, cycle: Duration, left: Duration) -> bool {
     let later = left.saturating_sub(2 * cycle + order.span / SPARE_PART);
-    let pace = find_pace(waiting, order.most_down, cycle, later);
+    let pace = plan_pace(waiting, order.most_down, cycle, later);
     pace.late_by.is_none()
 }
--- a/crates/leased/cloverfold_upkeep/src/outlook.rs
+++ b/crates/leased/cloverfold_upkeep/src/outlook.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::pace::Pace;
+use crate::pace::WavePace;
 use crate::wave::BoxName;
 
 /// Why no further box goes down at present.
@@ -32,7 +32,7 @@
 
 /// How an open wave goes on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Outlook {
+pub struct WaveStatus {
     /// How many boxes wait.
     pub waiting: usize,
     /// How many are down, may be, or are about to go.
@@ -47,8 +47,8 @@
     pub waits: Option<WaitReason>,
 }
 
-impl Outlook {
-    pub(crate) fn new(pace: Pace, waiting: usize) -> Self {
+impl WaveStatus {
+    pub(crate) fn new(pace: WavePace, waiting: usize) -> Self {
         Self {
             waiting,
             at_once: pace.at_once,
--- a/crates/leased/cloverfold_upkeep/src/pace.rs
+++ b/crates/leased/cloverfold_upkeep/src/pace.rs
@@ -14,7 +14,7 @@
 
 /// How fast a wave goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pace {
+pub struct WavePace {
     /// How many boxes may be down at once at present.
     pub at_once: u32,
     /// By how much the last box is expected to begin too late; `None` while all are expected to begin in time.
@@ -22,12 +22,12 @@
 }
 
 /// Returns the pace of a wave in which so many boxes wait.
-pub fn find_pace(waiting: usize, most_down: u32, cycle: Duration, left: Duration) -> Pace {
+pub fn plan_pace(waiting: usize, most_down: u32, cycle: Duration, left: Duration) -> WavePace {
     let reserve = (left / RESERVE_PART).max(cycle).min(left);
     let rounds = count_rounds(left - reserve, cycle);
     let needed = waiting.div_ceil(rounds);
     let most = most_down.max(1);
-    Pace {
+    WavePace {
         at_once: u32::try_from(needed).unwrap_or(u32::MAX).clamp(1, most),
         late_by: find_delay(waiting, most, cycle, left),
     }
--- a/crates/leased/cloverfold_upkeep/src/progress.rs
+++ b/crates/leased/cloverfold_upkeep/src/progress.rs
@@ -12,7 +12,7 @@
 
 use crate::boxes::{BoxStatus, ListedBox};
 use crate::calls::{BoxCalls, Verdict};
-use crate::holder::{BoxOfWave, HOLD_INTERVAL, Holder, HolderStep};
+use crate::holder::{HOLD_INTERVAL, SchedulerAction, UpkeepScheduler, WaveBox};
 use crate::state::{BoxPhase, Wave};
 use crate::wave::{UpkeepCommand, WaveNumber};
 
@@ -37,14 +37,14 @@
     }
 }
 
-impl Holder {
+impl UpkeepScheduler {
     /// Calls the boxes that were announced, watches for those that are away, and notes those that have left.
     pub(crate) fn drive_on(
         &mut self,
         number: WaveNumber,
         wave: &Wave,
         now: Timestamp,
-        steps: &mut Vec<HolderStep>,
+        steps: &mut Vec<SchedulerAction>,
     ) {
         for name in &wave.order.boxes {
             let key = (number, name.clone());
@@ -65,11 +65,15 @@
         }
     }
 
-    fn drive_call(&mut self, key: &BoxOfWave, now: Timestamp, steps: &mut Vec<HolderStep>) {
+    fn drive_call(&mut self, key: &WaveBox, now: Timestamp, steps: &mut Vec<SchedulerAction>) {
         let calls = self.calls.entry(key.clone());
         let calls = calls.or_insert_with(|| BoxCalls::taken_over(now));
         let is_due = calls.is_due(now);
-        steps.extend(calls.take_hold(HOLD_INTERVAL, now).map(HolderStep::Hold));
+        steps.extend(
+            calls
+                .take_hold(HOLD_INTERVAL, now)
+                .map(SchedulerAction::HoldTarget),
+        );
         let (wave, name) = key.clone();
         match calls.verdict() {
             Some(Verdict::Begun) => {
@@ -82,13 +86,13 @@
                 if let Some(calls) = self.calls.get_mut(key) {
                     calls.begin();
                 }
-                steps.push(HolderStep::Call(key.clone()));
+                steps.push(SchedulerAction::Call(key.clone()));
             }
             None => {}
         }
     }
 
-    fn watch_return(&mut self, key: &BoxOfWave, now: Timestamp, steps: &mut Vec<HolderStep>) {
+    fn watch_return(&mut self, key: &WaveBox, now: Timestamp, steps: &mut Vec<SchedulerAction>) {
         let away = self.away.entry(key.clone()).or_insert(AwayBox {
             since: now,
             is_seen: false,
@@ -106,7 +110,7 @@
         }
     }
 
-    fn is_back(&self, key: &BoxOfWave, listed: &ListedBox, away: AwayBox) -> bool {
+    fn is_back(&self, key: &WaveBox, listed: &ListedBox, away: AwayBox) -> bool {
         let ends_at = away.since + self.timings.maintenance;
         let Some(read_at) = self.list.began_at().filter(|read_at| *read_at >= ends_at) else {
             return false;
@@ -118,7 +122,7 @@
         listed.status == BoxStatus::Up && listed.target.is_some() && (is_new || is_certain)
     }
 
-    fn propose_gone(&mut self, key: &BoxOfWave, now: Timestamp, steps: &mut Vec<HolderStep>) {
+    fn propose_gone(&mut self, key: &WaveBox, now: Timestamp, steps: &mut Vec<SchedulerAction>) {
         let (wave, name) = key.clone();
         self.propose(key, UpkeepCommand::Gone { wave, name }, now, steps);
     }
--- a/crates/leased/cloverfold_upkeep/src/request.rs
+++ b/crates/leased/cloverfold_upkeep/src/request.rs
@@ -33,7 +33,7 @@
 
 /// Why an order of a wave is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum WaveFault {
+pub enum WaveRequestError {
     /// It cannot be read.
     #[error("{field}: {cause}")]
     Unreadable {
@@ -76,28 +76,28 @@
 
 impl WaveRequest {
     /// Returns every fault of the request.
-    pub fn find_faults(&self) -> Vec<WaveFault> {
+    pub fn validation_errors(&self) -> Vec<WaveRequestError> {
         let is_malformed = |name: &BoxName| {
             !(1..=MAX_NAME_BYTES).contains(&name.len()) || name.chars().any(char::is_control)
         };
         let names_bytes = self.boxes.iter().map(String::len).sum();
         let checks = [
-            (self.wave == 0, WaveFault::NoNumber),
-            (self.boxes.is_empty(), WaveFault::NoBoxes),
+            (self.wave == 0, WaveRequestError::NoNumber),
+            (self.boxes.is_empty(), WaveRequestError::NoBoxes),
             (
                 self.boxes.len() > MAX_BOXES,
-                WaveFault::TooManyBoxes(self.boxes.len()),
+                WaveRequestError::TooManyBoxes(self.boxes.len()),
             ),
             (
                 self.boxes.iter().any(is_malformed),
-                WaveFault::MalformedName,
+                WaveRequestError::MalformedName,
             ),
             (
                 names_bytes > MAX_NAMES_BYTES,
-                WaveFault::TooLongNames(names_bytes),
+                WaveRequestError::TooLongNames(names_bytes),
             ),
-            (self.span.is_zero(), WaveFault::NoSpan),
-            (self.most_down == 0, WaveFault::NoneDown),
+            (self.span.is_zero(), WaveRequestError::NoSpan),
+            (self.most_down == 0, WaveRequestError::NoneDown),
         ];
         let faults = checks.into_iter().filter(|(is_fault, _)| *is_fault);
         faults.map(|(_, fault)| fault).collect()
@@ -111,7 +111,7 @@
     /// # Errors
     ///
     /// Returns the field that cannot be read.
-    fn decode_wave(&self, text: &[u8]) -> Result<WaveRequest, WaveFault>;
+    fn decode_wave(&self, text: &[u8]) -> Result<WaveRequest, WaveRequestError>;
 
     /// Writes whether a wave is completed.
     fn write_wave_state(&self, is_completed: bool) -> String;
--- a/crates/leased/cloverfold_upkeep/src/state.rs
+++ b/crates/leased/cloverfold_upkeep/src/state.rs
@@ -177,7 +177,7 @@
     }
 
     /// Returns what has become of an order, or would, as of this state; `None` if its number is not known.
-    pub fn judge(&self, order: &WaveOrder) -> Option<WaveOutcome> {
+    pub fn order_outcome(&self, order: &WaveOrder) -> Option<WaveOutcome> {
         let known = self.waves.get(&order.wave)?;
         if known.order.is_same_as(order) {
             Some(WaveOutcome::Repeated)
@@ -205,7 +205,7 @@
     }
 
     fn apply_order(&mut self, order: WaveOrder, index: u64) -> WaveOutcome {
-        let outcome = self.judge(&order).unwrap_or(WaveOutcome::Taken);
+        let outcome = self.order_outcome(&order).unwrap_or(WaveOutcome::Taken);
         let record = WaveRecord {
             wave: order.wave,
             outcome,
--- a/crates/leased/cloverfold_upkeep/tests/gone_boxes.rs
+++ b/crates/leased/cloverfold_upkeep/tests/gone_boxes.rs
@@ -7,8 +7,8 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_upkeep::{
-    BoxStatus, CallOutcome, Holder, HolderMoment, HolderStep, HolderTimings, ListedBox,
-    UpkeepCommand, UpkeepState, WaveOrder,
+    BoxStatus, CallOutcome, ListedBox, SchedulerAction, SchedulerInput, SchedulerTimings,
+    UpkeepCommand, UpkeepScheduler, UpkeepState, WaveOrder,
 };
 
 fn at(millis: u64) -> Timestamp {
@@ -26,7 +26,7 @@
     }
 }
 
-fn start() -> (UpkeepState, Holder) {
+fn start() -> (UpkeepState, UpkeepScheduler) {
     let mut state = UpkeepState::default();
     let order = WaveOrder {
         wave: 1,
@@ -37,45 +37,50 @@
         received_at: Duration::ZERO,
     };
     state.apply(UpkeepCommand::Order(order), 1);
-    let timings = HolderTimings {
+    let timings = SchedulerTimings {
         maintenance: Duration::from_secs(2),
-        takeover: Duration::from_secs(5),
+        takeover_delay: Duration::from_secs(5),
         list_lag: Duration::from_secs(3),
-        empty: Duration::from_secs(1),
+        drain_time: Duration::from_secs(1),
         call_spacing: Duration::from_millis(20),
     };
-    let holder = Holder::new(timings, &state, at(0));
+    let holder = UpkeepScheduler::new(timings, &state, at(0));
     (state, holder)
 }
 
 /// Takes the holder's steps, and applies what it proposes.
-fn take(holder: &mut Holder, state: &mut UpkeepState, now: Timestamp) -> Vec<HolderStep> {
+fn take(
+    holder: &mut UpkeepScheduler,
+    state: &mut UpkeepState,
+    now: Timestamp,
+) -> Vec<SchedulerAction> {
     let (evacuated, loads) = (BTreeSet::new(), BTreeMap::new());
-    let moment = HolderMoment {
+    let moment = SchedulerInput {
         now,
         wall: now.since_start(),
         evacuated: &evacuated,
         loads: &loads,
     };
-    let steps = holder.take_steps(state, &moment);
+    let steps = holder.next_actions(state, &moment);
     for step in &steps {
-        if let HolderStep::Propose(command) = step {
+        if let SchedulerAction::Propose(command) = step {
             state.apply(command.clone(), 2);
         }
     }
     steps
 }
 
-fn is_gone(steps: &[HolderStep]) -> bool {
-    let is_gone =
-        |step: &HolderStep| matches!(step, HolderStep::Propose(UpkeepCommand::Gone { .. }));
+fn is_gone(steps: &[SchedulerAction]) -> bool {
+    let is_gone = |step: &SchedulerAction| {
+        matches!(step, SchedulerAction::Propose(UpkeepCommand::Gone { .. }))
+    };
     steps.iter().any(is_gone)
 }
 
 /// Reads a list with these boxes at a time.
-fn read(holder: &mut Holder, state: &UpkeepState, names: &[&str], now: Timestamp) {
+fn read(holder: &mut UpkeepScheduler, state: &UpkeepState, names: &[&str], now: Timestamp) {
     let boxes = names.iter().map(|name| listed(name)).collect();
-    holder.list_read(state, boxes, now);
+    holder.record_list(state, boxes, now);
 }
 
 #[test]
@@ -113,11 +118,14 @@
     read(&mut holder, &state, &["box-0", "box-1"], at(0));
     take(&mut holder, &mut state, at(0));
     take(&mut holder, &mut state, at(10));
-    holder.applied(&key);
+    holder.record_applied(&key);
     let steps = take(&mut holder, &mut state, at(20));
-    assert!(steps.contains(&HolderStep::Call(key.clone())), "{steps:?}");
+    assert!(
+        steps.contains(&SchedulerAction::Call(key.clone())),
+        "{steps:?}"
+    );
 
-    holder.call_ended(&key, CallOutcome::NoSuchBox, at(30), 1);
+    holder.record_call_outcome(&key, CallOutcome::NoSuchBox, at(30), 1);
     let steps = take(&mut holder, &mut state, at(40));
 
     assert!(!is_gone(&steps));
@@ -125,6 +133,9 @@
         wave: 1,
         name: key.1,
     };
-    assert!(steps.contains(&HolderStep::Propose(refused)), "{steps:?}");
+    assert!(
+        steps.contains(&SchedulerAction::Propose(refused)),
+        "{steps:?}"
+    );
     assert!(!state.waves()[&1].is_completed());
 }
--- a/crates/leased/cloverfold_upkeep/tests/holder.rs
+++ b/crates/leased/cloverfold_upkeep/tests/holder.rs
@@ -7,8 +7,9 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_upkeep::{
-    BoxName, BoxOfWave, BoxStatus, CallOutcome, Holder, HolderMoment, HolderStep, HolderTimings,
-    ListedBox, TargetLoad, TargetLoads, UpkeepCommand, UpkeepState, WaveNumber, WaveOrder,
+    BoxName, BoxStatus, CallOutcome, ListedBox, SchedulerAction, SchedulerInput, SchedulerTimings,
+    TargetLoad, TargetLoads, UpkeepCommand, UpkeepScheduler, UpkeepState, WaveBox, WaveNumber,
+    WaveOrder,
 };
 use proptest::prelude::*;
 
@@ -20,12 +21,12 @@
 /// Steps after which all boxes must have begun, whatever failed; faults end at half of it.
 const MOST_STEPS: u64 = 12_000;
 
-fn timings() -> HolderTimings {
-    HolderTimings {
+fn timings() -> SchedulerTimings {
+    SchedulerTimings {
         maintenance: MAINTENANCE,
-        takeover: LEASE + Duration::from_millis(1_600),
+        takeover_delay: LEASE + Duration::from_millis(1_600),
         list_lag: LIST_LAG,
-        empty: Duration::from_secs(1),
+        drain_time: Duration::from_secs(1),
         call_spacing: Duration::from_millis(20),
     }
 }
@@ -52,18 +53,18 @@
 
 struct LateCall {
     at: Timestamp,
-    key: BoxOfWave,
+    key: WaveBox,
 }
 
 struct Answer {
     at: Timestamp,
-    key: BoxOfWave,
+    key: WaveBox,
     outcome: CallOutcome,
 }
 
 struct Platform {
     boxes: BTreeMap<BoxName, PlatformBox>,
-    done: BTreeSet<BoxOfWave>,
+    done: BTreeSet<WaveBox>,
     late: Vec<LateCall>,
     history: VecDeque<(Timestamp, Vec<ListedBox>)>,
     limits: BTreeMap<WaveNumber, usize>,
@@ -121,7 +122,7 @@
         self.history.retain(|(at, _)| *at + LIST_LAG + STEP >= now);
     }
 
-    fn carry_out(&mut self, key: &BoxOfWave, now: Timestamp, dice: &mut Dice) -> CallOutcome {
+    fn carry_out(&mut self, key: &WaveBox, now: Timestamp, dice: &mut Dice) -> CallOutcome {
         if self.done.contains(key) {
             return CallOutcome::Begun;
         }
@@ -148,7 +149,7 @@
     /// Receives a call; returns its answer and when it comes.
     fn receive(
         &mut self,
-        key: BoxOfWave,
+        key: WaveBox,
         holder: u64,
         now: Timestamp,
         is_faulty: bool,
@@ -204,7 +205,7 @@
     /// When a reading began, and what it shows.
     reading: Option<(Timestamp, Vec<ListedBox>)>,
     lag: Duration,
-    holder: Holder,
+    holder: UpkeepScheduler,
     term: u64,
     dice: Dice,
 }
@@ -222,7 +223,7 @@
         Self {
             now: Timestamp::ZERO,
             platform: Platform::new(boxes, limits.collect()),
-            holder: Holder::new(timings(), &state, Timestamp::ZERO),
+            holder: UpkeepScheduler::new(timings(), &state, Timestamp::ZERO),
             state,
             index: 100,
             proposed: Vec::new(),
@@ -245,7 +246,7 @@
         self.answers.clear();
         self.reading = None;
         self.term += 1;
-        self.holder = Holder::new(timings(), &self.state, self.now);
+        self.holder = UpkeepScheduler::new(timings(), &self.state, self.now);
     }
 
     fn apply(&mut self, command: UpkeepCommand) {
@@ -268,7 +269,7 @@
         self.index += 1;
         self.state.apply(command, self.index);
         if let Some(key) = key {
-            self.holder.applied(&key);
+            self.holder.record_applied(&key);
         }
     }
 
@@ -281,13 +282,13 @@
         self.deliver();
         let evacuated = BTreeSet::new();
         let loads = self.list_loads();
-        let moment = HolderMoment {
+        let moment = SchedulerInput {
             now: self.now,
             wall: self.now.since_start(),
             evacuated: &evacuated,
             loads: &loads,
         };
-        for step in self.holder.take_steps(&self.state, &moment) {
+        for step in self.holder.next_actions(&self.state, &moment) {
             self.carry_out(step, is_faulty);
         }
     }
@@ -321,21 +322,23 @@
             }
             let random = self.dice.roll(u64::MAX);
             self.holder
-                .call_ended(&answer.key, answer.outcome, self.now, random);
+                .record_call_outcome(&answer.key, answer.outcome, self.now, random);
         }
         if let Some((began, boxes)) = self.reading.take() {
-            self.holder.list_read(&self.state, boxes, began);
+            self.holder.record_list(&self.state, boxes, began);
         }
     }
 
-    fn carry_out(&mut self, step: HolderStep, is_faulty: bool) {
+    fn carry_out(&mut self, step: SchedulerAction, is_faulty: bool) {
         match step {
-            HolderStep::Propose(command) => self.proposed.push(command),
-            HolderStep::Hold(_) | HolderStep::AskLoad(_) | HolderStep::Chosen(_) => {}
-            HolderStep::ReadList if is_faulty && self.dice.roll(4) == 0 => {
-                self.holder.list_failed(self.now, self.dice.0);
+            SchedulerAction::Propose(command) => self.proposed.push(command),
+            SchedulerAction::HoldTarget(_)
+            | SchedulerAction::QueryLoad(_)
+            | SchedulerAction::BoxChosen(_) => {}
+            SchedulerAction::ReadList if is_faulty && self.dice.roll(4) == 0 => {
+                self.holder.record_list_failure(self.now, self.dice.0);
             }
-            HolderStep::ReadList => {
+            SchedulerAction::ReadList => {
                 let shown = self
                     .now
                     .saturating_duration_since(Timestamp::ZERO + self.lag);
@@ -344,7 +347,7 @@
                 let list = lists.find(|(at, _)| *at >= shown).unwrap();
                 self.reading = Some((self.now, list.1.clone()));
             }
-            HolderStep::Call(key) => {
+            SchedulerAction::Call(key) => {
                 let answer =
                     self.platform
                         .receive(key, self.term, self.now, is_faulty, &mut self.dice);
@@ -422,17 +425,17 @@
 
 #[test]
 fn without_an_open_wave_nothing_is_read_and_nothing_is_called() {
-    let mut holder = Holder::new(timings(), &UpkeepState::default(), Timestamp::ZERO);
+    let mut holder = UpkeepScheduler::new(timings(), &UpkeepState::default(), Timestamp::ZERO);
     let evacuated = BTreeSet::new();
 
     for second in 0..100 {
         let now = Timestamp::from_start(Duration::from_secs(second));
-        let moment = HolderMoment {
+        let moment = SchedulerInput {
             now,
             wall: now.since_start(),
             evacuated: &evacuated,
             loads: &BTreeMap::new(),
         };
-        assert_eq!(holder.take_steps(&UpkeepState::default(), &moment), []);
+        assert_eq!(holder.next_actions(&UpkeepState::default(), &moment), []);
     }
 }
--- a/crates/leased/cloverfold_upkeep/tests/loads.rs
+++ b/crates/leased/cloverfold_upkeep/tests/loads.rs
@@ -7,18 +7,18 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_upkeep::{
-    BoxStatus, Holder, HolderMoment, HolderStep, HolderTimings, ListedBox, TargetLoad, TargetLoads,
-    UpkeepCommand, UpkeepState, WaitReason, WaveOrder,
+    BoxStatus, ListedBox, SchedulerAction, SchedulerInput, SchedulerTimings, TargetLoad,
+    TargetLoads, UpkeepCommand, UpkeepScheduler, UpkeepState, WaitReason, WaveOrder,
 };
 
 const CAPACITY: i64 = 16_000;
 
-fn timings() -> HolderTimings {
-    HolderTimings {
+fn timings() -> SchedulerTimings {
+    SchedulerTimings {
         maintenance: Duration::from_secs(2),
-        takeover: Duration::from_secs(5),
+        takeover_delay: Duration::from_secs(5),
         list_lag: Duration::from_secs(3),
-        empty: Duration::from_secs(1),
+        drain_time: Duration::from_secs(1),
         call_spacing: Duration::from_millis(20),
     }
 }
@@ -55,7 +55,7 @@
 }
 
 /// Returns a wave over so many boxes, and its holder with their list.
-fn start(boxes: usize, span_s: u64) -> (UpkeepState, Holder) {
+fn start(boxes: usize, span_s: u64) -> (UpkeepState, UpkeepScheduler) {
     let mut state = UpkeepState::default();
     let order = WaveOrder {
         wave: 1,
@@ -66,31 +66,32 @@
         received_at: Duration::ZERO,
     };
     state.apply(UpkeepCommand::Order(order), 1);
-    let mut holder = Holder::new(timings(), &state, at(0));
-    holder.list_read(&state, (0..boxes).map(listed).collect(), at(0));
+    let mut holder = UpkeepScheduler::new(timings(), &state, at(0));
+    holder.record_list(&state, (0..boxes).map(listed).collect(), at(0));
     (state, holder)
 }
 
 fn take(
-    holder: &mut Holder,
+    holder: &mut UpkeepScheduler,
     state: &UpkeepState,
     loads: &TargetLoads,
     evacuated: &[&str],
     now: Timestamp,
-) -> Vec<HolderStep> {
+) -> Vec<SchedulerAction> {
     let evacuated: BTreeSet<String> = evacuated.iter().map(|hall| (*hall).to_owned()).collect();
-    let moment = HolderMoment {
+    let moment = SchedulerInput {
         now,
         wall: now.since_start(),
         evacuated: &evacuated,
         loads,
     };
-    holder.take_steps(state, &moment)
+    holder.next_actions(state, &moment)
 }
 
-fn is_called(steps: &[HolderStep]) -> bool {
-    let is_call =
-        |step: &HolderStep| matches!(step, HolderStep::Propose(UpkeepCommand::Call { .. }));
+fn is_called(steps: &[SchedulerAction]) -> bool {
+    let is_call = |step: &SchedulerAction| {
+        matches!(step, SchedulerAction::Propose(UpkeepCommand::Call { .. }))
+    };
     steps.iter().any(is_call)
 }
 
@@ -103,8 +104,8 @@
     take(&mut holder, &state, &known, &[], at(20));
     take(&mut other, &other_state, &known, &["hall-1"], at(20));
 
-    assert_eq!(holder.outlooks()[&1].next, ["box-2"]);
-    assert_eq!(other.outlooks()[&1].next, ["box-1"]);
+    assert_eq!(holder.wave_statuses()[&1].next, ["box-2"]);
+    assert_eq!(other.wave_statuses()[&1].next, ["box-1"]);
 }
 
 #[test]
@@ -116,13 +117,13 @@
     take(&mut patient, &state, &busy, &[], at(20));
     take(&mut short, &short_state, &busy, &[], at(20));
 
-    assert_eq!(patient.outlooks()[&1].waits, Some(WaitReason::NoRoom));
-    assert_eq!(patient.outlooks()[&1].down, 0);
-    assert_eq!(short.outlooks()[&1].down, 1);
+    assert_eq!(patient.wave_statuses()[&1].waits, Some(WaitReason::NoRoom));
+    assert_eq!(patient.wave_statuses()[&1].down, 0);
+    assert_eq!(short.wave_statuses()[&1].down, 1);
     // The peak is over.
     let calm = loads(&[8_000; 4], at(1_000));
     take(&mut patient, &state, &calm, &[], at(1_010));
-    assert_eq!(patient.outlooks()[&1].down, 1);
+    assert_eq!(patient.wave_statuses()[&1].down, 1);
 }
 
 #[test]
@@ -132,7 +133,7 @@
 
     take(&mut holder, &state, &old, &[], at(4_000));
 
-    assert_eq!(holder.outlooks()[&1].down, 1);
+    assert_eq!(holder.wave_statuses()[&1].down, 1);
 }
 
 #[test]
--- a/crates/leased/cloverfold_upkeep/tests/orders.rs
+++ b/crates/leased/cloverfold_upkeep/tests/orders.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cloverfold_upkeep::{
-    BoxPhase, MAX_BOXES, MAX_NAME_BYTES, MAX_NAMES_BYTES, UpkeepCommand, UpkeepState, WaveFault,
-    WaveOrder, WaveOutcome, WaveRequest, find_pace,
+    BoxPhase, MAX_BOXES, MAX_NAME_BYTES, MAX_NAMES_BYTES, UpkeepCommand, UpkeepState, WaveOrder,
+    WaveOutcome, WaveRequest, WaveRequestError, plan_pace,
 };
 
 fn names(count: usize) -> BTreeSet<String> {
@@ -63,28 +63,28 @@
         ..request()
     };
 
-    assert_eq!(sound.find_faults(), []);
+    assert_eq!(sound.validation_errors(), []);
     let all = [
-        WaveFault::NoNumber,
-        WaveFault::NoBoxes,
-        WaveFault::NoSpan,
-        WaveFault::NoneDown,
+        WaveRequestError::NoNumber,
+        WaveRequestError::NoBoxes,
+        WaveRequestError::NoSpan,
+        WaveRequestError::NoneDown,
     ];
-    assert_eq!(empty.find_faults(), all);
+    assert_eq!(empty.validation_errors(), all);
     for name in ["", "a\nb", &"x".repeat(MAX_NAME_BYTES + 1)] {
-        let faults = with_name(name.into()).find_faults();
-        assert_eq!(faults, [WaveFault::MalformedName], "{name:?}");
+        let faults = with_name(name.into()).validation_errors();
+        assert_eq!(faults, [WaveRequestError::MalformedName], "{name:?}");
     }
-    let too_many = WaveFault::TooManyBoxes(MAX_BOXES + 1);
-    assert_eq!(many.find_faults(), [too_many]);
+    let too_many = WaveRequestError::TooManyBoxes(MAX_BOXES + 1);
+    assert_eq!(many.validation_errors(), [too_many]);
     let long = (0..=MAX_NAMES_BYTES / 100).map(|index| format!("{index:0100}"));
     let long = WaveRequest {
         boxes: long.collect(),
         ..request()
     };
     assert!(matches!(
-        long.find_faults()[..],
-        [WaveFault::TooLongNames(_)]
+        long.validation_errors()[..],
+        [WaveRequestError::TooLongNames(_)]
     ));
 }
 
@@ -101,9 +101,9 @@
     state.apply(UpkeepCommand::Order(again.clone()), 3);
 
     assert_eq!(state.waves()[&1].order, order(1));
-    assert_eq!(state.judge(&again), Some(WaveOutcome::Repeated));
-    assert_eq!(state.judge(&other), Some(WaveOutcome::Conflicting));
-    assert_eq!(state.judge(&order(2)), None);
+    assert_eq!(state.order_outcome(&again), Some(WaveOutcome::Repeated));
+    assert_eq!(state.order_outcome(&other), Some(WaveOutcome::Conflicting));
+    assert_eq!(state.order_outcome(&order(2)), None);
     let outcomes: Vec<_> = state.audit().iter().map(|record| record.outcome).collect();
     let expected = [
         WaveOutcome::Taken,
@@ -151,7 +151,7 @@
 #[test]
 fn a_wave_goes_as_slowly_as_its_span_allows_and_says_when_it_will_be_late() {
     let cycle = Duration::from_secs(4);
-    let pace = |waiting, left_s| find_pace(waiting, 3, cycle, Duration::from_secs(left_s));
+    let pace = |waiting, left_s| plan_pace(waiting, 3, cycle, Duration::from_secs(left_s));
 
     assert_eq!((pace(10, 600).at_once, pace(10, 600).late_by), (1, None));
     assert_eq!((pace(10, 30).at_once, pace(10, 30).late_by), (2, None));
