--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -15,8 +15,8 @@
 use cloverfold_base::Timestamp;
 use cloverfold_configuration::{ConfigurationChange, Proposal, StoredConfiguration, TextPiece};
 use cloverfold_consensus::{
-    Append, AppendReply, Entry, InstallSnapshot, Member, Members, Message, Payload, Snapshot,
-    SnapshotPart, Vote, VoteReply,
+    AppendEntries, AppendReply, Entry, InstallSnapshot, Member, Members, Message, Payload,
+    Snapshot, SnapshotPart, VoteReply, VoteRequest,
 };
 use cloverfold_evacuation::{EvacuatedHalls, EvacuationOrder, HallChange};
 use cloverfold_kept_jobs::{
@@ -168,7 +168,7 @@
 
 /// Returns an append of some entries.
 fn append(entries: Vec<Entry>) -> Message {
-    Message::Append(Append {
+    Message::Append(AppendEntries {
         term: 21,
         previous_index: 1_022,
         previous_term: 19,
@@ -257,7 +257,7 @@
 
 fn votes() -> Vec<Sample<Message>> {
     let vote = |is_pre_vote| {
-        Message::Vote(Vote {
+        Message::Vote(VoteRequest {
             term: 31,
             is_pre_vote,
             last_index: 3_200,
--- a/crates/leased/cloverfold_consensus/src/lib.rs
+++ b/crates/leased/cloverfold_consensus/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! Relies on the process around a replica to keep these rules:
 //!
-//! - records are written in order, and [`Replica::persisted`] is called only after they were synced;
-//! - messages marked [`Outgoing::after_sync`] wait for the records of their batch;
+//! - records are written in order, and [`Replica::mark_synced`] is called only after they were synced;
+//! - messages marked [`OutgoingMessage::after_sync`] wait for the records of their batch;
 //! - a replica that starts with an empty disk gets a new identity ([`ReplicaId`]) and votes only after the group has added it.
 
 #![warn(clippy::disallowed_methods)]
@@ -22,10 +22,12 @@
 
 pub use log_entries::{Entry, LogIndex, Payload, Snapshot, Term};
 pub use members::{Member, Members, ReplicaId};
-pub use messages::{Append, AppendReply, InstallSnapshot, Message, SnapshotPart, Vote, VoteReply};
+pub use messages::{
+    AppendEntries, AppendReply, InstallSnapshot, Message, SnapshotPart, VoteReply, VoteRequest,
+};
 pub use records::{DiskIdentity, Record, RecoveredState};
 pub use replica::{
-    BatchNumber, Outgoing, ProposeError, ReadOutcome, ReadToken, Ready, Replica, ReplicaConfig,
-    ReplicaStatus, Role,
+    BatchNumber, OutgoingMessage, ProposeError, ReadOutcome, ReadToken, Ready, Replica,
+    ReplicaConfig, ReplicaStatus, Role,
 };
 pub use store::{Store, StoreError};
--- a/crates/leased/cloverfold_consensus/src/messages.rs
+++ b/crates/leased/cloverfold_consensus/src/messages.rs
@@ -8,7 +8,7 @@
 
 /// Asks for a vote, or in a pre-vote whether one would be given.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Vote {
+pub struct VoteRequest {
     /// The candidate's term; in a pre-vote, the term that it would begin.
     pub term: Term,
     /// Whether this is a pre-vote, which promises nothing.
@@ -19,7 +19,7 @@
     pub last_term: Term,
 }
 
-/// The answer to a [`Vote`].
+/// The answer to a [`VoteRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteReply {
     /// The term that was asked for if the vote is granted, else the voter's term.
@@ -32,7 +32,7 @@
 
 /// Entries of the leader's log; a heartbeat if there are none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Append {
+pub struct AppendEntries {
     /// The leader's term.
     pub term: Term,
     /// Index of the entry before those that are sent.
@@ -47,7 +47,7 @@
     pub round: u64,
 }
 
-/// The answer to an [`Append`] or an [`InstallSnapshot`].
+/// The answer to an [`AppendEntries`] or an [`InstallSnapshot`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendReply {
     /// The follower's term.
@@ -67,7 +67,7 @@
     pub term: Term,
     /// The state.
     pub snapshot: Snapshot,
-    /// As in [`Append`].
+    /// As in [`AppendEntries`].
     pub round: u64,
 }
 
@@ -82,7 +82,7 @@
     pub offset: u64,
     /// Length of the whole state, in bytes.
     pub len: u64,
-    /// As in [`Append`].
+    /// As in [`AppendEntries`].
     pub round: u64,
 }
 
@@ -90,11 +90,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Asks for a vote.
-    Vote(Vote),
+    Vote(VoteRequest),
     /// Answers a request for a vote.
     VoteReply(VoteReply),
     /// Sends entries or a heartbeat.
-    Append(Append),
+    Append(AppendEntries),
     /// Acknowledges or refuses entries.
     AppendReply(AppendReply),
     /// Sends a snapshot.
--- a/crates/leased/cloverfold_consensus/src/replica/election.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/election.rs
@@ -14,7 +14,7 @@
 
 use super::{Replica, Role};
 use crate::members::ReplicaId;
-use crate::messages::{Message, Vote, VoteReply};
+use crate::messages::{Message, VoteReply, VoteRequest};
 
 impl Replica {
     /// Begins a pre-vote if the election timer has run out and this replica may vote.
@@ -53,7 +53,7 @@
         } else {
             self.term
         };
-        let vote = Vote {
+        let vote = VoteRequest {
             term,
             is_pre_vote,
             last_index: self.log.last_index(),
@@ -72,7 +72,7 @@
             .collect()
     }
 
-    pub(super) fn receive_vote(&mut self, from: ReplicaId, vote: &Vote, now: Timestamp) {
+    pub(super) fn receive_vote(&mut self, from: ReplicaId, vote: &VoteRequest, now: Timestamp) {
         if vote.is_pre_vote {
             self.answer_pre_vote(from, vote, now);
         } else {
@@ -80,7 +80,7 @@
         }
     }
 
-    fn answer_pre_vote(&mut self, from: ReplicaId, vote: &Vote, now: Timestamp) {
+    fn answer_pre_vote(&mut self, from: ReplicaId, vote: &VoteRequest, now: Timestamp) {
         let is_granted =
             vote.term > self.term && self.is_log_current(vote) && !self.has_recent_leader(now);
         let reply = VoteReply {
@@ -91,7 +91,7 @@
         self.send(from, Message::VoteReply(reply), false);
     }
 
-    fn answer_vote(&mut self, from: ReplicaId, vote: &Vote, now: Timestamp) {
+    fn answer_vote(&mut self, from: ReplicaId, vote: &VoteRequest, now: Timestamp) {
         if vote.term > self.term {
             self.become_follower(vote.term, None, now);
         }
@@ -114,7 +114,7 @@
     }
 
     /// Returns whether the candidate's log ends at least as late as this replica's.
-    fn is_log_current(&self, vote: &Vote) -> bool {
+    fn is_log_current(&self, vote: &VoteRequest) -> bool {
         (vote.last_term, vote.last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
--- a/crates/leased/cloverfold_consensus/src/replica/following.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/following.rs
@@ -8,7 +8,7 @@
 use super::Replica;
 use crate::log_entries::{Entry, LogIndex, Snapshot, Term};
 use crate::members::ReplicaId;
-use crate::messages::{Append, AppendReply, InstallSnapshot, Message};
+use crate::messages::{AppendEntries, AppendReply, InstallSnapshot, Message};
 use crate::records::Record;
 
 /// What a follower records of its leader.
@@ -36,7 +36,12 @@
         true
     }
 
-    pub(super) fn receive_append(&mut self, from: ReplicaId, append: Append, now: Timestamp) {
+    pub(super) fn receive_append(
+        &mut self,
+        from: ReplicaId,
+        append: AppendEntries,
+        now: Timestamp,
+    ) {
         if !self.accept_leader(from, append.term, now) {
             return;
         }
--- a/crates/leased/cloverfold_consensus/src/replica/mod.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/mod.rs
@@ -36,7 +36,7 @@
 use cloverfold_base::Timestamp;
 
 pub use self::config::ReplicaConfig;
-pub use self::ready::{BatchNumber, Outgoing, ReadOutcome, ReadToken, Ready};
+pub use self::ready::{BatchNumber, OutgoingMessage, ReadOutcome, ReadToken, Ready};
 pub use self::status::{ReplicaStatus, Role};
 
 use self::election_timer::ElectionTimer;
@@ -171,7 +171,7 @@
     }
 
     /// Records that a batch and all before it are synced.
-    pub fn persisted(&mut self, batch: BatchNumber, now: Timestamp) {
+    pub fn mark_synced(&mut self, batch: BatchNumber, now: Timestamp) {
         let log_end = self.log.last_index();
         let Some(sync_time) = self.sync_progress.finish_batch(batch, log_end, now) else {
             return;
@@ -216,7 +216,7 @@
     }
 
     fn send(&mut self, to: ReplicaId, message: Message, after_sync: bool) {
-        self.ready.messages.push(Outgoing {
+        self.ready.messages.push(OutgoingMessage {
             to,
             message,
             after_sync,
--- a/crates/leased/cloverfold_consensus/src/replica/ready.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/ready.rs
@@ -16,7 +16,7 @@
 
 /// A message to another replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingMessage {
     /// The receiver.
     pub to: ReplicaId,
     /// The message.
@@ -37,12 +37,12 @@
 /// What a replica wants done, in this order: write, send, apply. Messages with `after_sync` are sent only once the batch is synced.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// Number to pass to [`Replica::persisted`](crate::Replica::persisted) once `records` are synced; `None` without records.
+    /// Number to pass to [`Replica::mark_synced`](crate::Replica::mark_synced) once `records` are synced; `None` without records.
     pub batch: Option<BatchNumber>,
     /// To be appended to the store and synced.
     pub records: Vec<Record>,
     /// To be sent.
-    pub messages: Vec<Outgoing>,
+    pub messages: Vec<OutgoingMessage>,
     /// The state that replaces what was applied so far.
     pub restored: Option<Snapshot>,
     /// Committed entries to apply, in order.
--- a/crates/leased/cloverfold_consensus/src/replica/replication.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/replication.rs
@@ -12,7 +12,7 @@
 use super::{Replica, Role};
 use crate::log_entries::{Entry, LogIndex, Payload};
 use crate::members::ReplicaId;
-use crate::messages::{Append, AppendReply, InstallSnapshot, Message};
+use crate::messages::{AppendEntries, AppendReply, InstallSnapshot, Message};
 use crate::records::Record;
 
 /// Time after which a snapshot that was not acknowledged is sent again, for each of its parts. Chosen, not measured.
@@ -165,7 +165,7 @@
         };
         let entries = self.log.after(previous, self.config.max_batch_entries);
         progress.next = previous + entries.len() as u64 + 1;
-        let append = Append {
+        let append = AppendEntries {
             term: self.term,
             previous_index: previous,
             previous_term,
--- a/crates/leased/cloverfold_consensus/src/replica/transitions.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/transitions.rs
@@ -21,7 +21,7 @@
     }
 
     /// Stops to lead, so that another replica is elected; what was appended may be committed yet. Does nothing on any other replica.
-    pub fn resign(&mut self, now: Timestamp) {
+    pub fn step_down(&mut self, now: Timestamp) {
         if self.role == Role::Leader {
             self.become_follower(self.term, None, now);
         }
--- a/crates/leased/cloverfold_consensus/tests/group/simulation.rs
+++ b/crates/leased/cloverfold_consensus/tests/group/simulation.rs
@@ -6,7 +6,7 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::{
-    BatchNumber, Entry, LogIndex, Member, Members, Message, Outgoing, Payload, ReadOutcome,
+    BatchNumber, Entry, LogIndex, Member, Members, Message, OutgoingMessage, Payload, ReadOutcome,
     ReadToken, Record, RecoveredState, Replica, ReplicaConfig, ReplicaId, Role, Store, Term,
 };
 
@@ -26,7 +26,7 @@
     /// Batches that its disk has not synced yet, in order.
     pub unsynced: Vec<(BatchNumber, Vec<Record>)>,
     /// Messages that wait for a batch.
-    waiting: BTreeMap<BatchNumber, Vec<Outgoing>>,
+    waiting: BTreeMap<BatchNumber, Vec<OutgoingMessage>>,
 }
 
 impl SimulatedBox {
@@ -233,7 +233,7 @@
         }
     }
 
-    fn send(&mut self, place: usize, batch: Option<BatchNumber>, messages: Vec<Outgoing>) {
+    fn send(&mut self, place: usize, batch: Option<BatchNumber>, messages: Vec<OutgoingMessage>) {
         let sender = &mut self.boxes[place];
         for outgoing in messages {
             match batch {
@@ -299,7 +299,7 @@
         });
         self.network.extend(sent);
         let replica = synced.replica.as_mut().unwrap();
-        replica.persisted(batch, self.now);
+        replica.mark_synced(batch, self.now);
         self.settle(place);
     }
 
--- a/crates/leased/cloverfold_consensus/tests/rules/fixtures.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules/fixtures.rs
@@ -4,8 +4,9 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::{
-    Append, AppendReply, Entry, LogIndex, Member, Members, Message, Outgoing, Payload, Ready,
-    RecoveredState, Replica, ReplicaConfig, ReplicaId, Role, Snapshot, Term, Vote, VoteReply,
+    AppendEntries, AppendReply, Entry, LogIndex, Member, Members, Message, OutgoingMessage,
+    Payload, Ready, RecoveredState, Replica, ReplicaConfig, ReplicaId, Role, Snapshot, Term,
+    VoteReply, VoteRequest,
 };
 
 pub const NOW: Timestamp = Timestamp::from_start(Duration::from_secs(100));
@@ -62,7 +63,7 @@
     entries: Vec<Entry>,
     commit: LogIndex,
 ) -> Message {
-    Message::Append(Append {
+    Message::Append(AppendEntries {
         term,
         previous_index: previous.0,
         previous_term: previous.1,
@@ -73,7 +74,7 @@
 }
 
 pub fn vote(term: Term, last: (LogIndex, Term), is_pre_vote: bool) -> Message {
-    Message::Vote(Vote {
+    Message::Vote(VoteRequest {
         term,
         is_pre_vote,
         last_index: last.0,
@@ -92,7 +93,7 @@
     found.expect("a reply to the vote")
 }
 
-pub fn append_reply(messages: &[Outgoing]) -> &AppendReply {
+pub fn append_reply(messages: &[OutgoingMessage]) -> &AppendReply {
     let found = messages
         .iter()
         .rev()
@@ -111,7 +112,7 @@
     let term = replica.status().term + 1;
     assert!(matches!(
         asked.messages[0].message,
-        Message::Vote(Vote {
+        Message::Vote(VoteRequest {
             is_pre_vote: true,
             ..
         })
@@ -144,7 +145,7 @@
     let mut replica = replica(3, &[3]);
     let ready = elect(&mut replica);
     let status = replica.status();
-    replica.persisted(ready.batch.unwrap(), NOW);
+    replica.mark_synced(ready.batch.unwrap(), NOW);
     replica.receive(2, matching(status.term, status.last_index, 1), NOW);
     replica.take_ready();
     replica
--- a/crates/leased/cloverfold_consensus/tests/rules/followers.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules/followers.rs
@@ -19,7 +19,7 @@
         "only what was there before"
     );
 
-    replica.persisted(ready.batch.unwrap(), NOW);
+    replica.mark_synced(ready.batch.unwrap(), NOW);
 
     assert_eq!(append_reply(&replica.take_ready().messages).index, 4);
 }
@@ -32,7 +32,7 @@
 
     replica.receive(3, append(4, (2, 3), Vec::new(), 2), NOW);
     replica.take_ready();
-    replica.persisted(ready.batch.unwrap(), NOW);
+    replica.mark_synced(ready.batch.unwrap(), NOW);
 
     assert_eq!(append_reply(&replica.take_ready().messages).index, 2);
 }
@@ -45,13 +45,13 @@
     replica.receive(3, append(4, (2, 3), vec![entry(3, 4)], 2), NOW);
     let second = replica.take_ready();
 
-    replica.persisted(first.batch.unwrap(), NOW);
+    replica.mark_synced(first.batch.unwrap(), NOW);
     assert_eq!(
         append_reply(&replica.take_ready().messages).index,
         2,
         "the new entry is not synced"
     );
-    replica.persisted(second.batch.unwrap(), NOW);
+    replica.mark_synced(second.batch.unwrap(), NOW);
 
     assert_eq!(append_reply(&replica.take_ready().messages).index, 3);
     assert_eq!(replica.status().last_index, 3);
--- a/crates/leased/cloverfold_consensus/tests/rules/leaders.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules/leaders.rs
@@ -15,7 +15,7 @@
     replica.receive(2, matching(term, last, 1), NOW);
     assert!(replica.status().commit < last);
 
-    replica.persisted(ready.batch.unwrap(), NOW);
+    replica.mark_synced(ready.batch.unwrap(), NOW);
 
     assert_eq!(replica.status().commit, last);
 }
@@ -25,7 +25,7 @@
     let mut replica = replica(3, &[2, 3]);
     let ready = elect(&mut replica);
     let (term, last) = (replica.status().term, replica.status().last_index);
-    replica.persisted(ready.batch.unwrap(), NOW);
+    replica.mark_synced(ready.batch.unwrap(), NOW);
     replica.receive(2, matching(term, last - 1, 1), NOW);
     assert_eq!(
         replica.status().commit,
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_leader_whose_disk_is_behind_the_majority_can_resign_and_loses_nothing() {
+fn a_leader_whose_disk_is_behind_the_majority_can_step_down_and_loses_nothing() {
     let mut replica = established_leader();
     let term = replica.status().term;
     let index = replica.propose(vec![1], NOW).unwrap();
@@ -115,7 +115,7 @@
     replica.receive(3, matching(term, index, 2), NOW);
     assert!(replica.is_disk_behind());
 
-    replica.resign(NOW);
+    replica.step_down(NOW);
 
     let status = replica.status();
     assert_eq!((status.role, status.term), (Role::Follower, term));
--- a/crates/leased/cloverfold_control/src/job_groups/group.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/group.rs
@@ -4,8 +4,8 @@
 
 use cloverfold_base::{Timestamp, random_u64};
 use cloverfold_consensus::{
-    Entry, Member, Members, Message, Outgoing, Payload, RecoveredState, Replica, ReplicaConfig,
-    ReplicaId, Role, Snapshot,
+    Entry, Member, Members, Message, OutgoingMessage, Payload, RecoveredState, Replica,
+    ReplicaConfig, ReplicaId, Role, Snapshot,
 };
 use cloverfold_kept_jobs::{CallRefusal, GroupId, JobGroups, JobReply, JobTable};
 
@@ -121,7 +121,7 @@
         let hangs = self.host.is_disk_stuck(HANGING_DISK, now);
         if self.leading.is_some() && hangs && self.host.replica.is_disk_behind() {
             log::warn!(group = self.id; "the disk hangs: another process is to lead the group");
-            self.host.replica.resign(now);
+            self.host.replica.step_down(now);
         }
     }
 
@@ -199,7 +199,7 @@
         has_changed
     }
 
-    fn send(&mut self, messages: Vec<Outgoing>) {
+    fn send(&mut self, messages: Vec<OutgoingMessage>) {
         let messages = messages.into_iter();
         let sends = messages.map(|sent| GroupEffect::Send(sent.to, Box::new(sent.message)));
         self.effects.extend(sends);
--- a/crates/leased/cloverfold_control/src/pending_writes.rs
+++ b/crates/leased/cloverfold_control/src/pending_writes.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
-use cloverfold_consensus::{BatchNumber, Outgoing};
+use cloverfold_consensus::{BatchNumber, OutgoingMessage};
 
 /// Time after which a write that is not synced is logged as slow, and logged again after each further span. Chosen, not measured.
 const SLOW_WRITE: Duration = Duration::from_millis(250);
@@ -18,7 +18,7 @@
     /// When the write began or was last logged as slow.
     since: Timestamp,
     /// Messages that may be sent once the batch is synced.
-    messages: Vec<Outgoing>,
+    messages: Vec<OutgoingMessage>,
 }
 
 /// The batches that are being written, by number.
@@ -29,7 +29,12 @@
 
 impl PendingWrites {
     /// Adds a batch that is handed to the disk, with the messages that must wait for it.
-    pub(crate) fn begin(&mut self, batch: BatchNumber, messages: Vec<Outgoing>, now: Timestamp) {
+    pub(crate) fn begin(
+        &mut self,
+        batch: BatchNumber,
+        messages: Vec<OutgoingMessage>,
+        now: Timestamp,
+    ) {
         let write = PendingWrite {
             begun_at: now,
             since: now,
@@ -39,7 +44,10 @@
     }
 
     /// Removes a batch and all before it, which are synced; returns the messages that waited for them, in order.
-    pub(crate) fn finish(&mut self, batch: BatchNumber) -> impl Iterator<Item = Outgoing> + use<> {
+    pub(crate) fn finish(
+        &mut self,
+        batch: BatchNumber,
+    ) -> impl Iterator<Item = OutgoingMessage> + use<> {
         let later = self.writes.split_off(&(batch + 1));
         let synced = std::mem::replace(&mut self.writes, later);
         synced.into_values().flat_map(|write| write.messages)
--- a/crates/leased/cloverfold_control/src/replica_host.rs
+++ b/crates/leased/cloverfold_control/src/replica_host.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
-use cloverfold_consensus::{Outgoing, Ready, Replica, Role};
+use cloverfold_consensus::{OutgoingMessage, Ready, Replica, Role};
 
 use crate::disk::{Disk, DiskEvent};
 use crate::pending_writes::PendingWrites;
@@ -37,11 +37,11 @@
     }
 
     /// Handles an event of the disk; returns the messages that waited for it.
-    pub(crate) fn disk_event(&mut self, event: &DiskEvent, now: Timestamp) -> Vec<Outgoing> {
+    pub(crate) fn disk_event(&mut self, event: &DiskEvent, now: Timestamp) -> Vec<OutgoingMessage> {
         match event {
             DiskEvent::Synced(batch) => {
                 self.is_refusing = false;
-                self.replica.persisted(*batch, now);
+                self.replica.mark_synced(*batch, now);
                 self.writes.finish(*batch).collect()
             }
             DiskEvent::Refusing => {
--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/applying.rs
@@ -4,7 +4,7 @@
 
 use cloverfold_configuration::Proposal;
 use cloverfold_consensus::{
-    Entry, LogIndex, Members, Outgoing, Payload, ReplicaId, Role, Snapshot, Term,
+    Entry, LogIndex, Members, OutgoingMessage, Payload, ReplicaId, Role, Snapshot, Term,
 };
 use cloverfold_peer::{PeerMessage, SharedMessage};
 
@@ -65,7 +65,7 @@
         self.log_changed_view();
     }
 
-    fn send_outgoing(&self, outgoing: Outgoing) {
+    fn send_outgoing(&self, outgoing: OutgoingMessage) {
         // A message that is lost is sent again by the replica.
         self.send_to_replica(outgoing.to, &PeerMessage::Consensus(outgoing.message));
     }
