--- a/crates/leased/cloverfold_control/src/operators/calls.rs
+++ b/crates/leased/cloverfold_control/src/operators/calls.rs
@@ -35,7 +35,7 @@
 
 impl OperatorCall {
     /// Returns which call on a data hall this is, by its method: POST evacuates the hall, DELETE takes it back.
-    pub fn on_hall(method: &Method, hall: &str) -> Option<Self> {
+    pub fn for_hall(method: &Method, hall: &str) -> Option<Self> {
         let change = match *method {
             Method::POST => HallChange::Evacuate,
             Method::DELETE => HallChange::TakeBack,
@@ -45,7 +45,7 @@
     }
 
     /// Returns which call on a wave this is, by its method: GET shows how far it is.
-    pub fn on_wave(method: &Method, format: CallFormat, number: &str) -> Option<Self> {
+    pub fn for_wave(method: &Method, format: CallFormat, number: &str) -> Option<Self> {
         (method == Method::GET).then(|| Self::GetWave(format, number.into()))
     }
 }
@@ -109,10 +109,10 @@
         (&Method::GET, "/v1/upkeep") => Some(OperatorCall::ListWaves),
         (method, path) => {
             if let Some(number) = path.strip_prefix("/v1/upkeep/") {
-                return OperatorCall::on_wave(method, CallFormat::Product, number);
+                return OperatorCall::for_wave(method, CallFormat::Product, number);
             }
             let hall = path.strip_prefix("/v1/evacuations/")?;
-            OperatorCall::on_hall(method, hall)
+            OperatorCall::for_hall(method, hall)
         }
     }
 }
