--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -13,7 +13,7 @@
 
 use bytes::BytesMut;
 use cloverfold_base::Timestamp;
-use cloverfold_configuration::{ConfigurationChange, Proposal, StoredConfiguration, TextPiece};
+use cloverfold_configuration::{ConfigurationDelta, Proposal, StoredConfiguration, TextPiece};
 use cloverfold_consensus::{
     AppendEntries, AppendReply, Entry, InstallSnapshot, Member, Members, Message, Payload,
     Snapshot, SnapshotPart, VoteReply, VoteRequest,
@@ -528,8 +528,8 @@
     })
 }
 
-fn configuration_change() -> ConfigurationChange {
-    ConfigurationChange {
+fn configuration_change() -> ConfigurationDelta {
+    ConfigurationDelta {
         base: 98,
         version: 99,
         pieces: vec![
--- a/crates/leased/cloverfold_configuration/src/configuration.rs
+++ b/crates/leased/cloverfold_configuration/src/configuration.rs
@@ -2,7 +2,7 @@
 //!
 //! Decision: which route serves a request. Rule: of the routes for its host (without case), the one with the longest prefix of its path;
 //! a request without one is served by none. Owns no state: a configuration does not change, a newer version replaces it. Relies on a
-//! [`crate::ConfigurationFormat`] to decode it and on the control process to refuse one with faults (`faults`).
+//! [`crate::ConfigurationFormat`] to decode it and on the control process to refuse one with faults (`validation`).
 
 use std::time::Duration;
 
--- a/crates/leased/cloverfold_configuration/src/change.rs
+++ b/crates/leased/cloverfold_configuration/src/delta.rs
@@ -1,6 +1,6 @@
 //! What changes from one configuration to a newer one, so that a process that has the older one need not be sent the whole text.
 //!
-//! A [`ConfigurationChange`] writes the newer text as pieces, each kept from the older text or new. Texts are compared by sections that end
+//! A [`ConfigurationDelta`] writes the newer text as pieces, each kept from the older text or new. Texts are compared by sections that end
 //! with a closing brace or a line, such as the routes of a configuration in JSON: whatever the format, a change that was applied gives the
 //! newer text to the byte, or nothing.
 //!
@@ -33,7 +33,7 @@
 
 /// How to make a configuration from an older one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigurationChange {
+pub struct ConfigurationDelta {
     /// The older configuration.
     pub base: Version,
     /// The newer one.
@@ -44,7 +44,7 @@
     pub digest: [u8; HASH_LEN],
 }
 
-impl ConfigurationChange {
+impl ConfigurationDelta {
     /// Compares two configurations; `None` if the change is no shorter than the newer text.
     pub fn between(older: &StoredConfiguration, newer: &StoredConfiguration) -> Option<Self> {
         if older.text.len() > LONGEST_TEXT || newer.text.len() > LONGEST_TEXT {
--- a/crates/leased/cloverfold_configuration/src/format.rs
+++ b/crates/leased/cloverfold_configuration/src/format.rs
@@ -4,7 +4,7 @@
 //! of an installation using the same implementation, so that a text means the same everywhere.
 
 use crate::configuration::Configuration;
-use crate::faults::ConfigurationFault;
+use crate::validation::ConfigurationError;
 
 /// A text format of configurations.
 pub trait ConfigurationFormat: Send + Sync {
@@ -12,6 +12,6 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ConfigurationFault::Unreadable`] with the place that can't be read.
-    fn decode(&self, text: &[u8]) -> Result<Configuration, ConfigurationFault>;
+    /// Returns [`ConfigurationError::Unreadable`] with the place that can't be read.
+    fn decode(&self, text: &[u8]) -> Result<Configuration, ConfigurationError>;
 }
--- a/crates/leased/cloverfold_configuration/src/recent.rs
+++ b/crates/leased/cloverfold_configuration/src/recent.rs
@@ -12,8 +12,8 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::change::ConfigurationChange;
 use crate::configuration::Version;
+use crate::delta::ConfigurationDelta;
 use crate::proposal::StoredConfiguration;
 
 /// Texts that are kept: those of a quick series of changes, behind which the last box is a few versions.
@@ -25,7 +25,7 @@
     /// Oldest first; the last one is in force.
     texts: VecDeque<StoredConfiguration>,
     /// The changes from these to the last one, as far as they were asked for; `None` where the whole text is no longer.
-    changes: HashMap<Version, Option<ConfigurationChange>>,
+    changes: HashMap<Version, Option<ConfigurationDelta>>,
 }
 
 impl RecentConfigurations {
@@ -39,10 +39,10 @@
     }
 
     /// Returns the change from the version that another process has to the one in force; `None` if that is to be sent whole.
-    pub fn change_since(&mut self, known: Version) -> Option<&ConfigurationChange> {
+    pub fn delta_since(&mut self, known: Version) -> Option<&ConfigurationDelta> {
         let older = self.texts.iter().find(|older| older.version == known)?;
         let newest = self.texts.back()?;
-        let compare = || ConfigurationChange::between(older, newest);
+        let compare = || ConfigurationDelta::between(older, newest);
         self.changes.entry(known).or_insert_with(compare).as_ref()
     }
 }
--- a/crates/leased/cloverfold_configuration/src/faults.rs
+++ b/crates/leased/cloverfold_configuration/src/validation.rs
@@ -12,7 +12,7 @@
 
 /// Why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ConfigurationFault {
+pub enum ConfigurationError {
     /// The text is incomplete or not in its format.
     #[error("{field}: cannot be read: {cause}")]
     Unreadable {
@@ -51,7 +51,7 @@
 
 impl Configuration {
     /// Returns everything that makes the configuration invalid, in the order of its routes.
-    pub fn find_faults(&self) -> Vec<ConfigurationFault> {
+    pub fn validate(&self) -> Vec<ConfigurationError> {
         let services: BTreeSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         let mut faults = Vec::new();
         for (index, route) in self.routes.iter().enumerate() {
@@ -63,26 +63,26 @@
     }
 }
 
-fn find_unknown_service(route: &Route, services: &BTreeSet<&str>) -> Option<ConfigurationFault> {
+fn find_unknown_service(route: &Route, services: &BTreeSet<&str>) -> Option<ConfigurationError> {
     let is_listed = services.contains(route.service.as_str());
-    (!is_listed).then(|| ConfigurationFault::UnknownService {
+    (!is_listed).then(|| ConfigurationError::UnknownService {
         route: route.name.clone(),
         service: route.service.clone(),
     })
 }
 
-fn find_missing_timeout(route: &Route) -> Option<ConfigurationFault> {
+fn find_missing_timeout(route: &Route) -> Option<ConfigurationError> {
     let has_none = route.timeout.is_zero();
-    has_none.then(|| ConfigurationFault::NoTimeout {
+    has_none.then(|| ConfigurationError::NoTimeout {
         route: route.name.clone(),
     })
 }
 
-fn find_duplicate_route(route: &Route, earlier: &[Route]) -> Option<ConfigurationFault> {
+fn find_duplicate_route(route: &Route, earlier: &[Route]) -> Option<ConfigurationError> {
     let twin = earlier.iter().find(|other| {
         other.path_prefix == route.path_prefix && other.host.eq_ignore_ascii_case(&route.host)
     })?;
-    Some(ConfigurationFault::DuplicateRoute {
+    Some(ConfigurationError::DuplicateRoute {
         first: twin.name.clone(),
         second: route.name.clone(),
         host: route.host.clone(),
--- a/crates/leased/cloverfold_configuration/tests/changes.rs
+++ b/crates/leased/cloverfold_configuration/tests/changes.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used)]
 
 use cloverfold_configuration::{
-    ConfigurationChange, RecentConfigurations, StoredConfiguration, TextPiece, Version,
+    ConfigurationDelta, RecentConfigurations, StoredConfiguration, TextPiece, Version,
 };
 use proptest::prelude::*;
 
@@ -36,7 +36,7 @@
     }
 }
 
-fn encoded_len(change: &ConfigurationChange) -> usize {
+fn encoded_len(change: &ConfigurationDelta) -> usize {
     postcard::to_stdvec(change).unwrap().len()
 }
 
@@ -45,7 +45,7 @@
     let change = |routes| {
         let older = with_routes(7, routes, 1_500);
         let newer = with_routes(8, routes, 900);
-        ConfigurationChange::between(&older, &newer).unwrap()
+        ConfigurationDelta::between(&older, &newer).unwrap()
     };
 
     let (small, large) = (encoded_len(&change(250)), encoded_len(&change(1_000)));
@@ -59,7 +59,7 @@
     let older = of_routes(1, &["a", "b", "c", "d"]);
     let newer = of_routes(2, &["d", "e", "a", "a", "c"]);
 
-    let change = ConfigurationChange::between(&older, &newer).unwrap();
+    let change = ConfigurationDelta::between(&older, &newer).unwrap();
 
     assert_eq!(change.apply(&older), Some(newer));
     let new_bytes = change.pieces.iter().map(|piece| match piece {
@@ -73,7 +73,7 @@
 #[test]
 fn a_change_fits_only_to_the_configuration_that_was_compared() {
     let (older, newer) = (with_routes(7, 50, 1_500), with_routes(9, 50, 900));
-    let change = ConfigurationChange::between(&older, &newer).unwrap();
+    let change = ConfigurationDelta::between(&older, &newer).unwrap();
     let other_version = with_routes(8, 50, 1_500);
     let other_text = with_routes(7, 49, 1_500);
 
@@ -85,7 +85,7 @@
 #[test]
 fn a_piece_that_the_older_text_does_not_have_is_refused() {
     let older = stored(1, b"{a}");
-    let change = ConfigurationChange {
+    let change = ConfigurationDelta {
         base: 1,
         version: 2,
         pieces: vec![TextPiece::Kept {
@@ -106,7 +106,7 @@
     }
 
     let bases: Vec<Version> = (0..=20)
-        .filter(|&known| recent.change_since(known).is_some())
+        .filter(|&known| recent.delta_since(known).is_some())
         .collect();
 
     assert_eq!(bases, (13..=20).collect::<Vec<_>>());
@@ -118,7 +118,7 @@
     recent.record(&stored(1, b"one text without sections"));
     recent.record(&stored(2, b"another one, and no longer"));
 
-    assert_eq!(recent.change_since(1), None);
+    assert_eq!(recent.delta_since(1), None);
 }
 
 /// A text of few letters, so that sections of two texts are often alike.
@@ -131,7 +131,7 @@
     #[test]
     fn a_change_gives_the_newer_text_to_the_byte(older in text(), newer in text()) {
         let (older, newer) = (stored(1, &older), stored(2, &newer));
-        if let Some(change) = ConfigurationChange::between(&older, &newer) {
+        if let Some(change) = ConfigurationDelta::between(&older, &newer) {
             prop_assert_eq!(change.apply(&older), Some(newer));
         }
     }
@@ -140,7 +140,7 @@
     fn a_change_to_another_text_gives_the_newer_one_or_nothing(older in text(), newer in text(), other in text()) {
         prop_assume!(older != other);
         let newer = stored(2, &newer);
-        if let Some(change) = ConfigurationChange::between(&stored(1, &older), &newer) {
+        if let Some(change) = ConfigurationDelta::between(&stored(1, &older), &newer) {
             let applied = change.apply(&stored(1, &other));
             prop_assert!(applied.is_none_or(|applied| applied == newer));
         }
--- a/crates/leased/cloverfold_configuration/tests/configurations.rs
+++ b/crates/leased/cloverfold_configuration/tests/configurations.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cloverfold_configuration::{Configuration, ConfigurationFault, Route, Service, TrafficLimits};
+use cloverfold_configuration::{Configuration, ConfigurationError, Route, Service, TrafficLimits};
 
 fn route(name: &str, path_prefix: &str) -> Route {
     Route {
@@ -38,7 +38,7 @@
 fn a_valid_configuration_has_no_faults() {
     let configuration = configuration(vec![route("all", "/"), route("images", "/images")]);
 
-    assert!(configuration.find_faults().is_empty());
+    assert!(configuration.validate().is_empty());
 }
 
 #[test]
@@ -54,15 +54,15 @@
         ..route("c", "/b")
     };
 
-    let faults = configuration(vec![unlisted, first, second]).find_faults();
+    let faults = configuration(vec![unlisted, first, second]).validate();
 
     let expected = [
-        ConfigurationFault::UnknownService {
+        ConfigurationError::UnknownService {
             route: "a".into(),
             service: "print".into(),
         },
-        ConfigurationFault::NoTimeout { route: "a".into() },
-        ConfigurationFault::DuplicateRoute {
+        ConfigurationError::NoTimeout { route: "a".into() },
+        ConfigurationError::DuplicateRoute {
             first: "b".into(),
             second: "c".into(),
             host: "JOBS.example".into(),
--- a/crates/leased/cloverfold_control/src/operators/configurations.rs
+++ b/crates/leased/cloverfold_control/src/operators/configurations.rs
@@ -7,7 +7,7 @@
 //! lost, and an operator who calls again with the same configuration does no harm (docs/design/7-control.md, "Proposals").
 
 use cloverfold_base::unix_now;
-use cloverfold_configuration::{ConfigurationFault, Proposal, StoredConfiguration};
+use cloverfold_configuration::{ConfigurationError, Proposal, StoredConfiguration};
 use cloverfold_http::{Request, Response, json_response};
 use http::StatusCode;
 use serde_json::json;
@@ -26,7 +26,7 @@
             Err(fault) => return refuse_configuration(0, &[fault]),
         };
         let version = configuration.version;
-        let faults = configuration.find_faults();
+        let faults = configuration.validate();
         if !faults.is_empty() {
             return refuse_configuration(version, &faults);
         }
@@ -78,7 +78,7 @@
     }
 }
 
-fn refuse_configuration(version: u64, faults: &[ConfigurationFault]) -> Response {
+fn refuse_configuration(version: u64, faults: &[ConfigurationError]) -> Response {
     let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
     log::warn!(version, faults = faults.join("; ").as_str(); "an invalid configuration is refused");
     let body = json!({ "faults": faults }).to_string();
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -91,7 +91,7 @@
 
     /// Sends what has changed since the version that a process has, or the whole configuration.
     fn send_change(&mut self, link: LinkId, known: Version) {
-        match self.recent_configurations.change_since(known) {
+        match self.recent_configurations.delta_since(known) {
             Some(change) => {
                 let message = PeerMessage::ConfigurationChange(change.clone());
                 self.links.send(link, &message);
--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -4,7 +4,7 @@
 //! configuration of [`EntryState`] and owns no state besides. Relies on `cloverfold_link` for links, on `known_guards` for when to invite.
 
 use cloverfold_base::Timestamp;
-use cloverfold_configuration::{ConfigurationChange, StoredConfiguration, Version};
+use cloverfold_configuration::{ConfigurationDelta, StoredConfiguration, Version};
 use cloverfold_evacuation::EvacuatedHalls;
 use cloverfold_link::{LinkEvent, LinkId, send_once};
 use cloverfold_peer::{Hello, PeerMessage, PeerRole};
@@ -122,7 +122,7 @@
     }
 
     /// Puts a configuration in force that was sent as a change.
-    fn receive_change(&mut self, link: LinkId, change: &ConfigurationChange) {
+    fn receive_change(&mut self, link: LinkId, change: &ConfigurationDelta) {
         let base = self.configuration.stored();
         if let Some(stored) = self.links.read_change(link, change, base) {
             self.receive_configuration(stored);
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
-use cloverfold_configuration::{ConfigurationChange, StoredConfiguration, Version};
+use cloverfold_configuration::{ConfigurationDelta, StoredConfiguration, Version};
 use cloverfold_evacuation::EvacuatedHalls;
 use cloverfold_lease::{RunnerMessage, TargetDescription};
 use cloverfold_link::{LinkEvent, LinkId};
@@ -143,7 +143,7 @@
     }
 
     /// Keeps a configuration that was sent as a change.
-    fn receive_change(&mut self, link: LinkId, change: &ConfigurationChange) {
+    fn receive_change(&mut self, link: LinkId, change: &ConfigurationDelta) {
         let base = self.configuration.stored();
         if let Some(stored) = self.links.read_change(link, change, base) {
             self.receive_configuration(stored);
--- a/crates/leased/cloverfold_peer/src/links.rs
+++ b/crates/leased/cloverfold_peer/src/links.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use cloverfold_configuration::{ConfigurationChange, StoredConfiguration, Version};
+use cloverfold_configuration::{ConfigurationDelta, StoredConfiguration, Version};
 use cloverfold_evacuation::{EvacuatedHalls, EvacuationRevision};
 use cloverfold_link::{EncodedMessage, LinkId, LinkSender};
 
@@ -208,7 +208,7 @@
     pub fn read_change(
         &self,
         link: LinkId,
-        change: &ConfigurationChange,
+        change: &ConfigurationDelta,
         base: Option<&StoredConfiguration>,
     ) -> Option<StoredConfiguration> {
         let in_force = base.map_or(0, |base| base.version);
--- a/crates/leased/cloverfold_peer/src/messages.rs
+++ b/crates/leased/cloverfold_peer/src/messages.rs
@@ -7,7 +7,7 @@
 
 use std::net::SocketAddr;
 
-use cloverfold_configuration::{ConfigurationChange, Proposal, StoredConfiguration, Version};
+use cloverfold_configuration::{ConfigurationDelta, Proposal, StoredConfiguration, Version};
 use cloverfold_consensus::{LogIndex, Message, ReplicaId};
 use cloverfold_evacuation::{DataHall, EvacuatedHalls, EvacuationOrder};
 use cloverfold_kept_jobs::{GroupId, JobCallMessage, JobGroups, JobReplyMessage};
@@ -199,5 +199,5 @@
         known: Version,
     },
     /// How to make the configuration in force at the sender from the one that the receiver has.
-    ConfigurationChange(ConfigurationChange),
+    ConfigurationChange(ConfigurationDelta),
 }
