--- a/benches/benches/dispatch.rs
+++ b/benches/benches/dispatch.rs
@@ -9,9 +9,9 @@
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
     Assignment, Dispatcher, DispatcherAction, DispatcherMessage, EndCause, EndedRun, FreeCapacity,
-    HealthLimits, IncarnationId, JobRequest, Objective, RenewalAnswer, Resources, RunOutcome,
-    Runner, RunnerAction, RunnerMessage, SessionId, StartAnswer, StepRequest, TargetDescription,
-    TargetRegistration, TaskId, Timings,
+    HealthLimits, IncarnationId, JobRequest, LatencyObjective, RenewalAnswer, Resources,
+    RunOutcome, Runner, RunnerAction, RunnerMessage, SessionId, StartAnswer, StepRequest,
+    TargetDescription, TargetRegistration, TaskId, Timings,
 };
 
 const TARGETS: SessionId = 64;
@@ -67,15 +67,15 @@
             depends_on: vec![],
             required_label: None,
             preferred_label: None,
-            most_per_target: None,
+            max_per_target: None,
         }],
         priority: 1,
         max_attempts: 2,
-        objective: Objective {
+        objective: LatencyObjective {
             stretch: 100.0,
             allowance: Duration::from_secs(600),
         },
-        patience: None,
+        caller_timeout: None,
     }
 }
 
--- a/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
@@ -3,12 +3,12 @@
 //! | when | condition | answer, `cause` in the log | bound |
 //! |---|---|---|---|
 //! | at the submission | the process is leaving | refused, `Leaving` | – |
-//! | at the submission | no target of the service accepts work, and the process has not just started or been stalled | refused, `NoTarget` | `STARTUP_SPAN` in `startup`, `CatchUp` in `stall` |
+//! | at the submission | no target of the service accepts work, and the process has not just started or been stalled | refused, `NoTarget` | `STARTUP_PERIOD` in `startup`, `CatchUp` in `stall` |
 //! | at the queue deadline | no task was ever offered to a target, or all came back unstarted | refused, `NoRoom`, or `NoTarget` if none of the service accepts work | `QUEUE_WAIT_SHARE` in `deadlines`, `STANDING_WAIT_SHARE` while the queue stands |
 //! | grace over, or at the give-up deadline | nothing has run or may yet run | refused, `NoRoom` | `GRACE_FACTOR`, `ANSWERED_SHARE` in `deadlines` |
 //! | grace over, and a task waits for a place | parts may have run | given up | `GRACE_FACTOR` in `deadlines` |
 //! | at the give-up deadline | parts may have run | given up | `ANSWERED_SHARE` in `deadlines` |
-//! | at the first call after a stall | callers may have left and asked elsewhere | all open jobs given up | [`JOB_STALL`] |
+//! | at the first call after a stall | callers may have left and asked elsewhere | all open jobs given up | [`JOB_STALL_LIMIT`] |
 //!
 //! None of this holds for kept jobs: they are refused before they are accepted (`kept_admission`) or not at all.
 //!
@@ -28,13 +28,13 @@
 use crate::dispatcher::job::{Job, JobNumber};
 use crate::dispatcher::runner_session::RunnerSession;
 use crate::request::JobRequest;
-use crate::stall::JOB_STALL;
+use crate::stall::JOB_STALL_LIMIT;
 use crate::startup::is_starting;
 
 impl Dispatcher {
     /// Returns why a job is refused at its submission, if there is a reason.
     pub(super) fn find_refusal(&self, request: &JobRequest, now: Timestamp) -> Option<JobRefusal> {
-        if self.is_leaving {
+        if self.is_draining {
             return Some(JobRefusal::Leaving);
         }
         if self.catch_up.is_active(now) || is_starting(now) {
@@ -125,12 +125,12 @@
         self.finish_job(number, JobAnswer::refused(cause));
     }
 
-    /// Gives up all open jobs that need not be kept if the process was stalled for more than [`JOB_STALL`] since the last call: a caller may have left
+    /// Gives up all open jobs that need not be kept if the process was stalled for more than [`JOB_STALL_LIMIT`] since the last call: a caller may have left
     /// meanwhile and asked elsewhere, and nothing may be started for it any more. Called before anything else in each call of the dispatcher.
     pub(super) fn give_up_after_stall(&mut self, now: Timestamp) {
         let gap = now.saturating_duration_since(self.last_call_at);
         self.last_call_at = now;
-        if gap <= JOB_STALL {
+        if gap <= JOB_STALL_LIMIT {
             return;
         }
         // What is kept is driven on as long as the lease of its driver is valid, however long the stall was.
--- a/crates/leased/cloverfold_lease/src/dispatcher/counts.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/counts.rs
@@ -6,12 +6,12 @@
 
 /// Runs given back without a start, by the reason that their runner gave.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct GivenBackCounts {
+pub struct RefusedRunCounts {
     /// In the order of [`RunRefusal::ALL`].
     by_reason: [u64; RunRefusal::ALL.len()],
 }
 
-impl GivenBackCounts {
+impl RefusedRunCounts {
     pub(super) fn record(&mut self, reason: RunRefusal) {
         self.by_reason[reason as usize] += 1;
     }
@@ -33,12 +33,12 @@
     /// Runs assigned.
     pub assigned: u64,
     /// Runs given back without a start.
-    pub given_back: GivenBackCounts,
+    pub refused_runs: RefusedRunCounts,
     /// Jobs that began while not all their tasks found a target: a job that has begun is no longer refused, and what it uses is lost if
     /// the rest comes late.
-    pub begun_in_part: u64,
+    pub partially_started: u64,
     /// Jobs that came again past their objective, so that others went before them.
-    pub came_late: u64,
+    pub late_resubmissions: u64,
     /// Runs that ended `failed`.
     pub failed: u64,
     /// Runs whose target or lease was lost.
@@ -48,7 +48,7 @@
     /// Runs withdrawn because they took far longer than expected.
     pub overdue: u64,
     /// Runs withdrawn from a slow target to restart elsewhere.
-    pub stragglers: u64,
+    pub withdrawn_stragglers: u64,
     /// Runs withdrawn because their caller left or their job was given up.
     pub withdrawn: u64,
     /// Jobs given up because the process was stalled.
--- a/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
@@ -44,7 +44,7 @@
 impl JobDeadlines {
     /// Returns the deadlines of a job that is submitted `now`.
     pub(crate) fn new(request: &JobRequest, now: Timestamp) -> Self {
-        let objective = request.estimate_objective();
+        let objective = request.target_latency();
         Self {
             queue: now + objective.mul_f64(QUEUE_WAIT_SHARE),
             standing_queue: now + objective.mul_f64(STANDING_WAIT_SHARE),
@@ -56,18 +56,21 @@
 
 /// Returns how long after its submission a job is given up whatever it does.
 fn longest_work(request: &JobRequest) -> Duration {
-    match request.patience {
-        Some(patience) => patience.mul_f64(ANSWERED_SHARE),
+    match request.caller_timeout {
+        Some(timeout) => timeout.mul_f64(ANSWERED_SHARE),
         None => find_grace(request),
     }
 }
 
 /// Returns how long after its submission the grace of a job ends.
 fn find_grace(request: &JobRequest) -> Duration {
-    let slow_work = request.estimate_work().mul_f64(ESTIMATE_MARGIN);
-    let longest = request.objective.span(slow_work).mul_f64(GRACE_FACTOR);
-    match request.patience {
-        Some(patience) => longest.min(patience.mul_f64(ANSWERED_SHARE)),
+    let slow_work = request.critical_path().mul_f64(ESTIMATE_MARGIN);
+    let longest = request
+        .objective
+        .target_latency(slow_work)
+        .mul_f64(GRACE_FACTOR);
+    match request.caller_timeout {
+        Some(timeout) => longest.min(timeout.mul_f64(ANSWERED_SHARE)),
         None => longest,
     }
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/events.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/events.rs
@@ -70,7 +70,7 @@
         estimate: Duration,
     },
     /// A run at a slow target is withdrawn, since it ends sooner if it restarts elsewhere.
-    RunMoved {
+    StragglerWithdrawn {
         /// The task.
         task: TaskId,
         /// The run.
--- a/crates/leased/cloverfold_lease/src/dispatcher/judging.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/judging.rs
@@ -163,7 +163,7 @@
     /// Withdraws a straggler if a target that is not slow could run its task now.
     fn move_straggler(&mut self, task: TaskPosition, now: Timestamp) {
         if self.has_faster_target(task, now) {
-            self.counts.stragglers += 1;
+            self.counts.withdrawn_stragglers += 1;
             self.report_moved(task, now);
             self.record_late_run(task);
             self.withdraw_task(task);
@@ -174,7 +174,7 @@
     fn withdraw_overdue(&mut self, task: TaskPosition, session: SessionId, now: Timestamp) {
         self.counts.overdue += 1;
         self.report_overdue(task, session, now);
-        self.record_trouble(session, now);
+        self.record_failure(session, now);
         self.record_late_run(task);
         self.withdraw_task(task);
     }
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
@@ -32,17 +32,17 @@
 impl Dispatcher {
     /// Returns why a kept job is refused before it is submitted, if there is a reason.
     pub fn find_kept_refusal(&self, request: &JobRequest, now: Timestamp) -> Option<JobRefusal> {
-        if self.is_leaving {
+        if self.is_draining {
             return Some(JobRefusal::Leaving);
         }
         if !self.could_run(request, now) {
             return Some(JobRefusal::NoTarget);
         }
-        let latest = request.estimate_objective().mul_f64(LATEST_FACTOR);
+        let latest = request.target_latency().mul_f64(LATEST_FACTOR);
         let ratio = self
             .duration_ratio
             .expected_duration(Duration::from_secs(1));
-        let own = request.estimate_work().mul_f64(ratio.as_secs_f64());
+        let own = request.critical_path().mul_f64(ratio.as_secs_f64());
         let expected = self.estimate_wait(request, now).saturating_add(own);
         (expected > latest).then_some(JobRefusal::NoCapacity)
     }
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
@@ -82,7 +82,7 @@
     fn record(&mut self, request: &JobRequest, step: &StepRequest) {
         self.tried += 1;
         // A job that may not have two tasks at one target may be held up by its own tasks alone.
-        if step.most_per_target.is_none() {
+        if step.max_per_target.is_none() {
             self.shapes.push(BlockedShape {
                 service: request.service.clone(),
                 priority: request.priority,
@@ -182,7 +182,7 @@
     }
 
     /// Records that the runner's build can read assignments of kept jobs.
-    pub fn set_knows_kept_jobs(&mut self, session: SessionId) {
+    pub fn set_supports_kept_jobs(&mut self, session: SessionId) {
         if let Some(runner) = self.sessions.get_mut(&session) {
             runner.knows_kept_jobs = true;
         }
--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -53,7 +53,7 @@
 use crate::timings::Timings;
 pub use actions::DispatcherAction;
 pub use answers::{JobAnswer, JobRefusal, RETRY_AFTER};
-pub use counts::{DispatcherCounts, GivenBackCounts};
+pub use counts::{DispatcherCounts, RefusedRunCounts};
 pub use events::{DispatcherEvent, TargetCounts};
 pub use job::JobNumber;
 pub use kept_jobs::KeptJob;
@@ -95,7 +95,7 @@
     shares: QueueShares,
     standing_queues: StandingQueues,
     returned_callers: ReturnedCallers,
-    is_leaving: bool,
+    is_draining: bool,
     evacuated_halls: BTreeSet<DataHall>,
     counts: DispatcherCounts,
     actions: Vec<DispatcherAction>,
@@ -122,8 +122,8 @@
             duration_ratio: DurationRatio::default(),
             shares: QueueShares::default(),
             standing_queues: StandingQueues::default(),
-            returned_callers: ReturnedCallers::new(timings.resend),
-            is_leaving: false,
+            returned_callers: ReturnedCallers::new(timings.resend_interval),
+            is_draining: false,
             evacuated_halls: BTreeSet::new(),
             counts: DispatcherCounts::default(),
             actions: Vec::new(),
@@ -132,7 +132,7 @@
 
     /// Sets the number that the first run of a new task gets: above any that an earlier submission of the same job,
     /// here or elsewhere, can have used. It never falls.
-    pub fn set_first_run(&mut self, first_run: u64) {
+    pub fn raise_first_run(&mut self, first_run: u64) {
         self.first_run = self.first_run.max(first_run);
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Returns how many jobs are open.
-    pub fn open_jobs(&self) -> usize {
+    pub fn count_open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
@@ -171,14 +171,14 @@
     }
 
     /// Counts the targets that accept work.
-    pub fn ready_targets(&self, now: Timestamp) -> usize {
+    pub fn count_ready_targets(&self, now: Timestamp) -> usize {
         let runners = self.sessions.values();
         runners.filter(|runner| runner.accepts_work(now)).count()
     }
 
     /// Refuses each further job; those that are open go on.
-    pub fn leave(&mut self) {
-        self.is_leaving = true;
+    pub fn start_draining(&mut self) {
+        self.is_draining = true;
     }
 
     /// Submits a job and returns its number; a job of the same name that is open is given up first, since its caller has turned
@@ -228,7 +228,7 @@
         true
     }
 
-    /// Does what has fallen due; call it every few tens of milliseconds. A gap above [`JOB_STALL`](crate::JOB_STALL) ends all open
+    /// Does what has fallen due; call it every few tens of milliseconds. A gap above [`JOB_STALL_LIMIT`](crate::JOB_STALL_LIMIT) ends all open
     /// jobs that need not be kept.
     pub fn tick(&mut self, now: Timestamp) {
         self.give_up_after_stall(now);
--- a/crates/leased/cloverfold_lease/src/dispatcher/own_stall.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/own_stall.rs
@@ -24,11 +24,11 @@
 impl Dispatcher {
     /// Allows for a stall of this process of this length; call it before anything else after the stall.
     pub fn allow_for_stall(&mut self, stall: Duration, now: Timestamp) {
-        let session_span = self.timings.session;
+        let session_span = self.timings.session_timeout;
         for runner in self.sessions.values_mut() {
             runner.allow_for_stall(stall, session_span, now);
         }
-        self.catch_up.begin(self.timings.heartbeat, now);
+        self.catch_up.begin(self.timings.heartbeat_interval, now);
     }
 
     /// Assigns waiting tasks, unless messages are still unread that may change where they fit; the next tick does it then.
--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -115,7 +115,7 @@
             let position = TaskPosition { job: number, index };
             let Some(session) = self.choose_target(position, now) else {
                 let has_begun = self.jobs.get(&number).is_some_and(Job::may_have_run);
-                self.counts.begun_in_part += u64::from(has_begun && !had_begun);
+                self.counts.partially_started += u64::from(has_begun && !had_begun);
                 return false;
             };
             self.assign(position, session, now);
@@ -206,7 +206,7 @@
         let free = runner.free();
         let has_space = free.covers(needed);
         let allows_one_more = |most: u32| job.count_assigned(task.step, session) < most;
-        if !has_space || !step.most_per_target.is_none_or(allows_one_more) {
+        if !has_space || !step.max_per_target.is_none_or(allows_one_more) {
             return None;
         }
         if job.is_kept() && !runner.knows_kept_jobs {
@@ -223,7 +223,7 @@
 
     /// Begins the next run of a task at a target.
     fn assign(&mut self, position: TaskPosition, session: SessionId, now: Timestamp) {
-        let session_span = self.timings.session;
+        let session_span = self.timings.session_timeout;
         let Some(job) = self.jobs.get_mut(&position.job) else {
             return;
         };
--- a/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
@@ -33,7 +33,7 @@
             cause,
             waited,
             targets: TargetCounts {
-                ready: self.ready_targets(now),
+                ready: self.count_ready_targets(now),
                 connected: self.sessions.len(),
             },
             waiting: self.waiting.len(),
@@ -93,7 +93,7 @@
         let Some(runner) = self.sessions.get(&session) else {
             return;
         };
-        self.report(DispatcherEvent::RunMoved {
+        self.report(DispatcherEvent::StragglerWithdrawn {
             task: task.id.clone(),
             run,
             runner: runner.runner.clone(),
--- a/crates/leased/cloverfold_lease/src/dispatcher/returned_callers.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/returned_callers.rs
@@ -1,6 +1,6 @@
 //! Decision: which jobs come again after a lost answer, so that they are late already.
 //!
-//! After a loss of power every job whose answer was lost comes again [`Timings::resend`](crate::Timings::resend) later, together with
+//! After a loss of power every job whose answer was lost comes again [`Timings::resend_interval`](crate::Timings::resend_interval) later, together with
 //! the new ones: for that long twice as much is asked for as usual, and what comes again may be past its objective. Served in order of
 //! arrival, such jobs make those late that could still be in time. So a job that is late when it comes is served after the others (`precedence`)
 //! and leaves headroom (`headroom`).
@@ -107,14 +107,14 @@
 impl Dispatcher {
     /// Returns whether a job that is submitted now is past its objective.
     pub(super) fn comes_late(&mut self, request: &JobRequest) -> bool {
-        let Some(wait) = request.patience else {
+        let Some(wait) = request.caller_timeout else {
             return false;
         };
-        let objective = request.estimate_objective();
+        let objective = request.target_latency();
         let is_late = self
             .returned_callers
             .record(&request.queue, wait, objective);
-        self.counts.came_late += u64::from(is_late);
+        self.counts.late_resubmissions += u64::from(is_late);
         is_late
     }
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
@@ -111,7 +111,7 @@
         }
         if failures == 1 {
             // A task that fails again elsewhere is probably at fault itself.
-            self.record_trouble(session, now);
+            self.record_failure(session, now);
         }
     }
 
@@ -138,7 +138,7 @@
         refusal: RunRefusal,
         now: Timestamp,
     ) {
-        self.counts.given_back.record(refusal);
+        self.counts.refused_runs.record(refusal);
         match refusal {
             RunRefusal::NoCapacity
             | RunRefusal::NoTarget
@@ -148,7 +148,7 @@
                     runner.record_full();
                 }
             }
-            RunRefusal::Unanswered | RunRefusal::Unhealthy => self.record_trouble(session, now),
+            RunRefusal::Unanswered | RunRefusal::Unhealthy => self.record_failure(session, now),
             RunRefusal::Rejected => {
                 if !self.jobs.get(&position.job).is_some_and(Job::is_kept) {
                     self.finish_job(position.job, JobAnswer::Failed);
--- a/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions with runners: how they begin, what their messages change, and how they end.
 //!
 //! A session ends when its link is gone or its runner has been silent for the length of a session. Its runs may go on until the
-//! bound [`Timings::runs_over_after`](crate::Timings::runs_over_after) has passed since the last echo; until then the session is kept as a [`LostSession`] and its
+//! bound [`Timings::run_end_bound`](crate::Timings::run_end_bound) has passed since the last echo; until then the session is kept as a [`LostSession`] and its
 //! tasks wait.
 //!
 //! Owns [`LostSession`]; the sessions themselves are in `runner_session`. Relies on the process to report closed links.
@@ -70,7 +70,7 @@
         });
         self.lost_sessions.push(LostSession {
             runner: closed.runner,
-            over_at: closed.last_echo_at.min(now) + self.timings.runs_over_after(),
+            over_at: closed.last_echo_at.min(now) + self.timings.run_end_bound(),
             tasks,
         });
     }
@@ -162,9 +162,9 @@
     }
 
     /// Counts a trouble against the target of a session; it may be paused by it.
-    pub(super) fn record_trouble(&mut self, session: SessionId, now: Timestamp) {
+    pub(super) fn record_failure(&mut self, session: SessionId, now: Timestamp) {
         if let Some(target) = self.sessions.get_mut(&session)
-            && target.health.record_trouble(now)
+            && target.health.record_failure(now)
         {
             let runner = target.runner.clone();
             self.counts.pauses += 1;
@@ -174,7 +174,7 @@
 
     /// Closes the sessions whose runner was silent for the length of a session: it may be frozen or cut off.
     pub(super) fn close_silent_sessions(&mut self, now: Timestamp) {
-        let limit = self.timings.session;
+        let limit = self.timings.session_timeout;
         let silent: Vec<SessionId> = self
             .sessions
             .iter()
--- a/crates/leased/cloverfold_lease/src/health.rs
+++ b/crates/leased/cloverfold_lease/src/health.rs
@@ -1,33 +1,34 @@
-//! What is learned of a target from the results of its runs.
+//! Health of a target, derived from the results of its runs.
 //!
-//! Each result moves the share of troubled results, a moving mean. From [`HealthLimits::troubled_share`] on the target gets no work for
-//! a pause, which doubles with each further one up to a limit. There are two judges, each with a [`TargetHealth`] of its own: a
-//! dispatcher by the ends of its own runs, and the runner beside the target, for all dispatchers, by runs that stand still.
+//! An exponentially weighted moving average tracks the failure rate. When it reaches [`HealthLimits::failure_threshold`], the target
+//! receives no work for a pause. Each further pause is twice as long as the one before, up to a limit. Two components keep a
+//! [`TargetHealth`] each: a dispatcher, for the results of its own runs, and the runner beside the target, for runs that make no progress,
+//! on behalf of all dispatchers.
 //!
-//! Owns [`TargetHealth`]. Relies on the judge to record only results that speak of the target.
+//! Callers record only results that are evidence about the target itself.
 
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
 
-/// Share of troubled results below which the next pause is the first again.
-const CLEARED_SHARE: f64 = 0.05;
+/// Failure rate below which the next pause is reset to the initial pause.
+const RESET_THRESHOLD: f64 = 0.05;
 
-/// Limits of the judgement on targets.
+/// Thresholds and pauses of a [`TargetHealth`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthLimits {
-    /// Weight of the newest result against all earlier ones, between 0 and 1.
+    /// Weight of the newest result in the moving average, between 0 and 1.
     pub weight: f64,
-    /// Share of troubled results from which a target gets no work for a while, between 0 and 1.
+    /// Failure rate from which a target is paused, between 0 and 1.
     pub troubled_share: f64,
-    /// First pause without work.
+    /// Duration of the first pause.
     pub first_pause: Duration,
-    /// Longest pause without work.
+    /// Maximum duration of a pause.
     pub longest_pause: Duration,
 }
 
 impl Default for HealthLimits {
-    /// Returns limits with which three troubles in a row pause a target, for 1 s at first and 8 s at the most.
+    /// Returns limits that pause a target after three consecutive failures, for 1 s at first and at most 8 s.
     fn default() -> Self {
         Self {
             weight: 0.25,
@@ -38,51 +39,50 @@
     }
 }
 
-/// The judgement on one target.
+/// The health of one target.
 #[derive(Clone, Debug)]
 pub struct TargetHealth {
     limits: HealthLimits,
-    /// Moving share of troubled results.
-    trouble: f64,
+    /// Moving average of the failure rate.
+    failure_rate: f64,
     paused_until: Timestamp,
-    /// How long the next pause lasts.
-    pause: Duration,
+    next_pause: Duration,
 }
 
 impl TargetHealth {
-    /// Returns the judgement on a target without any result.
+    /// Returns the health of a target without any results.
     pub fn new(limits: HealthLimits) -> Self {
         Self {
             limits,
-            trouble: 0.0,
+            failure_rate: 0.0,
             paused_until: Timestamp::ZERO,
-            pause: limits.first_pause,
+            next_pause: limits.first_pause,
         }
     }
 
-    /// Records a run that is done.
+    /// Records a completed run.
     pub fn record_success(&mut self) {
-        self.trouble *= 1.0 - self.limits.weight;
-        if self.trouble < CLEARED_SHARE {
-            self.pause = self.limits.first_pause;
+        self.failure_rate *= 1.0 - self.limits.weight;
+        if self.failure_rate < RESET_THRESHOLD {
+            self.next_pause = self.limits.first_pause;
         }
     }
 
-    /// Records a run that failed, was overdue, stood still or was never answered; returns whether the target is paused by it.
-    pub fn record_trouble(&mut self, now: Timestamp) -> bool {
+    /// Records a run that failed, was overdue, made no progress or was never answered. Returns whether this starts a pause.
+    pub fn record_failure(&mut self, now: Timestamp) -> bool {
         let weight = self.limits.weight;
-        self.trouble += weight * (1.0 - self.trouble);
-        if self.trouble < self.limits.troubled_share || now < self.paused_until {
+        self.failure_rate += weight * (1.0 - self.failure_rate);
+        if self.failure_rate < self.limits.troubled_share || now < self.paused_until {
             return false;
         }
-        self.paused_until = now + self.pause;
-        self.pause = (self.pause * 2).min(self.limits.longest_pause);
-        // One more trouble after the pause brings the next pause.
-        self.trouble = self.limits.troubled_share - weight / 2.0;
+        self.paused_until = now + self.next_pause;
+        self.next_pause = (self.next_pause * 2).min(self.limits.longest_pause);
+        // A single failure after the pause starts the next one.
+        self.failure_rate = self.limits.troubled_share - weight / 2.0;
         true
     }
 
-    /// Returns whether the target gets work.
+    /// Returns whether the target is not paused.
     pub fn accepts_work(&self, now: Timestamp) -> bool {
         now >= self.paused_until
     }
--- a/crates/leased/cloverfold_lease/src/lib.rs
+++ b/crates/leased/cloverfold_lease/src/lib.rs
@@ -22,11 +22,11 @@
 //!
 //! Neither side stores anything or votes; the guarantee rests on time alone:
 //!
-//! - A dispatcher's *session* with a runner is valid for [`Timings::session`] after the runner's own clock reading that the dispatcher
-//!   echoed last. A runner stops the runs of a session that is over.
-//! - A target kills all its runs when its lease of [`Timings::lease`] is not renewed.
+//! - A dispatcher's *session* with a runner is valid for [`Timings::session_timeout`] after the runner's own clock reading that the
+//!   dispatcher echoed last. A runner stops the runs of a session that is over.
+//! - A target kills all its runs when its lease of [`Timings::lease_duration`] is not renewed.
 //! - A dispatcher starts a task elsewhere only after the end of its run was reported, after the runner announced its target to a new
-//!   session (it does so only when no run of an earlier session is left), or [`Timings::runs_over_after`] after its last echo.
+//!   session (it does so only when no run of an earlier session is left), or [`Timings::run_end_bound`] after its last echo.
 //!
 //! The inequality behind this stands in `timings`.
 //!
@@ -52,15 +52,15 @@
 mod timings;
 
 pub use dispatcher::{
-    Dispatcher, DispatcherAction, DispatcherCounts, DispatcherEvent, GivenBackCounts, JobAnswer,
-    JobNumber, JobRefusal, KeptJob, RETRY_AFTER, TargetCounts,
+    Dispatcher, DispatcherAction, DispatcherCounts, DispatcherEvent, JobAnswer, JobNumber,
+    JobRefusal, KeptJob, RETRY_AFTER, RefusedRunCounts, TargetCounts,
 };
 pub use health::{HealthLimits, TargetHealth};
 pub use messages::{
     Assignment, DispatcherMessage, FreeCapacity, KeptAssignment, RunOutcome, RunRefusal,
     RunnerMessage, SessionId, TargetDescription, TaskId, UsualSpeed,
 };
-pub use request::{JobRequest, Objective, StepRequest};
+pub use request::{JobRequest, LatencyObjective, StepRequest};
 pub use resources::Resources;
 pub use runner::{
     BornMs, EndCause, EndedRun, IncarnationId, ListedRun, ProcessorUse, RegistrationCounts,
@@ -68,9 +68,9 @@
     RunnerCounts, StartAnswer, StartOrder, StartRefusal, StopOrder, TargetCallCounts,
     TargetRegistration, UnavailableReason,
 };
-pub use stall::{JOB_STALL, is_request_outdated};
-pub use startup::{STARTUP_SPAN, find_configuration_wait};
+pub use stall::{JOB_STALL_LIMIT, is_request_outdated};
+pub use startup::{STARTUP_PERIOD, configuration_timeout};
 pub use timings::{
-    CLOCK_DRIFT_PERMILLE, DEFAULT_LEASE, DEFAULT_LONGEST_LEASE, DEFAULT_RESEND, DEFAULT_SESSION,
-    DEFAULT_STOP, TargetTime, Timings,
+    CLOCK_DRIFT_PERMILLE, DEFAULT_LEASE_DURATION, DEFAULT_MAX_LEASE, DEFAULT_RESEND_INTERVAL,
+    DEFAULT_SESSION_TIMEOUT, DEFAULT_STOP_TIMEOUT, TargetTime, Timings,
 };
--- a/crates/leased/cloverfold_lease/src/request.rs
+++ b/crates/leased/cloverfold_lease/src/request.rs
@@ -1,89 +1,91 @@
-//! What a caller asks for: a repeatable job of steps, each of tasks that are all alike.
+//! Job requests: a job consists of steps, and a step of identical tasks.
 //!
-//! Owns no state. Relies on the process to have checked that dependencies point to earlier steps.
+//! The process that creates a request checks that dependencies point to earlier steps.
 
 use std::time::Duration;
 
 use crate::resources::Resources;
 
-/// Lowest factor on the duration of the work: no answer can be due before the work is done.
-const LOWEST_STRETCH: f64 = 1.0;
-/// Highest factor on the duration of the work, so that a wrong configuration keeps no job for hours.
-const HIGHEST_STRETCH: f64 = 100.0;
+/// Below this factor the target latency would end before the work does.
+const MIN_STRETCH: f64 = 1.0;
+/// Prevents a wrong configuration from keeping jobs open for hours.
+const MAX_STRETCH: f64 = 100.0;
 
-/// The tasks of one step of a job.
+/// One step of a job: a number of identical tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StepRequest {
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// What each uses.
+    /// Resources that each task uses.
     pub demand: Resources,
-    /// The caller's rough estimate of a task's duration; zero if it gave none.
+    /// The caller's estimate of a task's duration; zero if it provides none.
     pub estimate: Duration,
-    /// Earlier steps, by number, whose tasks must all have ended.
+    /// Indices of earlier steps whose tasks must all be done before this step starts.
     pub depends_on: Vec<usize>,
-    /// A label that the target must have.
+    /// Label that the target must have.
     pub required_label: Option<String>,
-    /// A label whose targets are preferred.
+    /// Label of preferred targets.
     pub preferred_label: Option<String>,
-    /// How many tasks of the step may be assigned to one target at once.
-    pub most_per_target: Option<u32>,
+    /// Maximum number of tasks of the step that are assigned to one target at the same time.
+    pub max_per_target: Option<u32>,
 }
 
-/// Until when an answer is worth most to its caller.
+/// Latency objective of a job, as a function of the duration of its work.
+///
+/// An answer within this latency has its full value for the caller; a later one is worth less.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Objective {
-    /// Factor on the duration of the work; taken as between 1 and 100.
+pub struct LatencyObjective {
+    /// Factor on the duration of the work, clamped to the range from 1 to 100.
     pub stretch: f64,
-    /// Time allowed on top.
+    /// Constant that is added to the stretched duration.
     pub allowance: Duration,
 }
 
-impl Objective {
-    /// Returns the time after its submission in which work of this duration should be answered.
-    pub fn span(&self, work: Duration) -> Duration {
-        let stretch = self.stretch.clamp(LOWEST_STRETCH, HIGHEST_STRETCH);
+impl LatencyObjective {
+    /// Returns the time from submission within which work of this duration should be answered.
+    pub fn target_latency(&self, work: Duration) -> Duration {
+        let stretch = self.stretch.clamp(MIN_STRETCH, MAX_STRETCH);
         work.mul_f64(stretch) + self.allowance
     }
 }
 
-/// A repeatable job: all of it may run again if its answer is lost.
+/// A repeatable job: the caller may submit it again, and all of its tasks may run again, if the answer is lost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRequest {
     /// The caller's name for the job.
     pub id: String,
-    /// The queue that it came through.
+    /// Name of the queue to which it was submitted.
     pub queue: String,
-    /// The service whose targets run it.
+    /// Service whose targets execute it.
     pub service: String,
-    /// The work description that targets execute; opaque here.
+    /// Work description for the target; opaque to this crate.
     pub spec: String,
-    /// The steps; their dependencies point to earlier ones.
+    /// Steps; each depends on earlier ones only.
     pub steps: Vec<StepRequest>,
-    /// 0 comes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Ends `failed` after which a task is not tried again.
+    /// Number of failed runs after which a task is not retried.
     pub max_attempts: u32,
-    /// Until when the answer is worth most.
-    pub objective: Objective,
-    /// How long the caller waits for the answer, if it names a limit.
-    pub patience: Option<Duration>,
+    /// Latency objective.
+    pub objective: LatencyObjective,
+    /// How long the caller waits for the answer, if it specifies a timeout.
+    pub caller_timeout: Option<Duration>,
 }
 
 impl JobRequest {
-    /// Returns the estimated duration of the longest chain of steps.
-    pub fn estimate_work(&self) -> Duration {
+    /// Returns the estimated duration of the critical path, the longest chain of dependent steps.
+    pub fn critical_path(&self) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let before = step.depends_on.iter().filter_map(|&index| ends.get(index));
-            let begin = before.max().copied().unwrap_or_default();
-            ends.push(begin + step.estimate);
+            let dependencies = step.depends_on.iter().filter_map(|&index| ends.get(index));
+            let start = dependencies.max().copied().unwrap_or_default();
+            ends.push(start + step.estimate);
         }
         ends.into_iter().max().unwrap_or_default()
     }
 
-    /// Returns the time after its submission in which the job should be answered, reckoned from the estimated work.
-    pub fn estimate_objective(&self) -> Duration {
-        self.objective.span(self.estimate_work())
+    /// Returns the time from submission within which the job should be answered.
+    pub fn target_latency(&self) -> Duration {
+        self.objective.target_latency(self.critical_path())
     }
 }
--- a/crates/leased/cloverfold_lease/src/resources.rs
+++ b/crates/leased/cloverfold_lease/src/resources.rs
@@ -1,10 +1,8 @@
-//! What tasks use and targets have.
-//!
-//! Owns no state and relies on nothing.
+//! Resources that tasks use and targets offer.
 
 use serde::{Deserialize, Serialize};
 
-/// Amounts of what tasks use; signed, since more may be assigned to a target than it has.
+/// Amounts of each resource. Signed, because a target may be overcommitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
     /// Thousandths of a processor core.
@@ -16,19 +14,19 @@
 }
 
 impl Resources {
-    /// Returns the processors, in cores.
+    /// Returns the processor time in cores.
     pub fn cores(&self) -> f64 {
         self.cpu_milli as f64 / 1_000.0
     }
 
-    /// Returns whether `demand` can be taken from these.
+    /// Returns whether `demand` fits into these resources.
     pub fn covers(&self, demand: &Self) -> bool {
         self.cpu_milli >= demand.cpu_milli
             && self.memory_mb >= demand.memory_mb
             && self.accelerators >= demand.accelerators
     }
 
-    /// Returns these without `taken`.
+    /// Returns these resources less `taken`.
     pub fn minus(&self, taken: &Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli - taken.cpu_milli,
--- a/crates/leased/cloverfold_lease/src/runner/evacuation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/evacuation.rs
@@ -9,7 +9,7 @@
 //! | a start that was sent and is not answered | is repeated with the same deadline, as always |
 //! | runs that are there, their leases and sessions | go on; nothing is cut |
 //!
-//! So the last start in the hall is carried out before its deadline, one lease ([`Timings::lease`](crate::Timings::lease)) after the
+//! So the last start in the hall is carried out before its deadline, one lease ([`Timings::lease_duration`](crate::Timings::lease_duration)) after the
 //! evacuation came into force here. Repeating it is no new start: the target carries out each run once.
 //!
 //! Inputs: whether the hall is evacuated, as the guard was told last. Owns no state besides the runner's.
--- a/crates/leased/cloverfold_lease/src/runner/lapses.rs
+++ b/crates/leased/cloverfold_lease/src/runner/lapses.rs
@@ -85,12 +85,12 @@
         let may_have_restarted =
             target.is_some_and(|target| target.registration.incarnation.born.is_some());
         let lease = if may_have_restarted {
-            self.timings.longest_lease
+            self.timings.max_lease
         } else {
-            self.timings.lease
+            self.timings.lease_duration
         };
         let first_heard_at = self.first_heard_at.unwrap_or(now);
-        now > first_heard_at + self.timings.over_after_lease(lease)
+        now > first_heard_at + self.timings.lease_end_bound(lease)
     }
 
     /// Ends all runs as lost, and holds no end any more: every lease of the target has lapsed.
--- a/crates/leased/cloverfold_lease/src/runner/own_stall.rs
+++ b/crates/leased/cloverfold_lease/src/runner/own_stall.rs
@@ -10,7 +10,7 @@
 //! by the clock alone, a target that is well gets no work, and runs are stopped that their dispatcher waits for.
 //!
 //! No run can overlap another for it. Its dispatcher begins a task again no earlier than
-//! [`Timings::runs_over_after`](crate::Timings::runs_over_after) after its last echo. That reckons with a runner that is frozen when its session
+//! [`Timings::run_end_bound`](crate::Timings::run_end_bound) after its last echo. That reckons with a runner that is frozen when its session
 //! ends, so that the lease which it extended last must lapse; a session in doubt extends none. A dispatcher that echoes a reading from
 //! after the stall still has the session.
 //!
@@ -31,7 +31,7 @@
         if let Some(target) = &mut self.target {
             target.answered_at += stall;
         }
-        self.catch_up.begin(self.timings.heartbeat, now);
+        self.catch_up.begin(self.timings.heartbeat_interval, now);
         let sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
         for session in sessions {
             self.send_heartbeat(session, now);
@@ -44,7 +44,7 @@
         if self.has_session_in_doubt(now) {
             return None;
         }
-        let lease = self.timings.lease;
+        let lease = self.timings.lease_duration;
         self.target.as_mut()?.extend_lease(now, lease)
     }
 
--- a/crates/leased/cloverfold_lease/src/runner/performance.rs
+++ b/crates/leased/cloverfold_lease/src/runner/performance.rs
@@ -140,7 +140,7 @@
     ///
     /// [`TargetHealth`] decides: three stuck runs without one that is done between them, after a pause one.
     pub(super) fn record_stuck(&mut self, now: Timestamp) -> bool {
-        let is_new = self.health.record_trouble(now);
+        let is_new = self.health.record_failure(now);
         self.is_paused |= is_new;
         is_new
     }
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -39,7 +39,7 @@
         let target = self.target.as_ref()?;
         let may_extend = target.has_only_own_runs && !target.is_lease_withheld && !is_in_doubt;
         let wait = if may_extend {
-            self.timings.renewal_wait
+            self.timings.renewal_poll_timeout
         } else {
             Duration::ZERO
         };
@@ -57,14 +57,14 @@
             fencing_token: target.fencing_token,
             last_acknowledged_end: target.acknowledged_end(),
             wait,
-            limit: wait + self.timings.answer_slack,
+            limit: wait + self.timings.answer_margin,
             sent_at: now,
         })
     }
 
     /// Plans the question whether a candidate is there: a renewal that extends no lease and is answered at once.
     fn plan_question(&mut self, now: Timestamp) -> Option<RenewalOrder> {
-        let limit = self.timings.answer_slack;
+        let limit = self.timings.answer_margin;
         let candidate = self.candidates.take_due(now)?;
         self.counts.calls.questions += 1;
         Some(RenewalOrder {
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -13,9 +13,9 @@
 use crate::runner::{Runner, RunnerAction};
 
 impl Runner {
-    /// Sends a heartbeat to every session whose last one is [`Timings::heartbeat`](crate::Timings::heartbeat) old.
+    /// Sends a heartbeat to every session whose last one is [`Timings::heartbeat_interval`](crate::Timings::heartbeat_interval) old.
     pub(super) fn send_heartbeats(&mut self, now: Timestamp) {
-        let interval = self.timings.heartbeat;
+        let interval = self.timings.heartbeat_interval;
         let due: Vec<SessionId> = self
             .sessions
             .iter()
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -4,7 +4,7 @@
 //! Relies on `stops` to end the runs of a session, on `reports` for the first messages to a new one.
 //!
 //! A dispatcher counts the runs of a session as over some time after its last echo; see [`Timings`](crate::Timings). That
-//! holds only because a session here ends [`Timings::session`](crate::Timings::session) after the runner's own clock reading that was echoed.
+//! holds only because a session here ends [`Timings::session_timeout`](crate::Timings::session_timeout) after the runner's own clock reading that was echoed.
 
 use cloverfold_base::Timestamp;
 
@@ -16,7 +16,7 @@
 impl Runner {
     /// Begins a session with a dispatcher's process.
     pub fn open_session(&mut self, session: SessionId, now: Timestamp) {
-        let valid_until = now + self.timings.session;
+        let valid_until = now + self.timings.session_timeout;
         self.sessions.insert(session, Session::new(valid_until));
         self.send_heartbeat(session, now);
         self.announce_target();
@@ -46,7 +46,7 @@
 
     /// Prolongs a session from the clock reading that its dispatcher echoed; a reading from the future counts as one from now.
     pub(super) fn receive_echo(&mut self, session: SessionId, clock: Timestamp, now: Timestamp) {
-        let span = self.timings.session;
+        let span = self.timings.session_timeout;
         if let Some(session) = self.sessions.get_mut(&session) {
             session.prolong(clock.min(now) + span);
         }
--- a/crates/leased/cloverfold_lease/src/runner/succession.rs
+++ b/crates/leased/cloverfold_lease/src/runner/succession.rs
@@ -7,7 +7,7 @@
 //! |---|---|
 //! | runs that wait | given back |
 //! | runs that were started | stopped; over once a list leaves them out that was asked for with a higher fencing token than theirs: from then on the new incarnation refuses the orders to the one before |
-//! | its lease | over [`Timings::longest_lease`](crate::Timings::longest_lease) and a stop after the new incarnation has answered with the higher token |
+//! | its lease | over [`Timings::max_lease`](crate::Timings::max_lease) and a stop after the new incarnation has answered with the higher token |
 //! | numbers of registrations and ends, clock, draining, silence, pauses, speeds, a hold for upkeep | forgotten |
 //!
 //! Inputs: the runs and the fencing token of the incarnation before. No constant.
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -170,12 +170,12 @@
         }
     }
 
-    /// Decides whether the target is unresponsive: it has answered no renewal for [`Timings::silence`](crate::Timings::silence) and the time
+    /// Decides whether the target is unresponsive: it has answered no renewal for [`Timings::unresponsive_timeout`](crate::Timings::unresponsive_timeout) and the time
     /// that a renewal may wait.
     ///
     /// An unresponsive target gets no new work. Its runs may go on until its lease has lapsed; then they are lost.
     pub(super) fn check_responsiveness(&mut self, now: Timestamp) {
-        let limit = self.timings.silence + self.timings.renewal_wait;
+        let limit = self.timings.unresponsive_timeout + self.timings.renewal_poll_timeout;
         let Some(target) = &mut self.target else {
             return;
         };
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -273,11 +273,11 @@
     /// Returns whether every lease that the target may have is certainly over, so that nothing runs there.
     ///
     /// The latest deadline that was sent lies `left` after the newest reading of the target's clock. That clock may be slow, so `left` lasts
-    /// up to [`Timings::longest_true_span`] of it here; then the target has [`Timings::stop`] to end its runs. A reading that is later than
+    /// up to [`Timings::max_real_duration`] of it here; then the target has [`Timings::stop_timeout`] to end its runs. A reading that is later than
     /// that shows it at once. Without a reading no order had a deadline, so there is no lease. What orders to an earlier incarnation of the same
     /// name have extended is cut by the target to the longest lease that it grants.
     pub(super) fn has_lease_lapsed(&self, timings: &Timings, now: Timestamp) -> bool {
-        let longest = timings.over_after_lease(timings.longest_lease);
+        let longest = timings.lease_end_bound(timings.max_lease);
         let before = self.orders_before;
         if before.is_some_and(|before| now <= before.refused_at + longest) {
             return false;
@@ -285,11 +285,11 @@
         let Some(reading) = self.clock else {
             return true;
         };
-        if reading.clock > self.latest_deadline + timings.stop.as_millis() as u64 {
+        if reading.clock > self.latest_deadline + timings.stop_timeout.as_millis() as u64 {
             return true;
         }
         let left = self.latest_deadline.saturating_sub(reading.clock);
-        now > reading.received_at + timings.over_after_lease(Duration::from_millis(left))
+        now > reading.received_at + timings.lease_end_bound(Duration::from_millis(left))
     }
 
     /// Takes the target's clock to have stood still for so long since it was read last.
--- a/crates/leased/cloverfold_lease/src/stall.rs
+++ b/crates/leased/cloverfold_lease/src/stall.rs
@@ -1,49 +1,51 @@
-//! How long a process may be stalled (frozen or starved of processor time) before its state counts as out of date.
+//! How long a process may stall (be frozen or starved of processor time) before its state counts as outdated.
 //!
-//! Relies on all measures being taken between two calls of the same process, by its own steady clock.
+//! A stall is the gap between two calls of the same process, measured with its own monotonic clock. There are two limits because the
+//! reactions differ in cost:
 //!
-//! There are two limits since the reactions cost differently:
+//! - [`PROCESS_STALL`](cloverfold_base::PROCESS_STALL), 100 ms: messages of peers may still be unread. Their silence during the stall
+//!   does not count, and nothing is concluded from it during a [`CatchUp`]. If this was unnecessary, a real failure is detected later.
+//! - [`JOB_STALL_LIMIT`], 700 ms: callers of open jobs, and of requests that arrived during the stall, may have resubmitted them elsewhere.
+//!   The dispatcher gives up all jobs (`Dispatcher::give_up_after_stall`), and the entry refuses requests ([`is_request_outdated`]). If
+//!   this was unnecessary, the work already done for them is lost, or they need another attempt.
 //!
-//! | limit | what is distrusted | reaction | cost if it was needless |
-//! |---|---|---|---|
-//! | [`PROCESS_STALL`](cloverfold_base::PROCESS_STALL), 100 ms | the silence of others: what they sent meanwhile may be unread | their silence during the stall does not count, and nothing is concluded from it in a [`CatchUp`] | what has really failed is noticed later |
-//! | [`JOB_STALL`], 700 ms | open jobs and requests that arrived during the stall: their callers may have left and sent them elsewhere | the dispatcher gives up all jobs (`Dispatcher::give_up_after_stall`), and the entry refuses requests ([`is_request_outdated`]) | the work that was done for them, or one more attempt |
-//!
-//! The second must stay well below the time after which a caller sends again ([`DEFAULT_RESEND`](crate::DEFAULT_RESEND), 1,300 ms).
+//! [`JOB_STALL_LIMIT`] must stay well below the resend interval of callers
+//! ([`DEFAULT_RESEND_INTERVAL`](crate::DEFAULT_RESEND_INTERVAL), 1,300 ms).
 
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
 
-/// A gap between two calls of a dispatcher from which it gives up all open jobs.
+/// Longest gap between two calls of a dispatcher that its open jobs survive.
 ///
-/// A caller may have left unnoticed and asked elsewhere; what is started for it then could run twice at once.
-pub const JOB_STALL: Duration = Duration::from_millis(700);
+/// After a longer gap, a caller may have disconnected unnoticed and resubmitted its job elsewhere. A task that is started for it now could
+/// run twice at the same time.
+pub const JOB_STALL_LIMIT: Duration = Duration::from_millis(700);
 
-/// Returns whether a request that is read now may have been waiting for so long that its caller has asked elsewhere: the process has not
-/// ticked for longer than open jobs are kept through.
+/// Returns whether a request that is read now may be so old that its caller has resubmitted it elsewhere: the process has not ticked for
+/// longer than [`JOB_STALL_LIMIT`].
 pub fn is_request_outdated(last_tick_at: Timestamp, now: Timestamp) -> bool {
-    now > last_tick_at + JOB_STALL
+    now > last_tick_at + JOB_STALL_LIMIT
 }
 
-/// The time after a stall in which a process reads what others have sent meanwhile, and concludes nothing from what it has not read.
+/// The period after a stall in which a process reads the messages that arrived meanwhile and draws no conclusions from missing ones.
 ///
-/// It lasts for one heartbeat, in which everyone who is alive is heard from. The next one begins no earlier than a heartbeat after its end,
-/// so that a process that is stalled again and again still reaches its conclusions.
+/// It lasts for one heartbeat interval, in which every live peer is heard from. The next period begins at least one heartbeat interval
+/// after this one ends, so that a process that stalls repeatedly still detects failures.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CatchUp {
     until: Timestamp,
 }
 
 impl CatchUp {
-    /// Begins after a stall, unless the one before has only just ended.
+    /// Begins a period after a stall, unless the previous one ended less than a heartbeat interval ago.
     pub(crate) fn begin(&mut self, heartbeat: Duration, now: Timestamp) {
         if now >= self.until + heartbeat {
             self.until = now + heartbeat;
         }
     }
 
-    /// Returns whether it lasts.
+    /// Returns whether the period has not ended.
     pub(crate) fn is_active(self, now: Timestamp) -> bool {
         now < self.until
     }
--- a/crates/leased/cloverfold_lease/src/startup.rs
+++ b/crates/leased/cloverfold_lease/src/startup.rs
@@ -1,31 +1,30 @@
-//! Decision: for how long an entry that has just started waits for what it needs to serve.
+//! How long a newly started entry holds requests while it connects to the rest of the installation.
 //!
-//! Processes of an installation that had lost its power start at the same moment. An entry is asked by callers from its first
-//! millisecond on, and gets its configuration some 20 ms and its guards some 40 ms later. What comes in between is served if it waits.
+//! After a power loss all processes of an installation start at the same time. Callers reach an entry from its first millisecond, but it
+//! receives its configuration about 20 ms and its first guards about 40 ms later. Holding early requests avoids refusing them.
 //!
-//! Rule: a request that comes within [`STARTUP_SPAN`] of the start waits for the first configuration for [`CONFIGURATION_WAIT`] at most, and its job
-//! for the first target for as long as jobs wait for a place (`deadlines`). Later such a request is refused at once: it
-//! could only wait in vain.
+//! A request that arrives within [`STARTUP_PERIOD`] waits up to [`CONFIGURATION_TIMEOUT`] for the first configuration. Its job then
+//! waits for the first target as long as any job may wait to be placed (`deadlines`). Later requests are refused at once, since a missing
+//! configuration or target is then not a matter of startup.
 //!
-//! Owns no state. Relies on a clock that begins with the process.
+//! The clock starts with the process.
 
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
 
-/// An entry counts as just started for so long. Above the time that guards take to connect after a start of all processes, well
-/// below the seconds for which control processes or targets may be away.
-pub const STARTUP_SPAN: Duration = Duration::from_millis(500);
-/// How long a request waits for the first configuration. Three times what that took after a loss of all power (20 ms in a play on one
-/// site).
-const CONFIGURATION_WAIT: Duration = Duration::from_millis(60);
+/// How long an entry counts as newly started. Longer than guards take to connect when all processes start at once, and much shorter than
+/// an outage of control processes or targets.
+pub const STARTUP_PERIOD: Duration = Duration::from_millis(500);
+/// How long a request waits for the first configuration. The first configuration typically arrives after about 20 ms.
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Returns whether a process has just started.
+/// Returns whether the process is within its startup period.
 pub(crate) fn is_starting(now: Timestamp) -> bool {
-    now < Timestamp::ZERO + STARTUP_SPAN
+    now < Timestamp::ZERO + STARTUP_PERIOD
 }
 
-/// Returns how long a request that comes now waits for the first configuration; `None` if it is refused at once.
-pub fn find_configuration_wait(now: Timestamp) -> Option<Duration> {
-    is_starting(now).then_some(CONFIGURATION_WAIT)
+/// Returns how long a request that arrives now waits for the first configuration, or `None` if it is refused at once.
+pub fn configuration_timeout(now: Timestamp) -> Option<Duration> {
+    is_starting(now).then_some(CONFIGURATION_TIMEOUT)
 }
--- a/crates/leased/cloverfold_lease/src/timings.rs
+++ b/crates/leased/cloverfold_lease/src/timings.rs
@@ -1,149 +1,145 @@
-//! The bounds in time that leased runs rest on.
+//! Timeouts that the safety of leased runs depends on.
 //!
-//! Owns no state: [`Timings`] is a copy of the settings. Relies on targets that keep their leases, and on their clocks,
-//! which may be slower than a true one by [`CLOCK_DRIFT_PERMILLE`] at the most.
+//! [`Timings`] is a copy of the settings. It assumes that targets honor their leases and that a target's clock is slower than real time by
+//! at most [`CLOCK_DRIFT_PERMILLE`].
 //!
-//! # Why no two runs of a task overlap
+//! # Why two runs of a task never overlap
 //!
-//! A caller that lost its connection sends its job again after the resend interval, perhaps to another entry. By then each run
-//! that the first entry started must be over, also if that entry and the guard of the run are frozen. One inequality guarantees it:
+//! A caller that loses its connection resubmits its job after the resend interval, possibly to another entry. By then every run that the
+//! first entry started must have ended, even if that entry and the guard that executes the run are frozen. This inequality ensures it:
 //!
 //! ```text
 //! session + lease on a slow clock + stop < resend
 //!  500 ms +  650 ms / 0.98        + 50 ms = 1,214 ms < 1,300 ms
 //! ```
 //!
-//! The left side is [`Timings::runs_over_after`], the whole [`Timings::are_runs_over_before`]; the settings are refused unless it
-//! holds. The simulated world in `tests/overlap.rs` shows both that it suffices and that a longer session breaks it.
+//! [`Timings::run_end_bound`] computes the left side and [`Timings::is_resend_safe`] checks the inequality. Settings that violate it are
+//! rejected. The simulation in `tests/overlap.rs` checks that the inequality is sufficient and that a longer session causes overlaps.
 
 use std::time::Duration;
 
-/// Time on a target's own steady clock, in milliseconds.
+/// Time on a target's monotonic clock, in milliseconds.
 pub type TargetTime = u64;
 
-/// How long a session is valid unless the settings say otherwise. Chosen within the inequality above (design note 6), not
-/// measured.
-pub const DEFAULT_SESSION: Duration = Duration::from_millis(500);
-/// How long a lease lasts unless the settings say otherwise. Chosen within the inequality above, not measured; a shorter one
-/// was ruled out, since it leaves less time for a guard that is delayed (commit 17223cb).
-pub const DEFAULT_LEASE: Duration = Duration::from_millis(650);
-/// How long a target may take to end a stopped run unless the settings say otherwise. Kept by targets (design note 6), not
-/// measured.
-pub const DEFAULT_STOP: Duration = Duration::from_millis(50);
-/// After this a caller sends again what got no answer, unless the settings say otherwise. Given by the callers (design note 6).
-pub const DEFAULT_RESEND: Duration = Duration::from_millis(1_300);
-/// The longest lease that a target grants, whatever an order says, unless the settings say otherwise. Given by the platform.
-pub const DEFAULT_LONGEST_LEASE: Duration = Duration::from_millis(1_000);
-/// How much slower than a true clock a target's may be, in thousandths. Given by the platform (design note 6).
+/// Default of [`Timings::session_timeout`].
+pub const DEFAULT_SESSION_TIMEOUT: Duration = Duration::from_millis(500);
+/// Default of [`Timings::lease_duration`]. A shorter lease leaves less time for a delayed guard.
+pub const DEFAULT_LEASE_DURATION: Duration = Duration::from_millis(650);
+/// Default of [`Timings::stop_timeout`].
+pub const DEFAULT_STOP_TIMEOUT: Duration = Duration::from_millis(50);
+/// Default of [`Timings::resend_interval`].
+pub const DEFAULT_RESEND_INTERVAL: Duration = Duration::from_millis(1_300);
+/// Default of [`Timings::max_lease`].
+pub const DEFAULT_MAX_LEASE: Duration = Duration::from_millis(1_000);
+/// How much slower than real time a target's clock may run, in thousandths.
 pub const CLOCK_DRIFT_PERMILLE: u32 = 20;
 
-/// [`Timings::heartbeat`]: four fit in a session.
-const HEARTBEAT: Duration = Duration::from_millis(120);
-/// [`Timings::renewal_wait`].
-const RENEWAL_WAIT: Duration = Duration::from_millis(25);
-/// [`Timings::answer_slack`].
-const ANSWER_SLACK: Duration = Duration::from_millis(15);
-/// [`Timings::order_timeout`].
+/// Four heartbeats fit in a session.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(120);
+const RENEWAL_POLL_TIMEOUT: Duration = Duration::from_millis(25);
+const ANSWER_MARGIN: Duration = Duration::from_millis(15);
 const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
-/// [`Timings::start_timeout`].
 const START_TIMEOUT: Duration = Duration::from_millis(20);
-/// [`Timings::silence`].
-const SILENCE: Duration = Duration::from_millis(200);
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Bounds that runners and dispatchers of an installation share.
+/// Timeouts that the runners and dispatchers of an installation share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timings {
-    /// How long a session is valid after the runner's clock reading that was last echoed.
-    pub session: Duration,
-    /// How long a target may run on after the runner last renewed its lease, on the target's clock.
-    pub lease: Duration,
-    /// The longest lease that a target grants, on its clock: an order that says more is cut to this.
-    pub longest_lease: Duration,
-    /// How long a target may take to end a stopped run.
-    pub stop: Duration,
-    /// How much slower a target's clock may be, in thousandths.
+    /// How long a session remains valid after the runner's clock reading that the dispatcher echoed last.
+    pub session_timeout: Duration,
+    /// How long a target may keep running after its lease was last renewed, on the target's clock.
+    pub lease_duration: Duration,
+    /// Longest lease that a target grants, on the target's clock. Targets cap longer requests to this duration.
+    pub max_lease: Duration,
+    /// Time within which a target ends a run after it was told to stop it.
+    pub stop_timeout: Duration,
+    /// How much slower than real time a target's clock may run, in thousandths.
     pub clock_drift_permille: u32,
-    /// Interval of the heartbeats between runners and dispatchers.
-    pub heartbeat: Duration,
-    /// How long a renewal waits at the target for the end of a run.
-    pub renewal_wait: Duration,
-    /// How long the answer to an order may take beyond the time that it may wait.
-    pub answer_slack: Duration,
-    /// How long the answer to a start or a stop is waited for at all.
+    /// Interval between heartbeats of runners and dispatchers.
+    pub heartbeat_interval: Duration,
+    /// How long the target holds a lease renewal open while it waits for a run to end.
+    pub renewal_poll_timeout: Duration,
+    /// Time for the answer to an order to arrive, in addition to the time for which the target may hold the order.
+    pub answer_margin: Duration,
+    /// Maximum time to wait for the answer to a start or stop order.
     pub order_timeout: Duration,
-    /// How long the answer to a start may take before the start is sent again.
+    /// How long the answer to a start order may take before the order is sent again.
     pub start_timeout: Duration,
-    /// How long a target may answer nothing, beyond the wait of a renewal, before it gets no new work.
-    pub silence: Duration,
-    /// After this a caller sends again what got no answer.
-    pub resend: Duration,
+    /// How long a target may leave orders unanswered, in addition to the poll time of a renewal, before it receives no new work.
+    pub unresponsive_timeout: Duration,
+    /// Interval after which a caller resubmits a job that was not answered.
+    pub resend_interval: Duration,
 }
 
 impl Default for Timings {
     fn default() -> Self {
         Self {
-            session: DEFAULT_SESSION,
-            lease: DEFAULT_LEASE,
-            longest_lease: DEFAULT_LONGEST_LEASE,
-            stop: DEFAULT_STOP,
+            session_timeout: DEFAULT_SESSION_TIMEOUT,
+            lease_duration: DEFAULT_LEASE_DURATION,
+            max_lease: DEFAULT_MAX_LEASE,
+            stop_timeout: DEFAULT_STOP_TIMEOUT,
             clock_drift_permille: CLOCK_DRIFT_PERMILLE,
-            heartbeat: HEARTBEAT,
-            renewal_wait: RENEWAL_WAIT,
-            answer_slack: ANSWER_SLACK,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            renewal_poll_timeout: RENEWAL_POLL_TIMEOUT,
+            answer_margin: ANSWER_MARGIN,
             order_timeout: ORDER_TIMEOUT,
             start_timeout: START_TIMEOUT,
-            silence: SILENCE,
-            resend: DEFAULT_RESEND,
+            unresponsive_timeout: UNRESPONSIVE_TIMEOUT,
+            resend_interval: DEFAULT_RESEND_INTERVAL,
         }
     }
 }
 
 impl Timings {
-    /// Returns the timings of an installation that sets the bounds of its leases itself.
-    pub fn with_bounds(session: Duration, lease: Duration, stop: Duration) -> Self {
+    /// Returns the default timings with these bounds on sessions, leases and stops.
+    pub fn with_bounds(
+        session_timeout: Duration,
+        lease_duration: Duration,
+        stop_timeout: Duration,
+    ) -> Self {
         Self {
-            session,
-            lease,
-            stop,
+            session_timeout,
+            lease_duration,
+            stop_timeout,
             ..Self::default()
         }
     }
 
-    /// Returns the same timings for callers that send again what got no answer after `resend`.
+    /// Returns these timings with another resend interval.
     #[must_use]
-    pub fn with_resend(self, resend: Duration) -> Self {
-        Self { resend, ..self }
-    }
-
-    /// Returns the same timings for targets that grant no lease longer than this.
-    #[must_use]
-    pub fn with_longest_lease(self, longest_lease: Duration) -> Self {
+    pub fn with_resend_interval(self, resend_interval: Duration) -> Self {
         Self {
-            longest_lease,
+            resend_interval,
             ..self
         }
     }
 
-    /// Returns the longest time that `span` of a target's clock can last on a true clock.
-    pub fn longest_true_span(&self, span: Duration) -> Duration {
+    /// Returns these timings with another limit on the duration of leases.
+    #[must_use]
+    pub fn with_max_lease(self, max_lease: Duration) -> Self {
+        Self { max_lease, ..self }
+    }
+
+    /// Returns the maximum real time that can elapse while a target's clock advances by `duration`.
+    pub fn max_real_duration(&self, duration: Duration) -> Duration {
         let permille = 1_000_u32.saturating_sub(self.clock_drift_permille).max(1);
-        span * 1_000 / permille
+        duration * 1_000 / permille
     }
 
-    /// Returns how long after a lease of this length was given, on the target's clock, all that runs under it is over.
-    pub fn over_after_lease(&self, lease: Duration) -> Duration {
-        self.longest_true_span(lease) + self.stop
+    /// Returns the maximum time from the grant of a lease of this duration, on the target's clock, to the end of all runs under it.
+    pub fn lease_end_bound(&self, lease_duration: Duration) -> Duration {
+        self.max_real_duration(lease_duration) + self.stop_timeout
     }
 
-    /// Returns how long after its last echo a dispatcher must wait until all that the session started is over.
+    /// Returns how long after the last echo of a session a dispatcher must wait before all runs of the session have certainly ended.
     ///
-    /// The runner may be frozen just before the session ends; then the lease that it renewed last must lapse.
-    pub fn runs_over_after(&self) -> Duration {
-        self.session + self.over_after_lease(self.lease)
+    /// The runner may freeze just before the session expires, in which case the lease that it renewed last must expire too.
+    pub fn run_end_bound(&self) -> Duration {
+        self.session_timeout + self.lease_end_bound(self.lease_duration)
     }
 
-    /// Returns whether the safety inequality holds: all runs of a session are over before a caller sends its job again.
-    pub fn are_runs_over_before(&self, resend: Duration) -> bool {
-        self.runs_over_after() < resend
+    /// Returns whether all runs of a session end before a caller with this resend interval resubmits its job.
+    pub fn is_resend_safe(&self, resend_interval: Duration) -> bool {
+        self.run_end_bound() < resend_interval
     }
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
@@ -89,7 +89,7 @@
 fn a_job_is_given_up_before_its_caller_leaves() {
     let mut fixture = Fixture::new(1);
     let patient = JobRequest {
-        patience: Some(ms(200)),
+        caller_timeout: Some(ms(200)),
         ..one_task_job("a")
     };
     let number = fixture.submit(patient);
@@ -127,7 +127,7 @@
 #[test]
 fn while_leaving_a_job_is_refused_at_once() {
     let mut fixture = Fixture::new(1);
-    fixture.dispatcher.leave();
+    fixture.dispatcher.start_draining();
     fixture.submit(one_task_job("b"));
     assert!(matches!(
         fixture.answers()[..],
--- a/crates/leased/cloverfold_lease/tests/dispatcher/evacuation.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/evacuation.rs
@@ -37,7 +37,7 @@
     fixture.submit(job("wide", vec![step(12, vec![])]));
 
     assert_eq!(sessions(&mut fixture), [3, 4].into());
-    assert_eq!(fixture.dispatcher.ready_targets(fixture.now), 2);
+    assert_eq!(fixture.dispatcher.count_ready_targets(fixture.now), 2);
 }
 
 #[test]
--- a/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
@@ -5,8 +5,8 @@
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
     Assignment, Dispatcher, DispatcherAction, DispatcherMessage, FreeCapacity, HealthLimits,
-    JobAnswer, JobNumber, JobRequest, Objective, Resources, RunOutcome, RunnerMessage, SessionId,
-    StepRequest, TargetDescription, Timings,
+    JobAnswer, JobNumber, JobRequest, LatencyObjective, Resources, RunOutcome, RunnerMessage,
+    SessionId, StepRequest, TargetDescription, Timings,
 };
 
 /// What each target has.
@@ -46,7 +46,7 @@
         depends_on,
         required_label: None,
         preferred_label: None,
-        most_per_target: None,
+        max_per_target: None,
     }
 }
 
@@ -60,11 +60,11 @@
         steps,
         priority: 1,
         max_attempts: 2,
-        objective: Objective {
+        objective: LatencyObjective {
             stretch: 1.6,
             allowance: ms(60),
         },
-        patience: None,
+        caller_timeout: None,
     }
 }
 
--- a/crates/leased/cloverfold_lease/tests/dispatcher/grace.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/grace.rs
@@ -7,7 +7,7 @@
 /// The job's grace ends after three times its objective for twice its work: 1,140 ms. Its caller waits for longer.
 fn patient_job(id: &str) -> JobRequest {
     JobRequest {
-        patience: Some(ms(2_000)),
+        caller_timeout: Some(ms(2_000)),
         ..one_task_job(id)
     }
 }
@@ -73,7 +73,7 @@
 fn a_job_after_its_grace_waits_behind_all_others() {
     let mut fixture = Fixture::new(1);
     fixture.submit(JobRequest {
-        patience: Some(ms(2_000)),
+        caller_timeout: Some(ms(2_000)),
         ..job("old", vec![step(4, vec![])])
     });
     let runs = fixture.assigned();
--- a/crates/leased/cloverfold_lease/tests/dispatcher/judging.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/judging.rs
@@ -20,7 +20,7 @@
         fixture.dispatcher.take_actions();
     }
     assert_eq!(fixture.dispatcher.counts().pauses, 1);
-    assert_eq!(fixture.dispatcher.ready_targets(fixture.now), 0);
+    assert_eq!(fixture.dispatcher.count_ready_targets(fixture.now), 0);
 }
 
 #[test]
@@ -73,7 +73,7 @@
     let moved = |action: &DispatcherAction| {
         matches!(
             action,
-            DispatcherAction::Report(DispatcherEvent::RunMoved {
+            DispatcherAction::Report(DispatcherEvent::StragglerWithdrawn {
                 slowness_permille: 5_000,
                 ..
             })
@@ -82,7 +82,7 @@
     assert!(actions.iter().any(moved), "operators are told why");
     let withdrawn = |action: &DispatcherAction| matches!(action, DispatcherAction::Send(session, DispatcherMessage::Withdraw { .. }) if *session == slow);
     assert_eq!(actions.iter().filter(|action| withdrawn(action)).count(), 1);
-    assert_eq!(fixture.dispatcher.counts().stragglers, 1);
+    assert_eq!(fixture.dispatcher.counts().withdrawn_stragglers, 1);
 }
 
 #[test]
--- a/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
@@ -12,7 +12,7 @@
 fn fixture(targets: SessionId) -> Fixture {
     let mut fixture = Fixture::new(targets);
     for session in 1..=targets {
-        fixture.dispatcher.set_knows_kept_jobs(session);
+        fixture.dispatcher.set_supports_kept_jobs(session);
     }
     fixture
 }
@@ -64,7 +64,7 @@
 #[test]
 fn a_kept_job_goes_only_to_runners_that_record_its_ends() {
     let mut fixture = Fixture::new(2);
-    fixture.dispatcher.set_knows_kept_jobs(2);
+    fixture.dispatcher.set_supports_kept_jobs(2);
 
     drive(&mut fixture, kept(job("a", vec![step(3, vec![])]), 1));
 
@@ -258,7 +258,7 @@
 fn a_kept_job_that_waits_for_its_own_tasks_holds_up_nothing_else() {
     let mut fixture = fixture(1);
     let mut spread = job("spread", vec![step(3, vec![])]);
-    spread.steps[0].most_per_target = Some(1);
+    spread.steps[0].max_per_target = Some(1);
     drive(&mut fixture, kept(spread, 1));
     assert_eq!(assigned(&mut fixture).len(), 1);
 
@@ -321,7 +321,7 @@
         let refusal = fixture.dispatcher.find_kept_refusal(&request, fixture.now);
         assert_eq!(refusal, Some(JobRefusal::NoTarget), "{}", request.id);
     }
-    fixture.dispatcher.leave();
+    fixture.dispatcher.start_draining();
     let request = one_task_job("d");
     let refusal = fixture.dispatcher.find_kept_refusal(&request, fixture.now);
     assert_eq!(refusal, Some(JobRefusal::Leaving));
--- a/crates/leased/cloverfold_lease/tests/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/placement.rs
@@ -61,7 +61,7 @@
 fn a_step_is_spread_over_targets() {
     let mut fixture = Fixture::new(2);
     let spread = StepRequest {
-        most_per_target: Some(1),
+        max_per_target: Some(1),
         ..step(3, vec![])
     };
     fixture.submit(job("spread", vec![spread]));
@@ -92,7 +92,7 @@
     fixture.submit(job("wide", vec![step(6, vec![])]));
     fixture.pass(40, &[1]);
 
-    assert_eq!(fixture.dispatcher.counts().begun_in_part, 1);
+    assert_eq!(fixture.dispatcher.counts().partially_started, 1);
 }
 
 #[test]
@@ -102,5 +102,5 @@
     fixture.submit(job("whole", vec![step(4, vec![])]));
     fixture.submit(job("waiting", vec![step(4, vec![])]));
 
-    assert_eq!(fixture.dispatcher.counts().begun_in_part, 0);
+    assert_eq!(fixture.dispatcher.counts().partially_started, 0);
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
@@ -22,7 +22,7 @@
     };
     let objective = work_ms * 16 / 10 + 60;
     JobRequest {
-        patience: Some(ms(SPARE_MS + 3 * objective - age)),
+        caller_timeout: Some(ms(SPARE_MS + 3 * objective - age)),
         ..job(id, vec![estimated])
     }
 }
@@ -83,7 +83,7 @@
     fixture.submit(job_of_age("again", 200, RESEND_MS, &mut rng));
 
     assert_eq!(assigned_jobs(&mut fixture), ["again"]);
-    assert_eq!(fixture.dispatcher.counts().came_late, 1);
+    assert_eq!(fixture.dispatcher.counts().late_resubmissions, 1);
 }
 
 #[test]
@@ -174,7 +174,7 @@
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, u64::MAX);
     let silent = |id: &str| JobRequest {
-        patience: None::<Duration>,
+        caller_timeout: None::<Duration>,
         ..job(id, vec![step(1, vec![])])
     };
     fixture.submit(silent("first"));
--- a/crates/leased/cloverfold_lease/tests/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/run_ends.rs
@@ -137,11 +137,14 @@
 
     fixture.end(&second, RunOutcome::NotStarted(RunRefusal::Stale));
 
-    let given_back = fixture.dispatcher.counts().given_back;
-    let counted: Vec<_> = given_back.iter().filter(|(_, count)| *count > 0).collect();
+    let refused_runs = fixture.dispatcher.counts().refused_runs;
+    let counted: Vec<_> = refused_runs
+        .iter()
+        .filter(|(_, count)| *count > 0)
+        .collect();
     assert_eq!(
         counted,
         [(RunRefusal::NoCapacity, 1), (RunRefusal::Stale, 1)]
     );
-    assert_eq!(given_back.total(), 2);
+    assert_eq!(refused_runs.total(), 2);
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/sessions.rs
@@ -12,7 +12,7 @@
     let other = 3 - run.0;
     let echoed_at = fixture.now;
     fixture.dispatcher.close_session(run.0, fixture.now);
-    let limit = Timings::default().runs_over_after();
+    let limit = Timings::default().run_end_bound();
     let live = |fixture: &mut Fixture| {
         fixture.now += ms(20);
         fixture.heartbeat(other, CAPACITY, u64::MAX);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/startup.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/startup.rs
@@ -2,7 +2,7 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
-    Dispatcher, HealthLimits, JobAnswer, JobRefusal, STARTUP_SPAN, Timings, find_configuration_wait,
+    Dispatcher, HealthLimits, JobAnswer, JobRefusal, STARTUP_PERIOD, Timings, configuration_timeout,
 };
 
 use crate::fixture::{CAPACITY, Fixture, at, ms, one_task_job};
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_job_without_a_target_is_refused_at_once_when_the_start_is_over() {
-    let mut fixture = fixture_at(Timestamp::ZERO + STARTUP_SPAN);
+    let mut fixture = fixture_at(Timestamp::ZERO + STARTUP_PERIOD);
 
     let number = fixture.submit(one_task_job("later"));
 
@@ -57,8 +57,8 @@
 
 #[test]
 fn only_a_process_that_has_just_started_lets_requests_wait_for_its_configuration() {
-    let last = Timestamp::ZERO + STARTUP_SPAN - ms(1);
+    let last = Timestamp::ZERO + STARTUP_PERIOD - ms(1);
 
-    assert!(find_configuration_wait(last).is_some());
-    assert_eq!(find_configuration_wait(last + ms(1)), None);
+    assert!(configuration_timeout(last).is_some());
+    assert_eq!(configuration_timeout(last + ms(1)), None);
 }
--- a/crates/leased/cloverfold_lease/tests/timings.rs
+++ b/crates/leased/cloverfold_lease/tests/timings.rs
@@ -4,15 +4,16 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
-    DEFAULT_LEASE, DEFAULT_RESEND, DEFAULT_STOP, JOB_STALL, Timings, is_request_outdated,
+    DEFAULT_LEASE_DURATION, DEFAULT_RESEND_INTERVAL, DEFAULT_STOP_TIMEOUT, JOB_STALL_LIMIT,
+    Timings, is_request_outdated,
 };
 
 #[test]
 fn runs_are_over_before_a_caller_sends_again_by_default() {
     let timings = Timings::default();
 
-    assert_eq!(timings.runs_over_after().as_millis(), 1_213);
-    assert!(timings.are_runs_over_before(DEFAULT_RESEND));
+    assert_eq!(timings.run_end_bound().as_millis(), 1_213);
+    assert!(timings.is_resend_safe(DEFAULT_RESEND_INTERVAL));
 }
 
 #[test]
@@ -21,23 +22,26 @@
     let longest = Duration::from_millis(586);
     let longer = Duration::from_millis(587);
 
-    let longest = Timings::with_bounds(longest, DEFAULT_LEASE, DEFAULT_STOP);
-    let longer = Timings::with_bounds(longer, DEFAULT_LEASE, DEFAULT_STOP);
+    let longest = Timings::with_bounds(longest, DEFAULT_LEASE_DURATION, DEFAULT_STOP_TIMEOUT);
+    let longer = Timings::with_bounds(longer, DEFAULT_LEASE_DURATION, DEFAULT_STOP_TIMEOUT);
 
-    assert!(longest.are_runs_over_before(DEFAULT_RESEND));
-    assert!(!longer.are_runs_over_before(DEFAULT_RESEND));
+    assert!(longest.is_resend_safe(DEFAULT_RESEND_INTERVAL));
+    assert!(!longer.is_resend_safe(DEFAULT_RESEND_INTERVAL));
 }
 
 // Requests that had waited for 300 ms were refused although jobs as old went on.
 #[test]
 fn a_request_outlives_the_stalls_that_open_jobs_outlive() {
     let last_tick_at = Timestamp::from_start(Duration::from_secs(1));
-    let longest = last_tick_at + JOB_STALL;
+    let longest = last_tick_at + JOB_STALL_LIMIT;
 
     assert!(!is_request_outdated(last_tick_at, longest));
     assert!(is_request_outdated(
         last_tick_at,
         longest + Duration::from_millis(1)
     ));
-    assert!(JOB_STALL < DEFAULT_RESEND, "callers ask elsewhere later");
+    assert!(
+        JOB_STALL_LIMIT < DEFAULT_RESEND_INTERVAL,
+        "callers ask elsewhere later"
+    );
 }
--- a/crates/leased/cloverfold_lease/tests/world/clients.rs
+++ b/crates/leased/cloverfold_lease/tests/world/clients.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use cloverfold_lease::{JobAnswer, JobNumber, JobRequest, Objective, Resources, StepRequest};
+use cloverfold_lease::{
+    JobAnswer, JobNumber, JobRequest, LatencyObjective, Resources, StepRequest,
+};
 use rand::RngExt;
 
 use super::{CLIENT_PATIENCE_MS, DISPATCHERS, RESEND_MS, World};
@@ -57,7 +59,7 @@
             return;
         };
         for (client, request) in std::mem::take(&mut node.unread) {
-            dispatcher.set_first_run(now / 100 + 1);
+            dispatcher.raise_first_run(now / 100 + 1);
             let number = dispatcher.submit(request, node.clock.read(now));
             node.clients.insert(number, client);
         }
@@ -124,14 +126,14 @@
             depends_on: Vec::new(),
             required_label: None,
             preferred_label: None,
-            most_per_target: None,
+            max_per_target: None,
         }],
         priority: 0,
         max_attempts: 3,
-        objective: Objective {
+        objective: LatencyObjective {
             stretch: 1.6,
             allowance: Duration::from_millis(60),
         },
-        patience: Some(Duration::from_millis(CLIENT_PATIENCE_MS * 4)),
+        caller_timeout: Some(Duration::from_millis(CLIENT_PATIENCE_MS * 4)),
     }
 }
--- a/crates/leased/cloverfold_lease/tests/world/evacuations.rs
+++ b/crates/leased/cloverfold_lease/tests/world/evacuations.rs
@@ -108,7 +108,7 @@
 #[test]
 fn the_bound_has_room_for_what_it_is_made_of() {
     let timings = Timings::default();
-    let lease = timings.lease.as_millis() as u64 * 102 / 100;
-    let session = timings.session.as_millis() as u64;
+    let lease = timings.lease_duration.as_millis() as u64 * 102 / 100;
+    let session = timings.session_timeout.as_millis() as u64;
     assert!(LONGEST_NEWS_MS + session + lease < IN_FORCE_MS);
 }
--- a/crates/leased/cloverfold_lease/tests/world/links.rs
+++ b/crates/leased/cloverfold_lease/tests/world/links.rs
@@ -93,7 +93,7 @@
                 let name = format!("runner-{runner}");
                 let node = self.dispatchers[dispatcher].dispatcher.as_mut().unwrap();
                 node.open_session(id, &name, dispatcher_now);
-                node.set_knows_kept_jobs(id);
+                node.set_supports_kept_jobs(id);
             }
         }
     }
--- a/crates/leased/cloverfold_lease/tests/world/mod.rs
+++ b/crates/leased/cloverfold_lease/tests/world/mod.rs
@@ -111,7 +111,7 @@
 
     fn timings(&self) -> Timings {
         Timings {
-            session: Duration::from_millis(self.session_ms),
+            session_timeout: Duration::from_millis(self.session_ms),
             ..Timings::default()
         }
     }
--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -16,7 +16,7 @@
         DispatcherEvent::GivenUp { .. } => log_given_up(event, version),
         DispatcherEvent::RunEnded { .. } => log_run_ended(event),
         DispatcherEvent::RunOverdue { .. } => log_run_overdue(event),
-        DispatcherEvent::RunMoved { .. } => log_run_moved(event),
+        DispatcherEvent::StragglerWithdrawn { .. } => log_run_moved(event),
         DispatcherEvent::SessionLost { .. } => log_session_lost(event),
         DispatcherEvent::TargetPaused { runner } => {
             log::warn!(runner = runner.as_str(); "a target gets no work for a while");
@@ -91,7 +91,7 @@
 }
 
 fn log_run_moved(event: &DispatcherEvent) {
-    if let DispatcherEvent::RunMoved {
+    if let DispatcherEvent::StragglerWithdrawn {
         task,
         run,
         runner,
--- a/crates/leased/cloverfold_leased_entry/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_entry/src/metrics.rs
@@ -111,19 +111,19 @@
         let counts = state.counts();
         self.runs.set(&[
             ("assigned", counts.assigned),
-            ("given_back", counts.given_back.total()),
+            ("given_back", counts.refused_runs.total()),
             ("failed", counts.failed),
             ("lost", counts.lost),
             ("stuck", counts.stuck),
-            ("stragglers", counts.stragglers),
+            ("stragglers", counts.withdrawn_stragglers),
             ("overdue", counts.overdue),
             ("withdrawn", counts.withdrawn),
             ("stalled", counts.stalled),
             ("target_pauses", counts.pauses),
-            ("begun_in_part", counts.begun_in_part),
-            ("came_late", counts.came_late),
+            ("begun_in_part", counts.partially_started),
+            ("came_late", counts.late_resubmissions),
         ]);
-        let given_back = counts.given_back.iter();
+        let given_back = counts.refused_runs.iter();
         let given_back: Vec<_> = given_back
             .map(|(reason, count)| (reason.as_str(), count))
             .collect();
--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -66,7 +66,7 @@
         if hello.role == PeerRole::Guard {
             self.dispatcher.open_session(link, &hello.name, now);
             if hello.knows_kept_jobs() {
-                self.dispatcher.set_knows_kept_jobs(link);
+                self.dispatcher.set_supports_kept_jobs(link);
             }
             if let Some(hall) = hello.data_hall() {
                 self.dispatcher.set_data_hall(link, hall);
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -18,7 +18,7 @@
 use cloverfold_kept_jobs::{CallAnswer, CallToken, Driver, KeptTimings};
 use cloverfold_lease::{
     Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRefusal, JobRequest,
-    find_configuration_wait, is_request_outdated,
+    configuration_timeout, is_request_outdated,
 };
 use cloverfold_leased_process::{LeasedState, Stalls, Suspensions};
 use cloverfold_link::LinkEvent;
@@ -131,7 +131,7 @@
 
     /// Returns how long a request that comes now waits for the first configuration, and what tells of that; `None` if it does not wait.
     pub(crate) fn await_configuration(&self) -> Option<(Duration, watch::Receiver<bool>)> {
-        let wait = find_configuration_wait(self.clock.now())?;
+        let wait = configuration_timeout(self.clock.now())?;
         Some((wait, self.is_configured.subscribe()))
     }
 
@@ -174,12 +174,12 @@
     }
 
     pub(crate) fn ready_targets(&self) -> usize {
-        self.dispatcher.ready_targets(self.clock.now())
+        self.dispatcher.count_ready_targets(self.clock.now())
     }
 
     /// Returns how many jobs have no answer yet.
     pub(crate) fn open_jobs(&self) -> usize {
-        self.dispatcher.open_jobs()
+        self.dispatcher.count_open_jobs()
     }
 
     /// Returns whether a job of this name has no answer yet.
@@ -212,7 +212,7 @@
 
     /// Accepts no further job; open ones are still answered, and kept ones of which nothing runs are handed on.
     pub(crate) fn stop_accepting_jobs(&mut self) {
-        self.dispatcher.leave();
+        self.dispatcher.start_draining();
         self.hand_on_idle_jobs();
     }
 
@@ -232,7 +232,7 @@
         }
         self.check_driver_leases(now);
         let first_run = first_run_number(unix_now());
-        self.dispatcher.set_first_run(first_run);
+        self.dispatcher.raise_first_run(first_run);
         let number = self.dispatcher.submit(request, now);
         self.answers.insert(number, tx);
         self.advance();
--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -57,7 +57,7 @@
         if self.lock().drives(id) {
             return conflict_response();
         }
-        let objective = job.estimate_objective();
+        let objective = job.target_latency();
         let submitted_at = self.now();
         let answer = self.run_job(id, job).await;
         let took = self.now().saturating_duration_since(submitted_at);
@@ -76,8 +76,11 @@
     ) -> Result<ReadJob, UnrunnableJob> {
         match self.protocol.read_job(id, route, &request.body) {
             Ok(JobForm::Repeatable(job)) => {
-                let patience = self.protocol.read_patience(&request.headers);
-                Ok(ReadJob::Repeatable(JobRequest { patience, ..job }))
+                let caller_timeout = self.protocol.read_patience(&request.headers);
+                Ok(ReadJob::Repeatable(JobRequest {
+                    caller_timeout,
+                    ..job
+                }))
             }
             Ok(JobForm::Kept(job)) => Ok(ReadJob::Kept(job)),
             Ok(JobForm::Unsupported(what)) => Err(UnrunnableJob::Unsupported(what)),
--- a/crates/leased/cloverfold_leased_settings/src/lease.rs
+++ b/crates/leased/cloverfold_leased_settings/src/lease.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use cloverfold_lease::{
-    DEFAULT_LEASE, DEFAULT_LONGEST_LEASE, DEFAULT_RESEND, DEFAULT_SESSION, DEFAULT_STOP, Timings,
+    DEFAULT_LEASE_DURATION, DEFAULT_MAX_LEASE, DEFAULT_RESEND_INTERVAL, DEFAULT_SESSION_TIMEOUT,
+    DEFAULT_STOP_TIMEOUT, Timings,
 };
 use cloverfold_settings::FaultList;
 use serde::Deserialize;
@@ -32,11 +33,11 @@
 impl Default for LeaseSettings {
     fn default() -> Self {
         Self {
-            lease_ms: DEFAULT_LEASE.as_millis() as u64,
-            longest_lease_ms: DEFAULT_LONGEST_LEASE.as_millis() as u64,
-            session_ms: DEFAULT_SESSION.as_millis() as u64,
-            stop_ms: DEFAULT_STOP.as_millis() as u64,
-            resend_ms: DEFAULT_RESEND.as_millis() as u64,
+            lease_ms: DEFAULT_LEASE_DURATION.as_millis() as u64,
+            longest_lease_ms: DEFAULT_MAX_LEASE.as_millis() as u64,
+            session_ms: DEFAULT_SESSION_TIMEOUT.as_millis() as u64,
+            stop_ms: DEFAULT_STOP_TIMEOUT.as_millis() as u64,
+            resend_ms: DEFAULT_RESEND_INTERVAL.as_millis() as u64,
         }
     }
 }
@@ -49,14 +50,14 @@
             Duration::from_millis(self.lease_ms),
             Duration::from_millis(self.stop_ms),
         )
-        .with_longest_lease(Duration::from_millis(self.longest_lease_ms))
-        .with_resend(Duration::from_millis(self.resend_ms))
+        .with_max_lease(Duration::from_millis(self.longest_lease_ms))
+        .with_resend_interval(Duration::from_millis(self.resend_ms))
     }
 
     pub(crate) fn check(&self, faults: &mut FaultList) {
         let resend = Duration::from_millis(self.resend_ms);
         faults.add_if(
-            !self.timings().are_runs_over_before(resend),
+            !self.timings().is_resend_safe(resend),
             "lease.session_ms",
             "with lease_ms and stop_ms it must be over before resend_ms; make one of them shorter",
         );
