--- a/benches/benches/dispatch.rs
+++ b/benches/benches/dispatch.rs
@@ -157,7 +157,7 @@
         TargetRegistration {
             incarnation: IncarnationId {
                 name: "target".into(),
-                born: None,
+                start_time: None,
             },
             service: "service".into(),
             address: "127.0.0.1:1".into(),
@@ -183,7 +183,7 @@
 
 fn listed(ended: Vec<EndedRun>) -> RenewalAnswer {
     RenewalAnswer::Listed {
-        born: None,
+        start_time: None,
         clock: 50_001,
         running: vec![],
         ended,
--- a/crates/leased/cloverfold_lease/src/lib.rs
+++ b/crates/leased/cloverfold_lease/src/lib.rs
@@ -63,9 +63,9 @@
 pub use request::{JobRequest, Objective, StepRequest};
 pub use resources::Resources;
 pub use runner::{
-    BornMs, EndCause, EndedRun, IncarnationId, ListedRun, ProcessorUse, RegistrationCounts,
+    EndCause, EndedRun, IncarnationId, ListedRun, ProcessorUse, RegistrationCounts,
     RegistrationVerdict, RenewalAnswer, RenewalOrder, RenewalPause, Runner, RunnerAction,
-    RunnerCounts, StartAnswer, StartOrder, StartRefusal, StopOrder, TargetCallCounts,
+    RunnerCounts, StartAnswer, StartOrder, StartRefusal, StartTimeMs, StopOrder, TargetCallCounts,
     TargetRegistration, UnavailableReason,
 };
 pub use stall::{JOB_STALL, is_request_outdated};
--- a/crates/leased/cloverfold_lease/src/runner/actions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/actions.rs
@@ -1,6 +1,6 @@
-//! What a runner asks of the process around it.
+//! Actions that a runner returns to its process.
 //!
-//! Separates the decisions, which do no I/O, from the guard process, which does. Owns nothing. Relies on the messages and on the orders to the target.
+//! The runner does no I/O; the guard process carries the actions out.
 
 use cloverfold_kept_jobs::TaskEnd;
 
@@ -8,7 +8,7 @@
 use crate::runner::incarnation_id::IncarnationId;
 use crate::runner::orders::{StartOrder, StopOrder};
 
-/// One thing that the process around a runner has to do, in the order in which they are returned.
+/// One action for the process to carry out, in the order in which the actions are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunnerAction {
     /// Send a message to the dispatcher of a session.
@@ -19,15 +19,15 @@
     Start(StartOrder),
     /// Send a stop to the target.
     Stop(StopOrder),
-    /// Record the end of a kept run; [`Runner::receive_end_decision`](crate::Runner::receive_end_decision) takes the decision.
+    /// Record the end of a kept run; the decision goes to [`Runner::receive_end_decision`](crate::Runner::receive_end_decision).
     RecordEnd(TaskEnd),
-    /// Renew the lease at once instead of waiting for the next regular renewal.
+    /// Renew the lease immediately instead of waiting out the pause.
     RenewNow,
-    /// Log that an incarnation beside the known target was asked for, and whether it lives.
+    /// Log the result of probing an incarnation other than the known target.
     ReportIncarnation {
-        /// Which one.
+        /// The probed incarnation.
         incarnation: IncarnationId,
-        /// Whether it lives and is the target now; otherwise it is ignored from now on.
-        is_living: bool,
+        /// Whether it is alive and has become the target; otherwise it is ignored from now on.
+        is_alive: bool,
     },
 }
--- a/crates/leased/cloverfold_lease/src/runner/answers.rs
+++ b/crates/leased/cloverfold_lease/src/runner/answers.rs
@@ -6,7 +6,7 @@
 
 use crate::messages::TaskId;
 use crate::resources::Resources;
-use crate::runner::incarnation_id::{BornMs, IncarnationId};
+use crate::runner::incarnation_id::{IncarnationId, StartTimeMs};
 use crate::timings::TargetTime;
 
 /// What a target reports of itself when it registers, and again at intervals.
@@ -149,7 +149,7 @@
     /// What runs and what has ended.
     Listed {
         /// When the incarnation started that answers; `None` if it does not tell.
-        born: Option<BornMs>,
+        start_time: Option<StartTimeMs>,
         /// The target's clock, in milliseconds.
         clock: TargetTime,
         /// All that runs there, whoever started it.
--- a/crates/leased/cloverfold_lease/src/runner/assignment.rs
+++ b/crates/leased/cloverfold_lease/src/runner/assignment.rs
@@ -89,7 +89,7 @@
         let Some(target) = self.target.as_ref().filter(|target| target.accepts_work()) else {
             return Some(self.refusal_without_target());
         };
-        if self.is_leaving || self.is_held() {
+        if self.is_draining || self.is_held() {
             return Some(RunRefusal::Draining);
         }
         if self.runs.contains_key(&assignment.task) {
--- a/crates/leased/cloverfold_lease/src/runner/incarnation_id.rs
+++ b/crates/leased/cloverfold_lease/src/runner/incarnation_id.rs
@@ -1,32 +1,33 @@
 //! The identity of one incarnation of a target.
 //!
-//! Owns [`IncarnationId`]. What hangs on a target, above all its counts and its clock, hangs on an incarnation: a target may start again
-//! under the name that it had; then it knows nothing of before and counts anew.
+//! A target may restart under the same name. It then has no state from before, and its clock and sequence numbers start again, so all
+//! that is known of a target belongs to one incarnation.
 
-/// When a target started, in milliseconds since 1970 by its own time of day. Only compared for equality: that clock may be put back
-/// between two incarnations.
-pub type BornMs = u64;
+/// Start time of a target, in milliseconds since the Unix epoch on its own wall clock.
+///
+/// It is compared only for equality, since that clock may be set back between two incarnations.
+pub type StartTimeMs = u64;
 
-/// One incarnation of a target: one life.
+/// One incarnation of a target, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IncarnationId {
-    /// The target's name, by which it is called.
+    /// The target's name, which addresses it in calls.
     pub name: String,
-    /// When it started; `None` for a target that does not tell, whose name is that of one incarnation alone.
-    pub born: Option<BornMs>,
+    /// When it started; `None` for a target that does not report it, which uses each name for only one incarnation.
+    pub start_time: Option<StartTimeMs>,
 }
 
 impl IncarnationId {
-    /// Returns the incarnation that has answered a call by this one's name; an answer that does not tell a start is taken as this incarnation's.
-    pub(super) fn answered_by(&self, born: Option<BornMs>) -> Self {
+    /// Returns the incarnation that answered a call addressed to this one; an answer without a start time counts as from this one.
+    pub(super) fn answered_by(&self, start_time: Option<StartTimeMs>) -> Self {
         Self {
             name: self.name.clone(),
-            born: born.or(self.born),
+            start_time: start_time.or(self.start_time),
         }
     }
 
-    /// Returns whether `word` is of this name and leaves the start out that this incarnation tells.
-    pub(super) fn is_hidden_in(&self, word: &Self) -> bool {
-        self.name == word.name && self.born.is_some() && word.born.is_none()
+    /// Returns whether `reported` has this name but lacks the start time that this incarnation has.
+    pub(super) fn matches_untimed(&self, reported: &Self) -> bool {
+        self.name == reported.name && self.start_time.is_some() && reported.start_time.is_none()
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/lapses.rs
+++ b/crates/leased/cloverfold_lease/src/runner/lapses.rs
@@ -83,7 +83,7 @@
     fn has_earlier_lease_lapsed(&self, now: Timestamp) -> bool {
         let target = self.target.as_ref();
         let may_have_restarted =
-            target.is_some_and(|target| target.registration.incarnation.born.is_some());
+            target.is_some_and(|target| target.registration.incarnation.start_time.is_some());
         let lease = if may_have_restarted {
             self.timings.longest_lease
         } else {
--- a/crates/leased/cloverfold_lease/src/runner/listing.rs
+++ b/crates/leased/cloverfold_lease/src/runner/listing.rs
@@ -32,7 +32,7 @@
         let run = self.runs.get(&end.task);
         let run = run.filter(|run| run.number == end.run);
         if end.number <= target.last_processed_end {
-            self.counts.ends_passed_over += u64::from(run.is_some());
+            self.counts.skipped_ends += u64::from(run.is_some());
             return;
         }
         target.last_processed_end = end.number;
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -74,7 +74,7 @@
 pub use counts::{
     ProcessorUse, RegistrationCounts, RegistrationVerdict, RunnerCounts, TargetCallCounts,
 };
-pub use incarnation_id::{BornMs, IncarnationId};
+pub use incarnation_id::{IncarnationId, StartTimeMs};
 pub use orders::{RenewalOrder, StartOrder, StopOrder};
 pub use renewal_pace::RenewalPause;
 pub use target_incarnation::UnavailableReason;
@@ -118,7 +118,7 @@
     catch_up: CatchUp,
     /// When a target was heard of first: an earlier process beside it has ordered nothing later.
     first_heard_at: Option<Timestamp>,
-    is_leaving: bool,
+    is_draining: bool,
     /// Whether the data hall is evacuated.
     is_evacuated: bool,
     /// Set while the box is about to have its upkeep.
@@ -147,7 +147,7 @@
             ended_incarnations: VecDeque::new(),
             catch_up: CatchUp::default(),
             first_heard_at: None,
-            is_leaving: false,
+            is_draining: false,
             is_evacuated: false,
             held: None,
             counts: RunnerCounts::default(),
@@ -201,9 +201,9 @@
         reason.or(self.is_held().then_some(UnavailableReason::Upkeep))
     }
 
-    /// Accepts no further work from now on; what was started goes on, what waits is given back.
-    pub fn leave(&mut self, now: Timestamp) {
-        self.is_leaving = true;
+    /// Begins draining: no further work is accepted, waiting runs are returned to their dispatchers, and started runs go on.
+    pub fn begin_draining(&mut self, now: Timestamp) {
+        self.is_draining = true;
         self.give_back_waiting(RunRefusal::Draining, now);
         self.announce_target();
     }
--- a/crates/leased/cloverfold_lease/src/runner/orders.rs
+++ b/crates/leased/cloverfold_lease/src/runner/orders.rs
@@ -34,8 +34,8 @@
     pub fencing_token: u64,
     /// How many times this start was sent, this one included.
     pub attempt: u32,
-    /// How long the answer is waited for.
-    pub limit: Duration,
+    /// Timeout of the call.
+    pub timeout: Duration,
 }
 
 /// Order to stop a run.
@@ -51,8 +51,8 @@
     pub run: u64,
     /// Refused if the target has seen a higher one.
     pub fencing_token: u64,
-    /// How long the answer is waited for.
-    pub limit: Duration,
+    /// Timeout of the call.
+    pub timeout: Duration,
 }
 
 /// Order to extend the lease, forget the ends up to a number, and list what runs and what has ended.
@@ -70,8 +70,8 @@
     pub last_acknowledged_end: u64,
     /// How long the target may wait for an end before it answers.
     pub wait: Duration,
-    /// How long the answer is waited for, that wait included.
-    pub limit: Duration,
+    /// Timeout of the call, including `wait`.
+    pub timeout: Duration,
     /// When it was sent, on the runner's clock.
     pub sent_at: Timestamp,
 }
--- a/crates/leased/cloverfold_lease/src/runner/renewal_pace.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewal_pace.rs
@@ -34,25 +34,25 @@
 /// target may fire a little before or after it.
 const EARLY_PART: u32 = 2;
 
-/// How long to wait before the next renewal.
+/// Pause before the next renewal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RenewalPause {
-    /// At least this, whatever happens.
-    pub shortest: Duration,
-    /// At most this; [`RunnerAction::RenewNow`](crate::RunnerAction::RenewNow) ends it earlier.
-    pub longest: Duration,
+    /// Minimum pause.
+    pub min: Duration,
+    /// Maximum pause; [`RunnerAction::RenewNow`](crate::RunnerAction::RenewNow) ends it early.
+    pub max: Duration,
 }
 
 impl RenewalPause {
     /// Returns whether it follows a list that came long before the target had to answer.
     pub(super) fn is_for_early_list(self) -> bool {
-        self.shortest == FIRST_PAUSE
+        self.min == FIRST_PAUSE
     }
 
     fn fixed(pause: Duration) -> Self {
         Self {
-            shortest: pause,
-            longest: pause,
+            min: pause,
+            max: pause,
         }
     }
 }
@@ -90,8 +90,8 @@
         let pause = self.next;
         self.next = (pause * 2).min(order.wait);
         RenewalPause {
-            shortest: FIRST_PAUSE,
-            longest: pause,
+            min: FIRST_PAUSE,
+            max: pause,
         }
     }
 
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -57,16 +57,16 @@
             fencing_token: target.fencing_token,
             last_acknowledged_end: target.acknowledged_end(),
             wait,
-            limit: wait + self.timings.answer_slack,
+            timeout: wait + self.timings.answer_slack,
             sent_at: now,
         })
     }
 
     /// Plans the question whether a candidate is there: a renewal that extends no lease and is answered at once.
     fn plan_question(&mut self, now: Timestamp) -> Option<RenewalOrder> {
-        let limit = self.timings.answer_slack;
+        let timeout = self.timings.answer_slack;
         let candidate = self.candidates.take_due(now)?;
-        self.counts.calls.questions += 1;
+        self.counts.calls.probes += 1;
         Some(RenewalOrder {
             incarnation: candidate.registration.incarnation.clone(),
             address: candidate.registration.address.clone(),
@@ -74,7 +74,7 @@
             fencing_token: candidate.fencing_token,
             last_acknowledged_end: 0,
             wait: Duration::ZERO,
-            limit,
+            timeout,
             sent_at: now,
         })
     }
@@ -115,7 +115,7 @@
     fn take_renewal_answer(&mut self, order: &RenewalOrder, answer: RenewalAnswer, now: Timestamp) {
         match answer {
             RenewalAnswer::Listed {
-                born,
+                start_time,
                 clock,
                 running,
                 ended,
@@ -125,7 +125,7 @@
                     running,
                     ended,
                 };
-                self.receive_list_of(order.incarnation.answered_by(born), order, list, now);
+                self.receive_list_of(order.incarnation.answered_by(start_time), order, list, now);
             }
             RenewalAnswer::Fenced => self.receive_fenced(order),
             RenewalAnswer::OtherIncarnation => self.discard_candidate(&order.incarnation),
@@ -190,10 +190,10 @@
         }
     }
 
-    fn report_incarnation(&mut self, incarnation: IncarnationId, is_living: bool) {
+    fn report_incarnation(&mut self, incarnation: IncarnationId, is_alive: bool) {
         self.actions.push(RunnerAction::ReportIncarnation {
             incarnation,
-            is_living,
+            is_alive,
         });
     }
 
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -94,8 +94,8 @@
     pub(super) fn announce_target(&mut self) {
         let has_leftovers = self.runs.values().any(|run| run.session.is_none());
         let target = self.target.as_ref();
-        let available =
-            target.filter(|target| target.accepts_work() && !self.is_leaving && !self.is_evacuated);
+        let available = target
+            .filter(|target| target.accepts_work() && !self.is_draining && !self.is_evacuated);
         let available = available.filter(|_| !self.is_held());
         for (id, session) in &mut self.sessions {
             let offered = available.filter(|_| !session.is_retired);
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -43,7 +43,7 @@
             deadline: start.deadline,
             fencing_token: target.fencing_token,
             attempt: start.attempts,
-            limit: self.timings.order_timeout,
+            timeout: self.timings.order_timeout,
         };
         self.counts.calls.starts += 1;
         self.actions.push(RunnerAction::Start(order));
--- a/crates/leased/cloverfold_lease/src/runner/stops.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stops.rs
@@ -52,7 +52,7 @@
             task,
             run: number,
             fencing_token: target.fencing_token,
-            limit: self.timings.order_timeout,
+            timeout: self.timings.order_timeout,
         };
         self.counts.calls.stops += 1;
         self.actions.push(RunnerAction::Stop(order));
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -28,13 +28,13 @@
         let verdict = self.judge_registration(&registration);
         self.counts.registrations.record(verdict);
         match verdict {
-            RegistrationVerdict::Overtaken
-            | RegistrationVerdict::Ended
-            | RegistrationVerdict::Foreign => {}
-            RegistrationVerdict::Taken if self.target.is_some() => {
+            RegistrationVerdict::Outdated
+            | RegistrationVerdict::IncarnationEnded
+            | RegistrationVerdict::MissingStartTime => {}
+            RegistrationVerdict::Accepted if self.target.is_some() => {
                 self.update_registration(registration, now);
             }
-            RegistrationVerdict::Taken => {
+            RegistrationVerdict::Accepted => {
                 self.begin_target_incarnation(registration, self.first_fencing_token, now);
             }
             RegistrationVerdict::Candidate => {
@@ -53,21 +53,21 @@
     fn judge_registration(&self, registration: &TargetRegistration) -> RegistrationVerdict {
         let incarnation = &registration.incarnation;
         if self.ended_incarnations.contains(incarnation) {
-            return RegistrationVerdict::Ended;
+            return RegistrationVerdict::IncarnationEnded;
         }
         let Some(target) = &self.target else {
-            return RegistrationVerdict::Taken;
+            return RegistrationVerdict::Accepted;
         };
-        if target.registration.incarnation.is_hidden_in(incarnation) {
-            return RegistrationVerdict::Foreign;
+        if target.registration.incarnation.matches_untimed(incarnation) {
+            return RegistrationVerdict::MissingStartTime;
         }
         if target.registration.incarnation != *incarnation {
             return RegistrationVerdict::Candidate;
         }
         if registration.sequence < target.registration.sequence {
-            return RegistrationVerdict::Overtaken;
+            return RegistrationVerdict::Outdated;
         }
-        RegistrationVerdict::Taken
+        RegistrationVerdict::Accepted
     }
 
     /// Returns the fencing token with which a candidate is asked first: one that the target's present incarnation does not refuse either,
@@ -115,8 +115,8 @@
             return false;
         };
         let present = &target.registration.incarnation;
-        let is_meant =
-            present == incarnation || (present.is_hidden_in(incarnation) && target.is_draining());
+        let is_meant = present == incarnation
+            || (present.matches_untimed(incarnation) && target.is_draining());
         if is_meant {
             self.end_target_incarnation(now);
             self.announce_target();
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -32,8 +32,8 @@
     Unresponsive,
     /// Its runs made no progress. Written `RunsStandStill`.
     StuckRuns,
-    /// Runs are there that this runner did not start.
-    OtherRuns,
+    /// It executes runs that this runner did not start. Written `OtherRuns`.
+    OrphanRuns,
     /// Its clock is not known yet, so no deadline can be set.
     NoClock,
     /// Its data hall is evacuated.
@@ -52,7 +52,7 @@
             Self::Draining => "Draining",
             Self::Unresponsive => "Silent",
             Self::StuckRuns => "RunsStandStill",
-            Self::OtherRuns => "OtherRuns",
+            Self::OrphanRuns => "OtherRuns",
             Self::NoClock => "NoClock",
             Self::Evacuated => "Evacuated",
             Self::Upkeep => "Upkeep",
@@ -211,7 +211,7 @@
         } else if self.performance.is_paused() {
             Some(UnavailableReason::StuckRuns)
         } else if !self.has_only_own_runs {
-            Some(UnavailableReason::OtherRuns)
+            Some(UnavailableReason::OrphanRuns)
         } else if self.clock.is_none() {
             Some(UnavailableReason::NoClock)
         } else if self.is_lease_withheld {
--- a/crates/leased/cloverfold_lease/src/runner/upkeep.rs
+++ b/crates/leased/cloverfold_lease/src/runner/upkeep.rs
@@ -61,9 +61,9 @@
         target.map(|target| &target.registration.incarnation)
     }
 
-    /// Returns what is free at the target after all that runs and waits there, for a control process that asks: of all that it has,
-    /// whether that is offered or not. `None` while there is no target.
-    pub fn report_load(&self, now: Timestamp) -> Option<FreeCapacity> {
+    /// Returns the target's whole capacity, offered or not, minus the demand of all its running and waiting runs, for a control process
+    /// that asks; `None` without a target.
+    pub fn unreserved_capacity(&self, now: Timestamp) -> Option<FreeCapacity> {
         let target = self.target.as_ref()?;
         let demands = self.runs.values().map(|run| run.demand);
         let free = demands.fold(*target.capacity(), |free, demand| free.minus(&demand));
--- a/crates/leased/cloverfold_lease/tests/runner/any_order.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/any_order.rs
@@ -2,14 +2,14 @@
 //! runner that restarts between: the runner ends up with the one that lives, and never offers one that has said that it drains.
 
 use cloverfold_lease::{
-    BornMs, RenewalAnswer, Runner, TargetRegistration, Timings, UnavailableReason,
+    RenewalAnswer, Runner, StartTimeMs, TargetRegistration, Timings, UnavailableReason,
 };
 use proptest::prelude::*;
 
 use crate::fixture::{SESSION, at, echo, incarnation_id, list, registration, told_by};
 
 /// Starts of the incarnations in turn: the clock by which they are told is put back between two.
-const BORN: [BornMs; 4] = [5_000, 9_000, 2_000, 7_000];
+const BORN: [StartTimeMs; 4] = [5_000, 9_000, 2_000, 7_000];
 /// How long everything is left alone at the end, in milliseconds; the target registers each 300.
 const QUIET_MS: u64 = 4_000;
 const STEP_MS: u64 = 15;
@@ -76,7 +76,7 @@
         }
     }
 
-    fn born(&self) -> BornMs {
+    fn start_time(&self) -> StartTimeMs {
         BORN[self.incarnation]
     }
 
@@ -125,7 +125,7 @@
     fn write_registration(&mut self) -> TargetRegistration {
         self.sequence += 1;
         TargetRegistration {
-            incarnation: incarnation_id("target", Some(self.born())),
+            incarnation: incarnation_id("target", Some(self.start_time())),
             is_draining: self.is_draining,
             clock: Some(self.clock()),
             sequence: self.sequence,
@@ -135,9 +135,9 @@
 
     fn deliver(&mut self, word: TargetRegistration) {
         self.runner.register(word.clone(), at(self.now_ms));
-        let is_living = word.incarnation.born == Some(self.born());
+        let is_alive = word.incarnation.start_time == Some(self.start_time());
         let known = self.newest.as_ref().map_or(0, |known| known.sequence);
-        if is_living && word.sequence >= known {
+        if is_alive && word.sequence >= known {
             self.newest = Some(word);
         }
     }
@@ -147,7 +147,7 @@
             return;
         };
         let answer = if is_answered {
-            told_by(self.born(), list(self.clock(), vec![], &[]))
+            told_by(self.start_time(), list(self.clock(), vec![], &[]))
         } else {
             RenewalAnswer::Unanswered
         };
@@ -166,9 +166,9 @@
     /// Returns whether the runner offers the living incarnation although the newest word that it got says that it drains.
     fn offers_leaving(&self) -> bool {
         let known = self.runner.target_incarnation_id();
-        let is_living = known.is_some_and(|known| known.born == Some(self.born()));
+        let is_alive = known.is_some_and(|known| known.start_time == Some(self.start_time()));
         let is_leaving = self.newest.as_ref().is_some_and(|word| word.is_draining);
-        is_living && is_leaving && self.runner.has_ready_target()
+        is_alive && is_leaving && self.runner.has_ready_target()
     }
 
     /// Loses what is under way, and plays on while the target registers and answers as usual.
@@ -201,7 +201,7 @@
 
         course.quiet_down();
 
-        let living = incarnation_id("target", Some(course.born()));
+        let living = incarnation_id("target", Some(course.start_time()));
         prop_assert_eq!(course.runner.target_incarnation_id(), Some(&living));
         let expected = course.is_draining.then_some(UnavailableReason::Draining);
         prop_assert_eq!(course.runner.find_unavailable_reason(), expected);
--- a/crates/leased/cloverfold_lease/tests/runner/assignments.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/assignments.rs
@@ -34,7 +34,7 @@
 fn a_leaving_runner_takes_nothing_and_ends_what_it_has() {
     let mut runner = ready();
     started(&mut runner, 1, at(110));
-    runner.leave(at(120));
+    runner.begin_draining(at(120));
     runner.receive(SESSION, assign(2, at(600)), at(121));
     let expected = [(2, RunOutcome::NotStarted(RunRefusal::Draining))];
     assert_eq!(take_ends(&mut runner), expected);
--- a/crates/leased/cloverfold_lease/tests/runner/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/fixture.rs
@@ -4,9 +4,9 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
-    Assignment, BornMs, DispatcherMessage, EndCause, EndedRun, IncarnationId, ListedRun,
-    RenewalAnswer, Resources, RunOutcome, Runner, RunnerAction, RunnerMessage, StartAnswer,
-    StartOrder, TargetRegistration, TaskId, Timings,
+    Assignment, DispatcherMessage, EndCause, EndedRun, IncarnationId, ListedRun, RenewalAnswer,
+    Resources, RunOutcome, Runner, RunnerAction, RunnerMessage, StartAnswer, StartOrder,
+    StartTimeMs, TargetRegistration, TaskId, Timings,
 };
 
 /// The session that [`ready`] opens.
@@ -35,10 +35,10 @@
     }
 }
 
-pub fn incarnation_id(name: &str, born: Option<BornMs>) -> IncarnationId {
+pub fn incarnation_id(name: &str, start_time: Option<StartTimeMs>) -> IncarnationId {
     IncarnationId {
         name: name.into(),
-        born,
+        start_time,
     }
 }
 
@@ -102,7 +102,7 @@
         cause,
     });
     RenewalAnswer::Listed {
-        born: None,
+        start_time: None,
         clock,
         running,
         ended: ended.collect(),
@@ -130,10 +130,13 @@
     runner
 }
 
-/// The same answer, from the life that began at `born`.
-pub fn told_by(born: BornMs, mut answer: RenewalAnswer) -> RenewalAnswer {
-    if let RenewalAnswer::Listed { born: told, .. } = &mut answer {
-        *told = Some(born);
+/// The same answer, from the life that began at `start_time`.
+pub fn told_by(start_time: StartTimeMs, mut answer: RenewalAnswer) -> RenewalAnswer {
+    if let RenewalAnswer::Listed {
+        start_time: told, ..
+    } = &mut answer
+    {
+        *told = Some(start_time);
     }
     answer
 }
--- a/crates/leased/cloverfold_lease/tests/runner/incarnations.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/incarnations.rs
@@ -3,8 +3,8 @@
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::first_run_of;
 use cloverfold_lease::{
-    BornMs, EndCause, EndedRun, IncarnationId, ListedRun, RegistrationVerdict, RenewalAnswer,
-    RunOutcome, Runner, RunnerAction, StartAnswer, TargetRegistration, UnavailableReason,
+    EndCause, EndedRun, IncarnationId, ListedRun, RegistrationVerdict, RenewalAnswer, RunOutcome,
+    Runner, RunnerAction, StartAnswer, StartTimeMs, TargetRegistration, UnavailableReason,
 };
 
 use crate::fixture::{
@@ -13,9 +13,9 @@
 };
 
 /// When the first life began.
-const FIRST_BORN: BornMs = 1_767_225_600_000;
+const FIRST_BORN: StartTimeMs = 1_767_225_600_000;
 /// When the second life began.
-const SECOND_BORN: BornMs = FIRST_BORN + 5_000;
+const SECOND_BORN: StartTimeMs = FIRST_BORN + 5_000;
 /// Far above what the second life has reached.
 const MANY: u64 = 1_000;
 
@@ -100,7 +100,7 @@
     };
     let verdict = runner.register(draining, at(120));
 
-    assert_eq!(verdict, RegistrationVerdict::Taken);
+    assert_eq!(verdict, RegistrationVerdict::Accepted);
     assert_not_ready(&runner, UnavailableReason::Draining);
 }
 
@@ -166,9 +166,9 @@
         at(140),
     );
 
-    assert_eq!(begins, RegistrationVerdict::Ended);
+    assert_eq!(begins, RegistrationVerdict::IncarnationEnded);
     assert!(is_ready);
-    assert_eq!(ends, RegistrationVerdict::Ended);
+    assert_eq!(ends, RegistrationVerdict::IncarnationEnded);
     assert_not_ready(&runner, UnavailableReason::Draining);
 }
 
@@ -184,7 +184,7 @@
     let again = runner.register(aged(), at(130));
 
     assert_eq!(verdict, RegistrationVerdict::Candidate);
-    assert_eq!(again, RegistrationVerdict::Ended);
+    assert_eq!(again, RegistrationVerdict::IncarnationEnded);
     assert_eq!(take_ends(&mut runner), [], "the run goes on");
     assert!(runner.has_ready_target());
 }
@@ -192,18 +192,29 @@
 #[test]
 fn the_order_of_births_does_not_matter_since_the_clock_may_be_put_back() {
     let mut runner = aged_target();
-    let born = FIRST_BORN - 60_000;
+    let start_time = FIRST_BORN - 60_000;
     let earlier_by_its_clock = TargetRegistration {
-        incarnation: incarnation_id("incarnation-1", Some(born)),
+        incarnation: incarnation_id("incarnation-1", Some(start_time)),
         ..second_life()
     };
 
     runner.register(earlier_by_its_clock, at(102));
-    renew(&mut runner, at(103), told_by(born, list(20, vec![], &[])));
-    renew(&mut runner, at(105), told_by(born, list(22, vec![], &[])));
+    renew(
+        &mut runner,
+        at(103),
+        told_by(start_time, list(20, vec![], &[])),
+    );
+    renew(
+        &mut runner,
+        at(105),
+        told_by(start_time, list(22, vec![], &[])),
+    );
 
     assert!(runner.has_ready_target());
-    assert_eq!(runner.target_incarnation_id().unwrap().born, Some(born));
+    assert_eq!(
+        runner.target_incarnation_id().unwrap().start_time,
+        Some(start_time)
+    );
 }
 
 #[test]
@@ -238,7 +249,7 @@
     );
 
     assert_eq!(take_ends(&mut runner), [(2, RunOutcome::Done)]);
-    assert_eq!(runner.counts().ends_passed_over, 0);
+    assert_eq!(runner.counts().skipped_ends, 0);
     let next = runner.plan_renewal(at(220)).unwrap();
     assert_eq!(next.last_acknowledged_end, 1);
 }
@@ -429,7 +440,7 @@
 
     let verdict = runner.register(foreign, at(120));
 
-    assert_eq!(verdict, RegistrationVerdict::Foreign);
+    assert_eq!(verdict, RegistrationVerdict::MissingStartTime);
     assert!(runner.has_ready_target());
 }
 
@@ -446,8 +457,8 @@
     let older = runner.register(silent(4), at(100));
     let newer = runner.register(silent(6), at(110));
 
-    assert_eq!(older, RegistrationVerdict::Overtaken);
-    assert_eq!(newer, RegistrationVerdict::Taken);
+    assert_eq!(older, RegistrationVerdict::Outdated);
+    assert_eq!(newer, RegistrationVerdict::Accepted);
     assert!(runner.has_ready_target());
 }
 
@@ -474,8 +485,8 @@
     let living = runner.register(second_life(), at(100));
     let dead = runner.register(aged(), at(110));
 
-    assert_eq!(living, RegistrationVerdict::Taken);
-    assert_eq!(dead, RegistrationVerdict::Ended);
+    assert_eq!(living, RegistrationVerdict::Accepted);
+    assert_eq!(dead, RegistrationVerdict::IncarnationEnded);
     assert!(runner.has_ready_target());
 }
 
@@ -518,10 +529,10 @@
             action,
             RunnerAction::ReportIncarnation {
                 incarnation: IncarnationId {
-                    born: Some(SECOND_BORN),
+                    start_time: Some(SECOND_BORN),
                     ..
                 },
-                is_living: true
+                is_alive: true
             }
         )
     };
@@ -539,7 +550,7 @@
         cause: EndCause::Done,
     };
     let unknown = RenewalAnswer::Listed {
-        born: Some(FIRST_BORN),
+        start_time: Some(FIRST_BORN),
         clock: 50_005,
         running: vec![],
         ended: vec![done],
--- a/crates/leased/cloverfold_lease/tests/runner/kept_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/kept_runs.rs
@@ -232,7 +232,7 @@
         cause: EndCause::Stopped,
     };
     let unknown = RenewalAnswer::Listed {
-        born: None,
+        start_time: None,
         clock: 50_005,
         running: vec![],
         ended: vec![done, stopped],
@@ -288,7 +288,7 @@
         cause: EndCause::Stopped,
     }));
     let answer = RenewalAnswer::Listed {
-        born: None,
+        start_time: None,
         clock: 50_060,
         running: vec![],
         ended: listed,
--- a/crates/leased/cloverfold_lease/tests/runner/renewal_pace.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/renewal_pace.rs
@@ -61,7 +61,7 @@
         sent.push(now);
         let took = ms(ROUND_TRIP_MS);
         let pause = renew_after(runner, at(now), took, answer(50_000 + now));
-        now += ROUND_TRIP_MS + pause.longest.as_millis() as u64;
+        now += ROUND_TRIP_MS + pause.max.as_millis() as u64;
     }
     sent
 }
@@ -113,7 +113,7 @@
     );
     let pause = renew_after(&mut runner, at(400), ms(ROUND_TRIP_MS), both);
 
-    assert_eq!(pause.longest, ms(2));
+    assert_eq!(pause.max, ms(2));
 }
 
 #[test]
@@ -168,6 +168,6 @@
     runner.tick(at(400));
     let unready_pause = runner.receive_renewal_answer(&order, RenewalAnswer::Unanswered, at(410));
 
-    assert_eq!(ready_pause.longest, ms(10));
-    assert_eq!(unready_pause.longest, ms(60));
+    assert_eq!(ready_pause.max, ms(10));
+    assert_eq!(unready_pause.max, ms(60));
 }
--- a/crates/leased/cloverfold_lease/tests/runner/upkeep.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/upkeep.rs
@@ -87,20 +87,20 @@
 fn what_is_told_of_the_load_counts_runs_that_wait_and_all_that_the_target_has() {
     let mut runner = ready();
     let capacity = runner.describe_target().unwrap().capacity;
-    let empty = runner.report_load(at(100)).unwrap();
+    let empty = runner.unreserved_capacity(at(100)).unwrap();
     started(&mut runner, 1, at(101));
 
     hold(&mut runner, SPAN);
 
     assert_eq!(empty.free, capacity);
-    let held = runner.report_load(at(120)).unwrap();
+    let held = runner.unreserved_capacity(at(120)).unwrap();
     assert!(held.free.cpu_milli < capacity.cpu_milli);
     renew(
         &mut runner,
         at(130),
         list(50_040, vec![], &[(1, 1, EndCause::Done)]),
     );
-    assert_eq!(runner.report_load(at(140)).unwrap().free, capacity);
+    assert_eq!(runner.unreserved_capacity(at(140)).unwrap().free, capacity);
 }
 
 #[test]
--- a/crates/leased/cloverfold_lease/tests/runner/usual_speed.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/usual_speed.rs
@@ -53,7 +53,7 @@
             cause: EndCause::Done,
         };
         let answer = RenewalAnswer::Listed {
-            born: None,
+            start_time: None,
             clock: self.target_clock(),
             running: vec![],
             ended: vec![ended],
--- a/crates/leased/cloverfold_lease/tests/world/target.rs
+++ b/crates/leased/cloverfold_lease/tests/world/target.rs
@@ -118,7 +118,7 @@
         TargetRegistration {
             incarnation: IncarnationId {
                 name: self.name(),
-                born: Some(self.life),
+                start_time: Some(self.life),
             },
             service: "service".into(),
             address: "127.0.0.1:1".into(),
@@ -300,7 +300,7 @@
         }
         let running = self.running.iter();
         RenewalAnswer::Listed {
-            born: Some(self.life),
+            start_time: Some(self.life),
             clock: self.clock(now),
             running: running
                 .map(|(task, (run, _))| ListedRun {
--- a/crates/leased/cloverfold_lease/tests/written_names.rs
+++ b/crates/leased/cloverfold_lease/tests/written_names.rs
@@ -64,7 +64,7 @@
         (UnavailableReason::Draining, "Draining"),
         (UnavailableReason::Unresponsive, "Silent"),
         (UnavailableReason::StuckRuns, "RunsStandStill"),
-        (UnavailableReason::OtherRuns, "OtherRuns"),
+        (UnavailableReason::OrphanRuns, "OtherRuns"),
         (UnavailableReason::NoClock, "NoClock"),
         (UnavailableReason::Evacuated, "Evacuated"),
         (UnavailableReason::Upkeep, "Upkeep"),
--- a/crates/leased/cloverfold_leased_guard/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_guard/src/event_log.rs
@@ -67,11 +67,11 @@
 
 /// Logs a registration that changes nothing by itself; a target registers every few seconds at the most.
 pub(crate) fn log_registration(registration: &TargetRegistration, verdict: RegistrationVerdict) {
-    if verdict == RegistrationVerdict::Taken {
+    if verdict == RegistrationVerdict::Accepted {
         return;
     }
     log::info!(
-        target = registration.incarnation.name.as_str(), born = registration.incarnation.born.unwrap_or_default(),
+        target = registration.incarnation.name.as_str(), born = registration.incarnation.start_time.unwrap_or_default(),
         sequence = registration.sequence,
         draining = registration.is_draining, verdict = verdict.as_str();
         "a registration is not taken at once"
@@ -82,7 +82,7 @@
 pub(crate) fn log_departure(incarnation: &IncarnationId, is_taken: bool) {
     let (target, born) = (
         incarnation.name.as_str(),
-        incarnation.born.unwrap_or_default(),
+        incarnation.start_time.unwrap_or_default(),
     );
     if is_taken {
         log::info!(target, born; "the target has left");
@@ -92,12 +92,12 @@
 }
 
 /// Logs what became of an incarnation that was not the target's known one; a start that it leaves out is written as 0.
-pub(crate) fn log_incarnation(incarnation: &IncarnationId, is_living: bool) {
+pub(crate) fn log_incarnation(incarnation: &IncarnationId, is_alive: bool) {
     let (target, born) = (
         incarnation.name.as_str(),
-        incarnation.born.unwrap_or_default(),
+        incarnation.start_time.unwrap_or_default(),
     );
-    if is_living {
+    if is_alive {
         log::info!(target, born; "a new incarnation has replaced the target");
     } else {
         log::info!(target, born; "a late registration of a dead incarnation is ignored");
--- a/crates/leased/cloverfold_leased_guard/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_guard/src/metrics.rs
@@ -87,13 +87,22 @@
     fn set_target_counts(&self, counts: RunnerCounts, unreadable: u64) {
         let registrations = counts.registrations;
         self.registrations.set(&[
-            (RegistrationVerdict::Taken.as_str(), registrations.taken),
             (
-                RegistrationVerdict::Overtaken.as_str(),
-                registrations.overtaken,
+                RegistrationVerdict::Accepted.as_str(),
+                registrations.accepted,
+            ),
+            (
+                RegistrationVerdict::Outdated.as_str(),
+                registrations.outdated,
+            ),
+            (
+                RegistrationVerdict::IncarnationEnded.as_str(),
+                registrations.incarnation_ended,
+            ),
+            (
+                RegistrationVerdict::MissingStartTime.as_str(),
+                registrations.missing_start_time,
             ),
-            (RegistrationVerdict::Ended.as_str(), registrations.ended),
-            (RegistrationVerdict::Foreign.as_str(), registrations.foreign),
             (
                 RegistrationVerdict::Candidate.as_str(),
                 registrations.candidates,
@@ -104,7 +113,7 @@
         self.target_calls.set(&[
             ("renewals", calls.renewals),
             ("answered_early", calls.answered_early),
-            ("questions", calls.questions),
+            ("questions", calls.probes),
             ("starts", calls.starts),
             ("stops", calls.stops),
         ]);
@@ -132,7 +141,7 @@
         self.unrecorded_ends
             .set(state.unrecorded_end_count() as i64);
         self.dropped_ends.set(state.dropped_end_count() as i64);
-        self.passed_over_ends.set(counts.ends_passed_over as i64);
+        self.passed_over_ends.set(counts.skipped_ends as i64);
         self.set_target_counts(counts, state.unreadable_registration_count());
         let speed = state.usual_speed();
         self.usual_slowness.set(i64::from(speed.slowness_permille));
--- a/crates/leased/cloverfold_leased_guard/src/renewals.rs
+++ b/crates/leased/cloverfold_leased_guard/src/renewals.rs
@@ -38,11 +38,11 @@
 
 /// Waits between two renewals.
 async fn wait(pause: RenewalPause, renew_now: &Notify) {
-    if pause.longest.is_zero() {
+    if pause.max.is_zero() {
         return;
     }
-    sleep(pause.shortest).await;
-    let rest = pause.longest.saturating_sub(pause.shortest);
+    sleep(pause.min).await;
+    let rest = pause.max.saturating_sub(pause.min);
     if !rest.is_zero() {
         // Harmless: whether it is notified or the wait is over, the next renewal goes out.
         let _ = timeout(rest, renew_now.notified()).await;
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -71,7 +71,7 @@
         self.runner.hold_target(&held.incarnation, span, now);
         let incarnation = self.runner.target_incarnation_id();
         let is_meant = incarnation.is_some_and(|incarnation| incarnation.name == held.incarnation);
-        if let Some(free) = self.runner.report_load(now).filter(|_| is_meant) {
+        if let Some(free) = self.runner.unreserved_capacity(now).filter(|_| is_meant) {
             let message = PeerMessage::ToDispatcher(RunnerMessage::FreeCapacity(free));
             self.links.send(link, &message);
         }
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -194,7 +194,7 @@
     /// Begins the planned stop: no further run is accepted, and those that it already has may finish.
     pub(crate) fn begin_draining(&mut self) {
         let now = self.now();
-        self.runner.leave(now);
+        self.runner.begin_draining(now);
         self.advance();
     }
 
@@ -310,8 +310,8 @@
             RunnerAction::RenewNow => self.renew_now.notify_one(),
             RunnerAction::ReportIncarnation {
                 incarnation,
-                is_living,
-            } => log_incarnation(&incarnation, is_living),
+                is_alive,
+            } => log_incarnation(&incarnation, is_alive),
         }
     }
 
--- a/crates/tools/cloverfold_leased_solo/src/local_target.rs
+++ b/crates/tools/cloverfold_leased_solo/src/local_target.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cloverfold_http::{HttpClient, Request};
 use cloverfold_lease::{
-    BornMs, IncarnationId, RenewalAnswer, RenewalOrder, Resources, StartAnswer, StartOrder,
+    IncarnationId, RenewalAnswer, RenewalOrder, Resources, StartAnswer, StartOrder, StartTimeMs,
     StopOrder, TargetRegistration, TargetTime,
 };
 use cloverfold_leased_guard::{Answer, RegistrationCall, RegistrationRefusal, TargetInterface};
@@ -30,7 +30,7 @@
     service: String,
     capacity: Resources,
     started_at: Instant,
-    born: BornMs,
+    start_time: StartTimeMs,
     state: Mutex<TargetState>,
     /// Notified when a run was started or stopped.
     changed: Notify,
@@ -44,7 +44,7 @@
             service: service.into(),
             capacity,
             started_at: Instant::now(),
-            born: read_time_of_day(),
+            start_time: read_time_of_day(),
             state: Mutex::default(),
             changed: Notify::new(),
         })
@@ -87,7 +87,7 @@
         TargetRegistration {
             incarnation: IncarnationId {
                 name: self.name.clone(),
-                born: Some(self.born),
+                start_time: Some(self.start_time),
             },
             service: self.service.clone(),
             address: self.name.clone(),
@@ -134,14 +134,14 @@
             return RenewalAnswer::Fenced;
         }
         self.wait_for_end(order.wait).await;
-        self.lock().list(self.born, self.now())
+        self.lock().list(self.start_time, self.now())
     }
 }
 
 /// Returns the time of day in milliseconds since 1970; 0 for a clock before that.
-fn read_time_of_day() -> BornMs {
+fn read_time_of_day() -> StartTimeMs {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.unwrap_or_default().as_millis() as BornMs
+    since.unwrap_or_default().as_millis() as StartTimeMs
 }
 
 /// How a guard calls the target beside it.
--- a/crates/tools/cloverfold_leased_solo/src/target_state.rs
+++ b/crates/tools/cloverfold_leased_solo/src/target_state.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use cloverfold_lease::{
-    BornMs, EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder, StartAnswer, StartOrder,
-    StartRefusal, StopOrder, TargetTime, TaskId,
+    EndCause, EndedRun, ListedRun, RenewalAnswer, RenewalOrder, StartAnswer, StartOrder,
+    StartRefusal, StartTimeMs, StopOrder, TargetTime, TaskId,
 };
 
 /// How long a task takes whose work description is no number. Chosen, not measured.
@@ -129,12 +129,12 @@
         ends.min().map(|end| end.min(lapse))
     }
 
-    /// Lists what runs and what has ended in the incarnation that began at `born`.
-    pub fn list(&mut self, born: BornMs, now: TargetTime) -> RenewalAnswer {
+    /// Lists what runs and what has ended in the incarnation that began at `start_time`.
+    pub fn list(&mut self, start_time: StartTimeMs, now: TargetTime) -> RenewalAnswer {
         self.advance(now);
         let running = self.running.iter();
         RenewalAnswer::Listed {
-            born: Some(born),
+            start_time: Some(start_time),
             clock: now,
             running: running.map(|(id, task)| list_run(id, *task, now)).collect(),
             ended: self.ended.iter().cloned().collect(),
--- a/crates/tools/cloverfold_leased_solo/tests/local_target.rs
+++ b/crates/tools/cloverfold_leased_solo/tests/local_target.rs
@@ -30,7 +30,7 @@
     StartOrder {
         incarnation: IncarnationId {
             name: "target-0".to_owned(),
-            born: None,
+            start_time: None,
         },
         address: "target-0".to_owned(),
         task: TaskId {
@@ -44,7 +44,7 @@
         deadline: PATIENCE.as_millis() as u64,
         fencing_token: 7,
         attempt: 1,
-        limit: PATIENCE,
+        timeout: PATIENCE,
     }
 }
 
@@ -52,14 +52,14 @@
     RenewalOrder {
         incarnation: IncarnationId {
             name: "target-0".to_owned(),
-            born: None,
+            start_time: None,
         },
         address: "target-0".to_owned(),
         deadline: None,
         fencing_token: 7,
         last_acknowledged_end: 0,
         wait: RENEWAL_WAIT,
-        limit: RENEWAL_WAIT,
+        timeout: RENEWAL_WAIT,
         sent_at: Timestamp::ZERO,
     }
 }
--- a/crates/tools/cloverfold_leased_solo/tests/target_state.rs
+++ b/crates/tools/cloverfold_leased_solo/tests/target_state.rs
@@ -25,7 +25,7 @@
     StartOrder {
         incarnation: IncarnationId {
             name: "target-0".to_owned(),
-            born: None,
+            start_time: None,
         },
         address: "target-0".to_owned(),
         task: task(),
@@ -34,7 +34,7 @@
         deadline: 500,
         fencing_token: 7,
         attempt: 1,
-        limit: Duration::from_millis(300),
+        timeout: Duration::from_millis(300),
     }
 }
 
@@ -42,14 +42,14 @@
     RenewalOrder {
         incarnation: IncarnationId {
             name: "target-0".to_owned(),
-            born: None,
+            start_time: None,
         },
         address: "target-0".to_owned(),
         deadline,
         fencing_token: 7,
         last_acknowledged_end,
         wait: Duration::ZERO,
-        limit: Duration::from_millis(15),
+        timeout: Duration::from_millis(15),
         sent_at: Timestamp::ZERO,
     }
 }
@@ -129,13 +129,13 @@
     StopOrder {
         incarnation: IncarnationId {
             name: "target-0".to_owned(),
-            born: None,
+            start_time: None,
         },
         address: "target-0".to_owned(),
         task: task(),
         run,
         fencing_token: 7,
-        limit: Duration::from_millis(300),
+        timeout: Duration::from_millis(300),
     }
 }
 
