--- a/crates/leased/cloverfold_lease/src/runner/lapses.rs
+++ b/crates/leased/cloverfold_lease/src/runner/lapses.rs
@@ -3,7 +3,7 @@
 //! Rule: it is not extended, and nothing starts,
 //!
 //! - while an end is held that only a lapse lets go of (`held_ends`);
-//! - while a kept run that was told to stop is still there after [`KeptTimings::stop_grace`](cloverfold_kept_jobs::KeptTimings).
+//! - while a kept run that was told to stop is still there after [`KeptJobTimings::stop_grace`](cloverfold_kept_jobs::KeptJobTimings).
 //!
 //! It has lapsed once every deadline that this runner has sent is over ([`TargetIncarnation::has_lease_lapsed`]) and the longest lease that an
 //! earlier process beside the target can have given it, counted from when a target was heard of first. Then all runs are over, and no end
@@ -83,14 +83,14 @@
     fn has_earlier_lease_lapsed(&self, now: Timestamp) -> bool {
         let target = self.target.as_ref();
         let may_have_restarted =
-            target.is_some_and(|target| target.registration.incarnation.born.is_some());
+            target.is_some_and(|target| target.registration.incarnation.start_time.is_some());
         let lease = if may_have_restarted {
-            self.timings.longest_lease
+            self.timings.max_lease
         } else {
-            self.timings.lease
+            self.timings.lease_duration
         };
         let first_heard_at = self.first_heard_at.unwrap_or(now);
-        now > first_heard_at + self.timings.over_after_lease(lease)
+        now > first_heard_at + self.timings.lease_end_bound(lease)
     }
 
     /// Ends all runs as lost, and holds no end any more: every lease of the target has lapsed.
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -13,9 +13,9 @@
 use crate::runner::{Runner, RunnerAction};
 
 impl Runner {
-    /// Sends a heartbeat to every session whose last one is [`Timings::heartbeat`](crate::Timings::heartbeat) old.
+    /// Sends a heartbeat to every session whose last one is [`Timings::heartbeat_interval`](crate::Timings::heartbeat_interval) old.
     pub(super) fn send_heartbeats(&mut self, now: Timestamp) {
-        let interval = self.timings.heartbeat;
+        let interval = self.timings.heartbeat_interval;
         let due: Vec<SessionId> = self
             .sessions
             .iter()
@@ -94,8 +94,8 @@
     pub(super) fn announce_target(&mut self) {
         let has_leftovers = self.runs.values().any(|run| run.session.is_none());
         let target = self.target.as_ref();
-        let available =
-            target.filter(|target| target.accepts_work() && !self.is_leaving && !self.is_evacuated);
+        let available = target
+            .filter(|target| target.accepts_work() && !self.is_draining && !self.is_evacuated);
         let available = available.filter(|_| !self.is_held());
         for (id, session) in &mut self.sessions {
             let offered = available.filter(|_| !session.is_retired);
--- a/crates/leased/cloverfold_leased_entry/src/protocol.rs
+++ b/crates/leased/cloverfold_leased_entry/src/protocol.rs
@@ -68,7 +68,7 @@
     fn can_be_kept(&self, id: &str) -> bool;
 
     /// Returns how long the caller waits for the answer, if its request names a bound.
-    fn read_client_timeout(&self, headers: &HeaderMap) -> Option<Duration>;
+    fn read_caller_timeout(&self, headers: &HeaderMap) -> Option<Duration>;
 
     /// Writes the state of a job.
     fn write_state(&self, state: JobState) -> Vec<u8>;
--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -57,7 +57,7 @@
         if self.lock().drives(id) {
             return conflict_response();
         }
-        let objective = job.estimate_objective();
+        let objective = job.target_latency();
         let submitted_at = self.now();
         let answer = self.run_job(id, job).await;
         let took = self.now().saturating_duration_since(submitted_at);
@@ -76,8 +76,11 @@
     ) -> Result<ReadJob, UnrunnableJob> {
         match self.protocol.parse_job(id, route, &request.body) {
             Ok(ParsedJob::Repeatable(job)) => {
-                let patience = self.protocol.read_client_timeout(&request.headers);
-                Ok(ReadJob::Repeatable(JobRequest { patience, ..job }))
+                let caller_timeout = self.protocol.read_caller_timeout(&request.headers);
+                Ok(ReadJob::Repeatable(JobRequest {
+                    caller_timeout,
+                    ..job
+                }))
             }
             Ok(ParsedJob::Kept(job)) => Ok(ReadJob::Kept(job)),
             Ok(ParsedJob::Unsupported(what)) => Err(UnrunnableJob::Unsupported(what)),
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
-use cloverfold_configuration::{ConfigurationChange, StoredConfiguration, Version};
+use cloverfold_configuration::{ConfigurationDelta, StoredConfiguration, Version};
 use cloverfold_evacuation::EvacuatedHalls;
 use cloverfold_lease::{RunnerMessage, TargetDescription};
 use cloverfold_link::{LinkEvent, LinkId};
@@ -58,7 +58,7 @@
             | PeerMessage::JobCall(_)
             | PeerMessage::JobConsensus { .. }
             | PeerMessage::UpkeepCommand(_) => {}
-            PeerMessage::JobGroups(groups) => self.recorder.set_groups(groups.count, now),
+            PeerMessage::JobGroups(groups) => self.recorder.set_group_count(groups.count, now),
             PeerMessage::JobReply(reply) => self.recorder.receive(reply, now),
             // Not used yet.
             PeerMessage::RememberedSpeed(_) => {}
@@ -71,7 +71,7 @@
         self.runner.hold_target(&held.incarnation, span, now);
         let incarnation = self.runner.target_incarnation_id();
         let is_meant = incarnation.is_some_and(|incarnation| incarnation.name == held.incarnation);
-        if let Some(free) = self.runner.report_load(now).filter(|_| is_meant) {
+        if let Some(free) = self.runner.unreserved_capacity(now).filter(|_| is_meant) {
             let message = PeerMessage::ToDispatcher(RunnerMessage::FreeCapacity(free));
             self.links.send(link, &message);
         }
@@ -143,7 +143,7 @@
     }
 
     /// Keeps a configuration that was sent as a change.
-    fn receive_change(&mut self, link: LinkId, change: &ConfigurationChange) {
+    fn receive_change(&mut self, link: LinkId, change: &ConfigurationDelta) {
         let base = self.configuration.stored();
         if let Some(stored) = self.links.apply_change(link, change, base) {
             self.receive_configuration(stored);
