--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -124,7 +124,7 @@
     /// Puts a configuration in force that was sent as a change.
     fn receive_change(&mut self, link: LinkId, change: &ConfigurationDelta) {
         let base = self.configuration.stored();
-        if let Some(stored) = self.links.apply_change(link, change, base) {
+        if let Some(stored) = self.links.apply_delta(link, change, base) {
             self.receive_configuration(stored);
         }
     }
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -145,7 +145,7 @@
     /// Keeps a configuration that was sent as a change.
     fn receive_change(&mut self, link: LinkId, change: &ConfigurationDelta) {
         let base = self.configuration.stored();
-        if let Some(stored) = self.links.apply_change(link, change, base) {
+        if let Some(stored) = self.links.apply_delta(link, change, base) {
             self.receive_configuration(stored);
         }
     }
@@ -177,7 +177,7 @@
     /// Dials the entries that a control process names, and the control processes.
     fn receive_directory(&mut self, link: LinkId, directory: Directory) {
         self.chosen.set_entries(link, directory.entries);
-        for entry in self.chosen.wanted() {
+        for entry in self.chosen.assigned() {
             self.entries.add(*entry);
         }
         self.controls.set_controls(directory.controls);
--- a/crates/leased/cloverfold_peer/src/addresses.rs
+++ b/crates/leased/cloverfold_peer/src/addresses.rs
@@ -1,7 +1,4 @@
-//! Addresses that a process keeps links to.
-//!
-//! Owns one dialer for each address, and for entries and guards which control processes they dial. Relies on `cloverfold_link` to dial
-//! and to dial again.
+//! The peers that a process dials, with one [`Dialer`] for each address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,7 +8,7 @@
 
 use crate::messages::PeerMessage;
 
-/// One dialer for each address.
+/// A set of dialed peers, with one dialer for each address.
 #[derive(Debug)]
 pub struct DialedPeers {
     own: SocketAddr,
@@ -20,7 +17,7 @@
 }
 
 impl DialedPeers {
-    /// Creates an empty set whose links report to `events`. The process's own address is never dialed.
+    /// Creates an empty set whose links report to `events`. The set never dials `own`, the address of this process.
     pub fn new(own: SocketAddr, events: mpsc::Sender<LinkEvent<PeerMessage>>) -> Self {
         Self {
             own,
@@ -29,7 +26,7 @@
         }
     }
 
-    /// Keeps a link to one more address.
+    /// Starts to dial an address unless it is dialed already, and keeps the link open.
     ///
     /// # Panics
     ///
@@ -41,17 +38,17 @@
         }
     }
 
-    /// Keeps a link to an address no longer: an open one closes.
+    /// Stops dialing an address and closes its link.
     pub fn remove(&mut self, address: SocketAddr) {
         self.dialers.remove(&address);
     }
 
-    /// Returns the addresses that links are kept to, in no order.
+    /// Returns the dialed addresses in arbitrary order.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.dialers.keys().copied()
     }
 
-    /// Keeps links to these addresses and no others: other links close.
+    /// Replaces the set of dialed addresses; links to addresses that are not in the new set close.
     ///
     /// # Panics
     ///
@@ -65,62 +62,62 @@
     }
 }
 
-/// Control processes that are dialed at the most. Chosen, not measured: any of them will do.
+/// Maximum number of control processes to dial; any of them can serve this process.
 const MAX_CONTROLS: usize = 5;
 
-/// Links to control processes: to those in the newest directory, then to seeds, up to five in all.
+/// Links to control processes: those in the newest directory first, then seeds, up to five in all.
 #[derive(Debug)]
 pub struct ControlLinks {
     seeds: Vec<SocketAddr>,
-    listed: Vec<SocketAddr>,
+    known: Vec<SocketAddr>,
     dialed: DialedPeers,
 }
 
 impl ControlLinks {
-    /// Starts with the seeds; nothing is dialed before [`ControlLinks::dial`].
+    /// Creates the set with the seeds; it dials nothing before [`ControlLinks::dial`].
     pub fn new(seeds: Vec<SocketAddr>, dialed: DialedPeers) -> Self {
         Self {
             seeds,
-            listed: Vec::new(),
+            known: Vec::new(),
             dialed,
         }
     }
 
-    /// Dials the control processes that are wanted, and no others.
+    /// Dials the selected control processes and stops dialing all others.
     ///
     /// # Panics
     ///
     /// Panics outside a tokio runtime.
     pub fn dial(&mut self) {
-        let mut wanted = self.listed.clone();
-        wanted.truncate(MAX_CONTROLS);
+        let mut selected = self.known.clone();
+        selected.truncate(MAX_CONTROLS);
         for seed in &self.seeds {
-            if wanted.len() < MAX_CONTROLS && !wanted.contains(seed) {
-                wanted.push(*seed);
+            if selected.len() < MAX_CONTROLS && !selected.contains(seed) {
+                selected.push(*seed);
             }
         }
-        self.dialed.set(&wanted);
+        self.dialed.set(&selected);
     }
 
-    /// Replaces the control processes by those of a newer directory, and dials them.
+    /// Replaces the known control processes by those of a newer directory and dials them.
     pub fn set_controls(&mut self, controls: Vec<SocketAddr>) {
-        self.listed = controls;
+        self.known = controls;
         self.dial();
     }
 
-    /// Dials the control processes that one of them names after its restart, unless a directory has come since this process started:
-    /// that names them better.
+    /// Dials the control processes listed in the invitation of a restarted one, unless this process has already received a directory,
+    /// which is more recent.
     pub fn accept_invitation(&mut self, controls: Vec<SocketAddr>) {
-        if self.listed.is_empty() {
-            log::info!(controls = controls.len(); "a control process invites");
+        if self.known.is_empty() {
+            log::info!(controls = controls.len(); "dialing control processes from an invitation");
             self.set_controls(controls);
         }
     }
 
-    /// Replaces the seeds and dials; links to addresses that are still wanted stay open.
+    /// Replaces the seeds and dials; links to addresses that remain selected stay open.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         if seeds != self.seeds {
-            log::info!("the seeds have changed");
+            log::info!("seed addresses changed");
         }
         self.seeds = seeds;
         self.dial();
--- a/crates/leased/cloverfold_peer/src/group_calls.rs
+++ b/crates/leased/cloverfold_peer/src/group_calls.rs
@@ -1,11 +1,8 @@
-//! Decision: over which link a call to a group goes.
+//! Selects the link for a call to a group.
 //!
-//! Rule: to the control process that leads the group, if it is known and connected; otherwise to the one whose place among the connected
-//! ones, in order of their links, is the number of the attempt. Only to those whose build reads calls.
-//!
-//! Inputs: the open links, the route.
-//!
-//! Reason: any control process passes a call on, which takes a message longer; one that cannot is passed by with the next attempt.
+//! A call goes to the control process that leads the group, if it is known and connected. Otherwise any control process can forward the
+//! call at the cost of one more message, so attempts rotate through the connected ones in the order of their links. Control processes
+//! whose build does not support calls are skipped.
 
 use cloverfold_kept_jobs::{CallRoute, JobCallMessage};
 use cloverfold_link::LinkId;
@@ -13,7 +10,7 @@
 use crate::links::PeerLinks;
 use crate::messages::{Hello, PeerMessage, PeerRole};
 
-/// Sends a call to a group; returns whether it was queued on a link, without which it certainly has no effect.
+/// Sends a call to a group; returns whether it was queued on a link. A call that was not queued has no effect.
 pub fn send_group_call(links: &PeerLinks, route: &CallRoute, call: JobCallMessage) -> bool {
     let Some(link) = choose_link(links, route) else {
         return false;
@@ -21,7 +18,7 @@
     links.send(link, &PeerMessage::JobCall(call))
 }
 
-/// Returns whether a control process is connected whose build reads calls to groups.
+/// Returns whether a control process is connected whose build supports calls to groups.
 pub fn has_group_link(links: &PeerLinks) -> bool {
     links.peers().any(is_usable)
 }
@@ -35,8 +32,8 @@
     {
         return Some(*link);
     }
-    let place = route.attempt as usize % usable.len().max(1);
-    usable.get(place).map(|(link, _)| *link)
+    let index = route.attempt as usize % usable.len().max(1);
+    usable.get(index).map(|(link, _)| *link)
 }
 
 fn is_usable(hello: &Hello) -> bool {
--- a/crates/leased/cloverfold_peer/src/known_evacuations.rs
+++ b/crates/leased/cloverfold_peer/src/known_evacuations.rs
@@ -1,7 +1,7 @@
-//! The evacuations that an entry or guard knows, and how it passes them on.
+//! The evacuated data halls known to an entry or guard, and their propagation to peers.
 //!
-//! They come from any peer: from control processes, and over the links between entries and guards, so that a process that reaches no
-//! control process learns them as well. Owns the newest that came. Relies on [`PeerLinks`] for which peer knows what.
+//! Any peer may send them: control processes, and also entries and guards to each other, so that a process without a link to a control
+//! process learns them as well. [`PeerLinks`] records which revision each peer has acknowledged.
 
 use cloverfold_evacuation::EvacuatedHalls;
 use cloverfold_link::LinkId;
@@ -9,7 +9,7 @@
 use crate::links::PeerLinks;
 use crate::messages::{PeerMessage, PeerRole};
 
-/// The newest evacuations that have come.
+/// The newest evacuated data halls that were received.
 #[derive(Debug, Default)]
 pub struct KnownEvacuations {
     newest: EvacuatedHalls,
@@ -21,8 +21,8 @@
         &self.newest
     }
 
-    /// Takes over what a peer tells if it is newer, and passes it on; returns whether it was. A control process gets an answer in any
-    /// case: it tells again and again until it has one.
+    /// Adopts evacuated halls from a peer if they are newer, and propagates them; returns whether they were newer. A control process
+    /// always gets a reply, because it resends them until it has an acknowledgement.
     pub fn receive(&mut self, told: EvacuatedHalls, from: LinkId, links: &mut PeerLinks) -> bool {
         links.record_evacuations(from, told.revision);
         let is_newer = self.newest.update(told);
@@ -40,11 +40,11 @@
     fn log_halls(&self) {
         let halls: Vec<&str> = self.newest.halls.iter().map(String::as_str).collect();
         let halls = halls.join(",");
-        log::info!(revision = self.newest.revision, halls = halls.as_str(); "the evacuated data halls have changed");
+        log::info!(revision = self.newest.revision, halls = halls.as_str(); "evacuated data halls changed");
     }
 
-    /// Sends the evacuated halls to the peers that have not shown to know them. To be called when a peer has introduced itself, before
-    /// anything else is sent to it: it then knows them before it begins work.
+    /// Sends the evacuated halls to all peers that have not acknowledged them. Call this when a peer has sent its [`Hello`](crate::Hello),
+    /// before any other message to it, so that the peer knows the halls before it starts work.
     pub fn announce(&self, links: &PeerLinks) {
         if self.newest.revision > 0 {
             links.send_evacuations(&self.newest, |_| true);
--- a/crates/leased/cloverfold_peer/src/lib.rs
+++ b/crates/leased/cloverfold_peer/src/lib.rs
@@ -1,12 +1,11 @@
-//! Messages between the processes of a leased installation, and how the processes find one another.
+//! Peer protocol and peer discovery of a leased installation.
 //!
-//! Entries and guards dial control processes: first the seeds of their settings, later those in the newest [`Directory`]. A control
-//! process chooses which entries each guard works with ([`choose_entries`]) and names them in the guard's directory; the guard dials
-//! those ([`ChosenEntries`]). An entry invites guards that were connected to it before, so that the two reconnect while no control
-//! process can be reached. A control process that has restarted invites the entries and guards that it remembers ([`Invitations`]).
+//! Entries and guards dial control processes: first the seeds from their settings, later those in the newest [`Directory`]. A control
+//! process assigns each guard a subset of the entries ([`choose_entries`]) and lists it in the guard's directory; the guard dials these
+//! entries ([`ChosenEntries`]). An entry sends an invitation to each guard that was connected before, so that both can reconnect while
+//! no control process is reachable. A restarted control process invites the entries and guards that it stored ([`Invitations`]).
 //!
-//! Owns, for each process, its open links ([`PeerLinks`]) and the addresses that it dials ([`DialedPeers`], [`ControlLinks`]). Relies
-//! on `cloverfold_link` for the connections.
+//! Each process keeps its open links in [`PeerLinks`] and the addresses that it dials in [`DialedPeers`] and [`ControlLinks`].
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_peer/src/link_drains.rs
+++ b/crates/leased/cloverfold_peer/src/link_drains.rs
@@ -1,13 +1,12 @@
-//! Decision: the steps in which a guard leaves an entry without cutting a run.
+//! Drains the links to entries that a guard drops, without interrupting a run.
 //!
 //! ```text
-//! (working) ──left──▶ retired ──RETIRED_SPAN over, no run left──▶ farewell ──next step──▶ (closed)
-//!     ▲                  │
-//!     └────named again───┘
+//! (active) ──dropped──▶ draining ──MIN_DRAIN_TIME over, no run left──▶ notified ──next step──▶ (closed)
+//!     ▲                    │
+//!     └──assigned again────┘
 //! ```
 //!
-//! Owns how far each link has come ([`LinkDrains`]). Relies on the guard to carry out each step, and to take one every few tens of
-//! milliseconds.
+//! The guard carries out each step and advances every few tens of milliseconds.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,81 +14,82 @@
 use cloverfold_base::Timestamp;
 use cloverfold_link::LinkId;
 
-/// How long a retired session stays open at least, so that assignments under way arrive: the length of a session, after which what was
-/// assigned before is void. Chosen, not measured.
-const RETIRED_SPAN: Duration = Duration::from_millis(500);
+/// Minimum time for which a link drains, so that assignments in flight arrive: the session timeout, after which earlier assignments
+/// are void.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(500);
 
-/// How far the departure from an entry has come.
+/// Progress of one link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Departure {
-    /// The entry is offered no target; its runs end.
-    Retired { since: Timestamp },
-    /// The entry was told that the link will close.
-    Farewell,
+enum DrainState {
+    /// The guard offers the entry no target and waits for its runs to end.
+    Draining { since: Timestamp },
+    /// The guard has sent [`PeerMessage::Goodbye`](crate::PeerMessage::Goodbye).
+    Notified,
 }
 
-/// What the guard does next on a link to an entry.
+/// Next step of the guard on a link to an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkDrainStep {
-    /// Nothing changes.
+    /// Keep the current state.
     NoChange,
-    /// Offer the entry no target any more.
+    /// Stop offering the target to the entry.
     StopOffering,
-    /// Offer the entry the target again.
+    /// Offer the target to the entry again.
     ResumeOffering,
     /// Send [`PeerMessage::Goodbye`](crate::PeerMessage::Goodbye).
     SendGoodbye,
-    /// Close the link: what was sent before is on its way.
+    /// Close the link; messages sent before are already in flight.
     Close,
 }
 
-/// The links on which entries are being left.
+/// The links that are being drained.
 #[derive(Debug, Default)]
 pub struct LinkDrains {
-    links: HashMap<LinkId, Departure>,
+    links: HashMap<LinkId, DrainState>,
 }
 
 impl LinkDrains {
-    /// Takes the next step on a link whose entry `is_left` or not, and of whose session runs are left here or not.
+    /// Advances one link and returns the next step. `is_dropped` says whether the guard drops its entry, `has_runs` whether runs of its
+    /// session are left here.
     pub fn advance(
         &mut self,
         link: LinkId,
-        is_left: bool,
+        is_dropped: bool,
         has_runs: bool,
         now: Timestamp,
     ) -> LinkDrainStep {
-        let before = self.links.get(&link).copied();
-        match before {
-            None if is_left => {
-                self.links.insert(link, Departure::Retired { since: now });
+        let state = self.links.get(&link).copied();
+        match state {
+            None if is_dropped => {
+                self.links.insert(link, DrainState::Draining { since: now });
                 LinkDrainStep::StopOffering
             }
             None => LinkDrainStep::NoChange,
-            Some(Departure::Retired { .. }) if !is_left => {
+            Some(DrainState::Draining { .. }) if !is_dropped => {
                 self.links.remove(&link);
                 LinkDrainStep::ResumeOffering
             }
-            Some(Departure::Retired { since }) if has_runs || now < since + RETIRED_SPAN => {
+            Some(DrainState::Draining { since }) if has_runs || now < since + MIN_DRAIN_TIME => {
                 LinkDrainStep::NoChange
             }
-            Some(Departure::Retired { .. }) => {
-                self.links.insert(link, Departure::Farewell);
+            Some(DrainState::Draining { .. }) => {
+                self.links.insert(link, DrainState::Notified);
                 LinkDrainStep::SendGoodbye
             }
-            // Also if the entry is named again meanwhile: it has been told, and is dialed anew.
-            Some(Departure::Farewell) => {
+            // Also if the entry has been assigned again: it has received the goodbye, so the guard dials it anew.
+            Some(DrainState::Notified) => {
                 self.links.remove(&link);
                 LinkDrainStep::Close
             }
         }
     }
 
-    /// Returns whether no entry is being left.
+    /// Returns whether no link is being drained.
     pub fn is_empty(&self) -> bool {
         self.links.is_empty()
     }
 
-    /// Forgets a link that has closed.
+    /// Removes a link that has closed.
     pub fn forget(&mut self, link: LinkId) {
         self.links.remove(&link);
     }
--- a/crates/leased/cloverfold_peer/src/links.rs
+++ b/crates/leased/cloverfold_peer/src/links.rs
@@ -1,7 +1,7 @@
 //! The open links of one process, and the peer at the other end of each.
 //!
-//! Every process of a leased installation keeps one [`PeerLinks`]. It owns the senders of the links and the peers' introductions
-//! ([`Hello`]); it decides nothing. Relies on `cloverfold_link`, which reports when a link opens, brings a message, or closes.
+//! Every process of a leased installation has one [`PeerLinks`], which holds the sender and the [`Hello`] of each link. The process
+//! updates it from the events of `cloverfold_link`.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::messages::{Hello, PeerMessage, PeerRole};
 use crate::sent_counts::{MessageKind, SentCounts};
 
-/// A message that is encoded once, to be sent to many peers.
+/// A message that is encoded once and can be sent to many peers.
 #[derive(Clone, Debug)]
 pub struct SharedMessage {
     kind: MessageKind,
@@ -21,7 +21,7 @@
 }
 
 impl SharedMessage {
-    /// Encodes a message; `None` if that is not possible, which is logged.
+    /// Encodes a message; logs a failure and returns `None`.
     pub fn new(message: &PeerMessage) -> Option<Self> {
         Some(Self {
             kind: MessageKind::of(message),
@@ -30,21 +30,21 @@
     }
 }
 
-/// One open link.
+/// An open link.
 #[derive(Debug)]
 struct PeerLink {
     sender: LinkSender<PeerMessage>,
     /// Whether this process opened the connection.
     is_dialed: bool,
-    /// `None` until the peer has introduced itself.
+    /// `None` until the peer has sent its [`Hello`].
     hello: Option<Hello>,
-    /// The newest revision of the evacuations that the peer has sent; 0 before the first.
+    /// Newest revision of the evacuated halls that the peer has sent; 0 before the first.
     evacuations: EvacuationRevision,
 }
 
 impl PeerLink {
-    /// Returns whether the peer can read the evacuated halls and has not shown to know them.
-    fn lacks(&self, halls: &EvacuatedHalls) -> bool {
+    /// Returns whether the peer supports the message about evacuated halls and has not acknowledged these.
+    fn needs_evacuations(&self, halls: &EvacuatedHalls) -> bool {
         let hello = self.hello.as_ref();
         hello.is_some_and(Hello::supports_evacuations) && self.evacuations < halls.revision
     }
@@ -58,7 +58,7 @@
 }
 
 impl PeerLinks {
-    /// Adds a link that has just opened, and introduces this process to the peer with `own`.
+    /// Adds a link that has just opened, and sends `own` to the peer.
     pub fn open(
         &mut self,
         link: LinkId,
@@ -66,7 +66,7 @@
         sender: LinkSender<PeerMessage>,
         own: &Hello,
     ) {
-        // A link that closes at once reports it with an event of its own.
+        // The result is ignored: a link that closes at once reports that with an event.
         self.queue(&sender, &PeerMessage::Hello(own.clone()));
         let opened = PeerLink {
             sender,
@@ -77,125 +77,134 @@
         self.links.insert(link, opened);
     }
 
-    /// Records who is at the other end. Returns `false` if the link is closed already.
+    /// Records the identity of the peer. Returns `false` if the link is closed already.
     pub fn record_hello(&mut self, link: LinkId, hello: Hello) -> bool {
-        let Some(open) = self.links.get_mut(&link) else {
+        let Some(peer_link) = self.links.get_mut(&link) else {
             return false;
         };
-        open.hello = Some(hello);
+        peer_link.hello = Some(hello);
         true
     }
 
-    /// Records the version of the configuration that is now in force at a peer.
+    /// Records the configuration version that is now in force at a peer.
     pub fn record_version(&mut self, link: LinkId, version: Version) {
-        let open = self.links.get_mut(&link);
-        if let Some(hello) = open.and_then(|open| open.hello.as_mut()) {
+        let peer_link = self.links.get_mut(&link);
+        if let Some(hello) = peer_link.and_then(|peer_link| peer_link.hello.as_mut()) {
             hello.version = version;
         }
     }
 
-    /// Records the revision of the evacuations that a peer knows.
+    /// Records a revision of the evacuated halls that a peer has sent.
     pub fn record_evacuations(&mut self, link: LinkId, revision: EvacuationRevision) {
-        if let Some(open) = self.links.get_mut(&link) {
-            open.evacuations = open.evacuations.max(revision);
+        if let Some(peer_link) = self.links.get_mut(&link) {
+            peer_link.evacuations = peer_link.evacuations.max(revision);
         }
     }
 
-    /// Returns the newest revision of the evacuations that a peer has sent; 0 before the first.
+    /// Returns the newest revision of the evacuated halls that a peer has sent; 0 before the first.
     pub fn known_evacuations(&self, link: LinkId) -> EvacuationRevision {
-        self.links.get(&link).map_or(0, |open| open.evacuations)
+        self.links
+            .get(&link)
+            .map_or(0, |peer_link| peer_link.evacuations)
     }
 
-    /// Sends the evacuated halls to each peer whose role is selected, that can read them, and that has not shown to know them. One
-    /// whose queue is full misses them: they are sent again with the next change or when it connects, by control processes also at
-    /// regular intervals.
+    /// Sends the evacuated halls to each peer that has a selected role, supports the message and has not acknowledged them. A peer whose
+    /// queue is full misses them until the next change or connection; control processes also resend them at regular intervals.
     pub fn send_evacuations(&self, halls: &EvacuatedHalls, is_selected: impl Fn(PeerRole) -> bool) {
         let Some(message) = SharedMessage::new(&PeerMessage::Evacuations(halls.clone())) else {
             return;
         };
-        for open in self.links.values() {
-            let is_meant = |hello: &Hello| is_selected(hello.role);
-            if open.lacks(halls) && open.hello.as_ref().is_some_and(is_meant) {
-                self.queue_shared(&open.sender, &message);
+        for peer_link in self.links.values() {
+            let has_selected_role = |hello: &Hello| is_selected(hello.role);
+            if peer_link.needs_evacuations(halls)
+                && peer_link.hello.as_ref().is_some_and(has_selected_role)
+            {
+                self.queue_shared(&peer_link.sender, &message);
             }
         }
     }
 
-    /// Sends the evacuated halls to one peer, if it can read them and has not shown to know them.
+    /// Sends the evacuated halls to one peer, if it supports the message and has not acknowledged them.
     pub fn send_evacuations_to(&self, link: LinkId, halls: &EvacuatedHalls) {
-        if self.links.get(&link).is_some_and(|open| open.lacks(halls)) {
+        if self
+            .links
+            .get(&link)
+            .is_some_and(|peer_link| peer_link.needs_evacuations(halls))
+        {
             self.send(link, &PeerMessage::Evacuations(halls.clone()));
         }
     }
 
-    /// Removes a link, which closes it if it is still open. Returns who was at the other end; `None` if the link was removed before or
-    /// the peer never introduced itself.
+    /// Removes a link, which closes it if it is still peer_link. Returns the identity of the peer; `None` if the link was removed before or the
+    /// peer never sent its [`Hello`].
     pub fn close(&mut self, link: LinkId) -> Option<Hello> {
         let hello = self.links.remove(&link)?.hello?;
         log::info!(peer = hello.name.as_str(), link; "peer disconnected");
         Some(hello)
     }
 
-    /// Returns who is at the other end of a link, once it has introduced itself.
+    /// Returns the identity of the peer; `None` until it has sent its [`Hello`].
     pub fn hello(&self, link: LinkId) -> Option<&Hello> {
         self.links.get(&link)?.hello.as_ref()
     }
 
-    /// Returns whether this process opened the connection; `false` for a link that is closed.
+    /// Returns whether this process opened the connection; `false` for a closed link.
     pub fn is_dialed(&self, link: LinkId) -> bool {
-        self.links.get(&link).is_some_and(|open| open.is_dialed)
+        self.links
+            .get(&link)
+            .is_some_and(|peer_link| peer_link.is_dialed)
     }
 
-    /// Returns the link that this process opened to the peer that listens at an address, if there is one.
+    /// Returns the link that this process opened to the peer that listens on an address, if there is one.
     pub fn find_dialed(&self, address: SocketAddr) -> Option<LinkId> {
-        let is_meant = |open: &PeerLink| {
-            let hello = open.hello.as_ref();
-            open.is_dialed && hello.is_some_and(|hello| hello.address == address)
+        let matches_address = |peer_link: &PeerLink| {
+            let hello = peer_link.hello.as_ref();
+            peer_link.is_dialed && hello.is_some_and(|hello| hello.address == address)
         };
         let mut links = self.links.iter();
         links
-            .find(|(_, open)| is_meant(open))
+            .find(|(_, peer_link)| matches_address(peer_link))
             .map(|(link, _)| *link)
     }
 
-    /// Returns all links whose peer has introduced itself, with who that is, in no order.
+    /// Returns all links whose peer has sent its [`Hello`], in arbitrary order.
     pub fn identified(&self) -> impl Iterator<Item = (LinkId, &Hello)> {
         let links = self.links.iter();
-        links.filter_map(|(link, open)| Some((*link, open.hello.as_ref()?)))
+        links.filter_map(|(link, peer_link)| Some((*link, peer_link.hello.as_ref()?)))
     }
 
-    /// Returns all peers that have introduced themselves, in no order. A peer with two links is returned twice.
+    /// Returns all peers that have sent their [`Hello`], in arbitrary order. A peer with two links is returned twice.
     pub fn peers(&self) -> impl Iterator<Item = &Hello> {
         self.identified().map(|(_, hello)| hello)
     }
 
-    /// Returns the peers that this process has dialed and that have introduced themselves, in no order.
+    /// Returns the peers that this process has dialed and that have sent their [`Hello`], in arbitrary order.
     pub fn dialed_peers(&self) -> impl Iterator<Item = &Hello> {
-        let dialed = self.links.values().filter(|open| open.is_dialed);
-        dialed.filter_map(|open| open.hello.as_ref())
+        let dialed = self.links.values().filter(|peer_link| peer_link.is_dialed);
+        dialed.filter_map(|peer_link| peer_link.hello.as_ref())
     }
 
     /// Queues a message. Returns `false` if the link is closed or its queue is full.
     pub fn send(&self, link: LinkId, message: &PeerMessage) -> bool {
         self.links
             .get(&link)
-            .is_some_and(|open| self.queue(&open.sender, message))
+            .is_some_and(|peer_link| self.queue(&peer_link.sender, message))
     }
 
-    /// Queues a message that is encoded already. Returns `false` if the link is closed or its queue is full.
+    /// Queues an encoded message. Returns `false` if the link is closed or its queue is full.
     pub fn send_shared(&self, link: LinkId, message: &SharedMessage) -> bool {
         self.links
             .get(&link)
-            .is_some_and(|open| self.queue_shared(&open.sender, message))
+            .is_some_and(|peer_link| self.queue_shared(&peer_link.sender, message))
     }
 
-    /// Asks a peer for its configuration; `known` is the version in force here, 0 before the first. A closed link is not noticed: whoever
-    /// asks, asks again.
+    /// Requests the configuration of a peer; `known` is the version in force here, 0 if there is none. Does not report a closed link:
+    /// callers retry.
     pub fn fetch_configuration(&self, link: LinkId, known: Version) {
-        let tells_changes = self
+        let supports_deltas = self
             .hello(link)
-            .is_some_and(Hello::supports_configuration_changes);
-        let message = if known > 0 && tells_changes {
+            .is_some_and(Hello::supports_configuration_deltas);
+        let message = if known > 0 && supports_deltas {
             PeerMessage::FetchSince { known }
         } else {
             PeerMessage::Fetch
@@ -203,54 +212,54 @@
         self.send(link, &message);
     }
 
-    /// Returns the configuration that a peer has sent as a change; `base` is the one in force here. One that is not newer is left out. Where
-    /// the change does not fit, the peer is asked for the whole configuration.
-    pub fn apply_change(
+    /// Applies a delta from a peer to `base`, the configuration in force here, and returns the result; `None` if the delta is not newer. If
+    /// the delta does not apply to `base`, requests the whole configuration from the peer.
+    pub fn apply_delta(
         &self,
         link: LinkId,
-        change: &ConfigurationDelta,
+        delta: &ConfigurationDelta,
         base: Option<&StoredConfiguration>,
     ) -> Option<StoredConfiguration> {
         let in_force = base.map_or(0, |base| base.version);
-        if change.version <= in_force {
+        if delta.version <= in_force {
             return None;
         }
-        let changed = base.and_then(|base| change.apply(base));
-        if changed.is_none() {
-            log::info!(version = change.version, base = change.base, in_force, link; "a change of the configuration does not fit");
+        let configuration = base.and_then(|base| delta.apply(base));
+        if configuration.is_none() {
+            log::info!(version = delta.version, base = delta.base, in_force, link; "configuration delta does not apply; requesting the whole configuration");
             self.send(link, &PeerMessage::Fetch);
         }
-        changed
+        configuration
     }
 
-    /// Queues a message to each peer whose role is selected. A link whose queue is full misses it: what is sent this way is sent again
-    /// at regular intervals or asked for.
+    /// Queues a message to each peer that has a selected role. A link whose queue is full drops the message, so use this for messages that
+    /// are resent at regular intervals or on request.
     pub fn send_to_roles(&self, is_selected: impl Fn(PeerRole) -> bool, message: &PeerMessage) {
         let Some(message) = SharedMessage::new(message) else {
             return;
         };
-        for open in self.links.values() {
-            if open
+        for peer_link in self.links.values() {
+            if peer_link
                 .hello
                 .as_ref()
                 .is_some_and(|hello| is_selected(hello.role))
             {
-                self.queue_shared(&open.sender, &message);
+                self.queue_shared(&peer_link.sender, &message);
             }
         }
     }
 
-    /// Queues a message on every link, also where the peer has not introduced itself yet. A link whose queue is full misses it.
+    /// Queues a message on every link, even if the peer has not sent its [`Hello`] yet. A link whose queue is full drops the message.
     pub fn send_to_all(&self, message: &PeerMessage) {
         let Some(message) = SharedMessage::new(message) else {
             return;
         };
-        for open in self.links.values() {
-            self.queue_shared(&open.sender, &message);
+        for peer_link in self.links.values() {
+            self.queue_shared(&peer_link.sender, &message);
         }
     }
 
-    /// Returns what was sent on all links since the start.
+    /// Returns the counters of messages sent on all links since the start.
     pub fn sent(&self) -> &SentCounts {
         &self.sent
     }
--- a/crates/leased/cloverfold_peer/src/messages.rs
+++ b/crates/leased/cloverfold_peer/src/messages.rs
@@ -1,9 +1,8 @@
-//! Messages between processes, as they stand on the wire.
+//! Wire format of the messages between processes.
 //!
-//! The bytes are postcard's: variants are told apart by their position and fields by their order, so neither is ever changed
-//! (`compatibility/` holds recorded bytes of each message). What a build before it cannot read is sent only to a peer whose [`Hello`]
-//! names a [`ProtocolVersion`] that has it. Owns nothing; relies on the message types of `cloverfold_lease`, `cloverfold_consensus`,
-//! `cloverfold_configuration`, `cloverfold_evacuation`, `cloverfold_kept_jobs` and `cloverfold_upkeep`.
+//! Messages are encoded with postcard, which identifies variants by their index and fields by their order, so neither may change;
+//! `compatibility/` holds recorded bytes of each message. A message that older builds cannot decode is sent only to peers whose
+//! [`Hello`] reports a [`ProtocolVersion`] that supports it.
 
 use std::net::SocketAddr;
 
@@ -17,58 +16,63 @@
 
 use crate::trailing::Trailing;
 
-/// What a build can read. Builds that name none read neither [`PeerMessage::Evacuations`], [`PeerMessage::EvacuationOrder`] nor
-/// [`RunRefusal::Evacuated`](cloverfold_lease::RunRefusal::Evacuated); builds of version 1 none of the messages from
-/// [`PeerMessage::JobGroups`] on, nor [`DispatcherMessage::AssignKept`] and [`RunnerMessage::UsualSpeed`]; builds of version 2 neither
-/// [`PeerMessage::FetchSince`] nor [`PeerMessage::ConfigurationChange`].
+/// Version of the peer protocol that a build supports.
+///
+/// | since version | messages |
+/// |---|---|
+/// | 1 | [`PeerMessage::Evacuations`], [`PeerMessage::EvacuationOrder`], [`RunRefusal::Evacuated`](cloverfold_lease::RunRefusal::Evacuated) |
+/// | 2 | [`PeerMessage::JobGroups`] and the variants after it, [`DispatcherMessage::AssignKept`], [`RunnerMessage::UsualSpeed`] |
+/// | 3 | [`PeerMessage::FetchSince`], [`PeerMessage::ConfigurationChange`] |
+///
+/// Older builds report no version.
 pub type ProtocolVersion = u32;
 
-/// The version of this build.
+/// Protocol version of this build.
 pub const PROTOCOL_VERSION: ProtocolVersion = 3;
-/// The first version that reads everything about evacuations.
+/// First version that supports the messages about evacuations.
 const EVACUATIONS_SINCE: ProtocolVersion = 1;
-/// The first version that reads everything about kept jobs, planned upkeep and usual speeds.
+/// First version that supports the messages about kept jobs, planned upkeep and target speeds.
 const KEPT_JOBS_SINCE: ProtocolVersion = 2;
-/// The first version that reads changes of configurations.
-const CONFIGURATION_CHANGES_SINCE: ProtocolVersion = 3;
+/// First version that supports configuration deltas.
+const CONFIGURATION_DELTAS_SINCE: ProtocolVersion = 3;
 
 /// The role of a process in its installation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerRole {
-    /// A leased entry: serves callers.
+    /// Leased entry: serves callers.
     Entry,
-    /// A leased guard: runs tasks on one target.
+    /// Leased guard: runs tasks on one target.
     Guard,
-    /// A control process: keeps the configuration.
+    /// Control process: replicates the configuration.
     Control {
-        /// The identity of its disk.
+        /// Replica ID, stored on the disk of the process.
         replica: ReplicaId,
-        /// Whether its log is empty: it has never been part of a group.
+        /// Whether its log is empty, which means that it was never a member of a group.
         has_empty_log: bool,
     },
 }
 
-/// A process introduces itself; the first message each way on a link.
+/// Identifies the sender; the first message in each direction of a link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Name of the process, the same after a restart.
+    /// Name of the process, stable across restarts.
     pub name: String,
-    /// Its role.
+    /// Role of the process.
     pub role: PeerRole,
-    /// The address on which it accepts links.
+    /// Address on which the process accepts links.
     pub address: SocketAddr,
-    /// Version of the configuration in force there; 0 before the first.
+    /// Version of the configuration in force at the sender; 0 if it has none.
     pub version: Version,
-    /// What builds before it do not send.
+    /// Fields that older builds do not send.
     pub details: Trailing<PeerDetails>,
 }
 
-/// What a process tells of itself beyond its first fields. The order of the fields is the format on the wire.
+/// Later additions to [`Hello`]. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerDetails {
-    /// What its build can read.
+    /// Protocol version that its build supports.
     pub protocol: ProtocolVersion,
-    /// The data hall it stands in.
+    /// Data hall of the process.
     pub data_hall: DataHall,
 }
 
@@ -83,25 +87,25 @@
 }
 
 impl Hello {
-    /// Returns the data hall the process stands in; `None` from a build that does not tell it.
+    /// Returns the data hall of the process; `None` if its build does not report one.
     pub fn data_hall(&self) -> Option<&DataHall> {
         let details = self.details.0.as_ref();
         details.map(|details| &details.data_hall)
     }
 
-    /// Returns whether the process can read what is sent about evacuations.
+    /// Returns whether the process supports the messages about evacuations.
     pub fn supports_evacuations(&self) -> bool {
         self.reads(EVACUATIONS_SINCE)
     }
 
-    /// Returns whether the process can read what is sent about kept jobs, planned upkeep and usual speeds.
+    /// Returns whether the process supports the messages about kept jobs, planned upkeep and target speeds.
     pub fn supports_kept_jobs(&self) -> bool {
         self.reads(KEPT_JOBS_SINCE)
     }
 
-    /// Returns whether the process can read what is sent about changes of configurations.
-    pub fn supports_configuration_changes(&self) -> bool {
-        self.reads(CONFIGURATION_CHANGES_SINCE)
+    /// Returns whether the process supports configuration deltas.
+    pub fn supports_configuration_deltas(&self) -> bool {
+        self.reads(CONFIGURATION_DELTAS_SINCE)
     }
 
     fn reads(&self, version: ProtocolVersion) -> bool {
@@ -110,10 +114,10 @@
     }
 }
 
-/// Addresses at which processes accept links.
+/// Addresses on which processes accept links.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directory {
-    /// The entries that the receiver works with, if it is a guard; an entry gets none.
+    /// Entries assigned to the receiver, if it is a guard; empty for an entry.
     pub entries: Vec<SocketAddr>,
     /// The control processes.
     pub controls: Vec<SocketAddr>,
@@ -122,82 +126,82 @@
 /// A message between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The sender introduces itself.
+    /// Identifies the sender.
     Hello(Hello),
     /// From an entry's dispatcher to a guard's runner.
     ToRunner(DispatcherMessage),
-    /// From a guard's runner to an entry's dispatcher; its target is also told to control processes.
+    /// From a guard's runner to an entry's dispatcher; the description of the target also goes to control processes.
     ToDispatcher(RunnerMessage),
-    /// Announces the version in force at the sender; a receiver whose version is older may fetch it.
+    /// Announces the configuration version in force at the sender; a receiver with an older one may fetch it.
     VersionNotice {
         /// The version in force at the sender.
         version: Version,
         /// Whether the sender is a control process that is connected to a quorum; always `false` from entries and guards.
         has_quorum: bool,
     },
-    /// Asks for the configuration in force at the receiver; one that has none doesn't answer.
+    /// Requests the configuration in force at the receiver; a receiver without one does not reply.
     Fetch,
-    /// The configuration in force at the sender.
+    /// Configuration in force at the sender.
     Configuration(StoredConfiguration),
-    /// The addresses that a control process has, sent to entries and guards.
+    /// From a control process to entries and guards: the addresses that they dial.
     Directory(Directory),
-    /// From an entry to a guard that is no longer connected to it: asks to be dialed.
+    /// From an entry to a disconnected guard: asks the guard to dial it.
     Invite {
-        /// The address on which the entry accepts links.
+        /// Address on which the entry accepts links.
         entry: SocketAddr,
     },
-    /// A message of the replicated log, between control processes.
+    /// Message of the replicated log, between control processes.
     Consensus(Message),
-    /// From a control process to the leader: a configuration to append to the log. It is not answered.
+    /// From a control process to the leader: a configuration to append to the log. There is no reply.
     Proposal(Proposal),
-    /// From a control process to the leader: asks for the committed index, with proof that the receiver still leads.
+    /// From a control process to the leader: requests the commit index, which the leader returns after it has confirmed its leadership.
     Read {
-        /// Number of the read, chosen by the sender; the reply echoes it.
+        /// Request ID chosen by the sender; the reply repeats it.
         token: u64,
     },
-    /// The answer to a read.
+    /// Reply to [`Self::Read`].
     ReadReply {
-        /// As in the request.
+        /// Request ID.
         token: u64,
-        /// Index up to which the asking process must have applied the log before it answers; `None` if the read failed and must be
-        /// repeated.
+        /// Index up to which the requesting process must have applied the log before it serves the read; `None` if the request failed
+        /// and must be retried.
         index: Option<LogIndex>,
     },
-    /// From a guard to an entry: the guard works with other entries from now on and has nothing of this one left. The entry closes the
-    /// link and does not invite the guard any more.
+    /// From a guard to an entry that is no longer assigned to it, after the last run of the entry has ended. The entry closes the link
+    /// and stops inviting the guard.
     Goodbye,
-    /// From a control process to the leader: an order on a data hall to append to the log. It is not answered.
+    /// From a control process to the leader: an evacuation order to append to the log. There is no reply.
     EvacuationOrder(EvacuationOrder),
-    /// The evacuated data halls as the sender knows them; a receiver that knows an older revision takes them over. Entries and guards
-    /// send them to control processes too, which record that they know them.
+    /// Evacuated data halls known to the sender; a receiver with an older revision adopts them. From entries and guards to control
+    /// processes the message is also an acknowledgement of the revision.
     Evacuations(EvacuatedHalls),
-    /// From a control process that has restarted to an entry or guard that it remembers, on a link for this message alone: asks to dial
-    /// these control processes. An older build closes the link.
+    /// From a restarted control process to an entry or guard that it stored, on a connection for this message alone: asks it to dial
+    /// these control processes. Older builds close the connection.
     DialControls(Vec<SocketAddr>),
-    /// From a control process: the groups that keep jobs, told to each process that connects and once they are agreed on.
+    /// From a control process: the groups that replicate kept jobs, sent to each process that connects and when the groups are created.
     JobGroups(JobGroups),
-    /// A call to a group, from an entry or guard to a control process, and from there to the group's leader.
+    /// Call to a group, from an entry or guard to a control process, which forwards it to the leader of the group.
     JobCall(JobCallMessage),
-    /// The reply to a call, along the way that the call came.
+    /// Reply to a call, sent back along the same path.
     JobReply(JobReplyMessage),
-    /// A message of a group's log, between control processes.
+    /// Message of a group's replicated log, between control processes.
     JobConsensus {
         /// The group.
         group: GroupId,
         /// The message.
         message: Message,
     },
-    /// From a control process to the leader: a change of the waves of upkeep to append to the log. It is not answered.
+    /// From a control process to the leader: a command about upkeep waves to append to the log. There is no reply.
     UpkeepCommand(UpkeepCommand),
-    /// From a control process to a guard: its target is to be emptied for its upkeep.
+    /// From a control process to a guard: drain the target before the upkeep of its box.
     HoldTarget(HeldTarget),
-    /// From a control process to a guard that has just connected: what it told of its target's usual speed before it restarted.
+    /// From a control process to a guard that has just connected: the target speed that the guard reported before it restarted.
     RememberedSpeed(UsualSpeed),
-    /// As [`Self::Fetch`], from a process that has an older configuration: the answer may be the change since that one.
+    /// Like [`Self::Fetch`], from a process that has an older configuration: the reply may be a delta from that version.
     FetchSince {
         /// The version in force at the sender.
         known: Version,
     },
-    /// How to make the configuration in force at the sender from the one that the receiver has.
+    /// Delta from the configuration of the receiver to the one in force at the sender.
     ConfigurationChange(ConfigurationDelta),
 }
--- a/crates/leased/cloverfold_peer/src/sent_counts.rs
+++ b/crates/leased/cloverfold_peer/src/sent_counts.rs
@@ -1,6 +1,4 @@
-//! What a process has sent to others, by kind of message: which kind costs what, and how that grows with the installation.
-//!
-//! Owns the counts ([`SentCounts`]). Relies on the links to record each message that was queued.
+//! Counters of sent messages and bytes, by kind of message.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -8,7 +6,7 @@
 
 use crate::messages::PeerMessage;
 
-/// A kind of message.
+/// Kind of message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MessageKind {
     Hello,
@@ -46,7 +44,7 @@
 }
 
 impl MessageKind {
-    /// All of them, in order.
+    /// All kinds, in the order of their declaration.
     const ALL: [Self; 32] = [
         Self::Hello,
         Self::Echo,
@@ -119,7 +117,7 @@
         }
     }
 
-    /// Returns its name in the metrics.
+    /// Returns the name of the kind in the metrics.
     fn as_str(self) -> &'static str {
         match self {
             Self::Hello => "hello",
@@ -158,40 +156,40 @@
     }
 }
 
-/// Messages of one kind and their bytes, frames included.
+/// Counters of one kind; bytes include the frame headers.
 #[derive(Debug, Default)]
 struct KindCount {
     messages: AtomicU64,
     bytes: AtomicU64,
 }
 
-/// What a process has sent since its start.
+/// Messages and bytes that a process has sent since its start, by kind.
 #[derive(Debug, Default)]
 pub struct SentCounts {
     /// In the order of [`MessageKind::ALL`].
     by_kind: [KindCount; MessageKind::ALL.len()],
 }
 
-/// Messages of one kind that were sent.
+/// Totals of one kind of message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentTotals {
-    /// Its name in the metrics.
+    /// Name of the kind in the metrics.
     pub kind: &'static str,
-    /// How many.
+    /// Number of messages.
     pub messages: u64,
-    /// Their bytes, frames included.
+    /// Number of bytes, including frame headers.
     pub bytes: u64,
 }
 
 impl SentCounts {
-    /// Records a message that was queued as a frame of so many bytes.
+    /// Records a message that was queued as a frame of `frame_len` bytes.
     pub(crate) fn record(&self, kind: MessageKind, frame_len: usize) {
         let count = &self.by_kind[kind as usize];
         count.messages.fetch_add(1, Ordering::Relaxed);
         count.bytes.fetch_add(frame_len as u64, Ordering::Relaxed);
     }
 
-    /// Returns each kind with its counts.
+    /// Returns the totals of each kind.
     pub fn iter(&self) -> impl Iterator<Item = SentTotals> {
         let counts = MessageKind::ALL.into_iter().zip(&self.by_kind);
         counts.map(|(kind, count)| SentTotals {
--- a/crates/leased/cloverfold_peer/src/trailing.rs
+++ b/crates/leased/cloverfold_peer/src/trailing.rs
@@ -1,17 +1,17 @@
-//! Fields that a newer build sends at the end of a message.
+//! Optional fields at the end of a message, for compatibility between builds.
 //!
-//! A process decodes what it knows of a message and passes over the bytes behind it, so a build that does not know a field at the end
-//! reads the message all the same. The other way round the field is missing, and [`Trailing`] reads it as none. Only the last field of
-//! a whole frame can be of this type.
+//! Decoding ignores the bytes after the known fields of a message, so an older build can read a message with an additional last field. A
+//! message from an older build lacks the field, which [`Trailing`] decodes as `None`. Only the last field of a whole frame can have this
+//! type.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A last field that builds before it do not send.
+/// Last field of a message that older builds do not send.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Trailing<T>(pub Option<T>);
 
 impl<T: Serialize> Serialize for Trailing<T> {
-    /// Writes the value as it is, and nothing at all for none.
+    /// Writes the value without a tag, and nothing for `None`.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         match &self.0 {
             Some(value) => value.serialize(serializer),
@@ -21,7 +21,7 @@
 }
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for Trailing<T> {
-    /// Never fails: the format has no mark for a missing field, so bytes that end too early are the only sign of one.
+    /// Never fails: the encoding does not mark a missing field, so a premature end of the bytes is the only sign of one.
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         Ok(Self(T::deserialize(deserializer).ok()))
     }
--- a/crates/leased/cloverfold_peer/tests/chosen_entries.rs
+++ b/crates/leased/cloverfold_peer/tests/chosen_entries.rs
@@ -1,4 +1,4 @@
-//! Which entries a guard works with, as control processes name them, and how it leaves one.
+//! Guards use the entries that control processes assign, and drop an entry only after its link is drained.
 
 #![allow(clippy::unwrap_used)]
 
@@ -26,95 +26,95 @@
     numbers.into_iter().map(entry).collect()
 }
 
-/// What a guard knows to which one control process has named entries 1 and 2.
-fn named_by_one() -> ChosenEntries {
+/// State of a guard after one control process has assigned entries 1 and 2.
+fn with_one_assignment() -> ChosenEntries {
     let mut chosen = ChosenEntries::default();
     chosen.set_entries(CONTROL, entries([1, 2]));
     chosen
 }
 
 #[test]
-fn an_entry_is_wanted_that_any_control_process_names() {
-    let mut chosen = named_by_one();
+fn an_entry_is_assigned_if_any_control_process_assigns_it() {
+    let mut chosen = with_one_assignment();
 
     chosen.set_entries(OTHER_CONTROL, entries([2, 3]));
 
-    assert_eq!(*chosen.wanted(), entries([1, 2, 3]));
+    assert_eq!(*chosen.assigned(), entries([1, 2, 3]));
 }
 
-/// Lets a guard look which of the entries that it dials and is connected to it leaves, each 100 ms up to `until_ms`; returns the last.
-fn look_until(
+/// Calls `list_unneeded` every 100 ms up to `until_ms` for a guard that is connected to all dialed entries; returns the last result.
+fn list_until(
     chosen: &mut ChosenEntries,
     connected: &BTreeSet<SocketAddr>,
     from_ms: u64,
     until_ms: u64,
 ) -> BTreeSet<SocketAddr> {
-    let looks = (from_ms..=until_ms).step_by(100);
-    let left = looks.map(|ms| chosen.list_unneeded(connected.clone(), connected, at(ms)));
-    left.last().unwrap()
+    let times = (from_ms..=until_ms).step_by(100);
+    let dropped = times.map(|ms| chosen.list_unneeded(connected.clone(), connected, at(ms)));
+    dropped.last().unwrap()
 }
 
 #[test]
-fn what_was_named_last_holds_while_no_control_process_is_connected() {
-    let mut chosen = named_by_one();
+fn the_last_assignment_holds_while_no_control_process_is_connected() {
+    let mut chosen = with_one_assignment();
 
     chosen.remove_control(CONTROL);
 
-    assert_eq!(*chosen.wanted(), entries([1, 2]));
+    assert_eq!(*chosen.assigned(), entries([1, 2]));
 }
 
 #[test]
-fn an_entry_is_left_when_none_has_named_it_for_three_seconds() {
-    let mut chosen = named_by_one();
+fn an_entry_is_dropped_after_three_seconds_without_an_assignment() {
+    let mut chosen = with_one_assignment();
     let connected = entries([1, 2, 4]);
 
-    let before = look_until(&mut chosen, &connected, 1_000, 3_900);
-    let after = look_until(&mut chosen, &connected, 4_000, 4_000);
+    let before = list_until(&mut chosen, &connected, 1_000, 3_900);
+    let after = list_until(&mut chosen, &connected, 4_000, 4_000);
 
     assert_eq!(before, entries([]));
     assert_eq!(after, entries([4]));
 }
 
 #[test]
-fn no_entry_is_left_before_all_that_are_named_are_connected() {
-    let mut chosen = named_by_one();
+fn no_entry_is_dropped_before_all_assigned_ones_are_connected() {
+    let mut chosen = with_one_assignment();
 
-    let without_one = look_until(&mut chosen, &entries([1, 4]), 1_000, 20_000);
-    let soon_after = look_until(&mut chosen, &entries([1, 2, 4]), 20_100, 23_000);
+    let without_one = list_until(&mut chosen, &entries([1, 4]), 1_000, 20_000);
+    let soon_after = list_until(&mut chosen, &entries([1, 2, 4]), 20_100, 23_000);
 
     assert_eq!(without_one, entries([]));
     assert_eq!(soon_after, entries([]));
 }
 
 #[test]
-fn a_control_process_that_sees_no_entry_makes_a_guard_leave_none() {
-    let mut chosen = named_by_one();
+fn an_empty_assignment_makes_a_guard_drop_no_entry() {
+    let mut chosen = with_one_assignment();
 
     chosen.set_entries(CONTROL, entries([]));
 
-    let left = look_until(&mut chosen, &entries([1, 2]), 1_000, 20_000);
-    assert_eq!(left, entries([]));
+    let dropped = list_until(&mut chosen, &entries([1, 2]), 1_000, 20_000);
+    assert_eq!(dropped, entries([]));
 }
 
 #[test]
-fn a_control_process_that_knows_little_yet_moves_no_links() {
-    let mut chosen = named_by_one();
+fn a_short_incomplete_assignment_drops_no_link() {
+    let mut chosen = with_one_assignment();
     let connected = entries([1, 2]);
     chosen.set_entries(CONTROL, entries([2]));
-    let partly = look_until(&mut chosen, &connected, 1_000, 3_900);
+    let incomplete = list_until(&mut chosen, &connected, 1_000, 3_900);
 
     chosen.set_entries(CONTROL, entries([1, 2]));
-    let named_again = look_until(&mut chosen, &connected, 4_000, 4_100);
+    let reassigned = list_until(&mut chosen, &connected, 4_000, 4_100);
     chosen.set_entries(CONTROL, entries([2]));
-    let counted_anew = look_until(&mut chosen, &connected, 4_200, 7_000);
+    let delay_restarted = list_until(&mut chosen, &connected, 4_200, 7_000);
 
-    assert_eq!(partly, entries([]));
-    assert_eq!(named_again, entries([]));
-    assert_eq!(counted_anew, entries([]));
+    assert_eq!(incomplete, entries([]));
+    assert_eq!(reassigned, entries([]));
+    assert_eq!(delay_restarted, entries([]));
 }
 
 #[test]
-fn an_invitation_of_an_unnamed_entry_is_followed_only_without_control_processes() {
+fn an_invitation_from_an_unassigned_entry_is_accepted_only_without_control_processes() {
     let mut chosen = ChosenEntries::default();
     let before = chosen.accepts_invitation(entry(4));
 
@@ -128,9 +128,9 @@
 }
 
 #[test]
-fn an_entry_is_left_in_steps_and_only_when_its_runs_have_ended() {
-    let mut departures = LinkDrains::default();
-    let mut step = |has_runs, ms| departures.advance(ENTRY_LINK, true, has_runs, at(ms));
+fn a_link_is_drained_in_steps_and_closed_only_when_its_runs_have_ended() {
+    let mut drains = LinkDrains::default();
+    let mut step = |has_runs, ms| drains.advance(ENTRY_LINK, true, has_runs, at(ms));
 
     let steps = [
         step(true, 0),
@@ -148,13 +148,13 @@
 }
 
 #[test]
-fn an_entry_that_is_named_again_before_the_farewell_is_kept() {
-    let mut departures = LinkDrains::default();
-    departures.advance(ENTRY_LINK, true, true, at(0));
+fn an_entry_that_is_assigned_again_before_the_goodbye_is_kept() {
+    let mut drains = LinkDrains::default();
+    drains.advance(ENTRY_LINK, true, true, at(0));
 
-    let named_again = departures.advance(ENTRY_LINK, false, true, at(100));
-    let later = departures.advance(ENTRY_LINK, false, true, at(5_000));
+    let reassigned = drains.advance(ENTRY_LINK, false, true, at(100));
+    let later = drains.advance(ENTRY_LINK, false, true, at(5_000));
 
-    assert_eq!(named_again, LinkDrainStep::ResumeOffering);
+    assert_eq!(reassigned, LinkDrainStep::ResumeOffering);
     assert_eq!(later, LinkDrainStep::NoChange);
 }
--- a/crates/leased/cloverfold_peer/tests/entry_subsets.rs
+++ b/crates/leased/cloverfold_peer/tests/entry_subsets.rs
@@ -1,4 +1,4 @@
-//! The subsets of entries that guards work with: their size, their balance, and how little moves.
+//! Size, balance and stability of the subsets of entries that guards are assigned.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,7 +8,7 @@
 use cloverfold_peer::{EntrySubsets, GuardAttributes, KnownGuards, choose_entries};
 use proptest::prelude::*;
 
-/// Addresses in data halls of their own, as boxes are numbered in them.
+/// Returns `count` addresses spread over five networks, whose second octet starts at `first`.
 fn addresses(count: usize, first: u8) -> BTreeSet<SocketAddr> {
     let address = |index: usize| {
         let (hall, number) = (first + (index % 5) as u8, index / 5);
@@ -18,7 +18,7 @@
     (0..count).map(address).collect()
 }
 
-/// A guard, in no data hall that it tells, whose target runs a service.
+/// A guard without a known data hall whose target runs a service.
 fn guard_of(service: Option<&str>) -> GuardAttributes {
     GuardAttributes {
         service: service.map(Into::into),
@@ -26,13 +26,13 @@
     }
 }
 
-/// Guards whose targets run the same service.
+/// Guards whose targets all run the same service.
 fn guards(count: usize) -> KnownGuards {
     let guard = |guard| (guard, guard_of(Some("send")));
     addresses(count, 1).into_iter().map(guard).collect()
 }
 
-/// Guards of one service, so many in each data hall.
+/// Guards of one service; `counts` holds the number in each data hall.
 fn guards_in_halls(counts: &[usize]) -> KnownGuards {
     let mut guards = KnownGuards::new();
     for (hall, &count) in counts.iter().enumerate() {
@@ -53,7 +53,7 @@
     guards
 }
 
-/// The subsets of the guards of one hall.
+/// Returns the subsets of the guards in one hall.
 fn subsets_in_hall(subsets: &EntrySubsets, guards: &KnownGuards, hall: usize) -> EntrySubsets {
     let name = format!("hall-{hall}");
     let is_there = |guard: &SocketAddr| guards[guard].data_hall.as_ref() == Some(&name);
@@ -72,7 +72,7 @@
     entries.iter().map(count).collect()
 }
 
-/// Counts the links of guards in both that are new in `after`.
+/// Counts the links in `after` that are not in `before`, for guards that are in both.
 fn count_moved(before: &EntrySubsets, after: &EntrySubsets) -> usize {
     let moved = |(guard, subset): (&SocketAddr, &BTreeSet<SocketAddr>)| {
         let kept = before.get(guard);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn in_a_small_installation_every_guard_works_with_every_entry() {
+fn in_a_small_installation_every_guard_has_every_entry() {
     let subsets = choose_entries(&guards(11), &entries(3));
 
     assert_eq!(subsets.len(), 11);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_work_of_a_process_does_not_grow_with_the_installation() {
+fn the_number_of_links_of_a_process_does_not_grow_with_the_installation() {
     for (guard_count, entry_count) in [(240, 51), (2_400, 510)] {
         let subsets = choose_entries(&guards(guard_count), &entries(entry_count));
 
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn where_guards_are_few_every_entry_still_sees_all_of_them() {
+fn with_few_guards_every_entry_sees_all_of_them() {
     let subsets = choose_entries(&guards(6), &entries(40));
 
     let seen = guards_by_entry(&subsets, &entries(40));
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn nothing_is_chosen_where_there_is_nothing() {
+fn subsets_are_empty_without_guards_or_entries() {
     assert!(choose_entries(&guards(0), &entries(3)).is_empty());
     let subsets = choose_entries(&guards(3), &entries(0));
     assert!(subsets.values().all(BTreeSet::is_empty));
 }
 
 #[test]
-fn a_guard_that_goes_moves_few_links_of_others() {
+fn removing_a_guard_moves_few_links_of_others() {
     let all = guards(240);
     let before = choose_entries(&all, &entries(51));
 
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn an_entry_that_goes_moves_little_more_than_its_own_links() {
+fn removing_an_entry_moves_little_more_than_its_own_links() {
     let all = entries(51);
     let before = choose_entries(&guards(240), &all);
 
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_guard_whose_service_becomes_known_moves_nothing_where_all_run_the_same() {
+fn learning_the_service_of_a_guard_moves_no_link_with_a_single_service() {
     let known = guards(240);
     let mut partly_known = known.clone();
     for guard in partly_known.values_mut().step_by(3) {
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn without_any_one_hall_every_entry_keeps_its_equal_part_of_the_others() {
+fn entries_stay_balanced_without_any_one_hall() {
     let (guards, entries) = (guards_in_halls(&[24, 23, 23]), entries(9));
 
     let subsets = choose_entries(&guards, &entries);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_guard_that_goes_from_one_of_three_halls_moves_few_links_of_others() {
+fn removing_a_guard_from_one_of_three_halls_moves_few_links_of_others() {
     let all = guards_in_halls(&[80, 80, 80]);
     let before = choose_entries(&all, &entries(51));
 
@@ -237,9 +237,9 @@
         let size = *sizes.first().unwrap();
         prop_assert!(size >= entry_count.min(4));
         let counts = guards_by_entry(&subsets, &entries);
-        let equal_part = (guard_count * size).div_ceil(entry_count);
+        let fair_share = (guard_count * size).div_ceil(entry_count);
         let (least, most) = (*counts.iter().min().unwrap(), *counts.iter().max().unwrap());
-        prop_assert!(most <= equal_part, "{most} guards, equal part {equal_part}");
-        prop_assert!(least + 1 >= equal_part, "{least} guards, equal part {equal_part}");
+        prop_assert!(most <= fair_share, "{most} guards, fair share {fair_share}");
+        prop_assert!(least + 1 >= fair_share, "{least} guards, fair share {fair_share}");
     }
 }
--- a/crates/leased/cloverfold_peer/tests/invitations.rs
+++ b/crates/leased/cloverfold_peer/tests/invitations.rs
@@ -1,4 +1,4 @@
-//! Whom a control process invites after its restart, and when.
+//! Schedule of the invitations that a control process sends after its restart.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,8 +17,8 @@
     SocketAddr::new(Ipv4Addr::new(10, 1, high, low).into(), 7_400)
 }
 
-/// One entry, and so many guards less one.
-fn remembered(count: u16) -> StoredPeers {
+/// Returns `count` stored processes: one entry and guards.
+fn stored_peers(count: u16) -> StoredPeers {
     let guards = 1..count;
     StoredPeers {
         entries: [address(0)].into(),
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn entries_and_guards_are_invited_at_once_and_again_until_they_are_connected() {
-    let mut invitations = Invitations::new(&remembered(3), at(0));
+fn processes_are_invited_at_once_and_again_until_they_are_connected() {
+    let mut invitations = Invitations::new(&stored_peers(3), at(0));
 
     let first = invitations.take_due(at(0), |_| false);
     let soon = invitations.take_due(at(50), |_| false);
@@ -44,16 +44,16 @@
 }
 
 #[test]
-fn nobody_is_invited_long_after_the_start() {
-    let mut invitations = Invitations::new(&remembered(3), at(0));
+fn no_process_is_invited_long_after_the_start() {
+    let mut invitations = Invitations::new(&stored_peers(3), at(0));
 
     assert_eq!(invitations.take_due(at(3_001), |_| false), []);
     assert_eq!(invitations.take_due(at(100), |_| false), []);
 }
 
 #[test]
-fn many_are_invited_in_turn() {
-    let mut invitations = Invitations::new(&remembered(200), at(0));
+fn a_pass_invites_a_bounded_number_of_processes() {
+    let mut invitations = Invitations::new(&stored_peers(200), at(0));
 
     let passes = (0..4).map(|pass| invitations.take_due(at(pass * 25), |_| false));
     let invited: Vec<Vec<SocketAddr>> = passes.collect();
@@ -68,8 +68,8 @@
 
 proptest! {
     #[test]
-    fn a_process_is_invited_at_most_each_interval(count in 1_u16..300, steps in prop::collection::vec(1_u64..60, 1..80)) {
-        let mut invitations = Invitations::new(&remembered(count), at(0));
+    fn a_process_is_invited_at_most_once_per_interval(count in 1_u16..300, steps in prop::collection::vec(1_u64..60, 1..80)) {
+        let mut invitations = Invitations::new(&stored_peers(count), at(0));
         let mut last = std::collections::BTreeMap::new();
         let mut now = 0;
 
--- a/crates/leased/cloverfold_peer/tests/links.rs
+++ b/crates/leased/cloverfold_peer/tests/links.rs
@@ -1,4 +1,4 @@
-//! The table of open links, between two processes on a loopback address.
+//! The table of open links, with two processes connected over loopback.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,9 +13,9 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One end: its links, and the events that wait to be handled.
+/// One end of the connection: its links, and the events that are not handled yet.
 struct End {
     own: Hello,
     links: PeerLinks,
@@ -32,14 +32,14 @@
     }
 
     async fn next(&mut self) -> LinkEvent<PeerMessage> {
-        timeout(PATIENCE, self.events.recv())
+        timeout(EVENT_TIMEOUT, self.events.recv())
             .await
             .unwrap()
             .unwrap()
     }
 
-    /// Opens the next link and records who is at its other end.
-    async fn greet(&mut self) -> LinkId {
+    /// Handles the opening of the next link and the peer's `Hello`.
+    async fn handshake(&mut self) -> LinkId {
         let LinkEvent::Opened {
             link,
             dialed,
@@ -51,7 +51,7 @@
         };
         self.links.open(link, dialed, sender, &self.own);
         let PeerMessage::Hello(hello) = self.receive().await else {
-            panic!("expected an introduction");
+            panic!("expected a Hello");
         };
         assert!(self.links.record_hello(link, hello));
         link
@@ -75,14 +75,14 @@
     }
 }
 
-fn evacuated(revision: u64) -> EvacuatedHalls {
+fn evacuated_halls(revision: u64) -> EvacuatedHalls {
     EvacuatedHalls {
         revision,
         halls: ["hall-a".to_owned()].into(),
     }
 }
 
-/// Connects a guard, which dials, with an entry.
+/// Connects a guard, which dials, to an entry.
 async fn connect() -> (End, LinkId, End, LinkId, Dialer) {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
@@ -92,7 +92,7 @@
     let mut guard = End::new(hello("guard", PeerRole::Guard, address), guard_rx);
     tokio::spawn(accept_links(listener, entry_tx));
     let dialer = Dialer::start(address, DialBackoff::default(), guard_tx);
-    let (entry_link, guard_link) = tokio::join!(entry.greet(), guard.greet());
+    let (entry_link, guard_link) = tokio::join!(entry.handshake(), guard.handshake());
     (entry, entry_link, guard, guard_link, dialer)
 }
 
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn a_recorded_version_replaces_that_of_the_introduction() {
+async fn a_recorded_version_replaces_the_one_in_the_hello() {
     let (mut entry, entry_link, _guard, _, _dialer) = connect().await;
 
     entry.links.record_version(entry_link, 7);
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn a_link_that_is_closed_is_closed_for_the_peer_and_for_every_later_call() {
+async fn closing_a_link_closes_it_for_the_peer_and_for_later_calls() {
     let (mut entry, entry_link, mut guard, guard_link, _dialer) = connect().await;
 
     assert_eq!(entry.links.close(entry_link), Some(guard.own.clone()));
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn what_is_sent_is_counted_by_kind_and_what_cannot_be_sent_is_not() {
+async fn sent_messages_are_counted_by_kind_and_failed_ones_are_not() {
     let (mut entry, entry_link, mut guard, _, _dialer) = connect().await;
     entry.links.send(entry_link, &PeerMessage::Fetch);
     entry.links.send_to_all(&PeerMessage::Fetch);
@@ -163,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn a_message_that_is_encoded_once_arrives_and_is_counted_like_any_other() {
+async fn a_shared_message_is_delivered_and_counted_like_any_other() {
     let (entry, entry_link, mut guard, _, _dialer) = connect().await;
     let message = PeerMessage::VersionNotice {
         version: 7,
@@ -183,38 +183,40 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_connects_is_told_of_evacuations_alone() {
+async fn evacuations_can_be_sent_to_one_peer() {
     let (entry, entry_link, mut guard, _, _dialer) = connect().await;
 
     entry
         .links
-        .send_evacuations_to(entry_link + 100, &evacuated(1));
-    entry.links.send_evacuations_to(entry_link, &evacuated(2));
+        .send_evacuations_to(entry_link + 100, &evacuated_halls(1));
+    entry
+        .links
+        .send_evacuations_to(entry_link, &evacuated_halls(2));
     entry.links.send(entry_link, &PeerMessage::Fetch);
 
-    let told = PeerMessage::Evacuations(evacuated(2));
-    assert_eq!(guard.receive().await, told);
+    let sent = PeerMessage::Evacuations(evacuated_halls(2));
+    assert_eq!(guard.receive().await, sent);
     assert_eq!(guard.receive().await, PeerMessage::Fetch);
 }
 
 #[tokio::test]
-async fn evacuations_are_sent_to_peers_that_have_not_shown_to_know_them() {
+async fn evacuations_are_sent_to_peers_that_have_not_acknowledged_them() {
     let (mut entry, entry_link, mut guard, _, _dialer) = connect().await;
 
     entry.links.record_evacuations(entry_link, 2);
-    entry.links.send_evacuations(&evacuated(2), |_| true);
-    entry.links.send_evacuations(&evacuated(3), |_| true);
+    entry.links.send_evacuations(&evacuated_halls(2), |_| true);
+    entry.links.send_evacuations(&evacuated_halls(3), |_| true);
 
     assert_eq!(
         guard.receive().await,
-        PeerMessage::Evacuations(evacuated(3))
+        PeerMessage::Evacuations(evacuated_halls(3))
     );
     entry.links.record_evacuations(entry_link, 1);
     assert_eq!(entry.links.known_evacuations(entry_link), 2);
 }
 
 #[tokio::test]
-async fn a_peer_that_cannot_read_evacuations_is_not_sent_any() {
+async fn evacuations_are_not_sent_to_a_peer_without_support() {
     let (mut entry, entry_link, mut guard, _, _dialer) = connect().await;
     let old = Hello {
         details: Trailing(None),
@@ -222,7 +224,7 @@
     };
     entry.links.record_hello(entry_link, old);
 
-    entry.links.send_evacuations(&evacuated(3), |_| true);
+    entry.links.send_evacuations(&evacuated_halls(3), |_| true);
     entry.links.send(entry_link, &PeerMessage::Fetch);
 
     assert_eq!(guard.receive().await, PeerMessage::Fetch);
