--- a/crates/leased/cloverfold_kept_jobs/src/calls.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/calls.rs
@@ -1,7 +1,8 @@
-//! Calls of entries and guards to a group, and its replies.
+//! Messages of entries and guards to a group, and its replies.
 //!
-//! A call goes to any control process, which passes it to the leader of the group. It may be repeated: every call has the same effect
-//! however often it comes. A call without a reply may have had its effect. The bytes are postcard's: the order never changes.
+//! A call may be sent to any control process, which forwards it to the leader of the group. Calls are idempotent, so they may be
+//! repeated; a call without a reply may have taken effect. Messages are encoded with postcard: the order of fields and variants must
+//! not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,72 +11,72 @@
 use crate::ids::{DriverId, Epoch, JobId, TaskIndex};
 use crate::job::{JobPhase, TaskProgress};
 
-/// Number of a call, chosen by its sender; the reply echoes it. 0 is that of a reply to no call.
+/// Identifier of a call, chosen by the sender and echoed in the reply. 0 marks an unsolicited reply.
 pub type CallToken = u64;
 
-/// A job that an entry drives.
+/// A job that an entry reports as driven.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrivenJob {
     /// The job.
     pub job: JobId,
-    /// The epoch in which it drives it.
+    /// The epoch in which the entry drives the job.
     pub epoch: Epoch,
-    /// Whether a task has begun.
+    /// Whether a task has started.
     pub has_begun: bool,
 }
 
-/// An entry renews its lease as a driver and says what it drives.
+/// Renews a driver's lease and reports the jobs that it drives.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
-    /// The driver. One that comes from the same entry as an earlier one says that the earlier one drives nothing any more.
+    /// The driver. A new driver of an entry implies that the entry's earlier driver drives nothing.
     pub driver: DriverId,
-    /// Name of the entry.
+    /// Name of the driver's entry.
     pub entry: String,
-    /// Whether it takes further jobs; one that stops does not.
+    /// Whether it accepts new jobs. A draining entry does not.
     pub takes_jobs: bool,
-    /// All jobs of the group that it drives, finished ones included until it is told to drop them.
+    /// All jobs of the group that it drives, including finished jobs that the leader has not told it to drop.
     pub driving: Vec<DrivenJob>,
 }
 
-/// A job that a driver gives back before its lease is over.
+/// A job that a driver releases before its lease expires.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleasedJob {
     /// The job.
     pub job: JobId,
-    /// The epoch in which it drove it.
+    /// The epoch in which the driver drove the job.
     pub epoch: Epoch,
-    /// Whether no run of it is left that is not certainly over.
+    /// Whether all runs of the job have certainly ended.
     pub is_clean: bool,
 }
 
-/// What an entry or guard wants of a group. The order of the variants is the format on the wire.
+/// A request of an entry or guard to a group. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobCall {
-    /// Keep a job.
+    /// Submit a job.
     Submit(JobSubmission),
-    /// Record ends of runs.
+    /// Record the ends of runs.
     RecordEnds(Vec<TaskEnd>),
     /// Cancel a job.
     Cancel(JobId),
-    /// How far is this job?
+    /// Get the phase of a job.
     Show(JobId),
-    /// How many jobs of this queue have not begun?
+    /// Count the jobs of a queue that have not started.
     CountPending(String),
-    /// Renew the lease of a driver.
+    /// Renew a driver's lease.
     Renew(Renewal),
-    /// Give jobs back.
+    /// Release jobs.
     Release {
-        /// Who drove them.
+        /// The driver that releases them.
         driver: DriverId,
         /// The jobs.
         jobs: Vec<ReleasedJob>,
     },
 }
 
-/// A call on its way.
+/// A call to a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobCallMessage {
-    /// Its number.
+    /// Identifier of the call.
     pub token: CallToken,
     /// The group.
     pub group: GroupId,
@@ -83,45 +84,45 @@
     pub call: JobCall,
 }
 
-/// Makes an entry drive a job.
+/// Assigns a job to a driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobAssignment {
     /// The job.
     pub job: JobId,
-    /// The epoch in which it drives it.
+    /// The epoch in which the driver drives the job.
     pub epoch: Epoch,
     /// The body of the submission.
     pub body: Vec<u8>,
-    /// What is recorded of its tasks; those without a recorded end are left out.
+    /// Progress of the tasks that have a recorded run end.
     pub progress: Vec<(TaskIndex, TaskProgress)>,
 }
 
-/// What a driver is told.
+/// The reply to a renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewalReply {
-    /// The driver that is meant; another one ignores it.
+    /// The addressed driver; any other ignores the reply.
     pub driver: DriverId,
-    /// Jobs that it has to drive and did not name.
+    /// Jobs that are assigned to the driver and that it did not report.
     pub drive: Vec<JobAssignment>,
-    /// Jobs that it named and must not drive any more, with the epoch that it named: they are over or another entry's.
+    /// Jobs that it reported and must drop, with the reported epoch: they have ended or are assigned to another driver.
     pub drop: Vec<(JobId, Epoch)>,
 }
 
-/// Why a call had no effect and never will have.
+/// The reason why a group refused a call. A refused call never takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CallRefusal {
-    /// No leader of the group is known, or it is out of touch with the majority.
+    /// The group has no known leader, or the leader has lost its quorum.
     NoLeader,
-    /// The disk refuses writes, or is too slow for new jobs.
+    /// Disk writes fail, or are too slow to accept new jobs.
     Disk,
-    /// More calls wait than may.
+    /// Too many calls are pending.
     Busy,
-    /// The installation has no such group.
+    /// The group does not exist.
     UnknownGroup,
 }
 
 impl CallRefusal {
-    /// Returns the name by which logs and answers call it.
+    /// Returns the name used in log lines and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoLeader => "NoLeader",
@@ -132,36 +133,36 @@
     }
 }
 
-/// The reply to a call. The order of the variants is the format on the wire.
+/// The reply to a call. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobReply {
-    /// To [`JobCall::Submit`].
+    /// Reply to [`JobCall::Submit`].
     Submitted(SubmitOutcome),
-    /// To [`JobCall::RecordEnds`], one for each end, in order.
+    /// Reply to [`JobCall::RecordEnds`], with one decision for each end, in order.
     EndsRecorded(Vec<EndDecision>),
-    /// To [`JobCall::Cancel`].
+    /// Reply to [`JobCall::Cancel`].
     Cancelled(CancelOutcome),
-    /// To [`JobCall::Show`]; `None` if there is no such job.
+    /// Reply to [`JobCall::Show`]; `None` if the job is unknown.
     Shown(Option<JobPhase>),
-    /// To [`JobCall::CountPending`].
+    /// Reply to [`JobCall::CountPending`].
     Pending(u64),
-    /// To [`JobCall::Renew`], with the proof that the group was still led by the sender when it came; also sent unasked, with token 0
-    /// and without that proof, when a driver is given a job or loses one.
+    /// Reply to [`JobCall::Renew`]. It proves that the sender still led the group when it received the renewal. Also sent unsolicited,
+    /// with token 0 and without that proof, when a driver gains or loses a job.
     Renewed(RenewalReply),
-    /// To [`JobCall::Release`].
+    /// Reply to [`JobCall::Release`].
     Released,
-    /// To any call: it had no effect.
+    /// Reply to any call that was refused and has no effect.
     Refused(CallRefusal),
 }
 
-/// A reply on its way.
+/// A reply of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobReplyMessage {
-    /// As in the call.
+    /// Identifier of the call, or 0 if unsolicited.
     pub token: CallToken,
     /// The group.
     pub group: GroupId,
-    /// Name of the control process that leads the group, if the sender knows it: further calls are best sent there.
+    /// Name of the control process that leads the group, if known. Later calls are sent there first.
     pub leader: Option<String>,
     /// The reply.
     pub reply: JobReply,
--- a/crates/leased/cloverfold_kept_jobs/src/commands.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/commands.rs
@@ -1,127 +1,127 @@
-//! What the log of a group holds, and what became of it.
+//! Commands in a group's log, and their outcomes.
 //!
-//! The bytes are postcard's, on disk and on the wire: the order of fields and variants never changes.
+//! They are encoded with postcard on disk and on the wire: the order of fields and variants must not change.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{DriverId, EndSequence, Epoch, JobDigest, JobId, TaskIndex};
 use crate::job::TerminalState;
 
-/// A job as its entry submits it.
+/// A job as an entry submits it to the group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSubmission {
-    /// The caller's name for it.
+    /// Name that the caller gave to the job.
     pub id: JobId,
-    /// The queue that it came through.
+    /// Queue through which it was submitted.
     pub queue: String,
-    /// Hash of what the caller sent.
+    /// Hash of the submitted content.
     pub digest: JobDigest,
-    /// What the entry needs to drive it; opaque here.
+    /// Payload that the entry needs to drive the job; opaque to the group.
     pub body: Vec<u8>,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: TaskIndex,
-    /// Ends `Failed` of one task after which the job has failed.
+    /// Number of failed runs of one task after which the job fails.
     pub max_attempts: u32,
-    /// The entry that submits it, and drives it first.
+    /// Identity of the submitting entry, which is the first driver.
     pub driver: DriverId,
 }
 
-/// How a run of a task ended, as far as it is recorded.
+/// Recorded outcome of a task run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndOutcome {
-    /// Its work is done.
+    /// The run succeeded.
     Done,
-    /// It failed, by its own fault or the target's.
+    /// The run failed, because of the task or of the target.
     Failed,
 }
 
-/// The end of a run of a task, recorded by the guard that ran it.
+/// The end of a task run, recorded by the guard that ran it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskEnd {
     /// The job.
     pub job: JobId,
-    /// The epoch of the driver that ordered the run.
+    /// The epoch in which the run was started.
     pub epoch: Epoch,
     /// The task.
     pub task: TaskIndex,
-    /// Number of the run.
+    /// The run number.
     pub run: u64,
-    /// How it ended.
+    /// The outcome of the run.
     pub outcome: EndOutcome,
 }
 
-/// Gives a job to another driver.
+/// Assigns a job to another driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobReassignment {
     /// The job.
     pub job: JobId,
-    /// The epoch that ends; the new driver's is the next one.
+    /// The epoch that ends. The new driver gets the next one.
     pub after: Epoch,
     /// The new driver.
     pub driver: DriverId,
 }
 
-/// One change of the table. The order of the variants is the format on disk.
+/// A change of the table. The order of the variants is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobCommand {
-    /// Keep a job.
+    /// Accept a job.
     Submit(JobSubmission),
-    /// Record ends of runs.
+    /// Record the ends of runs.
     RecordEnds(Vec<TaskEnd>),
-    /// End a job.
+    /// Cancel a job.
     Cancel(JobId),
-    /// Give jobs to other drivers; proposed by the leader alone.
+    /// Assign jobs to other drivers. Only the leader proposes this.
     Assign(Vec<JobReassignment>),
-    /// Forget the jobs that ended up to this one; proposed by the leader alone.
+    /// Remove the ended jobs up to this sequence number. Only the leader proposes this.
     Expire(EndSequence),
 }
 
-/// What became of a submission.
+/// The outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmitOutcome {
-    /// The job is kept; its entry drives it in this epoch.
+    /// The job is stored; the submitting entry drives it in this epoch.
     Accepted(Epoch),
-    /// The same job is kept already.
+    /// The same job is already stored.
     Known,
-    /// Another job of this name is kept; this one is not and never runs.
+    /// A job with this name and another digest is stored. The submitted job never runs.
     Conflict,
-    /// There is no room for it: it is not kept and never runs.
+    /// The table is full. The submitted job never runs.
     Full,
 }
 
-/// What became of the end of a run.
+/// The decision on the end of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndDecision {
-    /// It is recorded, now or before.
+    /// The end is recorded, now or earlier.
     Recorded,
-    /// The job is over and had no later driver: the end changes nothing any more.
+    /// The job has ended in this epoch, so the end has no effect.
     JobOver,
-    /// The job has or had a later driver, which may have begun the task anew, or is forgotten: the end must never count.
+    /// The job has been driven in a later epoch, which may have rerun the task, or has been removed. The end must not count.
     Fenced,
 }
 
-/// What became of a cancellation.
+/// The outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CancelOutcome {
-    /// The job is cancelled, now or before.
+    /// The job is cancelled, now or earlier.
     Cancelled,
-    /// It had ended in another way.
+    /// The job had already ended in another state.
     Ended(TerminalState),
     /// There is no such job.
     Unknown,
 }
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// Of a submission.
+    /// Outcome of a submission.
     Submit(SubmitOutcome),
-    /// Of each recorded end, in order.
+    /// Decision on each recorded end, in order.
     Ends(Vec<EndDecision>),
-    /// Of a cancellation.
+    /// Outcome of a cancellation.
     Cancel(CancelOutcome),
-    /// The jobs that were given to another driver: those whose epoch was the one named and that are open.
+    /// The jobs that were reassigned: those that are open and were in the named epoch.
     Assigned(Vec<JobId>),
-    /// Jobs were forgotten, so many.
+    /// Number of ended jobs that were removed.
     Expired(usize),
 }
--- a/crates/leased/cloverfold_kept_jobs/src/driver/actions.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/actions.rs
@@ -1,36 +1,36 @@
-//! What a driver asks of the process around it, and how it answers callers.
+//! Actions that a driver requests from its process, and answers to callers.
 
 use crate::calls::{CallRefusal, CallToken, JobAssignment, JobCallMessage};
 use crate::commands::CancelOutcome;
 use crate::ids::{Epoch, JobId};
 use crate::job::JobPhase;
 
-/// Over which control process a call goes.
+/// The control process through which a call is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallRoute {
-    /// The control process that leads the group as far as is known; any other passes the call on.
+    /// The control process that leads the group, if known. Any other control process forwards the call.
     pub leader: Option<String>,
-    /// Rises with each repeat, so that each goes over another control process while no leader is known.
+    /// Number of earlier attempts. Selects another control process for each retry while no leader is known.
     pub attempt: u32,
 }
 
-/// Why a caller's call had no effect and never will have.
+/// The reason why a caller's call was refused. A refused call never takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The groups are not known here yet.
+    /// This entry does not know the groups yet.
     NoGroups,
     /// This entry has no lease as a driver of the group.
     NoLease,
-    /// The group has no room for a job.
+    /// The group's table is full.
     Full,
-    /// More calls wait here than may.
+    /// Too many calls are pending at this entry.
     Busy,
-    /// The group refused it.
+    /// The group refused the call.
     ByGroup(CallRefusal),
 }
 
 impl RefusalReason {
-    /// Returns the name by which logs and answers call it.
+    /// Returns the name used in log lines and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoGroups => "NoGroups",
@@ -45,57 +45,57 @@
 /// The answer to a caller's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallAnswer {
-    /// The job is kept, by this call or before.
+    /// The job is stored, by this call or an earlier one.
     Kept,
-    /// Another job of this name is kept; this one is not and never runs.
+    /// A job with this name and another digest is stored. The submitted job never runs.
     Conflict,
-    /// What became of a cancellation.
+    /// The outcome of a cancellation.
     Cancelled(CancelOutcome),
-    /// How far the job is; `None` if there is no such job.
+    /// The phase of the job; `None` if the job is unknown.
     Shown(Option<JobPhase>),
-    /// How many jobs of the queue have not begun in the group.
+    /// Number of jobs of the queue in the group that have not started.
     Pending(u64),
-    /// The call had no effect and never will have.
+    /// The call was refused and never takes effect.
     Refused(RefusalReason),
-    /// Whether the call had an effect is not known.
+    /// It is unknown whether the call took effect.
     Unknown,
 }
 
-/// What the process around a driver has to do, in order.
+/// An action that the caller of a [`Driver`](super::Driver) must carry out, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DriverAction {
     /// Send a call to a control process.
     Send(CallRoute, JobCallMessage),
-    /// Drive this job from now on.
+    /// Start to drive a job.
     Drive(JobAssignment),
-    /// Drive this job no more: withdraw its runs and forget it.
+    /// Stop driving a job: withdraw its runs and discard its state.
     StopDriving {
         /// The job.
         job: JobId,
         /// The epoch in which it was driven.
         epoch: Epoch,
-        /// Why.
+        /// The reason.
         cause: StopCause,
     },
-    /// Answer the call of this number.
+    /// Answer the call with this token.
     Answer(CallToken, CallAnswer),
 }
 
-/// Why a job is driven no more.
+/// The reason why a job is no longer driven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopCause {
-    /// The lease of the driver has lapsed.
+    /// The driver's lease has lapsed.
     Lapsed,
-    /// The leader says so: the job is over or another driver's.
+    /// The leader dropped the job: it has ended or is assigned to another driver.
     Dropped,
-    /// The leader gave it to this driver anew, in a later epoch.
+    /// The leader assigned the job to this driver again, in a later epoch.
     Replaced,
-    /// It was released.
+    /// This entry released the job.
     Released,
 }
 
 impl StopCause {
-    /// Returns the name by which logs call it.
+    /// Returns the name used in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Lapsed => "Lapsed",
--- a/crates/leased/cloverfold_kept_jobs/src/driver/callers.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/callers.rs
@@ -1,4 +1,4 @@
-//! Calls of callers to the groups, and how calls are sent.
+//! Calls on behalf of callers, and the sending of calls to the groups.
 
 use cloverfold_base::Timestamp;
 
@@ -9,25 +9,25 @@
 use crate::groups::GroupId;
 use crate::ids::{JobDigest, JobId, TaskIndex};
 
-/// A job as its caller submits it.
+/// A job as a caller submits it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewJob {
-    /// The caller's name for it.
+    /// Name that the caller gave to the job.
     pub id: JobId,
-    /// The queue that it came through.
+    /// Queue through which it is submitted.
     pub queue: String,
-    /// Hash of what the caller sent.
+    /// Hash of the submitted content.
     pub digest: JobDigest,
-    /// What an entry needs to drive it.
+    /// Payload that an entry needs to drive the job.
     pub body: Vec<u8>,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: TaskIndex,
-    /// Ends `Failed` of one task after which it has failed.
+    /// Number of failed runs of one task after which the job fails.
     pub max_attempts: u32,
 }
 
 impl Driver {
-    /// Submits a job; the answer comes under the number that is returned. The caller's disconnect changes nothing.
+    /// Submits a job and returns the token of its answer. A disconnect of the caller does not cancel the submission.
     pub fn submit(&mut self, job: NewJob, deadline: Timestamp, now: Timestamp) -> CallToken {
         self.expire_leases(now);
         let Some(index) = self.group_index(&job.id) else {
@@ -49,7 +49,7 @@
         self.call(index, JobCall::Submit(submission), deadline, now)
     }
 
-    /// Asks how far a job is.
+    /// Requests the phase of a job.
     pub fn show(&mut self, job: &str, deadline: Timestamp, now: Timestamp) -> CallToken {
         match self.group_index(job) {
             Some(index) => self.call(index, JobCall::Show(job.into()), deadline, now),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Cancels a job.
+    /// Requests the cancellation of a job.
     pub fn cancel(&mut self, job: &str, deadline: Timestamp, now: Timestamp) -> CallToken {
         match self.group_index(job) {
             Some(index) => self.call(index, JobCall::Cancel(job.into()), deadline, now),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Asks one group how many jobs of a queue have not begun.
+    /// Requests the number of jobs of a queue in one group that have not started.
     pub fn count_pending(
         &mut self,
         group: GroupId,
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Answers a call that is not sent.
+    /// Refuses a call without sending it.
     pub(super) fn refuse(&mut self, cause: RefusalReason) -> CallToken {
         let token = self.next_token();
         self.answer(token, CallAnswer::Refused(cause));
         token
     }
 
-    /// Sends a call of a caller.
+    /// Sends a caller's call and tracks it until its deadline.
     pub(super) fn call(
         &mut self,
         index: usize,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Sends a call; the first attempt goes to the leader that is known, repeats go over others.
+    /// Sends a call. The first attempt goes to the known leader, retries go through other control processes.
     pub(super) fn send(&mut self, group: GroupId, token: CallToken, call: JobCall, attempt: u32) {
         let known = self.groups.get(group as usize);
         let leader = known.and_then(|group| group.leader.clone());
--- a/crates/leased/cloverfold_kept_jobs/src/driver/group.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/group.rs
@@ -1,6 +1,6 @@
-//! What an entry drives of one group.
+//! An entry's driver state for one group.
 //!
-//! Owns the identity and lease of the driver and the jobs that it drives; every change of them is a call of [`Driver`](super::Driver).
+//! Owns the identity and lease of the driver and the jobs that it drives. Only [`Driver`](super::Driver) changes them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,57 +13,57 @@
 use crate::ids::{DriverId, Epoch, JobId};
 use crate::timings::KeptJobTimings;
 
-/// How long a release is remembered after the leader has answered it: a leader that is elected before the job was handed on does not know of
-/// it. Chosen, not measured: a job is handed on within seconds unless no other driver takes jobs.
-const RELEASE_MEMORY: Duration = Duration::from_secs(600);
+/// Time for which an answered release is retained. A leader that is elected before the hand-over does not know of the release, and a
+/// hand-over can be delayed while no other driver accepts jobs.
+const RELEASE_RETENTION: Duration = Duration::from_secs(600);
 
-/// A job that is driven.
+/// State of a job that is driven here.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Driven {
+pub(super) struct DrivenState {
     pub(super) epoch: Epoch,
     pub(super) has_begun: bool,
-    /// Set once all of it has ended as far as this entry knows; it stays named until the leader says that it is over.
+    /// Set once all tasks have ended as far as this entry knows. The job stays in the renewals until the leader drops it.
     pub(super) finished: Option<Finished>,
 }
 
-/// The end of a job as this entry knows it.
+/// The local end of a job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Finished {
     pub(super) at: Timestamp,
-    /// Whether no run of it is left that is not certainly over.
+    /// Whether all runs of the job have certainly ended.
     pub(super) is_clean: bool,
 }
 
-/// A job that was dropped or released. An order to drive it in the same epoch may still be under way: in the reply to a renewal that was
-/// sent before it was driven, or before the leader knew of the release.
+/// A job that was dropped or released. A stale assignment in the same epoch may still be in flight: in the reply to a renewal that was
+/// sent before the job was driven, or before the leader knew of the release.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Gone {
+pub(super) struct RetiredJob {
     pub(super) epoch: Epoch,
-    /// After this no reply counts any more that was under way; `None` until the leader has answered the release.
+    /// Time from which no stale reply can arrive; `None` until the leader has answered the release.
     pub(super) settled_at: Option<Timestamp>,
-    /// Whether it was released. A leader that orders it after `settled_at` does not know of the release.
+    /// Whether it was released. A leader that assigns it after `settled_at` does not know of the release.
     pub(super) is_released: bool,
 }
 
-/// One driver: an entry with one group, for one span of leases.
+/// A driver: an entry's unbroken sequence of leases on one group.
 #[derive(Debug)]
 pub(super) struct GroupDriver {
     pub(super) id: DriverId,
     pub(super) lease: DriverLease,
     pub(super) next_renewal_at: Timestamp,
-    /// The control process that leads the group, as was told last.
+    /// Last reported leader of the group.
     pub(super) leader: Option<String>,
-    /// Renewals without a reply since the last one.
+    /// Renewals sent since the last reply.
     pub(super) unanswered: u32,
-    pub(super) driven: BTreeMap<JobId, Driven>,
-    /// Jobs that were driven and must not be driven again in that epoch.
-    pub(super) gone: BTreeMap<JobId, Gone>,
-    /// Ends of runs of the jobs that are driven, as guards have reported them.
+    pub(super) driven: BTreeMap<JobId, DrivenState>,
+    /// Jobs that must not be driven again in their epoch.
+    pub(super) retired: BTreeMap<JobId, RetiredJob>,
+    /// Run ends of the driven jobs that guards have reported.
     pub(super) ends: ObservedEnds,
 }
 
 impl GroupDriver {
-    /// Returns a driver that has no lease yet.
+    /// Returns a driver without a lease.
     pub(super) fn new(id: DriverId, first_renewal_at: Timestamp) -> Self {
         Self {
             id,
@@ -72,46 +72,55 @@
             leader: None,
             unanswered: 0,
             driven: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            retired: BTreeMap::new(),
             ends: ObservedEnds::default(),
         }
     }
 
-    /// Returns whether an order to drive a job in this epoch is news: it neither is nor was driven in it or a later one.
-    pub(super) fn is_news(&self, job: &str, epoch: Epoch) -> bool {
+    /// Returns whether an assignment in this epoch is new: the job has not been driven in it or a later one.
+    pub(super) fn is_new_assignment(&self, job: &str, epoch: Epoch) -> bool {
         let driven = self.driven.get(job).map(|driven| driven.epoch);
-        let known = driven.max(self.gone.get(job).map(|gone| gone.epoch));
+        let known = driven.max(self.retired.get(job).map(|retired| retired.epoch));
         known.is_none_or(|known| known < epoch)
     }
 
-    /// Returns whether a release was not answered yet.
-    pub(super) fn awaits_release(&self) -> bool {
-        self.gone.values().any(|gone| gone.settled_at.is_none())
+    /// Returns whether a release is unanswered.
+    pub(super) fn has_unanswered_release(&self) -> bool {
+        self.retired
+            .values()
+            .any(|retired| retired.settled_at.is_none())
     }
 
-    /// Returns whether an order to drive a job comes from a leader that does not know that it was released.
-    pub(super) fn is_release_lost(&self, job: &str, epoch: Epoch, now: Timestamp) -> bool {
-        let is_lost = |gone: &&Gone| {
-            gone.is_released && gone.epoch == epoch && gone.settled_at.is_some_and(|at| now >= at)
+    /// Returns whether an assignment comes from a leader that does not know of the job's release.
+    pub(super) fn is_release_unknown_to_leader(
+        &self,
+        job: &str,
+        epoch: Epoch,
+        now: Timestamp,
+    ) -> bool {
+        let is_unknown = |retired: &&RetiredJob| {
+            retired.is_released
+                && retired.epoch == epoch
+                && retired.settled_at.is_some_and(|at| now >= at)
         };
-        self.gone.get(job).filter(is_lost).is_some()
+        self.retired.get(job).filter(is_unknown).is_some()
     }
 
-    /// Forgets the jobs that were dropped once no reply under way can name them, and those that were released long ago.
-    pub(super) fn forget_gone(&mut self, now: Timestamp) {
-        let is_kept = |gone: &Gone| {
-            let memory = if gone.is_released {
-                RELEASE_MEMORY
+    /// Removes the dropped jobs that no stale reply can name any more, and the released jobs after [`RELEASE_RETENTION`].
+    pub(super) fn remove_settled(&mut self, now: Timestamp) {
+        let is_retained = |retired: &RetiredJob| {
+            let retention = if retired.is_released {
+                RELEASE_RETENTION
             } else {
                 Duration::ZERO
             };
-            gone.settled_at.is_none_or(|at| now < at + memory)
+            retired.settled_at.is_none_or(|at| now < at + retention)
         };
-        self.gone.retain(|_, gone| is_kept(gone));
+        self.retired.retain(|_, retired| is_retained(retired));
     }
 
-    /// Returns the renewal that is sent now.
-    pub(super) fn renewal(&self, entry: &str, takes_jobs: bool) -> Renewal {
+    /// Returns the renewal to send.
+    pub(super) fn build_renewal(&self, entry: &str, takes_jobs: bool) -> Renewal {
         let driving = self.driven.iter().map(|(job, driven)| DrivenJob {
             job: job.clone(),
             epoch: driven.epoch,
@@ -125,7 +134,7 @@
         }
     }
 
-    /// Records that a renewal is sent now, and plans the next.
+    /// Records that a renewal is sent, and schedules the next.
     pub(super) fn record_renewal(
         &mut self,
         token: CallToken,
--- a/crates/leased/cloverfold_kept_jobs/src/driver/lease.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/lease.rs
@@ -1,12 +1,10 @@
-//! Decision: until when an entry may drive the jobs of a group.
+//! The lease under which an entry may drive the jobs of a group.
 //!
-//! Rule: until [`KeptJobTimings::driver_lease`](crate::KeptJobTimings::driver_lease) after it *sent* the newest renewal that was answered. Only
-//! the reply to a renewal counts; the content of a reply that was overtaken by the reply to a later renewal is ignored.
+//! The lease is valid for [`KeptJobTimings::driver_lease`](crate::KeptJobTimings::driver_lease) after the newest answered renewal was
+//! *sent*. The leader counts that span from when it *received* the renewal, so the lease never outlasts the leader's view of it.
 //!
-//! Inputs: the numbers of the renewals and when they were sent, the numbers of the replies.
-//!
-//! Reason: the leader counts the driver as over that span after it *received* a renewal, which is never earlier. An overtaken reply could
-//! order to drive a job that was dropped since.
+//! Only the reply to a renewal extends the lease. The content of a reply is ignored if a later renewal has been answered before, because it
+//! could assign a job that was dropped since.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,7 +13,7 @@
 
 use crate::calls::CallToken;
 
-/// A renewal whose reply has not come.
+/// An unanswered renewal.
 #[derive(Clone, Copy, Debug)]
 struct SentRenewal {
     token: CallToken,
@@ -30,7 +28,7 @@
 }
 
 impl DriverLease {
-    /// Records a renewal that is sent now, and forgets those whose reply could extend nothing any more.
+    /// Records a renewal that is sent, and removes those that are too old to extend the lease.
     pub(super) fn record_sent(&mut self, token: CallToken, span: Duration, now: Timestamp) {
         self.sent.retain(|renewal| now < renewal.sent_at + span);
         self.sent.push_back(SentRenewal {
@@ -39,7 +37,7 @@
         });
     }
 
-    /// Records the reply to a renewal; returns whether it is one, and newer than all before.
+    /// Records a reply. Returns whether it answers a renewal that is newer than all answered before.
     pub(super) fn record_reply(&mut self, token: CallToken, span: Duration) -> bool {
         let Some(index) = self.sent.iter().position(|sent| sent.token == token) else {
             return false;
@@ -50,17 +48,17 @@
         true
     }
 
-    /// Returns whether a renewal of this number is under way.
+    /// Returns whether the renewal with this token is unanswered.
     pub(super) fn awaits(&self, token: CallToken) -> bool {
         self.sent.iter().any(|sent| sent.token == token)
     }
 
-    /// Returns whether jobs may be driven.
+    /// Returns whether the lease is valid.
     pub(super) fn is_valid(&self, now: Timestamp) -> bool {
         self.valid_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether it was valid and is no more.
+    /// Returns whether the lease was granted and has lapsed.
     pub(super) fn has_lapsed(&self, now: Timestamp) -> bool {
         self.valid_until.is_some_and(|until| now >= until)
     }
--- a/crates/leased/cloverfold_kept_jobs/src/driver/mod.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/mod.rs
@@ -1,25 +1,22 @@
-//! The side of an entry: calls to the groups, and which jobs it drives.
+//! The entry's side: calls to the groups, and the jobs that it drives.
 //!
-//! An entry is a *driver* of each group under a lease (`lease`). It drives the jobs that were accepted for it and those that the leader
-//! gives it, and names all of them in each renewal until the leader tells it to drop them.
-//!
-//! Decision: which jobs are driven. Rule:
+//! An entry is a *driver* of each group under a lease (`lease`). It drives the jobs that it submitted and those that the leader assigns to
+//! it, and reports all of them in each renewal until the leader drops them. No job is driven here and elsewhere at once (`timings`).
 //!
 //! | event | effect |
 //! |---|---|
-//! | a submission is accepted while the driver that it names is the present one | driven |
-//! | it is accepted after that driver was over | the caller is told that the job is kept; it is not driven |
-//! | the newest reply to a renewal orders to drive it | driven, in place of an earlier epoch |
-//! | the leader orders to drop it, also unasked | not driven any more |
-//! | an order to drive it comes unasked | the lease is renewed at once, and the reply decides |
-//! | the lease of the driver lapses | nothing of the group is driven; another driver is drawn |
-//! | it is released | not driven any more; the release is repeated until the leader has it, and anew if a later leader orders to drive it |
-//! | it is finished here and not dropped within three seconds (`releases`) | released |
-//!
-//! Inputs: replies of the group, the clock, what the dispatcher reports of the jobs.
+//! | a submission is accepted, and the driver named in it is current | the job is driven |
+//! | a submission is accepted, and the driver named in it has expired | the caller is told that the job is stored; it is not driven |
+//! | the newest reply to a renewal assigns a job | the job is driven, in place of an earlier epoch |
+//! | the leader drops a job, solicited or not | the job is no longer driven |
+//! | an unsolicited assignment arrives | the lease is renewed at once, and the reply decides |
+//! | the driver's lease lapses | no job of the group is driven; the entry gets a new driver identity |
+//! | a job is released | it is no longer driven; the release is resent until it is answered |
+//! | a later leader assigns a released job in the same epoch | the release is sent again |
+//! | a job is finished here and not dropped in time (`releases`) | the job is released |
 //!
-//! Reason: what is driven here is driven nowhere else (`timings`). An order that comes unasked may be older than a drop, so it alone
-//! begins nothing. A finished job that is not dropped has lost the record of an end with its guard: only another epoch may do it again.
+//! An unsolicited assignment may be older than a drop, so it does not start a job by itself. If a finished job is not dropped, the record
+//! of a run end was lost with its guard; only a new epoch may run the task again.
 
 mod actions;
 mod callers;
@@ -43,16 +40,16 @@
 use crate::groups::{GroupId, group_of};
 use crate::ids::{Epoch, JobId};
 use crate::timings::KeptJobTimings;
-use group::{Driven, Finished, GroupDriver};
+use group::{DrivenState, Finished, GroupDriver};
 use pending_calls::{PendingCalls, with_jitter};
 
-/// The calls of one entry to the groups, and the jobs that it drives.
+/// The calls of an entry to the groups, and the jobs that it drives.
 #[derive(Debug)]
 pub struct Driver {
     entry: String,
     timings: KeptJobTimings,
     rng: SmallRng,
-    /// By the number of the group; empty while the groups are not known.
+    /// Indexed by group; empty while the number of groups is unknown.
     groups: Vec<GroupDriver>,
     calls: PendingCalls,
     takes_jobs: bool,
@@ -61,7 +58,7 @@
 }
 
 impl Driver {
-    /// Returns a driver that knows no groups. What it draws follows from `seed`, which must differ between processes.
+    /// Returns a driver without groups. `seed` determines its random choices and must differ between processes.
     pub fn new(entry: &str, timings: KeptJobTimings, seed: u64) -> Self {
         Self {
             entry: entry.into(),
@@ -75,7 +72,7 @@
         }
     }
 
-    /// Records how many groups there are, which never changes; the first renewals are spread over an interval.
+    /// Sets the number of groups, which never changes. The first renewals are spread over one interval.
     pub fn set_group_count(&mut self, count: u32, now: Timestamp) {
         if !self.groups.is_empty() {
             return;
@@ -87,42 +84,42 @@
         }
     }
 
-    /// Returns how many groups there are; 0 while that is not known.
+    /// Returns the number of groups, or 0 while it is unknown.
     pub fn group_count(&self) -> u32 {
         self.groups.len() as u32
     }
 
-    /// Takes what has to be done since the last call.
+    /// Takes the actions that have accumulated since the last call.
     pub fn take_actions(&mut self) -> Vec<DriverAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the epoch in which a job is driven here.
+    /// Returns the epoch in which this entry drives a job, if it does.
     pub fn driven_epoch(&self, job: &str) -> Option<Epoch> {
         let group = self.groups.get(self.group_index(job)?)?;
         group.driven.get(job).map(|driven| driven.epoch)
     }
 
-    /// Returns how many jobs are driven here, finished ones included.
+    /// Returns the number of jobs that this entry drives, including finished ones.
     pub fn driven_count(&self) -> usize {
         self.groups.iter().map(|group| group.driven.len()).sum()
     }
 
-    /// Returns how many groups this entry has a lease of.
+    /// Returns the number of groups on which this entry holds a valid lease.
     pub fn valid_lease_count(&self, now: Timestamp) -> usize {
         let valid = self.groups.iter().filter(|group| group.lease.is_valid(now));
         valid.count()
     }
 
-    /// Records that a task of a job has begun.
+    /// Records that a task of a job has started.
     pub fn record_begun(&mut self, job: &str) {
         if let Some(driven) = self.driven_mut(job) {
             driven.has_begun = true;
         }
     }
 
-    /// Records that all of a job has ended as far as its dispatcher knows; `is_clean` says that no run of it is left. It stays named
-    /// until the leader says that it is over.
+    /// Records that all tasks of a job have ended as far as its dispatcher knows. `is_clean` says whether all runs have certainly ended.
+    /// The job stays in the renewals until the leader drops it.
     pub fn record_finished(&mut self, job: &str, epoch: Epoch, is_clean: bool, now: Timestamp) {
         if let Some(driven) = self.driven_mut(job)
             && driven.epoch == epoch
@@ -132,55 +129,55 @@
         }
     }
 
-    /// Takes no further job; what is driven goes on until it is released.
+    /// Stops accepting jobs. The driven jobs continue until they are released.
     pub fn stop_taking_jobs(&mut self) {
         self.takes_jobs = false;
     }
 
-    /// Returns the jobs that are driven and not finished.
+    /// Returns the driven jobs that are not finished.
     pub fn unfinished_jobs(&self) -> Vec<JobId> {
         let driven = self.groups.iter().flat_map(|group| &group.driven);
         let unfinished = driven.filter(|(_, driven)| driven.finished.is_none());
         unfinished.map(|(job, _)| job.clone()).collect()
     }
 
-    /// Returns whether nothing is driven here and every release was answered.
+    /// Returns whether no job is driven and every release is answered.
     pub fn is_empty(&self) -> bool {
         self.groups
             .iter()
-            .all(|group| group.driven.is_empty() && !group.awaits_release())
+            .all(|group| group.driven.is_empty() && !group.has_unanswered_release())
     }
 
-    /// Does what has fallen due; call it every few tens of milliseconds.
+    /// Carries out the due work. Call it every few tens of milliseconds.
     pub fn tick(&mut self, now: Timestamp) {
         self.expire_leases(now);
         for group in &mut self.groups {
-            group.forget_gone(now);
+            group.remove_settled(now);
         }
-        self.record_observed(now);
-        self.release_unrecorded(now);
+        self.record_observed_ends(now);
+        self.release_undropped(now);
         self.send_renewals(now);
         self.send_calls(now);
-        for (token, answer) in self.calls.take_late(now) {
+        for (token, answer) in self.calls.take_expired(now) {
             self.answer(token, answer);
         }
     }
 
-    /// Ends the drivers whose lease has lapsed. Call it before anything else may begin a run: after a stall nothing may be driven on.
+    /// Ends the drivers whose lease has lapsed. Call it before any run can start, since the lease may have lapsed during a stall.
     pub fn expire_leases(&mut self, now: Timestamp) {
         for index in 0..self.groups.len() {
             if self.groups[index].lease.has_lapsed(now) {
-                self.end_driver(index, now);
+                self.replace_driver(index, now);
             }
         }
     }
 
-    /// Stops driving all of a group, and draws another driver.
-    fn end_driver(&mut self, index: usize, now: Timestamp) {
-        let ended = &mut self.groups[index];
-        let before = ended.id;
-        let leader = ended.leader.take();
-        for (job, driven) in std::mem::take(&mut ended.driven) {
+    /// Stops driving the jobs of a group, and generates a new driver identity.
+    fn replace_driver(&mut self, index: usize, now: Timestamp) {
+        let expired = &mut self.groups[index];
+        let before = expired.id;
+        let leader = expired.leader.take();
+        for (job, driven) in std::mem::take(&mut expired.driven) {
             self.actions.push(DriverAction::StopDriving {
                 job,
                 epoch: driven.epoch,
@@ -190,18 +187,18 @@
         let mut next = GroupDriver::new(self.rng.random(), now);
         next.leader = leader;
         self.groups[index] = next;
-        self.calls.take_all(
+        self.calls.take_matching(
             |pending| matches!(&pending.call, JobCall::Release { driver, .. } if *driver == before),
         );
     }
 
-    /// Returns the place of a job's group; `None` while the groups are not known.
+    /// Returns the index of a job's group, or `None` while the number of groups is unknown.
     pub(super) fn group_index(&self, job: &str) -> Option<usize> {
         let count = self.group_count();
         (count > 0).then(|| group_of(job, count) as usize)
     }
 
-    fn driven_mut(&mut self, job: &str) -> Option<&mut Driven> {
+    fn driven_mut(&mut self, job: &str) -> Option<&mut DrivenState> {
         let index = self.group_index(job)?;
         self.groups[index].driven.get_mut(job)
     }
@@ -222,25 +219,25 @@
             }
             let token = self.next_token();
             let group = &mut self.groups[index];
-            let renewal = group.renewal(&self.entry, self.takes_jobs);
+            let renewal = group.build_renewal(&self.entry, self.takes_jobs);
             let attempt = group.unanswered;
             group.record_renewal(token, &self.timings, now);
             self.send(index as GroupId, token, JobCall::Renew(renewal), attempt);
         }
     }
 
-    /// Begins to drive a job, unless it is driven or was released in this epoch; gives it back at once if no further job is taken.
-    fn begin_driving(&mut self, index: usize, order: JobAssignment, now: Timestamp) {
+    /// Starts to drive a job unless it is or was driven in this epoch. Releases it at once if this entry accepts no jobs.
+    fn accept_assignment(&mut self, index: usize, order: JobAssignment, now: Timestamp) {
         let group = &mut self.groups[index];
-        if group.is_release_lost(&order.job, order.epoch, now) {
-            // It is long over here: nothing of it runs.
+        if group.is_release_unknown_to_leader(&order.job, order.epoch, now) {
+            // The job ended here long ago, so it has no runs.
             self.send_release(index, vec![(order.job, order.epoch, true)], now);
             return;
         }
-        if !group.is_news(&order.job, order.epoch) {
+        if !group.is_new_assignment(&order.job, order.epoch) {
             return;
         }
-        let driven = Driven {
+        let driven = DrivenState {
             epoch: order.epoch,
             has_begun: !order.progress.is_empty(),
             finished: None,
@@ -255,13 +252,13 @@
         if self.takes_jobs {
             self.actions.push(DriverAction::Drive(order));
         } else {
-            self.release_of(index, &[(order.job, true)], now);
+            self.release_from_group(index, &[(order.job, true)], now);
         }
     }
 
-    /// Plans a renewal before the next regular one.
-    fn renew_soon(&mut self, index: usize, pause: Duration, now: Timestamp) {
-        let at = now + with_jitter(pause, &mut self.rng);
+    /// Schedules a renewal before the next regular one.
+    fn renew_soon(&mut self, index: usize, delay: Duration, now: Timestamp) {
+        let at = now + with_jitter(delay, &mut self.rng);
         let group = &mut self.groups[index];
         group.next_renewal_at = group.next_renewal_at.min(at);
     }
--- a/crates/leased/cloverfold_kept_jobs/src/driver/pending_calls.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/pending_calls.rs
@@ -1,18 +1,14 @@
-//! Calls to groups that are not answered yet.
+//! Calls to groups that have no final answer yet.
 //!
-//! Decision: when a call is sent again, and what its caller is told. Rule:
-//!
-//! | | |
+//! | event | result |
 //! |---|---|
-//! | no reply within [`REPEAT`] | sent again, over another control process while no leader is known |
-//! | refused for want of a leader | sent again after [`LEADER_PAUSE`] |
-//! | refused otherwise, or full, and all that was sent is answered | `Refused` |
-//! | the deadline is over, all that was sent was refused | `Refused` |
-//! | the deadline is over otherwise | `Unknown` |
-//!
-//! Inputs: how often the call was sent and refused, its deadline.
+//! | no reply within [`RETRY_INTERVAL`] | resent, through another control process while no leader is known |
+//! | refused because the group has no leader | resent after [`NO_LEADER_RETRY_DELAY`] |
+//! | refused otherwise, or full, and every copy was refused | `Refused` |
+//! | the deadline passes, and every copy was refused | `Refused` |
+//! | the deadline passes otherwise | `Unknown` |
 //!
-//! Reason: a caller may be told that its job never runs only if no copy of the call can have an effect any more. A repeat does no harm.
+//! A caller is told `Refused` only if no copy of the call can take effect any more. Calls are idempotent, so retries are safe.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,46 +21,46 @@
 use crate::driver::actions::{CallAnswer, RefusalReason};
 use crate::groups::GroupId;
 
-/// After this a call without a reply is sent again. Chosen, not measured: two syncs and four messages take less than a third.
-const REPEAT: Duration = Duration::from_millis(250);
-/// After this a call is sent again that was refused for want of a leader. Chosen, not measured: an election takes up to 700 ms.
-const LEADER_PAUSE: Duration = Duration::from_millis(100);
-/// Share of a pause that is drawn on top, so that entries do not repeat in step. Chosen, not measured.
+/// Time after which an unanswered call is resent; more than three times the time of two disk syncs and four messages.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay before a retry of a call that was refused because the group has no leader. An election takes up to 700 ms.
+const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Largest random extension of a delay, as a fraction of it, so that entries do not retry in lockstep.
 const JITTER: f64 = 0.3;
-/// Calls that may wait for a reply. Chosen, not measured: six seconds of the most submissions of one installation.
-pub(super) const MAX_CALLS: usize = 5_000;
+/// Largest number of pending calls.
+pub(super) const MAX_PENDING_CALLS: usize = 5_000;
 
-/// A call without a reply that settles it.
+/// A call without a final answer.
 #[derive(Clone, Debug)]
 pub(super) struct PendingCall {
     pub(super) group: GroupId,
     pub(super) call: JobCall,
-    /// How often it was sent.
+    /// Number of copies sent.
     pub(super) sent: u32,
-    /// How many of these were refused.
+    /// Number of copies that were refused.
     refused: u32,
     refusal: Option<RefusalReason>,
     next_send_at: Timestamp,
-    /// After this its caller is answered; `None` for a call that is repeated until it is answered.
+    /// Time at which the caller is answered in any case; `None` for a call that is retried until it is answered.
     deadline: Option<Timestamp>,
 }
 
 impl PendingCall {
-    /// Returns whether no copy of it can have an effect any more.
-    fn is_without_effect(&self) -> bool {
+    /// Returns whether every copy was refused, so that none can take effect.
+    fn is_every_copy_refused(&self) -> bool {
         self.refused >= self.sent
     }
 
-    /// Returns what its caller is told when the deadline is over.
-    fn late_answer(&self) -> CallAnswer {
+    /// Returns the answer to the caller when the deadline passes.
+    fn deadline_answer(&self) -> CallAnswer {
         match self.refusal {
-            Some(refusal) if self.is_without_effect() => CallAnswer::Refused(refusal),
+            Some(refusal) if self.is_every_copy_refused() => CallAnswer::Refused(refusal),
             _ => CallAnswer::Unknown,
         }
     }
 }
 
-/// The calls of one driver that are under way.
+/// The pending calls of an entry.
 #[derive(Debug, Default)]
 pub(super) struct PendingCalls {
     calls: BTreeMap<CallToken, PendingCall>,
@@ -72,10 +68,10 @@
 
 impl PendingCalls {
     pub(super) fn is_full(&self) -> bool {
-        self.calls.len() >= MAX_CALLS
+        self.calls.len() >= MAX_PENDING_CALLS
     }
 
-    /// Adds a call, which is due at once.
+    /// Adds a call that is due immediately.
     pub(super) fn add(
         &mut self,
         token: CallToken,
@@ -96,22 +92,25 @@
         self.calls.insert(token, pending);
     }
 
-    /// Removes a call that is settled.
+    /// Removes a call that has its final answer.
     pub(super) fn take(&mut self, token: CallToken) -> Option<PendingCall> {
         self.calls.remove(&token)
     }
 
-    /// Removes the calls that match, with their numbers.
-    pub(super) fn take_all(&mut self, is_meant: impl Fn(&PendingCall) -> bool) -> Vec<CallToken> {
-        let meant = self.calls.iter().filter(|(_, pending)| is_meant(pending));
-        let meant: Vec<CallToken> = meant.map(|(token, _)| *token).collect();
-        for token in &meant {
+    /// Removes the matching calls and returns their tokens.
+    pub(super) fn take_matching(
+        &mut self,
+        is_match: impl Fn(&PendingCall) -> bool,
+    ) -> Vec<CallToken> {
+        let matching = self.calls.iter().filter(|(_, pending)| is_match(pending));
+        let matching: Vec<CallToken> = matching.map(|(token, _)| *token).collect();
+        for token in &matching {
             self.calls.remove(token);
         }
-        meant
+        matching
     }
 
-    /// Returns the calls that are to be sent now, and plans their repeats.
+    /// Returns the calls that are due, and schedules their retries.
     pub(super) fn take_due(
         &mut self,
         now: Timestamp,
@@ -121,27 +120,27 @@
         for (token, pending) in &mut self.calls {
             if now >= pending.next_send_at {
                 pending.sent += 1;
-                pending.next_send_at = now + with_jitter(REPEAT, rng);
+                pending.next_send_at = now + with_jitter(RETRY_INTERVAL, rng);
                 due.push((*token, pending.clone()));
             }
         }
         due
     }
 
-    /// Removes the calls whose deadline is over, with what their callers are told.
-    pub(super) fn take_late(&mut self, now: Timestamp) -> Vec<(CallToken, CallAnswer)> {
-        let is_late = |pending: &PendingCall| pending.deadline.is_some_and(|until| now >= until);
-        let late = self.calls.iter().filter(|(_, pending)| is_late(pending));
-        let late: Vec<(CallToken, CallAnswer)> = late
-            .map(|(token, pending)| (*token, pending.late_answer()))
+    /// Removes the calls whose deadline has passed, and returns them with the answers to their callers.
+    pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<(CallToken, CallAnswer)> {
+        let is_expired = |pending: &PendingCall| pending.deadline.is_some_and(|until| now >= until);
+        let expired = self.calls.iter().filter(|(_, pending)| is_expired(pending));
+        let expired: Vec<(CallToken, CallAnswer)> = expired
+            .map(|(token, pending)| (*token, pending.deadline_answer()))
             .collect();
-        for (token, _) in &late {
+        for (token, _) in &expired {
             self.calls.remove(token);
         }
-        late
+        expired
     }
 
-    /// Records that one copy of a call had no effect; returns the answer if that settles it, and removes it then.
+    /// Records that one copy of a call was refused. Removes the call and returns its answer if that is final.
     pub(super) fn record_refusal(
         &mut self,
         token: CallToken,
@@ -152,13 +151,13 @@
         let pending = self.calls.get_mut(&token)?;
         pending.refused += 1;
         pending.refusal = Some(refusal);
-        let is_worth_repeating = refusal == RefusalReason::ByGroup(CallRefusal::NoLeader);
-        if is_worth_repeating || pending.deadline.is_none() {
-            let again_at = now + with_jitter(LEADER_PAUSE, rng);
-            pending.next_send_at = pending.next_send_at.min(again_at);
+        let is_retryable = refusal == RefusalReason::ByGroup(CallRefusal::NoLeader);
+        if is_retryable || pending.deadline.is_none() {
+            let retry_at = now + with_jitter(NO_LEADER_RETRY_DELAY, rng);
+            pending.next_send_at = pending.next_send_at.min(retry_at);
             return None;
         }
-        if !pending.is_without_effect() {
+        if !pending.is_every_copy_refused() {
             return None;
         }
         self.calls.remove(&token);
@@ -166,7 +165,7 @@
     }
 }
 
-/// Returns a span that is longer by up to [`JITTER`] of it.
+/// Returns the span, extended by a random fraction of up to [`JITTER`].
 pub(super) fn with_jitter(span: Duration, rng: &mut SmallRng) -> Duration {
     span.mul_f64(1.0 + JITTER * rng.random::<f64>())
 }
--- a/crates/leased/cloverfold_kept_jobs/src/driver/releases.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/releases.rs
@@ -1,4 +1,4 @@
-//! Jobs that are given back to their groups.
+//! Release of jobs to their groups.
 
 use std::time::Duration;
 
@@ -7,25 +7,30 @@
 use crate::calls::{JobCall, ReleasedJob};
 use crate::driver::Driver;
 use crate::driver::actions::{DriverAction, StopCause};
-use crate::driver::group::Gone;
+use crate::driver::group::RetiredJob;
 use crate::groups::GroupId;
 use crate::ids::{Epoch, JobId};
 
-/// How long a finished job may stay without an order to drop it. Chosen, not measured: guards repeat the record of an end each 150 ms, and
-/// a group that lost its leader has another within 0.7 s.
-const UNRECORDED_LIMIT: Duration = Duration::from_secs(3);
+/// Time within which the leader should drop a finished job. It covers several retries of a guard's record and the election of a new leader,
+/// which takes up to 0.7 s.
+const DROP_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Driver {
-    /// Gives jobs back, each with whether no run of it is left that is not certainly over.
+    /// Releases jobs. The flag of each says whether all its runs have certainly ended.
     pub fn release(&mut self, jobs: &[(JobId, bool)], now: Timestamp) {
         self.expire_leases(now);
         for index in 0..self.groups.len() {
-            self.release_of(index, jobs, now);
+            self.release_from_group(index, jobs, now);
         }
     }
 
-    /// Gives back the jobs of one group.
-    pub(super) fn release_of(&mut self, index: usize, jobs: &[(JobId, bool)], now: Timestamp) {
+    /// Releases the jobs that belong to one group.
+    pub(super) fn release_from_group(
+        &mut self,
+        index: usize,
+        jobs: &[(JobId, bool)],
+        now: Timestamp,
+    ) {
         let mut released = Vec::new();
         for (job, is_clean) in jobs {
             let Some(driven) = self.groups[index].driven.remove(job) else {
@@ -43,7 +48,7 @@
         }
     }
 
-    /// Tells the leader that jobs are given back, each with its epoch and whether nothing of it runs, until it has answered.
+    /// Sends a release until the leader has answered it. Each job comes with its epoch and whether all its runs have ended.
     pub(super) fn send_release(
         &mut self,
         index: usize,
@@ -52,12 +57,12 @@
     ) {
         let group = &mut self.groups[index];
         for (job, epoch, _) in &jobs {
-            let gone = Gone {
+            let retired = RetiredJob {
                 epoch: *epoch,
                 settled_at: None,
                 is_released: true,
             };
-            group.gone.insert(job.clone(), gone);
+            group.retired.insert(job.clone(), retired);
         }
         let jobs = jobs.into_iter().map(|(job, epoch, is_clean)| ReleasedJob {
             job,
@@ -73,18 +78,18 @@
         self.send_calls(now);
     }
 
-    /// Gives back the finished jobs that the leader does not know to be over.
-    pub(super) fn release_unrecorded(&mut self, now: Timestamp) {
+    /// Releases the finished jobs that the leader has not dropped within [`DROP_TIMEOUT`].
+    pub(super) fn release_undropped(&mut self, now: Timestamp) {
         let driven = self.groups.iter().flat_map(|group| &group.driven);
-        let unrecorded: Vec<(JobId, bool)> = driven
+        let undropped: Vec<(JobId, bool)> = driven
             .filter_map(|(job, driven)| {
                 let finished = driven.finished?;
-                let is_over = now >= finished.at + UNRECORDED_LIMIT;
+                let is_over = now >= finished.at + DROP_TIMEOUT;
                 is_over.then(|| (job.clone(), finished.is_clean))
             })
             .collect();
-        if !unrecorded.is_empty() {
-            self.release(&unrecorded, now);
+        if !undropped.is_empty() {
+            self.release(&undropped, now);
         }
     }
 }
--- a/crates/leased/cloverfold_kept_jobs/src/driver/replies.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/replies.rs
@@ -1,4 +1,4 @@
-//! What an entry concludes from the replies of a group.
+//! Handling of a group's replies.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::commands::{JobSubmission, SubmitOutcome};
 use crate::driver::Driver;
 use crate::driver::actions::{CallAnswer, DriverAction, RefusalReason, StopCause};
-use crate::driver::group::{Driven, Gone};
+use crate::driver::group::{DrivenState, RetiredJob};
 use crate::ids::{Epoch, JobId};
 
-/// Pause before a renewal that was asked for by an unasked order or a refusal. Chosen, not measured: orders that come together need one.
-const RENEWAL_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before an early renewal, so that one renewal covers several unsolicited assignments.
+const RENEWAL_DELAY: Duration = Duration::from_millis(20);
 
 impl Driver {
     /// Handles a reply of a group.
@@ -31,26 +31,26 @@
         match message.reply {
             JobReply::Renewed(reply) => self.receive_renewed(index, token, reply, now),
             JobReply::Submitted(outcome) => self.receive_submitted(index, token, outcome, now),
-            JobReply::Cancelled(outcome) => self.settle(token, CallAnswer::Cancelled(outcome)),
-            JobReply::Shown(phase) => self.settle(token, CallAnswer::Shown(phase)),
-            JobReply::Pending(count) => self.settle(token, CallAnswer::Pending(count)),
+            JobReply::Cancelled(outcome) => self.resolve(token, CallAnswer::Cancelled(outcome)),
+            JobReply::Shown(phase) => self.resolve(token, CallAnswer::Shown(phase)),
+            JobReply::Pending(count) => self.resolve(token, CallAnswer::Pending(count)),
             JobReply::Released => self.receive_released(index, token, now),
             JobReply::Refused(refusal) => self.receive_refusal(index, token, refusal, now),
-            // What became of them comes with the order to drop their jobs.
+            // The leader reports the result by dropping the jobs.
             JobReply::EndsRecorded(_) => {
                 self.calls.take(token);
             }
         }
     }
 
-    /// Records that a copy of a call could not be sent, so that it has no effect.
+    /// Records that a copy of a call could not be sent and has no effect.
     pub fn record_send_failure(&mut self, token: CallToken, now: Timestamp) {
         let cause = RefusalReason::ByGroup(CallRefusal::NoLeader);
         self.record_refusal(token, cause, now);
     }
 
-    /// Answers a caller's call, unless it was answered before.
-    fn settle(&mut self, token: CallToken, answer: CallAnswer) {
+    /// Answers a caller's call unless it has been answered.
+    fn resolve(&mut self, token: CallToken, answer: CallAnswer) {
         if self.calls.take(token).is_some() {
             self.answer(token, answer);
         }
@@ -68,7 +68,7 @@
             return;
         }
         let is_reply = group.lease.record_reply(token, self.timings.driver_lease);
-        // A drop holds for good, so one that comes late or unasked is right as well.
+        // A drop is final, so it also applies if it is late or unsolicited.
         for (job, epoch) in reply.drop {
             self.drop_job(index, &job, epoch, now);
         }
@@ -77,26 +77,26 @@
         }
         if is_reply && self.groups[index].lease.is_valid(now) {
             for order in reply.drive {
-                self.settle_submissions(&order.job);
-                self.begin_driving(index, order, now);
+                self.answer_submissions(&order.job);
+                self.accept_assignment(index, order, now);
             }
         } else if !reply.drive.is_empty() {
-            self.renew_soon(index, RENEWAL_PAUSE, now);
+            self.renew_soon(index, RENEWAL_DELAY, now);
         }
     }
 
-    /// Stops driving a job that the leader says is over or another driver's.
+    /// Stops driving a job that has ended or is assigned to another driver.
     fn drop_job(&mut self, index: usize, job: &JobId, epoch: Epoch, now: Timestamp) {
-        let gone = Gone {
+        let retired = RetiredJob {
             epoch,
             settled_at: Some(now + 2 * self.timings.driver_lease),
             is_released: false,
         };
         let group = &mut self.groups[index];
-        let is_meant = |driven: &Driven| driven.epoch == epoch;
-        if group.driven.get(job).is_some_and(is_meant) {
+        let is_same_epoch = |driven: &DrivenState| driven.epoch == epoch;
+        if group.driven.get(job).is_some_and(is_same_epoch) {
             group.driven.remove(job);
-            group.gone.insert(job.clone(), gone);
+            group.retired.insert(job.clone(), retired);
             self.actions.push(DriverAction::StopDriving {
                 job: job.clone(),
                 epoch,
@@ -105,12 +105,15 @@
         }
     }
 
-    /// Answers the submissions of a job that the leader gives to this driver, so that it is kept: a reply to one of them that comes
-    /// later must not begin it again.
-    fn settle_submissions(&mut self, job: &str) {
-        let is_meant =
+    /// Answers the pending submissions of a job that the leader assigns to this driver, which proves that it is stored. A later reply to
+    /// one of them must not start the job again.
+    fn answer_submissions(&mut self, job: &str) {
+        let is_submission =
             |call: &JobCall| matches!(call, JobCall::Submit(submission) if submission.id == job);
-        for token in self.calls.take_all(|pending| is_meant(&pending.call)) {
+        for token in self
+            .calls
+            .take_matching(|pending| is_submission(&pending.call))
+        {
             self.answer(token, CallAnswer::Kept);
         }
     }
@@ -125,16 +128,16 @@
         match outcome {
             SubmitOutcome::Accepted(epoch) => self.receive_accepted(index, token, epoch, now),
             SubmitOutcome::Known => {
-                self.settle(token, CallAnswer::Kept);
-                // The reply to an earlier copy may be lost, with which the job was given to this driver.
-                self.renew_soon(index, RENEWAL_PAUSE, now);
+                self.resolve(token, CallAnswer::Kept);
+                // The job may be assigned to this driver by a lost reply to an earlier copy; an early renewal finds out.
+                self.renew_soon(index, RENEWAL_DELAY, now);
             }
-            SubmitOutcome::Conflict => self.settle(token, CallAnswer::Conflict),
+            SubmitOutcome::Conflict => self.resolve(token, CallAnswer::Conflict),
             SubmitOutcome::Full => self.record_refusal(token, RefusalReason::Full, now),
         }
     }
 
-    /// Drives an accepted job if the driver that its submission names is still the present one.
+    /// Drives an accepted job if the driver named in its submission is still current.
     fn receive_accepted(&mut self, index: usize, token: CallToken, epoch: Epoch, now: Timestamp) {
         let Some(pending) = self.calls.take(token) else {
             return;
@@ -151,11 +154,11 @@
                 body,
                 progress: Vec::new(),
             };
-            self.begin_driving(index, order, now);
+            self.accept_assignment(index, order, now);
         }
     }
 
-    /// The leader has jobs back that were released.
+    /// Records that the leader has answered a release.
     fn receive_released(&mut self, index: usize, token: CallToken, now: Timestamp) {
         let Some(pending) = self.calls.take(token) else {
             return;
@@ -165,9 +168,9 @@
         };
         let settled_at = Some(now + 2 * self.timings.driver_lease);
         for released in jobs {
-            let gone = self.groups[index].gone.get_mut(&released.job);
-            if let Some(gone) = gone.filter(|gone| gone.epoch == released.epoch) {
-                gone.settled_at = settled_at;
+            let retired = self.groups[index].retired.get_mut(&released.job);
+            if let Some(retired) = retired.filter(|retired| retired.epoch == released.epoch) {
+                retired.settled_at = settled_at;
             }
         }
     }
@@ -183,7 +186,7 @@
             self.groups[index].leader = None;
         }
         if self.groups[index].lease.awaits(token) {
-            self.renew_soon(index, 4 * RENEWAL_PAUSE, now);
+            self.renew_soon(index, 4 * RENEWAL_DELAY, now);
         } else {
             self.record_refusal(token, RefusalReason::ByGroup(refusal), now);
         }
--- a/crates/leased/cloverfold_kept_jobs/src/drivers.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/drivers.rs
@@ -1,21 +1,17 @@
-//! The leader's view of the drivers of its group.
+//! The group leader's view of the drivers: whose lease has expired, and how renewals are answered.
 //!
-//! Decision: when a driver counts as over, and what each driver is told. Rules:
-//!
-//! | | counts as over |
+//! | driver | its lease expires |
 //! |---|---|
-//! | a driver that has renewed with this leader | [`KeptJobTimings::driver_lease`] after its last renewal came |
+//! | has renewed with this leader | [`KeptJobTimings::driver_lease`] after its last renewal arrived |
 //! | any other | [`KeptJobTimings::driver_lease`] after this leader was elected |
 //!
-//! A renewal is answered with the jobs that the driver should drive and does not name, and with those that it names and must not
-//! drive. Which driver a job is given to next is decided in `handover`.
-//!
-//! Inputs: the table, when the leader was elected, what the drivers renewed and released and when that came, by the leader's clock.
+//! The reply to a renewal assigns the jobs that the driver should drive and did not report, and drops those that it reported and must not
+//! drive. `handover` decides which driver gets a job next.
 //!
-//! Reason: a lease lasts from when its renewal was sent, which is before it came; and a lease that an earlier leader granted was sent
-//! before this one was elected, since a majority that proved the earlier one's lead would not have elected this one before. A later
-//! driver of the same entry does not end the lease of an earlier one sooner: a renewal that was delayed on its way may make the
-//! earlier one look like the later.
+//! These expiry times are never early. A driver counts its lease from the sending of the renewal, which precedes its arrival. A renewal
+//! that an earlier leader answered was sent before this leader's election, since the quorum that confirmed the earlier leader had not
+//! elected this one yet. A newer driver of the same entry does not shorten the lease of the older one, because a delayed renewal can make
+//! the older driver look like the newer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,56 +23,56 @@
 use crate::table::JobTable;
 use crate::timings::KeptJobTimings;
 
-/// Bytes of bodies that one reply orders to be driven, at most; the rest follows with the next renewal. Chosen, not measured: an entry
-/// takes over 800 jobs of 1,200 bytes in one renewal, and a link is not held up.
-const MAX_ORDER_BYTES: usize = 1024 * 1024;
+/// Largest total size of the job bodies in one reply, in bytes, so that a reply does not block the link. Further assignments follow with
+/// the next renewal. The first assignment is always included.
+const MAX_ASSIGNMENT_BYTES: usize = 1024 * 1024;
 
-/// What a driver said last.
+/// The state that a driver reported in its last renewal.
 #[derive(Clone, Debug)]
-pub(crate) struct KnownDriver {
+pub(crate) struct DriverState {
     pub(crate) entry: String,
     pub(crate) renewed_at: Timestamp,
     pub(crate) takes_jobs: bool,
-    /// What it drives: in which epoch, and whether a task has begun.
+    /// The reported jobs: their epochs, and whether a task has started.
     driving: BTreeMap<JobId, (Epoch, bool)>,
 }
 
-/// A job that its driver gave back.
+/// A job that its driver has released.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Release {
     pub(crate) epoch: Epoch,
-    /// From when on no run of its driver is left.
-    pub(crate) runs_over_at: Timestamp,
+    /// Time by which all runs of the releasing driver have ended.
+    pub(crate) runs_ended_by: Timestamp,
 }
 
-/// All drivers of a group, as its leader sees them. A new leader begins with an empty one.
+/// The drivers of a group as its leader knows them. A new leader starts with an empty table.
 #[derive(Clone, Debug)]
 pub struct DriverTable {
     pub(crate) timings: KeptJobTimings,
     elected_at: Timestamp,
-    pub(crate) drivers: BTreeMap<DriverId, KnownDriver>,
+    pub(crate) drivers: BTreeMap<DriverId, DriverState>,
     pub(crate) released: BTreeMap<JobId, Release>,
-    /// Jobs whose hand-over is proposed and not decided.
-    pub(crate) assigning: BTreeSet<JobId>,
+    /// Jobs whose hand-over is proposed but not committed.
+    pub(crate) pending_handover: BTreeSet<JobId>,
 }
 
 impl DriverTable {
-    /// Begins with what a leader knows that was elected at `elected_at`, or earlier.
+    /// Returns the table of a leader that was elected at `elected_at` or earlier.
     pub fn new(timings: KeptJobTimings, elected_at: Timestamp) -> Self {
         Self {
             timings,
             elected_at,
             drivers: BTreeMap::new(),
             released: BTreeMap::new(),
-            assigning: BTreeSet::new(),
+            pending_handover: BTreeSet::new(),
         }
     }
 
-    /// Records a renewal that has just come. It may be answered once it is proved that this leader led after it came.
+    /// Records a renewal that has just arrived. Answer it only after this process has confirmed that it still led when the renewal arrived.
     pub fn renew(&mut self, renewal: Renewal, now: Timestamp) {
         let driving = renewal.driving.into_iter();
-        let driving = driving.map(|held| (held.job, (held.epoch, held.has_begun)));
-        let known = KnownDriver {
+        let driving = driving.map(|reported| (reported.job, (reported.epoch, reported.has_begun)));
+        let known = DriverState {
             entry: renewal.entry,
             renewed_at: now,
             takes_jobs: renewal.takes_jobs,
@@ -85,7 +81,7 @@
         self.drivers.insert(renewal.driver, known);
     }
 
-    /// Records jobs that a driver gives back; those of another driver or epoch are passed over.
+    /// Records the jobs that a driver releases. Jobs of another driver or epoch are ignored.
     pub fn release(
         &mut self,
         table: &JobTable,
@@ -108,25 +104,25 @@
             } else {
                 self.timings.run_termination_bound
             };
-            let runs_over_at = now + wait;
+            let runs_ended_by = now + wait;
             self.released.insert(
                 job,
                 Release {
                     epoch,
-                    runs_over_at,
+                    runs_ended_by,
                 },
             );
         }
     }
 
-    /// Returns when the lease of a driver is over, unless it renews before.
+    /// Returns when the lease of a driver expires unless it is renewed.
     pub fn lease_expires_at(&self, driver: DriverId) -> Timestamp {
         let known = self.drivers.get(&driver);
         let since = known.map_or(self.elected_at, |known| known.renewed_at);
         since + self.timings.driver_lease
     }
 
-    /// Returns whether a driver has renewed with this leader and its lease is not over.
+    /// Returns whether a driver has renewed with this leader and its lease is valid.
     pub fn is_alive(&self, driver: DriverId, now: Timestamp) -> bool {
         self.drivers.contains_key(&driver) && now < self.lease_expires_at(driver)
     }
@@ -137,7 +133,7 @@
         Some(&known.entry)
     }
 
-    /// Returns what to answer to the last renewal of a driver.
+    /// Returns the reply to the last renewal of a driver.
     pub fn renewal_reply(&self, table: &JobTable, driver: DriverId) -> RenewalReply {
         let mut reply = RenewalReply {
             driver,
@@ -158,12 +154,12 @@
             let Some(open) = table.open().get(job) else {
                 continue;
             };
-            let named = known.driving.get(job).map(|(epoch, _)| *epoch);
-            if named == Some(open.epoch()) || self.is_leaving(job, open) {
+            let reported = known.driving.get(job).map(|(epoch, _)| *epoch);
+            if reported == Some(open.epoch()) || self.is_leaving_driver(job, open) {
                 continue;
             }
             bytes += open.submission().body.len();
-            if bytes > MAX_ORDER_BYTES && !reply.drive.is_empty() {
+            if bytes > MAX_ASSIGNMENT_BYTES && !reply.drive.is_empty() {
                 break;
             }
             reply.drive.push(job_assignment(job, open));
@@ -176,18 +172,18 @@
         open.is_some_and(|open| open.driver() == driver && open.epoch() == epoch)
     }
 
-    /// Returns whether a job was given back by its driver, or is being given to another.
-    fn is_leaving(&self, job: &str, open: &OpenJob) -> bool {
+    /// Returns whether a job was released by its driver or is being handed over.
+    fn is_leaving_driver(&self, job: &str, open: &OpenJob) -> bool {
         let released = self.released.get(job);
         let is_released = released.is_some_and(|released| released.epoch == open.epoch());
-        is_released || self.assigning.contains(job)
+        is_released || self.pending_handover.contains(job)
     }
 
-    /// Returns how far an open job has come: a task has ended, or its driver says that one has begun.
+    /// Returns the phase of an open job: `Running` if a task has a recorded end or the driver reported a start, otherwise `Queued`.
     pub fn phase(&self, job: &str, open: &OpenJob) -> JobPhase {
         let known = self.drivers.get(&open.driver());
-        let said = known.and_then(|known| known.driving.get(job));
-        let has_begun = said.is_some_and(|(epoch, begun)| *epoch == open.epoch() && *begun);
+        let reported = known.and_then(|known| known.driving.get(job));
+        let has_begun = reported.is_some_and(|(epoch, begun)| *epoch == open.epoch() && *begun);
         if has_begun || !open.progress().is_empty() {
             JobPhase::Running
         } else {
@@ -195,14 +191,14 @@
         }
     }
 
-    /// Counts the open jobs whose driver is not alive.
+    /// Returns the number of open jobs whose driver has no valid lease.
     pub fn count_without_driver(&self, table: &JobTable, now: Timestamp) -> usize {
         let drivers = table.by_driver().iter();
         let orphaned = drivers.filter(|(driver, _)| !self.is_alive(**driver, now));
         orphaned.map(|(_, jobs)| jobs.len()).sum()
     }
 
-    /// Counts the open jobs that have not begun, by queue.
+    /// Returns the number of open jobs that have not started, by queue.
     pub fn count_pending(&self, table: &JobTable) -> BTreeMap<String, u64> {
         let mut pending = BTreeMap::new();
         for (job, open) in table.open() {
@@ -214,7 +210,7 @@
     }
 }
 
-/// Returns the order to drive a job in its present epoch.
+/// Returns the assignment of a job in its current epoch.
 pub fn job_assignment(job: &str, open: &OpenJob) -> JobAssignment {
     let progress = open.progress().iter();
     JobAssignment {
--- a/crates/leased/cloverfold_kept_jobs/src/groups.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/groups.rs
@@ -1,34 +1,34 @@
-//! Which group has a job, and how the groups begin.
+//! The mapping of jobs to groups, and the replicas that the groups start with.
 //!
-//! Decision: which group a job belongs to. Rule: the hash of its name, modulo the number of groups, which is agreed on once in the log of
-//! the control processes and never changes. Reason: every entry must come to the same group without asking.
+//! A job belongs to the group given by the hash of its name, modulo the number of groups. That number is agreed on once in the log of the
+//! control processes and never changes, so every entry finds the group of a job without a lookup.
 
 use std::net::SocketAddr;
 
 use cloverfold_base::hash_parts;
 use serde::{Deserialize, Serialize};
 
-/// Number of a group, from 0.
+/// Index of a group, from 0.
 pub type GroupId = u32;
 
-/// Most groups of an installation. Chosen, not measured: one for each of the boxes that may be set aside.
+/// Largest number of groups in an installation.
 pub const MAX_GROUPS: u32 = 16;
 
-/// The groups of an installation, agreed on by its control processes. The order of the fields is the format on disk and on the wire.
+/// The groups of an installation, as its control processes agreed on them. The order of the fields is part of the disk and wire formats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobGroups {
-    /// How many there are.
+    /// Number of groups.
     pub count: u32,
-    /// The replicas that each group begins with, in order. A replica that is not among them never begins a group.
+    /// The initial replicas of each group, in order. Any other replica must not bootstrap a group.
     pub founders: Vec<Founder>,
 }
 
-/// A replica that begins the groups. The order of the fields is the format on disk and on the wire.
+/// An initial replica of the groups. The order of the fields is part of the disk and wire formats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Founder {
-    /// The identity of its disk.
+    /// Identity of the replica's disk.
     pub replica: u64,
-    /// The address on which its process accepts links.
+    /// Address on which its process accepts links.
     pub address: SocketAddr,
 }
 
@@ -36,7 +36,7 @@
 ///
 /// # Panics
 ///
-/// If `count` is 0.
+/// Panics if `count` is 0.
 pub fn group_of(job: &str, count: u32) -> GroupId {
     let hash = hash_parts(&[job.as_bytes()]);
     let (head, _) = hash.split_at(4);
--- a/crates/leased/cloverfold_kept_jobs/src/ids.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/ids.rs
@@ -1,33 +1,34 @@
-//! Names and numbers of kept jobs, their tasks and their drivers.
+//! Identifiers of kept jobs, their tasks and their drivers.
 
 use cloverfold_base::HASH_LEN;
 
-/// The caller's name for a job.
+/// Name that the caller gives to a job.
 pub type JobId = String;
-/// Hash of all that the caller sent under a name: another one under the same name is another job.
+/// Hash of the submitted content. A submission with the same name but another digest is a conflict.
 pub type JobDigest = [u8; HASH_LEN];
-/// Place of a task among all tasks of its job, in the order of the steps.
+/// Index of a task among all tasks of its job, in the order of the steps.
 pub type TaskIndex = u32;
-/// One span in which an entry drives jobs, drawn at random: it begins with the first lease and ends for good when the lease lapses
-/// or the process ends.
+/// Random identifier of an entry for one unbroken sequence of leases on one group. It is never reused after the lease lapses or the
+/// process ends.
 pub type DriverId = u64;
-/// Number of a driver of one job, from 1; rises with each.
+/// Fencing number of a job's driver. It starts at 1 and rises with each hand-over.
 pub type Epoch = u64;
-/// Number of an ended job within its group, in the order of the ends, from 1.
+/// Sequence number of an ended job within its group, from 1.
 pub type EndSequence = u64;
 
-/// Runs of a task that one driver may begin. Chosen, not measured.
+/// Run numbers of a task that are reserved for each epoch.
 pub const RUNS_PER_EPOCH: u64 = 1 << 20;
-/// All runs of kept jobs are numbered from here on, and none of a best-effort job is: those count tenths of seconds, and reach this in
-/// millions of years. Below the integers that every reader of a number keeps exactly, also after 2^30 epochs.
+/// Base of the run numbers of kept jobs. Best-effort runs are numbered by a clock in tenths of seconds and stay below it. Run numbers
+/// stay exact as 64-bit floating-point numbers even after 2^30 epochs.
 pub const FIRST_KEPT_RUN: u64 = 1 << 50;
 
-/// Returns the number of the first run that a driver begins of a task; targets take each run of a later driver for a later one.
+/// Returns the number of the first run of a task in an epoch. Targets order runs by number, so a run of a later epoch supersedes earlier
+/// ones.
 pub fn first_run_of(epoch: Epoch) -> u64 {
     FIRST_KEPT_RUN + epoch * RUNS_PER_EPOCH + 1
 }
 
-/// Returns whether a run of this number is of a kept job.
+/// Returns whether a run number belongs to a kept job.
 pub fn is_kept_run(run: u64) -> bool {
     run >= FIRST_KEPT_RUN
 }
--- a/crates/leased/cloverfold_kept_jobs/src/job.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/job.rs
@@ -1,12 +1,10 @@
-//! One kept job. [`OpenJob`] and [`EndedJob`] are the two states of its life: an open one is consumed when it ends.
+//! A single kept job. [`OpenJob`] and [`EndedJob`] are its two states: ending a job consumes the [`OpenJob`].
 //!
-//! Decision: when a job ends. Rule: `Completed` once every task has an end `Done`; `Failed` once a task has `max_attempts` ends `Failed`;
-//! `Cancelled` by its caller. The first of these holds. An end counts only from the driver of the present epoch.
+//! A job ends as `Completed` once every task has a `Done` run, as `Failed` once a task has `max_attempts` `Failed` runs, and as
+//! `Cancelled` at its caller's request. The first of these is final.
 //!
-//! Inputs: the submission, the recorded ends in the order of the log.
-//!
-//! Reason: every replica comes to the same end, and no two drivers contribute to one: what an earlier driver's runs did after the job
-//! was handed on is done again, so it must not count as well.
+//! A run end counts only in the current epoch. A job that was handed over reruns the tasks without a recorded end, so a late end of an
+//! earlier epoch must not count as well. Every replica applies the ends in log order and reaches the same state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,67 +13,67 @@
 use crate::commands::{EndDecision, EndOutcome, JobSubmission, TaskEnd};
 use crate::ids::{DriverId, EndSequence, Epoch, JobDigest, TaskIndex};
 
-/// How a job ended. The order of the variants is the format on disk and on the wire.
+/// The final state of a job. The order of the variants is part of the disk and wire formats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TerminalState {
-    /// All its tasks are done.
+    /// All tasks are done.
     Completed,
-    /// A task has failed as often as it may.
+    /// A task has used up its attempts.
     Failed,
-    /// Its caller has cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// How far a job has come, as callers are told. The order of the variants is the format on the wire.
+/// The phase of a job as reported to callers. The order of the variants is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum JobPhase {
-    /// No task has begun.
+    /// No task has started.
     Queued,
-    /// A task has begun.
+    /// A task has started.
     Running,
-    /// It has ended.
+    /// The job has ended.
     Ended(TerminalState),
 }
 
-/// What is recorded of a task that has ended at least once. The order of the fields is the format on disk and on the wire.
+/// Progress of a task with at least one recorded run end. The order of the fields is part of the disk and wire formats.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskProgress {
-    /// Whether it is done.
+    /// Whether a run of the task succeeded.
     pub is_done: bool,
-    /// Ends `Failed`.
+    /// Number of failed runs.
     pub failures: u32,
-    /// Number of the newest run whose end is recorded.
+    /// Highest run number whose end is recorded.
     pub last_run: u64,
 }
 
-/// A job that has not ended. The order of the fields is the format on disk.
+/// A job that has not ended. The order of the fields is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenJob {
     submission: JobSubmission,
     epoch: Epoch,
     driver: DriverId,
-    /// Tasks with a recorded end.
+    /// Tasks with a recorded run end.
     progress: BTreeMap<TaskIndex, TaskProgress>,
     done: TaskIndex,
-    /// The runs of each task that are recorded as failed: at most `max_attempts` of a task, since the job ends then.
+    /// Failed runs of each task: at most `max_attempts` for each, since the job ends then.
     failed_runs: BTreeMap<TaskIndex, BTreeSet<u64>>,
 }
 
-/// A job that has ended; it is remembered so that its caller gets the same answer. The order of the fields is the format on disk.
+/// A job that has ended, stored so that repeated calls get the same answer. The order of the fields is part of the disk format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedJob {
-    /// How it ended.
+    /// The final state.
     pub how: TerminalState,
-    /// Hash of what the caller sent.
+    /// Hash of the submitted content.
     pub digest: JobDigest,
-    /// Its place in the order of the ends.
+    /// Its sequence number among the ended jobs.
     pub sequence: EndSequence,
     /// The epoch of its last driver.
     pub epoch: Epoch,
 }
 
 impl EndedJob {
-    /// Decides on an end that comes after the job has ended. One of an earlier driver stays fenced: its task may have begun anew since.
+    /// Decides on a run end that arrives after the job has ended. An end of an earlier epoch stays fenced, since the task may have rerun.
     pub fn decide_late_end(&self, end: &TaskEnd) -> EndDecision {
         if end.epoch == self.epoch {
             EndDecision::JobOver
@@ -86,7 +84,7 @@
 }
 
 impl OpenJob {
-    /// Returns a job that was just submitted: its entry drives it in epoch 1.
+    /// Returns a newly submitted job, which its entry drives in epoch 1.
     pub fn new(submission: JobSubmission) -> Self {
         Self {
             driver: submission.driver,
@@ -103,42 +101,42 @@
         &self.submission
     }
 
-    /// Returns the epoch of its present driver.
+    /// Returns the current epoch.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Returns its present driver.
+    /// Returns the current driver.
     pub fn driver(&self) -> DriverId {
         self.driver
     }
 
-    /// Returns what is recorded of its tasks; tasks without a recorded end are left out.
+    /// Returns the progress of the tasks that have a recorded run end.
     pub fn progress(&self) -> &BTreeMap<TaskIndex, TaskProgress> {
         &self.progress
     }
 
-    /// Gives the job to another driver if `after` is the present epoch; returns whether it was.
+    /// Assigns the job to another driver if `after` is the current epoch. Returns whether it was.
     pub fn assign(&mut self, after: Epoch, driver: DriverId) -> bool {
-        let is_present = self.epoch == after;
-        if is_present {
+        let is_current = self.epoch == after;
+        if is_current {
             self.epoch += 1;
             self.driver = driver;
         }
-        is_present
+        is_current
     }
 
     /// Records the end of a run.
     pub fn record(&mut self, end: &TaskEnd) -> EndDecision {
         if end.epoch != self.epoch {
-            return self.judge_foreign(end);
+            return self.decide_end_of_other_epoch(end);
         }
-        self.count(end);
+        self.count_end(end);
         EndDecision::Recorded
     }
 
-    /// Counts the end of a run once. Two guards may record the ends of two runs of a task in either order.
-    fn count(&mut self, end: &TaskEnd) {
+    /// Counts the end of a run once. Two guards may record the ends of two runs of one task in either order.
+    fn count_end(&mut self, end: &TaskEnd) {
         let task = self.progress.entry(end.task).or_default();
         task.last_run = task.last_run.max(end.run);
         match end.outcome {
@@ -154,8 +152,8 @@
         }
     }
 
-    /// Decides on an end of another epoch: one that was recorded in its own epoch may still be acknowledged.
-    fn judge_foreign(&self, end: &TaskEnd) -> EndDecision {
+    /// Decides on an end of another epoch. An end that was recorded in its own epoch is acknowledged again.
+    fn decide_end_of_other_epoch(&self, end: &TaskEnd) -> EndDecision {
         let runs = self.failed_runs.get(&end.task);
         let has_failed = runs.is_some_and(|runs| runs.contains(&end.run));
         let task = self.progress.get(&end.task);
@@ -166,7 +164,7 @@
         }
     }
 
-    /// Returns how the job has ended by what is recorded; `None` while it goes on.
+    /// Returns the final state that the recorded ends imply, or `None` while the job is open.
     pub fn terminal_state(&self) -> Option<TerminalState> {
         let limit = self.submission.max_attempts.max(1);
         let has_failed = |task: &TaskProgress| !task.is_done && task.failures >= limit;
@@ -179,7 +177,7 @@
         }
     }
 
-    /// Ends the job.
+    /// Converts the job into an ended one.
     pub fn end(self, how: TerminalState, sequence: EndSequence) -> EndedJob {
         EndedJob {
             how,
--- a/crates/leased/cloverfold_kept_jobs/src/lib.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/lib.rs
@@ -1,24 +1,24 @@
-//! Jobs that are kept: accepted once, never lost, the same answer however often they are asked.
+//! Durable ("kept") jobs: a job that is accepted once is never lost, and repeated queries get the same answer.
 //!
-//! Jobs are spread over *groups* of replicas by a hash of their names ([`group_of`]). The control processes replicate each group's
-//! [`JobTable`] in a log of its own; nothing here does I/O or reads a clock.
+//! Jobs are partitioned over *groups* of replicas by a hash of their names ([`group_of`]). The control processes replicate the
+//! [`JobTable`] of each group in a log of its own. Nothing in this crate does I/O or reads a clock.
 //!
-//! - An entry submits, shows and cancels jobs with a [`JobCall`], and *drives* those that it was given: it places their tasks.
-//! - A guard records the ends of their tasks with a [`JobCall`] before the target may forget them.
-//! - The leader of a group decides which entry drives a job. A driver has a lease, and each driver of a job a higher [`Epoch`].
+//! - An entry submits, shows and cancels jobs with a [`JobCall`], and *drives* the jobs that are assigned to it: it schedules their tasks.
+//! - A guard records the ends of task runs with a [`JobCall`] before it lets the target forget them.
+//! - The leader of a group decides which entry drives a job. A driver holds a lease, and each driver of a job gets a higher [`Epoch`].
 //!
-//! | module | duty |
+//! | module | contents |
 //! |---|---|
-//! | `ids` | names and numbers |
-//! | `commands` | what the log of a group holds, and what became of it |
+//! | `ids` | identifiers and numbering |
+//! | `commands` | commands of a group's log, and their outcomes |
 //! | `job` | one job, open or ended |
 //! | `table` | all jobs of a group: the replicated state |
-//! | `calls` | messages of entries and guards to the group, and its replies |
-//! | `drivers`, `handover` | the leader's view of the drivers: who is over, who gets which job |
-//! | `groups` | which group has a job; how the groups begin |
-//! | `driver` | the side of an entry: its calls, its leases, what it drives |
-//! | `recorder` | the side of a guard: records ends |
-//! | `timings` | the bounds in time that handing on a job rests on |
+//! | `calls` | messages of entries and guards to a group, and its replies |
+//! | `drivers`, `handover` | the leader's view of the drivers: whose lease has expired, and which driver gets which job |
+//! | `groups` | the mapping of jobs to groups, and the initial replicas |
+//! | `driver` | the entry's side: calls, leases and driven jobs |
+//! | `recorder` | the guard's side: recording of run ends |
+//! | `timings` | the time bounds that make a hand-over safe |
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_kept_jobs/src/recorder.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/recorder.rs
@@ -1,12 +1,10 @@
-//! The side of a guard: records the ends of kept runs in their groups, before the target may forget them.
+//! The guard's side: records the ends of kept runs in their groups before the target forgets them.
 //!
-//! Decision: when ends are sent. Rule: of each group one batch is under way, of [`MAX_BATCH`] ends at most, oldest first; it is sent again
-//! each [`REPEAT`] until the group has decided on it, over another control process each time. What comes meanwhile waits for the next.
+//! For each group, one batch of at most [`MAX_BATCH_ENDS`] ends is in flight, oldest first. It is resent every [`RETRY_INTERVAL`], through
+//! another control process each time, until the group has decided on it. Ends that arrive meanwhile go into the next batch, so the number
+//! of calls grows more slowly than the number of ends. Recording is idempotent, so retries are safe.
 //!
-//! Inputs: the ends, the replies, the clock.
-//!
-//! Reason: a run ends once, and recording it twice changes nothing, so repeats are safe; one batch at a time lets the calls of a busy guard
-//! grow more slowly than its ends. A guard has only as many ends as its target holds back, so the queue is bounded by them.
+//! The queue is bounded by the ends that the target retains.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,91 +16,91 @@
 use crate::driver::CallRoute;
 use crate::groups::{GroupId, group_of};
 
-/// After this a batch without a decision is sent again. Chosen, not measured: two syncs and four messages take less than half.
-const REPEAT: Duration = Duration::from_millis(150);
-/// Ends in one batch. Chosen, not measured: 20 KB.
-const MAX_BATCH: usize = 256;
-/// Ends that may wait, over all groups; the oldest give way. Chosen, not measured: far above what one target holds back.
-const MAX_WAITING: usize = 8_192;
+/// Time after which a batch without a decision is resent; more than twice the time of two disk syncs and four messages.
+const RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// Largest number of ends in one batch; about 20 KB.
+const MAX_BATCH_ENDS: usize = 256;
+/// Largest number of queued ends over all groups, far above what one target retains. The oldest end is dropped when it is exceeded.
+const MAX_QUEUED_ENDS: usize = 8_192;
 
-/// What the process around a recorder has to do.
+/// An action that the caller of a [`Recorder`] must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecorderAction {
     /// Send a call to a control process.
     Send(CallRoute, JobCallMessage),
-    /// The group has decided on an end.
+    /// Handle the group's decision on an end.
     Decided(TaskEnd, EndDecision),
 }
 
-/// The call of a batch that is under way.
+/// A batch that is in flight.
 #[derive(Clone, Copy, Debug)]
-struct OpenCall {
+struct InFlightBatch {
     token: CallToken,
-    /// How many ends it has: the first of the queue.
+    /// Number of ends in the batch, from the front of the queue.
     ends: usize,
-    sent: u32,
+    attempts: u32,
     next_send_at: Timestamp,
 }
 
-/// The ends of one group.
+/// The queued ends of one group.
 #[derive(Debug, Default)]
-struct GroupEnds {
+struct GroupQueue {
     waiting: VecDeque<TaskEnd>,
-    open: Option<OpenCall>,
+    batch: Option<InFlightBatch>,
     leader: Option<String>,
 }
 
-/// Records the ends of one guard's kept runs.
+/// Records the ends of a guard's kept runs.
 #[derive(Debug, Default)]
 pub struct Recorder {
-    /// By the number of the group; empty while the groups are not known.
-    groups: Vec<GroupEnds>,
-    /// Ends that came before the groups were known.
-    unsorted: VecDeque<TaskEnd>,
+    /// Indexed by group; empty while the number of groups is unknown.
+    groups: Vec<GroupQueue>,
+    /// Ends that arrived before the number of groups was known.
+    unrouted: VecDeque<TaskEnd>,
     last_token: CallToken,
     dropped: u64,
     actions: Vec<RecorderAction>,
 }
 
 impl Recorder {
-    /// Records how many groups there are, which never changes.
+    /// Sets the number of groups. Later calls have no effect, since the number never changes.
     pub fn set_group_count(&mut self, count: u32, now: Timestamp) {
         if !self.groups.is_empty() || count == 0 {
             return;
         }
-        self.groups.resize_with(count as usize, GroupEnds::default);
-        for end in std::mem::take(&mut self.unsorted) {
+        self.groups.resize_with(count as usize, GroupQueue::default);
+        for end in std::mem::take(&mut self.unrouted) {
             self.queue(end);
         }
         self.tick(now);
     }
 
-    /// Records an end.
+    /// Queues an end for recording.
     pub fn record(&mut self, end: TaskEnd, now: Timestamp) {
-        if self.waiting_count() >= MAX_WAITING {
+        if self.waiting_count() >= MAX_QUEUED_ENDS {
             self.drop_oldest();
         }
         self.queue(end);
         self.tick(now);
     }
 
-    /// Returns how many ends are not decided on.
+    /// Returns the number of ends without a decision.
     pub fn waiting_count(&self) -> usize {
-        let of_groups = self.groups.iter().map(|group| group.waiting.len());
-        self.unsorted.len() + of_groups.sum::<usize>()
+        let queued = self.groups.iter().map(|group| group.waiting.len());
+        self.unrouted.len() + queued.sum::<usize>()
     }
 
-    /// Returns how many ends gave way to newer ones without a decision.
+    /// Returns the number of ends that were dropped without a decision.
     pub fn dropped_count(&self) -> u64 {
         self.dropped
     }
 
-    /// Takes what has to be done since the last call.
+    /// Takes the actions that have accumulated since the last call.
     pub fn take_actions(&mut self) -> Vec<RecorderAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Sends what is due; call it every few tens of milliseconds.
+    /// Sends the batches that are due. Call it every few tens of milliseconds.
     pub fn tick(&mut self, now: Timestamp) {
         for index in 0..self.groups.len() {
             self.send_due(index, now);
@@ -118,37 +116,37 @@
         if message.leader.is_some() {
             group.leader = message.leader;
         }
-        let Some(open) = group.open.filter(|open| open.token == message.token) else {
+        let Some(batch) = group.batch.filter(|batch| batch.token == message.token) else {
             return;
         };
         match message.reply {
-            JobReply::EndsRecorded(decisions) if decisions.len() == open.ends => {
-                group.open = None;
-                let ends = group.waiting.drain(..open.ends);
+            JobReply::EndsRecorded(decisions) if decisions.len() == batch.ends => {
+                group.batch = None;
+                let ends = group.waiting.drain(..batch.ends);
                 let decided = ends.zip(decisions);
                 let decided = decided.map(|(end, decision)| RecorderAction::Decided(end, decision));
                 self.actions.extend(decided);
                 self.send_due(index, now);
             }
             JobReply::Refused(_) => group.leader = None,
-            // No reply to this call.
+            // The reply does not match the call.
             _ => {}
         }
     }
 
     fn queue(&mut self, end: TaskEnd) {
         if self.groups.is_empty() {
-            self.unsorted.push_back(end);
+            self.unrouted.push_back(end);
             return;
         }
         let index = group_of(&end.job, self.groups.len() as u32) as usize;
         self.groups[index].waiting.push_back(end);
     }
 
-    /// Drops the oldest end that is not under way.
+    /// Drops the oldest end that is not in flight.
     fn drop_oldest(&mut self) {
         self.dropped += 1;
-        if self.unsorted.pop_front().is_some() {
+        if self.unrouted.pop_front().is_some() {
             return;
         }
         let fullest = self
@@ -156,40 +154,40 @@
             .iter_mut()
             .max_by_key(|group| group.waiting.len());
         if let Some(group) = fullest {
-            let under_way = group.open.map_or(0, |open| open.ends);
-            group.waiting.remove(under_way);
+            let in_flight = group.batch.map_or(0, |batch| batch.ends);
+            group.waiting.remove(in_flight);
         }
     }
 
-    /// Sends the next batch of a group, or the one under way again.
+    /// Sends the next batch of a group, or resends the one in flight.
     fn send_due(&mut self, index: usize, now: Timestamp) {
         let group = &mut self.groups[index];
-        let open = match group.open {
-            Some(open) if now < open.next_send_at => return,
-            Some(open) => open,
+        let batch = match group.batch {
+            Some(batch) if now < batch.next_send_at => return,
+            Some(batch) => batch,
             None if group.waiting.is_empty() => return,
             None => {
                 self.last_token += 1;
-                OpenCall {
+                InFlightBatch {
                     token: self.last_token,
-                    ends: group.waiting.len().min(MAX_BATCH),
-                    sent: 0,
+                    ends: group.waiting.len().min(MAX_BATCH_ENDS),
+                    attempts: 0,
                     next_send_at: now,
                 }
             }
         };
-        group.open = Some(OpenCall {
-            sent: open.sent + 1,
-            next_send_at: now + REPEAT,
-            ..open
+        group.batch = Some(InFlightBatch {
+            attempts: batch.attempts + 1,
+            next_send_at: now + RETRY_INTERVAL,
+            ..batch
         });
-        let ends = group.waiting.iter().take(open.ends).cloned().collect();
+        let ends = group.waiting.iter().take(batch.ends).cloned().collect();
         let route = CallRoute {
-            leader: group.leader.clone().filter(|_| open.sent == 0),
-            attempt: open.sent,
+            leader: group.leader.clone().filter(|_| batch.attempts == 0),
+            attempt: batch.attempts,
         };
         let message = JobCallMessage {
-            token: open.token,
+            token: batch.token,
             group: index as GroupId,
             call: JobCall::RecordEnds(ends),
         };
--- a/crates/leased/cloverfold_kept_jobs/src/table.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/table.rs
@@ -1,18 +1,16 @@
-//! All kept jobs of a group: the state that its replicas agree on.
+//! The replicated state of a group: all its kept jobs.
 //!
-//! Decision: what becomes of a submission. Rule, by the name:
+//! The outcome of a submission depends on its name:
 //!
-//! | known under the name | outcome |
+//! | stored under the name | outcome |
 //! |---|---|
 //! | nothing, and there is room | `Accepted` |
-//! | nothing, and the open jobs take [`MAX_OPEN_BYTES`] or [`MAX_ENDED_JOBS`] are remembered | `Full` |
-//! | a job of the same digest, open or ended | `Known` |
-//! | a job of another digest | `Conflict` |
+//! | nothing, but the open jobs take [`MAX_OPEN_BYTES`] or [`MAX_ENDED_JOBS`] are stored | `Full` |
+//! | a job with the same digest, open or ended | `Known` |
+//! | a job with another digest | `Conflict` |
 //!
-//! Inputs: the submission, the jobs after all commands before it.
-//!
-//! Reason: a caller that got no answer sends the same again and must not start it twice; one that sends something else under a known
-//! name would otherwise get the answer to another job.
+//! This makes submissions idempotent: a caller may resend one that was not answered without starting the job twice. A different job
+//! under a used name is refused, so that its caller never gets the answer to another job.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -25,32 +23,32 @@
 use crate::ids::{DriverId, EndSequence, JobId};
 use crate::job::{EndedJob, OpenJob, TerminalState};
 
-/// Bytes that the names, queues and bodies of open jobs may take in one group. Chosen, not measured: 27,000 jobs of 1,200 bytes, half a
-/// minute of them at 850 a second, in a process that may have 384 MB.
+/// Largest total size of the names, queues and bodies of a group's open jobs, in bytes. It bounds the memory of the process, and holds
+/// about 27,000 jobs of 1,200 bytes.
 pub const MAX_OPEN_BYTES: usize = 32 * 1024 * 1024;
-/// Ended jobs that one group remembers. Chosen, not measured: 850 a second for 150 s are half of it.
+/// Largest number of ended jobs that a group stores.
 pub const MAX_ENDED_JOBS: usize = 256 * 1024;
 
-/// The jobs of a group. The order of the fields is the format on disk.
+/// The jobs of a group. The order of the fields is part of the disk format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobTable {
     open: BTreeMap<JobId, OpenJob>,
     ended: BTreeMap<JobId, EndedJob>,
-    /// The names of the ended jobs, oldest end first.
+    /// Names of the ended jobs, in the order in which they ended.
     end_order: VecDeque<JobId>,
     last_end: EndSequence,
     open_bytes: usize,
-    /// The open jobs of each driver that has any; follows from `open`.
+    /// Open jobs of each driver that has any; derived from `open`.
     #[serde(skip)]
     by_driver: BTreeMap<DriverId, BTreeSet<JobId>>,
 }
 
 impl JobTable {
-    /// Decodes a table; no bytes at all are the table of a new group.
+    /// Decodes a table. No bytes decode to the empty table of a new group.
     ///
     /// # Errors
     ///
-    /// Returns the decoder's error if the bytes are no table.
+    /// Returns the decoding error if the bytes are not a valid table.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         if bytes.is_empty() {
             return Ok(Self::default());
@@ -67,7 +65,7 @@
     ///
     /// # Panics
     ///
-    /// Never: every table can be encoded.
+    /// Never, since every table can be encoded.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("a table in memory can be encoded")
     }
@@ -77,32 +75,32 @@
         &self.open
     }
 
-    /// Returns the open jobs of each driver that has any, also of drivers that are over.
+    /// Returns the open jobs of each driver that has any, including drivers whose lease has expired.
     pub fn by_driver(&self) -> &BTreeMap<DriverId, BTreeSet<JobId>> {
         &self.by_driver
     }
 
-    /// Returns an ended job that is remembered.
+    /// Returns a stored ended job.
     pub fn ended(&self, job: &str) -> Option<&EndedJob> {
         self.ended.get(job)
     }
 
-    /// Returns how many ended jobs are remembered.
+    /// Returns the number of stored ended jobs.
     pub fn ended_count(&self) -> usize {
         self.ended.len()
     }
 
-    /// Returns the number of the newest end; 0 before the first.
+    /// Returns the sequence number of the job that ended last, or 0 if none has.
     pub fn last_end(&self) -> EndSequence {
         self.last_end
     }
 
-    /// Returns the bytes that names, queues and bodies of open jobs take.
+    /// Returns the total size of the names, queues and bodies of the open jobs, in bytes.
     pub fn open_bytes(&self) -> usize {
         self.open_bytes
     }
 
-    /// Applies a command of the log.
+    /// Applies a committed command.
     pub fn apply(&mut self, command: JobCommand) -> CommandOutcome {
         match command {
             JobCommand::Submit(submission) => CommandOutcome::Submit(self.submit(submission)),
@@ -144,19 +142,19 @@
     fn record_end(&mut self, end: &TaskEnd) -> EndDecision {
         let Some(job) = self.open.get_mut(&end.job) else {
             let ended = self.ended.get(&end.job);
-            // Of a job that is forgotten nothing is known, also not whether its task began anew.
+            // A removed job may have rerun the task, so its late ends are fenced.
             return ended.map_or(EndDecision::Fenced, |ended| ended.decide_late_end(end));
         };
         let decision = job.record(end);
         if let Some(how) = job.terminal_state() {
-            self.end(&end.job, how);
+            self.end_job(&end.job, how);
         }
         decision
     }
 
     fn cancel(&mut self, job: &str) -> CancelOutcome {
         if self.open.contains_key(job) {
-            self.end(job, TerminalState::Cancelled);
+            self.end_job(job, TerminalState::Cancelled);
         }
         match self.ended.get(job).map(|ended| ended.how) {
             Some(TerminalState::Cancelled) => CancelOutcome::Cancelled,
@@ -195,8 +193,8 @@
         }
     }
 
-    /// Moves a job from the open ones to the ended ones.
-    fn end(&mut self, job: &str, how: TerminalState) {
+    /// Moves a job from the open to the ended jobs.
+    fn end_job(&mut self, job: &str, how: TerminalState) {
         let Some((id, open)) = self.open.remove_entry(job) else {
             return;
         };
@@ -208,7 +206,7 @@
     }
 
     fn expire(&mut self, up_to: EndSequence) -> usize {
-        let mut forgotten = 0;
+        let mut removed = 0;
         while let Some(id) = self.end_order.front() {
             let sequence = self.ended.get(id).map(|job| job.sequence);
             if sequence.is_some_and(|sequence| sequence > up_to) {
@@ -216,9 +214,9 @@
             }
             self.ended.remove(id);
             self.end_order.pop_front();
-            forgotten += 1;
+            removed += 1;
         }
-        forgotten
+        removed
     }
 }
 
--- a/crates/leased/cloverfold_kept_jobs/src/timings.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/timings.rs
@@ -1,40 +1,41 @@
-//! The bounds in time that handing on a job rests on.
+//! Time bounds that make it safe to hand a job over.
 //!
 //! # Why no two drivers' runs of a task overlap
 //!
-//! A driver begins runs only while its lease is valid: [`KeptJobTimings::driver_lease`] from when it *sent* a renewal that was answered with
-//! proof. A leader counts a driver as over no earlier than that span after it *received* a renewal, or after it was elected. From
-//! then on the runs of the driver end by themselves within [`KeptJobTimings::run_termination_bound`]: its sessions with guards end, a guard
-//! stops renewing the lease of a target that does not stop a kept run, and that lease lapses:
+//! A driver starts runs only while its lease is valid: for [`KeptJobTimings::driver_lease`] after it *sent* a renewal that was answered
+//! with a proof of leadership. A leader considers the lease expired no earlier than that span after it *received* the renewal, or after
+//! its own election. From then on, the driver's remaining runs end within [`KeptJobTimings::run_termination_bound`] without further
+//! messages: the driver's sessions with guards expire, a guard stops renewing the lease of a target that does not stop a kept run, and
+//! that lease lapses:
 //!
 //! ```text
-//! session + stop repeated in vain + lease on a slow clock + stop
-//!  500 ms +        250 ms         +   650 ms / 0.98       + 50 ms = 1,464 ms
+//! session + retried stop + lease on a slow clock + stop
+//!  500 ms +    250 ms    +   650 ms / 0.98       + 50 ms = 1,464 ms
 //! ```
 //!
-//! Only then is the job given to another driver.
+//! Only then does the leader assign the job to another driver.
 
 use std::time::Duration;
 
-/// [`KeptJobTimings::driver_lease`]. Chosen, not measured: longer than the longest election (0.7 s) and two renewals.
+/// Default of [`KeptJobTimings::driver_lease`]; longer than an election (up to 0.7 s) and two renewals.
 const DRIVER_LEASE: Duration = Duration::from_millis(1_500);
-/// [`KeptJobTimings::renewal_interval`]. Chosen, not measured: five fit into a lease.
+/// Default of [`KeptJobTimings::renewal_interval`]; a lease spans five of them.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
-/// [`KeptJobTimings::run_termination_bound`] with the default leases.
+/// Default of [`KeptJobTimings::run_termination_bound`]; derived from the default session and target leases.
 const RUN_TERMINATION_BOUND: Duration = Duration::from_millis(1_464);
-/// [`KeptJobTimings::stop_grace`]. Chosen, not measured: a stop is repeated twice in it.
+/// Default of [`KeptJobTimings::stop_grace`]; leaves time for two retries of a stop.
 const STOP_GRACE: Duration = Duration::from_millis(250);
 
-/// Bounds that drivers, guards and leaders of groups share.
+/// Time bounds shared by drivers, guards and group leaders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeptJobTimings {
-    /// How long a driver may drive after it sent a renewal that was answered.
+    /// Length of a driver's lease, counted from the sending of an answered renewal.
     pub driver_lease: Duration,
-    /// How often it renews.
+    /// Interval between a driver's renewals.
     pub renewal_interval: Duration,
-    /// How long after a driver is over its last run is over.
+    /// Time within which a driver's runs end after its lease has expired.
     pub run_termination_bound: Duration,
-    /// How long a stop of a kept run may show no effect before the guard lets the lease of the target lapse.
+    /// Time that a target has to stop a kept run before its guard lets the target's lease lapse.
     pub stop_grace: Duration,
 }
 
