--- a/crates/leased/cloverfold_control/src/operators/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/operators/upkeep.rs
@@ -50,7 +50,7 @@
             Err(fault) => return refuse_wave(0, &[fault]),
         };
         let number = wave.wave;
-        let mut faults = wave.validation_errors();
+        let mut faults = wave.validate();
         if faults.is_empty() && self.upkeep.is_none() {
             faults.push(WaveRequestError::NotServed);
         }
--- a/crates/leased/cloverfold_upkeep/src/request.rs
+++ b/crates/leased/cloverfold_upkeep/src/request.rs
@@ -76,7 +76,7 @@
 
 impl WaveRequest {
     /// Returns every fault of the request.
-    pub fn validation_errors(&self) -> Vec<WaveRequestError> {
+    pub fn validate(&self) -> Vec<WaveRequestError> {
         let is_malformed = |name: &BoxName| {
             !(1..=MAX_NAME_BYTES).contains(&name.len()) || name.chars().any(char::is_control)
         };
--- a/crates/leased/cloverfold_upkeep/tests/orders.rs
+++ b/crates/leased/cloverfold_upkeep/tests/orders.rs
@@ -63,27 +63,27 @@
         ..request()
     };
 
-    assert_eq!(sound.validation_errors(), []);
+    assert_eq!(sound.validate(), []);
     let all = [
         WaveRequestError::NoNumber,
         WaveRequestError::NoBoxes,
         WaveRequestError::NoSpan,
         WaveRequestError::NoneDown,
     ];
-    assert_eq!(empty.validation_errors(), all);
+    assert_eq!(empty.validate(), all);
     for name in ["", "a\nb", &"x".repeat(MAX_NAME_BYTES + 1)] {
-        let faults = with_name(name.into()).validation_errors();
+        let faults = with_name(name.into()).validate();
         assert_eq!(faults, [WaveRequestError::MalformedName], "{name:?}");
     }
     let too_many = WaveRequestError::TooManyBoxes(MAX_BOXES + 1);
-    assert_eq!(many.validation_errors(), [too_many]);
+    assert_eq!(many.validate(), [too_many]);
     let long = (0..=MAX_NAMES_BYTES / 100).map(|index| format!("{index:0100}"));
     let long = WaveRequest {
         boxes: long.collect(),
         ..request()
     };
     assert!(matches!(
-        long.validation_errors()[..],
+        long.validate()[..],
         [WaveRequestError::TooLongNames(_)]
     ));
 }
