--- a/crates/leased/cloverfold_kept_jobs/tests/driver.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/driver.rs
@@ -1,4 +1,4 @@
-//! The side of an entry: leases, submissions, what is driven, releases.
+//! Driver of an entry: leases, submissions, driven jobs and releases.
 
 #![allow(clippy::unwrap_used)]
 
@@ -30,7 +30,7 @@
     }
 }
 
-fn order(job: &str, epoch: Epoch) -> JobAssignment {
+fn assignment(job: &str, epoch: Epoch) -> JobAssignment {
     JobAssignment {
         job: job.into(),
         epoch,
@@ -75,11 +75,11 @@
 }
 
 fn driven(actions: &[DriverAction]) -> Vec<(String, Epoch)> {
-    let orders = actions.iter().filter_map(|action| match action {
-        DriverAction::Drive(order) => Some((order.job.clone(), order.epoch)),
+    let assignments = actions.iter().filter_map(|action| match action {
+        DriverAction::Drive(assignment) => Some((assignment.job.clone(), assignment.epoch)),
         _ => None,
     });
-    orders.collect()
+    assignments.collect()
 }
 
 fn stopped(actions: &[DriverAction]) -> Vec<(String, StopCause)> {
@@ -98,7 +98,7 @@
     answers.collect()
 }
 
-/// A driver of one group that has a lease from 400 ms on, and its identity.
+/// Returns a driver of one group with a lease from 400 ms on, and its identity.
 fn leased() -> (Driver, DriverId) {
     let mut driver = Driver::new("entry-1", KeptJobTimings::default(), 5);
     driver.set_group_count(1, at(0));
@@ -110,7 +110,7 @@
     (driver, renewal.driver)
 }
 
-/// Submits a job and returns the number of the call.
+/// Submits a job and returns the token of the call.
 fn submit(driver: &mut Driver, id: &str, now: u64) -> CallToken {
     let token = driver.submit(new_job(id), at(now + 2_500), at(now));
     let calls = sent(&driver.take_actions());
@@ -118,7 +118,7 @@
     token
 }
 
-/// A driver that drives one accepted job.
+/// Returns a driver that drives one accepted job, and its identity.
 fn driving(id: &str) -> (Driver, DriverId) {
     let (mut driver, identity) = leased();
     let token = submit(&mut driver, id, 410);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn an_accepted_job_is_driven_and_named_in_renewals() {
+fn an_accepted_job_is_driven_and_reported_in_renewals() {
     let (mut driver, _) = leased();
     let token = submit(&mut driver, "a", 410);
     let accepted = JobReply::Submitted(SubmitOutcome::Accepted(1));
@@ -147,15 +147,15 @@
 }
 
 #[test]
-fn nothing_is_submitted_without_a_lease() {
+fn a_submission_without_a_lease_is_refused() {
     let mut driver = Driver::new("entry-1", KeptJobTimings::default(), 5);
     let unknown = driver.submit(new_job("a"), at(2_500), at(10));
     driver.set_group_count(1, at(20));
-    let leaseless = driver.submit(new_job("a"), at(2_500), at(30));
+    let without_lease = driver.submit(new_job("a"), at(2_500), at(30));
 
     let expected = [
         (unknown, CallAnswer::Refused(RefusalReason::NoGroups)),
-        (leaseless, CallAnswer::Refused(RefusalReason::NoLease)),
+        (without_lease, CallAnswer::Refused(RefusalReason::NoLease)),
     ];
     let actions = driver.take_actions();
     assert_eq!(answers(&actions), expected);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn the_lease_counts_from_the_sending_of_the_renewal() {
+fn the_lease_starts_when_the_renewal_is_sent() {
     let (mut driver, _) = driving("a");
 
     driver.expire_leases(at(400 + LEASE - 1));
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn another_driver_is_drawn_after_a_lapse() {
+fn a_lapsed_lease_replaces_the_driver_identity() {
     let (mut driver, before) = driving("a");
 
     driver.tick(at(3_000));
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn an_unasked_renewal_grants_no_lease() {
+fn an_unsolicited_reply_does_not_extend_the_lease() {
     let (mut driver, identity) = driving("a");
 
     driver.receive(reply(0, renewed(identity, vec![], vec![])), at(1_800));
@@ -198,21 +198,27 @@
 }
 
 #[test]
-fn an_unasked_order_to_drive_is_asked_for_before_it_counts() {
+fn an_unsolicited_assignment_takes_effect_only_after_a_renewal() {
     let (mut driver, identity) = leased();
-    let orders = vec![order("b", 2)];
+    let assignments = vec![assignment("b", 2)];
 
-    driver.receive(reply(0, renewed(identity, orders.clone(), vec![])), at(420));
+    driver.receive(
+        reply(0, renewed(identity, assignments.clone(), vec![])),
+        at(420),
+    );
     assert_eq!(driven(&driver.take_actions()), []);
     driver.tick(at(450));
     let (token, _) = renewals(&driver.take_actions()).remove(0);
-    driver.receive(reply(token, renewed(identity, orders, vec![])), at(460));
+    driver.receive(
+        reply(token, renewed(identity, assignments, vec![])),
+        at(460),
+    );
 
     assert_eq!(driven(&driver.take_actions()), [("b".to_owned(), 2)]);
 }
 
 #[test]
-fn an_unasked_order_to_drop_counts_at_once() {
+fn an_unsolicited_drop_takes_effect_at_once() {
     let (mut driver, identity) = driving("a");
 
     driver.receive(reply(0, renewed(identity, vec![], vec![("a", 1)])), at(440));
@@ -222,7 +228,7 @@
 }
 
 #[test]
-fn an_order_to_drop_another_epoch_changes_nothing() {
+fn a_drop_of_another_epoch_has_no_effect() {
     let (mut driver, identity) = driving("a");
 
     driver.receive(reply(0, renewed(identity, vec![], vec![("a", 2)])), at(440));
@@ -231,25 +237,25 @@
 }
 
 #[test]
-fn a_job_that_was_dropped_is_not_driven_again_by_a_reply_that_was_under_way() {
+fn a_stale_reply_does_not_restart_a_dropped_job() {
     let (mut driver, identity) = leased();
     let submission = submit(&mut driver, "a", 690);
     driver.tick(at(700));
-    let (renewal, named) = renewals(&driver.take_actions()).remove(0);
-    assert!(named.driving.is_empty());
+    let (renewal, reported) = renewals(&driver.take_actions()).remove(0);
+    assert!(reported.driving.is_empty());
     let accepted = JobReply::Submitted(SubmitOutcome::Accepted(1));
     driver.receive(reply(submission, accepted), at(710));
     driver.receive(reply(0, renewed(identity, vec![], vec![("a", 1)])), at(720));
     driver.take_actions();
 
-    let late = renewed(identity, vec![order("a", 1)], vec![]);
+    let late = renewed(identity, vec![assignment("a", 1)], vec![]);
     driver.receive(reply(renewal, late), at(730));
 
     assert_eq!(driven(&driver.take_actions()), []);
 }
 
 #[test]
-fn the_reply_to_an_overtaken_renewal_begins_nothing() {
+fn an_overtaken_reply_starts_no_job() {
     let (mut driver, identity) = leased();
     driver.tick(at(700));
     driver.tick(at(1_000));
@@ -259,21 +265,21 @@
         at(1_010),
     );
 
-    let old = renewed(identity, vec![order("a", 1)], vec![]);
+    let old = renewed(identity, vec![assignment("a", 1)], vec![]);
     driver.receive(reply(sent[0].0, old), at(1_020));
 
     assert_eq!(driven(&driver.take_actions()), []);
 }
 
 #[test]
-fn a_job_that_is_given_by_a_renewal_answers_its_submission_and_is_driven_once() {
+fn a_job_assigned_by_a_renewal_answers_its_submission_and_starts_once() {
     let (mut driver, identity) = leased();
     let token = submit(&mut driver, "a", 500);
     driver.tick(at(700));
     let (renewal, _) = renewals(&driver.take_actions()).remove(0);
 
-    let given = renewed(identity, vec![order("a", 1)], vec![]);
-    driver.receive(reply(renewal, given), at(710));
+    let assigned = renewed(identity, vec![assignment("a", 1)], vec![]);
+    driver.receive(reply(renewal, assigned), at(710));
     let accepted = JobReply::Submitted(SubmitOutcome::Accepted(1));
     driver.receive(reply(token, accepted), at(720));
 
@@ -283,7 +289,7 @@
 }
 
 #[test]
-fn a_submission_accepted_for_a_driver_that_is_over_is_answered_and_not_driven() {
+fn a_submission_accepted_for_an_expired_driver_is_answered_and_not_driven() {
     let (mut driver, _) = leased();
     let token = submit(&mut driver, "a", 1_800);
 
@@ -304,7 +310,11 @@
     driver.take_actions();
 
     driver.receive(reply(token, refused.clone()), at(810));
-    assert_eq!(answers(&driver.take_actions()), [], "one copy is left");
+    assert_eq!(
+        answers(&driver.take_actions()),
+        [],
+        "one copy is still unanswered"
+    );
     driver.receive(reply(token, refused), at(820));
 
     let disk = RefusalReason::ByGroup(CallRefusal::Disk);
@@ -326,7 +336,7 @@
 }
 
 #[test]
-fn a_call_refused_for_want_of_a_leader_is_sent_again() {
+fn a_call_refused_without_a_leader_is_retried() {
     let (mut driver, _) = leased();
     let token = driver.show("a", at(2_900), at(410));
     driver.take_actions();
@@ -344,7 +354,7 @@
 }
 
 #[test]
-fn other_content_under_a_known_name_is_a_conflict() {
+fn a_used_name_with_another_digest_is_a_conflict() {
     let (mut driver, _) = leased();
     let token = submit(&mut driver, "a", 410);
 
@@ -357,7 +367,7 @@
 }
 
 #[test]
-fn a_release_is_repeated_until_it_is_answered() {
+fn a_release_is_retried_until_it_is_answered() {
     let (mut driver, _) = driving("a");
     let is_release = |message: &JobCallMessage| matches!(message.call, JobCall::Release { .. });
 
@@ -386,19 +396,19 @@
     let (renewal, _) = renewals(&actions).remove(0);
 
     driver.receive(reply(release, JobReply::Released), at(705));
-    let late = renewed(identity, vec![order("a", 1)], vec![]);
+    let late = renewed(identity, vec![assignment("a", 1)], vec![]);
     driver.receive(reply(renewal, late), at(710));
     assert_eq!(driven(&driver.take_actions()), []);
     driver.tick(at(1_000));
     let (renewal, _) = renewals(&driver.take_actions()).remove(0);
-    let anew = renewed(identity, vec![order("a", 2)], vec![]);
-    driver.receive(reply(renewal, anew), at(1_010));
+    let reassigned = renewed(identity, vec![assignment("a", 2)], vec![]);
+    driver.receive(reply(renewal, reassigned), at(1_010));
 
     assert_eq!(driven(&driver.take_actions()), [("a".to_owned(), 2)]);
 }
 
 #[test]
-fn a_release_that_a_later_leader_does_not_know_is_sent_again() {
+fn a_release_is_resent_to_a_leader_that_does_not_know_it() {
     let (mut driver, identity) = driving("a");
     let is_release = |message: &&JobCallMessage| matches!(message.call, JobCall::Release { .. });
     driver.release(&[("a".into(), false)], at(440));
@@ -413,8 +423,8 @@
         assert_eq!(driven(&actions), [], "at {now}");
         again.extend(sent(&actions).iter().filter(is_release).map(|_| now));
         for (token, _) in renewals(&actions) {
-            let unknowing = renewed(identity, vec![order("a", 1)], vec![]);
-            driver.receive(reply(token, unknowing), at(now));
+            let stale = renewed(identity, vec![assignment("a", 1)], vec![]);
+            driver.receive(reply(token, stale), at(now));
         }
     }
 
@@ -422,15 +432,15 @@
 }
 
 #[test]
-fn an_entry_that_stops_gives_back_what_it_is_given() {
+fn a_draining_entry_releases_newly_assigned_jobs() {
     let (mut driver, identity) = leased();
     driver.stop_taking_jobs();
     driver.tick(at(700));
     let (token, renewal) = renewals(&driver.take_actions()).remove(0);
     assert!(!renewal.takes_jobs);
 
-    let given = renewed(identity, vec![order("a", 3)], vec![]);
-    driver.receive(reply(token, given), at(710));
+    let assigned = renewed(identity, vec![assignment("a", 3)], vec![]);
+    driver.receive(reply(token, assigned), at(710));
 
     let actions = driver.take_actions();
     let calls = sent(&actions);
@@ -442,7 +452,7 @@
 }
 
 #[test]
-fn a_finished_job_stays_named_until_it_is_dropped() {
+fn a_finished_job_stays_in_renewals_until_it_is_dropped() {
     let (mut driver, identity) = driving("a");
     driver.record_finished("a", 1, true, at(500));
     driver.tick(at(700));
@@ -487,7 +497,7 @@
     }
 }
 
-/// Returns the ends that calls are to record.
+/// Returns the run ends in the sent record calls.
 fn recorded(actions: &[DriverAction]) -> Vec<TaskEnd> {
     let calls = sent(actions).into_iter();
     calls
@@ -500,8 +510,7 @@
 }
 
 #[test]
-fn the_ends_of_a_finished_job_that_no_guard_records_are_recorded_by_its_driver_until_it_is_answered()
- {
+fn a_driver_records_the_ends_of_a_finished_job_that_no_guard_records() {
     let (mut driver, _) = driving("a");
     driver.observe_end(end("a", 1));
     driver.observe_end(end("a", 2));
@@ -520,12 +529,16 @@
     let later = recorded(&driver.take_actions());
 
     assert_eq!(early, []);
-    assert_eq!(recorded(&actions), [end("a", 1)], "of its own epoch alone");
+    assert_eq!(
+        recorded(&actions),
+        [end("a", 1)],
+        "only the end of the job's own epoch is recorded"
+    );
     assert_eq!(later, []);
 }
 
 #[test]
-fn a_driver_records_no_end_of_a_job_that_was_dropped() {
+fn a_driver_records_no_end_of_a_dropped_job() {
     let (mut driver, identity) = driving("a");
     driver.observe_end(end("a", 1));
     driver.record_finished("a", 1, true, at(500));
@@ -536,17 +549,17 @@
     assert_eq!(recorded(&driver.take_actions()), []);
 }
 
-/// What happens to a driver in a random history.
+/// An event in a random history of a driver.
 #[derive(Clone, Debug)]
 enum Event {
     Submit(u8),
-    /// The group answers the oldest unanswered call, or loses it.
+    /// The group answers the oldest unanswered call, or the call is lost.
     Reply {
         is_lost: bool,
     },
     /// The group answers the newest unanswered call first.
     ReplyNewest,
-    Pass(u64),
+    Advance(u64),
     Stall,
 }
 
@@ -555,14 +568,14 @@
         2 => (0..4_u8).prop_map(Event::Submit),
         4 => any::<bool>().prop_map(|is_lost| Event::Reply { is_lost }),
         2 => Just(Event::ReplyNewest),
-        6 => (1..300_u64).prop_map(Event::Pass),
+        6 => (1..300_u64).prop_map(Event::Advance),
         1 => Just(Event::Stall),
     ]
 }
 
 proptest! {
-    /// Whatever is lost, late or overtaken: a job is driven only within 1.5 s of a renewal that the group has seen, by the driver to which
-    /// the group gave it, and never twice in one epoch.
+    /// Under lost, late and reordered messages, a job is driven only within 1.5 s of a renewal that the group has received, only by the
+    /// driver to which it is assigned, and at most once in an epoch.
     #[test]
     fn a_job_is_driven_only_under_a_lease_and_once_in_an_epoch(
         events in prop::collection::vec(event(), 1..120),
@@ -572,9 +585,9 @@
         driver.set_group_count(1, at(0));
         let mut unanswered: Vec<JobCallMessage> = Vec::new();
         let mut sent_at: std::collections::BTreeMap<CallToken, u64> = Default::default();
-        let mut begun: Vec<(String, Epoch, DriverId)> = Vec::new();
-        let mut given: std::collections::BTreeMap<String, DriverId> = Default::default();
-        let mut newest_granted = 0;
+        let mut started: Vec<(String, Epoch, DriverId)> = Vec::new();
+        let mut assigned: std::collections::BTreeMap<String, DriverId> = Default::default();
+        let mut newest_renewed_at = 0;
         let mut identity = 0;
 
         for event in events {
@@ -589,7 +602,7 @@
                 }
                 Event::ReplyNewest => unanswered.pop(),
                 Event::Reply { .. } => None,
-                Event::Pass(span) => {
+                Event::Advance(span) => {
                     now += span;
                     driver.tick(at(now));
                     None
@@ -603,22 +616,22 @@
                 let JobCallMessage { token, call, .. } = message;
                 let answer = match call {
                     JobCall::Submit(submission) => {
-                        let known = given.contains_key(&submission.id);
+                        let known = assigned.contains_key(&submission.id);
                         if known {
                             JobReply::Submitted(SubmitOutcome::Known)
                         } else {
-                            given.insert(submission.id, submission.driver);
+                            assigned.insert(submission.id, submission.driver);
                             JobReply::Submitted(SubmitOutcome::Accepted(1))
                         }
                     }
                     JobCall::Renew(renewal) => {
-                        newest_granted = newest_granted.max(sent_at[&token]);
-                        let is_unnamed = |(job, driver): &(&String, &DriverId)| {
+                        newest_renewed_at = newest_renewed_at.max(sent_at[&token]);
+                        let is_unreported = |(job, driver): &(&String, &DriverId)| {
                             **driver == renewal.driver
-                                && !renewal.driving.iter().any(|named| named.job == **job)
+                                && !renewal.driving.iter().any(|reported| reported.job == **job)
                         };
-                        let unnamed = given.iter().filter(is_unnamed);
-                        let drive = unnamed.map(|(job, _)| order(job, 1)).collect();
+                        let unreported = assigned.iter().filter(is_unreported);
+                        let drive = unreported.map(|(job, _)| assignment(job, 1)).collect();
                         renewed(renewal.driver, drive, vec![])
                     }
                     _ => JobReply::Released,
@@ -634,19 +647,19 @@
                         }
                         unanswered.push(message);
                     }
-                    DriverAction::Drive(order) => {
-                        prop_assert!(now < newest_granted + LEASE, "driven without a lease");
-                        prop_assert_eq!(given[&order.job], identity, "another driver's job");
-                        let drive = (order.job, order.epoch, identity);
-                        prop_assert!(!begun.contains(&drive), "driven twice: {:?}", drive);
-                        begun.push(drive);
+                    DriverAction::Drive(assignment) => {
+                        prop_assert!(now < newest_renewed_at + LEASE, "a job is driven without a lease");
+                        prop_assert_eq!(assigned[&assignment.job], identity, "a job of another driver is driven");
+                        let drive = (assignment.job, assignment.epoch, identity);
+                        prop_assert!(!started.contains(&drive), "a job is driven twice in an epoch: {:?}", drive);
+                        started.push(drive);
                     }
                     _ => {}
                 }
             }
             driver.expire_leases(at(now));
-            if now >= newest_granted + LEASE {
-                prop_assert_eq!(driver.driven_count(), 0, "driven after the lapse");
+            if now >= newest_renewed_at + LEASE {
+                prop_assert_eq!(driver.driven_count(), 0, "a job is driven after the lease has lapsed");
             }
         }
     }
--- a/crates/leased/cloverfold_kept_jobs/tests/drivers.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/drivers.rs
@@ -1,4 +1,4 @@
-//! Who drives a job, as the leader of its group decides.
+//! Driver table of a group leader: leases, hand-overs and replies to renewals.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,8 +17,8 @@
     DriverTable::new(KeptJobTimings::default(), ELECTED)
 }
 
-/// From the last renewal of a driver to the hand-over of its jobs.
-fn wait() -> Duration {
+/// Returns the time from the last renewal of a driver to the hand-over of its jobs.
+fn handover_delay() -> Duration {
     let timings = KeptJobTimings::default();
     timings.driver_lease + timings.run_termination_bound
 }
@@ -61,7 +61,7 @@
     }]
 }
 
-fn assignee(job: &str, driver: DriverId) -> JobReassignment {
+fn reassignment(job: &str, driver: DriverId) -> JobReassignment {
     JobReassignment {
         job: job.into(),
         after: 1,
@@ -70,48 +70,48 @@
 }
 
 #[test]
-fn a_job_is_handed_on_once_the_lease_and_the_runs_of_its_driver_are_over() {
+fn a_job_is_handed_over_once_the_lease_and_runs_of_its_driver_have_ended() {
     let table = table(&[("job", 1)]);
     let mut drivers = drivers();
     let renewed = ELECTED + 500 * MS;
     drivers.renew(renewal(1, "entry-1", &[("job", 1, true)]), renewed);
-    let due = renewed + wait();
+    let due = renewed + handover_delay();
     drivers.renew(renewal(2, "entry-2", &[]), due - 2 * MS);
 
     assert!(drivers.plan_handover(&table, due - MS).is_empty());
-    assert_eq!(drivers.plan_handover(&table, due), [assignee("job", 2)]);
+    assert_eq!(drivers.plan_handover(&table, due), [reassignment("job", 2)]);
     assert!(
         drivers.plan_handover(&table, due).is_empty(),
-        "it is under way"
+        "the hand-over is pending"
     );
 }
 
 #[test]
-fn a_new_leader_waits_as_long_for_a_driver_that_it_does_not_know() {
+fn a_new_leader_waits_a_full_lease_for_an_unknown_driver() {
     let table = table(&[("job", 1)]);
     let mut drivers = drivers();
-    let due = ELECTED + wait();
+    let due = ELECTED + handover_delay();
     drivers.renew(renewal(2, "entry-2", &[]), due - 2 * MS);
 
     assert!(drivers.plan_handover(&table, due - MS).is_empty());
-    assert_eq!(drivers.plan_handover(&table, due), [assignee("job", 2)]);
+    assert_eq!(drivers.plan_handover(&table, due), [reassignment("job", 2)]);
 }
 
 #[test]
-fn a_later_driver_of_the_same_entry_shortens_no_lease() {
+fn a_newer_driver_of_the_same_entry_does_not_shorten_a_lease() {
     let table = table(&[("job", 1)]);
     let mut drivers = drivers();
     drivers.renew(renewal(1, "entry", &[("job", 1, true)]), ELECTED);
     drivers.renew(renewal(2, "entry", &[]), ELECTED + 10 * MS);
-    let due = ELECTED + wait();
+    let due = ELECTED + handover_delay();
     drivers.renew(renewal(2, "entry", &[]), due - 2 * MS);
 
     assert!(drivers.plan_handover(&table, due - MS).is_empty());
-    assert_eq!(drivers.plan_handover(&table, due), [assignee("job", 2)]);
+    assert_eq!(drivers.plan_handover(&table, due), [reassignment("job", 2)]);
 }
 
 #[test]
-fn a_released_job_is_handed_on_at_once_if_nothing_of_it_runs() {
+fn a_released_job_without_runs_is_handed_over_at_once() {
     let table = table(&[("clean", 1), ("running", 1)]);
     let mut drivers = drivers();
     let now = ELECTED + 100 * MS;
@@ -128,18 +128,18 @@
     let early = drivers.plan_handover(&table, runs_over - MS);
     let second = drivers.plan_handover(&table, runs_over);
 
-    assert!(answered.drive.is_empty(), "it gave them back");
+    assert!(answered.drive.is_empty(), "the jobs were released");
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].job, "clean");
     assert!(early.is_empty());
-    assert_eq!(second, [assignee("running", 2)]);
+    assert_eq!(second, [reassignment("running", 2)]);
 }
 
 #[test]
-fn jobs_go_to_the_drivers_with_the_fewest_that_take_any() {
+fn jobs_go_to_the_least_loaded_drivers_that_accept_jobs() {
     let table = table(&[("a", 1), ("b", 1), ("c", 1), ("held", 2)]);
     let mut drivers = drivers();
-    let now = ELECTED + wait();
+    let now = ELECTED + handover_delay();
     drivers.renew(renewal(2, "entry-2", &[("held", 1, true)]), now);
     drivers.renew(renewal(3, "entry-3", &[]), now);
     let mut leaving = renewal(4, "entry-4", &[]);
@@ -148,37 +148,42 @@
 
     let planned = drivers.plan_handover(&table, now);
 
-    let given = |driver| planned.iter().filter(|a| a.driver == driver).count();
-    assert_eq!((given(2), given(3), given(4)), (1, 2, 0));
+    let assigned = |driver| planned.iter().filter(|a| a.driver == driver).count();
+    assert_eq!((assigned(2), assigned(3), assigned(4)), (1, 2, 0));
 }
 
 #[test]
-fn a_renewal_is_answered_with_what_differs() {
-    let mut table = table(&[("missing", 1), ("named", 1), ("foreign", 2), ("older", 1)]);
-    table.apply(JobCommand::Assign(vec![assignee("older", 1)]));
+fn a_renewal_is_answered_with_the_differences() {
+    let mut table = table(&[
+        ("missing", 1),
+        ("reported", 1),
+        ("foreign", 2),
+        ("older", 1),
+    ]);
+    table.apply(JobCommand::Assign(vec![reassignment("older", 1)]));
     let mut drivers = drivers();
-    let named = [
-        ("named", 1, false),
+    let reported = [
+        ("reported", 1, false),
         ("foreign", 1, false),
         ("over", 1, true),
         ("older", 1, true),
     ];
-    drivers.renew(renewal(1, "entry-1", &named), ELECTED);
+    drivers.renew(renewal(1, "entry-1", &reported), ELECTED);
 
     let answer = drivers.renewal_reply(&table, 1);
 
-    let ordered: Vec<(&str, u64)> = answer
+    let assigned: Vec<(&str, u64)> = answer
         .drive
         .iter()
-        .map(|order| (&order.job[..], order.epoch))
+        .map(|assignment| (&assignment.job[..], assignment.epoch))
         .collect();
-    assert_eq!(ordered, [("missing", 1), ("older", 2)]);
+    assert_eq!(assigned, [("missing", 1), ("older", 2)]);
     let dropped: Vec<&str> = answer.drop.iter().map(|(job, _)| &job[..]).collect();
     assert_eq!(dropped, ["foreign", "older", "over"]);
 }
 
 #[test]
-fn one_answer_orders_no_more_than_fits() {
+fn assignments_in_one_reply_are_limited_by_size() {
     let names: Vec<String> = (0..9).map(|number| format!("job-{number}")).collect();
     let jobs: Vec<(&str, DriverId)> = names.iter().map(|name| (&name[..], 1)).collect();
     let table = table(&jobs);
@@ -189,11 +194,11 @@
 }
 
 #[test]
-fn a_job_has_begun_once_its_present_driver_says_so() {
+fn a_job_is_running_once_its_current_driver_reports_a_start() {
     let table = table(&[("begun", 1), ("waiting", 1)]);
     let mut drivers = drivers();
-    let named = [("begun", 1, true), ("waiting", 1, false)];
-    drivers.renew(renewal(1, "entry-1", &named), ELECTED);
+    let reported = [("begun", 1, true), ("waiting", 1, false)];
+    drivers.renew(renewal(1, "entry-1", &reported), ELECTED);
 
     let phase = |job: &str| drivers.phase(job, &table.open()[job]);
     assert_eq!(phase("begun"), JobPhase::Running);
--- a/crates/leased/cloverfold_kept_jobs/tests/recorder.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! The side of a guard: ends are recorded in batches until the group has decided on each.
+//! Recorder of a guard: run ends are sent in batches and retried until the group has decided on each.
 
 #![allow(clippy::unwrap_used)]
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_end_is_sent_at_once_and_what_comes_meanwhile_in_the_next_batch() {
+fn an_end_is_sent_at_once_and_later_ends_form_the_next_batch() {
     let mut recorder = recorder();
     recorder.record(end(1), at(10));
     recorder.record(end(2), at(11));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_batch_is_repeated_until_it_is_decided_on() {
+fn a_batch_is_resent_until_it_is_decided() {
     let mut recorder = recorder();
     recorder.record(end(1), at(10));
     let first = sent(&mut recorder).remove(0);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn ends_wait_for_the_groups_to_be_known() {
+fn ends_are_queued_until_the_groups_are_known() {
     let mut recorder = Recorder::default();
     recorder.record(end(1), at(10));
     assert_eq!(sent(&mut recorder).len(), 0);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_ends_that_wait_are_bounded() {
+fn the_queue_of_ends_is_bounded() {
     let mut recorder = recorder();
     for run in 1..=20_000 {
         recorder.record(end(run), at(10));
@@ -130,12 +130,12 @@
 }
 
 proptest! {
-    /// Whatever is lost, each end is decided on once, with the decision of the group.
+    /// Under message loss, each end is decided exactly once, with the decision of the group.
     #[test]
-    fn each_end_is_decided_on_once(losses in prop::collection::vec(any::<bool>(), 1..60)) {
+    fn each_end_is_decided_once(losses in prop::collection::vec(any::<bool>(), 1..60)) {
         let mut recorder = recorder();
         let mut table: BTreeMap<u64, EndDecision> = BTreeMap::new();
-        let mut learned: BTreeMap<u64, EndDecision> = BTreeMap::new();
+        let mut received: BTreeMap<u64, EndDecision> = BTreeMap::new();
         let mut now = 0;
         let count = losses.len() as u64;
         for (run, is_lost) in (1..).zip(losses.into_iter().chain([false; 20])) {
@@ -156,16 +156,16 @@
                     }
                     RecorderAction::Send(..) => {}
                     RecorderAction::Decided(end, decision) => {
-                        prop_assert!(learned.insert(end.run, decision).is_none());
+                        prop_assert!(received.insert(end.run, decision).is_none());
                     }
                 }
             }
         }
         for action in recorder.take_actions() {
             if let RecorderAction::Decided(end, decision) = action {
-                prop_assert!(learned.insert(end.run, decision).is_none());
+                prop_assert!(received.insert(end.run, decision).is_none());
             }
         }
-        prop_assert_eq!(learned, table);
+        prop_assert_eq!(received, table);
     }
 }
--- a/crates/leased/cloverfold_kept_jobs/tests/table.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table under any order of submissions, resends, ends, cancellations, hand-overs, expiries and restarts.
+//! Job table under random sequences of submissions, run ends, cancellations, hand-overs, expiries and restarts.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,7 +14,7 @@
 const TASKS: u32 = 2;
 const MAX_ATTEMPTS: u32 = 2;
 
-/// One step of a schedule.
+/// One step of a random schedule.
 #[derive(Clone, Debug)]
 enum Step {
     Submit {
@@ -33,7 +33,7 @@
         job: u8,
         after: u64,
     },
-    /// Forget up to so many ends before the newest.
+    /// Remove all ended jobs except this many newest ones.
     Expire(u64),
     Restart,
 }
@@ -110,17 +110,17 @@
     }
 }
 
-/// What callers and guards were told of the jobs since they were accepted or forgotten.
+/// The outcomes that callers and guards have received for the stored jobs.
 #[derive(Default)]
-struct Told {
+struct Model {
     digests: BTreeMap<String, [u8; 16]>,
     ended: BTreeMap<String, TerminalState>,
-    /// Tasks with a recorded end `Done`, and the run.
+    /// Runs that are recorded as `Done`, by task.
     done: BTreeMap<(String, u32), u64>,
     failures: BTreeMap<(String, u32), BTreeSet<u64>>,
 }
 
-impl Told {
+impl Model {
     fn check(&mut self, command: &JobCommand, outcome: &CommandOutcome, table: &JobTable) {
         match (command, outcome) {
             (JobCommand::Submit(job), CommandOutcome::Submit(outcome)) => {
@@ -148,7 +148,7 @@
         self.check_jobs(table);
     }
 
-    /// An end counts once, and only from the driver of the moment.
+    /// Adds an end to the model if it was recorded.
     fn check_end(&mut self, end: &TaskEnd, decision: EndDecision) {
         let task = (end.job.clone(), end.task);
         if decision != EndDecision::Recorded {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// A job is lost only by being forgotten after its end, and an end never changes.
+    /// Checks that a job is removed only after its end, and that its final state never changes.
     fn check_jobs(&mut self, table: &JobTable) {
         let known: Vec<String> = self.digests.keys().cloned().collect();
         for job in known {
@@ -170,16 +170,16 @@
                 assert_eq!(*before, how, "{job}");
             }
             if let Some(how) = ended {
-                self.check_how(&job, how);
+                self.check_terminal_state(&job, how);
                 self.ended.insert(job, how);
             } else if !table.open().contains_key(&job) {
                 assert!(self.ended.contains_key(&job), "{job} is lost");
-                self.forget(&job);
+                self.remove_job(&job);
             }
         }
     }
 
-    fn check_how(&self, job: &str, how: TerminalState) {
+    fn check_terminal_state(&self, job: &str, how: TerminalState) {
         let is_done = |task| self.done.contains_key(&(job.to_owned(), task));
         let failures = |task| {
             let failures = self.failures.get(&(job.to_owned(), task));
@@ -195,7 +195,7 @@
         }
     }
 
-    fn forget(&mut self, job: &str) {
+    fn remove_job(&mut self, job: &str) {
         self.digests.remove(job);
         self.ended.remove(job);
         self.done.retain(|(known, _), _| known != job);
@@ -207,9 +207,9 @@
     #![proptest_config(ProptestConfig::with_cases(500))]
 
     #[test]
-    fn every_order_of_commands_keeps_the_promises(schedule in prop::collection::vec(steps(), 1..120)) {
+    fn every_command_sequence_keeps_the_invariants(schedule in prop::collection::vec(steps(), 1..120)) {
         let mut table = JobTable::default();
-        let mut told = Told::default();
+        let mut model = Model::default();
         for step in schedule {
             let Some(command) = command(&step, &table) else {
                 let restarted = JobTable::decode(&table.encode()).unwrap();
@@ -220,14 +220,14 @@
 
             let outcome = table.apply(command.clone());
 
-            told.check(&command, &outcome, &table);
-            let held: usize = table.by_driver().values().map(BTreeSet::len).sum();
-            prop_assert_eq!(held, table.open().len());
+            model.check(&command, &outcome, &table);
+            let driven: usize = table.by_driver().values().map(BTreeSet::len).sum();
+            prop_assert_eq!(driven, table.open().len());
         }
     }
 
     #[test]
-    fn what_is_open_takes_no_bytes_once_all_has_ended(schedule in prop::collection::vec(steps(), 1..120)) {
+    fn a_table_without_open_jobs_accounts_no_bytes(schedule in prop::collection::vec(steps(), 1..120)) {
         let mut table = JobTable::default();
         for step in schedule {
             if let Some(command) = command(&step, &table) {
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn an_end_of_an_earlier_epoch_never_counts_and_one_that_counted_stays_recorded() {
+fn an_end_of_an_earlier_epoch_is_fenced_unless_it_was_recorded() {
     let mut table = JobTable::default();
     table.apply(JobCommand::Submit(submission(0, 0)));
     let first = end(0, 0, 1, 1, true);
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn failures_that_two_guards_record_in_the_wrong_order_both_count_and_each_once() {
+fn failures_recorded_out_of_order_are_each_counted_once() {
     let mut table = JobTable::default();
     table.apply(JobCommand::Submit(submission(0, 0)));
     let (first, second) = (end(0, 0, 1, 1, false), end(0, 0, 1, 2, false));
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn an_end_of_an_earlier_driver_stays_fenced_after_its_job_has_ended_and_once_that_is_forgotten() {
+fn an_end_of_an_earlier_epoch_stays_fenced_after_the_job_has_ended_or_expired() {
     let mut table = JobTable::default();
     table.apply(JobCommand::Submit(submission(0, 0)));
     table.apply(JobCommand::Assign(vec![JobReassignment {
@@ -297,18 +297,18 @@
     let own = JobCommand::RecordEnds(vec![end(0, 0, 2, 2, true)]);
 
     let after_its_end = table.apply(earlier.clone());
-    let of_the_last_driver = table.apply(own);
+    let of_the_last_epoch = table.apply(own);
     table.apply(JobCommand::Expire(1));
-    let once_forgotten = table.apply(earlier);
+    let after_expiry = table.apply(earlier);
 
     let decided = |decision| CommandOutcome::Ends(vec![decision]);
     assert_eq!(after_its_end, decided(EndDecision::Fenced));
-    assert_eq!(of_the_last_driver, decided(EndDecision::JobOver));
-    assert_eq!(once_forgotten, decided(EndDecision::Fenced));
+    assert_eq!(of_the_last_epoch, decided(EndDecision::JobOver));
+    assert_eq!(after_expiry, decided(EndDecision::Fenced));
 }
 
 #[test]
-fn a_full_table_takes_no_new_job_and_still_knows_the_old_ones() {
+fn a_full_table_refuses_new_jobs_and_still_knows_the_old_ones() {
     let mut table = JobTable::default();
     let mut large = submission(0, 0);
     large.body = vec![0; MAX_OPEN_BYTES - 100];
--- a/crates/leased/cloverfold_kept_jobs/tests/world/checker.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/checker.rs
@@ -1,13 +1,13 @@
-//! What callers, targets and the log saw, and what must hold of it.
+//! Recorded history of the simulation, and the invariants that it must satisfy.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{Epoch, JobId, JobTable, TaskIndex};
 
-/// A run of a task as its target saw it.
+/// A task run as observed by its target.
 #[derive(Clone, Debug)]
-pub struct SeenRun {
+pub struct ObservedRun {
     pub job: JobId,
     pub task: TaskIndex,
     pub epoch: Epoch,
@@ -15,66 +15,66 @@
     pub to: Timestamp,
 }
 
-/// All that was seen.
+/// Observations of callers, targets and the log.
 #[derive(Default)]
 pub struct History {
-    pub runs: Vec<SeenRun>,
-    /// Jobs whose callers were told that they are kept.
+    pub runs: Vec<ObservedRun>,
+    /// Jobs that were acknowledged as accepted.
     pub accepted: BTreeSet<JobId>,
-    /// Jobs whose callers were told that they are cancelled.
+    /// Jobs that were acknowledged as cancelled.
     pub cancelled: BTreeSet<JobId>,
-    /// The epoch of the run whose end `Done` was recorded, and when.
+    /// Epoch and time of the first recorded `Done` run of each task.
     pub done: BTreeMap<(JobId, TaskIndex), (Epoch, Timestamp)>,
-    pub handed_on: u64,
-    pub fenced: u64,
+    pub handovers: u64,
+    pub fenced_ends: u64,
 }
 
 impl History {
-    /// Lists what is wrong.
+    /// Returns all violations of the invariants.
     pub fn find_violations(&self, table: &JobTable) -> Vec<String> {
-        let mut found = self.find_lost(table);
-        found.extend(self.find_overlaps());
-        found.extend(self.find_repeated());
-        found
+        let mut violations = self.find_lost_jobs(table);
+        violations.extend(self.find_overlapping_runs());
+        violations.extend(self.find_reruns_of_done_tasks());
+        violations
     }
 
-    /// An accepted job is never lost, and ends once everything works again.
-    fn find_lost(&self, table: &JobTable) -> Vec<String> {
-        let told = self.accepted.union(&self.cancelled);
-        let lost = told.filter(|job| table.ended(job).is_none());
+    /// Returns acknowledged jobs that have not ended. A job must end once the faults have ceased.
+    fn find_lost_jobs(&self, table: &JobTable) -> Vec<String> {
+        let acknowledged = self.accepted.union(&self.cancelled);
+        let lost = acknowledged.filter(|job| table.ended(job).is_none());
         lost.map(|job| format!("{job} was accepted and has not ended"))
             .collect()
     }
 
-    /// No two runs of a task overlap.
-    fn find_overlaps(&self) -> Vec<String> {
-        let mut by_task: BTreeMap<_, Vec<&SeenRun>> = BTreeMap::new();
+    /// Returns overlapping runs of a task.
+    fn find_overlapping_runs(&self) -> Vec<String> {
+        let mut by_task: BTreeMap<_, Vec<&ObservedRun>> = BTreeMap::new();
         for run in &self.runs {
             by_task.entry((&run.job, run.task)).or_default().push(run);
         }
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         for runs in by_task.values_mut() {
             runs.sort_by_key(|run| run.from);
             for pair in runs.windows(2) {
                 if pair[1].from < pair[0].to {
-                    found.push(format!("{:?} overlaps {:?}", pair[1], pair[0]));
+                    violations.push(format!("{:?} overlaps {:?}", pair[1], pair[0]));
                 }
             }
         }
-        found
+        violations
     }
 
-    /// A task whose end `Done` counts does not run again, and no later driver had begun it.
-    fn find_repeated(&self) -> Vec<String> {
-        let mut found = Vec::new();
+    /// Returns runs that started after their task was recorded as done, or in a later epoch than the recorded run.
+    fn find_reruns_of_done_tasks(&self) -> Vec<String> {
+        let mut violations = Vec::new();
         for run in &self.runs {
             let done = self.done.get(&(run.job.clone(), run.task));
             if let Some((epoch, at)) = done
                 && (run.from > *at || run.epoch > *epoch)
             {
-                found.push(format!("{run:?} although it was done in epoch {epoch}"));
+                violations.push(format!("{run:?} although it was done in epoch {epoch}"));
             }
         }
-        found
+        violations
     }
 }
--- a/crates/leased/cloverfold_kept_jobs/tests/world/draws.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/draws.rs
@@ -1,10 +1,10 @@
-//! Random draws that follow from a seed (`SplitMix64`).
+//! Deterministic random numbers from a seed (`SplitMix64`).
 
 use std::time::Duration;
 
-pub struct Draws(u64);
+pub struct Rng(u64);
 
-impl Draws {
+impl Rng {
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
@@ -26,7 +26,7 @@
         self.below(cases) == 0
     }
 
-    /// Returns a span of `from` to `to` milliseconds.
+    /// Returns a duration of `from` to `to` milliseconds.
     pub fn millis(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_millis(from + self.below(to - from + 1))
     }
--- a/crates/leased/cloverfold_kept_jobs/tests/world/entries.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/entries.rs
@@ -1,4 +1,4 @@
-//! An entry as a driver, as far as the promises rest on it, with the runs that it has begun.
+//! Simplified model of an entry as a driver, with the task runs that it has started.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,17 +8,17 @@
     TaskIndex,
 };
 
-use crate::draws::Draws;
+use crate::draws::Rng;
 
-/// What a driver knows of a job.
-pub struct Driven {
+/// State of a driven job.
+pub struct DrivenJobState {
     pub epoch: Epoch,
     pub tasks: TaskIndex,
     pub done: BTreeSet<TaskIndex>,
-    begun: u64,
+    runs_started: u64,
 }
 
-/// A run that goes on.
+/// A task run in progress.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub job: JobId,
@@ -26,9 +26,9 @@
     pub epoch: Epoch,
     pub run: u64,
     pub from: Timestamp,
-    /// When its work is done.
+    /// Time at which it finishes unless it is stopped.
     pub ends_at: Timestamp,
-    /// When it is stopped, if that is decided.
+    /// Time at which it is stopped, if scheduled.
     pub stopped_at: Option<Timestamp>,
 }
 
@@ -37,29 +37,29 @@
     pub name: String,
     pub driver: DriverId,
     pub lease_until: Option<Timestamp>,
-    pub driving: BTreeMap<JobId, Driven>,
-    /// Jobs that it dropped or gave back, with the epoch: it never drives them in that epoch again.
-    pub gone: BTreeSet<(JobId, Epoch)>,
-    /// When the newest renewal was sent that was answered.
-    pub answered: Option<Timestamp>,
+    pub driving: BTreeMap<JobId, DrivenJobState>,
+    /// Jobs that it dropped or released, with the epoch in which it must not drive them again.
+    pub retired: BTreeSet<(JobId, Epoch)>,
+    /// Send time of the newest answered renewal.
+    pub newest_answered: Option<Timestamp>,
     pub runs: Vec<Run>,
     pub renewed_at: Timestamp,
-    /// It is dead or cut off until then.
-    pub away_until: Timestamp,
+    /// Time until which the entry sends no renewals.
+    pub unreachable_until: Timestamp,
 }
 
 impl Entry {
-    pub fn new(place: usize, draws: &mut Draws) -> Self {
+    pub fn new(index: usize, rng: &mut Rng) -> Self {
         Self {
-            name: format!("entry-{place}"),
-            driver: draws.id(),
+            name: format!("entry-{index}"),
+            driver: rng.id(),
             lease_until: None,
             driving: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            answered: None,
+            retired: BTreeSet::new(),
+            newest_answered: None,
             runs: Vec::new(),
             renewed_at: Timestamp::ZERO,
-            away_until: Timestamp::ZERO,
+            unreachable_until: Timestamp::ZERO,
         }
     }
 
@@ -67,24 +67,24 @@
         self.lease_until.is_some_and(|until| now < until)
     }
 
-    /// Lets the lease go for good: nothing is driven, and the runs end within the bound.
-    pub fn lapse(&mut self, draws: &mut Draws, now: Timestamp) {
+    /// Ends the lease: the entry drives no job, and its runs end within the bound.
+    pub fn lose_lease(&mut self, rng: &mut Rng, now: Timestamp) {
         let bound = KeptJobTimings::default().run_termination_bound.as_millis() as u64;
         for run in &mut self.runs {
-            run.stopped_at.get_or_insert(now + draws.millis(0, bound));
+            run.stopped_at.get_or_insert(now + rng.millis(0, bound));
         }
         self.driving.clear();
-        self.gone.clear();
-        self.answered = None;
+        self.retired.clear();
+        self.newest_answered = None;
         self.lease_until = None;
-        self.driver = draws.id();
+        self.driver = rng.id();
     }
 
     pub fn renewal(&self) -> Renewal {
         let driving = self.driving.iter().map(|(job, driven)| DrivenJob {
             job: job.clone(),
             epoch: driven.epoch,
-            has_begun: driven.begun > 0,
+            has_begun: driven.runs_started > 0,
         });
         Renewal {
             driver: self.driver,
@@ -94,50 +94,52 @@
         }
     }
 
-    /// Begins to drive a job, unless it drives it in that epoch or has given it back.
-    pub fn drive(&mut self, order: &JobAssignment, now: Timestamp) {
-        let known = self.driving.get(&order.job);
-        let is_newer = known.is_none_or(|driven| driven.epoch < order.epoch);
-        let is_gone = self.gone.contains(&(order.job.clone(), order.epoch));
-        if !is_newer || is_gone || !self.has_lease(now) {
+    /// Starts to drive a job unless it is or was driven in that epoch.
+    pub fn drive(&mut self, assignment: &JobAssignment, now: Timestamp) {
+        let known = self.driving.get(&assignment.job);
+        let is_newer = known.is_none_or(|driven| driven.epoch < assignment.epoch);
+        let is_retired = self
+            .retired
+            .contains(&(assignment.job.clone(), assignment.epoch));
+        if !is_newer || is_retired || !self.has_lease(now) {
             return;
         }
-        let done = order.progress.iter().filter(|(_, task)| task.is_done);
-        let driven = Driven {
-            epoch: order.epoch,
-            tasks: TaskIndex::from(order.body[0]),
+        let done = assignment.progress.iter().filter(|(_, task)| task.is_done);
+        let driven = DrivenJobState {
+            epoch: assignment.epoch,
+            tasks: TaskIndex::from(assignment.body[0]),
             done: done.map(|(task, _)| *task).collect(),
-            begun: 0,
+            runs_started: 0,
         };
-        self.driving.insert(order.job.clone(), driven);
+        self.driving.insert(assignment.job.clone(), driven);
     }
 
-    /// Drops a job that it drives in that epoch.
+    /// Drops a job that is driven in that epoch.
     pub fn drop_job(&mut self, job: &JobId, epoch: Epoch, now: Timestamp) {
         if self.driving.get(job).is_some_and(|d| d.epoch == epoch) {
             self.driving.remove(job);
-            self.gone.insert((job.clone(), epoch));
+            self.retired.insert((job.clone(), epoch));
             let runs = self.runs.iter_mut().filter(|run| run.job == *job);
             runs.for_each(|run| run.stopped_at = Some(now));
         }
     }
 
-    /// Begins the runs of one job that are missing.
-    pub fn begin_runs(&mut self, draws: &mut Draws, now: Timestamp) {
+    /// Starts runs of unfinished tasks at random.
+    pub fn start_runs(&mut self, rng: &mut Rng, now: Timestamp) {
         for (job, driven) in &mut self.driving {
             for task in 0..driven.tasks {
                 let is_running = self.runs.iter().any(|r| r.job == *job && r.task == task);
-                if driven.done.contains(&task) || is_running || !draws.one_in(10) {
+                if driven.done.contains(&task) || is_running || !rng.one_in(10) {
                     continue;
                 }
-                driven.begun += 1;
+                driven.runs_started += 1;
                 self.runs.push(Run {
                     job: job.clone(),
                     task,
                     epoch: driven.epoch,
-                    run: driven.epoch * RUNS_PER_EPOCH + driven.begun,
+                    run: driven.epoch * RUNS_PER_EPOCH + driven.runs_started,
                     from: now,
-                    ends_at: now + draws.millis(50, 1_500),
+                    ends_at: now + rng.millis(50, 1_500),
                     stopped_at: None,
                 });
             }
--- a/crates/leased/cloverfold_kept_jobs/tests/world/events.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/events.rs
@@ -1,36 +1,36 @@
-//! Messages that are under way.
+//! Messages of the simulation that are in flight.
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{
     DriverId, JobId, JobSubmission, ReleasedJob, Renewal, RenewalReply, SubmitOutcome, TaskEnd,
 };
 
-/// Place of an entry in the world.
-pub type EntryPlace = usize;
-/// Number of a leader, rising.
+/// Index of an entry.
+pub type EntryIndex = usize;
+/// Term of a leader.
 pub type Term = u64;
 
-/// What arrives.
+/// A message that arrives at a process.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// At the leader: a job of a caller of this entry.
-    Submit(EntryPlace, JobSubmission),
-    /// At the entry: the answer to it.
-    Submitted(EntryPlace, DriverId, JobId, SubmitOutcome),
-    /// At the leader.
-    Renew(EntryPlace, Timestamp, Renewal),
-    /// At the leader: it is proved that it led when the renewal came.
-    Proved(Term, EntryPlace, Timestamp, DriverId),
-    /// At the entry: the answer to the renewal that it sent at this time; `None` if it was told unasked.
-    Renewed(EntryPlace, Option<Timestamp>, RenewalReply),
-    /// At the leader.
+    /// At the leader: a submission through an entry.
+    Submit(EntryIndex, JobSubmission),
+    /// At the entry: the answer to a submission.
+    Submitted(EntryIndex, DriverId, JobId, SubmitOutcome),
+    /// At the leader: a renewal that an entry sent at this time.
+    Renew(EntryIndex, Timestamp, Renewal),
+    /// At the leader: proof that it led when the renewal arrived.
+    Proved(Term, EntryIndex, Timestamp, DriverId),
+    /// At the entry: the reply to the renewal that it sent at this time, or `None` if unsolicited.
+    Renewed(EntryIndex, Option<Timestamp>, RenewalReply),
+    /// At the leader: a driver releases a job.
     Release(DriverId, ReleasedJob),
-    /// At the leader: a guard records an end.
+    /// At the leader: a guard records a run end.
     RecordEnd(TaskEnd),
-    /// At the guard.
+    /// At the guard: the group has decided on a run end.
     EndDecided(TaskEnd),
     /// At the leader: a caller cancels a job.
     Cancel(JobId),
-    /// At the caller.
+    /// At the caller: its job is cancelled.
     Cancelled(JobId),
 }
--- a/crates/leased/cloverfold_kept_jobs/tests/world/main.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/main.rs
@@ -1,4 +1,5 @@
-//! Drivers and leaders of one group under a virtual clock: lost and late messages, crashes, cuts, changes of leader.
+//! Simulation of the drivers and leaders of one group under a virtual clock, with lost and late messages, crashes, partitions and
+//! leader changes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,64 +9,64 @@
 mod events;
 mod simulation;
 
-use crate::simulation::{Fault, World};
+use crate::simulation::{Fault, Simulation};
 
-/// Schedules that are played.
+/// Number of simulated schedules.
 const SEEDS: u64 = 200;
 
-/// Plays a schedule; returns what is wrong with its history.
-fn play(seed: u64, fault: Fault) -> Vec<String> {
-    let mut world = World::new(seed, fault);
-    world.run();
-    world.history.find_violations(&world.table)
+/// Simulates the schedule of a seed and returns the violations in its history.
+fn simulate(seed: u64, fault: Fault) -> Vec<String> {
+    let mut simulation = Simulation::new(seed, fault);
+    simulation.run();
+    simulation.history.find_violations(&simulation.table)
 }
 
-/// Counts the schedules whose history shows that something is wrong.
-fn count_found(fault: Fault) -> u64 {
-    let found = (0..SEEDS).filter(|seed| !play(*seed, fault).is_empty());
-    found.count() as u64
+/// Returns the number of schedules whose history has a violation.
+fn count_violating_seeds(fault: Fault) -> u64 {
+    let violating = (0..SEEDS).filter(|seed| !simulate(*seed, fault).is_empty());
+    violating.count() as u64
 }
 
 #[test]
-fn every_history_keeps_the_promises() {
+fn every_history_keeps_the_invariants() {
     for seed in 0..SEEDS {
-        let violations = play(seed, Fault::None);
+        let violations = simulate(seed, Fault::None);
 
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
 
 #[test]
-fn the_schedules_hand_jobs_on_and_fence_ends() {
-    let mut handed_on = 0;
-    let mut fenced = 0;
+fn the_schedules_cover_handovers_and_fenced_ends() {
+    let mut handovers = 0;
+    let mut fenced_ends = 0;
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, Fault::None);
-        world.run();
-        handed_on += world.history.handed_on;
-        fenced += world.history.fenced;
+        let mut simulation = Simulation::new(seed, Fault::None);
+        simulation.run();
+        handovers += simulation.history.handovers;
+        fenced_ends += simulation.history.fenced_ends;
     }
 
-    assert!(handed_on > SEEDS, "{handed_on} jobs were handed on");
-    assert!(fenced > 0, "no end came too late");
+    assert!(handovers > SEEDS, "only {handovers} hand-overs");
+    assert!(fenced_ends > 0, "no end was fenced");
 }
 
 #[test]
-fn an_end_of_an_earlier_epoch_that_counts_is_found() {
-    assert!(count_found(Fault::OldEndsCount) > 0);
+fn the_checker_detects_a_counted_end_of_an_earlier_epoch() {
+    assert!(count_violating_seeds(Fault::RecordStaleEnds) > 0);
 }
 
 #[test]
-fn a_hand_over_without_the_wait_is_found() {
-    assert!(count_found(Fault::NoWait) > 0);
+fn the_checker_detects_a_handover_without_a_delay() {
+    assert!(count_violating_seeds(Fault::NoHandoverDelay) > 0);
 }
 
 #[test]
-fn an_acknowledgement_before_the_commit_is_found() {
-    assert!(count_found(Fault::EarlyAnswer) > 0);
+fn the_checker_detects_an_acknowledgement_before_the_commit() {
+    assert!(count_violating_seeds(Fault::AnswerBeforeCommit) > 0);
 }
 
 #[test]
-fn an_order_that_is_older_than_a_drop_and_taken_is_found() {
-    assert!(count_found(Fault::LateOrders) > 0);
+fn the_checker_detects_an_accepted_stale_assignment() {
+    assert!(count_violating_seeds(Fault::AcceptStaleAssignments) > 0);
 }
--- a/crates/leased/cloverfold_kept_jobs/tests/world/simulation.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/simulation.rs
@@ -1,4 +1,4 @@
-//! The world: one log, the leader of the moment, entries, guards and callers, in steps of 10 ms.
+//! Simulation of one log with its current leader, entries, guards and callers, in steps of 10 ms.
 
 use std::time::Duration;
 
@@ -9,41 +9,41 @@
     TaskEnd, job_assignment,
 };
 
-use crate::checker::{History, SeenRun};
-use crate::draws::Draws;
+use crate::checker::{History, ObservedRun};
+use crate::draws::Rng;
 use crate::entries::{Entry, Run};
-use crate::events::{EntryPlace, Event, Term};
+use crate::events::{EntryIndex, Event, Term};
 
 const STEP: Duration = Duration::from_millis(10);
-/// Until then messages are lost, and processes fail.
-const TROUBLE: Timestamp = Timestamp::from_start(Duration::from_secs(20));
+/// Time until which faults are injected: lost and late messages, and process failures.
+const FAULTS_UNTIL: Timestamp = Timestamp::from_start(Duration::from_secs(20));
 const END: Timestamp = Timestamp::from_start(Duration::from_secs(40));
 const ENTRIES: usize = 3;
 const JOBS: u64 = 12;
 
-/// What the world does wrong on purpose.
+/// Protocol error that the simulation makes, to test the checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Ends count in whatever epoch they come.
-    OldEndsCount,
-    /// A job is handed on as soon as its driver's lease is over.
-    NoWait,
-    /// Drivers take orders that come unasked, also when they drove the job in that epoch before.
-    LateOrders,
+    /// Run ends are recorded whatever their epoch.
+    RecordStaleEnds,
+    /// A job is handed over as soon as its driver's lease has expired.
+    NoHandoverDelay,
+    /// Drivers accept unsolicited assignments, even of jobs that they drove in the same epoch before.
+    AcceptStaleAssignments,
     /// A submission is answered before it is committed.
-    EarlyAnswer,
+    AnswerBeforeCommit,
 }
 
 /// A command that the leader has appended.
 struct Proposed {
     commit_at: Timestamp,
     command: JobCommand,
-    /// The entry whose submission it is.
-    from: Option<EntryPlace>,
+    /// The entry that sent it, if it is a submission.
+    from: Option<EntryIndex>,
 }
 
-/// A caller that sends its job until it is answered.
+/// A caller that resends its job until it is answered.
 struct Caller {
     job: JobId,
     tasks: u8,
@@ -51,9 +51,9 @@
     cancels_at: Option<Timestamp>,
 }
 
-pub struct World {
+pub struct Simulation {
     now: Timestamp,
-    draws: Draws,
+    rng: Rng,
     fault: Fault,
     pub table: JobTable,
     term: Term,
@@ -61,35 +61,35 @@
     proposed: Vec<Proposed>,
     entries: Vec<Entry>,
     callers: Vec<Caller>,
-    /// Ends that guards repeat until they are decided.
+    /// Run ends that guards resend until they are decided.
     ends: Vec<(Timestamp, TaskEnd)>,
-    under_way: Vec<(Timestamp, Event)>,
+    in_flight: Vec<(Timestamp, Event)>,
     pub history: History,
 }
 
 fn timings(fault: Fault) -> KeptJobTimings {
     let mut timings = KeptJobTimings::default();
-    if fault == Fault::NoWait {
+    if fault == Fault::NoHandoverDelay {
         timings.run_termination_bound = Duration::ZERO;
     }
     timings
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, fault: Fault) -> Self {
-        let mut draws = Draws::new(seed);
-        let entries = (0..ENTRIES).map(|place| Entry::new(place, &mut draws));
+        let mut rng = Rng::new(seed);
+        let entries = (0..ENTRIES).map(|index| Entry::new(index, &mut rng));
         let entries = entries.collect();
         let callers = (0..JOBS).map(|number| Caller {
             job: format!("job-{number}"),
-            tasks: 1 + draws.below(3) as u8,
-            sends_at: Timestamp::ZERO + draws.millis(0, 15_000),
-            cancels_at: draws.one_in(6).then_some(Timestamp::ZERO),
+            tasks: 1 + rng.below(3) as u8,
+            sends_at: Timestamp::ZERO + rng.millis(0, 15_000),
+            cancels_at: rng.one_in(6).then_some(Timestamp::ZERO),
         });
         Self {
             callers: callers.collect(),
             now: Timestamp::ZERO,
-            draws,
+            rng,
             fault,
             table: JobTable::default(),
             term: 1,
@@ -97,7 +97,7 @@
             proposed: Vec::new(),
             entries,
             ends: Vec::new(),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             history: History::default(),
         }
     }
@@ -105,55 +105,55 @@
     pub fn run(&mut self) {
         while self.now < END {
             self.now += STEP;
-            self.make_trouble();
+            self.inject_faults();
             self.deliver();
             self.commit();
-            self.hand_on();
-            for place in 0..ENTRIES {
-                self.step_entry(place);
+            self.propose_handovers();
+            for index in 0..ENTRIES {
+                self.step_entry(index);
             }
             self.end_runs();
-            self.repeat_ends();
+            self.resend_ends();
             self.step_callers();
         }
     }
 
-    fn is_in_trouble(&self) -> bool {
-        self.now < TROUBLE
+    fn has_faults(&self) -> bool {
+        self.now < FAULTS_UNTIL
     }
 
-    /// Sends a message that may be lost or late.
+    /// Sends a message, which may be lost or delayed while faults are injected.
     fn send(&mut self, event: Event) {
-        let is_lost = self.is_in_trouble() && self.draws.one_in(8);
-        let is_late = self.is_in_trouble() && self.draws.one_in(8);
-        let delay = self.draws.millis(0, if is_late { 3_000 } else { 60 });
+        let is_lost = self.has_faults() && self.rng.one_in(8);
+        let is_late = self.has_faults() && self.rng.one_in(8);
+        let delay = self.rng.millis(0, if is_late { 3_000 } else { 60 });
         if !is_lost {
-            self.under_way.push((self.now + delay, event));
+            self.in_flight.push((self.now + delay, event));
         }
     }
 
-    fn make_trouble(&mut self) {
-        if !self.is_in_trouble() {
+    fn inject_faults(&mut self) {
+        if !self.has_faults() {
             return;
         }
-        if self.draws.one_in(300) {
+        if self.rng.one_in(300) {
             self.change_leader();
         }
-        for place in 0..ENTRIES {
-            if self.draws.one_in(600) {
-                self.entries[place].away_until = self.now + self.draws.millis(100, 4_000);
+        for index in 0..ENTRIES {
+            if self.rng.one_in(600) {
+                self.entries[index].unreachable_until = self.now + self.rng.millis(100, 4_000);
             }
-            if self.draws.one_in(800) {
-                // The process dies and comes back.
-                self.entries[place].lapse(&mut self.draws, self.now);
+            if self.rng.one_in(800) {
+                // The process restarts.
+                self.entries[index].lose_lease(&mut self.rng, self.now);
             }
         }
     }
 
-    /// What the earlier leader had appended is committed or lost; nobody is answered.
+    /// Commits or loses each command that the earlier leader had appended. None of them is answered.
     fn change_leader(&mut self) {
         for proposed in std::mem::take(&mut self.proposed) {
-            if self.draws.one_in(2) {
+            if self.rng.one_in(2) {
                 self.apply(proposed.command, None);
             }
         }
@@ -161,8 +161,8 @@
         self.drivers = DriverTable::new(timings(self.fault), self.now);
     }
 
-    fn propose(&mut self, command: JobCommand, from: Option<EntryPlace>) {
-        let commit_at = self.now + self.draws.millis(10, 300);
+    fn propose(&mut self, command: JobCommand, from: Option<EntryIndex>) {
+        let commit_at = self.now + self.rng.millis(10, 300);
         self.proposed.push(Proposed {
             commit_at,
             command,
@@ -171,7 +171,7 @@
     }
 
     fn commit(&mut self) {
-        // In order: the first that is not due holds up the rest.
+        // Commands are committed in order.
         while self
             .proposed
             .first()
@@ -182,8 +182,8 @@
         }
     }
 
-    fn apply(&mut self, mut command: JobCommand, from: Option<EntryPlace>) {
-        if let (Fault::OldEndsCount, JobCommand::RecordEnds(ends)) = (self.fault, &mut command) {
+    fn apply(&mut self, mut command: JobCommand, from: Option<EntryIndex>) {
+        if let (Fault::RecordStaleEnds, JobCommand::RecordEnds(ends)) = (self.fault, &mut command) {
             for end in ends {
                 let open = self.table.open().get(&end.job);
                 end.epoch = open.map_or(end.epoch, |open| open.epoch());
@@ -196,7 +196,7 @@
             }
             (JobCommand::RecordEnds(ends), CommandOutcome::Ends(decisions)) => {
                 for (end, decision) in ends.into_iter().zip(decisions) {
-                    self.note_end(&end, decision);
+                    self.record_decision(&end, decision);
                     self.send(Event::EndDecided(end));
                 }
             }
@@ -205,14 +205,14 @@
             {
                 self.send(Event::Cancelled(job));
             }
-            (JobCommand::Assign(assignees), CommandOutcome::Assigned(jobs)) => {
-                self.history.handed_on += jobs.len() as u64;
+            (JobCommand::Assign(reassignments), CommandOutcome::Assigned(jobs)) => {
+                self.history.handovers += jobs.len() as u64;
                 self.drivers
-                    .complete_handover(assignees.iter().map(|a| &a.job));
-                for assignee in assignees.iter().filter(|a| jobs.contains(&a.job)) {
-                    let open = self.table.open().get(&assignee.job);
-                    let order = open.map(|open| job_assignment(&assignee.job, open));
-                    self.push(assignee.driver, order);
+                    .complete_handover(reassignments.iter().map(|a| &a.job));
+                for reassignment in reassignments.iter().filter(|a| jobs.contains(&a.job)) {
+                    let open = self.table.open().get(&reassignment.job);
+                    let assignment = open.map(|open| job_assignment(&reassignment.job, open));
+                    self.push_assignment(reassignment.driver, assignment);
                 }
             }
             _ => {}
@@ -223,21 +223,26 @@
         &mut self,
         job: &JobSubmission,
         outcome: SubmitOutcome,
-        from: Option<EntryPlace>,
+        from: Option<EntryIndex>,
     ) {
         let is_alive = self.drivers.is_alive(job.driver, self.now);
-        let told = match outcome {
+        let reported = match outcome {
             SubmitOutcome::Accepted(_) if !is_alive => SubmitOutcome::Known,
             outcome => outcome,
         };
-        if let Some(place) = from {
-            self.send(Event::Submitted(place, job.driver, job.id.clone(), told));
+        if let Some(index) = from {
+            self.send(Event::Submitted(
+                index,
+                job.driver,
+                job.id.clone(),
+                reported,
+            ));
         }
     }
 
-    fn note_end(&mut self, end: &TaskEnd, decision: EndDecision) {
+    fn record_decision(&mut self, end: &TaskEnd, decision: EndDecision) {
         if decision == EndDecision::Fenced {
-            self.history.fenced += 1;
+            self.history.fenced_ends += 1;
         }
         if decision == EndDecision::Recorded && end.outcome == EndOutcome::Done {
             let epoch = end.run / cloverfold_kept_jobs::RUNS_PER_EPOCH;
@@ -246,26 +251,26 @@
         }
     }
 
-    /// Tells a driver unasked of a job that it was given.
-    fn push(&mut self, driver: u64, order: Option<JobAssignment>) {
+    /// Sends an unsolicited assignment to a driver.
+    fn push_assignment(&mut self, driver: u64, assignment: Option<JobAssignment>) {
         let name = self.drivers.entry_of(driver).map(str::to_owned);
-        let place = self
+        let index = self
             .entries
             .iter()
             .position(|e| Some(&e.name) == name.as_ref());
-        if let Some(place) = place {
-            let drive = order.into_iter().collect();
+        if let Some(index) = index {
+            let drive = assignment.into_iter().collect();
             let drop = Vec::new();
             let reply = RenewalReply {
                 driver,
                 drive,
                 drop,
             };
-            self.send(Event::Renewed(place, None, reply));
+            self.send(Event::Renewed(index, None, reply));
         }
     }
 
-    fn hand_on(&mut self) {
+    fn propose_handovers(&mut self) {
         let planned = self.drivers.plan_handover(&self.table, self.now);
         if !planned.is_empty() {
             self.propose(JobCommand::Assign(planned), None);
@@ -274,42 +279,47 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.under_way)
+        let (due, rest) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.under_way = rest;
+        self.in_flight = rest;
         let due: Vec<(Timestamp, Event)> = due;
         for (_, event) in due {
-            self.handle(event);
+            self.receive(event);
         }
     }
 
-    fn handle(&mut self, event: Event) {
+    fn receive(&mut self, event: Event) {
         match event {
-            Event::Submit(place, job) => {
-                if self.fault == Fault::EarlyAnswer {
-                    let told = SubmitOutcome::Known;
-                    self.send(Event::Submitted(place, job.driver, job.id.clone(), told));
+            Event::Submit(index, job) => {
+                if self.fault == Fault::AnswerBeforeCommit {
+                    let reported = SubmitOutcome::Known;
+                    self.send(Event::Submitted(
+                        index,
+                        job.driver,
+                        job.id.clone(),
+                        reported,
+                    ));
                 }
-                self.propose(JobCommand::Submit(job), Some(place));
+                self.propose(JobCommand::Submit(job), Some(index));
             }
-            Event::Submitted(place, driver, job, outcome) => {
-                self.submitted(place, driver, &job, outcome);
+            Event::Submitted(index, driver, job, outcome) => {
+                self.submitted(index, driver, &job, outcome);
             }
-            Event::Renew(place, sent_at, renewal) => {
+            Event::Renew(index, sent_at, renewal) => {
                 let driver = renewal.driver;
                 self.drivers.renew(renewal, self.now);
-                let proved_at = self.now + self.draws.millis(5, 100);
-                let proof = Event::Proved(self.term, place, sent_at, driver);
-                self.under_way.push((proved_at, proof));
+                let proved_at = self.now + self.rng.millis(5, 100);
+                let proof = Event::Proved(self.term, index, sent_at, driver);
+                self.in_flight.push((proved_at, proof));
             }
-            Event::Proved(term, place, sent_at, driver) => {
+            Event::Proved(term, index, sent_at, driver) => {
                 if term == self.term {
                     let reply = self.drivers.renewal_reply(&self.table, driver);
-                    self.send(Event::Renewed(place, Some(sent_at), reply));
+                    self.send(Event::Renewed(index, Some(sent_at), reply));
                 }
             }
-            Event::Renewed(place, sent_at, reply) => self.renewed(place, sent_at, &reply),
+            Event::Renewed(index, sent_at, reply) => self.renewed(index, sent_at, &reply),
             Event::Release(driver, job) => {
                 let now = self.now;
                 self.drivers.release(&self.table, driver, vec![job], now);
@@ -324,26 +334,26 @@
         }
     }
 
-    fn submitted(&mut self, place: EntryPlace, driver: u64, job: &JobId, outcome: SubmitOutcome) {
+    fn submitted(&mut self, index: EntryIndex, driver: u64, job: &JobId, outcome: SubmitOutcome) {
         let now = self.now;
         let caller = self.callers.iter_mut().find(|caller| caller.job == *job);
         if let Some(caller) = caller {
             let tasks = caller.tasks;
-            let entry = &mut self.entries[place];
+            let entry = &mut self.entries[index];
             if let SubmitOutcome::Accepted(epoch) = outcome
                 && entry.driver == driver
             {
                 let body = vec![tasks];
-                let order = JobAssignment {
+                let assignment = JobAssignment {
                     job: job.clone(),
                     epoch,
                     body,
                     progress: Vec::new(),
                 };
-                entry.drive(&order, now);
+                entry.drive(&assignment, now);
             }
             if caller.cancels_at.is_some() {
-                caller.cancels_at = Some(now + self.draws.millis(0, 2_000));
+                caller.cancels_at = Some(now + self.rng.millis(0, 2_000));
             }
         }
         self.history.accepted.insert(job.clone());
@@ -351,9 +361,9 @@
             .retain(|caller| caller.job != *job || caller.cancels_at.is_some());
     }
 
-    fn renewed(&mut self, place: EntryPlace, sent_at: Option<Timestamp>, reply: &RenewalReply) {
+    fn renewed(&mut self, index: EntryIndex, sent_at: Option<Timestamp>, reply: &RenewalReply) {
         let now = self.now;
-        let entry = &mut self.entries[place];
+        let entry = &mut self.entries[index];
         let is_lapsed = entry.lease_until.is_some_and(|until| now >= until);
         if reply.driver != entry.driver || is_lapsed {
             return;
@@ -361,30 +371,33 @@
         for (job, epoch) in &reply.drop {
             entry.drop_job(job, *epoch, now);
         }
-        let is_overtaken = sent_at.is_some_and(|at| Some(at) <= entry.answered);
+        let is_overtaken = sent_at.is_some_and(|at| Some(at) <= entry.newest_answered);
         let Some(sent_at) = sent_at.filter(|_| !is_overtaken) else {
-            // An order that comes unasked may be older than a drop: only the answer to a renewal counts.
+            // An unsolicited assignment may be older than a drop, so only the reply to a renewal counts.
             entry.renewed_at = Timestamp::ZERO;
-            if self.fault == Fault::LateOrders {
-                entry.gone.clear();
-                reply.drive.iter().for_each(|order| entry.drive(order, now));
+            if self.fault == Fault::AcceptStaleAssignments {
+                entry.retired.clear();
+                reply
+                    .drive
+                    .iter()
+                    .for_each(|assignment| entry.drive(assignment, now));
             }
             return;
         };
-        entry.answered = Some(sent_at);
+        entry.newest_answered = Some(sent_at);
         let until = sent_at + KeptJobTimings::default().driver_lease;
         entry.lease_until = entry.lease_until.max(Some(until));
-        for order in &reply.drive {
-            self.take_order(place, order);
+        for assignment in &reply.drive {
+            self.receive_assignment(index, assignment);
         }
     }
 
-    /// Drives a job that is ordered, or gives it back once more: the first release may be lost.
-    fn take_order(&mut self, place: EntryPlace, order: &JobAssignment) {
+    /// Drives an assigned job, or releases it again if it was released before, since the first release may be lost.
+    fn receive_assignment(&mut self, index: EntryIndex, assignment: &JobAssignment) {
         let now = self.now;
-        let entry = &mut self.entries[place];
-        let (job, epoch) = (order.job.clone(), order.epoch);
-        if entry.gone.contains(&(job.clone(), epoch)) {
+        let entry = &mut self.entries[index];
+        let (job, epoch) = (assignment.job.clone(), assignment.epoch);
+        if entry.retired.contains(&(job.clone(), epoch)) {
             let driver = entry.driver;
             let is_clean = !entry.runs.iter().any(|run| run.job == job);
             let released = ReleasedJob {
@@ -394,35 +407,35 @@
             };
             self.send(Event::Release(driver, released));
         } else {
-            entry.drive(order, now);
+            entry.drive(assignment, now);
         }
     }
 
-    fn step_entry(&mut self, place: EntryPlace) {
+    fn step_entry(&mut self, index: EntryIndex) {
         let now = self.now;
-        let entry = &mut self.entries[place];
+        let entry = &mut self.entries[index];
         if entry.lease_until.is_some_and(|until| now >= until) {
-            entry.lapse(&mut self.draws, now);
+            entry.lose_lease(&mut self.rng, now);
         }
         let interval = KeptJobTimings::default().renewal_interval;
-        let is_away = now < entry.away_until;
-        if now >= entry.renewed_at + interval && !is_away {
+        let is_unreachable = now < entry.unreachable_until;
+        if now >= entry.renewed_at + interval && !is_unreachable {
             entry.renewed_at = now;
             let renewal = entry.renewal();
-            self.send(Event::Renew(place, now, renewal));
+            self.send(Event::Renew(index, now, renewal));
         }
-        let entry = &mut self.entries[place];
+        let entry = &mut self.entries[index];
         if entry.has_lease(now) {
-            entry.begin_runs(&mut self.draws, now);
+            entry.start_runs(&mut self.rng, now);
         }
-        if self.is_in_trouble() && self.draws.one_in(150) {
-            self.release_one(place);
+        if self.has_faults() && self.rng.one_in(150) {
+            self.release_one(index);
         }
     }
 
-    /// Gives back a job of which nothing runs.
-    fn release_one(&mut self, place: EntryPlace) {
-        let entry = &mut self.entries[place];
+    /// Releases a job without runs.
+    fn release_one(&mut self, index: EntryIndex) {
+        let entry = &mut self.entries[index];
         let runs = &entry.runs;
         let idle = entry.driving.iter();
         let mut idle = idle.filter(|(job, _)| !runs.iter().any(|run| run.job == **job));
@@ -431,7 +444,7 @@
         };
         let (job, epoch) = (job.clone(), driven.epoch);
         entry.driving.remove(&job);
-        entry.gone.insert((job.clone(), epoch));
+        entry.retired.insert((job.clone(), epoch));
         let driver = entry.driver;
         let is_clean = true;
         let released = ReleasedJob {
@@ -442,39 +455,39 @@
         self.send(Event::Release(driver, released));
     }
 
-    /// Ends the runs that are done or stopped.
+    /// Ends the runs that have finished or are stopped.
     fn end_runs(&mut self) {
-        for place in 0..ENTRIES {
+        for index in 0..ENTRIES {
             let now = self.now;
-            let runs = std::mem::take(&mut self.entries[place].runs);
+            let runs = std::mem::take(&mut self.entries[index].runs);
             for run in runs {
                 let stopped = run.stopped_at.is_some_and(|at| at <= now);
                 if !stopped && run.ends_at > now {
-                    self.entries[place].runs.push(run);
+                    self.entries[index].runs.push(run);
                     continue;
                 }
-                self.end_run(place, &run, !stopped);
+                self.end_run(index, &run, !stopped);
             }
         }
     }
 
-    fn end_run(&mut self, place: EntryPlace, run: &Run, is_over_by_itself: bool) {
-        self.history.runs.push(SeenRun {
+    fn end_run(&mut self, index: EntryIndex, run: &Run, is_finished: bool) {
+        self.history.runs.push(ObservedRun {
             job: run.job.clone(),
             task: run.task,
             epoch: run.epoch,
             from: run.from,
             to: self.now,
         });
-        if !is_over_by_itself {
+        if !is_finished {
             return;
         }
-        let outcome = if self.draws.one_in(12) {
+        let outcome = if self.rng.one_in(12) {
             EndOutcome::Failed
         } else {
             EndOutcome::Done
         };
-        let driven = self.entries[place].driving.get_mut(&run.job);
+        let driven = self.entries[index].driving.get_mut(&run.job);
         if outcome == EndOutcome::Done
             && let Some(driven) = driven.filter(|driven| driven.epoch == run.epoch)
         {
@@ -490,7 +503,7 @@
         self.ends.push((self.now, end));
     }
 
-    fn repeat_ends(&mut self) {
+    fn resend_ends(&mut self) {
         let now = self.now;
         let mut sent = Vec::new();
         for (at, end) in &mut self.ends {
@@ -528,7 +541,7 @@
     }
 
     fn submit(&mut self, id: JobId, tasks: u8) {
-        let place = self.draws.below(ENTRIES as u64) as usize;
+        let index = self.rng.below(ENTRIES as u64) as usize;
         let job = JobSubmission {
             id,
             queue: "queue".into(),
@@ -536,8 +549,8 @@
             body: vec![tasks],
             tasks: tasks.into(),
             max_attempts: 100,
-            driver: self.entries[place].driver,
+            driver: self.entries[index].driver,
         };
-        self.send(Event::Submit(place, job));
+        self.send(Event::Submit(index, job));
     }
 }
