--- a/crates/leased/cloverfold_control/src/state/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep.rs
@@ -188,7 +188,7 @@
                     let _ = self.append_upkeep(command);
                 }
                 SchedulerAction::HoldTarget(target) => {
-                    self.tell_guard(&target, TARGET_HOLD_DURATION)
+                    self.tell_guard(&target, TARGET_HOLD_DURATION);
                 }
                 SchedulerAction::QueryLoad(target) => self.tell_guard(&target, Duration::ZERO),
                 SchedulerAction::Call(_) | SchedulerAction::ReadList => calls.push(step),
