--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -11,9 +11,9 @@
 use cloverfold_base::{Timestamp, random_u64};
 use cloverfold_consensus::{DiskIdentity, Record, Replica, ReplicaConfig, ReplicaId, Store};
 use cloverfold_evacuation::HallNames;
-use cloverfold_http::{HttpLimits, ListenError, Request, Serving, StopPhase, serve_at};
+use cloverfold_http::{HttpLimits, ListenError, Request, ServerHandle, ShutdownPhase, serve_at};
 use cloverfold_leased_process::{
-    ListeningPeerPort, PeerPort, Shared, serve_state_operations, start_ticks,
+    ListeningPeerPort, PeerPort, Shared, serve_state_operations, tick_interval,
 };
 use cloverfold_leased_settings::ControlSettings;
 use cloverfold_link::MAX_FRAME_LEN;
@@ -46,8 +46,8 @@
 /// A control process that runs.
 pub struct ControlProcess {
     state: Shared<ControlState>,
-    operators: Serving,
-    _operations: Option<Serving>,
+    operators: ServerHandle,
+    _operations: Option<ServerHandle>,
     /// Aborted on drop.
     _tasks: JoinSet<()>,
 }
@@ -66,7 +66,7 @@
 
     /// Answers the calls under way and stops.
     pub async fn stop(self) {
-        self.operators.advance(StopPhase::Closing);
+        self.operators.advance(ShutdownPhase::Closing);
         // A client that never ends its request is cut off.
         let _ = timeout(STOP_TIMEOUT, self.operators.wait_closed()).await;
         log::info!("stopped");
@@ -135,7 +135,7 @@
     Ok(ControlState::new(
         own,
         ReplicaHost::new(replica, disk),
-        port.dial_peers(),
+        port.dialed_peers(),
         bootstrap,
         memory,
         plan_jobs(settings, identity.id, disk_events),
@@ -153,7 +153,7 @@
         groups: GroupSettings {
             replica,
             voters: 2 * settings.tolerated_losses + 1,
-            status: settings.status(),
+            status: settings.status_retention(),
         },
         seeds: settings.peer.seed_addresses(),
         data_folder: settings.data_folder.clone(),
@@ -193,7 +193,7 @@
     settings: &ControlSettings,
     state: &Shared<ControlState>,
     interface: Arc<dyn OperatorInterface>,
-) -> Result<Serving, ListenError> {
+) -> Result<ServerHandle, ListenError> {
     let address = settings.operator_address;
     let name = settings.peer.name.clone();
     let halls = HallNames::new(settings.halls.iter().cloned());
@@ -218,7 +218,7 @@
 fn start_operations(
     settings: &ControlSettings,
     state: &Shared<ControlState>,
-) -> Result<Option<Serving>, ListenError> {
+) -> Result<Option<ServerHandle>, ListenError> {
     let metrics = ControlMetrics::new();
     serve_state_operations(
         settings.peer.metrics_address(),
@@ -239,7 +239,7 @@
     let state = state.clone();
     tasks.spawn(async move {
         state.lock().begin(&seeds);
-        let mut ticks = start_ticks(TICK);
+        let mut ticks = tick_interval(TICK);
         loop {
             tokio::select! {
                 Some(event) = link_rx.recv() => state.lock().link_event(event),
--- a/crates/leased/cloverfold_leased_settings/src/upkeep.rs
+++ b/crates/leased/cloverfold_leased_settings/src/upkeep.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cloverfold_settings::FaultList;
+use cloverfold_settings::ValidationErrors;
 use serde::Deserialize;
 
 /// How control processes call for the upkeep of boxes; without these settings they take no order of a wave.
@@ -69,7 +69,7 @@
 
 impl UpkeepSettings {
     /// Returns how long a box is away for its upkeep.
-    pub fn maintenance(&self) -> Duration {
+    pub fn maintenance_duration(&self) -> Duration {
         Duration::from_secs_f64(self.maintenance_s)
     }
 
@@ -79,44 +79,44 @@
     }
 
     /// Returns how long a process leaves a box alone that another may have called.
-    pub fn quiet_span(&self) -> Duration {
+    pub fn takeover_delay(&self) -> Duration {
         Duration::from_millis(self.lease_ms + self.thaw_ms)
     }
 
     /// Returns how long a box gets no new work before it is called.
-    pub fn empty_span(&self) -> Duration {
+    pub fn drain_duration(&self) -> Duration {
         Duration::from_millis(self.empty_ms)
     }
 
     /// Returns the span between two calls that keeps to half of the platform's rate: a process that is being replaced may still call.
-    pub fn call_spacing(&self) -> Duration {
+    pub fn call_interval(&self) -> Duration {
         Duration::from_secs_f64(2.0 / self.calls_per_second)
     }
 
     /// Returns the span between two readings that keeps to half of the platform's rate.
-    pub fn reading_spacing(&self) -> Duration {
+    pub fn reading_interval(&self) -> Duration {
         Duration::from_secs_f64(2.0 / self.readings_per_second)
     }
 
-    pub(crate) fn check(&self, faults: &mut FaultList) {
+    pub(crate) fn validate(&self, errors: &mut ValidationErrors) {
         let is_rate = |rate: f64| (0.01..=1e6).contains(&rate);
         let is_span = |seconds: f64| (0.0..=86_400.0).contains(&seconds);
-        faults.add_if(
+        errors.add_if(
             !is_rate(self.calls_per_second),
             "upkeep.calls_per_second",
             "must be from 0.01 to 1000000",
         );
-        faults.add_if(
+        errors.add_if(
             !is_rate(self.readings_per_second),
             "upkeep.readings_per_second",
             "must be from 0.01 to 1000000",
         );
-        faults.add_if(
+        errors.add_if(
             !is_span(self.maintenance_s),
             "upkeep.maintenance_s",
             "must be from 0 to 86400",
         );
-        faults.add_if(
+        errors.add_if(
             !is_span(self.list_lag_s),
             "upkeep.list_lag_s",
             "must be from 0 to 86400",
