--- a/crates/leased/cloverfold_consensus/src/lib.rs
+++ b/crates/leased/cloverfold_consensus/src/lib.rs
@@ -1,14 +1,15 @@
-//! The replicated log of the control processes.
+//! Raft consensus: the replicated log of the control processes.
 //!
-//! [`Replica`] is the state machine: terms, pre-vote, votes, log, commit, snapshots, changes of members one at a time. It owns its copy
-//! of the log in memory and has no I/O and no clock; what it wants written and sent comes out as a [`Ready`] batch. [`Store`] owns the
-//! file of a replica, in checksummed records, and is used from a thread of its own, since a sync may hang for seconds.
+//! [`Replica`] is the state machine: terms, pre-vote, elections, log replication, commit, snapshots and single-server membership changes.
+//! It keeps its log in memory, performs no I/O and reads no clock; a [`Ready`] batch holds what the caller must write, send and apply.
+//! [`Store`] persists the records of one replica in a checksummed file. Use it from a dedicated thread, because a sync can block for
+//! seconds.
 //!
-//! Relies on the process around a replica to keep these rules:
+//! The caller must keep these rules:
 //!
-//! - records are written in order, and [`Replica::mark_synced`] is called only after they were synced;
-//! - messages marked [`OutgoingMessage::after_sync`] wait for the records of their batch;
-//! - a replica that starts with an empty disk gets a new identity ([`ReplicaId`]) and votes only after the group has added it.
+//! - it writes records in order, and calls [`Replica::mark_synced`] only after they are synced;
+//! - it sends a message with [`OutgoingMessage::after_sync`] only once the records of its batch are synced;
+//! - it gives a replica with an empty disk a new [`ReplicaId`]; the replica votes only after the group has added it.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_consensus/src/log_entries.rs
+++ b/crates/leased/cloverfold_consensus/src/log_entries.rs
@@ -1,6 +1,6 @@
-//! Entries of the log, and the snapshot in place of its beginning.
+//! Log entries and snapshots.
 //!
-//! [`Log`] owns the entries that a replica holds in memory; the types around it are written to disk and sent.
+//! [`Log`] is the in-memory log of a replica. [`Entry`], [`Payload`] and [`Snapshot`] are also written to disk and sent to other replicas.
 
 use std::collections::VecDeque;
 
@@ -8,47 +8,47 @@
 
 use crate::members::Members;
 
-/// Number of a term; each term has at most one leader, and the number only rises.
+/// Number of a term. Terms increase monotonically and have at most one leader each.
 pub type Term = u64;
-/// Index of an entry in the log, from 1.
+/// Index of a log entry, starting at 1.
 pub type LogIndex = u64;
 
 /// The content of an entry. The order of the variants is the format on disk and on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a leader's first entry of its term.
+    /// The no-op that a leader appends at the start of its term.
     Empty,
-    /// A command for the replicated state.
+    /// A command for the replicated state machine.
     Command(Vec<u8>),
-    /// The members from this entry on.
+    /// A membership change, effective as soon as a replica appends this entry.
     Members(Members),
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its index.
+    /// Position in the log.
     pub index: LogIndex,
-    /// The term of the leader that appended it.
+    /// The term of the leader that appended the entry.
     pub term: Term,
-    /// Its content.
+    /// The content.
     pub payload: Payload,
 }
 
-/// The replicated state after all entries up to `index`.
+/// The replicated state after applying all entries up to `index`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Index of the last entry that it contains.
+    /// Index of the last entry that the snapshot includes.
     pub index: LogIndex,
     /// Term of that entry.
     pub term: Term,
-    /// The members after that entry.
+    /// The members as of that entry.
     pub members: Members,
-    /// The replicated state.
+    /// The encoded replicated state.
     pub state: Vec<u8>,
 }
 
-/// A snapshot and the entries after it.
+/// A snapshot and the entries that follow it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     pub(crate) snapshot: Snapshot,
@@ -79,7 +79,7 @@
         self.entries.len()
     }
 
-    /// Returns the term of an entry that is in the log, or is the last of the snapshot.
+    /// Returns the term of an entry in the log, or of the last entry that the snapshot includes.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -92,8 +92,8 @@
         self.entries.get(offset as usize)
     }
 
-    /// Returns the entries after `index`, at most `max`.
-    pub(crate) fn after(&self, index: LogIndex, max: usize) -> Vec<Entry> {
+    /// Returns at most `max` entries after `index`.
+    pub(crate) fn entries_after(&self, index: LogIndex, max: usize) -> Vec<Entry> {
         let offset = index.saturating_sub(self.snapshot.index) as usize;
         self.entries
             .iter()
@@ -108,13 +108,13 @@
         self.entries.push_back(entry);
     }
 
-    /// Removes the entry at `index` and all after it.
+    /// Removes the entry at `index` and all later ones.
     pub(crate) fn truncate(&mut self, index: LogIndex) {
         let keep = index.saturating_sub(self.snapshot.index + 1) as usize;
         self.entries.truncate(keep);
     }
 
-    /// Replaces the entries up to the snapshot's index by it.
+    /// Replaces the entries up to the snapshot's index with the snapshot.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         while self
             .entries
@@ -126,13 +126,13 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces everything by a snapshot of another replica.
+    /// Replaces the whole log with a snapshot from another replica.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
         self.entries.clear();
         self.snapshot = snapshot;
     }
 
-    /// Returns the newest members in the log, committed or not, and the index of their entry.
+    /// Returns the newest membership in the log, committed or not, and the index of its entry.
     pub(crate) fn newest_members(&self) -> (LogIndex, &Members) {
         let newest = self
             .entries
--- a/crates/leased/cloverfold_consensus/src/members.rs
+++ b/crates/leased/cloverfold_consensus/src/members.rs
@@ -1,37 +1,37 @@
-//! The replicas that vote.
+//! The voting members of a group.
 //!
-//! Members are entries of the log; which replicas become members is decided in `replica::replacement`.
+//! Membership is stored in the log; `replica::membership` decides when it changes.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Identity of one replica, drawn when its disk is first used; never that of an earlier disk.
+/// Identity of a replica, generated when its disk is first used. A replacement disk gets a new identity.
 pub type ReplicaId = u64;
 
-/// A replica that votes.
+/// A replica and its peer address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its identity.
+    /// The identity of the replica.
     pub id: ReplicaId,
-    /// Where its process listens to peers.
+    /// The address at which its process accepts peer connections.
     pub address: SocketAddr,
 }
 
-/// The voters. Every other replica is a learner: it receives the log and has no vote.
+/// The voters of a group. Every other replica is a learner, which receives the log but has no vote.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// The replicas whose majority decides, by identity.
+    /// The voters, sorted by identity.
     pub voters: Vec<Member>,
 }
 
 impl Members {
-    /// Returns whether a replica votes.
+    /// Returns whether a replica is a voter.
     pub fn contains(&self, id: ReplicaId) -> bool {
         self.voters.iter().any(|member| member.id == id)
     }
 
-    /// Returns how many voters are a majority.
+    /// Returns the number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
@@ -41,7 +41,7 @@
         self.voters.iter().find(|member| member.address == address)
     }
 
-    /// Returns these members and one more.
+    /// Returns a copy with `member` added.
     #[must_use]
     pub fn with(&self, member: Member) -> Self {
         let mut voters = self.voters.clone();
@@ -50,7 +50,7 @@
         Self { voters }
     }
 
-    /// Returns these members without one.
+    /// Returns a copy without the replica `id`.
     #[must_use]
     pub fn without(&self, id: ReplicaId) -> Self {
         let voters = self.voters.iter().filter(|member| member.id != id);
--- a/crates/leased/cloverfold_consensus/src/messages.rs
+++ b/crates/leased/cloverfold_consensus/src/messages.rs
@@ -1,104 +1,104 @@
-//! Messages between replicas.
-//!
-//! Fields and variants stand in the order of the bytes on the wire.
+//! Messages between replicas. The order of fields and variants is the wire format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::log_entries::{Entry, LogIndex, Snapshot, Term};
 
-/// Asks for a vote, or in a pre-vote whether one would be given.
+/// Requests a vote or, as a pre-vote, asks whether the receiver would grant one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// The candidate's term; in a pre-vote, the term that it would begin.
+    /// The candidate's term; in a pre-vote, the term that it would start.
     pub term: Term,
-    /// Whether this is a pre-vote, which promises nothing.
+    /// Whether this is a pre-vote, which does not bind the voter.
     pub is_pre_vote: bool,
     /// Index of the last entry in the candidate's log.
     pub last_index: LogIndex,
-    /// Term of that entry.
+    /// Term of the last entry in the candidate's log.
     pub last_term: Term,
 }
 
-/// The answer to a [`VoteRequest`].
+/// The reply to a [`VoteRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// The term that was asked for if the vote is granted, else the voter's term.
+    /// The requested term if the vote is granted, otherwise the voter's term.
     pub term: Term,
-    /// As in the request.
+    /// Copied from the request.
     pub is_pre_vote: bool,
-    /// Whether the vote is granted.
+    /// Whether the voter grants the vote.
     pub is_granted: bool,
 }
 
-/// Entries of the leader's log; a heartbeat if there are none.
+/// Replicates entries of the leader's log; a heartbeat if there are none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendEntries {
     /// The leader's term.
     pub term: Term,
-    /// Index of the entry before those that are sent.
+    /// Index of the entry immediately before `entries`.
     pub previous_index: LogIndex,
-    /// Term of the entry before those that are sent.
+    /// Term of the entry immediately before `entries`.
     pub previous_term: Term,
     /// The entries, in order.
     pub entries: Vec<Entry>,
-    /// Index of the last entry that is known to the leader to be committed.
+    /// The leader's commit index.
     pub commit: LogIndex,
-    /// Number of the leader's round of messages. The reply echoes it, which proves that the leader was followed after it began the round.
+    /// The leader's round number. The reply echoes it, which proves that the follower still followed this leader after the round began.
     pub round: u64,
 }
 
-/// The answer to an [`AppendEntries`] or an [`InstallSnapshot`].
+/// The reply to an [`AppendEntries`] or an [`InstallSnapshot`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendReply {
     /// The follower's term.
     pub term: Term,
-    /// Whether the follower's log has the entry before those that were sent.
+    /// Whether the follower's log contains the entry at `previous_index`.
     pub is_matching: bool,
-    /// If matching, the last entry that is the leader's and synced at the follower; else the entry after which the leader should try.
+    /// If matching, the last entry that matches the leader's log and is synced at the follower; otherwise the `previous_index` that the
+    /// leader should try next.
     pub index: LogIndex,
-    /// As sent.
+    /// Copied from the request.
     pub round: u64,
 }
 
-/// The state, in place of entries that the leader's log no longer has.
+/// Sends a snapshot in place of entries that the leader's log no longer contains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstallSnapshot {
     /// The leader's term.
     pub term: Term,
-    /// The state.
+    /// The snapshot.
     pub snapshot: Snapshot,
-    /// As in [`AppendEntries`].
+    /// The leader's round number, as in [`AppendEntries`].
     pub round: u64,
 }
 
-/// A part of a state that is too long for one message. The parts are sent in order; one that does not follow the last is passed over.
+/// One part of a snapshot whose state is too long for one message. The leader sends the parts in order; the follower ignores a part that
+/// is out of order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotPart {
     /// The leader's term.
     pub term: Term,
-    /// The snapshot, with this part of its state alone.
+    /// The snapshot, with only this part of its state.
     pub snapshot: Snapshot,
-    /// Where the part begins in the state, in bytes.
+    /// Offset of the part within the state, in bytes.
     pub offset: u64,
     /// Length of the whole state, in bytes.
     pub len: u64,
-    /// As in [`AppendEntries`].
+    /// The leader's round number, as in [`AppendEntries`].
     pub round: u64,
 }
 
-/// A message from one replica to another. The order of the variants is the format on the wire.
+/// A message from one replica to another. The order of the variants is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for a vote.
+    /// Requests a vote or a pre-vote.
     Vote(VoteRequest),
-    /// Answers a request for a vote.
+    /// Replies to a vote request.
     VoteReply(VoteReply),
     /// Sends entries or a heartbeat.
     Append(AppendEntries),
-    /// Acknowledges or refuses entries.
+    /// Acknowledges or rejects entries.
     AppendReply(AppendReply),
-    /// Sends a snapshot.
+    /// Sends a whole snapshot.
     InstallSnapshot(InstallSnapshot),
-    /// Sends part of a snapshot; only where [`ReplicaConfig::max_snapshot_bytes`](crate::ReplicaConfig::max_snapshot_bytes) is set.
+    /// Sends part of a snapshot; used only if [`ReplicaConfig::max_snapshot_bytes`](crate::ReplicaConfig::max_snapshot_bytes) is set.
     SnapshotPart(SnapshotPart),
 }
--- a/crates/leased/cloverfold_consensus/src/record_codec.rs
+++ b/crates/leased/cloverfold_consensus/src/record_codec.rs
@@ -1,26 +1,25 @@
-//! The bytes of the records of a file.
+//! The on-disk encoding of records.
 //!
-//! A record is its length and its CRC-32, each as four bytes in little-endian order, and its body in the postcard format. Bytes after
-//! the last record that is complete and has the right checksum are ignored: they were never acknowledged.
+//! A record consists of its length and its CRC-32, each a little-endian `u32`, followed by its body in postcard format. Reading stops at
+//! the first incomplete or corrupt record; the bytes from there on were never acknowledged.
 
 use crate::records::{Record, RecoveredState};
 
-/// Length and checksum before each record, in bytes.
-const HEADER_LEN: usize = 8;
-/// Longest record that is read, in bytes; a longer length counts as damage. Chosen, not measured: four times the longest
-/// configuration that a control process accepts.
-const MAX_RECORD_LEN: usize = 64 * 1024 * 1024;
+/// Size of the length and checksum in front of each record.
+const HEADER_BYTES: usize = 8;
+/// Longest record that a reader accepts, four times the longest accepted configuration. A greater length is treated as corruption.
+const MAX_RECORD_BYTES: usize = 64 * 1024 * 1024;
 
-/// The records that stand at the beginning of a file.
+/// The result of reading the valid records of a file.
 #[derive(Debug)]
 pub(crate) struct ReadRecords {
-    /// The state that they add up to.
+    /// The state after applying all valid records.
     pub(crate) state: RecoveredState,
-    /// Their length, in bytes.
+    /// Length of the valid records, in bytes.
     pub(crate) len: usize,
 }
 
-/// Appends a record to `buf`.
+/// Appends an encoded record to `buf`.
 ///
 /// # Errors
 ///
@@ -33,7 +32,7 @@
     Ok(())
 }
 
-/// Reads the records of a file up to the first that is damaged or incomplete.
+/// Reads records up to the first that is corrupt or incomplete.
 pub(crate) fn read_records(bytes: &[u8]) -> ReadRecords {
     let mut state = RecoveredState::default();
     let mut offset = 0;
@@ -44,17 +43,17 @@
     ReadRecords { state, len: offset }
 }
 
-/// Reads one record; returns it and its length with the header.
+/// Reads one record and returns it with its total length, header included.
 fn read_record(bytes: &[u8]) -> Option<(Record, usize)> {
     let len = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
-    let checksum = u32::from_le_bytes(bytes.get(4..HEADER_LEN)?.try_into().ok()?);
-    if len == 0 || len > MAX_RECORD_LEN {
+    let checksum = u32::from_le_bytes(bytes.get(4..HEADER_BYTES)?.try_into().ok()?);
+    if len == 0 || len > MAX_RECORD_BYTES {
         return None;
     }
-    let body = bytes.get(HEADER_LEN..HEADER_LEN + len)?;
+    let body = bytes.get(HEADER_BYTES..HEADER_BYTES + len)?;
     if crc32fast::hash(body) != checksum {
         return None;
     }
     let record = postcard::from_bytes(body).ok()?;
-    Some((record, HEADER_LEN + len))
+    Some((record, HEADER_BYTES + len))
 }
--- a/crates/leased/cloverfold_consensus/src/records.rs
+++ b/crates/leased/cloverfold_consensus/src/records.rs
@@ -1,74 +1,72 @@
-//! The records of a replica, and the state that they add up to.
+//! The records that a replica persists, and the state recovered from them.
 //!
-//! [`RecoveredState`] is what a replica starts from; applying all records of a file in order yields it.
+//! Applying all records of a file in order yields the [`RecoveredState`] from which a replica starts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::log_entries::{Entry, LogIndex, Snapshot, Term};
 use crate::members::ReplicaId;
 
-/// A change of the state that must survive a restart. The order of the variants is the format on disk.
+/// A state change that must survive a restart. The order of the variants is the format on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The identity that was drawn for this disk, and whether its process may begin a group.
+    /// The identity generated for this disk, and whether its process may bootstrap a group.
     Identity {
         /// The identity.
         id: ReplicaId,
-        /// Whether the operator declared the first start of the whole installation when the disk was first used.
+        /// Whether the settings declared the first start of the whole installation when the disk was first used.
         may_bootstrap: bool,
     },
-    /// The term, and who got the vote in it.
+    /// The current term and the vote cast in it.
     HardState {
         /// The term.
         term: Term,
-        /// The vote.
+        /// The candidate that received the vote, if any.
         voted_for: Option<ReplicaId>,
     },
-    /// An entry of the log.
+    /// A log entry.
     Entry(Entry),
-    /// All entries from here on are removed.
+    /// Removes all entries from an index on.
     Truncate {
         /// Index of the first removed entry.
         from: LogIndex,
     },
-    /// All entries up to here are committed. Nothing waits for this record: it lets a restarted replica apply entries before a leader
-    /// sends it the committed index.
+    /// The commit index. No message waits for this record; it lets a restarted replica apply entries before it hears from a leader.
     Commit {
         /// Index of the last committed entry.
         index: LogIndex,
     },
-    /// The state after all entries up to its index; it replaces all entries that were recorded before it.
+    /// A snapshot; it replaces all entries recorded before it.
     Snapshot(Snapshot),
 }
 
-/// The identity of a disk, drawn when it was first used.
+/// The identity of a disk, generated when the disk was first used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiskIdentity {
     /// The identity of the replica that uses the disk.
     pub id: ReplicaId,
-    /// Whether its process may begin a group.
+    /// Whether its process may bootstrap a group.
     pub may_bootstrap: bool,
 }
 
-/// The state that a store had recorded when it was opened.
+/// The state that a store recovers when it is opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredState {
-    /// The identity of the disk; `None` if it was never used.
+    /// The identity of the disk; `None` if the disk is new.
     pub identity: Option<DiskIdentity>,
     /// The current term.
     pub term: Term,
-    /// Who got this replica's vote in that term.
+    /// The candidate that received this replica's vote in that term.
     pub voted_for: Option<ReplicaId>,
-    /// Index up to which all entries are known to be committed; more may be.
+    /// The last recorded commit index; later entries may be committed too.
     pub commit: LogIndex,
-    /// The last snapshot.
+    /// The newest snapshot.
     pub snapshot: Snapshot,
-    /// The entries after it.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
 impl RecoveredState {
-    /// Applies one record.
     pub(crate) fn apply(&mut self, record: Record) {
         match record {
             Record::Identity { id, may_bootstrap } => {
@@ -91,7 +89,7 @@
         }
     }
 
-    /// Returns the fewest records that yield this state.
+    /// Returns the minimal list of records that yields this state.
     pub(crate) fn to_records(&self) -> Vec<Record> {
         let mut records = Vec::new();
         if let Some(DiskIdentity { id, may_bootstrap }) = self.identity {
--- a/crates/leased/cloverfold_consensus/src/replica/commit.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/commit.rs
@@ -1,13 +1,8 @@
-//! Decision: which entries are committed.
+//! Advances the commit index.
 //!
-//! Rule: a leader commits up to the highest index that a majority of the voters has synced, if that entry is of its own term. It counts
-//! itself only as far as its own disk has synced. Followers commit up to the index that the leader sends, as far as their log matches
-//! the leader's.
-//!
-//! Inputs: for each voter the last index that it reported as synced.
-//!
-//! Reason: an entry that a majority has synced is in the log of every later leader; of an entry of an earlier term that is only true
-//! once an entry of the leader's own term follows it.
+//! A leader commits up to the highest index that a majority of the voters has synced, provided that entry is of its own term: an entry of
+//! an earlier term is safe only once an entry of the leader's own term follows it. The leader counts itself only up to what its own disk
+//! has synced. A follower commits up to the leader's commit index, as far as its log matches the leader's.
 
 use cloverfold_base::Timestamp;
 
@@ -16,7 +11,7 @@
 use crate::records::Record;
 
 impl Replica {
-    /// Commits what a majority has synced, and tells the followers.
+    /// Commits what a majority has synced and informs the followers.
     pub(super) fn advance_commit(&mut self, now: Timestamp) {
         let Some(index) = self.find_majority_index() else {
             return;
@@ -25,7 +20,7 @@
             return;
         }
         self.commit_to(index);
-        // Followers learn of it at once rather than with the next heartbeat, so that a configuration is in force soon.
+        // Does not wait for the next heartbeat, so that followers apply the entries without delay.
         self.broadcast(now);
         self.step_down_if_removed(now);
     }
@@ -39,13 +34,13 @@
                 if member.id == self.id {
                     return self.sync_progress.synced();
                 }
-                let progress = self.leading.progress.get(&member.id);
-                progress.map_or(0, |progress| progress.matching)
+                let progress = self.leader_state.progress.get(&member.id);
+                progress.map_or(0, |progress| progress.match_index)
             })
             .collect();
         synced.sort_unstable();
-        let place = synced.len().checked_sub(members.majority())?;
-        synced.get(place).copied()
+        let position = synced.len().checked_sub(members.majority())?;
+        synced.get(position).copied()
     }
 
     fn step_down_if_removed(&mut self, now: Timestamp) {
@@ -55,12 +50,12 @@
         }
     }
 
-    /// Returns whether this leader has committed an entry of its own term; only then does it know what is committed.
+    /// Returns whether this leader has committed an entry of its own term; before that, its commit index may be too low.
     pub(super) fn has_committed_in_term(&self) -> bool {
         self.log.term_at(self.commit) == Some(self.term)
     }
 
-    /// Raises the committed index.
+    /// Raises the commit index; never lowers it.
     pub(super) fn commit_to(&mut self, index: LogIndex) {
         if index > self.commit {
             self.commit = index;
@@ -68,8 +63,8 @@
         }
     }
 
-    /// Records the committed index with the next other records, at the latest after `commit_delay`. The record lets a restarted replica
-    /// apply these entries before a leader sends it the index; nothing else waits for it.
+    /// Records the commit index together with other records, or alone once `commit_delay` has passed. The record lets a restarted replica
+    /// apply these entries before it hears from a leader; no message waits for it.
     pub(super) fn record_commit(&mut self) {
         let Some(since) = self.commit_unrecorded_since else {
             return;
@@ -82,7 +77,7 @@
         }
     }
 
-    /// Hands out the committed entries that were not handed out yet.
+    /// Moves committed entries that are not delivered yet to the ready batch.
     pub(super) fn deliver_committed(&mut self) {
         while self.applied < self.commit {
             let Some(entry) = self.log.get(self.applied + 1).cloned() else {
--- a/crates/leased/cloverfold_consensus/src/replica/compaction.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/compaction.rs
@@ -1,24 +1,20 @@
-//! Decision: when a snapshot replaces the beginning of the log.
+//! Log compaction: a snapshot replaces the applied entries once the log holds `compaction_threshold` entries.
 //!
-//! Rule: once the log holds `compaction_threshold` entries, what is applied is replaced by a snapshot of the state after it.
-//!
-//! Inputs: the length of the log, the applied index.
-//!
-//! Reason: memory, the file and the time to start stay bounded; a replica that lacks older entries gets the snapshot.
+//! This bounds the memory, the file and the start time. A replica that lacks compacted entries receives the snapshot instead.
 
 use super::Replica;
 use crate::log_entries::{Entry, LogIndex, Payload, Snapshot};
 use crate::members::Members;
 use crate::records::Record;
 
-/// Index and term of the snapshot with which a group begins.
+/// Index and term of the bootstrap snapshot.
 const FIRST_INDEX: LogIndex = 1;
 
 impl Replica {
-    /// Begins the log of a new group with its members and state; does nothing if this replica has a log already.
+    /// Bootstraps a new group with the given members and state; does nothing if this replica already has a log.
     ///
-    /// Only if there was never a group, and only by one replica, or by several that all begin with the same members and state: then each
-    /// has the same first entry, as if one had sent it to the others. A replica whose disk was lost must have another identity.
+    /// The caller must ensure that no group existed before, and that either only one replica bootstraps it or all of them use the same
+    /// members and state, so that their logs agree. A replica that lost its disk must come back under a new identity.
     pub fn bootstrap(&mut self, members: Members, state: Vec<u8>) {
         if self.log.last_index() > 0 {
             return;
@@ -34,7 +30,8 @@
         self.restore_snapshot(snapshot);
     }
 
-    /// Replaces the log up to `index`, which must be applied, by the state after it, if the log has become long.
+    /// Compacts the log up to `index` if it has reached the compaction threshold. The entries up to `index` must be applied, and `state`
+    /// must return the state after them.
     pub fn maybe_compact(&mut self, index: LogIndex, state: impl FnOnce() -> Vec<u8>) {
         if self.log.len() < self.config.compaction_threshold || index <= self.log.snapshot.index {
             return;
@@ -50,7 +47,7 @@
         };
         self.log.compact(snapshot.clone());
         self.ready.records.push(Record::Snapshot(snapshot));
-        // A snapshot on disk voids all entries before it in the file, also those that it does not contain.
+        // A snapshot record discards all entry records before it, so the entries after the snapshot must be written again.
         let kept: Vec<Entry> = self.log.entries().cloned().collect();
         self.ready
             .records
@@ -67,7 +64,7 @@
         members
     }
 
-    /// Replaces the whole log by a snapshot, and what was applied by its state.
+    /// Replaces the whole log with a snapshot and the applied state with the snapshot's state.
     pub(super) fn restore_snapshot(&mut self, snapshot: Snapshot) {
         self.commit = snapshot.index;
         self.applied = snapshot.index;
--- a/crates/leased/cloverfold_consensus/src/replica/election.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/election.rs
@@ -1,14 +1,10 @@
-//! Decision: who becomes leader.
+//! Leader election with pre-votes.
 //!
-//! Rule: a replica whose election timer has run out first asks in a pre-vote whether it would win, and begins a term only if a majority
-//! of the voters grants it; it leads once a majority has voted for it in that term. A voter grants a vote once a term, and only to a
-//! replica whose log ends at least as late as its own (by term, then by index). In a pre-vote it promises nothing, and refuses while
-//! a leader's message has arrived within `election_timeout_min`.
-//!
-//! Inputs: the votes of the current term, the ends of both logs, the time since a leader's message arrived (ms).
-//!
-//! Reason: a majority and one vote a term give at most one leader a term; the comparison of logs keeps committed entries. The pre-vote
-//! keeps a replica that was cut off from ending the term of a leader that is alive.
+//! A replica whose election timer expires first holds a pre-vote, and starts an election in a new term only if a majority of the voters
+//! grants that. It becomes leader once a majority has voted for it. A voter grants one vote per term, and only to a candidate whose log
+//! is at least as up to date as its own (by last term, then by last index), so that a new leader has all committed entries. A pre-vote
+//! does not bind the voter, which rejects it if it heard from a leader within `election_timeout_min`; a replica returning from a
+//! partition therefore does not depose a live leader.
 
 use cloverfold_base::Timestamp;
 
@@ -17,15 +13,15 @@
 use crate::messages::{Message, VoteReply, VoteRequest};
 
 impl Replica {
-    /// Begins a pre-vote if the election timer has run out and this replica may vote.
-    pub(super) fn start_due_election(&mut self, now: Timestamp) {
-        // A replica whose disk is busy would be a slow leader, and it must not start an election while an earlier vote is being written.
+    /// Starts a pre-vote if the election timer has expired and this replica is a voter.
+    pub(super) fn start_election_if_due(&mut self, now: Timestamp) {
+        // A replica with a busy disk would be a slow leader, and must not start an election before its earlier vote is synced.
         if self.election_timer.is_due(now) && self.is_voter() && self.sync_progress.is_idle() {
-            self.begin_pre_vote(now);
+            self.start_pre_vote(now);
         }
     }
 
-    fn begin_pre_vote(&mut self, now: Timestamp) {
+    fn start_pre_vote(&mut self, now: Timestamp) {
         self.role = Role::PreCandidate;
         self.leader = None;
         self.votes = vec![self.id];
@@ -34,7 +30,7 @@
         self.count_votes(now);
     }
 
-    fn begin_election(&mut self, now: Timestamp) {
+    fn start_election(&mut self, now: Timestamp) {
         self.role = Role::Candidate;
         self.term += 1;
         self.voted_for = Some(self.id);
@@ -45,8 +41,8 @@
         self.count_votes(now);
     }
 
-    /// Sends every other voter a request. Requests for a vote wait until this replica's own vote is synced, so that it may be counted
-    /// together with the replies; requests of a pre-vote don't wait.
+    /// Requests votes from all other voters. Vote requests wait until this replica's own vote is synced, because that vote counts towards
+    /// the majority; pre-vote requests do not wait.
     fn request_votes(&mut self, is_pre_vote: bool) {
         let term = if is_pre_vote {
             self.term + 1
@@ -72,17 +68,22 @@
             .collect()
     }
 
-    pub(super) fn receive_vote(&mut self, from: ReplicaId, vote: &VoteRequest, now: Timestamp) {
+    pub(super) fn handle_vote_request(
+        &mut self,
+        from: ReplicaId,
+        vote: &VoteRequest,
+        now: Timestamp,
+    ) {
         if vote.is_pre_vote {
-            self.answer_pre_vote(from, vote, now);
+            self.reply_to_pre_vote(from, vote, now);
         } else {
-            self.answer_vote(from, vote, now);
+            self.reply_to_vote(from, vote, now);
         }
     }
 
-    fn answer_pre_vote(&mut self, from: ReplicaId, vote: &VoteRequest, now: Timestamp) {
+    fn reply_to_pre_vote(&mut self, from: ReplicaId, vote: &VoteRequest, now: Timestamp) {
         let is_granted =
-            vote.term > self.term && self.is_log_current(vote) && !self.has_recent_leader(now);
+            vote.term > self.term && self.is_log_up_to_date(vote) && !self.has_recent_leader(now);
         let reply = VoteReply {
             term: if is_granted { vote.term } else { self.term },
             is_pre_vote: true,
@@ -91,13 +92,13 @@
         self.send(from, Message::VoteReply(reply), false);
     }
 
-    fn answer_vote(&mut self, from: ReplicaId, vote: &VoteRequest, now: Timestamp) {
+    fn reply_to_vote(&mut self, from: ReplicaId, vote: &VoteRequest, now: Timestamp) {
         if vote.term > self.term {
             self.become_follower(vote.term, None, now);
         }
         let may_vote = self.voted_for.is_none_or(|candidate| candidate == from);
         let is_granted = vote.term == self.term
-            && self.is_log_current(vote)
+            && self.is_log_up_to_date(vote)
             && may_vote
             && self.role == Role::Follower;
         if is_granted {
@@ -113,23 +114,18 @@
         self.send(from, Message::VoteReply(reply), true);
     }
 
-    /// Returns whether the candidate's log ends at least as late as this replica's.
-    fn is_log_current(&self, vote: &VoteRequest) -> bool {
+    /// Returns whether the candidate's log is at least as up to date as this replica's.
+    fn is_log_up_to_date(&self, vote: &VoteRequest) -> bool {
         (vote.last_term, vote.last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
     fn has_recent_leader(&self, now: Timestamp) -> bool {
-        let contact_at = self.following.last_leader_contact_at;
+        let contact_at = self.follower_state.last_leader_contact_at;
         self.role == Role::Leader
             || contact_at.is_some_and(|at| now < at + self.config.election_timeout_min)
     }
 
-    pub(super) fn receive_vote_reply(
-        &mut self,
-        from: ReplicaId,
-        reply: &VoteReply,
-        now: Timestamp,
-    ) {
+    pub(super) fn handle_vote_reply(&mut self, from: ReplicaId, reply: &VoteReply, now: Timestamp) {
         if !reply.is_granted {
             if reply.term > self.term {
                 self.become_follower(reply.term, None, now);
@@ -154,7 +150,7 @@
             return;
         }
         match self.role {
-            Role::PreCandidate => self.begin_election(now),
+            Role::PreCandidate => self.start_election(now),
             Role::Candidate => self.become_leader(now),
             Role::Follower | Role::Leader => {}
         }
--- a/crates/leased/cloverfold_consensus/src/replica/following.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/follower.rs
@@ -1,7 +1,6 @@
-//! How a follower replicates the log of its leader.
+//! Log replication on a follower.
 //!
-//! Owns how far the log matches the present leader's and when a leader's message last arrived ([`FollowerState`]). It acknowledges only
-//! what both matches and is synced.
+//! A follower acknowledges only entries that both match the leader's log and are synced.
 
 use cloverfold_base::Timestamp;
 
@@ -11,58 +10,53 @@
 use crate::messages::{AppendEntries, AppendReply, InstallSnapshot, Message};
 use crate::records::Record;
 
-/// What a follower records of its leader.
+/// State that only a follower uses.
 #[derive(Debug, Default)]
 pub(super) struct FollowerState {
-    /// When a leader's message last arrived.
+    /// When the last message of a leader arrived.
     pub(super) last_leader_contact_at: Option<Timestamp>,
-    /// The leader's newest round; acknowledgements echo it.
+    /// The leader's newest round, echoed in acknowledgements.
     round: u64,
-    /// Last entry that is the same in the present leader's log.
-    pub(super) matched: LogIndex,
-    /// The parts of a snapshot that have come, in place of its whole state.
-    pub(super) partial: Option<Snapshot>,
+    /// Index of the last entry known to match the current leader's log.
+    pub(super) match_index: LogIndex,
+    /// A snapshot whose state holds the parts received so far.
+    pub(super) partial_snapshot: Option<Snapshot>,
 }
 
 impl Replica {
-    /// Follows the sender of a leader's message; refuses it if its term is over.
+    /// Follows the sender of a leader's message and returns `true`, or rejects the message if its term is outdated.
     pub(super) fn accept_leader(&mut self, from: ReplicaId, term: Term, now: Timestamp) -> bool {
         if term < self.term {
-            self.refuse_entries(from, 0, 0);
+            self.reject_entries(from, 0, 0);
             return false;
         }
         self.become_follower(term, Some(from), now);
-        self.following.last_leader_contact_at = Some(now);
+        self.follower_state.last_leader_contact_at = Some(now);
         true
     }
 
-    pub(super) fn receive_append(
-        &mut self,
-        from: ReplicaId,
-        append: AppendEntries,
-        now: Timestamp,
-    ) {
+    pub(super) fn handle_append(&mut self, from: ReplicaId, append: AppendEntries, now: Timestamp) {
         if !self.accept_leader(from, append.term, now) {
             return;
         }
-        self.following.round = append.round;
+        self.follower_state.round = append.round;
         let previous = append.previous_index;
         if !self.matches_at(previous, append.previous_term) {
             let index = self.log.last_index().min(previous.saturating_sub(1));
-            self.refuse_entries(from, index, append.round);
+            self.reject_entries(from, index, append.round);
             return;
         }
         let last_new = previous + append.entries.len() as u64;
         for entry in append.entries {
             self.store_entry(entry);
         }
-        self.following.matched = self.following.matched.max(last_new);
-        let known = append.commit.min(self.following.matched);
+        self.follower_state.match_index = self.follower_state.match_index.max(last_new);
+        let known = append.commit.min(self.follower_state.match_index);
         self.commit_to(known.min(self.log.last_index()));
         self.acknowledge(from);
     }
 
-    /// Returns whether the log has the leader's entry at `index`; what a snapshot contains is committed and the same everywhere.
+    /// Returns whether the log contains the leader's entry at `index`. Entries covered by the snapshot are committed and always match.
     fn matches_at(&self, index: LogIndex, term: Term) -> bool {
         index < self.log.snapshot.index || self.log.term_at(index) == Some(term)
     }
@@ -80,14 +74,14 @@
         self.log.push(entry);
     }
 
-    /// Removes all entries from `index` on: an earlier leader's that were never committed.
+    /// Removes all entries from `index` on, which an earlier leader appended and never committed.
     fn truncate_log(&mut self, index: LogIndex) {
         self.log.truncate(index);
         self.ready.records.push(Record::Truncate { from: index });
         self.sync_progress.truncate(index);
     }
 
-    pub(super) fn receive_snapshot(
+    pub(super) fn handle_snapshot(
         &mut self,
         from: ReplicaId,
         install: InstallSnapshot,
@@ -96,41 +90,44 @@
         if !self.accept_leader(from, install.term, now) {
             return;
         }
-        self.following.round = install.round;
+        self.follower_state.round = install.round;
         let index = install.snapshot.index;
         let has_entry = self.log.term_at(index) == Some(install.snapshot.term);
         if index > self.commit && has_entry {
-            // Entries after it may already count as durable here: keep them.
+            // Keeps the entries after the snapshot: this replica may already have acknowledged them.
             self.commit_to(index);
         } else if index > self.commit {
             self.restore_snapshot(install.snapshot);
         }
-        self.following.partial = None;
-        // What is committed is the same everywhere.
-        self.following.matched = self.following.matched.max(index);
+        self.follower_state.partial_snapshot = None;
+        // The snapshot covers only committed entries, which match on every replica.
+        self.follower_state.match_index = self.follower_state.match_index.max(index);
         self.acknowledge(from);
     }
 
-    /// Acknowledges to the leader, if it is known, what has become synced.
+    /// Acknowledges newly synced entries to the leader, if it is known.
     pub(super) fn acknowledge_synced(&mut self) {
         if let Some(leader) = self.leader {
             self.acknowledge(leader);
         }
     }
 
-    /// Reports the last entry that is the leader's and synced here.
+    /// Reports the last entry that matches the leader's log and is synced.
     fn acknowledge(&mut self, to: ReplicaId) {
         let reply = AppendReply {
             term: self.term,
             is_matching: true,
-            index: self.following.matched.min(self.sync_progress.synced()),
-            round: self.following.round,
+            index: self
+                .follower_state
+                .match_index
+                .min(self.sync_progress.synced()),
+            round: self.follower_state.round,
         };
         self.send(to, Message::AppendReply(reply), false);
     }
 
-    /// Refuses entries; the leader tries again after `index`.
-    fn refuse_entries(&mut self, to: ReplicaId, index: LogIndex, round: u64) {
+    /// Rejects entries; the leader retries with the entries after `index`.
+    fn reject_entries(&mut self, to: ReplicaId, index: LogIndex, round: u64) {
         let reply = AppendReply {
             term: self.term,
             is_matching: false,
--- a/crates/leased/cloverfold_consensus/src/replica/replacement.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/membership.rs
@@ -1,18 +1,14 @@
-//! Decision: which replicas vote, without an operator.
+//! Automatic membership changes, so that the group replaces a lost voter before it loses another.
 //!
-//! Rules, one change at a time and the next only once the last is committed:
+//! The leader changes one voter at a time, so that any majority of the old voters overlaps any majority of the new ones, and starts the
+//! next change only once the last is committed:
 //!
-//! 1. a voter whose address another replica uses now is removed: its disk was replaced;
-//! 2. a learner that has caught up becomes a voter while there are fewer voters than there should be;
-//! 3. a voter that was silent for `replace_after` is removed if a learner that has caught up can take its place.
+//! 1. It removes a voter whose address is now used by another identity: that voter's disk was replaced.
+//! 2. It promotes a caught-up learner while the group has fewer voters than configured.
+//! 3. It removes a voter that was silent for `replace_after` if a caught-up learner can take its place.
 //!
-//! A voter is removed only if a majority of the rest has replied within `election_timeout_max`, so that the change can be committed.
-//!
-//! Inputs: the newest members, the learners and their addresses, when each replica last replied and how far its log reaches.
-//!
-//! Reason: a group that waits for an operator after the loss of a box doesn't survive a second loss. With one change at a time any majority
-//! of the old voters and any majority of the new ones have a voter in common. Learners don't vote, so that a replica whose log is
-//! still short doesn't count for a majority (docs/design/7-control.md).
+//! It removes a voter only if a majority of the remaining ones has replied within `election_timeout_max`, so that the change can be
+//! committed. Learners do not vote, so that a replica with an incomplete log does not count towards a majority.
 
 use cloverfold_base::Timestamp;
 
@@ -20,11 +16,11 @@
 use crate::log_entries::{LogIndex, Payload};
 use crate::members::{Member, Members, ReplicaId};
 
-/// Entries that a learner may lack when it becomes a voter. Chosen, not measured: what is under way between two heartbeats.
+/// Number of entries that a learner may lack when it becomes a voter; these may be in flight between two heartbeats.
 const MAX_LEARNER_LAG: LogIndex = 2;
 
 impl Replica {
-    /// Adds a replica that receives the log without a vote. An earlier learner at the same address is forgotten.
+    /// Adds a replica that receives the log without a vote. Removes an earlier learner at the same address.
     pub fn add_learner(&mut self, member: Member) {
         if member.id == self.id {
             return;
@@ -35,7 +31,7 @@
         self.update_progress_if_leading();
     }
 
-    /// Forgets a learner whose link is closed.
+    /// Removes a learner, for example because its link has closed.
     pub fn remove_learner(&mut self, id: ReplicaId) {
         self.learners.remove(&id);
         self.update_progress_if_leading();
@@ -47,8 +43,8 @@
         }
     }
 
-    /// Changes the voters if that is due and the last change is committed.
-    pub(super) fn manage_members(&mut self, now: Timestamp) {
+    /// Changes the voters if necessary, provided that the last change is committed.
+    pub(super) fn update_membership(&mut self, now: Timestamp) {
         let (index, members) = self.log.newest_members();
         if index > self.commit || !self.has_committed_in_term() {
             return;
@@ -59,18 +55,18 @@
     }
 
     fn choose_next_members(&self, members: &Members, now: Timestamp) -> Option<Members> {
-        if let Some(gone) = self.find_replaced_voter(members) {
-            return self.remove_if_rest_can_commit(members, gone, now);
+        if let Some(replaced) = self.find_replaced_voter(members) {
+            return self.remove_if_remaining_can_commit(members, replaced, now);
         }
         let learner = self.find_caught_up_learner(members, now)?;
         if members.voters.len() < self.config.voters {
             return Some(members.with(learner.clone()));
         }
         let silent = self.find_silent_voter(members, now)?;
-        self.remove_if_rest_can_commit(members, silent, now)
+        self.remove_if_remaining_can_commit(members, silent, now)
     }
 
-    /// Finds a voter whose address another identity uses now: its process runs on a new disk.
+    /// Finds a voter whose address is now used by another identity, which means that its process runs on a new disk.
     fn find_replaced_voter(&self, members: &Members) -> Option<ReplicaId> {
         let mut learners = self.learners.values();
         learners.find_map(|learner| {
@@ -89,37 +85,37 @@
     }
 
     fn is_caught_up(&self, id: ReplicaId) -> bool {
-        let progress = self.leading.progress.get(&id);
+        let progress = self.leader_state.progress.get(&id);
         progress.is_some_and(|progress| {
-            progress.matching > 0 && progress.matching + MAX_LEARNER_LAG >= self.commit
+            progress.match_index > 0 && progress.match_index + MAX_LEARNER_LAG >= self.commit
         })
     }
 
-    /// Finds a voter that has not replied to this leader for `replace_after`; none before it has led for that long.
+    /// Finds a voter that has not replied to this leader for `replace_after`. Returns `None` until this replica has led for that long.
     fn find_silent_voter(&self, members: &Members, now: Timestamp) -> Option<ReplicaId> {
         let limit = self.config.replace_after;
-        if now < self.leading.since + limit {
+        if now < self.leader_state.since + limit {
             return None;
         }
         let others = members.voters.iter().filter(|member| member.id != self.id);
         let mut silent = others.filter(|member| {
-            let progress = self.leading.progress.get(&member.id);
+            let progress = self.leader_state.progress.get(&member.id);
             let last_reply_at = progress.and_then(|progress| progress.last_reply_at);
             last_reply_at.is_none_or(|at| now > at + limit)
         });
         silent.next().map(|member| member.id)
     }
 
-    fn remove_if_rest_can_commit(
+    fn remove_if_remaining_can_commit(
         &self,
         members: &Members,
-        gone: ReplicaId,
+        removed: ReplicaId,
         now: Timestamp,
     ) -> Option<Members> {
-        let rest = members.without(gone);
+        let remaining = members.without(removed);
         let span = self.config.election_timeout_max;
-        let voters = rest.voters.iter();
+        let voters = remaining.voters.iter();
         let replied = voters.filter(|member| self.has_replied_within(member.id, span, now));
-        (replied.count() >= rest.majority()).then_some(rest)
+        (replied.count() >= remaining.majority()).then_some(remaining)
     }
 }
--- a/crates/leased/cloverfold_consensus/src/replica/mod.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/mod.rs
@@ -1,30 +1,29 @@
 //! The state machine of one replica.
 //!
-//! [`Replica`] gets messages, synced batches and ticks as calls, and returns [`Ready`] batches: what to write, send and apply.
-//! It owns the term, the vote, the log, and a leader's or follower's view of the others. It has no I/O and reads no clock; it relies
-//! on the process for both.
+//! The caller passes messages, synced batches and ticks to a [`Replica`] and takes [`Ready`] batches, which say what to write, send and
+//! apply. The replica itself performs no I/O and reads no clock.
 //!
-//! | file | duty |
+//! | module | responsibility |
 //! |---|---|
-//! | `config` | figures |
-//! | `election_timer`, `election`, `transitions` | who leads, and since when |
-//! | `replication`, `following`, `snapshot_parts` | how entries and snapshots reach the followers |
-//! | `commit`, `quorum`, `reads` | what a majority has decided or proved |
-//! | `replacement` | which replicas vote |
-//! | `compaction` | the snapshot at the beginning of the log |
-//! | `sync_progress` | what this replica's disk has synced |
-//! | `ready`, `status` | what the process gets |
+//! | `config` | parameters |
+//! | `election_timer`, `election`, `transitions` | leader election and role changes |
+//! | `replication`, `follower`, `snapshot_parts` | replication of entries and snapshots |
+//! | `commit`, `quorum`, `reads` | commit index, quorum checks and linearizable reads |
+//! | `membership` | changes of the voters |
+//! | `compaction` | bootstrap and log compaction |
+//! | `sync_progress` | the synced part of the log |
+//! | `ready`, `status` | output to the caller |
 
 mod commit;
 mod compaction;
 mod config;
 mod election;
 mod election_timer;
-mod following;
+mod follower;
+mod membership;
 mod quorum;
 mod reads;
 mod ready;
-mod replacement;
 mod replication;
 mod snapshot_parts;
 mod status;
@@ -40,7 +39,7 @@
 pub use self::status::{ReplicaStatus, Role};
 
 use self::election_timer::ElectionTimer;
-use self::following::FollowerState;
+use self::follower::FollowerState;
 use self::replication::LeaderState;
 use self::sync_progress::SyncProgress;
 use crate::log_entries::{Log, LogIndex, Payload, Term};
@@ -48,15 +47,15 @@
 use crate::messages::Message;
 use crate::records::{Record, RecoveredState};
 
-/// Why a command was not appended.
+/// An error of [`Replica::propose`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// This replica does not lead; the leader, if it is known.
+    /// This replica does not lead. Holds the leader, if it is known.
     #[error("this replica does not lead")]
     NotLeader(Option<ReplicaId>),
 }
 
-/// One replica of the log.
+/// One replica of a replicated log.
 #[derive(Debug)]
 pub struct Replica {
     id: ReplicaId,
@@ -64,21 +63,21 @@
     term: Term,
     voted_for: Option<ReplicaId>,
     log: Log,
-    /// Last entry that is known to be committed.
+    /// Index of the last entry known to be committed.
     commit: LogIndex,
-    /// Since when the committed index is higher than the records say; `None` if it isn't.
+    /// Since when the commit index is ahead of the recorded one; `None` if it is not.
     commit_unrecorded_since: Option<Timestamp>,
-    /// Last entry that was handed out to be applied.
+    /// Index of the last entry delivered in a [`Ready`] batch.
     applied: LogIndex,
     sync_progress: SyncProgress,
     role: Role,
     leader: Option<ReplicaId>,
     election_timer: ElectionTimer,
-    /// Who granted the vote that this replica asks for, itself included.
+    /// Replicas that granted the current vote or pre-vote, including this one.
     votes: Vec<ReplicaId>,
-    following: FollowerState,
-    leading: LeaderState,
-    /// Replicas that receive the log without a vote; some may have become voters since.
+    follower_state: FollowerState,
+    leader_state: LeaderState,
+    /// Replicas added as learners; some may have become voters since.
     learners: BTreeMap<ReplicaId, Member>,
     /// The time of the newest tick, message or sync.
     now: Timestamp,
@@ -86,7 +85,8 @@
 }
 
 impl Replica {
-    /// Starts with what the store recovered; a replica with an empty log belongs to no group yet. `seed` decides its election timeouts.
+    /// Creates a replica from the state that the store recovered. A replica with an empty log belongs to no group yet. `seed` seeds the
+    /// random election timeouts.
     pub fn new(
         id: ReplicaId,
         config: ReplicaConfig,
@@ -112,8 +112,8 @@
             leader: None,
             election_timer: ElectionTimer::new(&config, seed, now),
             votes: Vec::new(),
-            following: FollowerState::default(),
-            leading: LeaderState::new(now),
+            follower_state: FollowerState::default(),
+            leader_state: LeaderState::new(now),
             learners: BTreeMap::new(),
             now,
             ready: Ready {
@@ -123,34 +123,34 @@
         }
     }
 
-    /// Does what has fallen due; call it every few tens of milliseconds.
+    /// Performs due work, such as heartbeats and elections. Must be called every few tens of milliseconds.
     pub fn tick(&mut self, now: Timestamp) {
         self.now = now;
         if self.role == Role::Leader {
             self.tick_leader(now);
         } else {
-            self.start_due_election(now);
+            self.start_election_if_due(now);
         }
     }
 
-    /// Handles a message of another replica.
+    /// Handles a message from another replica.
     pub fn receive(&mut self, from: ReplicaId, message: Message, now: Timestamp) {
         self.now = now;
         match message {
-            Message::Vote(vote) => self.receive_vote(from, &vote, now),
-            Message::VoteReply(reply) => self.receive_vote_reply(from, &reply, now),
-            Message::Append(append) => self.receive_append(from, append, now),
-            Message::AppendReply(reply) => self.receive_append_reply(from, &reply, now),
-            Message::InstallSnapshot(install) => self.receive_snapshot(from, install, now),
-            Message::SnapshotPart(part) => self.receive_snapshot_part(from, part, now),
+            Message::Vote(vote) => self.handle_vote_request(from, &vote, now),
+            Message::VoteReply(reply) => self.handle_vote_reply(from, &reply, now),
+            Message::Append(append) => self.handle_append(from, append, now),
+            Message::AppendReply(reply) => self.handle_append_reply(from, &reply, now),
+            Message::InstallSnapshot(install) => self.handle_snapshot(from, install, now),
+            Message::SnapshotPart(part) => self.handle_snapshot_part(from, part, now),
         }
     }
 
-    /// Appends a command if this replica leads, and returns its index. It is not committed yet, and may never be.
+    /// Appends a command if this replica leads, and returns its index. The command is not committed yet, and may never be.
     ///
     /// # Errors
     ///
-    /// Returns [`ProposeError::NotLeader`] on every other replica.
+    /// Returns [`ProposeError::NotLeader`] if this replica does not lead.
     pub fn propose(&mut self, command: Vec<u8>, now: Timestamp) -> Result<LogIndex, ProposeError> {
         if self.role != Role::Leader {
             return Err(ProposeError::NotLeader(self.leader));
@@ -158,7 +158,7 @@
         Ok(self.append_entry(Payload::Command(command), now))
     }
 
-    /// Returns what is to be done and clears it; call it after every other call.
+    /// Takes the pending output. Must be called after every other call that changes the replica.
     pub fn take_ready(&mut self) -> Ready {
         self.deliver_committed();
         self.record_commit();
@@ -170,7 +170,7 @@
         ready
     }
 
-    /// Records that a batch and all before it are synced.
+    /// Records that a batch and all earlier ones are synced.
     pub fn mark_synced(&mut self, batch: BatchNumber, now: Timestamp) {
         let log_end = self.log.last_index();
         let Some(sync_time) = self.sync_progress.finish_batch(batch, log_end, now) else {
@@ -181,7 +181,7 @@
         if self.role == Role::Leader {
             self.advance_commit(now);
         } else {
-            // The messages that waited for this sync are sent only now: give their receivers time to answer.
+            // Messages that waited for this sync are sent only now, so their receivers need time to reply.
             self.election_timer.restart(now);
             self.acknowledge_synced();
         }
@@ -200,12 +200,12 @@
         }
     }
 
-    /// Returns the newest members in the log, committed or not; a change of members counts from its append on.
+    /// Returns the newest members in the log, committed or not. A membership change takes effect when it is appended.
     pub fn members(&self) -> &Members {
         self.log.newest_members().1
     }
 
-    /// Returns the newest members in the log; `None` while they are not known to be committed.
+    /// Returns the newest members in the log if they are known to be committed.
     pub fn committed_members(&self) -> Option<&Members> {
         let (index, members) = self.log.newest_members();
         (index <= self.commit).then_some(members)
--- a/crates/leased/cloverfold_consensus/src/replica/snapshot_parts.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/snapshot_parts.rs
@@ -1,9 +1,7 @@
-//! Snapshots that are too long for one message.
+//! Transfer of snapshots that exceed the maximum message size.
 //!
-//! Decision: how a long snapshot is sent. Rule: in parts of `max_snapshot_bytes`, all at once and in order. A follower puts together the
-//! parts that follow one another and takes the whole like one that came at once; a part that does not follow is passed over, and the
-//! leader sends all parts again after a while. Inputs: the length of the state. Reason: a message has a bound, and one that is over it
-//! would never reach a replica whose disk was lost.
+//! The leader sends the state in parts of `max_snapshot_bytes`, all at once and in order. The follower joins consecutive parts and then
+//! installs the snapshot as if it had arrived whole. It ignores a part that is out of order; the leader resends all parts after a timeout.
 
 use cloverfold_base::Timestamp;
 
@@ -13,7 +11,7 @@
 use crate::messages::{InstallSnapshot, Message, SnapshotPart};
 
 impl Replica {
-    /// Returns in how many messages the snapshot is sent.
+    /// Returns the number of messages that the snapshot takes.
     pub(super) fn count_snapshot_parts(&self) -> u32 {
         let len = self.log.snapshot.state.len();
         let max = self.config.max_snapshot_bytes;
@@ -21,7 +19,6 @@
         u32::try_from(parts).unwrap_or(u32::MAX).max(1)
     }
 
-    /// Sends the snapshot in parts.
     pub(super) fn send_snapshot_parts(&mut self, to: ReplicaId) {
         let Some(max) = self.config.max_snapshot_bytes else {
             return;
@@ -29,7 +26,7 @@
         let snapshot = &self.log.snapshot;
         let len = snapshot.state.len() as u64;
         let mut parts = Vec::new();
-        for (place, state) in snapshot.state.chunks(max.max(1)).enumerate() {
+        for (number, state) in snapshot.state.chunks(max.max(1)).enumerate() {
             parts.push(SnapshotPart {
                 term: self.term,
                 snapshot: Snapshot {
@@ -38,9 +35,9 @@
                     members: snapshot.members.clone(),
                     state: state.to_vec(),
                 },
-                offset: (place * max) as u64,
+                offset: (number * max) as u64,
                 len,
-                round: self.leading.round,
+                round: self.leader_state.round,
             });
         }
         for part in parts {
@@ -48,8 +45,8 @@
         }
     }
 
-    /// Handles a part of a snapshot: once it is whole, it is taken like one that came at once.
-    pub(super) fn receive_snapshot_part(
+    /// Handles a part of a snapshot, and installs the snapshot once all parts have arrived.
+    pub(super) fn handle_snapshot_part(
         &mut self,
         from: ReplicaId,
         part: SnapshotPart,
@@ -65,7 +62,7 @@
             len,
             round,
         } = part;
-        let Some(whole) = self.join_part(snapshot, offset, len) else {
+        let Some(whole) = self.append_part(snapshot, offset, len) else {
             return;
         };
         let install = InstallSnapshot {
@@ -73,12 +70,12 @@
             snapshot: whole,
             round,
         };
-        self.receive_snapshot(from, install, now);
+        self.handle_snapshot(from, install, now);
     }
 
-    /// Adds a part to those that have come; returns the snapshot once it is whole.
-    fn join_part(&mut self, part: Snapshot, offset: u64, len: u64) -> Option<Snapshot> {
-        let partial = &mut self.following.partial;
+    /// Adds a part to those received so far; returns the snapshot once it is complete.
+    fn append_part(&mut self, part: Snapshot, offset: u64, len: u64) -> Option<Snapshot> {
+        let partial = &mut self.follower_state.partial_snapshot;
         if offset == 0 {
             *partial = Some(part);
         } else {
--- a/crates/leased/cloverfold_consensus/src/replica/status.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/status.rs
@@ -1,7 +1,4 @@
-//! The role of a replica, and its status for operators.
-//!
-//! Owns no state: a status is a copy made when it is asked for. Relies on nothing; log lines and operators' answers rely on the names of the
-//! roles.
+//! The role and the status of a replica.
 
 use crate::log_entries::{LogIndex, Term};
 use crate::members::{Members, ReplicaId};
@@ -9,18 +6,18 @@
 /// The role of a replica in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It follows a leader or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// It asks in a pre-vote whether it would be elected.
+    /// Holds a pre-vote.
     PreCandidate,
-    /// It asks for votes.
+    /// Requests votes in its own term.
     Candidate,
-    /// It leads.
+    /// Leads the group.
     Leader,
 }
 
 impl Role {
-    /// Returns the name that log lines and operators' answers use; these names never change. A pre-candidate is "Trial" there.
+    /// Returns the name used in log lines and API responses. These names are stable; a pre-candidate is called "Trial".
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Follower => "Follower",
@@ -31,21 +28,21 @@
     }
 }
 
-/// The status of a replica, for operators.
+/// The status of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// Its identity.
+    /// The identity of the replica.
     pub id: ReplicaId,
-    /// Its role.
+    /// The current role.
     pub role: Role,
-    /// Its term.
+    /// The current term.
     pub term: Term,
-    /// The leader of that term, if it is known.
+    /// The leader of the current term, if it is known.
     pub leader: Option<ReplicaId>,
-    /// The newest members in its log, committed or not.
+    /// The newest members in the log, committed or not.
     pub members: Members,
-    /// Index of the last entry in its log.
+    /// Index of the last entry in the log.
     pub last_index: LogIndex,
-    /// Index of the last entry that is known to be committed here.
+    /// Index of the last entry known to be committed.
     pub commit: LogIndex,
 }
--- a/crates/leased/cloverfold_consensus/src/replica/sync_progress.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/sync_progress.rs
@@ -1,7 +1,4 @@
-//! How far the log is synced on this replica's own disk.
-//!
-//! Owns the last synced index and the batches that are still being written. Relies on the process, which reports each batch once it
-//! is synced.
+//! Tracks how far this replica's own disk has synced the log.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,15 +8,15 @@
 use super::ready::BatchNumber;
 use crate::log_entries::LogIndex;
 
-/// A batch that is being written.
+/// A batch that is not synced yet.
 #[derive(Clone, Copy, Debug)]
 struct UnsyncedBatch {
-    /// Last entry of the log that is durable once this batch is synced.
+    /// Index of the last log entry that is durable once this batch is synced.
     last_index: LogIndex,
     written_at: Timestamp,
 }
 
-/// The synced part of the log, and what is being written.
+/// The last synced index and the batches that are not synced yet.
 #[derive(Clone, Debug)]
 pub(super) struct SyncProgress {
     synced: LogIndex,
@@ -28,7 +25,7 @@
 }
 
 impl SyncProgress {
-    /// Begins with a log that is synced up to `synced`.
+    /// Creates the progress of a log that is synced up to `synced`.
     pub(super) fn new(synced: LogIndex) -> Self {
         Self {
             synced,
@@ -42,12 +39,12 @@
         self.synced
     }
 
-    /// Returns whether nothing is being written.
+    /// Returns whether all batches are synced.
     pub(super) fn is_idle(&self) -> bool {
         self.unsynced.is_empty()
     }
 
-    /// Begins a batch that makes the log durable up to `last_index`.
+    /// Registers a new batch that makes the log durable up to `last_index`, and returns its number.
     pub(super) fn begin_batch(&mut self, last_index: LogIndex, now: Timestamp) -> BatchNumber {
         let batch = self.next_batch;
         self.next_batch += 1;
@@ -59,8 +56,8 @@
         batch
     }
 
-    /// Records that a batch and all before it are synced; `log_end` is the last index of the log. Returns how long the newest of them
-    /// took, `None` if the batch is unknown.
+    /// Records that a batch and all earlier ones are synced; `log_end` is the last index of the log. Returns how long the newest of them
+    /// took, or `None` if none of them was pending.
     pub(super) fn finish_batch(
         &mut self,
         batch: BatchNumber,
@@ -74,7 +71,7 @@
         Some(now.saturating_duration_since(newest.written_at))
     }
 
-    /// Records that all entries from `index` on were removed: batches with them count no further.
+    /// Records that the entries from `index` on were removed, so that pending batches no longer make them durable.
     pub(super) fn truncate(&mut self, index: LogIndex) {
         let last = index - 1;
         self.synced = self.synced.min(last);
@@ -83,7 +80,7 @@
         }
     }
 
-    /// Records that a snapshot replaced the whole log: nothing of it is synced yet.
+    /// Records that a snapshot replaced the whole log and is not synced yet.
     pub(super) fn reset(&mut self) {
         self.unsynced.clear();
         self.synced = 0;
--- a/crates/leased/cloverfold_consensus/src/store.rs
+++ b/crates/leased/cloverfold_consensus/src/store.rs
@@ -1,8 +1,7 @@
-//! The file of a replica.
+//! The log file of a replica.
 //!
-//! [`Store`] owns the file and the state that its records add up to. Records are appended and synced in order. A file that has become
-//! long is written anew from the last snapshot on, synced, and renamed into place. A torn tail, which was never acknowledged, is cut
-//! off when the file is opened.
+//! [`Store`] appends records to the file and syncs them in order. Once the file has grown enough, the store rewrites it from the recovered
+//! state, syncs the new file and renames it into place. Opening a file truncates a torn tail, which was never acknowledged.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Seek, SeekFrom, Write};
@@ -13,20 +12,20 @@
 
 const LOG_FILE: &str = "replica.log";
 const NEW_LOG_FILE: &str = "replica.log.new";
-/// Shortest file that is written anew, in bytes. Chosen, not measured.
-const MIN_REWRITE_LEN: u64 = 4 * 1024 * 1024;
-/// How many times longer than after the last rewrite a file must be to be written anew. Chosen, not measured.
+/// Minimum length of a file that is rewritten.
+const MIN_REWRITE_BYTES: u64 = 4 * 1024 * 1024;
+/// Growth factor since the last rewrite that triggers the next one.
 const REWRITE_GROWTH: u64 = 4;
 
-/// Why a store cannot be used.
+/// An error of a [`Store`].
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The system refuses an operation on a file.
+    /// An I/O operation failed.
     #[error("{path}: {cause}")]
-    System {
+    Io {
         /// The file or folder.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         cause: std::io::Error,
     },
     /// A record cannot be encoded.
@@ -34,52 +33,52 @@
     Encode(#[from] postcard::Error),
 }
 
-/// The file of one replica.
+/// The log file of one replica.
 #[derive(Debug)]
 pub struct Store {
     folder: PathBuf,
     file: File,
-    /// Bytes of the file that are synced.
+    /// Length of the synced records, in bytes.
     len: u64,
-    /// Length of the file when it was opened or last written anew.
-    rewritten_len: u64,
-    /// Whether bytes beyond `len` may stand in the file, from a write that failed.
-    has_failed: bool,
-    /// Whether the file may have lost its name to the earlier one when power is lost.
-    has_unsynced_name: bool,
+    /// Length of the file when it was opened or last rewritten.
+    len_after_rewrite: u64,
+    /// Whether a failed write may have left bytes beyond `len`.
+    has_partial_write: bool,
+    /// Whether the folder is not synced since the last rewrite, so that a power loss may bring back the earlier file.
+    has_unsynced_rename: bool,
     state: RecoveredState,
 }
 
 impl Store {
-    /// Opens the store in a folder, or creates it. Returns it with what it had recorded.
+    /// Opens or creates the store in a folder, and returns it with the recovered state.
     ///
     /// # Errors
     ///
-    /// Returns which file or folder cannot be used, and the system's error.
+    /// Returns [`StoreError::Io`] if the file or the folder cannot be used.
     pub fn open(folder: &Path) -> Result<(Self, RecoveredState), StoreError> {
         let path = folder.join(LOG_FILE);
-        let system = |cause| system_error(&path, cause);
-        std::fs::create_dir_all(folder).map_err(system)?;
-        let mut file = open_file(&path).map_err(system)?;
+        let to_error = |cause| io_error(&path, cause);
+        std::fs::create_dir_all(folder).map_err(to_error)?;
+        let mut file = open_file(&path).map_err(to_error)?;
         let mut bytes = Vec::new();
-        file.read_to_end(&mut bytes).map_err(system)?;
+        file.read_to_end(&mut bytes).map_err(to_error)?;
         let ReadRecords { state, len } = read_records(&bytes);
         if len < bytes.len() {
             log::warn!(
                 file = path.display().to_string().as_str(), sound = len, found = bytes.len();
-                "a torn tail is cut off"
+                "truncated a torn tail of the log file"
             );
         }
-        cut_off(&mut file, len as u64).map_err(system)?;
-        file.sync_all().map_err(system)?;
-        sync_folder(folder).map_err(system)?;
+        truncate_file(&mut file, len as u64).map_err(to_error)?;
+        file.sync_all().map_err(to_error)?;
+        sync_folder(folder).map_err(to_error)?;
         let store = Self {
             folder: folder.into(),
             file,
             len: len as u64,
-            rewritten_len: len as u64,
-            has_failed: false,
-            has_unsynced_name: false,
+            len_after_rewrite: len as u64,
+            has_partial_write: false,
+            has_unsynced_rename: false,
             state: state.clone(),
         };
         Ok((store, state))
@@ -89,71 +88,71 @@
     ///
     /// # Errors
     ///
-    /// Returns why the disk refuses them. They don't count as written then; the same call may be tried again.
+    /// Returns an error if the records cannot be encoded, written or synced. The store is then unchanged, and the call can be retried.
     pub fn append(&mut self, records: &[Record]) -> Result<(), StoreError> {
         let mut buf = Vec::new();
         for record in records {
             encode_record(record, &mut buf)?;
         }
         self.write_and_sync(&buf)
-            .map_err(|cause| system_error(&self.folder.join(LOG_FILE), cause))?;
+            .map_err(|cause| io_error(&self.folder.join(LOG_FILE), cause))?;
         for record in records {
             self.state.apply(record.clone());
         }
-        if self.len > MIN_REWRITE_LEN.max(self.rewritten_len * REWRITE_GROWTH) {
+        if self.len > MIN_REWRITE_BYTES.max(self.len_after_rewrite * REWRITE_GROWTH) {
             self.try_rewrite();
         }
         Ok(())
     }
 
-    /// Writes the file anew. If that fails, what was appended counts all the same: it is synced. It is tried again when the file has
-    /// grown by a third.
+    /// Rewrites the file. A failure loses nothing, since all records are already synced in the old file; the next attempt follows once
+    /// that has grown by a third.
     fn try_rewrite(&mut self) {
         if let Err(cause) = self.rewrite() {
-            log::warn!("a file cannot be written anew and grows on: {cause}");
-            // What was written of the new file takes space that the old one needs; there may be none.
+            log::warn!("cannot rewrite the log file, which keeps growing: {cause}");
+            // Frees the space of the incomplete new file, which may not exist.
             let _ = std::fs::remove_file(self.folder.join(NEW_LOG_FILE));
-            self.rewritten_len = self.len / (REWRITE_GROWTH - 1);
+            self.len_after_rewrite = self.len / (REWRITE_GROWTH - 1);
         }
     }
 
     fn write_and_sync(&mut self, buf: &[u8]) -> std::io::Result<()> {
-        if self.has_failed {
-            cut_off(&mut self.file, self.len)?;
+        if self.has_partial_write {
+            truncate_file(&mut self.file, self.len)?;
         }
-        self.has_failed = true;
-        self.sync_name()?;
+        self.has_partial_write = true;
+        self.sync_rename()?;
         self.file.write_all(buf)?;
         self.file.sync_data()?;
-        self.has_failed = false;
+        self.has_partial_write = false;
         self.len += buf.len() as u64;
         Ok(())
     }
 
-    /// Writes the state into a new file and renames it into the old one's place.
+    /// Writes the state to a new file and renames it over the old one.
     fn rewrite(&mut self) -> Result<(), StoreError> {
         let mut buf = Vec::new();
         for record in self.state.to_records() {
             encode_record(&record, &mut buf)?;
         }
         let path = self.folder.join(NEW_LOG_FILE);
-        let system = |cause| system_error(&path, cause);
-        let mut file = File::create(&path).map_err(system)?;
-        file.write_all(&buf).map_err(system)?;
-        file.sync_all().map_err(system)?;
-        std::fs::rename(&path, self.folder.join(LOG_FILE)).map_err(system)?;
+        let to_error = |cause| io_error(&path, cause);
+        let mut file = File::create(&path).map_err(to_error)?;
+        file.write_all(&buf).map_err(to_error)?;
+        file.sync_all().map_err(to_error)?;
+        std::fs::rename(&path, self.folder.join(LOG_FILE)).map_err(to_error)?;
         self.file = file;
         self.len = buf.len() as u64;
-        self.rewritten_len = self.len;
-        self.has_unsynced_name = true;
-        self.sync_name().map_err(system)
+        self.len_after_rewrite = self.len;
+        self.has_unsynced_rename = true;
+        self.sync_rename().map_err(to_error)
     }
 
-    /// Syncs the name of a new file. Both files hold what was appended so far; what is appended later only the new one has.
-    fn sync_name(&mut self) -> std::io::Result<()> {
-        if self.has_unsynced_name {
+    /// Syncs the folder after a rename. This must precede the next append: only the new file gets later records.
+    fn sync_rename(&mut self) -> std::io::Result<()> {
+        if self.has_unsynced_rename {
             sync_folder(&self.folder)?;
-            self.has_unsynced_name = false;
+            self.has_unsynced_rename = false;
         }
         Ok(())
     }
@@ -165,15 +164,15 @@
     options.open(path)
 }
 
-fn system_error(path: &Path, cause: std::io::Error) -> StoreError {
-    StoreError::System {
+fn io_error(path: &Path, cause: std::io::Error) -> StoreError {
+    StoreError::Io {
         path: path.into(),
         cause,
     }
 }
 
-/// Shortens a file and goes on at its end.
-fn cut_off(file: &mut File, len: u64) -> std::io::Result<()> {
+/// Truncates a file and moves the cursor to its end.
+fn truncate_file(file: &mut File, len: u64) -> std::io::Result<()> {
     file.set_len(len)?;
     file.seek(SeekFrom::Start(len))?;
     Ok(())
