--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -54,7 +54,7 @@
             | PeerMessage::UpkeepCommand(_)
             | PeerMessage::HoldTarget(_)
             | PeerMessage::RememberedSpeed(_) => {}
-            PeerMessage::JobGroups(groups) => self.driver.set_groups(groups.count, now),
+            PeerMessage::JobGroups(groups) => self.driver.set_group_count(groups.count, now),
             PeerMessage::JobReply(reply) => self.driver.receive(reply, now),
         }
     }
@@ -66,7 +66,7 @@
         if hello.role == PeerRole::Guard {
             self.dispatcher.open_session(link, &hello.name, now);
             if hello.knows_kept_jobs() {
-                self.dispatcher.set_knows_kept_jobs(link);
+                self.dispatcher.set_supports_kept_jobs(link);
             }
             if let Some(hall) = hello.data_hall() {
                 self.dispatcher.set_data_hall(link, hall);
