--- a/crates/leased/cloverfold_consensus/tests/group/schedule.rs
+++ b/crates/leased/cloverfold_consensus/tests/group/schedule.rs
@@ -1,79 +1,79 @@
-//! Random schedules of what may happen to a group.
+//! Random schedules of events in a group.
 
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
 use crate::simulation::Group;
 
-/// One step of a schedule; numbers are taken modulo what there is.
+/// One step of a schedule. Box and message numbers are taken modulo the number of boxes or messages.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Time passes; some messages arrive, and the disks of some boxes (one bit each) sync.
+    /// Advances the time, delivers some messages and syncs the disks selected by the bits of `synced_disks`.
     Round {
         deliveries: usize,
-        syncing: u8,
+        synced_disks: u8,
     },
-    Repeat(usize),
-    Lose(usize),
+    DuplicateMessage(usize),
+    DropMessage(usize),
     Propose(usize),
     Read(usize),
     Crash(usize),
     Start(usize),
-    Cut(usize),
+    Partition(usize),
     Heal,
 }
 
-/// Returns steps, each kind with its weight.
+/// Returns a strategy for weighted random steps.
 pub fn steps() -> impl Strategy<Value = Step> {
-    let place = 0..5_usize;
+    let box_index = 0..5_usize;
     prop_oneof![
         30 => (0..24_usize, any::<u8>())
-            .prop_map(|(deliveries, syncing)| Step::Round { deliveries, syncing }),
-        2 => (0..64_usize).prop_map(Step::Repeat),
-        2 => (0..64_usize).prop_map(Step::Lose),
-        6 => place.clone().prop_map(Step::Propose),
-        6 => place.clone().prop_map(Step::Read),
-        1 => place.clone().prop_map(Step::Crash),
-        3 => place.clone().prop_map(Step::Start),
-        1 => place.prop_map(Step::Cut),
+            .prop_map(|(deliveries, synced_disks)| Step::Round { deliveries, synced_disks }),
+        2 => (0..64_usize).prop_map(Step::DuplicateMessage),
+        2 => (0..64_usize).prop_map(Step::DropMessage),
+        6 => box_index.clone().prop_map(Step::Propose),
+        6 => box_index.clone().prop_map(Step::Read),
+        1 => box_index.clone().prop_map(Step::Crash),
+        3 => box_index.clone().prop_map(Step::Start),
+        1 => box_index.prop_map(Step::Partition),
         1 => Just(Step::Heal),
     ]
 }
 
-/// Plays a schedule.
-pub fn play(group: &mut Group, schedule: Vec<Step>) {
+pub fn run_schedule(group: &mut Group, schedule: Vec<Step>) {
     for step in schedule {
         let size = group.boxes.len();
         match step {
             Step::Round {
                 deliveries,
-                syncing,
+                synced_disks,
             } => {
                 group.tick_all();
                 for number in 0..deliveries {
                     group.deliver(number * 7, false);
                 }
-                for place in (0..size).filter(|place| syncing & (1 << place) != 0) {
-                    group.sync(place);
+                for box_index in (0..size).filter(|box_index| synced_disks & (1 << box_index) != 0)
+                {
+                    group.sync(box_index);
                 }
             }
-            Step::Repeat(number) => group.deliver(number, true),
-            Step::Lose(number) => group.lose(number),
-            Step::Propose(place) => group.propose(place % size),
-            Step::Read(place) => group.read(place % size),
-            Step::Crash(place) => group.crash(place % size),
-            Step::Start(place) => {
-                if group.boxes[place % size].replica.is_none() {
-                    group.start(place % size);
+            Step::DuplicateMessage(number) => group.deliver(number, true),
+            Step::DropMessage(number) => group.drop_message(number),
+            Step::Propose(box_index) => group.propose(box_index % size),
+            Step::Read(box_index) => group.read(box_index % size),
+            Step::Crash(box_index) => group.crash(box_index % size),
+            Step::Start(box_index) => {
+                if group.boxes[box_index % size].replica.is_none() {
+                    group.start(box_index % size);
                 }
             }
-            Step::Cut(place) => group.cut = vec![place % size],
-            Step::Heal => group.cut.clear(),
+            Step::Partition(box_index) => group.partitioned = vec![box_index % size],
+            Step::Heal => group.partitioned.clear(),
         }
     }
 }
 
-/// Returns a runner that draws the same schedules in every run.
+/// Returns a test runner with a fixed seed, which generates the same schedules in every run.
 pub fn runner(cases: u32) -> TestRunner {
     let config = ProptestConfig {
         cases,
--- a/crates/leased/cloverfold_consensus/tests/group/simulation.rs
+++ b/crates/leased/cloverfold_consensus/tests/group/simulation.rs
@@ -1,4 +1,4 @@
-//! Boxes with replicas, disks that sync when a test lets them, and a network that a test drives.
+//! A simulated group: boxes with replicas, disks whose syncs the test controls, and a network whose deliveries the test controls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,20 +12,20 @@
 
 /// Time between two ticks.
 const STEP: Duration = Duration::from_millis(20);
-/// Messages that are delivered in a step while everything works.
+/// Messages delivered per step while the network works.
 const DELIVERIES: usize = 60;
 
-/// One box: its disk, and the replica on it if its process runs.
+/// A box with its disk and, while its process runs, its replica.
 pub struct SimulatedBox {
     pub address: SocketAddr,
-    /// Identity of the replica on its disk.
+    /// Identity stored on the disk.
     pub id: ReplicaId,
     pub replica: Option<Replica>,
-    /// What its disk holds.
+    /// Records that are synced to the disk.
     synced: Vec<Record>,
-    /// Batches that its disk has not synced yet, in order.
+    /// Batches that are not synced yet, in order.
     pub unsynced: Vec<(BatchNumber, Vec<Record>)>,
-    /// Messages that wait for a batch.
+    /// Messages that wait for a batch to be synced.
     waiting: BTreeMap<BatchNumber, Vec<OutgoingMessage>>,
 }
 
@@ -37,38 +37,37 @@
         }
     }
 
-    /// Returns the replica, which must run.
+    /// Returns the replica; panics if the process does not run.
     pub fn running(&self) -> &Replica {
         self.replica.as_ref().unwrap()
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.running().status().role == Role::Leader
     }
 }
 
-/// A message under way.
 #[derive(Clone)]
-struct Transit {
+struct InFlightMessage {
     from: ReplicaId,
     to: ReplicaId,
     message: Message,
 }
 
-/// A group of boxes and the network between them. It checks as it runs that nothing committed changes, that a term has one leader, and
-/// that no read is older than what was committed when it began.
+/// A group of boxes and the network between them. Checks continuously that committed entries never change, that each term has at most one
+/// leader, and that reads are linearizable.
 pub struct Group {
     pub boxes: Vec<SimulatedBox>,
-    network: Vec<Transit>,
-    /// Places of the boxes that no message of the others reaches.
-    pub cut: Vec<usize>,
+    network: Vec<InFlightMessage>,
+    /// Indexes of the boxes that are partitioned from the others.
+    pub partitioned: Vec<usize>,
     now: Timestamp,
     next_id: ReplicaId,
     next_seed: u64,
-    /// The entry at each committed place, as the first replica applied it.
+    /// Committed entries, as the first replica applied them.
     committed: BTreeMap<LogIndex, (Term, Payload)>,
     leaders: BTreeMap<Term, ReplicaId>,
-    /// For each read under way, what was committed when it began.
+    /// The commit index at the start of each pending read.
     reads: BTreeMap<ReadToken, LogIndex>,
     next_token: ReadToken,
     next_command: u64,
@@ -78,7 +77,7 @@
     format!("10.0.0.{}:7000", index + 1).parse().unwrap()
 }
 
-/// Returns what a store recovers from these records.
+/// Returns the state that a store recovers from these records.
 fn recover(records: &[Record]) -> RecoveredState {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = Store::open(folder.path()).unwrap();
@@ -88,12 +87,12 @@
 }
 
 impl Group {
-    /// Returns a group of running boxes whose first snapshot is synced on the first of them.
+    /// Returns a group of running boxes whose bootstrap snapshot is synced on the first of them.
     pub fn bootstrap(size: usize) -> Self {
         let mut group = Self {
             boxes: Vec::new(),
             network: Vec::new(),
-            cut: Vec::new(),
+            partitioned: Vec::new(),
             now: Timestamp::ZERO,
             next_id: 1,
             next_seed: 1,
@@ -111,8 +110,8 @@
         };
         let first = group.boxes[0].replica.as_mut().unwrap();
         first.bootstrap(members, Vec::new());
-        group.settle(0);
-        // A process that dies before this bootstraps again; that is not the replica's part.
+        group.process_ready(0);
+        // A process that crashes before this sync bootstraps again, which is outside the scope of the replica.
         group.sync(0);
         group
     }
@@ -129,12 +128,12 @@
             unsynced: Vec::new(),
             waiting: BTreeMap::new(),
         });
-        let place = self.boxes.len() - 1;
-        self.start(place);
+        let box_index = self.boxes.len() - 1;
+        self.start(box_index);
     }
 
-    /// Starts the process on a box from what its disk holds.
-    pub fn start(&mut self, place: usize) {
+    /// Starts the process on a box from its synced records.
+    pub fn start(&mut self, box_index: usize) {
         let config = ReplicaConfig {
             compaction_threshold: 8,
             max_batch_entries: 3,
@@ -142,45 +141,45 @@
             ..ReplicaConfig::default()
         };
         self.next_seed += 1;
-        let started = &mut self.boxes[place];
+        let started = &mut self.boxes[box_index];
         let state = recover(&started.synced);
         let replica = Replica::new(started.id, config, state, self.next_seed, self.now);
         started.replica = Some(replica);
-        self.settle(place);
-        self.connect(place);
+        self.process_ready(box_index);
+        self.connect(box_index);
     }
 
-    /// Opens the links between the process on a box and all others.
-    fn connect(&mut self, place: usize) {
+    /// Opens the links between a box and all others.
+    fn connect(&mut self, box_index: usize) {
         let members: Vec<Member> = self.boxes.iter().map(SimulatedBox::member).collect();
-        let newcomer = &members[place];
+        let connected = &members[box_index];
         for (index, other) in self.boxes.iter_mut().enumerate() {
             let Some(replica) = &mut other.replica else {
                 continue;
             };
-            if index == place {
+            if index == box_index {
                 for member in &members {
                     replica.add_learner(member.clone());
                 }
             } else {
-                replica.link_reopened(newcomer.id);
-                replica.add_learner(newcomer.clone());
+                replica.link_reopened(connected.id);
+                replica.add_learner(connected.clone());
             }
         }
         for index in 0..self.boxes.len() {
-            self.settle(index);
+            self.process_ready(index);
         }
     }
 
-    /// Ends the process on a box; what its disk has not synced is lost, and so is what is under way on its links.
-    pub fn crash(&mut self, place: usize) {
-        let crashed = &mut self.boxes[place];
+    /// Crashes the process on a box, which loses its unsynced batches and its messages in flight.
+    pub fn crash(&mut self, box_index: usize) {
+        let crashed = &mut self.boxes[box_index];
         crashed.replica = None;
         crashed.unsynced.clear();
         crashed.waiting.clear();
         let id = crashed.id;
         self.network
-            .retain(|transit| transit.from != id && transit.to != id);
+            .retain(|in_flight| in_flight.from != id && in_flight.to != id);
         for other in &mut self.boxes {
             if let Some(replica) = &mut other.replica {
                 replica.remove_learner(id);
@@ -188,29 +187,29 @@
         }
     }
 
-    /// Ends the process on a box and empties its disk: what starts there is another replica.
-    pub fn wipe(&mut self, place: usize) {
-        self.crash(place);
+    /// Crashes the process on a box and wipes its disk; the next start gets a new identity.
+    pub fn wipe(&mut self, box_index: usize) {
+        self.crash(box_index);
         let id = self.next_id;
         self.next_id += 1;
-        let wiped = &mut self.boxes[place];
+        let wiped = &mut self.boxes[box_index];
         wiped.synced.clear();
         wiped.id = id;
     }
 
-    fn place_of(&self, id: ReplicaId) -> Option<usize> {
+    fn find_box(&self, id: ReplicaId) -> Option<usize> {
         self.boxes.iter().position(|found| found.id == id)
     }
 
-    /// Carries out what a replica wants and checks what it shows.
-    fn settle(&mut self, place: usize) {
-        let Some(replica) = &mut self.boxes[place].replica else {
+    /// Processes the ready batch of a replica and checks the invariants.
+    fn process_ready(&mut self, box_index: usize) {
+        let Some(replica) = &mut self.boxes[box_index].replica else {
             return;
         };
         let ready = replica.take_ready();
         let status = replica.status();
-        self.write(place, ready.batch, ready.records);
-        self.send(place, ready.batch, ready.messages);
+        self.write(box_index, ready.batch, ready.records);
+        self.send(box_index, ready.batch, ready.messages);
         let last = ready.committed.last().map(|entry| entry.index);
         for entry in ready.committed {
             self.check_committed(entry);
@@ -223,24 +222,29 @@
             assert_eq!(leader, status.id, "two leaders in term {}", status.term);
         }
         if let Some(last) = last {
-            self.compact(place, last);
+            self.compact(box_index, last);
         }
     }
 
-    fn write(&mut self, place: usize, batch: Option<BatchNumber>, records: Vec<Record>) {
+    fn write(&mut self, box_index: usize, batch: Option<BatchNumber>, records: Vec<Record>) {
         if let Some(batch) = batch {
-            self.boxes[place].unsynced.push((batch, records));
+            self.boxes[box_index].unsynced.push((batch, records));
         }
     }
 
-    fn send(&mut self, place: usize, batch: Option<BatchNumber>, messages: Vec<OutgoingMessage>) {
-        let sender = &mut self.boxes[place];
+    fn send(
+        &mut self,
+        box_index: usize,
+        batch: Option<BatchNumber>,
+        messages: Vec<OutgoingMessage>,
+    ) {
+        let sender = &mut self.boxes[box_index];
         for outgoing in messages {
             match batch {
                 Some(batch) if outgoing.after_sync => {
                     sender.waiting.entry(batch).or_default().push(outgoing);
                 }
-                _ => self.network.push(Transit {
+                _ => self.network.push(InFlightMessage {
                     from: sender.id,
                     to: outgoing.to,
                     message: outgoing.message,
@@ -257,7 +261,7 @@
             .or_insert_with(|| applied.clone());
         assert_eq!(
             *first, applied,
-            "place {} was committed otherwise",
+            "entry {} was committed with different content",
             entry.index
         );
     }
@@ -269,21 +273,21 @@
         if let Some(index) = outcome.index {
             assert!(
                 index >= at_least,
-                "a read of place {index} after {at_least} was acknowledged"
+                "a read at index {index} succeeded although {at_least} was committed when it began"
             );
         }
     }
 
-    fn compact(&mut self, place: usize, index: LogIndex) {
-        let replica = self.boxes[place].replica.as_mut().unwrap();
+    fn compact(&mut self, box_index: usize, index: LogIndex) {
+        let replica = self.boxes[box_index].replica.as_mut().unwrap();
         replica.maybe_compact(index, || index.to_le_bytes().to_vec());
         let ready = replica.take_ready();
-        self.write(place, ready.batch, ready.records);
+        self.write(box_index, ready.batch, ready.records);
     }
 
-    /// Lets the disk of a box sync its oldest batch.
-    pub fn sync(&mut self, place: usize) {
-        let synced = &mut self.boxes[place];
+    /// Syncs the oldest batch of a box.
+    pub fn sync(&mut self, box_index: usize) {
+        let synced = &mut self.boxes[box_index];
         if synced.unsynced.is_empty() || synced.replica.is_none() {
             return;
         }
@@ -292,7 +296,7 @@
         let later = synced.waiting.split_off(&(batch + 1));
         let due = std::mem::replace(&mut synced.waiting, later);
         let from = synced.id;
-        let sent = due.into_values().flatten().map(|outgoing| Transit {
+        let sent = due.into_values().flatten().map(|outgoing| InFlightMessage {
             from,
             to: outgoing.to,
             message: outgoing.message,
@@ -300,53 +304,52 @@
         self.network.extend(sent);
         let replica = synced.replica.as_mut().unwrap();
         replica.mark_synced(batch, self.now);
-        self.settle(place);
+        self.process_ready(box_index);
     }
 
-    /// Delivers one of the messages under way; a repeated one stays under way.
-    pub fn deliver(&mut self, number: usize, is_repeated: bool) {
+    /// Delivers a message; a duplicate also stays in flight.
+    pub fn deliver(&mut self, number: usize, is_duplicate: bool) {
         if self.network.is_empty() {
             return;
         }
         let number = number % self.network.len();
-        let transit = if is_repeated {
+        let in_flight = if is_duplicate {
             self.network[number].clone()
         } else {
             self.network.remove(number)
         };
-        let sender = self.place_of(transit.from);
-        let receiver = self.place_of(transit.to);
+        let sender = self.find_box(in_flight.from);
+        let receiver = self.find_box(in_flight.to);
         let (Some(sender), Some(receiver)) = (sender, receiver) else {
             return;
         };
-        if self.cut.contains(&sender) != self.cut.contains(&receiver) {
+        if self.partitioned.contains(&sender) != self.partitioned.contains(&receiver) {
             return;
         }
         if let Some(replica) = &mut self.boxes[receiver].replica {
-            replica.receive(transit.from, transit.message, self.now);
-            self.settle(receiver);
+            replica.receive(in_flight.from, in_flight.message, self.now);
+            self.process_ready(receiver);
         }
     }
 
-    /// Loses one of the messages under way.
-    pub fn lose(&mut self, number: usize) {
+    pub fn drop_message(&mut self, number: usize) {
         if !self.network.is_empty() {
             self.network.remove(number % self.network.len());
         }
     }
 
-    /// Lets a step of time pass.
+    /// Advances the time by one step.
     pub fn tick_all(&mut self) {
         self.now += STEP;
-        for place in 0..self.boxes.len() {
-            if let Some(replica) = &mut self.boxes[place].replica {
+        for box_index in 0..self.boxes.len() {
+            if let Some(replica) = &mut self.boxes[box_index].replica {
                 replica.tick(self.now);
-                self.settle(place);
+                self.process_ready(box_index);
             }
         }
     }
 
-    /// Lets a step of time pass, and delivers the oldest messages.
+    /// Advances the time by one step and delivers the oldest messages.
     pub fn tick_and_deliver(&mut self) {
         self.tick_all();
         for _ in 0..DELIVERIES {
@@ -354,24 +357,24 @@
         }
     }
 
-    pub fn propose(&mut self, place: usize) {
+    pub fn propose(&mut self, box_index: usize) {
         let command = self.next_command.to_le_bytes().to_vec();
         self.next_command += 1;
-        if let Some(replica) = &mut self.boxes[place].replica {
-            // A follower refuses, which is as good here.
+        if let Some(replica) = &mut self.boxes[box_index].replica {
+            // A follower rejects the command, which is acceptable here.
             let _ = replica.propose(command, self.now);
-            self.settle(place);
+            self.process_ready(box_index);
         }
     }
 
-    pub fn read(&mut self, place: usize) {
+    pub fn read(&mut self, box_index: usize) {
         let newest = self.last_committed();
         let token = self.next_token;
         self.next_token += 1;
-        if let Some(replica) = &mut self.boxes[place].replica {
+        if let Some(replica) = &mut self.boxes[box_index].replica {
             self.reads.insert(token, newest);
             replica.begin_read(token, self.now);
-            self.settle(place);
+            self.process_ready(box_index);
         }
     }
 
@@ -379,33 +382,33 @@
         self.committed.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Starts every box that doesn't run and opens all links.
+    /// Heals the partition, starts all crashed boxes and opens all links.
     fn start_all(&mut self) {
-        self.cut.clear();
-        for place in 0..self.boxes.len() {
-            if self.boxes[place].replica.is_none() {
-                self.start(place);
+        self.partitioned.clear();
+        for box_index in 0..self.boxes.len() {
+            if self.boxes[box_index].replica.is_none() {
+                self.start(box_index);
             }
         }
-        for place in 0..self.boxes.len() {
-            self.connect(place);
+        for box_index in 0..self.boxes.len() {
+            self.connect(box_index);
         }
     }
 
-    /// Lets everything work for a while and returns whether something new was committed.
+    /// Runs the group without failures for a while and returns whether it committed new entries.
     pub fn recover_all(&mut self) -> bool {
         self.start_all();
         let before = self.last_committed();
         for round in 0..600 {
             self.tick_and_deliver();
-            for place in 0..self.boxes.len() {
-                while !self.boxes[place].unsynced.is_empty() {
-                    self.sync(place);
+            for box_index in 0..self.boxes.len() {
+                while !self.boxes[box_index].unsynced.is_empty() {
+                    self.sync(box_index);
                 }
             }
             if round % 20 == 19 {
-                for place in 0..self.boxes.len() {
-                    self.propose(place);
+                for box_index in 0..self.boxes.len() {
+                    self.propose(box_index);
                 }
             }
         }
--- a/crates/leased/cloverfold_consensus/tests/rules/elections.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules/elections.rs
@@ -1,9 +1,9 @@
-//! Votes and pre-votes.
+//! Rules of votes and pre-votes.
 
 use crate::fixtures::{NOW, append, replica, vote, vote_reply};
 
 #[test]
-fn a_vote_waits_for_the_disk_and_is_given_once_a_term() {
+fn a_vote_is_sent_after_sync_and_granted_once_per_term() {
     let mut replica = replica(3, &[3]);
     replica.receive(2, vote(4, (2, 3), false), NOW);
     let first = replica.take_ready();
@@ -11,7 +11,7 @@
     assert!(reply.is_granted);
     assert!(
         after_sync && first.batch.is_some(),
-        "the vote is synced before it leaves"
+        "the vote is synced before it is sent"
     );
 
     replica.receive(3, vote(4, (2, 3), false), NOW);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn no_vote_for_a_log_that_lacks_something() {
+fn votes_are_refused_to_candidates_with_an_outdated_log() {
     for (last, is_granted) in [
         ((2, 3), true),
         ((3, 3), true),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn no_pre_vote_while_a_leader_lives() {
+fn a_pre_vote_is_refused_while_a_leader_is_alive() {
     let mut replica = replica(3, &[3]);
     replica.receive(2, append(3, (2, 3), Vec::new(), 1), NOW);
     replica.take_ready();
--- a/crates/leased/cloverfold_consensus/tests/rules/fixtures.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules/fixtures.rs
@@ -1,4 +1,4 @@
-//! A replica to which a test sends messages, and the messages.
+//! Builders for replicas and messages.
 
 use std::time::Duration;
 
@@ -29,12 +29,12 @@
     }
 }
 
-/// Returns a replica with a bootstrap snapshot at index 1 and entries of the given terms after it.
+/// Returns a replica with a bootstrap snapshot at index 1, followed by entries of the given terms.
 pub fn replica(term: Term, terms: &[Term]) -> Replica {
     replica_with(ReplicaConfig::default(), term, terms)
 }
 
-/// As [`replica`], with these figures.
+/// Like [`replica`], with the given parameters.
 pub fn replica_with(config: ReplicaConfig, term: Term, terms: &[Term]) -> Replica {
     let entries = terms
         .iter()
@@ -104,14 +104,14 @@
     found.expect("a reply to the entries")
 }
 
-/// Makes replica 1 leader by a vote of replica 2; returns what it wants written first.
+/// Elects replica 1 with the vote of replica 2; returns its first ready batch as leader.
 pub fn elect(replica: &mut Replica) -> Ready {
     let now = NOW + Duration::from_secs(5);
     replica.tick(now);
-    let asked = replica.take_ready();
+    let request = replica.take_ready();
     let term = replica.status().term + 1;
     assert!(matches!(
-        asked.messages[0].message,
+        request.messages[0].message,
         Message::Vote(VoteRequest {
             is_pre_vote: true,
             ..
@@ -140,7 +140,7 @@
     })
 }
 
-/// Returns replica 1 as a leader whose first entry is committed.
+/// Returns replica 1 as the leader, with the first entry of its term committed.
 pub fn established_leader() -> Replica {
     let mut replica = replica(3, &[3]);
     let ready = elect(&mut replica);
--- a/crates/leased/cloverfold_consensus/tests/rules/followers.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules/followers.rs
@@ -1,4 +1,4 @@
-//! How a follower takes over its leader's log.
+//! Rules of log replication on a follower.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     assert_eq!(
         append_reply(&ready.messages).index,
         2,
-        "only what was there before"
+        "only the entries from before are synced"
     );
 
     replica.mark_synced(ready.batch.unwrap(), NOW);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn entries_that_clash_are_replaced_and_their_sync_counts_for_nothing() {
+fn conflicting_entries_are_replaced_and_their_sync_acknowledges_nothing() {
     let mut replica = replica(3, &[3]);
     replica.receive(2, append(3, (2, 3), vec![entry(3, 3), entry(4, 3)], 2), NOW);
     let first = replica.take_ready();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_snapshot_of_what_is_there_drops_no_entry_after_it() {
+fn a_snapshot_of_existing_entries_keeps_the_entries_after_it() {
     let mut replica = replica(3, &[3, 3, 3]);
     let snapshot = Snapshot {
         index: 3,
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn what_is_committed_is_written_down_and_nobody_waits_for_it() {
+fn the_commit_index_is_recorded_and_no_message_waits_for_it() {
     let mut replica = replica(3, &[3]);
     replica.receive(2, append(3, (2, 3), Vec::new(), 2), NOW);
 
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_commit_that_may_wait_is_written_with_the_next_entry_or_after_its_delay() {
+fn a_delayed_commit_index_is_recorded_with_the_next_entry_or_after_the_delay() {
     let delay = Duration::from_millis(100);
     let config = ReplicaConfig {
         commit_delay: delay,
@@ -118,7 +118,7 @@
     assert_eq!(after_its_delay.records, [commit(3)]);
 }
 
-/// Returns a part of a snapshot whose whole state is `whole`.
+/// Returns a part of a snapshot whose complete state has `whole` bytes.
 fn part(offset: usize, state: &[u8], whole: usize) -> Message {
     Message::SnapshotPart(SnapshotPart {
         term: 3,
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_snapshot_in_parts_is_taken_once_it_is_whole() {
+fn a_snapshot_in_parts_is_installed_once_complete() {
     let mut replica = replica(3, &[3]);
 
     replica.receive(2, part(0, b"abc", 7), NOW);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_part_that_does_not_follow_is_passed_over() {
+fn a_snapshot_part_out_of_order_is_ignored() {
     let mut replica = replica(3, &[3]);
     replica.receive(2, part(0, b"abc", 7), NOW);
 
--- a/crates/leased/cloverfold_consensus/tests/rules/leaders.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules/leaders.rs
@@ -1,4 +1,4 @@
-//! What a leader commits and proves, and how it changes the voters.
+//! Rules of a leader: commit, linearizable reads, membership changes and stepping down.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use crate::fixtures::{NOW, elect, established_leader, matching, replica};
 
 #[test]
-fn a_leader_counts_itself_only_when_its_disk_has_the_entry() {
+fn a_leader_counts_itself_only_after_its_own_sync() {
     let mut replica = replica(3, &[3]);
     let ready = elect(&mut replica);
     let (term, last) = (replica.status().term, replica.status().last_index);
-    // Of five voters or three, one other is no majority without the leader.
+    // One other voter is no majority without the leader.
     replica.receive(2, matching(term, last, 1), NOW);
     assert!(replica.status().commit < last);
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn entries_of_earlier_terms_are_committed_only_with_one_of_the_leaders_own() {
+fn entries_of_earlier_terms_are_committed_only_with_one_of_the_current_term() {
     let mut replica = replica(3, &[2, 3]);
     let ready = elect(&mut replica);
     let (term, last) = (replica.status().term, replica.status().last_index);
@@ -30,7 +30,7 @@
     assert_eq!(
         replica.status().commit,
         1,
-        "a majority has them, but none of this term"
+        "a majority has the entries, but none of the current term"
     );
 
     replica.receive(2, matching(term, last, 1), NOW);
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn a_read_waits_for_proof_from_a_majority_after_it_began() {
+fn a_read_waits_for_a_majority_to_acknowledge_a_later_round() {
     let mut replica = established_leader();
     let (term, last) = (replica.status().term, replica.status().last_index);
 
     replica.begin_read(77, NOW);
     replica.receive(2, matching(term, last, 1), NOW);
     let early = replica.take_ready();
-    assert!(early.reads.is_empty(), "the reply answers an earlier round");
+    assert!(early.reads.is_empty(), "the reply is to an earlier round");
     replica.receive(2, matching(term, last, 1_000), NOW);
 
     assert_eq!(
@@ -78,13 +78,13 @@
 fn voters_change_one_at_a_time() {
     let mut replica = established_leader();
     let (term, last) = (replica.status().term, replica.status().last_index);
-    // The disk at the address of replica 3 is another now, and so is that of a further box.
-    let newcomer = |id, at: u8| Member {
+    // The disk of replica 3 was replaced, and another box joins with a new disk.
+    let learner = |id, at: u8| Member {
         id,
         address: format!("10.0.0.{at}:7000").parse().unwrap(),
     };
-    replica.add_learner(newcomer(33, 3));
-    replica.add_learner(newcomer(44, 4));
+    replica.add_learner(learner(33, 3));
+    replica.add_learner(learner(44, 4));
     let mut now = NOW + Duration::from_millis(50);
     for id in [2, 33, 44] {
         replica.receive(id, matching(term, last, 2), now);
@@ -104,14 +104,20 @@
 }
 
 #[test]
-fn a_leader_whose_disk_is_behind_the_majority_can_step_down_and_loses_nothing() {
+fn a_leader_whose_disk_lags_behind_can_step_down_without_losing_entries() {
     let mut replica = established_leader();
     let term = replica.status().term;
     let index = replica.propose(vec![1], NOW).unwrap();
     replica.take_ready();
-    assert!(!replica.is_disk_behind(), "nobody has the entry yet");
+    assert!(
+        !replica.is_disk_behind(),
+        "no replica has synced the entry yet"
+    );
     replica.receive(2, matching(term, index, 2), NOW);
-    assert!(!replica.is_disk_behind(), "one of three is no majority");
+    assert!(
+        !replica.is_disk_behind(),
+        "one voter of three is no majority"
+    );
     replica.receive(3, matching(term, index, 2), NOW);
     assert!(replica.is_disk_behind());
 
--- a/crates/leased/cloverfold_consensus/tests/rules/main.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! Single rules of the log, each seen on one replica to which the test sends messages.
+//! Tests of single consensus rules, each on one replica that receives hand-made messages.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/leased/cloverfold_consensus/tests/rules/starts.rs
+++ b/crates/leased/cloverfold_consensus/tests/rules/starts.rs
@@ -1,4 +1,4 @@
-//! What a replica does with what it recovered.
+//! Rules of a replica that starts from recovered state.
 
 use cloverfold_consensus::{
     LogIndex, ReadOutcome, RecoveredState, Replica, ReplicaConfig, Snapshot,
@@ -7,7 +7,7 @@
 use crate::fixtures::{NOW, entry, members};
 
 #[test]
-fn a_replica_that_starts_applies_what_it_knew_to_be_committed_before_there_is_a_leader() {
+fn a_restarted_replica_applies_recorded_commits_before_a_leader_exists() {
     let state = RecoveredState {
         term: 3,
         commit: 3,
@@ -29,7 +29,7 @@
         .map(|e| e.index)
         .collect();
 
-    assert_eq!(committed, [2, 3], "the last entry may yet be replaced");
+    assert_eq!(committed, [2, 3], "the last entry may still be replaced");
     replica.begin_read(7, NOW);
     assert_eq!(
         replica.take_ready().reads,
@@ -37,6 +37,6 @@
             token: 7,
             index: None
         }],
-        "a read still wants proof"
+        "a read still needs a leader"
     );
 }
--- a/crates/leased/cloverfold_consensus/tests/store.rs
+++ b/crates/leased/cloverfold_consensus/tests/store.rs
@@ -1,4 +1,4 @@
-//! Records survive; torn tails and writes that failed do not count.
+//! Tests of the store: synced records survive restarts, torn tails and failed rewrites.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_was_appended_is_there_after_a_restart() {
+fn appended_records_survive_a_restart() {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, empty) = Store::open(folder.path()).unwrap();
     assert!(empty.identity.is_none());
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_tail_torn_at_any_byte_is_cut_off_and_the_rest_stands() {
+fn a_torn_tail_of_any_length_is_truncated_and_earlier_records_survive() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("replica.log");
     let (mut store, _) = Store::open(folder.path()).unwrap();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_changed_byte_ends_what_counts() {
+fn records_from_the_first_corrupt_one_on_are_ignored() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("replica.log");
     let (mut store, _) = Store::open(folder.path()).unwrap();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_long_file_is_written_anew_and_says_the_same() {
+fn rewriting_a_long_file_preserves_its_state() {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = Store::open(folder.path()).unwrap();
     store
@@ -147,18 +147,18 @@
 }
 
 #[test]
-fn a_rest_of_a_new_file_that_never_took_its_place_is_passed_over() {
+fn an_incomplete_new_file_from_a_crash_is_ignored() {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = Store::open(folder.path()).unwrap();
     store.append(&[entry(1)]).unwrap();
     drop(store);
     let mut options = OpenOptions::new();
-    let mut rest = options
+    let mut incomplete = options
         .create(true)
         .append(true)
         .open(folder.path().join("replica.log.new"))
         .unwrap();
-    rest.write_all(b"half a record").unwrap();
+    incomplete.write_all(b"half a record").unwrap();
 
     let (_, state) = Store::open(folder.path()).unwrap();
 
@@ -166,12 +166,12 @@
 }
 
 #[test]
-fn records_count_as_written_although_the_file_cannot_be_written_anew() {
+fn appends_succeed_although_the_file_cannot_be_rewritten() {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = Store::open(folder.path()).unwrap();
-    // The new file has no place, as on a disk that is full.
-    let in_the_way = folder.path().join("replica.log.new");
-    std::fs::create_dir(&in_the_way).unwrap();
+    // A folder blocks the path of the new file, so that the rewrite fails as on a full disk.
+    let blocker = folder.path().join("replica.log.new");
+    std::fs::create_dir(&blocker).unwrap();
     let long = |index| {
         Record::Entry(Entry {
             index,
@@ -183,13 +183,13 @@
     store.append(&[long(1)]).unwrap();
     store.append(&[long(2)]).unwrap();
     store.append(&[Record::Truncate { from: 2 }]).unwrap();
-    std::fs::remove_dir(&in_the_way).unwrap();
+    std::fs::remove_dir(&blocker).unwrap();
     store.append(&[long(2), long(3)]).unwrap();
     drop(store);
 
     let path = folder.path().join("replica.log");
     let len = std::fs::metadata(path).unwrap().len();
-    assert!(len < 10 * 1024 * 1024, "it is written anew later: {len}");
+    assert!(len < 10 * 1024 * 1024, "the file is rewritten later: {len}");
     let (_, state) = Store::open(folder.path()).unwrap();
     assert_eq!(indexes(&state.entries), [1, 2, 3]);
 }
