--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -9,7 +9,8 @@
 
 use cloverfold_base::unix_now;
 use cloverfold_http::{
-    HttpLimits, ListenError, Request, Response, Serving, json_response, plain_response, serve_at,
+    HttpLimits, ListenError, Request, Response, ServerHandle, json_response, plain_response,
+    serve_at,
 };
 use cloverfold_lease::Runner;
 use cloverfold_leased_process::{PeerPort, Shared, serve_state_operations};
@@ -34,9 +35,9 @@
 /// A running guard; dropping it stops it at once.
 pub struct LeasedGuard {
     state: Shared<GuardState>,
-    registrations: Serving,
+    registrations: ServerHandle,
     /// Serves until it is dropped.
-    _operations: Option<Serving>,
+    _operations: Option<ServerHandle>,
     drain_timeout: Duration,
     /// Aborted on drop.
     _tasks: JoinSet<()>,
@@ -133,15 +134,22 @@
     // A restarted guard begins with a higher fencing token; should the clock have gone back, the target's refusals raise it.
     let fencing_token = unix_now().as_millis() as u64;
     let runner = Runner::new(timings, fencing_token);
-    let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dial_peers());
-    GuardState::new(own, runner, controls, port.dial_peers(), orders, renew_now)
+    let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dialed_peers());
+    GuardState::new(
+        own,
+        runner,
+        controls,
+        port.dialed_peers(),
+        orders,
+        renew_now,
+    )
 }
 
 fn start_registrations(
     address: SocketAddr,
     state: &Shared<GuardState>,
     interface: &Arc<dyn TargetInterface>,
-) -> Result<Serving, ListenError> {
+) -> Result<ServerHandle, ListenError> {
     let state = state.clone();
     let interface = interface.clone();
     let answer = move |request: Request| {
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -15,10 +15,10 @@
     IncarnationId, ProcessorUse, RenewalAnswer, RenewalOrder, RenewalPause, Runner, RunnerAction,
     RunnerCounts, RunnerMessage, SessionId, StartAnswer, StartOrder, UnavailableReason, UsualSpeed,
 };
-use cloverfold_leased_process::{LeasedState, Stalls, Suspensions};
+use cloverfold_leased_process::{LeasedState, StallMonitor, SuspensionMonitor};
 use cloverfold_link::LinkEvent;
 use cloverfold_peer::{
-    ChosenEntries, ControlLinks, Departures, DialedPeers, Hello, KnownEvacuations, PeerLinks,
+    ChosenEntries, ControlLinks, DialedPeers, Hello, KnownEvacuations, LinkDrains, PeerLinks,
     PeerMessage, SentCounts, send_group_call,
 };
 use tokio::sync::{Notify, mpsc};
@@ -34,8 +34,8 @@
 /// The state of a guard.
 pub(crate) struct GuardState {
     clock: ProcessClock,
-    suspensions: Suspensions,
-    stalls: Stalls,
+    suspensions: SuspensionMonitor,
+    stalls: StallMonitor,
     own: Hello,
     runner: Runner,
     configuration: ConfigurationCopy,
@@ -44,7 +44,7 @@
     controls: ControlLinks,
     entries: DialedPeers,
     chosen: ChosenEntries,
-    departures: Departures,
+    departures: LinkDrains,
     recorder: Recorder,
     orders: mpsc::UnboundedSender<TargetOrder>,
     /// Notified when the lease is to be renewed without waiting.
@@ -60,11 +60,11 @@
 }
 
 impl LeasedState for GuardState {
-    fn begin(&mut self) {
+    fn on_start(&mut self) {
         self.controls.dial();
     }
 
-    fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
+    fn on_link_event(&mut self, event: LinkEvent<PeerMessage>) {
         self.handle_link_event(event);
         self.advance();
     }
@@ -93,8 +93,8 @@
     ) -> Self {
         Self {
             clock: ProcessClock::default(),
-            suspensions: Suspensions::default(),
-            stalls: Stalls::default(),
+            suspensions: SuspensionMonitor::default(),
+            stalls: StallMonitor::default(),
             own,
             runner,
             configuration: ConfigurationCopy::default(),
@@ -103,7 +103,7 @@
             controls,
             entries,
             chosen: ChosenEntries::default(),
-            departures: Departures::default(),
+            departures: LinkDrains::default(),
             recorder: Recorder::default(),
             orders,
             renew_now,
@@ -129,16 +129,16 @@
     }
 
     /// Returns the suspensions of the box that were noticed.
-    pub(crate) fn suspensions(&self) -> &Suspensions {
+    pub(crate) fn suspensions(&self) -> &SuspensionMonitor {
         &self.suspensions
     }
 
     /// Returns the present point in time, after the runner has heard of a suspension of the box, in which its target may have been
     /// suspended too, or else of a stall of this process.
     fn now(&mut self) -> Timestamp {
-        let suspension = self.suspensions.look();
+        let suspension = self.suspensions.poll();
         let now = self.clock.now();
-        let stall = self.stalls.look(now);
+        let stall = self.stalls.poll(now);
         if let Some(span) = suspension {
             self.runner.allow_for_suspension(span);
         } else if let Some(stall) = stall {
@@ -206,7 +206,7 @@
                 let verdict = self.runner.register(registration.clone(), now);
                 log_registration(&registration, verdict);
             }
-            RegistrationCall::Leave { incarnation } => {
+            RegistrationCall::Deregister { incarnation } => {
                 let is_taken = self.runner.unregister(&incarnation, now);
                 log_departure(&incarnation, is_taken);
             }
@@ -319,14 +319,14 @@
     fn can_read(&self, session: SessionId, message: &RunnerMessage) -> bool {
         let is_hint = matches!(message, RunnerMessage::UsualSpeed(_));
         let entry = self.links.hello(session);
-        !is_hint || entry.is_some_and(Hello::knows_kept_jobs)
+        !is_hint || entry.is_some_and(Hello::supports_kept_jobs)
     }
 
     /// Returns a message as the entry at the other end can read it: a build that does not know of evacuations is told that the target
     /// drains, which it handles alike.
     fn make_readable(&self, session: SessionId, message: RunnerMessage) -> RunnerMessage {
         let entry = self.links.hello(session);
-        if entry.is_some_and(Hello::knows_evacuations) {
+        if entry.is_some_and(Hello::supports_evacuations) {
             return message;
         }
         message.without_evacuated()
