--- a/crates/leased/cloverfold_peer/src/entry_subsets.rs
+++ b/crates/leased/cloverfold_peer/src/entry_subsets.rs
@@ -178,9 +178,9 @@
         }
     }
 
-    /// Takes the entries of the next guard, with `guards_remaining` guards to go including this one. Entries that need every remaining guard to
-    /// use up their slots come first, then the others in the order of preference. Every entry uses up its slots exactly: there are as many
-    /// slots as links, and no entry has more slots than there are guards remaining.
+    /// Takes the entries of the next guard; `guards_remaining` includes it. Entries that need every remaining guard to use up their slots
+    /// come first, then the others in the order of preference. Every entry uses up its slots exactly: there are as many slots as links,
+    /// and no entry has more slots than there are remaining guards.
     fn take(
         &mut self,
         guard: &HashedAddress,
--- a/crates/leased/cloverfold_peer/src/links.rs
+++ b/crates/leased/cloverfold_peer/src/links.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Removes a link, which closes it if it is still peer_link. Returns the identity of the peer; `None` if the link was removed before or the
+    /// Removes a link, which closes it if it is still open. Returns the identity of the peer; `None` if the link was removed before or the
     /// peer never sent its [`Hello`].
     pub fn close(&mut self, link: LinkId) -> Option<Hello> {
         let hello = self.links.remove(&link)?.hello?;
@@ -226,7 +226,7 @@
         }
         let configuration = base.and_then(|base| delta.apply(base));
         if configuration.is_none() {
-            log::info!(version = delta.version, base = delta.base, in_force, link; "configuration delta does not apply; requesting the whole configuration");
+            log::info!(version = delta.version, base = delta.base, in_force, link; "configuration delta does not apply; fetching all");
             self.send(link, &PeerMessage::Fetch);
         }
         configuration
--- a/crates/leased/cloverfold_peer/src/messages.rs
+++ b/crates/leased/cloverfold_peer/src/messages.rs
@@ -20,7 +20,7 @@
 ///
 /// | since version | messages |
 /// |---|---|
-/// | 1 | [`PeerMessage::Evacuations`], [`PeerMessage::EvacuationOrder`], [`RunRefusal::Evacuated`](cloverfold_lease::RunRefusal::Evacuated) |
+/// | 1 | [`PeerMessage::Evacuations`], [`PeerMessage::EvacuationOrder`], [`cloverfold_lease::RunRefusal::Evacuated`] |
 /// | 2 | [`PeerMessage::JobGroups`] and the variants after it, [`DispatcherMessage::AssignKept`], [`RunnerMessage::UsualSpeed`] |
 /// | 3 | [`PeerMessage::FetchSince`], [`PeerMessage::ConfigurationChange`] |
 ///
