--- a/crates/cloverfold/tests/leased_processes.rs
+++ b/crates/cloverfold/tests/leased_processes.rs
@@ -97,7 +97,7 @@
         let answer = ask(&["restore", saved.to_str().unwrap()]);
         answer.status.success().then_some(())
     });
-    entry.wait_for_line("a configuration is in force");
+    entry.wait_for_line("configuration in force");
     guard.wait_for_line("a configuration is kept");
 
     let status = wait_until("the version at each process", || {
--- a/crates/leased/cloverfold_leased_entry/src/callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/callers.rs
@@ -1,7 +1,4 @@
-//! Callers' requests: finds the queue and the call, and answers it.
-//!
-//! Owns the counts of answers; the jobs themselves are the state's. Relies on a [`JobProtocol`] to read requests, on the configuration in
-//! force for the queues, and on the dispatcher within [`EntryState`] for every decision.
+//! Handling of HTTP requests: routes each to its queue and call, and responds.
 
 use std::sync::{Arc, MutexGuard};
 
@@ -19,7 +16,7 @@
 use crate::responses::{job_state_response, no_such_job_response, refusal_response};
 use crate::state::EntryState;
 
-/// Answers callers.
+/// Handles the requests of callers.
 pub(crate) struct Callers {
     state: Shared<EntryState>,
     pub(crate) protocol: Arc<dyn JobProtocol>,
@@ -41,43 +38,43 @@
         self.state.lock()
     }
 
-    /// Returns the present point in time on the clock of the process.
+    /// Returns the current time on the clock of the process.
     pub(crate) fn now(&self) -> Timestamp {
         self.lock().now()
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub(crate) async fn answer(&self, request: Request) -> Response {
-        match self.find_configuration().await {
+        match self.wait_for_configuration().await {
             Some(configuration) => self.answer_with(&configuration, &request).await,
             None => {
                 let path = request.uri.path();
-                log::info!(path, cause = "NoConfiguration"; "a request is refused");
+                log::info!(path, cause = "NoConfiguration"; "request refused");
                 refusal_response("no configuration is in force here\n", RETRY_AFTER)
             }
         }
     }
 
-    /// Returns the configuration in force; a process that has just started waits for it for a moment.
-    async fn find_configuration(&self) -> Option<Arc<Configuration>> {
-        let told = {
+    /// Returns the configuration in force; a process that has just started waits for the first one.
+    async fn wait_for_configuration(&self) -> Option<Arc<Configuration>> {
+        let subscription = {
             let state = self.lock();
             match state.configuration() {
                 Some(configuration) => return Some(configuration),
-                None => state.await_configuration(),
+                None => state.subscribe_configuration(),
             }
         };
-        let (wait, mut told) = told?;
-        // Without one after the wait the request is refused.
-        let _ = timeout(wait, told.wait_for(|&is_there| is_there)).await;
+        let (wait, mut is_configured) = subscription?;
+        // After a timeout there is still none, and the request is refused.
+        let _ = timeout(wait, is_configured.wait_for(|&is_configured| is_configured)).await;
         self.lock().configuration()
     }
 
-    /// Finds the queue and the call of a request and answers it.
+    /// Routes a request to its queue and call, and handles it.
     async fn answer_with(&self, configuration: &Configuration, request: &Request) -> Response {
         let path = request.uri.path();
         let Some(route) = configuration.find_route(request.host(), path) else {
-            log::info!(host = request.host(), path, version = configuration.version; "no queue matches a request");
+            log::info!(host = request.host(), path, version = configuration.version; "no queue matches the request");
             return plain_response(StatusCode::NOT_FOUND, "no such queue\n");
         };
         let rest = &path[route.path_prefix.len()..];
@@ -90,7 +87,7 @@
         }
     }
 
-    /// Answers how far a job is: one that need not be kept while it is open here, a kept one until it is forgotten.
+    /// Responds with the state of a job: of a repeatable one while it is open here, of a kept one until its retention is over.
     async fn show(&self, id: &str, request: &Request) -> Response {
         if self.lock().is_open(id) {
             return job_state_response(self.protocol.as_ref(), JobState::Running);
@@ -101,7 +98,7 @@
         no_such_job_response()
     }
 
-    /// Cancels a job by its name.
+    /// Cancels a job by its ID.
     async fn cancel(&self, id: &str, request: &Request) -> Response {
         if self.lock().cancel_named(id) {
             return json_response(StatusCode::OK, "{}");
@@ -112,13 +109,13 @@
         no_such_job_response()
     }
 
-    /// Answers how many jobs of a queue have not begun: those that need not be kept of this entry, and all kept ones.
+    /// Responds with the number of jobs of a queue that have not started: the repeatable ones of this entry and all kept ones.
     async fn count(&self, route: &Route, request: &Request) -> Response {
-        if self.lock().awaits_groups() {
+        if self.lock().is_waiting_for_groups() {
             return refusal_response("not known: NoGroups\n", RETRY_AFTER);
         }
         let Some(kept) = self.count_kept(&route.name, request).await else {
-            log::info!(route = route.name.as_str(); "a queue cannot be counted");
+            log::info!(route = route.name.as_str(); "cannot count the jobs of the queue");
             return refusal_response("not known\n", RETRY_AFTER);
         };
         let is_in_queue = |job: &JobRequest| job.queue == route.name;
@@ -126,10 +123,10 @@
         json_response(StatusCode::OK, self.protocol.write_count(queued + kept))
     }
 
-    /// Returns whether a group may know a job of this name. Without a control process that keeps jobs there are none.
+    /// Returns whether a group may have a job with this ID. There are none without groups that replicate kept jobs.
     fn may_be_kept(&self, id: &str) -> bool {
         let state = self.lock();
-        let has_groups = state.group_count() > 0 || state.awaits_groups();
+        let has_groups = state.group_count() > 0 || state.is_waiting_for_groups();
         has_groups && self.protocol.can_be_kept(id)
     }
 }
--- a/crates/leased/cloverfold_leased_entry/src/configuration.rs
+++ b/crates/leased/cloverfold_leased_entry/src/configuration.rs
@@ -1,7 +1,4 @@
-//! The configuration in force at an entry, and when a newer one is fetched.
-//!
-//! Owns the newest configuration that could be decoded; its version only ever rises. Relies on a [`ConfigurationFormat`] to decode
-//! texts.
+//! The configuration in force at an entry, and the limit on fetches of a newer one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,38 +6,38 @@
 use cloverfold_base::Timestamp;
 use cloverfold_configuration::{Configuration, ConfigurationFormat, StoredConfiguration, Version};
 
-/// A configuration as it was received and as it was decoded.
+/// A configuration in its received and its decoded form.
 struct DecodedConfiguration {
     stored: StoredConfiguration,
     decoded: Arc<Configuration>,
 }
 
-/// The configuration in force; none before the first.
+/// The newest configuration that could be decoded; its version never decreases.
 #[derive(Default)]
 pub(crate) struct ConfigurationInForce {
     newest: Option<DecodedConfiguration>,
 }
 
 impl ConfigurationInForce {
-    /// Returns the version; 0 before the first configuration.
+    /// Returns the version of the configuration in force; 0 if there is none.
     pub(crate) fn version(&self) -> Version {
         self.newest
             .as_ref()
             .map_or(0, |newest| newest.stored.version)
     }
 
-    /// Returns the configuration as it was decoded.
+    /// Returns the decoded configuration.
     pub(crate) fn decoded(&self) -> Option<Arc<Configuration>> {
         self.newest.as_ref().map(|newest| newest.decoded.clone())
     }
 
-    /// Returns the configuration as it was received, to pass it on.
+    /// Returns the configuration as it was received, for sending it to peers.
     pub(crate) fn stored(&self) -> Option<&StoredConfiguration> {
         self.newest.as_ref().map(|newest| &newest.stored)
     }
 
-    /// Puts a configuration in force if it is newer and can be decoded; returns whether it was. One that cannot be decoded is logged,
-    /// and the present one stays in force.
+    /// Puts a configuration in force if it is newer and can be decoded; returns whether it did. Logs a configuration that cannot be decoded
+    /// and keeps the current one.
     pub(crate) fn replace(
         &mut self,
         stored: StoredConfiguration,
@@ -52,39 +49,39 @@
         }
         match format.decode(&stored.text) {
             Ok(configuration) => {
-                log::info!(version = stored.version, before; "a configuration is in force");
+                log::info!(version = stored.version, before; "configuration in force");
                 let decoded = Arc::new(configuration);
                 self.newest = Some(DecodedConfiguration { stored, decoded });
                 true
             }
             Err(fault) => {
-                log::error!(version = stored.version, before; "a configuration cannot be read: {fault}");
+                log::error!(version = stored.version, before; "cannot decode configuration: {fault}");
                 false
             }
         }
     }
 }
 
-/// How long an answer to a fetch is awaited before another peer may be asked.
+/// How long to wait for the reply to a fetch before fetching from another peer.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A fetch that was sent and not answered yet.
+/// A fetch in flight.
 #[derive(Clone, Copy)]
 struct OpenFetch {
-    /// The version that the asked peer has.
+    /// Version of the configuration at the peer.
     version: Version,
     asked_at: Timestamp,
 }
 
-/// Bounds how often the configuration is fetched: many peers announce a new version at once, and one of them is enough.
+/// Limits fetches of the configuration: many peers announce a new version at once, and one fetch is enough.
 #[derive(Default)]
 pub(crate) struct FetchLimiter {
     open: Option<OpenFetch>,
 }
 
 impl FetchLimiter {
-    /// Returns whether a peer that has `version` is to be asked now, and if so counts it as asked.
-    pub(crate) fn try_begin(
+    /// Returns whether to fetch `version` from a peer now, and if so records the fetch as in flight.
+    pub(crate) fn try_start(
         &mut self,
         version: Version,
         in_force: Version,
@@ -102,7 +99,7 @@
         true
     }
 
-    /// Counts the fetch as answered.
+    /// Records that the fetch has completed.
     pub(crate) fn finish(&mut self) {
         self.open = None;
     }
--- a/crates/leased/cloverfold_leased_entry/src/driven_jobs.rs
+++ b/crates/leased/cloverfold_leased_entry/src/driven_jobs.rs
@@ -1,47 +1,45 @@
-//! The kept jobs that this entry drives, by their names and by their numbers at the dispatcher.
-//!
-//! Owns the pairs of names and numbers. Relies on the driver for which jobs are driven and on the dispatcher for how far they are.
+//! The kept jobs that this entry drives, by job ID and by dispatcher number.
 
 use std::collections::{BTreeSet, HashMap};
 
 use cloverfold_kept_jobs::{Epoch, JobId};
 use cloverfold_lease::JobNumber;
 
-/// A job that is driven.
+/// A kept job that this entry drives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct DrivenJob {
     pub(crate) id: JobId,
     pub(crate) epoch: Epoch,
 }
 
-/// The jobs that are driven and have not ended as far as the dispatcher knows.
+/// The driven jobs that have not ended at the dispatcher.
 #[derive(Debug, Default)]
 pub(crate) struct DrivenJobs {
     by_number: HashMap<JobNumber, DrivenJob>,
     by_id: HashMap<JobId, JobNumber>,
-    /// Those of which no task was seen to begin.
-    unbegun: BTreeSet<JobNumber>,
+    /// Jobs of which no task is known to have started.
+    not_started: BTreeSet<JobNumber>,
 }
 
 impl DrivenJobs {
-    /// Records a job that the dispatcher drives under this number.
+    /// Adds a job with its number at the dispatcher.
     pub(crate) fn insert(&mut self, number: JobNumber, job: DrivenJob) {
         self.by_id.insert(job.id.clone(), number);
         self.by_number.insert(number, job);
-        self.unbegun.insert(number);
+        self.not_started.insert(number);
     }
 
     /// Removes a job that has ended at the dispatcher.
     pub(crate) fn remove(&mut self, number: JobNumber) -> Option<DrivenJob> {
         let job = self.by_number.remove(&number)?;
-        self.unbegun.remove(&number);
+        self.not_started.remove(&number);
         if self.by_id.get(&job.id) == Some(&number) {
             self.by_id.remove(&job.id);
         }
         Some(job)
     }
 
-    /// Returns the number of a job that is driven in this epoch.
+    /// Returns the number of a job if it is driven in this epoch.
     pub(crate) fn find(&self, id: &str, epoch: Epoch) -> Option<JobNumber> {
         let number = *self.by_id.get(id)?;
         let job = self.by_number.get(&number)?;
@@ -53,7 +51,7 @@
         self.by_number.get(&number)
     }
 
-    /// Returns the name of a job.
+    /// Returns the ID of a job.
     pub(crate) fn id(&self, number: JobNumber) -> Option<JobId> {
         self.by_number.get(&number).map(|job| job.id.clone())
     }
@@ -63,15 +61,15 @@
         self.by_id.get(id).copied()
     }
 
-    /// Takes the jobs that have begun since the last call.
-    pub(crate) fn take_begun(&mut self, has_begun: impl Fn(JobNumber) -> bool) -> Vec<JobId> {
-        let begun = self.unbegun.iter().copied();
-        let begun: Vec<JobNumber> = begun.filter(|number| has_begun(*number)).collect();
-        let mut names = Vec::new();
-        for number in begun {
-            self.unbegun.remove(&number);
-            names.extend(self.by_number.get(&number).map(|job| job.id.clone()));
+    /// Returns the jobs that have started since the last call.
+    pub(crate) fn take_started(&mut self, has_started: impl Fn(JobNumber) -> bool) -> Vec<JobId> {
+        let started = self.not_started.iter().copied();
+        let started: Vec<JobNumber> = started.filter(|number| has_started(*number)).collect();
+        let mut ids = Vec::new();
+        for number in started {
+            self.not_started.remove(&number);
+            ids.extend(self.by_number.get(&number).map(|job| job.id.clone()));
         }
-        names
+        ids
     }
 }
--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -1,7 +1,6 @@
-//! One log line for each decision of the dispatcher, with what decided it.
+//! Log lines for the decisions of the dispatcher and the driver.
 //!
-//! Operators read these lines at night; docs/OPERATIONS.md explains them by their texts and keys, so that keys never change. Owns
-//! nothing; relies on the dispatcher to report its decisions.
+//! The operations manual documents the keys of these lines, so they must not change.
 
 use std::time::Duration;
 
@@ -9,22 +8,22 @@
 use cloverfold_kept_jobs::{Epoch, JobAssignment, StopCause};
 use cloverfold_lease::DispatcherEvent;
 
-/// Logs a decision; `version` is that of the configuration in force.
+/// Logs a decision of the dispatcher; `version` is the version of the configuration in force.
 pub(crate) fn log_event(event: &DispatcherEvent, version: Version) {
     match event {
         DispatcherEvent::Refused { .. } => log_refused(event, version),
         DispatcherEvent::GivenUp { .. } => log_given_up(event, version),
         DispatcherEvent::RunEnded { .. } => log_run_ended(event),
         DispatcherEvent::RunOverdue { .. } => log_run_overdue(event),
-        DispatcherEvent::StragglerWithdrawn { .. } => log_run_moved(event),
+        DispatcherEvent::StragglerWithdrawn { .. } => log_straggler_withdrawn(event),
         DispatcherEvent::SessionLost { .. } => log_session_lost(event),
         DispatcherEvent::TargetPaused { runner } => {
-            log::warn!(runner = runner.as_str(); "a target gets no work for a while");
+            log::warn!(runner = runner.as_str(); "no work is placed on the target for a while");
         }
     }
 }
 
-/// Logs a refusal; the key `held_ms` is how long the job waited in the queue.
+/// Logs a refusal; `held_ms` is how long the job waited in the queue.
 fn log_refused(event: &DispatcherEvent, version: Version) {
     if let DispatcherEvent::Refused {
         job,
@@ -39,7 +38,7 @@
             job = job.as_str(), cause = cause.as_str(), held_ms = millis(waited),
             ready_targets = targets.ready, targets = targets.connected, waiting,
             oldest_report_ms = millis(oldest_report), version;
-            "a job is refused"
+            "job refused"
         );
     }
 }
@@ -51,7 +50,7 @@
         open_tasks,
     } = event
     {
-        log::info!(job = job.as_str(), age_ms = millis(age), open_tasks, version; "a job is given up");
+        log::info!(job = job.as_str(), age_ms = millis(age), open_tasks, version; "job given up");
     }
 }
 
@@ -68,7 +67,7 @@
         log::info!(
             job = task.job.as_str(), step = task.step, index = task.index, run,
             runner = runner.as_str(), outcome = outcome.as_str(), failures;
-            "a run is over and not done"
+            "run ended without success"
         );
     }
 }
@@ -85,12 +84,12 @@
         log::info!(
             job = task.job.as_str(), step = task.step, index = task.index, run,
             runner = runner.as_str(), age_ms = millis(age), estimate_ms = millis(estimate);
-            "a run is overdue and withdrawn"
+            "overdue run withdrawn"
         );
     }
 }
 
-fn log_run_moved(event: &DispatcherEvent) {
+fn log_straggler_withdrawn(event: &DispatcherEvent) {
     if let DispatcherEvent::StragglerWithdrawn {
         task,
         run,
@@ -104,7 +103,7 @@
             job = task.job.as_str(), step = task.step, index = task.index, run,
             runner = runner.as_str(), age_ms = millis(age), slowness_permille,
             report_age_ms = millis(report_age);
-            "a run is withdrawn from a slow target"
+            "run withdrawn from a slow target"
         );
     }
 }
@@ -121,38 +120,38 @@
         log::warn!(
             runner = runner.as_str(), runs, jobs = jobs.as_str(),
             last_echo_ms = millis(last_echo);
-            "a session is lost with runs under way"
+            "session lost with runs in flight"
         );
     }
 }
 
-/// Logs that a kept job is driven here; one that another entry has driven before is rare and worth a line.
-pub(crate) fn log_driven(order: &JobAssignment) {
+/// Logs that this entry drives a kept job; at a higher level if another entry has driven it before, which is rare.
+pub(crate) fn log_driving(order: &JobAssignment) {
     let (job, epoch, recorded_tasks) = (order.job.as_str(), order.epoch, order.progress.len());
     if epoch == 1 {
-        log::debug!(job, epoch, recorded_tasks; "a kept job is driven here");
+        log::debug!(job, epoch, recorded_tasks; "driving kept job");
     } else {
-        log::info!(job, epoch, recorded_tasks; "a kept job is driven here");
+        log::info!(job, epoch, recorded_tasks; "driving kept job");
     }
 }
 
-/// Logs that a kept job is driven here no more.
+/// Logs that this entry no longer drives a kept job.
 pub(crate) fn log_not_driven(job: &str, epoch: Epoch, cause: StopCause) {
     let name = cause.as_str();
     if cause == StopCause::Dropped {
-        log::debug!(job, epoch, cause = name; "a kept job is not driven here any more");
+        log::debug!(job, epoch, cause = name; "no longer driving kept job");
     } else {
-        log::info!(job, epoch, cause = name; "a kept job is not driven here any more");
+        log::info!(job, epoch, cause = name; "no longer driving kept job");
     }
 }
 
-/// Logs that a stored job cannot be read and is handed on.
-pub(crate) fn log_undrivable(order: &JobAssignment, fault: &str) {
+/// Logs that a stored job cannot be decoded and is released.
+pub(crate) fn log_unreadable_job(order: &JobAssignment, fault: &str) {
     let (job, epoch) = (order.job.as_str(), order.epoch);
-    log::error!(job, epoch, fault; "a kept job cannot be read and is handed on");
+    log::error!(job, epoch, fault; "cannot read a stored kept job; releasing it");
 }
 
-/// Returns a span in whole milliseconds, as all keys that end in `_ms` have it.
+/// Returns a duration in whole milliseconds, the unit of all keys that end in `_ms`.
 fn millis(span: &Duration) -> u64 {
     span.as_millis() as u64
 }
--- a/crates/leased/cloverfold_leased_entry/src/job_counts.rs
+++ b/crates/leased/cloverfold_leased_entry/src/job_counts.rs
@@ -1,6 +1,4 @@
-//! Jobs by queue and by how they were answered.
-//!
-//! Owns the counters. Relies on the submission to count each job once.
+//! Counters of jobs by queue and outcome.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
@@ -11,18 +9,17 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 
-/// Queues that are counted by name; all further ones are counted together, so that a long configuration cannot make the metrics
-/// grow without bound.
+/// Maximum number of queues with a label of their own. All others share one label, which bounds the cardinality of the metric.
 const MAX_NAMED_QUEUES: usize = 64;
-/// The name under which further queues are counted.
+/// Label of all other queues.
 const OTHER_QUEUES: &str = "other";
 
-/// How a job was answered, as operators read it.
+/// Outcome of a job in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobOutcome {
-    /// Completed within its objective, reckoned from the estimated work.
+    /// Completed within the target latency, which depends on the estimated work.
     InTime,
-    /// Completed after its objective.
+    /// Completed after the target latency.
     Late,
     Failed,
     GivenUp,
@@ -30,10 +27,10 @@
 }
 
 impl JobOutcome {
-    /// Returns the outcome of a job that was answered after `took`.
-    pub(crate) fn new(answer: JobAnswer, took: Duration, objective: Duration) -> Self {
+    /// Returns the outcome of a job that was answered after `took`; `target_latency` is its target latency.
+    pub(crate) fn new(answer: JobAnswer, took: Duration, target_latency: Duration) -> Self {
         match answer {
-            JobAnswer::Completed if took <= objective => Self::InTime,
+            JobAnswer::Completed if took <= target_latency => Self::InTime,
             JobAnswer::Completed => Self::Late,
             JobAnswer::Failed => Self::Failed,
             JobAnswer::GivenUp => Self::GivenUp,
@@ -41,7 +38,7 @@
         }
     }
 
-    /// Returns its name in the metrics; a refusal is named by its cause.
+    /// Returns the label value; a refusal has the name of its cause.
     fn as_str(self) -> &'static str {
         match self {
             Self::InTime => "in_time",
@@ -67,7 +64,7 @@
 }
 
 impl JobCounts {
-    /// Returns the counters, to be registered.
+    /// Returns the counters for registration.
     pub(crate) fn counters(&self) -> Family<JobLabel, Counter> {
         self.counters.clone()
     }
@@ -81,9 +78,9 @@
         self.counters.get_or_create(&label).inc();
     }
 
-    /// Returns the name under which a queue is counted.
+    /// Returns the label value of a queue.
     fn name(&self, queue: &str) -> String {
-        // Names are only ever added, so a panic elsewhere leaves the set whole.
+        // Names are only added, so a panic elsewhere leaves the set consistent.
         let mut named = self.named.lock().unwrap_or_else(PoisonError::into_inner);
         if named.contains(queue) {
             return queue.into();
--- a/crates/leased/cloverfold_leased_entry/src/kept_body.rs
+++ b/crates/leased/cloverfold_leased_entry/src/kept_body.rs
@@ -1,42 +1,38 @@
-//! What is stored of a kept job, so that any entry can drive it later.
+//! The stored form of a kept job, from which any entry can drive it later.
 //!
-//! Decision: what is stored and what is read from the configuration in force. Rule: the caller's bytes are stored as they came, beside what its
-//! queue said when it was submitted. While the configuration in force has a queue of that name, its service, priority and objective hold;
-//! without one, those that were stored. The attempts are always those that were stored.
+//! The body holds the request as the caller sent it, and the attributes of its queue at submission. If the configuration in force has a
+//! queue of that name, its current attributes apply, because an operator who moves a queue to another service means its jobs as well.
+//! Otherwise the stored ones apply, so that an accepted job can run after its queue was removed. The maximum number of attempts is always
+//! the stored one, because the group counts failures against it.
 //!
-//! Inputs: the stored body, the configuration in force.
-//!
-//! Reason: a job that was accepted must be driven also after its queue was removed, and an operator who moves a queue to another service
-//! means its jobs as well; but the group fails a job by the attempts that it was submitted with, and its driver must count alike.
-//!
-//! The bytes are postcard's: the order of the fields never changes.
+//! The body is encoded with postcard, so the order of the fields must not change.
 
 use std::time::Duration;
 
 use cloverfold_configuration::{Configuration, Route};
 use serde::{Deserialize, Serialize};
 
-/// A kept job as its entry stores it. The order of the fields is the format on disk and on the wire.
+/// The stored form of a kept job. The order of the fields is the format on disk and on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeptBody {
     /// Name of the queue.
     pub queue: String,
     /// Service of the queue.
     pub service: String,
-    /// Urgency of the queue; 0 is the most urgent.
+    /// Priority of the queue; 0 is the most urgent.
     pub priority: u32,
-    /// Ends `Failed` of a task after which the job has failed.
+    /// Number of failures of one task after which the job has failed.
     pub max_attempts: u32,
-    /// Factor on the duration of the work.
+    /// Factor on the duration of the work in the target latency.
     pub stretch: f64,
-    /// Time allowed on top, in milliseconds.
+    /// Constant part of the target latency, in milliseconds.
     pub allowance_ms: u64,
-    /// What the caller sent.
+    /// Body of the caller's request.
     pub text: Vec<u8>,
 }
 
 impl KeptBody {
-    /// Returns what is stored of a job that came through a queue.
+    /// Returns the stored form of a job that was submitted to a queue.
     pub fn new(route: &Route, text: &[u8]) -> Self {
         Self {
             queue: route.name.clone(),
@@ -49,11 +45,11 @@
         }
     }
 
-    /// Encodes it.
+    /// Encodes the body.
     ///
     /// # Panics
     ///
-    /// Never: every body can be encoded.
+    /// Never panics: every body can be encoded.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("a body in memory can be encoded")
     }
@@ -62,12 +58,12 @@
     ///
     /// # Errors
     ///
-    /// Returns the decoder's error if the bytes are no body.
+    /// Returns the decoder's error if the bytes are not a valid body.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 
-    /// Returns the queue by which the job is driven now.
+    /// Returns the queue whose attributes apply to the job now.
     pub fn route(&self, configuration: Option<&Configuration>) -> Route {
         let mut routes = configuration.into_iter().flat_map(|all| &all.routes);
         let in_force = routes.find(|route| route.name == self.queue).cloned();
--- a/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
@@ -1,22 +1,18 @@
-//! Callers' requests about kept jobs: submits, shows, cancels and counts them, and answers.
+//! Handling of requests about kept jobs: submit, show, cancel and count.
 //!
-//! Decision: how a submission is answered. Rule:
+//! Responses to a submission:
 //!
-//! | | answer |
+//! | outcome | status |
 //! |---|---|
-//! | the group keeps the job, now or before | 200 |
-//! | it keeps another of this name | 409 |
-//! | it is refused here (`kept_admission` of the dispatcher) and not known to the group | 503 |
-//! | no copy of the submission has an effect: no lease, no leader | 503 |
-//! | the same, for want of room or by the disk, and the group does not know the job | 503 |
-//! | none of these is known within [`SUBMIT_LIMIT`], or the time that the caller waits | 504 |
+//! | the group has stored the job, now or before | 200 |
+//! | the group has stored a different job under this ID | 409 |
+//! | the dispatcher refuses the job (`kept_admission`), and the group does not know it | 503 |
+//! | the submission has no effect: no lease, no leader | 503 |
+//! | the submission has no effect: no capacity or a disk error, and the group does not know the job | 503 |
+//! | the outcome is unknown after [`SUBMIT_TIMEOUT`] or the caller's timeout | 504 |
 //!
-//! Inputs: the answer of the group, the decision of the dispatcher, the caller's patience.
-//!
-//! Reason: after 503 the caller counts the job as not run; after 504 it sends the same again, and it remains one job. So a job that is sent
-//! again must not be refused where the group can tell that it knows it.
-//!
-//! Owns the counts of queues that were asked for of late.
+//! After 503 the caller treats the job as not run. After 504 it resends the job, which is idempotent. So a resent job must not get 503 if
+//! the group can tell that it has the job.
 
 use std::time::Duration;
 
@@ -35,17 +31,17 @@
 use crate::responses::{job_state_response, no_such_job_response, refusal_response};
 use crate::state::GroupAnswer;
 
-/// How long a group may take to accept a job. An election of 0.7 s and two repeats fit.
-const SUBMIT_LIMIT: Duration = Duration::from_millis(2_500);
-/// How long a group may take to answer a question. An election fits.
-const SHOW_LIMIT: Duration = Duration::from_millis(1_500);
-/// How long a group may take to cancel a job. As [`SUBMIT_LIMIT`].
-const CANCEL_LIMIT: Duration = Duration::from_millis(2_500);
-/// Share of the time that a caller waits after which it gets its answer.
-const ANSWERED_SHARE: f64 = 0.9;
+/// Timeout for a group to accept a job; long enough for an election and two retries.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Timeout for a group to answer a query; long enough for an election.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Timeout for a group to cancel a job; long enough for an election and two retries.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Fraction of the caller's timeout within which the entry responds.
+const CALLER_TIMEOUT_SHARE: f64 = 0.9;
 
 impl Callers {
-    /// Submits a kept job and waits until its group has accepted it.
+    /// Submits a kept job and waits until its group has stored it.
     pub(crate) async fn submit_kept(
         &self,
         id: &str,
@@ -54,32 +50,32 @@
         job: &JobRequest,
     ) -> Response {
         let began = self.now();
-        let limit = self.limit(request, SUBMIT_LIMIT);
+        let timeout = self.call_timeout(request, SUBMIT_TIMEOUT);
         let refusal = self.lock().find_kept_refusal(job);
         if let Some(cause) = refusal
-            && !self.is_known(id, limit).await
+            && !self.is_known(id, timeout).await
         {
             return self.refuse_kept(id, route, cause);
         }
-        let new_job = describe_job(id, route, request, job);
-        let answer = self.lock().submit_kept(new_job, limit);
+        let new_job = build_submission(id, route, request, job);
+        let answer = self.lock().submit_kept(new_job, timeout);
         let mut answer = receive(answer).await;
-        if is_refused_in_touch(answer) && self.is_known(id, limit).await {
+        if is_refused_by_reachable_group(answer) && self.is_known(id, timeout).await {
             answer = CallAnswer::Unknown;
         }
         let took = self.now().saturating_duration_since(began);
         self.answer_submission(id, route, answer, took)
     }
 
-    /// Returns whether a group knows a job: one that is sent again must not be told that it never runs.
-    async fn is_known(&self, id: &str, limit: Duration) -> bool {
-        let shown = self.lock().show_kept(id, limit);
+    /// Returns whether a group has a job: the caller of a resent job must not learn that it will not run.
+    async fn is_known(&self, id: &str, timeout: Duration) -> bool {
+        let shown = self.lock().show_kept(id, timeout);
         matches!(receive(shown).await, CallAnswer::Shown(Some(_)))
     }
 
     fn refuse_kept(&self, id: &str, route: &Route, cause: JobRefusal) -> Response {
         let cause = cause.as_str();
-        log::info!(job = id, route = route.name.as_str(), cause; "a kept job is refused");
+        log::info!(job = id, route = route.name.as_str(), cause; "kept job refused");
         self.metrics.count_answer("kept_refused");
         refusal_response(&format!("not run: {cause}\n"), RETRY_AFTER)
     }
@@ -97,65 +93,65 @@
             CallAnswer::Kept => {
                 self.metrics.count_answer("kept");
                 self.metrics.observe_acceptance_time(took);
-                log::debug!(job = id, route, took_ms; "a job is kept");
+                log::debug!(job = id, route, took_ms; "kept job stored");
                 json_response(StatusCode::OK, "{}")
             }
             CallAnswer::Conflict => {
                 self.metrics.count_answer("kept_conflict");
-                log::info!(job = id, route; "another job of this name is kept");
+                log::info!(job = id, route; "a different kept job has this ID");
                 conflict_response()
             }
             CallAnswer::Refused(cause) => {
                 let cause = cause.as_str();
                 self.metrics.count_answer("kept_refused");
-                log::info!(job = id, route, cause, took_ms; "a kept job is refused");
+                log::info!(job = id, route, cause, took_ms; "kept job refused");
                 refusal_response(&format!("not run: {cause}\n"), RETRY_AFTER)
             }
             _ => {
                 self.metrics.count_answer("kept_unknown");
-                log::warn!(job = id, route, took_ms; "whether a job is kept is not known");
+                log::warn!(job = id, route, took_ms; "the outcome of submitting a kept job is unknown");
                 plain_response(StatusCode::GATEWAY_TIMEOUT, "not known\n")
             }
         }
     }
 
-    /// Answers how far a kept job is.
+    /// Responds with the state of a kept job.
     pub(crate) async fn show_kept(&self, id: &str, request: &Request) -> Response {
-        let limit = self.limit(request, SHOW_LIMIT);
-        let answer = self.lock().show_kept(id, limit);
+        let timeout = self.call_timeout(request, QUERY_TIMEOUT);
+        let answer = self.lock().show_kept(id, timeout);
         match receive(answer).await {
             CallAnswer::Shown(Some(phase)) => {
                 job_state_response(self.protocol.as_ref(), state_of(phase))
             }
             CallAnswer::Shown(None) => no_such_job_response(),
-            other => unavailable_response(id, "a job cannot be shown", other),
+            other => unavailable_response(id, "cannot show kept job", other),
         }
     }
 
     /// Cancels a kept job.
     pub(crate) async fn cancel_kept(&self, id: &str, request: &Request) -> Response {
-        let limit = self.limit(request, CANCEL_LIMIT);
-        let answer = self.lock().cancel_kept(id, limit);
+        let timeout = self.call_timeout(request, CANCEL_TIMEOUT);
+        let answer = self.lock().cancel_kept(id, timeout);
         match receive(answer).await {
             CallAnswer::Cancelled(CancelOutcome::Cancelled) => {
-                log::info!(job = id; "a kept job is cancelled");
+                log::info!(job = id; "kept job cancelled");
                 json_response(StatusCode::OK, "{}")
             }
             CallAnswer::Cancelled(CancelOutcome::Ended(_) | CancelOutcome::Unknown) => {
                 no_such_job_response()
             }
-            other => unavailable_response(id, "a job cannot be cancelled", other),
+            other => unavailable_response(id, "cannot cancel kept job", other),
         }
     }
 
-    /// Counts the kept jobs of a queue that have not begun; `None` while that is not known.
+    /// Returns the number of kept jobs of a queue that have not started; `None` while it is unknown.
     pub(crate) async fn count_kept(&self, queue: &str, request: &Request) -> Option<usize> {
         if let Some(count) = self.pending.find_fresh(queue, self.now()) {
             return Some(count);
         }
         let asked_at = self.now();
-        let limit = self.limit(request, SHOW_LIMIT);
-        let answers = self.lock().count_kept(queue, limit);
+        let timeout = self.call_timeout(request, QUERY_TIMEOUT);
+        let answers = self.lock().count_kept(queue, timeout);
         let mut count = 0;
         for answer in answers {
             let CallAnswer::Pending(pending) = receive(answer).await else {
@@ -167,17 +163,17 @@
         Some(count)
     }
 
-    /// Returns how long a call to a group may take.
-    fn limit(&self, request: &Request, longest: Duration) -> Duration {
+    /// Returns the timeout of a call to a group: `max_timeout`, or less if the caller's own timeout is shorter.
+    fn call_timeout(&self, request: &Request, max_timeout: Duration) -> Duration {
         match self.protocol.read_caller_timeout(&request.headers) {
-            Some(patience) => longest.min(patience.mul_f64(ANSWERED_SHARE)),
-            None => longest,
+            Some(caller_timeout) => max_timeout.min(caller_timeout.mul_f64(CALLER_TIMEOUT_SHARE)),
+            None => max_timeout,
         }
     }
 }
 
-/// Returns what is submitted to the group. Two jobs are the same if the queue and every byte of the body are.
-fn describe_job(id: &str, route: &Route, request: &Request, job: &JobRequest) -> NewJob {
+/// Returns the submission to the group. Two submissions are the same job if the queue and every byte of the body match.
+fn build_submission(id: &str, route: &Route, request: &Request, job: &JobRequest) -> NewJob {
     NewJob {
         id: id.into(),
         queue: route.name.clone(),
@@ -188,14 +184,14 @@
     }
 }
 
-/// Waits for the answer of a group.
+/// Waits for the reply of a group.
 async fn receive(answer: GroupAnswer) -> CallAnswer {
     // The state drops the sender without an answer only when the process ends.
     answer.await.unwrap_or(CallAnswer::Unknown)
 }
 
-/// Returns whether a group refused a submission whose leader can tell whether it knows the job.
-fn is_refused_in_touch(answer: CallAnswer) -> bool {
+/// Returns whether a submission was refused although the leader of the group can tell whether it has the job.
+fn is_refused_by_reachable_group(answer: CallAnswer) -> bool {
     let CallAnswer::Refused(cause) = answer else {
         return false;
     };
@@ -217,12 +213,12 @@
     }
 }
 
-/// Returns that another job of this name is kept.
+/// Returns the response to a submission whose ID belongs to a different kept job.
 pub(crate) fn conflict_response() -> Response {
     plain_response(StatusCode::CONFLICT, "another job of this name is kept\n")
 }
 
-/// Returns that a group did not answer: 503 if the call certainly had no effect, 504 otherwise.
+/// Returns the response after a failed call to a group: 503 if the call had no effect, 504 if that is unknown.
 fn unavailable_response(id: &str, what: &'static str, answer: CallAnswer) -> Response {
     if let CallAnswer::Refused(cause) = answer {
         let cause = cause.as_str();
--- a/crates/leased/cloverfold_leased_entry/src/known_guards.rs
+++ b/crates/leased/cloverfold_leased_entry/src/known_guards.rs
@@ -1,7 +1,6 @@
-//! The guards that an entry knows, and when it invites one that is no longer connected.
+//! The guards known to an entry, and the schedule for inviting disconnected ones.
 //!
-//! Guards dial entries, so an entry that a restarted guard does not know yet must ask to be dialed. Owns the addresses of guards that
-//! are or were connected. Relies on the caller to send the invitations.
+//! Guards dial entries, so an entry must ask a restarted guard, which may not know the entry, to dial it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,19 +8,19 @@
 
 use cloverfold_base::Timestamp;
 
-/// How often a guard that is not connected is invited. Chosen, not measured; docs/design/6-leased-runs.md, "Finding one another".
+/// Interval between invitations to disconnected guards.
 const INVITE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a guard that is not connected is remembered.
-const GUARD_MEMORY: Duration = Duration::from_secs(60);
+/// How long a disconnected guard is invited before it is removed.
+const GUARD_RETENTION: Duration = Duration::from_secs(60);
 
 /// A guard that is or was connected.
 struct KnownGuard {
     links: usize,
-    /// When its last link opened or closed.
+    /// Time at which its last link opened or closed.
     last_change_at: Timestamp,
 }
 
-/// All guards that an entry knows, by the address on which they accept links.
+/// The guards known to an entry, by the address on which they accept links.
 #[derive(Default)]
 pub(crate) struct KnownGuards {
     guards: BTreeMap<SocketAddr, KnownGuard>,
@@ -29,8 +28,8 @@
 }
 
 impl KnownGuards {
-    /// Counts a link to a guard.
-    pub(crate) fn record_connected(&mut self, address: SocketAddr, now: Timestamp) {
+    /// Records a new link to a guard.
+    pub(crate) fn add_link(&mut self, address: SocketAddr, now: Timestamp) {
         let guard = self.guards.entry(address).or_insert(KnownGuard {
             links: 0,
             last_change_at: now,
@@ -38,15 +37,15 @@
         guard.links += 1;
     }
 
-    /// Counts a link to a guard as closed.
-    pub(crate) fn record_disconnected(&mut self, address: SocketAddr, now: Timestamp) {
+    /// Records that a link to a guard has closed.
+    pub(crate) fn remove_link(&mut self, address: SocketAddr, now: Timestamp) {
         if let Some(guard) = self.guards.get_mut(&address) {
             guard.links = guard.links.saturating_sub(1);
             guard.last_change_at = now;
         }
     }
 
-    /// Forgets a guard that has left for other entries, unless another link to it is open.
+    /// Removes a guard that has said goodbye, unless another link to it is open.
     pub(crate) fn forget(&mut self, address: SocketAddr) {
         if self
             .guards
@@ -57,14 +56,15 @@
         }
     }
 
-    /// Forgets guards that have been away too long, and returns those to invite now: none before [`INVITE_INTERVAL`] is over.
+    /// Removes guards that have been disconnected for [`GUARD_RETENTION`], and returns the guards to invite now: none before
+    /// [`INVITE_INTERVAL`] is over.
     pub(crate) fn take_due_invitations(&mut self, now: Timestamp) -> Vec<SocketAddr> {
         if now < self.last_invited_at + INVITE_INTERVAL {
             return Vec::new();
         }
         self.last_invited_at = now;
         self.guards
-            .retain(|_, guard| guard.links > 0 || now < guard.last_change_at + GUARD_MEMORY);
+            .retain(|_, guard| guard.links > 0 || now < guard.last_change_at + GUARD_RETENTION);
         let away = self.guards.iter().filter(|(_, guard)| guard.links == 0);
         away.map(|(address, _)| *address).collect()
     }
--- a/crates/leased/cloverfold_leased_entry/src/lib.rs
+++ b/crates/leased/cloverfold_leased_entry/src/lib.rs
@@ -1,12 +1,13 @@
-//! The entry of a leased installation.
+//! The entry process of a leased installation.
 //!
-//! It accepts callers' jobs over HTTP, dispatches them to the guards that dial it, and answers each once. The form of bodies and paths is
-//! decided by a [`JobProtocol`].
+//! It accepts jobs over HTTP, dispatches their tasks to the guards that dial it, and answers each job once. A [`JobProtocol`] defines the
+//! format of paths and bodies.
 //!
-//! Owns the open jobs that may be repeated and the callers that wait for them; no other process knows them, so that they are lost with the
-//! entry. Jobs that are kept are replicated by the control processes; the entry submits them, and drives those that it is given. Relies on
-//! `cloverfold_lease` for where and when tasks run (the dispatcher), on `cloverfold_kept_jobs` for what it drives, on `cloverfold_leased_process` to start and run, and on `cloverfold_peer` for
-//! guards and control processes.
+//! Repeatable jobs exist only in the memory of their entry and are lost with it. Kept jobs are durable: the control processes replicate
+//! them, and the entry submits them and drives those that it is assigned.
+//!
+//! The dispatcher of `cloverfold_lease` decides where and when tasks run; the driver of `cloverfold_kept_jobs` decides which kept jobs
+//! the entry drives.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_leased_entry/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_entry/src/metrics.rs
@@ -1,7 +1,4 @@
-//! The metrics of an entry.
-//!
-//! Owns the counts of answers and the histogram of their times; everything else is read off [`EntryState`] when it is asked for. Relies
-//! on [`ProcessMetrics`] for what every leased process counts.
+//! Metrics of an entry.
 
 use std::time::Duration;
 
@@ -16,11 +13,11 @@
 use crate::job_counts::{JobCounts, JobOutcome};
 use crate::state::EntryState;
 
-/// Upper bound of the first bucket of answer times, in seconds.
+/// Upper bound of the first histogram bucket, in seconds.
 const FIRST_BUCKET: f64 = 0.005;
-/// Each bucket's upper bound over that of the one before.
+/// Ratio of the upper bounds of consecutive buckets.
 const BUCKET_GROWTH: f64 = 2.0;
-/// Buckets: the last ends at 10.24 s.
+/// Number of buckets; the last one ends at 10.24 s.
 const BUCKETS: u16 = 12;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -28,7 +25,7 @@
     outcome: &'static str,
 }
 
-/// Counters and histograms of answers, and gauges that are read off the state when they are asked for.
+/// Counters and histograms of answers, and gauges that are set from [`EntryState`] when the metrics are written.
 pub(crate) struct EntryMetrics {
     metrics: ProcessMetrics,
     answers: Family<OutcomeLabel, Counter>,
@@ -96,12 +93,12 @@
         self.answer_seconds.observe(took.as_secs_f64());
     }
 
-    /// Observes how long it took until a kept job was accepted.
+    /// Observes the time until a kept job was accepted.
     pub(crate) fn observe_acceptance_time(&self, took: Duration) {
         self.acceptance_seconds.observe(took.as_secs_f64());
     }
 
-    /// Counts a job that its dispatcher or its state answered.
+    /// Counts a job by its outcome.
     pub(crate) fn count_job(&self, queue: &str, outcome: JobOutcome) {
         self.jobs.count(queue, outcome);
     }
--- a/crates/leased/cloverfold_leased_entry/src/pending_counts.rs
+++ b/crates/leased/cloverfold_leased_entry/src/pending_counts.rs
@@ -1,10 +1,7 @@
-//! Decision: how old the count of a queue's kept jobs may be.
+//! Cache of the number of pending kept jobs of each queue.
 //!
-//! Rule: a count that was asked for within [`FRESH`] is given again; within [`USABLE`] only if the groups do not answer.
-//!
-//! Inputs: the counts and when they were asked for.
-//!
-//! Reason: callers accept a count that is two seconds old, and one question to each group a second and queue is enough.
+//! Callers accept counts that are up to two seconds old. A cached count is returned if it is not older than [`FRESH_AGE`], or not older
+//! than [`USABLE_AGE`] if the groups do not reply. This limits the queries to each group to about one per second and queue.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,11 +9,11 @@
 
 use cloverfold_base::Timestamp;
 
-/// A count of this age is given without asking.
-const FRESH: Duration = Duration::from_millis(800);
-/// The oldest count that is given at all: drivers tell what has begun every 0.3 s, and callers accept 2 s.
-const USABLE: Duration = Duration::from_millis(1_600);
-/// Queues whose counts are remembered; beyond that all are forgotten.
+/// Maximum age of a count that is returned without a query.
+const FRESH_AGE: Duration = Duration::from_millis(800);
+/// Maximum age of any returned count. Drivers report started jobs every 0.3 s, and callers accept an age of 2 s.
+const USABLE_AGE: Duration = Duration::from_millis(1_600);
+/// Maximum number of cached queues; the cache is cleared when it is full.
 const MAX_QUEUES: usize = 1_024;
 
 #[derive(Clone, Copy, Debug)]
@@ -25,21 +22,21 @@
     asked_at: Timestamp,
 }
 
-/// The counts of queues that were asked for of late.
+/// Recent counts by queue.
 #[derive(Debug, Default)]
 pub(crate) struct PendingCounts {
     by_queue: Mutex<HashMap<String, PendingCount>>,
 }
 
 impl PendingCounts {
-    /// Returns a count that need not be asked for.
+    /// Returns a count that is fresh enough to skip the query.
     pub(crate) fn find_fresh(&self, queue: &str, now: Timestamp) -> Option<usize> {
-        self.find(queue, FRESH, now)
+        self.find(queue, FRESH_AGE, now)
     }
 
-    /// Returns a count that may be given if the groups do not answer.
+    /// Returns a count that can be used if the groups do not reply.
     pub(crate) fn find_usable(&self, queue: &str, now: Timestamp) -> Option<usize> {
-        self.find(queue, USABLE, now)
+        self.find(queue, USABLE_AGE, now)
     }
 
     /// Records a count.
@@ -58,7 +55,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<String, PendingCount>> {
-        // A count is written with one call, so a panic elsewhere leaves the map whole.
+        // A count is written with one call, so a panic elsewhere leaves the map consistent.
         self.by_queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -1,7 +1,4 @@
-//! The entry process: how it starts, what changes while it runs, and how it stops.
-//!
-//! Owns the addresses that it serves and its tasks. Relies on `cloverfold_leased_process` for links, ticks and the pages for operators, and
-//! on `cloverfold_http` to serve callers.
+//! Start, settings reload and graceful shutdown of the entry process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,19 +21,19 @@
 use crate::protocol::JobProtocol;
 use crate::state::EntryState;
 
-/// How often the entry does what has fallen due.
+/// Interval between ticks of the state.
 const TICK: Duration = Duration::from_millis(20);
 
-/// How long before the end of the drain time kept jobs are handed on whose runs have not ended. A group that elects a leader at
-/// that moment answers within it.
-const HAND_ON_TIME: Duration = Duration::from_secs(1);
+/// How long before the drain timeout the entry releases kept jobs that still have runs. Leaves a group enough time to elect a leader and
+/// reply.
+const RELEASE_TIME: Duration = Duration::from_secs(1);
 
-/// A running entry; dropping it stops it at once.
+/// A running entry; dropping it stops the process without draining.
 pub struct LeasedEntry {
     callers: Arc<Callers>,
     clients: ServerHandle,
     readiness: ServerHandle,
-    /// Serves until it is dropped.
+    /// Serves until dropped.
     _operations: Option<ServerHandle>,
     linger: Duration,
     drain_timeout: Duration,
@@ -45,46 +42,47 @@
 }
 
 impl LeasedEntry {
-    /// Returns the address at which callers are served.
+    /// Returns the address that serves callers.
     pub fn client_address(&self) -> SocketAddr {
         self.clients.address()
     }
 
-    /// Returns the address at which the balancer asks for readiness.
+    /// Returns the address of the readiness check for the load balancer.
     pub fn ready_address(&self) -> SocketAddr {
         self.readiness.address()
     }
 
-    /// Applies what may change while the entry runs: the seeds. The rest stays until the next start.
+    /// Applies the settings that can change at run time: the seeds. Other changes apply at the next start.
     pub fn reload(&self, settings: &LeasedEntrySettings) {
         let seeds = settings.peer.seed_addresses();
         self.callers.lock().set_seeds(seeds);
     }
 
-    /// Stops as planned: tells the balancer, goes on for the linger time, then accepts no new job, hands on the kept ones of which nothing
-    /// runs and waits until open ones are answered and kept ones have ended; what is left shortly before the drain time is over is handed on.
+    /// Stops gracefully. The entry becomes not ready, but accepts jobs for the linger time. Then it accepts no new jobs, releases
+    /// kept jobs without runs, and waits until open jobs are answered and kept ones have ended. It releases the remaining kept jobs shortly
+    /// before the drain timeout.
     pub async fn stop(self) {
         self.begin_draining();
         sleep(self.linger).await;
         self.stop_accepting_jobs();
-        let (is_drained, ()) = tokio::join!(self.wait_until_answered(), self.hand_on_jobs());
+        let (is_drained, ()) = tokio::join!(self.wait_until_answered(), self.release_jobs());
         log::info!(is_drained; "stopped");
     }
 
-    /// Shows the entry as not ready and asks clients to connect elsewhere; jobs are still accepted.
+    /// Makes the entry not ready and asks clients to reconnect elsewhere; the entry still accepts jobs.
     fn begin_draining(&self) {
         log::info!("draining");
         self.callers.lock().begin_draining();
         self.clients.advance(ShutdownPhase::Draining);
     }
 
-    /// Refuses jobs and new client connections from now on; open connections close once they are idle.
+    /// Refuses new jobs and client connections; open connections close once they are idle.
     fn stop_accepting_jobs(&self) {
         self.callers.lock().stop_accepting_jobs();
         self.clients.advance(ShutdownPhase::Closing);
     }
 
-    /// Returns whether all open jobs were answered in time.
+    /// Waits until all open jobs are answered; returns whether that was before the drain timeout.
     async fn wait_until_answered(&self) -> bool {
         let left = self.drain_timeout.saturating_sub(self.linger);
         timeout(left, self.clients.wait_closed()).await.is_ok()
@@ -92,25 +90,25 @@
 }
 
 impl LeasedEntry {
-    /// Waits until no kept job is driven here; hands on those that are left [`HAND_ON_TIME`] before the drain time is over.
-    async fn hand_on_jobs(&self) {
+    /// Waits until this entry drives no kept job; releases the remaining ones [`RELEASE_TIME`] before the drain timeout.
+    async fn release_jobs(&self) {
         let left = self.drain_timeout.saturating_sub(self.linger);
-        let last = HAND_ON_TIME.min(left / 2);
-        if timeout(left - last, self.wait_until_handed_on())
+        let last = RELEASE_TIME.min(left / 2);
+        if timeout(left - last, self.wait_until_released())
             .await
             .is_ok()
         {
             return;
         }
-        self.callers.lock().hand_on_all_jobs();
-        if timeout(last, self.wait_until_handed_on()).await.is_err() {
+        self.callers.lock().release_all_jobs();
+        if timeout(last, self.wait_until_released()).await.is_err() {
             let jobs = self.callers.lock().driven_jobs();
-            log::warn!(jobs; "kept jobs could not be handed on; they are once the lease of this entry is over");
+            log::warn!(jobs; "some kept jobs were not released; they are reassigned after the lease of this entry expires");
         }
     }
 
-    async fn wait_until_handed_on(&self) {
-        while !self.callers.lock().has_handed_on() {
+    async fn wait_until_released(&self) {
+        while !self.callers.lock().has_released_jobs() {
             sleep(TICK).await;
         }
     }
@@ -132,7 +130,7 @@
     let port = PeerPort::new(settings.peer.address(), settings.peer.listen_address());
     let state = Shared::new(build_state(settings, &port, protocol.clone()));
     let callers = Arc::new(Callers::new(state.clone(), protocol));
-    log::info!(name = settings.peer.name.as_str(); "an entry starts");
+    log::info!(name = settings.peer.name.as_str(); "starting entry");
 
     let port = port.listen()?;
     let clients = start_clients(settings.client_address, &callers)?;
@@ -142,7 +140,7 @@
         settings.peer.metrics_address(),
         &state,
         move |state| metrics.write(state),
-        EntryState::find_unreadiness,
+        EntryState::not_ready_reason,
     )?;
     let mut tasks = JoinSet::new();
     port.run(state, TICK, &mut tasks);
@@ -188,7 +186,7 @@
     serve_at("client_address", address, limits, answer)
 }
 
-/// Returns the limits of the configuration in force, or the default ones before the first.
+/// Returns the limits of the configuration in force, or the default ones if there is none.
 fn read_limits(callers: &Callers) -> HttpLimits {
     let configuration = callers.lock().configuration();
     let Some(configuration) = configuration else {
@@ -215,13 +213,13 @@
     serve_at("ready_address", address, HttpLimits::default, answer)
 }
 
-/// Answers the balancer: 200 if ready, otherwise 503 with the reason.
+/// Responds to the load balancer: 200 if ready, otherwise 503 with the reason.
 fn answer_readiness(callers: &Callers, request: &Request) -> Response {
     let path = request.uri.path();
     if !callers.protocol.is_readiness_request(&request.method, path) {
         return plain_response(StatusCode::NOT_FOUND, "no such call\n");
     }
-    match callers.lock().find_unreadiness() {
+    match callers.lock().not_ready_reason() {
         None => json_response(StatusCode::OK, "{}"),
         Some(reason) => plain_response(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n")),
     }
--- a/crates/leased/cloverfold_leased_entry/src/protocol.rs
+++ b/crates/leased/cloverfold_leased_entry/src/protocol.rs
@@ -1,6 +1,4 @@
-//! How callers write requests and read answers.
-//!
-//! The boundary to the platform's forms: `platform/` implements [`JobProtocol`], and nothing else here knows them. Owns nothing.
+//! Interface to the platform's wire format for jobs, which `platform/` implements.
 
 use std::time::Duration;
 
@@ -11,28 +9,28 @@
 /// A call to a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueueCall {
-    /// Submits the job in the body under this id.
+    /// Submits the job in the body under this ID.
     Submit(String),
-    /// Asks for the state of the job with this id.
+    /// Requests the state of the job with this ID.
     Show(String),
-    /// Cancels the job with this id.
+    /// Cancels the job with this ID.
     Cancel(String),
-    /// Asks how many jobs of the queue are open and have not started.
+    /// Requests the number of open jobs of the queue that have not started.
     Count,
 }
 
-/// A job that could be read.
+/// A parsed job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ParsedJob {
-    /// A job whose tasks may all run again if an answer is lost.
+    /// A job whose tasks may run again if a response is lost.
     Repeatable(JobRequest),
-    /// A job that must be kept, and may run only once.
+    /// A durable job, which may run only once.
     Kept(JobRequest),
-    /// A job that needs what is not implemented; the text names it.
+    /// A job that needs an unimplemented feature; the text names the feature.
     Unsupported(&'static str),
 }
 
-/// A job that cannot be read; the text names the field.
+/// A job that cannot be parsed; the text names the field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct MalformedJob(pub String);
@@ -40,42 +38,42 @@
 /// The state of a job, as callers see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// No task has begun.
+    /// No task has started.
     Queued,
-    /// It has no answer yet, or a task has begun.
+    /// A task has started, or the job is repeatable and has no answer yet.
     Running,
-    /// All its tasks have succeeded.
+    /// All tasks have succeeded.
     Completed,
-    /// A task has failed as often as it may.
+    /// A task has reached its maximum number of failures.
     Failed,
-    /// Its caller has cancelled it.
+    /// A caller has cancelled the job.
     Cancelled,
 }
 
-/// How callers' requests and answers are written.
+/// Wire format of requests and responses.
 pub trait JobProtocol: ConfigurationFormat {
-    /// Returns the call that a request to a queue makes, `None` if it makes none; `rest` is its path after the queue's prefix.
+    /// Returns the call of a request to a queue, `None` if there is no such call; `rest` is the path after the prefix of the queue.
     fn classify(&self, method: &Method, rest: &str) -> Option<QueueCall>;
 
-    /// Reads a job.
+    /// Parses a job.
     ///
     /// # Errors
     ///
-    /// Returns [`MalformedJob`] with the field that cannot be read.
+    /// Returns [`MalformedJob`] with the field that cannot be parsed.
     fn parse_job(&self, id: &str, route: &Route, body: &[u8]) -> Result<ParsedJob, MalformedJob>;
 
-    /// Returns whether a job of this name can be kept.
+    /// Returns whether a kept job can have this ID.
     fn can_be_kept(&self, id: &str) -> bool;
 
-    /// Returns how long the caller waits for the answer, if its request names a bound.
+    /// Returns how long the caller waits for a response, if the request says so.
     fn read_caller_timeout(&self, headers: &HeaderMap) -> Option<Duration>;
 
-    /// Writes the state of a job.
+    /// Serializes the state of a job.
     fn write_state(&self, state: JobState) -> Vec<u8>;
 
-    /// Writes how many jobs of a queue are open and have not started.
+    /// Serializes the number of open jobs of a queue that have not started.
     fn write_count(&self, waiting: usize) -> Vec<u8>;
 
-    /// Returns whether a request at the balancer's address asks for readiness.
+    /// Returns whether a request is the readiness check of the load balancer.
     fn is_readiness_request(&self, method: &Method, path: &str) -> bool;
 }
--- a/crates/leased/cloverfold_leased_entry/src/responses.rs
+++ b/crates/leased/cloverfold_leased_entry/src/responses.rs
@@ -1,6 +1,6 @@
-//! Responses to callers about their jobs.
+//! HTTP responses about jobs.
 //!
-//! Status codes are the same for every protocol; a [`JobProtocol`] writes the bodies. Owns nothing.
+//! Status codes are the same for every protocol; a [`JobProtocol`] writes the bodies.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use crate::protocol::{JobProtocol, JobState};
 
-/// Returns the response to a job that is answered.
+/// Returns the response for the answer to a job.
 pub(crate) fn answer_response(protocol: &dyn JobProtocol, answer: JobAnswer) -> Response {
     match answer {
         JobAnswer::Completed => job_state_response(protocol, JobState::Completed),
@@ -22,17 +22,17 @@
     }
 }
 
-/// Returns the state of a job.
+/// Returns the response with the state of a job.
 pub(crate) fn job_state_response(protocol: &dyn JobProtocol, state: JobState) -> Response {
     json_response(StatusCode::OK, protocol.write_state(state))
 }
 
-/// Returns that no job of this name is open here.
+/// Returns the response for an unknown job.
 pub(crate) fn no_such_job_response() -> Response {
     plain_response(StatusCode::GONE, "no such job\n")
 }
 
-/// Returns that a job was refused and has not run; `Retry-After` names whole seconds, at least one.
+/// Returns the response for a refused request, with `Retry-After` in whole seconds, at least one.
 pub(crate) fn refusal_response(text: &str, retry_after: Duration) -> Response {
     let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, text);
     let seconds = HeaderValue::from(retry_after.as_secs().max(1));
--- a/crates/leased/cloverfold_leased_entry/src/state/kept.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/kept.rs
@@ -1,7 +1,6 @@
-//! Kept jobs at an entry: callers' calls to the groups, and the jobs that it drives.
+//! Kept jobs of an entry: calls to groups on behalf of callers, and the jobs that it drives.
 //!
-//! Translates between the driver, which decides what is driven, and the dispatcher, which decides where. Changes the driver, the dispatcher
-//! and the pairs of their names in [`EntryState`], and owns the channels on which callers wait for groups.
+//! Translates between the driver, which decides which jobs the entry drives, and the dispatcher, which decides where their tasks run.
 
 use std::time::Duration;
 
@@ -16,79 +15,79 @@
 
 use super::EntryState;
 use crate::driven_jobs::DrivenJob;
-use crate::event_log::{log_driven, log_not_driven, log_undrivable};
+use crate::event_log::{log_driving, log_not_driven, log_unreadable_job};
 use crate::kept_body::KeptBody;
 use crate::protocol::ParsedJob;
 
-/// Where the answer of a group comes.
+/// Channel for the reply of a group.
 pub(crate) type GroupAnswer = oneshot::Receiver<CallAnswer>;
 
 impl EntryState {
-    /// Returns why a kept job is not submitted, if there is a reason.
+    /// Returns why this entry refuses to submit a kept job; `None` if it does not.
     pub(crate) fn find_kept_refusal(&self, request: &JobRequest) -> Option<JobRefusal> {
         self.dispatcher.find_kept_refusal(request, self.clock.now())
     }
 
-    /// Submits a job to its group; its caller's disconnect changes nothing.
-    pub(crate) fn submit_kept(&mut self, job: NewJob, limit: Duration) -> GroupAnswer {
+    /// Submits a job to its group; continues even if the caller disconnects.
+    pub(crate) fn submit_kept(&mut self, job: NewJob, timeout: Duration) -> GroupAnswer {
         let now = self.clock.now();
-        let token = self.driver.submit(job, now + limit, now);
+        let token = self.driver.submit(job, now + timeout, now);
         self.await_group(token)
     }
 
-    /// Asks how far a job is.
-    pub(crate) fn show_kept(&mut self, id: &str, limit: Duration) -> GroupAnswer {
+    /// Queries the state of a job.
+    pub(crate) fn show_kept(&mut self, id: &str, timeout: Duration) -> GroupAnswer {
         let now = self.clock.now();
-        let token = self.driver.show(id, now + limit, now);
+        let token = self.driver.show(id, now + timeout, now);
         self.await_group(token)
     }
 
     /// Cancels a job.
-    pub(crate) fn cancel_kept(&mut self, id: &str, limit: Duration) -> GroupAnswer {
+    pub(crate) fn cancel_kept(&mut self, id: &str, timeout: Duration) -> GroupAnswer {
         let now = self.clock.now();
-        let token = self.driver.cancel(id, now + limit, now);
+        let token = self.driver.cancel(id, now + timeout, now);
         self.await_group(token)
     }
 
-    /// Asks every group how many jobs of a queue have not begun.
-    pub(crate) fn count_kept(&mut self, queue: &str, limit: Duration) -> Vec<GroupAnswer> {
+    /// Queries every group for the number of jobs of a queue that have not started.
+    pub(crate) fn count_kept(&mut self, queue: &str, timeout: Duration) -> Vec<GroupAnswer> {
         let now = self.clock.now();
         let groups: std::ops::Range<GroupId> = 0..self.driver.group_count();
         groups
             .map(|group| {
-                let token = self.driver.count_pending(group, queue, now + limit, now);
+                let token = self.driver.count_pending(group, queue, now + timeout, now);
                 self.await_group(token)
             })
             .collect()
     }
 
-    /// Returns how many groups there are; 0 while that is not known.
+    /// Returns the number of groups; 0 while unknown.
     pub(crate) fn group_count(&self) -> u32 {
         self.driver.group_count()
     }
 
-    /// Returns whether jobs may be kept though this entry does not know the groups yet.
-    pub(crate) fn awaits_groups(&self) -> bool {
+    /// Returns whether there may be kept jobs although this entry does not know the groups yet.
+    pub(crate) fn is_waiting_for_groups(&self) -> bool {
         self.driver.group_count() == 0 && has_group_link(&self.links)
     }
 
-    /// Returns whether a kept job of this name is driven here.
-    pub(crate) fn drives(&self, id: &str) -> bool {
+    /// Returns whether this entry drives a kept job with this ID.
+    pub(crate) fn is_driving(&self, id: &str) -> bool {
         self.driver.driven_epoch(id).is_some()
     }
 
-    /// Returns how many kept jobs are driven here, those included whose end is not confirmed.
+    /// Returns the number of kept jobs that this entry drives, including those whose end is not confirmed.
     pub(crate) fn driven_jobs(&self) -> usize {
         self.driver.driven_count()
     }
 
-    /// Returns how many groups this entry has a lease of.
+    /// Returns the number of groups from which this entry has a valid lease.
     pub(crate) fn valid_leases(&self) -> usize {
         self.driver.valid_lease_count(self.clock.now())
     }
 
-    /// Takes no further kept job, and hands on those of which nothing runs.
-    pub(super) fn hand_on_idle_jobs(&mut self) {
+    /// Stops taking kept jobs and releases those without runs.
+    pub(super) fn release_idle_jobs(&mut self) {
         self.driver.stop_taking_jobs();
         let unfinished = self.driver.unfinished_jobs();
         let idle = unfinished.into_iter().filter(|id| self.is_idle(id));
@@ -97,8 +96,8 @@
         self.advance();
     }
 
-    /// Hands on all kept jobs, whether anything of them runs or not.
-    pub(crate) fn hand_on_all_jobs(&mut self) {
+    /// Releases all kept jobs, even those with runs.
+    pub(crate) fn release_all_jobs(&mut self) {
         let unfinished = self.driver.unfinished_jobs();
         let jobs = unfinished.into_iter().map(|id| {
             let is_clean = self.is_idle(&id);
@@ -109,12 +108,12 @@
         self.advance();
     }
 
-    /// Returns whether no kept job is driven here and all that were handed on have arrived.
-    pub(crate) fn has_handed_on(&self) -> bool {
+    /// Returns whether this entry drives no kept job and all releases are confirmed.
+    pub(crate) fn has_released_jobs(&self) -> bool {
         self.driver.is_empty()
     }
 
-    /// Returns whether no run of a job may be at work.
+    /// Returns whether a job certainly has no runs.
     fn is_idle(&self, id: &str) -> bool {
         let number = self.driven.number(id);
         let has_open = number.is_some_and(|number| self.dispatcher.has_open_runs(number));
@@ -128,25 +127,25 @@
         rx
     }
 
-    /// Drives nothing whose lease has lapsed; called before anything else may begin a run.
-    pub(super) fn check_driver_leases(&mut self, now: Timestamp) {
+    /// Stops driving jobs whose lease has expired; must be called before anything that may start a run.
+    pub(super) fn expire_driver_leases(&mut self, now: Timestamp) {
         self.driver.expire_leases(now);
         self.carry_out_driver();
     }
 
-    /// Does what of kept jobs has fallen due.
+    /// Reports started jobs to the driver and runs its due work.
     pub(super) fn tick_driver(&mut self, now: Timestamp) {
         let dispatcher = &self.dispatcher;
         for id in self
             .driven
-            .take_begun(|number| dispatcher.has_begun(number))
+            .take_started(|number| dispatcher.has_begun(number))
         {
             self.driver.record_begun(&id);
         }
         self.driver.tick(now);
     }
 
-    /// Carries out what the driver has decided on; returns whether there was anything.
+    /// Executes the pending actions of the driver; returns whether there were any.
     pub(super) fn carry_out_driver(&mut self) -> bool {
         let actions = self.driver.take_actions();
         let has_any = !actions.is_empty();
@@ -164,7 +163,7 @@
                 }
                 DriverAction::Answer(token, answer) => {
                     if let Some(caller) = self.group_callers.remove(&token) {
-                        // Harmless: a caller that has disconnected needs no answer.
+                        // Fails if the caller has disconnected, which is harmless.
                         let _ = caller.send(answer);
                     }
                 }
@@ -173,18 +172,18 @@
         has_any
     }
 
-    /// Gives a job to the dispatcher; one that cannot be read is handed on, to an entry that may be of a later build.
+    /// Passes a job to the dispatcher. Releases a job that it cannot read, because another entry may run a later build that can.
     fn drive(&mut self, order: JobAssignment) {
         let now = self.clock.now();
-        let request = match self.read_kept(&order) {
+        let request = match self.parse_stored_job(&order) {
             Ok(request) => request,
             Err(fault) => {
-                log_undrivable(&order, &fault);
+                log_unreadable_job(&order, &fault);
                 self.driver.release(&[(order.job, true)], now);
                 return;
             }
         };
-        log_driven(&order);
+        log_driving(&order);
         let job = DrivenJob {
             id: order.job,
             epoch: order.epoch,
@@ -198,8 +197,8 @@
         self.driven.insert(number, job);
     }
 
-    /// Reads a stored job with the queue as it is now.
-    fn read_kept(&self, order: &JobAssignment) -> Result<JobRequest, String> {
+    /// Parses a stored job with the current attributes of its queue.
+    fn parse_stored_job(&self, order: &JobAssignment) -> Result<JobRequest, String> {
         let body = KeptBody::decode(&order.body).map_err(|fault| fault.to_string())?;
         let configuration = self.configuration();
         let route = body.route(configuration.as_deref());
@@ -219,15 +218,15 @@
         }
     }
 
-    /// Gives a job back whose progress only its group knows.
-    pub(super) fn hand_back(&mut self, number: JobNumber) {
+    /// Releases a job whose progress only its group knows.
+    pub(super) fn release_job(&mut self, number: JobNumber) {
         if let Some(id) = self.driven.id(number) {
             let is_clean = self.is_idle(&id);
             self.driver.release(&[(id, is_clean)], self.clock.now());
         }
     }
 
-    /// Takes note of the end of a run of a kept job.
+    /// Reports the end of a run of a kept job to the driver.
     pub(super) fn observe_end(
         &mut self,
         number: JobNumber,
@@ -246,7 +245,7 @@
         }
     }
 
-    /// Records that all of a kept job has ended here; returns whether it is one.
+    /// Records that a kept job has ended at the dispatcher; returns whether `number` belongs to a kept job.
     pub(super) fn finish_kept(&mut self, number: JobNumber, answer: JobAnswer) -> bool {
         let Some(job) = self.driven.remove(number) else {
             return false;
@@ -256,7 +255,7 @@
             JobAnswer::Completed => "completed",
             _ => "failed",
         };
-        log::debug!(job = job.id.as_str(), epoch = job.epoch, outcome; "a kept job has ended here");
+        log::debug!(job = job.id.as_str(), epoch = job.epoch, outcome; "kept job ended at its driver");
         let now = self.clock.now();
         self.driver
             .record_finished(&job.id, job.epoch, is_clean, now);
--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -1,7 +1,4 @@
-//! The entry's peers: who is connected, what they announce, and whom the entry invites.
-//!
-//! Handles the events of links: passes guards' messages to the dispatcher, and fetches newer configurations. Changes the links, sessions and
-//! configuration of [`EntryState`] and owns no state besides. Relies on `cloverfold_link` for links, on `known_guards` for when to invite.
+//! Link events of an entry: passes messages from guards to the dispatcher, fetches newer configurations and invites guards.
 
 use cloverfold_base::Timestamp;
 use cloverfold_configuration::{ConfigurationDelta, StoredConfiguration, Version};
@@ -41,7 +38,7 @@
             PeerMessage::DialControls(controls) => self.controls.accept_invitation(controls),
             PeerMessage::Evacuations(told) => self.receive_evacuations(link, told),
             PeerMessage::Goodbye => self.release_guard(link),
-            // Never sent to an entry.
+            // These messages are never sent to an entry.
             PeerMessage::ToRunner(_)
             | PeerMessage::Invite { .. }
             | PeerMessage::Consensus(_)
@@ -71,14 +68,14 @@
             if let Some(hall) = hello.data_hall() {
                 self.dispatcher.set_data_hall(link, hall);
             }
-            self.guards.record_connected(hello.address, now);
+            self.guards.add_link(hello.address, now);
         }
         self.links.record_hello(link, hello);
         self.evacuations.announce(&self.links);
         self.fetch_if_newer(link, version);
     }
 
-    /// Removes a link that has closed or is to be closed, and with it a guard's session.
+    /// Removes a link, which closes it if it is still open, and ends the session of a guard.
     pub(super) fn close_link(&mut self, link: LinkId) {
         let now = self.clock.now();
         let Some(hello) = self.links.close(link) else {
@@ -86,11 +83,11 @@
         };
         if hello.role == PeerRole::Guard {
             self.dispatcher.close_session(link, now);
-            self.guards.record_disconnected(hello.address, now);
+            self.guards.remove_link(hello.address, now);
         }
     }
 
-    /// Closes the link to a guard that works with other entries from now on, and invites it no more.
+    /// Closes the link to a guard that has said goodbye, and stops inviting it.
     fn release_guard(&mut self, link: LinkId) {
         let Some(guard) = self.links.hello(link).map(|hello| hello.address) else {
             return;
@@ -99,10 +96,10 @@
         self.guards.forget(guard);
     }
 
-    /// Asks a peer for its configuration if it is newer and no other peer was asked just now.
+    /// Fetches the configuration of a peer if it is newer and no other fetch is in flight.
     fn fetch_if_newer(&mut self, link: LinkId, version: Version) {
         let now = self.clock.now();
-        if self.fetches.try_begin(version, self.version(), now) {
+        if self.fetches.try_start(version, self.version(), now) {
             self.links.fetch_configuration(link, self.version());
         }
     }
@@ -121,7 +118,7 @@
         }
     }
 
-    /// Puts a configuration in force that was sent as a change.
+    /// Puts a configuration in force that was sent as a delta.
     fn receive_change(&mut self, link: LinkId, change: &ConfigurationDelta) {
         let base = self.configuration.stored();
         if let Some(stored) = self.links.apply_delta(link, change, base) {
@@ -129,7 +126,7 @@
         }
     }
 
-    /// Assigns nothing in the evacuated halls that a peer tells of, if it knows more than this entry.
+    /// Adopts newer evacuated halls from a peer, so that the dispatcher assigns no work there.
     fn receive_evacuations(&mut self, link: LinkId, told: EvacuatedHalls) {
         if self.evacuations.receive(told, link, &mut self.links) {
             let halls = &self.evacuations.halls().halls;
@@ -137,7 +134,7 @@
         }
     }
 
-    /// Sends the version in force here to the control processes, for operators who ask them.
+    /// Sends the version in force here to the control processes, which report it to operators.
     fn announce_version(&self) {
         let notice = PeerMessage::VersionNotice {
             version: self.version(),
@@ -147,7 +144,7 @@
         self.links.send_to_roles(is_control, &notice);
     }
 
-    /// Invites guards that are no longer connected: they may have restarted and know no entry.
+    /// Invites disconnected guards: they may have restarted and know no entry.
     pub(super) fn invite_guards(&mut self, now: Timestamp) {
         if self.is_draining {
             return;
@@ -155,7 +152,7 @@
         let entry = self.own.address;
         for guard in self.guards.take_due_invitations(now) {
             tokio::spawn(async move {
-                // Harmless if it fails: the guard is invited again as long as it isn't connected.
+                // A failure is harmless: the entry invites the guard again until it is connected.
                 let _ = send_once(guard, &PeerMessage::Invite { entry }).await;
             });
         }
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -1,8 +1,6 @@
-//! The state of an entry: the dispatcher, what surrounds it, and the callers that wait.
+//! The state of an entry: its jobs, the callers that wait for them, and its peers.
 //!
-//! Translates between the outside (requests, links, time) and the dispatcher, which takes every decision. Owns the open jobs, the channels
-//! on which callers wait, and the entry's view of its peers. Relies on `cloverfold_lease` for the dispatcher and on being locked by one
-//! task at a time.
+//! Translates between I/O (requests, links, time) and the dispatcher, which makes all decisions. One task at a time locks the state.
 
 mod kept;
 mod links;
@@ -47,16 +45,16 @@
     links: PeerLinks,
     controls: ControlLinks,
     guards: KnownGuards,
-    /// Where the callers of open jobs wait for their answers.
+    /// Channels for the answers to open jobs.
     answers: HashMap<JobNumber, oneshot::Sender<JobAnswer>>,
-    /// Calls to groups, and which kept jobs this entry drives.
+    /// Calls to groups, and the kept jobs that this entry drives.
     driver: Driver,
     driven: DrivenJobs,
-    /// Where callers wait for the answers of groups.
+    /// Channels for the replies of groups.
     group_callers: HashMap<CallToken, oneshot::Sender<CallAnswer>>,
-    /// Whether there is a configuration in force, for those who wait for the first.
+    /// Whether a configuration is in force; requests wait on it for the first one.
     is_configured: watch::Sender<bool>,
-    /// When the last tick was; a long gap is a stall.
+    /// Time of the last tick; a long gap means that the process was stalled.
     ticked_at: Timestamp,
     is_draining: bool,
     was_ready: bool,
@@ -68,18 +66,18 @@
     }
 
     fn on_link_event(&mut self, event: LinkEvent<PeerMessage>) {
-        let now = self.look_at_clock();
-        self.check_driver_leases(now);
+        let now = self.read_clock();
+        self.expire_driver_leases(now);
         self.handle_link_event(event);
         self.advance();
     }
 
     fn tick(&mut self) {
-        // Logged and counted here; what follows from it, follows from the gap in time.
+        // Logs and counts a suspension. The reaction to it follows from the gap in time.
         self.suspensions.poll();
-        let now = self.look_at_clock();
+        let now = self.read_clock();
         self.ticked_at = now;
-        self.check_driver_leases(now);
+        self.expire_driver_leases(now);
         self.dispatcher.tick(now);
         self.tick_driver(now);
         self.invite_guards(now);
@@ -120,7 +118,7 @@
         }
     }
 
-    /// Replaces the seeds; links to control processes that are still wanted stay open.
+    /// Replaces the seeds; links to control processes that remain selected stay open.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.controls.set_seeds(seeds);
     }
@@ -129,18 +127,19 @@
         self.configuration.decoded()
     }
 
-    /// Returns how long a request that comes now waits for the first configuration, and what tells of that; `None` if it does not wait.
-    pub(crate) fn await_configuration(&self) -> Option<(Duration, watch::Receiver<bool>)> {
+    /// Returns how long a request that arrives now waits for the first configuration, and the channel that reports it; `None` if the
+    /// request does not wait.
+    pub(crate) fn subscribe_configuration(&self) -> Option<(Duration, watch::Receiver<bool>)> {
         let wait = configuration_timeout(self.clock.now())?;
         Some((wait, self.is_configured.subscribe()))
     }
 
-    /// Returns the version of the configuration in force; 0 before the first.
+    /// Returns the version of the configuration in force; 0 if there is none.
     pub(crate) fn version(&self) -> Version {
         self.configuration.version()
     }
 
-    /// Returns the evacuated data halls as this entry knows them.
+    /// Returns the evacuated data halls known to this entry.
     pub(crate) fn evacuated_halls(&self) -> &EvacuatedHalls {
         self.evacuations.halls()
     }
@@ -149,18 +148,18 @@
         self.dispatcher.counts()
     }
 
-    /// Returns what was sent to other processes since the start.
+    /// Returns the counters of messages sent to peers since the start.
     pub(crate) fn sent(&self) -> &SentCounts {
         self.links.sent()
     }
 
-    /// Returns the suspensions of the box that were noticed.
+    /// Returns the monitor of box suspensions.
     pub(crate) fn suspensions(&self) -> &SuspensionMonitor {
         &self.suspensions
     }
 
-    /// Returns the present point in time, after the dispatcher has heard of a stall of this process.
-    fn look_at_clock(&mut self) -> Timestamp {
+    /// Returns the current time, after reporting a stall of this process to the dispatcher.
+    fn read_clock(&mut self) -> Timestamp {
         let now = self.clock.now();
         if let Some(stall) = self.stalls.poll(now) {
             self.dispatcher.allow_for_stall(stall, now);
@@ -168,7 +167,7 @@
         now
     }
 
-    /// Returns the present point in time.
+    /// Returns the current time.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
@@ -177,23 +176,23 @@
         self.dispatcher.count_ready_targets(self.clock.now())
     }
 
-    /// Returns how many jobs have no answer yet.
+    /// Returns the number of jobs without an answer.
     pub(crate) fn open_jobs(&self) -> usize {
         self.dispatcher.count_open_jobs()
     }
 
-    /// Returns whether a job of this name has no answer yet.
+    /// Returns whether a job with this ID has no answer yet.
     pub(crate) fn is_open(&self, id: &str) -> bool {
         self.dispatcher.is_open(id)
     }
 
-    /// Counts the jobs that match and of which nothing has started.
+    /// Returns the number of matching jobs that have not started.
     pub(crate) fn count_queued(&self, matches: impl Fn(&JobRequest) -> bool) -> usize {
         self.dispatcher.count_queued(matches)
     }
 
-    /// Returns why this entry should get no new connections; `None` if it is ready.
-    pub(crate) fn find_unreadiness(&self) -> Option<&'static str> {
+    /// Returns why this entry is not ready for new connections; `None` if it is.
+    pub(crate) fn not_ready_reason(&self) -> Option<&'static str> {
         if self.is_draining {
             Some("the entry is stopping")
         } else if self.version() == 0 {
@@ -205,32 +204,31 @@
         }
     }
 
-    /// Begins the planned stop: the entry is no longer ready and invites no guards. Jobs are still accepted.
+    /// Starts a graceful shutdown: the entry is no longer ready and invites no guards, but still accepts jobs.
     pub(crate) fn begin_draining(&mut self) {
         self.is_draining = true;
     }
 
-    /// Accepts no further job; open ones are still answered, and kept ones of which nothing runs are handed on.
+    /// Stops accepting jobs and releases kept jobs without runs; open jobs are still answered.
     pub(crate) fn stop_accepting_jobs(&mut self) {
         self.dispatcher.start_draining();
-        self.hand_on_idle_jobs();
+        self.release_idle_jobs();
     }
 
-    /// Submits a job; its one answer comes through the channel. A request that may have waited through a long stall is refused and has no
-    /// number.
+    /// Submits a job; its answer comes through the channel. Refuses a request that may have waited during a long stall; it gets no number.
     pub(crate) fn submit(
         &mut self,
         request: JobRequest,
     ) -> (Option<JobNumber>, oneshot::Receiver<JobAnswer>) {
         let (tx, rx) = oneshot::channel();
-        let now = self.look_at_clock();
+        let now = self.read_clock();
         if is_request_outdated(self.ticked_at, now) {
             let gap = now.saturating_duration_since(self.ticked_at);
-            log::warn!(job = request.id.as_str(), gap_ms = gap.as_millis() as u64; "a job is refused after a stall");
+            log::warn!(job = request.id.as_str(), gap_ms = gap.as_millis() as u64; "job refused after a stall");
             refuse_stalled(tx);
             return (None, rx);
         }
-        self.check_driver_leases(now);
+        self.expire_driver_leases(now);
         let first_run = first_run_number(unix_now());
         self.dispatcher.raise_first_run(first_run);
         let number = self.dispatcher.submit(request, now);
@@ -247,14 +245,14 @@
         }
     }
 
-    /// Cancels a job by its name; returns whether it was open.
+    /// Cancels a job by its ID; returns whether it was open.
     pub(crate) fn cancel_named(&mut self, id: &str) -> bool {
         let was_open = self.dispatcher.cancel_named(id);
         self.advance();
         was_open
     }
 
-    /// Carries out the actions that the dispatcher and the driver have decided on.
+    /// Executes the pending actions of the dispatcher and the driver.
     fn advance(&mut self) {
         loop {
             let actions = self.dispatcher.take_actions();
@@ -268,15 +266,15 @@
         }
     }
 
-    /// Carries out one action of the dispatcher.
+    /// Executes one action of the dispatcher.
     fn carry_out(&mut self, action: DispatcherAction) {
         match action {
             DispatcherAction::Send(session, message) => {
-                // Lost if the link has closed, which ends its session as well, or if its queue is full, which is logged.
+                // The message is lost if the link has closed, which also ends its session, or if its queue is full, which is logged.
                 self.links.send(session, &PeerMessage::ToRunner(message));
             }
             DispatcherAction::CloseSession(session) => {
-                log::warn!(link = session; "a guard is silent; its link is closed");
+                log::warn!(link = session; "guard session timed out; closing its link");
                 self.close_link(session);
             }
             DispatcherAction::Report(event) => log_event(&event, self.version()),
@@ -287,37 +285,37 @@
                 run,
                 outcome,
             } => self.observe_end(job, task, run, outcome),
-            DispatcherAction::HandBack(number) => self.hand_back(number),
+            DispatcherAction::HandBack(number) => self.release_job(number),
         }
     }
 
-    /// Passes an answer to the caller that waits for it; a kept job has none, and its end is recorded.
+    /// Sends an answer to the caller that waits for it. A kept job has no waiting caller; its end is recorded instead.
     fn answer(&mut self, number: JobNumber, answer: JobAnswer) {
         if self.finish_kept(number, answer) {
             return;
         }
         if let Some(caller) = self.answers.remove(&number) {
-            // Harmless: a caller that has disconnected needs no answer.
+            // Fails if the caller has disconnected, which is harmless.
             let _ = caller.send(answer);
         }
     }
 
-    /// Logs a change of readiness, with the reason why the entry is not ready.
+    /// Logs a change of readiness, with the reason if the entry is not ready.
     fn log_readiness(&mut self) {
-        let unreadiness = self.find_unreadiness();
-        let is_ready = unreadiness.is_none();
+        let not_ready_reason = self.not_ready_reason();
+        let is_ready = not_ready_reason.is_none();
         if is_ready != self.was_ready {
             self.was_ready = is_ready;
-            // An entry that is ready has no reason not to be: the key is empty then.
-            let reason = unreadiness.unwrap_or_default();
-            log::info!(ready = is_ready, reason, version = self.version(); "readiness has changed");
+            // The key is empty if the entry is ready.
+            let reason = not_ready_reason.unwrap_or_default();
+            log::info!(ready = is_ready, reason, version = self.version(); "readiness changed");
         }
     }
 }
 
-/// Answers a job that the dispatcher never sees.
+/// Refuses a job after a stall, before it reaches the dispatcher.
 fn refuse_stalled(caller: oneshot::Sender<JobAnswer>) {
     let answer = JobAnswer::refused(JobRefusal::Stalled);
-    // Can't fail: the receiver is returned to the caller afterwards.
+    // Cannot fail: the receiver still exists and is returned to the caller afterwards.
     let _ = caller.send(answer);
 }
