--- a/crates/leased/cloverfold_configuration/src/configuration.rs
+++ b/crates/leased/cloverfold_configuration/src/configuration.rs
@@ -1,63 +1,59 @@
-//! The values of a configuration, and the choice of a request's route.
-//!
-//! Decision: which route serves a request. Rule: of the routes for its host (without case), the one with the longest prefix of its path;
-//! a request without one is served by none. Owns no state: a configuration does not change, a newer version replaces it. Relies on a
-//! [`crate::ConfigurationFormat`] to decode it and on the control process to refuse one with faults (`validation`).
+//! The decoded configuration and request routing.
 
 use std::time::Duration;
 
-/// Number of a configuration, chosen by its operator; the highest that was committed is in force. 0 stands for none.
+/// Version number of a configuration, chosen by the operator. The highest committed version is in force; 0 means none.
 pub type Version = u64;
 
-/// A queue: which requests belong to it, and which service runs their jobs.
+/// A route: selects requests by host and path prefix and assigns them to a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route, which is also the name of its queue.
     pub name: String,
-    /// The host that its requests name, compared without case.
+    /// The host name of matching requests, compared case-insensitively.
     pub host: String,
-    /// How the paths of its requests begin.
+    /// The path prefix of matching requests.
     pub path_prefix: String,
     /// The service whose targets run the jobs.
     pub service: String,
-    /// Longest time for one request, from its arrival to its answer.
+    /// Maximum time from the arrival of a request to its response.
     pub timeout: Duration,
-    /// Time allowed for an answer in addition to `stretch` times the duration of the work.
+    /// Time allowed for a response in addition to `stretch` times the duration of the work.
     pub allowance: Duration,
-    /// Urgency of its jobs; 0 is the most urgent.
+    /// Priority of the jobs; 0 is the highest.
     pub priority: u32,
-    /// Failed runs after which a task fails.
+    /// Number of failed runs after which a task fails.
     pub max_attempts: u32,
-    /// Factor on the duration of the work: an answer is due within this many times it, plus `allowance`.
+    /// Latency target as a multiple of the duration of the work: the response is due within `stretch` times that duration plus `allowance`.
     pub stretch: f64,
 }
 
-/// Targets of one kind.
+/// A service, provided by targets of one kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: String,
 }
 
-/// Limits on a client's connection.
+/// Limits on client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrafficLimits {
-    /// Longest header, in bytes.
+    /// Maximum size of a request header, in bytes.
     pub header_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a request's header may take.
+    /// Maximum time to receive a request header.
     pub header_timeout: Duration,
-    /// How long a connection may be idle.
+    /// Maximum idle time of a connection.
     pub idle_timeout: Duration,
 }
 
-/// A whole configuration.
+/// A decoded configuration. It is immutable; a newer version replaces it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// Its number.
+    /// The version number.
     pub version: Version,
-    /// The queues.
+    /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: Vec<Service>,
@@ -66,7 +62,7 @@
 }
 
 impl Configuration {
-    /// Returns the route of a request: of those for its host, the one with the longest prefix of its path.
+    /// Returns the route of a request: among the routes for its host, the one with the longest matching path prefix.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.routes.iter();
         routes
--- a/crates/leased/cloverfold_configuration/src/lib.rs
+++ b/crates/leased/cloverfold_configuration/src/lib.rs
@@ -1,9 +1,9 @@
 //! The versioned configuration of an installation.
 //!
-//! An operator sends a whole [`Configuration`] as text in some [`ConfigurationFormat`]. The text is kept and given back as it was sent.
-//! [`ConfigurationState`] owns what the control processes replicate: the highest version and the audit trail. Other processes are told what
-//! has changed since the version that they have ([`ConfigurationDelta`]). Nothing here does I/O; the log that orders the proposals is
-//! `cloverfold_consensus`, the process around both `cloverfold_control`.
+//! An operator submits a whole [`Configuration`] as text in a [`ConfigurationFormat`]; the text is stored and returned byte for byte.
+//! [`ConfigurationState`] is the replicated state of the control processes: the configuration in force and the audit trail. Other processes
+//! receive a [`ConfigurationDelta`] against the version that they have. This crate performs no I/O: `cloverfold_consensus` replicates the
+//! proposals, and `cloverfold_control` runs both.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_configuration/src/proposal.rs
+++ b/crates/leased/cloverfold_configuration/src/proposal.rs
@@ -1,12 +1,7 @@
-//! Decision: which of two configurations is in force.
+//! Proposals of configurations and their outcomes.
 //!
-//! Rule: a proposal comes into force if its version is above the version in force. Any other changes nothing; what became of it is
-//! recorded.
-//!
-//! Inputs: the proposal and the configuration in force, as of the proposal's place in the log.
-//!
-//! Reason: of operators that race the highest version wins, in whichever order their proposals were committed, and a proposal that is
-//! repeated does no harm (docs/design/7-control.md).
+//! A proposal comes into force if its version is above the version in force; any other proposal changes nothing but is still recorded. Of
+//! concurrent proposals the highest version therefore wins in any commit order, and retries are idempotent.
 
 use std::sync::Arc;
 
@@ -15,41 +10,41 @@
 
 use crate::configuration::Version;
 
-/// A configuration as an operator sent it.
+/// A configuration as submitted by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredConfiguration {
-    /// Its number.
+    /// The version number.
     pub version: Version,
-    /// Its text.
+    /// The encoded text.
     pub text: Arc<[u8]>,
 }
 
-/// A valid configuration that an operator wants in force.
+/// A valid configuration proposed by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
     /// The configuration.
     pub configuration: StoredConfiguration,
-    /// Name of the control process that received it.
+    /// Name of the control process that received the proposal.
     pub source: String,
-    /// When it received it, by its wall clock.
+    /// Wall-clock time at which that process received the proposal.
     pub received_at: UnixTime,
 }
 
-/// What became of a proposal. The order of the variants is the format on disk.
+/// The outcome of a proposal. The order of the variants is the format on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It came into force.
+    /// The proposal came into force.
     Taken,
-    /// It was in force already.
+    /// The same configuration was already in force.
     Repeated,
-    /// A higher version was in force already.
+    /// A higher version was already in force.
     Outdated,
-    /// The same version was in force with another text, which stays in force.
+    /// The same version was already in force with a different text, which stays in force.
     Conflicting,
 }
 
 impl ProposalOutcome {
-    /// Returns the name that log lines and the audit trail use; it never changes.
+    /// Returns the name used in log lines and the audit trail. These names are stable.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Taken => "Taken",
@@ -60,8 +55,8 @@
     }
 }
 
-/// Returns what becomes of a proposal while `current` is in force.
-pub(crate) fn judge_proposal(
+/// Returns the outcome of a proposal while `current` is in force.
+pub(crate) fn decide_outcome(
     proposed: &StoredConfiguration,
     current: Option<&StoredConfiguration>,
 ) -> ProposalOutcome {
--- a/crates/leased/cloverfold_configuration/src/state.rs
+++ b/crates/leased/cloverfold_configuration/src/state.rs
@@ -1,7 +1,6 @@
-//! The state that the control processes replicate.
+//! The replicated configuration state.
 //!
-//! [`ConfigurationState`] owns the configuration in force and the audit trail. It relies on the log: every control process applies the
-//! same proposals in the same order.
+//! Every control process applies the same proposals in the same order, as the replicated log guarantees, and so gets the same state.
 
 use std::collections::VecDeque;
 
@@ -9,33 +8,33 @@
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::Version;
-use crate::proposal::{Proposal, ProposalOutcome, StoredConfiguration, judge_proposal};
+use crate::proposal::{Proposal, ProposalOutcome, StoredConfiguration, decide_outcome};
 
-/// Audit records that are kept; older ones are dropped. Chosen, not measured.
+/// Maximum number of audit records; the oldest are dropped.
 const MAX_AUDIT_RECORDS: usize = 4_096;
 
-/// One decision on a proposal. The order of the fields is the format on disk.
+/// The record of one proposal in the audit trail. The order of the fields is the format on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// The version proposed.
+    /// The proposed version.
     pub version: Version,
-    /// The version in force before; 0 before the first.
+    /// The version in force before the proposal; 0 if there was none.
     pub version_before: Version,
-    /// What became of it.
+    /// The outcome of the proposal.
     pub outcome: ProposalOutcome,
-    /// Name of the control process that received it.
+    /// Name of the control process that received the proposal.
     pub source: String,
-    /// When it received it, by its wall clock.
+    /// Wall-clock time at which that process received the proposal.
     pub received_at: UnixTime,
-    /// First bytes of the hash of its text.
+    /// The first bytes of the hash of the proposed text.
     pub digest: [u8; 16],
-    /// Length of its text, in bytes.
+    /// Length of the proposed text, in bytes.
     pub text_len: u32,
-    /// Length of the text in force before, in bytes; 0 before the first.
+    /// Length of the text in force before the proposal, in bytes; 0 if there was none.
     pub text_len_before: u32,
 }
 
-/// The configuration in force and how it came about.
+/// The configuration in force and the audit trail.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationState {
     current: Option<StoredConfiguration>,
@@ -43,11 +42,11 @@
 }
 
 impl ConfigurationState {
-    /// Decodes a state; no bytes at all are the state of a new installation.
+    /// Decodes a state. Empty input yields the state of a new installation.
     ///
     /// # Errors
     ///
-    /// Returns the decoder's error if the bytes are no state.
+    /// Returns the decoder's error if the bytes are not a valid state.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         if bytes.is_empty() {
             return Ok(Self::default());
@@ -59,7 +58,7 @@
     ///
     /// # Panics
     ///
-    /// Never: every state can be encoded.
+    /// Does not panic in practice, since every state can be encoded.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("a state in memory can be encoded")
     }
@@ -69,19 +68,19 @@
         self.current.as_ref()
     }
 
-    /// Returns the version in force; 0 before the first.
+    /// Returns the version in force; 0 if there is none.
     pub fn version(&self) -> Version {
         self.current.as_ref().map_or(0, |current| current.version)
     }
 
-    /// Returns the decisions, oldest first.
+    /// Returns the audit trail, oldest record first.
     pub fn audit(&self) -> impl Iterator<Item = &AuditRecord> {
         self.audit.iter()
     }
 
-    /// Applies a proposal and records what became of it.
+    /// Applies a proposal and records its outcome.
     pub fn apply(&mut self, proposal: Proposal) -> ProposalOutcome {
-        let outcome = judge_proposal(&proposal.configuration, self.current());
+        let outcome = decide_outcome(&proposal.configuration, self.current());
         let len_before = self.current().map_or(0, |current| current.text.len());
         self.audit.push_back(AuditRecord {
             version: proposal.configuration.version,
--- a/crates/leased/cloverfold_configuration/src/validation.rs
+++ b/crates/leased/cloverfold_configuration/src/validation.rs
@@ -1,69 +1,67 @@
-//! Decision: which configurations are valid.
+//! Validation of configurations.
 //!
-//! Rules: every route names a listed service and has a timeout above 0; no two routes serve the same host (without case) and path prefix.
-//!
-//! Inputs: the configuration alone, so that every control process decides alike.
-//!
-//! Reason: an operator gets every fault with the answer, and what is committed can be served.
+//! Every route must name a listed service and have a non-zero timeout, and no two routes may have the same host (compared
+//! case-insensitively) and path prefix. Validation depends only on the configuration, so that every control process comes to the same
+//! result, and reports all errors at once.
 
 use std::collections::BTreeSet;
 
 use crate::configuration::{Configuration, Route};
 
-/// Why a configuration is invalid.
+/// An error in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigurationError {
-    /// The text is incomplete or not in its format.
+    /// The text cannot be decoded.
     #[error("{field}: cannot be read: {cause}")]
     Unreadable {
-        /// The place, empty for the whole text.
+        /// Path of the invalid field; empty for the whole text.
         field: String,
-        /// Why.
+        /// The cause.
         cause: String,
     },
     /// A route names a service that is not listed.
     #[error("route {route}: service {service} is not listed; add it or name another")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Name of the service.
         service: String,
     },
-    /// Two routes serve the same requests.
+    /// Two routes match the same requests.
     #[error("routes {first} and {second}: both serve {host}{path_prefix}; change one")]
     DuplicateRoute {
-        /// One route.
+        /// Name of the earlier route.
         first: String,
-        /// The other.
+        /// Name of the later route.
         second: String,
-        /// Their host.
+        /// Host of the later route.
         host: String,
-        /// Their prefix.
+        /// Path prefix of both routes.
         path_prefix: String,
     },
-    /// A route allows no time for its requests.
+    /// The timeout of a route is zero.
     #[error("route {route}: its timeout is 0; give it at least a millisecond")]
     NoTimeout {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
 }
 
 impl Configuration {
-    /// Returns everything that makes the configuration invalid, in the order of its routes.
+    /// Returns all errors in the configuration, in the order of its routes.
     pub fn validate(&self) -> Vec<ConfigurationError> {
         let services: BTreeSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         for (index, route) in self.routes.iter().enumerate() {
-            faults.extend(find_unknown_service(route, &services));
-            faults.extend(find_missing_timeout(route));
-            faults.extend(find_duplicate_route(route, &self.routes[..index]));
+            errors.extend(check_service(route, &services));
+            errors.extend(check_timeout(route));
+            errors.extend(check_unique(route, &self.routes[..index]));
         }
-        faults
+        errors
     }
 }
 
-fn find_unknown_service(route: &Route, services: &BTreeSet<&str>) -> Option<ConfigurationError> {
+fn check_service(route: &Route, services: &BTreeSet<&str>) -> Option<ConfigurationError> {
     let is_listed = services.contains(route.service.as_str());
     (!is_listed).then(|| ConfigurationError::UnknownService {
         route: route.name.clone(),
@@ -71,19 +69,19 @@
     })
 }
 
-fn find_missing_timeout(route: &Route) -> Option<ConfigurationError> {
-    let has_none = route.timeout.is_zero();
-    has_none.then(|| ConfigurationError::NoTimeout {
+fn check_timeout(route: &Route) -> Option<ConfigurationError> {
+    let is_zero = route.timeout.is_zero();
+    is_zero.then(|| ConfigurationError::NoTimeout {
         route: route.name.clone(),
     })
 }
 
-fn find_duplicate_route(route: &Route, earlier: &[Route]) -> Option<ConfigurationError> {
-    let twin = earlier.iter().find(|other| {
+fn check_unique(route: &Route, earlier: &[Route]) -> Option<ConfigurationError> {
+    let duplicate = earlier.iter().find(|other| {
         other.path_prefix == route.path_prefix && other.host.eq_ignore_ascii_case(&route.host)
     })?;
     Some(ConfigurationError::DuplicateRoute {
-        first: twin.name.clone(),
+        first: duplicate.name.clone(),
         second: route.name.clone(),
         host: route.host.clone(),
         path_prefix: route.path_prefix.clone(),
--- a/crates/leased/cloverfold_configuration/tests/changes.rs
+++ b/crates/leased/cloverfold_configuration/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of configurations: what a process that has an older one is sent, and that it gets the newer text to the byte or nothing.
+//! Tests of deltas: which processes receive one, and that applying it yields exactly the newer text or nothing.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 };
 use proptest::prelude::*;
 
-/// A configuration with so many routes; the first has a time limit of its own.
+/// Returns a configuration with the given number of routes and a time limit for the first route.
 fn with_routes(version: Version, routes: usize, first_limit_ms: u64) -> StoredConfiguration {
     let route = |index: usize| {
         let limit = if index == 0 { first_limit_ms } else { 1_500 };
@@ -18,8 +18,8 @@
     stored(version, text.as_bytes())
 }
 
-/// A configuration with these routes.
-fn of_routes(version: Version, names: &[&str]) -> StoredConfiguration {
+/// Returns a configuration with routes of the given names.
+fn with_named_routes(version: Version, names: &[&str]) -> StoredConfiguration {
     let route = |name: &&str| format!(r#"{{"Name":"{name}","PathPrefix":"/path-{name}/"}}"#);
     let routes: Vec<String> = names.iter().map(route).collect();
     let text = format!(
@@ -36,56 +36,56 @@
     }
 }
 
-fn encoded_len(change: &ConfigurationDelta) -> usize {
-    postcard::to_stdvec(change).unwrap().len()
+fn encoded_len(delta: &ConfigurationDelta) -> usize {
+    postcard::to_stdvec(delta).unwrap().len()
 }
 
 #[test]
-fn a_change_of_one_route_is_as_short_with_a_thousand_routes_as_with_250() {
-    let change = |routes| {
+fn the_size_of_a_delta_does_not_grow_with_the_number_of_routes() {
+    let delta = |routes| {
         let older = with_routes(7, routes, 1_500);
         let newer = with_routes(8, routes, 900);
         ConfigurationDelta::between(&older, &newer).unwrap()
     };
 
-    let (small, large) = (encoded_len(&change(250)), encoded_len(&change(1_000)));
+    let (small, large) = (encoded_len(&delta(250)), encoded_len(&delta(1_000)));
 
     assert!(small < 256, "{small} bytes");
     assert!(large <= small + 8, "{large} bytes, {small} with 250 routes");
 }
 
 #[test]
-fn routes_that_come_go_and_move_are_applied() {
-    let older = of_routes(1, &["a", "b", "c", "d"]);
-    let newer = of_routes(2, &["d", "e", "a", "a", "c"]);
+fn added_removed_and_moved_routes_are_applied() {
+    let older = with_named_routes(1, &["a", "b", "c", "d"]);
+    let newer = with_named_routes(2, &["d", "e", "a", "a", "c"]);
 
-    let change = ConfigurationDelta::between(&older, &newer).unwrap();
+    let delta = ConfigurationDelta::between(&older, &newer).unwrap();
 
-    assert_eq!(change.apply(&older), Some(newer));
-    let new_bytes = change.pieces.iter().map(|piece| match piece {
+    assert_eq!(delta.apply(&older), Some(newer));
+    let new_bytes = delta.pieces.iter().map(|piece| match piece {
         TextPiece::New(bytes) => bytes.len(),
         TextPiece::Kept { .. } => 0,
     });
-    let one_route = of_routes(2, &["e"]).text.len();
+    let one_route = with_named_routes(2, &["e"]).text.len();
     assert!(new_bytes.sum::<usize>() < 2 * one_route);
 }
 
 #[test]
-fn a_change_fits_only_to_the_configuration_that_was_compared() {
+fn a_delta_applies_only_to_its_base_configuration() {
     let (older, newer) = (with_routes(7, 50, 1_500), with_routes(9, 50, 900));
-    let change = ConfigurationDelta::between(&older, &newer).unwrap();
+    let delta = ConfigurationDelta::between(&older, &newer).unwrap();
     let other_version = with_routes(8, 50, 1_500);
     let other_text = with_routes(7, 49, 1_500);
 
-    assert_eq!(change.apply(&older), Some(newer));
-    assert_eq!(change.apply(&other_version), None);
-    assert_eq!(change.apply(&other_text), None);
+    assert_eq!(delta.apply(&older), Some(newer));
+    assert_eq!(delta.apply(&other_version), None);
+    assert_eq!(delta.apply(&other_text), None);
 }
 
 #[test]
-fn a_piece_that_the_older_text_does_not_have_is_refused() {
+fn a_piece_outside_the_older_text_is_rejected() {
     let older = stored(1, b"{a}");
-    let change = ConfigurationDelta {
+    let delta = ConfigurationDelta {
         base: 1,
         version: 2,
         pieces: vec![TextPiece::Kept {
@@ -95,11 +95,11 @@
         digest: [0; 16],
     };
 
-    assert_eq!(change.apply(&older), None);
+    assert_eq!(delta.apply(&older), None);
 }
 
 #[test]
-fn a_process_that_is_far_behind_or_new_is_sent_the_whole_text() {
+fn an_unknown_or_too_old_version_gets_the_whole_text() {
     let mut recent = RecentConfigurations::default();
     for version in 1..=20 {
         recent.record(&with_routes(version, 50, 100 * version));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn what_has_changed_everywhere_is_sent_whole() {
+fn a_completely_different_text_is_sent_whole() {
     let mut recent = RecentConfigurations::default();
     recent.record(&stored(1, b"one text without sections"));
     recent.record(&stored(2, b"another one, and no longer"));
@@ -121,7 +121,7 @@
     assert_eq!(recent.delta_since(1), None);
 }
 
-/// A text of few letters, so that sections of two texts are often alike.
+/// Generates texts of few distinct letters, so that two texts often share sections.
 fn text() -> impl Strategy<Value = Vec<u8>> {
     let letter = prop::sample::select(b"ab}\n".to_vec());
     prop::collection::vec(letter, 0..200)
@@ -129,19 +129,19 @@
 
 proptest! {
     #[test]
-    fn a_change_gives_the_newer_text_to_the_byte(older in text(), newer in text()) {
+    fn a_delta_yields_exactly_the_newer_text(older in text(), newer in text()) {
         let (older, newer) = (stored(1, &older), stored(2, &newer));
-        if let Some(change) = ConfigurationDelta::between(&older, &newer) {
-            prop_assert_eq!(change.apply(&older), Some(newer));
+        if let Some(delta) = ConfigurationDelta::between(&older, &newer) {
+            prop_assert_eq!(delta.apply(&older), Some(newer));
         }
     }
 
     #[test]
-    fn a_change_to_another_text_gives_the_newer_one_or_nothing(older in text(), newer in text(), other in text()) {
+    fn a_delta_applied_to_another_text_yields_the_newer_one_or_nothing(older in text(), newer in text(), other in text()) {
         prop_assume!(older != other);
         let newer = stored(2, &newer);
-        if let Some(change) = ConfigurationDelta::between(&stored(1, &older), &newer) {
-            let applied = change.apply(&stored(1, &other));
+        if let Some(delta) = ConfigurationDelta::between(&stored(1, &older), &newer) {
+            let applied = delta.apply(&stored(1, &other));
             prop_assert!(applied.is_none_or(|applied| applied == newer));
         }
     }
--- a/crates/leased/cloverfold_configuration/tests/configurations.rs
+++ b/crates/leased/cloverfold_configuration/tests/configurations.rs
@@ -1,4 +1,4 @@
-//! Which configurations are valid, and which route a request takes.
+//! Tests of validation and routing.
 
 use std::time::Duration;
 
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn a_valid_configuration_has_no_faults() {
+fn a_valid_configuration_has_no_errors() {
     let configuration = configuration(vec![route("all", "/"), route("images", "/images")]);
 
     assert!(configuration.validate().is_empty());
 }
 
 #[test]
-fn every_fault_is_found_in_the_order_of_the_routes() {
+fn all_errors_are_reported_in_the_order_of_the_routes() {
     let unlisted = Route {
         service: "print".into(),
         timeout: Duration::ZERO,
@@ -54,7 +54,7 @@
         ..route("c", "/b")
     };
 
-    let faults = configuration(vec![unlisted, first, second]).validate();
+    let errors = configuration(vec![unlisted, first, second]).validate();
 
     let expected = [
         ConfigurationError::UnknownService {
@@ -69,11 +69,11 @@
             path_prefix: "/b".into(),
         },
     ];
-    assert_eq!(faults, expected);
+    assert_eq!(errors, expected);
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_is_the_route() {
+fn a_request_is_routed_by_host_and_longest_path_prefix() {
     let configuration = configuration(vec![route("all", "/"), route("images", "/images")]);
     let find = |host, path| {
         configuration
--- a/crates/leased/cloverfold_configuration/tests/proposals.rs
+++ b/crates/leased/cloverfold_configuration/tests/proposals.rs
@@ -1,4 +1,4 @@
-//! What becomes of proposals, and what the audit trail says of it.
+//! Tests of proposals and the audit trail.
 
 #![allow(clippy::unwrap_used)]
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn every_proposal_is_recorded_with_what_was_in_force_before() {
+fn every_proposal_is_recorded_with_the_previous_version() {
     let mut state = state_with(5, "text");
 
     state.apply(proposal(4, "late"));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_decoded_state_is_the_encoded_one() {
+fn a_state_survives_encoding_and_decoding() {
     let state = state_with(5, "text");
 
     let decoded = ConfigurationState::decode(&state.encode()).unwrap();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn no_bytes_are_the_state_of_a_new_installation() {
+fn empty_input_decodes_to_the_state_of_a_new_installation() {
     let state = ConfigurationState::decode(&[]).unwrap();
 
     assert_eq!(state.version(), 0);
