--- a/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
@@ -4,10 +4,10 @@
 //! |---|---|---|---|
 //! | at the submission | the process is leaving | refused, `Leaving` | – |
 //! | at the submission | no target of the service accepts work, and the process has not just started or been stalled | refused, `NoTarget` | `STARTUP_PERIOD` in `startup`, `CatchUp` in `stall` |
-//! | at the queue deadline | no task was ever offered to a target, or all came back unstarted | refused, `NoRoom`, or `NoTarget` if none of the service accepts work | `QUEUE_WAIT_SHARE` in `deadlines`, `STANDING_WAIT_SHARE` while the queue stands |
-//! | grace over, or at the give-up deadline | nothing has run or may yet run | refused, `NoRoom` | `GRACE_FACTOR`, `ANSWERED_SHARE` in `deadlines` |
+//! | at the queue deadline | no task was ever offered to a target, or all came back unstarted | refused, `NoRoom`, or `NoTarget` if none of the service accepts work | `QUEUE_TIMEOUT_SHARE` in `deadlines`, `STANDING_QUEUE_TIMEOUT_SHARE` while the queue stands |
+//! | grace over, or at the give-up deadline | nothing has run or may yet run | refused, `NoRoom` | `GRACE_FACTOR`, `CALLER_TIMEOUT_SHARE` in `deadlines` |
 //! | grace over, and a task waits for a place | parts may have run | given up | `GRACE_FACTOR` in `deadlines` |
-//! | at the give-up deadline | parts may have run | given up | `ANSWERED_SHARE` in `deadlines` |
+//! | at the give-up deadline | parts may have run | given up | `CALLER_TIMEOUT_SHARE` in `deadlines` |
 //! | at the first call after a stall | callers may have left and asked elsewhere | all open jobs given up | [`JOB_STALL_LIMIT`] |
 //!
 //! None of this holds for kept jobs: they are refused before they are accepted (`kept_admission`) or not at all.
@@ -63,13 +63,13 @@
     }
 
     /// Refuses the jobs whose queue deadline is over, and gives up those whose time is over.
-    pub(super) fn end_late_jobs(&mut self, now: Timestamp) {
-        for number in self.list_waited_out(now) {
+    pub(super) fn end_expired_jobs(&mut self, now: Timestamp) {
+        for number in self.list_queue_timeouts(now) {
             self.refuse_queued(number, now);
         }
         for number in self.list_expired(now) {
             if self.jobs.get(&number).is_some_and(Job::may_have_run) {
-                self.report_late(number, now);
+                self.report_given_up(number, now);
                 self.finish_job(number, JobAnswer::GivenUp);
             } else {
                 self.refuse_queued(number, now);
@@ -78,14 +78,14 @@
     }
 
     /// Lists the jobs that were not offered to a target before their queue deadline.
-    fn list_waited_out(&self, now: Timestamp) -> Vec<JobNumber> {
-        let is_waited_out = |job: &Job| {
+    fn list_queue_timeouts(&self, now: Timestamp) -> Vec<JobNumber> {
+        let is_timed_out = |job: &Job| {
             !job.is_kept() && !job.may_have_run() && now >= self.queue_deadline(job, now)
         };
         self.waiting
             .iter()
             .map(|position| position.job)
-            .filter(|number| self.jobs.get(number).is_some_and(is_waited_out))
+            .filter(|number| self.jobs.get(number).is_some_and(is_timed_out))
             .collect()
     }
 
--- a/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
@@ -17,16 +17,16 @@
 ///
 /// The processors in use swing between 70 % and all of them within tenths of a second, so a job that can wait that long and still
 /// end in time is mostly served.
-const QUEUE_WAIT_SHARE: f64 = 0.25;
-/// As [`QUEUE_WAIT_SHARE`], for a queue that stands (`standing_queues`).
-const STANDING_WAIT_SHARE: f64 = 0.10;
+const QUEUE_TIMEOUT_SHARE: f64 = 0.25;
+/// As [`QUEUE_TIMEOUT_SHARE`], for a queue that stands (`standing_queues`).
+const STANDING_QUEUE_TIMEOUT_SHARE: f64 = 0.10;
 /// How many times the objective, for [`ESTIMATE_MARGIN`] times the estimated work, is the grace of a job.
 const GRACE_FACTOR: f64 = 3.0;
 /// How many times its estimate the work may last without being late.
 const ESTIMATE_MARGIN: f64 = 2.0;
 /// Share of the time that a caller waits after which it gets its answer: a later one would find it gone. Introduced with
-/// [`QUEUE_WAIT_SHARE`] and measured together with it only.
-const ANSWERED_SHARE: f64 = 0.9;
+/// [`QUEUE_TIMEOUT_SHARE`] and measured together with it only.
+const CALLER_TIMEOUT_SHARE: f64 = 0.9;
 
 /// The points in time at which a job is refused or given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,31 +46,31 @@
     pub(crate) fn new(request: &JobRequest, now: Timestamp) -> Self {
         let objective = request.target_latency();
         Self {
-            queue: now + objective.mul_f64(QUEUE_WAIT_SHARE),
-            standing_queue: now + objective.mul_f64(STANDING_WAIT_SHARE),
-            grace_end: now + find_grace(request),
-            give_up: now + longest_work(request),
+            queue: now + objective.mul_f64(QUEUE_TIMEOUT_SHARE),
+            standing_queue: now + objective.mul_f64(STANDING_QUEUE_TIMEOUT_SHARE),
+            grace_end: now + grace_period(request),
+            give_up: now + give_up_delay(request),
         }
     }
 }
 
 /// Returns how long after its submission a job is given up whatever it does.
-fn longest_work(request: &JobRequest) -> Duration {
+fn give_up_delay(request: &JobRequest) -> Duration {
     match request.caller_timeout {
-        Some(timeout) => timeout.mul_f64(ANSWERED_SHARE),
-        None => find_grace(request),
+        Some(timeout) => timeout.mul_f64(CALLER_TIMEOUT_SHARE),
+        None => grace_period(request),
     }
 }
 
 /// Returns how long after its submission the grace of a job ends.
-fn find_grace(request: &JobRequest) -> Duration {
-    let slow_work = request.critical_path().mul_f64(ESTIMATE_MARGIN);
-    let longest = request
+fn grace_period(request: &JobRequest) -> Duration {
+    let work_with_margin = request.critical_path().mul_f64(ESTIMATE_MARGIN);
+    let grace = request
         .objective
-        .target_latency(slow_work)
+        .target_latency(work_with_margin)
         .mul_f64(GRACE_FACTOR);
     match request.caller_timeout {
-        Some(timeout) => longest.min(timeout.mul_f64(ANSWERED_SHARE)),
-        None => longest,
+        Some(timeout) => grace.min(timeout.mul_f64(CALLER_TIMEOUT_SHARE)),
+        None => grace,
     }
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/headroom.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/headroom.rs
@@ -9,11 +9,11 @@
 use crate::resources::Resources;
 
 /// Share of a target's processors that less urgent work leaves free.
-const HEADROOM_SHARE: f64 = 0.05;
+const URGENT_HEADROOM_SHARE: f64 = 0.05;
 
-/// Share of a target's processors that jobs leave free that came past their objective (`returned_callers`) or whose grace is over
+/// Share of a target's processors that jobs leave free that came past their objective (`resubmissions`) or whose grace is over
 /// (`deadlines`): what is left for jobs that can be in time while as many come again.
-const LATE_HEADROOM_SHARE: f64 = 0.25;
+const ON_TIME_HEADROOM_SHARE: f64 = 0.25;
 
 /// What a task leaves free at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     /// Room for more urgent work.
     ForUrgent,
     /// Room for all work that can be in time.
-    ForTimely,
+    ForOnTime,
 }
 
 impl Headroom {
@@ -31,8 +31,8 @@
     fn share(self) -> f64 {
         match self {
             Self::None => 0.0,
-            Self::ForUrgent => HEADROOM_SHARE,
-            Self::ForTimely => LATE_HEADROOM_SHARE,
+            Self::ForUrgent => URGENT_HEADROOM_SHARE,
+            Self::ForOnTime => ON_TIME_HEADROOM_SHARE,
         }
     }
 }
@@ -46,9 +46,9 @@
     headroom: Headroom,
 ) -> Resources {
     let headroom = (capacity.cpu_milli as f64 * headroom.share()) as i64;
-    let most = capacity.cpu_milli.max(demand.cpu_milli);
+    let limit = capacity.cpu_milli.max(demand.cpu_milli);
     Resources {
-        cpu_milli: (demand.cpu_milli + headroom).min(most),
+        cpu_milli: (demand.cpu_milli + headroom).min(limit),
         ..*demand
     }
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/job.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/job.rs
@@ -1,7 +1,7 @@
 //! One job and its tasks: how far each has come.
 //!
 //! Decision: how long a run of a kept task is expected to take. Rule: the caller's estimate, doubled with each run of it that was ended as
-//! too slow or stuck, up to [`MOST_DOUBLINGS`] times. Inputs: the estimate, those runs. Reason: the estimate is a rough guess, and what was
+//! too slow or stuck, up to [`MAX_DOUBLINGS`] times. Inputs: the estimate, those runs. Reason: the estimate is a rough guess, and what was
 //! accepted is not given up: ended again and again after the same time, a task that takes longer would never be done. Found by a test with
 //! an estimate of 50 ms for 700 ms of work.
 //!
@@ -18,9 +18,9 @@
 use crate::request::{JobRequest, StepRequest};
 
 /// The estimate that is doubled if the caller gave none or a shorter one.
-const SHORTEST_DOUBLED: Duration = Duration::from_millis(50);
+const MIN_DOUBLED_ESTIMATE: Duration = Duration::from_millis(50);
 /// After so many doublings the estimate is over half an hour at least and grows no more.
-const MOST_DOUBLINGS: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 
 /// Number of one submission within this process, from 1.
 pub type JobNumber = u64;
@@ -111,7 +111,7 @@
     pub(crate) submitted_at: Timestamp,
     pub(crate) deadlines: JobDeadlines,
     /// Whether its objective was over when it came.
-    pub(crate) is_late: bool,
+    pub(crate) is_late_resubmission: bool,
     /// Whether a run ended in another way than by not being started, or its end was never reported.
     pub(crate) has_run: bool,
     /// The epoch in which this entry drives it; `None` for a job that need not be kept.
@@ -120,7 +120,12 @@
 
 impl Job {
     /// Returns a job of which nothing is assigned; its tasks begin with the run number `first_run`.
-    pub(crate) fn new(request: JobRequest, is_late: bool, first_run: u64, now: Timestamp) -> Self {
+    pub(crate) fn new(
+        request: JobRequest,
+        is_late_resubmission: bool,
+        first_run: u64,
+        now: Timestamp,
+    ) -> Self {
         let deadlines = JobDeadlines::new(&request, now);
         let tasks = build_tasks(&request, first_run);
         Self {
@@ -128,7 +133,7 @@
             tasks,
             submitted_at: now,
             deadlines,
-            is_late,
+            is_late_resubmission,
             has_run: false,
             epoch: None,
         }
@@ -164,7 +169,7 @@
         if task.late_runs == 0 {
             return estimate;
         }
-        estimate.max(SHORTEST_DOUBLED) * (1 << task.late_runs.min(MOST_DOUBLINGS))
+        estimate.max(MIN_DOUBLED_ESTIMATE) * (1 << task.late_runs.min(MAX_DOUBLINGS))
     }
 
     /// Counts a run of a task that was ended as too slow or stuck, if the job is kept.
@@ -181,8 +186,8 @@
 
     /// Returns whether a task runs, has run, or may yet do either by an order that was given.
     pub(crate) fn may_have_run(&self) -> bool {
-        let is_out = |task: &Task| !matches!(task.phase, TaskPhase::Waiting | TaskPhase::Blocked);
-        self.has_run || self.tasks.iter().any(is_out)
+        let may_run = |task: &Task| !matches!(task.phase, TaskPhase::Waiting | TaskPhase::Blocked);
+        self.has_run || self.tasks.iter().any(may_run)
     }
 
     /// Returns whether a task waits for a target.
@@ -216,8 +221,8 @@
             if task.phase != TaskPhase::Blocked {
                 continue;
             }
-            let mut before = self.step(task).depends_on.iter();
-            if before.all(|&step| self.is_step_done(step)) {
+            let mut dependencies = self.step(task).depends_on.iter();
+            if dependencies.all(|&step| self.is_step_done(step)) {
                 self.tasks[index].phase = TaskPhase::Waiting;
             }
         }
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
@@ -6,7 +6,7 @@
 //! 2. `NoTarget`: no target of the service accepts work, or none that does could ever run a task of each step: it is smaller than the task
 //!    or lacks the label.
 //! 3. `NoRoom`: the work that is served before it, divided by the processors of the targets of its service, and its own longest chain
-//!    take longer than [`LATEST_FACTOR`] times its objective.
+//!    take longer than [`MAX_OBJECTIVE_FACTOR`] times its objective.
 //!
 //! Work that is served before it: tasks not done of kept jobs of the service of the same or a more urgent priority, and waiting tasks of
 //! best-effort jobs of a more urgent one; demand in cores times the estimate times the ratio of durations to estimates.
@@ -27,7 +27,7 @@
 use crate::request::{JobRequest, StepRequest};
 
 /// How many times its objective a job may be expected to take. Given by callers, to whom an answer is worth something up to then.
-const LATEST_FACTOR: f64 = 3.0;
+const MAX_OBJECTIVE_FACTOR: f64 = 3.0;
 
 impl Dispatcher {
     /// Returns why a kept job is refused before it is submitted, if there is a reason.
@@ -35,54 +35,56 @@
         if self.is_draining {
             return Some(JobRefusal::Leaving);
         }
-        if !self.could_run(request, now) {
+        if !self.has_capable_targets(request, now) {
             return Some(JobRefusal::NoTarget);
         }
-        let latest = request.target_latency().mul_f64(LATEST_FACTOR);
+        let max_latency = request.target_latency().mul_f64(MAX_OBJECTIVE_FACTOR);
         let ratio = self
             .duration_ratio
             .expected_duration(Duration::from_secs(1));
-        let own = request.critical_path().mul_f64(ratio.as_secs_f64());
-        let expected = self.estimate_wait(request, now).saturating_add(own);
-        (expected > latest).then_some(JobRefusal::NoCapacity)
+        let own_work = request.critical_path().mul_f64(ratio.as_secs_f64());
+        let expected = self
+            .estimate_queue_time(request, now)
+            .saturating_add(own_work);
+        (expected > max_latency).then_some(JobRefusal::NoCapacity)
     }
 
     /// Returns whether a target that accepts work could run a task of each step, were it empty.
-    fn could_run(&self, request: &JobRequest, now: Timestamp) -> bool {
+    fn has_capable_targets(&self, request: &JobRequest, now: Timestamp) -> bool {
         self.has_target_of(&request.service, now)
             && request.steps.iter().all(|step| {
                 let mut runners = self.sessions.values();
-                runners.any(|runner| is_able(runner, request, step, now))
+                runners.any(|runner| can_run_step(runner, request, step, now))
             })
     }
 
     /// Estimates how long the work takes that is served before a job.
-    fn estimate_wait(&self, request: &JobRequest, now: Timestamp) -> Duration {
+    fn estimate_queue_time(&self, request: &JobRequest, now: Timestamp) -> Duration {
         let jobs = self.jobs.values();
-        let before: f64 = jobs.map(|job| self.work_before(job, request)).sum();
+        let backlog: f64 = jobs.map(|job| self.work_ahead_of(job, request)).sum();
         let runners = self.sessions.values();
-        let able =
+        let eligible =
             runners.filter(|runner| runner.accepts_work(now) && runner.serves(&request.service));
-        let cores: f64 = able.map(RunnerSession::cores).sum();
-        if before == 0.0 {
+        let cores: f64 = eligible.map(RunnerSession::cores).sum();
+        if backlog == 0.0 {
             return Duration::ZERO;
         }
-        Duration::try_from_secs_f64(before / cores).unwrap_or(Duration::MAX)
+        Duration::try_from_secs_f64(backlog / cores).unwrap_or(Duration::MAX)
     }
 
     /// Returns the work of a job that is served before another, in core-seconds.
-    fn work_before(&self, job: &Job, other: &JobRequest) -> f64 {
+    fn work_ahead_of(&self, job: &Job, other: &JobRequest) -> f64 {
         if job.request.service != other.service {
             return 0.0;
         }
-        let counts = |task: &&Task| {
+        let is_served_first = |task: &&Task| {
             if job.is_kept() {
                 task.phase != TaskPhase::Done && job.request.priority <= other.priority
             } else {
                 task.phase == TaskPhase::Waiting && job.request.priority < other.priority
             }
         };
-        let tasks = job.tasks.iter().filter(counts);
+        let tasks = job.tasks.iter().filter(is_served_first);
         let work = tasks.map(|task| {
             let step = job.step(task);
             let expected = self.duration_ratio.expected_duration(step.estimate);
@@ -93,7 +95,7 @@
 }
 
 /// Returns whether a target could run a task of a step, were it empty.
-fn is_able(
+fn can_run_step(
     runner: &RunnerSession,
     request: &JobRequest,
     step: &StepRequest,
@@ -101,8 +103,8 @@
 ) -> bool {
     let has_label = |label: &String| runner.has_label(label);
     runner.accepts_work(now)
-        && runner.knows_kept_jobs
+        && runner.supports_kept_jobs
         && runner.serves(&request.service)
         && step.required_label.as_ref().is_none_or(has_label)
-        && runner.could_hold(&step.demand)
+        && runner.fits_when_empty(&step.demand)
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
@@ -1,6 +1,6 @@
 //! Kept jobs: how an entry's dispatcher begins and ends to drive one, and how they wait.
 //!
-//! A kept job is placed like any other (`placement`, `precedence`, `judging`) but has no queue deadline and is never given up, shed or
+//! A kept job is placed like any other (`placement`, `precedence`, `late_runs`) but has no queue deadline and is never given up, shed or
 //! cancelled here: only its runs end it, or [`Dispatcher::stop_driving`], which its driver orders. Its runs are numbered from the epoch, so
 //! that each run of a later driver is a later one, and go only to runners whose build records their ends.
 //!
@@ -13,7 +13,7 @@
 //! an epoch begins with all that is recorded, and nothing of an earlier one is recorded after it. Found by the simulated world.
 //!
 //! Decision: which kept jobs are passed over in one pass over the queue. Rule: those of a service of which no target accepts work; those
-//! whose next task is as large as one that found no target in this pass and no more urgent; all once [`MAX_TRIED`] have found none. None of them counts among the
+//! whose next task is as large as one that found no target in this pass and no more urgent; all once [`MAX_TRIED_JOBS`] have found none. None of them counts among the
 //! jobs that best-effort work may overtake.
 //!
 //! Inputs: the waiting jobs in order, the targets.
@@ -35,7 +35,7 @@
 
 /// Kept jobs without a target that are tried in one pass. Four times as many as of best-effort jobs, since those that fit nowhere
 /// stay.
-const MAX_TRIED: usize = 16;
+const MAX_TRIED_JOBS: usize = 16;
 
 /// A kept job as its driver gives it to the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,7 +58,7 @@
 
 impl BlockedShape {
     /// Returns whether a job that asks for this would find no target either: it is as large, and no more urgent.
-    fn implies(&self, request: &JobRequest, step: &StepRequest) -> bool {
+    fn also_blocks(&self, request: &JobRequest, step: &StepRequest) -> bool {
         self.service == request.service
             && self.priority <= request.priority
             && self.step.required_label == step.required_label
@@ -74,9 +74,9 @@
 }
 
 impl BlockedKeptJobs {
-    fn has(&self, request: &JobRequest, step: &StepRequest) -> bool {
+    fn blocks(&self, request: &JobRequest, step: &StepRequest) -> bool {
         let mut shapes = self.shapes.iter();
-        self.tried >= MAX_TRIED || shapes.any(|shape| shape.implies(request, step))
+        self.tried >= MAX_TRIED_JOBS || shapes.any(|shape| shape.also_blocks(request, step))
     }
 
     fn record(&mut self, request: &JobRequest, step: &StepRequest) {
@@ -162,13 +162,13 @@
     /// Returns whether a run of a job may be at work; `false` for one that is closed.
     pub fn has_open_runs(&self, number: JobNumber) -> bool {
         let job = self.jobs.get(&number);
-        let is_out = |task: &Task| {
+        let may_be_running = |task: &Task| {
             matches!(
                 task.phase,
                 TaskPhase::Assigned { .. } | TaskPhase::Uncertain
             )
         };
-        job.is_some_and(|job| job.tasks.iter().any(is_out))
+        job.is_some_and(|job| job.tasks.iter().any(may_be_running))
     }
 
     /// Returns whether a run of a closed job of this name may be at work.
@@ -184,7 +184,7 @@
     /// Records that the runner's build can read assignments of kept jobs.
     pub fn set_supports_kept_jobs(&mut self, session: SessionId) {
         if let Some(runner) = self.sessions.get_mut(&session) {
-            runner.knows_kept_jobs = true;
+            runner.supports_kept_jobs = true;
         }
     }
 
@@ -204,7 +204,7 @@
         let Some(step) = next_step(job) else {
             return false;
         };
-        blocked.has(&job.request, step) || !self.has_target_of(&job.request.service, now)
+        blocked.blocks(&job.request, step) || !self.has_target_of(&job.request.service, now)
     }
 
     /// Records that a job found no target; returns whether it is kept.
--- a/crates/leased/cloverfold_lease/src/dispatcher/judging.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/late_runs.rs
@@ -25,14 +25,14 @@
 /// Weight of the newest run in the ratio of durations to estimates.
 const RATIO_WEIGHT: f64 = 0.02;
 /// Lowest ratio of one run that counts: one further off reflects a wrong estimate rather than the targets.
-const LOWEST_RUN_RATIO: f64 = 0.2;
-/// Highest ratio of one run that counts, as [`LOWEST_RUN_RATIO`].
-const HIGHEST_RUN_RATIO: f64 = 8.0;
+const MIN_RUN_RATIO: f64 = 0.2;
+/// Highest ratio of one run that counts, as [`MIN_RUN_RATIO`].
+const MAX_RUN_RATIO: f64 = 8.0;
 /// Lowest ratio that the expected duration of a run is calculated with: narrower than the bounds of one run, which move the mean
 /// only a little, since this one decides on a run at once.
-const LOWEST_EXPECTED_RATIO: f64 = 0.5;
-/// Highest ratio that the expected duration of a run is calculated with, as [`LOWEST_EXPECTED_RATIO`].
-const HIGHEST_EXPECTED_RATIO: f64 = 4.0;
+const MIN_EXPECTED_RATIO: f64 = 0.5;
+/// Highest ratio that the expected duration of a run is calculated with, as [`MIN_EXPECTED_RATIO`].
+const MAX_EXPECTED_RATIO: f64 = 4.0;
 
 /// A run whose progress is not seen is overdue after this many times its expected duration and [`OVERDUE_ALLOWANCE`].
 const OVERDUE_FACTOR: f64 = 2.6;
@@ -69,18 +69,18 @@
             return;
         }
         let ratio = ran.as_secs_f64() / estimate.as_secs_f64();
-        let ratio = ratio.clamp(LOWEST_RUN_RATIO, HIGHEST_RUN_RATIO);
+        let ratio = ratio.clamp(MIN_RUN_RATIO, MAX_RUN_RATIO);
         self.0 += RATIO_WEIGHT * (ratio - self.0);
     }
 
     /// Returns how long a run with this estimate should take.
     pub(crate) fn expected_duration(self, estimate: Duration) -> Duration {
-        estimate.mul_f64(self.0.clamp(LOWEST_EXPECTED_RATIO, HIGHEST_EXPECTED_RATIO))
+        estimate.mul_f64(self.0.clamp(MIN_EXPECTED_RATIO, MAX_EXPECTED_RATIO))
     }
 }
 
 /// Returns how long a run with this estimate should take at a target by the target's nature; zero while that is not known.
-fn expected_at(runner: &RunnerSession, estimate: Duration) -> Duration {
+fn usual_duration_at(runner: &RunnerSession, estimate: Duration) -> Duration {
     estimate * runner.usual_slowness_permille() / 1_000
 }
 
@@ -91,13 +91,13 @@
 
 /// Returns whether a run of this age would be over sooner if it restarted elsewhere; `slowness` is that of its target against all.
 fn is_straggler(expected: Duration, age: Duration, slowness: f64) -> bool {
-    let left = expected.mul_f64(slowness).saturating_sub(age);
-    slowness >= STRAGGLER_SLOWNESS && left > expected.mul_f64(STRAGGLER_GAIN) + RESTART_COST
+    let remaining = expected.mul_f64(slowness).saturating_sub(age);
+    slowness >= STRAGGLER_SLOWNESS && remaining > expected.mul_f64(STRAGGLER_GAIN) + RESTART_COST
 }
 
 /// What becomes of a run that takes too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
+enum LateRun {
     Overdue(SessionId),
     Straggler,
 }
@@ -107,22 +107,22 @@
     pub(super) fn withdraw_late_runs(&mut self, now: Timestamp) {
         // Stragglers first: a target that has just been blamed would count as paused.
         let (overdue, stragglers): (Vec<_>, Vec<_>) = self
-            .judge_runs(now)
+            .find_late_runs(now)
             .into_iter()
-            .partition(|(_, verdict)| matches!(verdict, Verdict::Overdue(_)));
+            .partition(|(_, late_run)| matches!(late_run, LateRun::Overdue(_)));
         for (task, _) in stragglers {
-            self.move_straggler(task, now);
+            self.withdraw_straggler(task, now);
         }
-        for (task, verdict) in overdue {
-            if let Verdict::Overdue(session) = verdict {
+        for (task, late_run) in overdue {
+            if let LateRun::Overdue(session) = late_run {
                 self.withdraw_overdue(task, session, now);
             }
         }
     }
 
     /// Lists the runs that take too long, with what follows.
-    fn judge_runs(&self, now: Timestamp) -> Vec<(TaskPosition, Verdict)> {
-        let mut verdicts = Vec::new();
+    fn find_late_runs(&self, now: Timestamp) -> Vec<(TaskPosition, LateRun)> {
+        let mut late_runs = Vec::new();
         for (number, job) in &self.jobs {
             for (index, task) in job.tasks.iter().enumerate() {
                 let TaskPhase::Assigned {
@@ -136,35 +136,40 @@
                 };
                 let age = now.saturating_duration_since(since);
                 let estimate = job.estimate(task);
-                if let Some(verdict) = self.judge_run(session, estimate, age) {
+                if let Some(late_run) = self.classify_run(session, estimate, age) {
                     let position = TaskPosition {
                         job: *number,
                         index,
                     };
-                    verdicts.push((position, verdict));
+                    late_runs.push((position, late_run));
                 }
             }
         }
-        verdicts
+        late_runs
     }
 
     /// Returns whether a run of this estimate and age takes too long at a session's target, and in which way.
-    fn judge_run(&self, session: SessionId, estimate: Duration, age: Duration) -> Option<Verdict> {
+    fn classify_run(
+        &self,
+        session: SessionId,
+        estimate: Duration,
+        age: Duration,
+    ) -> Option<LateRun> {
         let runner = self.sessions.get(&session)?;
         let expected = self.duration_ratio.expected_duration(estimate);
-        let expected_here = expected_at(runner, estimate).max(expected);
+        let expected_here = usual_duration_at(runner, estimate).max(expected);
         if !runner.is_speed_known() && is_overdue(expected_here, age) {
-            return Some(Verdict::Overdue(session));
+            return Some(LateRun::Overdue(session));
         }
         let slowness = runner.slowness_against(self.duration_ratio.value());
-        is_straggler(expected, age, slowness).then_some(Verdict::Straggler)
+        is_straggler(expected, age, slowness).then_some(LateRun::Straggler)
     }
 
     /// Withdraws a straggler if a target that is not slow could run its task now.
-    fn move_straggler(&mut self, task: TaskPosition, now: Timestamp) {
+    fn withdraw_straggler(&mut self, task: TaskPosition, now: Timestamp) {
         if self.has_faster_target(task, now) {
             self.counts.withdrawn_stragglers += 1;
-            self.report_moved(task, now);
+            self.report_straggler(task, now);
             self.record_late_run(task);
             self.withdraw_task(task);
         }
--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -3,9 +3,9 @@
 //! This file holds the state and the calls from outside. The rules are in the modules, one duty each:
 //!
 //! - `admission`: which jobs are refused or given up; `deadlines`, `standing_queues`: until when;
-//! - `precedence`, `shares`, `returned_callers`: in which order waiting jobs are served;
+//! - `precedence`, `shares`, `resubmissions`: in which order waiting jobs are served;
 //! - `placement`, `headroom`: which target a task goes to; `evacuation`: in which data halls none is;
-//! - `run_ends`: what follows from the end of a run; `judging`: which runs take too long;
+//! - `run_ends`: what follows from the end of a run; `late_runs`: which runs take too long;
 //! - `sessions`, `runner_session`: what is known of runners, and when the runs of a lost session are over;
 //! - `closing`: what a closed job leaves behind; `reports`: the decisions that are logged.
 //!
@@ -24,18 +24,18 @@
 mod events;
 mod headroom;
 mod job;
-mod judging;
 mod kept_admission;
 mod kept_jobs;
-mod own_stall;
+mod late_runs;
 mod placement;
 mod precedence;
 mod reports;
-mod returned_callers;
+mod resubmissions;
 mod run_ends;
 mod runner_session;
 mod sessions;
 mod shares;
+mod stall_recovery;
 mod standing_queues;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -60,8 +60,8 @@
 
 use closing::DetachedRun;
 use job::{Job, QueuePosition, Task, TaskPosition};
-use judging::DurationRatio;
-use returned_callers::ReturnedCallers;
+use late_runs::DurationRatio;
+use resubmissions::ResubmissionDetector;
 use runner_session::RunnerSession;
 use sessions::LostSession;
 use shares::QueueShares;
@@ -94,7 +94,7 @@
     duration_ratio: DurationRatio,
     shares: QueueShares,
     standing_queues: StandingQueues,
-    returned_callers: ReturnedCallers,
+    resubmissions: ResubmissionDetector,
     is_draining: bool,
     evacuated_halls: BTreeSet<DataHall>,
     counts: DispatcherCounts,
@@ -122,7 +122,7 @@
             duration_ratio: DurationRatio::default(),
             shares: QueueShares::default(),
             standing_queues: StandingQueues::default(),
-            returned_callers: ReturnedCallers::new(timings.resend_interval),
+            resubmissions: ResubmissionDetector::new(timings.resend_interval),
             is_draining: false,
             evacuated_halls: BTreeSet::new(),
             counts: DispatcherCounts::default(),
@@ -177,7 +177,7 @@
     }
 
     /// Refuses each further job; those that are open go on.
-    pub fn start_draining(&mut self) {
+    pub fn begin_draining(&mut self) {
         self.is_draining = true;
     }
 
@@ -200,8 +200,8 @@
         let (queue, priority) = (&request.queue, request.priority);
         self.shares.record_submission(queue, priority, now);
         self.open_jobs_by_name.insert(request.id.clone(), number);
-        let is_late = self.comes_late(&request);
-        let job = Job::new(request, is_late, self.first_run, now);
+        let is_late_resubmission = self.detect_late_resubmission(&request);
+        let job = Job::new(request, is_late_resubmission, self.first_run, now);
         self.waiting.insert(job.queue_position(number));
         self.jobs.insert(number, job);
         self.place_unless_catching_up(now);
@@ -236,7 +236,7 @@
         self.release_expired_lost_sessions(now);
         self.place_waiting(now);
         if !self.catch_up.is_active(now) {
-            self.end_late_jobs(now);
+            self.end_expired_jobs(now);
             self.withdraw_late_runs(now);
         }
     }
--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -6,7 +6,7 @@
 //!    and the headroom of `headroom`, and have fewer tasks of its step than one target may ([`Dispatcher::list_candidates`]).
 //! 2. The candidates are narrowed three times, each time only if one is left: to those with the preferred label, to those that are
 //!    not slow, to another session than the one on which the task did not do well ([`narrow`]).
-//! 3. Of [`DRAWN_TARGETS`] drawn at random the emptiest is taken ([`draw_emptiest`]).
+//! 3. Of [`SAMPLE_SIZE`] sampled at random the emptiest is taken ([`sample_emptiest`]).
 //!
 //! Owns no state. Relies on the free capacity that runners report, which is up to 20 ms old; the runner alone decides in the end, and
 //! gives back what finds none.
@@ -24,13 +24,13 @@
 use crate::request::StepRequest;
 use crate::resources::Resources;
 
-/// How many candidates are drawn, of which the emptiest is taken: dispatchers that choose at the same moment from the same reports
+/// How many candidates are sampled, of which the emptiest is taken: dispatchers that choose at the same moment from the same reports
 /// should not all choose the same target.
-const DRAWN_TARGETS: usize = 3;
+const SAMPLE_SIZE: usize = 3;
 /// How long an assignment may wait at the runner when others were faster, in milliseconds.
 const RUNNER_WAIT_MS: u32 = 25;
 /// Jobs without a candidate that later ones may overtake in one pass.
-const MAX_OVERTAKEN_JOBS: usize = 4;
+const MAX_SKIPPED_JOBS: usize = 4;
 
 /// A target that could run a task now.
 #[derive(Clone, Copy, Debug)]
@@ -47,26 +47,26 @@
 }
 
 /// Keeps the candidates that satisfy a wish; all of them if none does.
-fn narrow(candidates: &mut Vec<Candidate>, is_wished: impl Fn(&Candidate) -> bool) {
-    if candidates.iter().any(&is_wished) {
-        candidates.retain(is_wished);
+fn narrow(candidates: &mut Vec<Candidate>, is_match: impl Fn(&Candidate) -> bool) {
+    if candidates.iter().any(&is_match) {
+        candidates.retain(is_match);
     }
 }
 
-/// Draws [`DRAWN_TARGETS`] times and returns the emptiest candidate drawn.
-fn draw_emptiest(candidates: &[Candidate], rng: &mut SmallRng) -> Option<SessionId> {
+/// Draws [`SAMPLE_SIZE`] times and returns the emptiest candidate sampled.
+fn sample_emptiest(candidates: &[Candidate], rng: &mut SmallRng) -> Option<SessionId> {
     let mut emptiest: Option<Candidate> = None;
-    for _ in 0..DRAWN_TARGETS.min(candidates.len()) {
-        let drawn = candidates[rng.random_range(0..candidates.len())];
-        if emptiest.is_none_or(|best| drawn.free_share > best.free_share) {
-            emptiest = Some(drawn);
+    for _ in 0..SAMPLE_SIZE.min(candidates.len()) {
+        let sampled = candidates[rng.random_range(0..candidates.len())];
+        if emptiest.is_none_or(|best| sampled.free_share > best.free_share) {
+            emptiest = Some(sampled);
         }
     }
     emptiest.map(|candidate| candidate.session)
 }
 
 /// Returns what must be free at a runner's target for a task of this step to be placed there.
-fn needed_at(runner: &RunnerSession, step: &StepRequest, headroom: Headroom) -> Resources {
+fn required_free(runner: &RunnerSession, step: &StepRequest, headroom: Headroom) -> Resources {
     let target = runner.description.as_ref();
     target.map_or(step.demand, |target| {
         demand_with_headroom(&step.demand, &target.capacity, headroom)
@@ -76,7 +76,7 @@
 impl Dispatcher {
     /// Assigns waiting tasks in order while targets have free capacity.
     pub(super) fn place_waiting(&mut self, now: Timestamp) {
-        let mut overtaken = 0;
+        let mut skipped = 0;
         let mut blocked = BlockedKeptJobs::default();
         for position in self.list_waiting(now) {
             if self.is_blocked(position.job, &blocked, now) {
@@ -86,8 +86,8 @@
                 if self.record_blocked(position.job, &mut blocked) {
                     continue;
                 }
-                overtaken += 1;
-                if overtaken >= MAX_OVERTAKEN_JOBS {
+                skipped += 1;
+                if skipped >= MAX_SKIPPED_JOBS {
                     break;
                 }
             }
@@ -146,7 +146,7 @@
         narrow(&mut candidates, |candidate| candidate.is_preferred);
         narrow(&mut candidates, |candidate| !candidate.is_slow);
         narrow(&mut candidates, |candidate| !candidate.is_avoided);
-        draw_emptiest(&candidates, &mut self.rng)
+        sample_emptiest(&candidates, &mut self.rng)
     }
 
     /// Returns whether a target that is not slow could run a task now.
@@ -161,8 +161,8 @@
 
     /// Returns what the tasks of a job leave free.
     fn headroom_of(&self, job: &Job, now: Timestamp) -> Headroom {
-        if job.is_late || job.is_past_grace(now) {
-            Headroom::ForTimely
+        if job.is_late_resubmission || job.is_past_grace(now) {
+            Headroom::ForOnTime
         } else if self.shares.has_more_urgent(job.request.priority) {
             Headroom::ForUrgent
         } else {
@@ -180,7 +180,7 @@
         let headroom = self.headroom_of(job, now);
         let sessions = self.sessions.iter();
         sessions.filter_map(move |(session, runner)| {
-            let needed = needed_at(runner, job.step(task), headroom);
+            let needed = required_free(runner, job.step(task), headroom);
             self.check_candidate(job, task, *session, runner, &needed, now)
         })
     }
@@ -205,11 +205,11 @@
         }
         let free = runner.free();
         let has_space = free.covers(needed);
-        let allows_one_more = |most: u32| job.count_assigned(task.step, session) < most;
+        let allows_one_more = |limit: u32| job.count_assigned(task.step, session) < limit;
         if !has_space || !step.max_per_target.is_none_or(allows_one_more) {
             return None;
         }
-        if job.is_kept() && !runner.knows_kept_jobs {
+        if job.is_kept() && !runner.supports_kept_jobs {
             return None;
         }
         Some(Candidate {
@@ -217,7 +217,7 @@
             is_preferred: step.preferred_label.as_ref().is_some_and(has_label),
             is_slow: runner.is_slow(self.duration_ratio.value()),
             is_avoided: task.avoided_session == Some(session),
-            free_share: runner.share_of_processors(&free.minus(&step.demand)),
+            free_share: runner.cpu_share(&free.minus(&step.demand)),
         })
     }
 
@@ -239,7 +239,7 @@
         let run = task.begin_run(session, now);
         runner.record_assignment(demand);
         let work = demand.cores() * estimate.as_secs_f64();
-        self.shares.record_given(&job.request.queue, work, now);
+        self.shares.record_allocation(&job.request.queue, work, now);
         let assignment = Assignment {
             task: task.id.clone(),
             run,
--- a/crates/leased/cloverfold_lease/src/dispatcher/precedence.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/precedence.rs
@@ -2,7 +2,7 @@
 //!
 //! 1. A job whose grace is not over ([`Job::is_past_grace`]): few callers can still use the answer of another.
 //! 2. A job that has begun: what it already used is lost if it ends late.
-//! 3. A job that can still be in time, before one that came past its objective (`returned_callers`).
+//! 3. A job that can still be in time, before one that came past its objective (`resubmissions`).
 //! 4. A job whose queue is within its share of the processors, before one whose queue is above it ([`shares`]).
 //! 5. Priority, 0 first.
 //! 6. Arrival.
@@ -22,8 +22,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Precedence {
     is_past_grace: bool,
-    is_not_begun: bool,
-    is_late: bool,
+    is_not_started: bool,
+    is_late_resubmission: bool,
     is_above_share: bool,
     position: QueuePosition,
 }
@@ -44,8 +44,8 @@
         let job = self.jobs.get(&position.job);
         Precedence {
             is_past_grace: job.is_some_and(|job| job.is_past_grace(now)),
-            is_not_begun: job.is_some_and(|job| !job.may_have_run()),
-            is_late: job.is_some_and(|job| job.is_late),
+            is_not_started: job.is_some_and(|job| !job.may_have_run()),
+            is_late_resubmission: job.is_some_and(|job| job.is_late_resubmission),
             is_above_share: job
                 .is_some_and(|job| self.shares.is_above_share(&job.request.queue, now)),
             position,
--- a/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
@@ -43,7 +43,7 @@
     }
 
     /// Reports that a job is given up because its give-up deadline has passed.
-    pub(super) fn report_late(&mut self, number: JobNumber, now: Timestamp) {
+    pub(super) fn report_given_up(&mut self, number: JobNumber, now: Timestamp) {
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
@@ -69,7 +69,7 @@
             self.report(DispatcherEvent::RunOverdue {
                 task: task.id.clone(),
                 run,
-                runner: self.name_runner(session),
+                runner: self.runner_name(session),
                 age: now.saturating_duration_since(since),
                 estimate: job.step(task).estimate,
             });
@@ -77,7 +77,7 @@
     }
 
     /// Reports that the present run of a task is withdrawn from a slow target.
-    pub(super) fn report_moved(&mut self, position: TaskPosition, now: Timestamp) {
+    pub(super) fn report_straggler(&mut self, position: TaskPosition, now: Timestamp) {
         let Some(task) = self.task(position) else {
             return;
         };
@@ -104,7 +104,7 @@
     }
 
     /// Reports the end of a run that is not done; a failure is included in the count.
-    pub(super) fn report_run(
+    pub(super) fn report_run_end(
         &mut self,
         position: TaskPosition,
         session: SessionId,
@@ -117,14 +117,14 @@
         self.report(DispatcherEvent::RunEnded {
             task: task.id.clone(),
             run,
-            runner: self.name_runner(session),
+            runner: self.runner_name(session),
             outcome,
             failures: task.failures + u32::from(outcome == RunOutcome::Failed),
         });
     }
 
     /// Returns the name of a session's runner; empty if the session is gone.
-    fn name_runner(&self, session: SessionId) -> String {
+    fn runner_name(&self, session: SessionId) -> String {
         let runner = self.sessions.get(&session);
         runner
             .map(|session| session.runner.clone())
--- a/crates/leased/cloverfold_lease/src/dispatcher/returned_callers.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/resubmissions.rs
@@ -12,7 +12,7 @@
 //! Inputs: the time for which callers say that they wait, in milliseconds; the objective; the resend of the settings. Without the former
 //! nothing is late.
 //!
-//! Owns how long callers of each queue wait of late ([`ReturnedCallers`]). Nothing is stored: the first [`MIN_KEPT`] jobs of a queue
+//! Owns how long callers of each queue wait of late ([`ResubmissionDetector`]). Nothing is stored: the first [`MIN_SAMPLES`] jobs of a queue
 //! after a start count as new.
 
 use std::collections::{HashMap, VecDeque};
@@ -23,9 +23,9 @@
 
 /// Newest callers of a queue of which is kept how long they wait: about the callers of one second at one entry of the largest
 /// installations played.
-const KEPT_CALLERS: usize = 64;
+const WINDOW_SIZE: usize = 64;
 /// With fewer callers than this, how long they usually wait is unknown.
-const MIN_KEPT: usize = 8;
+const MIN_SAMPLES: usize = 8;
 /// Queues at most; beyond them nothing is learned, so that memory is bounded.
 const MAX_QUEUES: usize = 256;
 /// How many times what callers of a queue differ by a caller must wait for less than usual. Reckoned on the waits of new callers in a play,
@@ -33,88 +33,88 @@
 /// 1.5 finds 83 % and takes 2.6 %, 1 finds 92 % and takes 4.2 %; of the jobs of 60 ms each finds all and takes none (design note 15).
 const NOISE_FACTOR: f64 = 2.0;
 /// The quantile of the waits that counts as usual: while half of all come again it is the median of the new ones.
-const USUAL_QUANTILE: f64 = 0.75;
-/// Between this quantile and [`USUAL_QUANTILE`] the difference of callers is measured: above the latter there are only new callers.
+const TYPICAL_QUANTILE: f64 = 0.75;
+/// Between this quantile and [`TYPICAL_QUANTILE`] the difference of callers is measured: above the latter there are only new callers.
 const HIGH_QUANTILE: f64 = 0.90;
 /// Standard deviations of a normal distribution between the two quantiles.
-const DEVIATIONS_BETWEEN: f64 = 0.61;
+const DEVIATIONS_BETWEEN_QUANTILES: f64 = 0.61;
 
 /// How long the callers of one queue wait.
 #[derive(Debug, Default)]
-struct QueueWaits {
+struct CallerTimeouts {
     /// Oldest first.
-    newest: VecDeque<Duration>,
+    recent: VecDeque<Duration>,
 }
 
-impl QueueWaits {
-    fn record(&mut self, wait: Duration) {
-        if self.newest.len() == KEPT_CALLERS {
-            self.newest.pop_front();
+impl CallerTimeouts {
+    fn record(&mut self, timeout: Duration) {
+        if self.recent.len() == WINDOW_SIZE {
+            self.recent.pop_front();
         }
-        self.newest.push_back(wait);
+        self.recent.push_back(timeout);
     }
 
     /// Returns the wait below which a caller comes again; `None` while too few are known.
-    fn shortest_first_wait(&self, resend: Duration) -> Option<Duration> {
-        if self.newest.len() < MIN_KEPT {
+    fn min_first_timeout(&self, resend: Duration) -> Option<Duration> {
+        if self.recent.len() < MIN_SAMPLES {
             return None;
         }
-        let mut sorted: Vec<Duration> = self.newest.iter().copied().collect();
+        let mut sorted: Vec<Duration> = self.recent.iter().copied().collect();
         sorted.sort_unstable();
         let quantile = |share: f64| sorted[(share * (sorted.len() - 1) as f64).round() as usize];
-        let usual = quantile(USUAL_QUANTILE);
-        let deviation = (quantile(HIGH_QUANTILE) - usual).div_f64(DEVIATIONS_BETWEEN);
-        let noise = deviation.mul_f64(NOISE_FACTOR);
-        Some(usual.saturating_sub(noise.max(resend / 2)))
+        let typical = quantile(TYPICAL_QUANTILE);
+        let deviation = (quantile(HIGH_QUANTILE) - typical).div_f64(DEVIATIONS_BETWEEN_QUANTILES);
+        let margin = deviation.mul_f64(NOISE_FACTOR);
+        Some(typical.saturating_sub(margin.max(resend / 2)))
     }
 }
 
 /// How long the callers of each queue wait, and with it which of them come again.
 #[derive(Debug)]
-pub(super) struct ReturnedCallers {
+pub(super) struct ResubmissionDetector {
     /// After this time a caller comes again.
     resend: Duration,
-    waits: HashMap<String, QueueWaits>,
+    timeouts: HashMap<String, CallerTimeouts>,
 }
 
-impl ReturnedCallers {
+impl ResubmissionDetector {
     pub(super) fn new(resend: Duration) -> Self {
         Self {
             resend,
-            waits: HashMap::new(),
+            timeouts: HashMap::new(),
         }
     }
 
     /// Records a caller that waits for so long, and returns whether its job is past its objective already.
-    pub(super) fn record(&mut self, queue: &str, wait: Duration, objective: Duration) -> bool {
-        let comes_again = self.comes_again(queue, wait);
-        if let Some(waits) = self.waits.get_mut(queue) {
-            waits.record(wait);
-        } else if self.waits.len() < MAX_QUEUES {
-            let waits = self.waits.entry(queue.into()).or_default();
-            waits.record(wait);
+    pub(super) fn record(&mut self, queue: &str, timeout: Duration, objective: Duration) -> bool {
+        let is_resubmission = self.is_resubmission(queue, timeout);
+        if let Some(timeouts) = self.timeouts.get_mut(queue) {
+            timeouts.record(timeout);
+        } else if self.timeouts.len() < MAX_QUEUES {
+            let timeouts = self.timeouts.entry(queue.into()).or_default();
+            timeouts.record(timeout);
         }
-        comes_again && objective <= self.resend
+        is_resubmission && objective <= self.resend
     }
 
-    fn comes_again(&self, queue: &str, wait: Duration) -> bool {
-        let waits = self.waits.get(queue);
-        let shortest = waits.and_then(|waits| waits.shortest_first_wait(self.resend));
-        shortest.is_some_and(|shortest| wait < shortest)
+    fn is_resubmission(&self, queue: &str, timeout: Duration) -> bool {
+        let timeouts = self.timeouts.get(queue);
+        let threshold = timeouts.and_then(|timeouts| timeouts.min_first_timeout(self.resend));
+        threshold.is_some_and(|threshold| timeout < threshold)
     }
 }
 
 impl Dispatcher {
     /// Returns whether a job that is submitted now is past its objective.
-    pub(super) fn comes_late(&mut self, request: &JobRequest) -> bool {
-        let Some(wait) = request.caller_timeout else {
+    pub(super) fn detect_late_resubmission(&mut self, request: &JobRequest) -> bool {
+        let Some(timeout) = request.caller_timeout else {
             return false;
         };
         let objective = request.target_latency();
-        let is_late = self
-            .returned_callers
-            .record(&request.queue, wait, objective);
-        self.counts.late_resubmissions += u64::from(is_late);
-        is_late
+        let is_late_resubmission = self
+            .resubmissions
+            .record(&request.queue, timeout, objective);
+        self.counts.late_resubmissions += u64::from(is_late_resubmission);
+        is_late_resubmission
     }
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
@@ -26,7 +26,7 @@
 
 impl Dispatcher {
     /// Handles the end of a run that a runner reports; `ran` is how long it ran there.
-    pub(super) fn run_ended(
+    pub(super) fn handle_run_end(
         &mut self,
         session: SessionId,
         id: &TaskId,
@@ -43,29 +43,36 @@
             return;
         };
         if outcome != RunOutcome::Done {
-            self.report_run(position, session, run, outcome);
+            self.report_run_end(position, session, run, outcome);
         }
         if let Some(job) = self.jobs.get_mut(&position.job) {
             job.has_run |= !matches!(outcome, RunOutcome::NotStarted(_));
         }
         self.observe_kept_end(position, run, outcome);
         match outcome {
-            RunOutcome::Done => self.run_done(position, session, ran),
-            RunOutcome::Failed => self.run_failed(position, session, now),
+            RunOutcome::Done => self.handle_done(position, session, ran),
+            RunOutcome::Failed => self.handle_failed(position, session, now),
             RunOutcome::Stopped => self.queue_task(position),
-            RunOutcome::Stuck => self.run_stuck(position, session),
-            RunOutcome::Lost => self.run_lost(position),
-            RunOutcome::NotStarted(refusal) => self.run_refused(position, session, refusal, now),
+            RunOutcome::Stuck => self.handle_stuck(position, session),
+            RunOutcome::Lost => self.handle_lost(position),
+            RunOutcome::NotStarted(refusal) => self.handle_refused(position, session, refusal, now),
         }
     }
 
     /// Returns the task that is assigned to a session as this run.
-    fn find_run(&self, id: &TaskId, from: SessionId, of: u64) -> Option<TaskPosition> {
+    fn find_run(
+        &self,
+        id: &TaskId,
+        expected_session: SessionId,
+        expected_run: u64,
+    ) -> Option<TaskPosition> {
         let number: JobNumber = *self.open_jobs_by_name.get(&id.job)?;
         let job = self.jobs.get(&number)?;
         let index = job.find_task(id)?;
         match job.tasks[index].phase {
-            TaskPhase::Assigned { session, run, .. } if session == from && run == of => {
+            TaskPhase::Assigned { session, run, .. }
+                if session == expected_session && run == expected_run =>
+            {
                 Some(TaskPosition { job: number, index })
             }
             _ => None,
@@ -73,7 +80,7 @@
     }
 
     /// Marks a task as done, unblocks the steps after it, and completes the job if it was the last.
-    fn run_done(&mut self, position: TaskPosition, session: SessionId, ran: Duration) {
+    fn handle_done(&mut self, position: TaskPosition, session: SessionId, ran: Duration) {
         let Some(job) = self.jobs.get_mut(&position.job) else {
             return;
         };
@@ -94,7 +101,7 @@
     }
 
     /// Counts a failure of a task: it is retried elsewhere, or its job fails after the last attempt.
-    fn run_failed(&mut self, position: TaskPosition, session: SessionId, now: Timestamp) {
+    fn handle_failed(&mut self, position: TaskPosition, session: SessionId, now: Timestamp) {
         self.counts.failed += 1;
         let Some(job) = self.jobs.get_mut(&position.job) else {
             return;
@@ -116,7 +123,7 @@
     }
 
     /// The runner has judged its target already, for all dispatchers; here only this task is retried elsewhere.
-    fn run_stuck(&mut self, position: TaskPosition, session: SessionId) {
+    fn handle_stuck(&mut self, position: TaskPosition, session: SessionId) {
         self.counts.stuck += 1;
         self.record_late_run(position);
         self.avoid_session(position, session);
@@ -124,14 +131,14 @@
     }
 
     /// Retries a task whose run ended because its lease lapsed or its target died.
-    fn run_lost(&mut self, position: TaskPosition) {
+    fn handle_lost(&mut self, position: TaskPosition) {
         self.counts.lost += 1;
         self.queue_task(position);
     }
 
     /// Handles a run that was not started. `Rejected` fails the job unless it is kept, which only recorded ends may do; otherwise the task is queued again, and the reason decides whether
     /// the target counts as full, whether it is blamed, and whether the run number rises.
-    fn run_refused(
+    fn handle_refused(
         &mut self,
         position: TaskPosition,
         session: SessionId,
@@ -145,7 +152,7 @@
             | RunRefusal::Draining
             | RunRefusal::Evacuated => {
                 if let Some(runner) = self.sessions.get_mut(&session) {
-                    runner.record_full();
+                    runner.mark_full();
                 }
             }
             RunRefusal::Unanswered | RunRefusal::Unhealthy => self.record_failure(session, now),
@@ -155,7 +162,7 @@
                     return;
                 }
                 if let Some(runner) = self.sessions.get_mut(&session) {
-                    runner.record_full();
+                    runner.mark_full();
                 }
             }
             RunRefusal::Stale => {
--- a/crates/leased/cloverfold_lease/src/dispatcher/runner_session.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/runner_session.rs
@@ -14,7 +14,7 @@
 use crate::resources::Resources;
 
 /// Slowness, against all targets, from which a target is used only when no other has free capacity.
-const SLOW_FACTOR: f64 = 1.7;
+const SLOW_TARGET_FACTOR: f64 = 1.7;
 
 /// A session with one runner.
 #[derive(Clone, Debug)]
@@ -34,14 +34,14 @@
     /// Moved on by the length of each stall of this process.
     pub(crate) last_message_at: Timestamp,
     /// Whether its session may have ended at its side during a stall of this process; its next heartbeat shows that it has not.
-    is_session_in_doubt: bool,
+    may_be_expired: bool,
     pub(crate) health: TargetHealth,
     /// The data hall the runner stands in; `None` if it does not tell.
     pub(super) data_hall: Option<DataHall>,
     /// Whether that hall is evacuated.
     pub(super) is_evacuated: bool,
     /// Whether the runner's build can read assignments of kept jobs.
-    pub(super) knows_kept_jobs: bool,
+    pub(super) supports_kept_jobs: bool,
     /// How fast the target usually is, as the runner has told.
     pub(super) usual_speed: UsualSpeed,
 }
@@ -58,11 +58,11 @@
             last_echo_clock: None,
             last_echo_at: now,
             last_message_at: now,
-            is_session_in_doubt: false,
+            may_be_expired: false,
             health,
             data_hall: None,
             is_evacuated: false,
-            knows_kept_jobs: false,
+            supports_kept_jobs: false,
             usual_speed: UsualSpeed::default(),
         }
     }
@@ -71,7 +71,7 @@
     pub(crate) fn accepts_work(&self, now: Timestamp) -> bool {
         self.description.is_some()
             && !self.is_evacuated
-            && !self.is_session_in_doubt
+            && !self.may_be_expired
             && self.last_echo_clock.is_some()
             && self.health.accepts_work(now)
     }
@@ -84,7 +84,7 @@
         now: Timestamp,
     ) {
         self.last_message_at += stall;
-        self.is_session_in_doubt |= now > self.last_echo_at + session_span;
+        self.may_be_expired |= now > self.last_echo_at + session_span;
     }
 
     /// Returns whether the target runs this service.
@@ -105,7 +105,7 @@
     }
 
     /// Returns whether the target has these resources in all.
-    pub(super) fn could_hold(&self, demand: &Resources) -> bool {
+    pub(super) fn fits_when_empty(&self, demand: &Resources) -> bool {
         let description = self.description.as_ref();
         description.is_some_and(|description| description.capacity.covers(demand))
     }
@@ -117,7 +117,7 @@
     }
 
     /// Returns the share of the target's processors that these resources are.
-    pub(crate) fn share_of_processors(&self, resources: &Resources) -> f64 {
+    pub(crate) fn cpu_share(&self, resources: &Resources) -> f64 {
         let capacity = self
             .description
             .as_ref()
@@ -150,7 +150,7 @@
 
     /// Returns whether the target is used only when no other has free capacity.
     pub(crate) fn is_slow(&self, usual: f64) -> bool {
-        self.slowness_against(usual) > SLOW_FACTOR
+        self.slowness_against(usual) > SLOW_TARGET_FACTOR
     }
 
     /// Returns how old the newest message of the runner is.
@@ -179,11 +179,11 @@
     pub(crate) fn record_echo(&mut self, clock: Timestamp, now: Timestamp) {
         self.last_echo_clock = Some(clock);
         self.last_echo_at = now;
-        self.is_session_in_doubt = false;
+        self.may_be_expired = false;
     }
 
     /// Counts the target as full until its runner reports again.
-    pub(crate) fn record_full(&mut self) {
+    pub(crate) fn mark_full(&mut self) {
         let free = &mut self.free_capacity.free;
         free.cpu_milli = free.cpu_milli.min(0);
     }
--- a/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
@@ -20,14 +20,14 @@
 use crate::messages::{DispatcherMessage, RunnerMessage, SessionId, TargetDescription, TaskId};
 
 /// Jobs that the report of a lost session names, so that a line of the log stays readable.
-const MAX_NAMED_JOBS: usize = 24;
+const MAX_REPORTED_JOBS: usize = 24;
 
 /// A session that ended while runs of it were under way.
 #[derive(Clone, Debug)]
 pub(crate) struct LostSession {
     runner: String,
     /// After this all its runs are over.
-    over_at: Timestamp,
+    runs_ended_by: Timestamp,
     tasks: Vec<LostTask>,
 }
 
@@ -57,55 +57,55 @@
         let Some(closed) = self.sessions.remove(&session) else {
             return;
         };
-        let mut tasks = self.suspend_tasks(session);
-        tasks.extend(self.suspend_detached_runs(session));
+        let mut tasks = self.mark_tasks_uncertain(session);
+        tasks.extend(self.mark_detached_runs_uncertain(session));
         if tasks.is_empty() {
             return;
         }
         self.report(DispatcherEvent::SessionLost {
             runner: closed.runner.clone(),
             runs: tasks.len(),
-            jobs: name_jobs(&tasks),
+            jobs: list_job_names(&tasks),
             last_echo: now.saturating_duration_since(closed.last_echo_at),
         });
         self.lost_sessions.push(LostSession {
             runner: closed.runner,
-            over_at: closed.last_echo_at.min(now) + self.timings.run_end_bound(),
+            runs_ended_by: closed.last_echo_at.min(now) + self.timings.run_end_bound(),
             tasks,
         });
     }
 
     /// Makes the tasks uncertain that a session has, and lists them.
-    fn suspend_tasks(&mut self, session: SessionId) -> Vec<LostTask> {
-        let mut suspended = Vec::new();
+    fn mark_tasks_uncertain(&mut self, session: SessionId) -> Vec<LostTask> {
+        let mut lost = Vec::new();
         for (number, job) in &mut self.jobs {
             for task in &mut job.tasks {
                 if task.phase.is_assigned_to(session) {
                     task.phase = TaskPhase::Uncertain;
                     job.has_run = true;
-                    suspended.push(LostTask {
+                    lost.push(LostTask {
                         job: Some(*number),
                         id: task.id.clone(),
                     });
                 }
             }
         }
-        suspended
+        lost
     }
 
     /// Makes the detached runs uncertain that a session has, and lists their tasks.
-    fn suspend_detached_runs(&mut self, session: SessionId) -> Vec<LostTask> {
-        let mut suspended = Vec::new();
+    fn mark_detached_runs_uncertain(&mut self, session: SessionId) -> Vec<LostTask> {
+        let mut lost = Vec::new();
         for (id, run) in &mut self.detached_runs {
             if matches!(run, DetachedRun::At { session: s, .. } if *s == session) {
                 *run = DetachedRun::Uncertain;
-                suspended.push(LostTask {
+                lost.push(LostTask {
                     job: None,
                     id: id.clone(),
                 });
             }
         }
-        suspended
+        lost
     }
 
     /// Handles a message of a runner.
@@ -138,7 +138,7 @@
             } => {
                 runner.record_free_capacity(free_capacity);
                 let ran = Duration::from_millis(u64::from(ran_ms));
-                self.run_ended(session, &task, run, outcome, ran, now);
+                self.handle_run_end(session, &task, run, outcome, ran, now);
             }
             RunnerMessage::UsualSpeed(speed) => runner.usual_speed = speed,
         }
@@ -151,11 +151,11 @@
         let Some(runner) = self.sessions.get_mut(&session) else {
             return;
         };
-        let is_offered = description.is_some();
+        let is_announced = description.is_some();
         if runner.record_target(description) {
             runner.health = TargetHealth::new(self.health_limits);
         }
-        if is_offered {
+        if is_announced {
             let name = runner.runner.clone();
             self.release_lost_sessions(|lost| lost.runner == name);
         }
@@ -174,11 +174,11 @@
 
     /// Closes the sessions whose runner was silent for the length of a session: it may be frozen or cut off.
     pub(super) fn close_silent_sessions(&mut self, now: Timestamp) {
-        let limit = self.timings.session_timeout;
+        let timeout = self.timings.session_timeout;
         let silent: Vec<SessionId> = self
             .sessions
             .iter()
-            .filter(|(_, runner)| now > runner.last_message_at + limit)
+            .filter(|(_, runner)| now > runner.last_message_at + timeout)
             .map(|(session, _)| *session)
             .collect();
         for session in silent {
@@ -189,7 +189,7 @@
 
     /// Queues the tasks again of the lost sessions whose runs are over by time.
     pub(super) fn release_expired_lost_sessions(&mut self, now: Timestamp) {
-        self.release_lost_sessions(|lost| now >= lost.over_at);
+        self.release_lost_sessions(|lost| now >= lost.runs_ended_by);
     }
 
     /// Forgets the lost sessions whose runs are all over, and queues their tasks again.
@@ -227,11 +227,11 @@
     }
 }
 
-/// Lists the jobs of tasks, each once, [`MAX_NAMED_JOBS`] at the most.
-fn name_jobs(tasks: &[LostTask]) -> Vec<String> {
+/// Lists the jobs of tasks, each once, [`MAX_REPORTED_JOBS`] at the most.
+fn list_job_names(tasks: &[LostTask]) -> Vec<String> {
     let mut jobs: Vec<String> = tasks.iter().map(|task| task.id.job.clone()).collect();
     jobs.sort_unstable();
     jobs.dedup();
-    jobs.truncate(MAX_NAMED_JOBS);
+    jobs.truncate(MAX_REPORTED_JOBS);
     jobs
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
@@ -127,7 +127,7 @@
 #[test]
 fn while_leaving_a_job_is_refused_at_once() {
     let mut fixture = Fixture::new(1);
-    fixture.dispatcher.start_draining();
+    fixture.dispatcher.begin_draining();
     fixture.submit(one_task_job("b"));
     assert!(matches!(
         fixture.answers()[..],
--- a/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
@@ -321,7 +321,7 @@
         let refusal = fixture.dispatcher.find_kept_refusal(&request, fixture.now);
         assert_eq!(refusal, Some(JobRefusal::NoTarget), "{}", request.id);
     }
-    fixture.dispatcher.start_draining();
+    fixture.dispatcher.begin_draining();
     let request = one_task_job("d");
     let refusal = fixture.dispatcher.find_kept_refusal(&request, fixture.now);
     assert_eq!(refusal, Some(JobRefusal::Leaving));
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -212,7 +212,7 @@
 
     /// Accepts no further job; open ones are still answered, and kept ones of which nothing runs are handed on.
     pub(crate) fn stop_accepting_jobs(&mut self) {
-        self.dispatcher.start_draining();
+        self.dispatcher.begin_draining();
         self.hand_on_idle_jobs();
     }
 
