--- a/crates/leased/cloverfold_lease/src/dispatcher/actions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/actions.rs
@@ -1,6 +1,6 @@
-//! What a dispatcher asks its process to do.
+//! Actions that a dispatcher requests from its process.
 //!
-//! Owns no state: the actions are returned by [`Dispatcher::take_actions`](crate::Dispatcher::take_actions), to be carried out in order.
+//! [`Dispatcher::take_actions`](crate::Dispatcher::take_actions) returns them, to be carried out in order.
 
 use cloverfold_kept_jobs::{EndOutcome, TaskIndex};
 
@@ -9,7 +9,7 @@
 use crate::dispatcher::job::JobNumber;
 use crate::messages::{DispatcherMessage, SessionId};
 
-/// What the process around a dispatcher has to do.
+/// An action for the process to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatcherAction {
     /// Send a message to a runner.
@@ -18,17 +18,17 @@
     CloseSession(SessionId),
     /// Answer a submission.
     Answer(JobNumber, JobAnswer),
-    /// Give a kept job back to its group, which knows how far it is: the end of a run was lost with a session.
+    /// Hand a kept job back to its group, which knows its recorded progress: the end of a run was lost with a session.
     HandBack(JobNumber),
-    /// Take note of the end of a run of a kept job.
+    /// Note the end of a run of a kept job.
     ObserveEnd {
         /// The job.
         job: JobNumber,
-        /// Place of the task among all tasks of the job.
+        /// Index of the task among all tasks of the job.
         task: TaskIndex,
-        /// Number of the run.
+        /// The run.
         run: u64,
-        /// How it ended.
+        /// The outcome of the run.
         outcome: EndOutcome,
     },
     /// Log a decision for operators.
--- a/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
@@ -1,23 +1,30 @@
-//! Which jobs are refused or given up without an end of a run.
+//! Refusing and giving up jobs for reasons other than the end of a run.
 //!
-//! | when | condition | answer, `cause` in the log | bound |
-//! |---|---|---|---|
-//! | at the submission | the process is leaving | refused, `Leaving` | – |
-//! | at the submission | no target of the service accepts work, and the process has not just started or been stalled | refused, `NoTarget` | `STARTUP_PERIOD` in `startup`, `CatchUp` in `stall` |
-//! | at the queue deadline | no task was ever offered to a target, or all came back unstarted | refused, `NoRoom`, or `NoTarget` if none of the service accepts work | `QUEUE_TIMEOUT_SHARE` in `deadlines`, `STANDING_QUEUE_TIMEOUT_SHARE` while the queue stands |
-//! | grace over, or at the give-up deadline | nothing has run or may yet run | refused, `NoRoom` | `GRACE_FACTOR`, `CALLER_TIMEOUT_SHARE` in `deadlines` |
-//! | grace over, and a task waits for a place | parts may have run | given up | `GRACE_FACTOR` in `deadlines` |
-//! | at the give-up deadline | parts may have run | given up | `CALLER_TIMEOUT_SHARE` in `deadlines` |
-//! | at the first call after a stall | callers may have left and asked elsewhere | all open jobs given up | [`JOB_STALL_LIMIT`] |
+//! A job is refused only if none of its tasks has run or can still run, so that its caller may submit it again without wasting work.
+//! Otherwise it is given up. The name in parentheses is the cause in logs and answers; `NoRoom` is the written name of
+//! [`JobRefusal::NoCapacity`].
 //!
-//! None of this holds for kept jobs: they are refused before they are accepted (`kept_admission`) or not at all.
+//! At submission, a job is refused if
 //!
-//! `NoRoom` is the written name of [`JobRefusal::NoCapacity`]. The entry itself refuses with `Stalled`, before a job comes here; see
-//! `stall`.
+//! - the process is draining (`Leaving`);
+//! - no target of its service accepts work (`NoTarget`), unless the process has just started (`startup`) or is catching up after a stall
+//!   (`stall`).
 //!
-//! A job is refused only if none of its tasks has run or may yet run: its caller may then submit it again without loss.
+//! At its queue deadline, a job is refused if none of its tasks was assigned or all were returned without a start (`NoRoom`, or `NoTarget`
+//! if no target of its service accepts work).
 //!
-//! Owns no state. Relies on the deadlines of `deadlines` and on the sessions that are open.
+//! An accepted job ends
+//!
+//! - when its grace period is over and any task waits for a target: it is refused (`NoRoom` or `NoTarget`) if nothing can have run, and
+//!   given up otherwise;
+//! - at its give-up deadline, in the same way;
+//! - at the first call after a stall longer than [`JOB_STALL_LIMIT`], when all open jobs are given up, because their callers may have
+//!   resubmitted them elsewhere.
+//!
+//! None of this applies to kept jobs: they are refused before they are accepted (`kept_admission`) or not at all. The entry itself refuses
+//! requests with `Stalled` before they become jobs; see `stall`.
+//!
+//! The deadlines are defined in `deadlines`.
 
 use std::time::Duration;
 
@@ -32,7 +39,7 @@
 use crate::startup::is_starting;
 
 impl Dispatcher {
-    /// Returns why a job is refused at its submission, if there is a reason.
+    /// Returns why a job must be refused at its submission, or `None` if it is accepted.
     pub(super) fn find_refusal(&self, request: &JobRequest, now: Timestamp) -> Option<JobRefusal> {
         if self.is_draining {
             return Some(JobRefusal::Leaving);
@@ -44,7 +51,7 @@
         (!has_target).then_some(JobRefusal::NoTarget)
     }
 
-    /// Returns whether a target of a service accepts work.
+    /// Returns whether any target of a service accepts work.
     fn has_target(&self, service: &str, now: Timestamp) -> bool {
         let can_run = |runner: &RunnerSession| runner.accepts_work(now) && runner.serves(service);
         self.sessions.values().any(can_run)
@@ -62,7 +69,7 @@
         self.answer(number, JobAnswer::refused(cause));
     }
 
-    /// Refuses the jobs whose queue deadline is over, and gives up those whose time is over.
+    /// Refuses the jobs whose queue deadline has passed, and refuses or gives up those that have expired.
     pub(super) fn end_expired_jobs(&mut self, now: Timestamp) {
         for number in self.list_queue_timeouts(now) {
             self.refuse_queued(number, now);
@@ -77,7 +84,7 @@
         }
     }
 
-    /// Lists the jobs that were not offered to a target before their queue deadline.
+    /// Returns the waiting jobs that were not assigned to a target before their queue deadline.
     fn list_queue_timeouts(&self, now: Timestamp) -> Vec<JobNumber> {
         let is_timed_out = |job: &Job| {
             !job.is_kept() && !job.may_have_run() && now >= self.queue_deadline(job, now)
@@ -89,7 +96,7 @@
             .collect()
     }
 
-    /// Returns until when a job may wait to be offered to a target.
+    /// Returns the time until which a job may wait for its first assignment.
     fn queue_deadline(&self, job: &Job, now: Timestamp) -> Timestamp {
         if self.standing_queues.is_standing(&job.request.queue, now) {
             job.deadlines.standing_queue
@@ -98,7 +105,7 @@
         }
     }
 
-    /// Lists the jobs that are no longer worked on: their callers leave, or their grace is over and a task has no place.
+    /// Returns the jobs whose give-up deadline has passed, or whose grace period is over while a task waits.
     fn list_expired(&self, now: Timestamp) -> Vec<JobNumber> {
         let is_over = |job: &Job| {
             now >= job.deadlines.give_up || (job.is_past_grace(now) && job.has_waiting())
@@ -109,7 +116,7 @@
             .collect()
     }
 
-    /// Refuses a job of which nothing has run.
+    /// Refuses an accepted job of which nothing can have run.
     fn refuse_queued(&mut self, number: JobNumber, now: Timestamp) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -125,15 +132,17 @@
         self.finish_job(number, JobAnswer::refused(cause));
     }
 
-    /// Gives up all open jobs that need not be kept if the process was stalled for more than [`JOB_STALL_LIMIT`] since the last call: a caller may have left
-    /// meanwhile and asked elsewhere, and nothing may be started for it any more. Called before anything else in each call of the dispatcher.
+    /// Gives up all open repeatable jobs if the latest call was more than [`JOB_STALL_LIMIT`] ago.
+    ///
+    /// A caller may have disconnected meanwhile and resubmitted its job elsewhere, so nothing may be started for it any more. Must be
+    /// called first in each call of the dispatcher.
     pub(super) fn give_up_after_stall(&mut self, now: Timestamp) {
         let gap = now.saturating_duration_since(self.last_call_at);
         self.last_call_at = now;
         if gap <= JOB_STALL_LIMIT {
             return;
         }
-        // What is kept is driven on as long as the lease of its driver is valid, however long the stall was.
+        // Kept jobs continue: only the lease of their driver determines whether they are still driven here.
         let open = self.jobs.iter().filter(|(_, job)| !job.is_kept());
         let open: Vec<JobNumber> = open.map(|(number, _)| *number).collect();
         for number in open {
--- a/crates/leased/cloverfold_lease/src/dispatcher/answers.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/answers.rs
@@ -1,27 +1,25 @@
-//! How a submission is answered.
-//!
-//! Owns no state and relies on nothing else.
+//! Answers to job submissions.
 
 use std::time::Duration;
 
-/// When a refused job is worth submitting again.
+/// Delay after which a refused job may be submitted again.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a job was refused; it has not run and never will.
+/// Why a job was refused; none of its tasks has run or will run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum JobRefusal {
     /// No target had free capacity in time. Written `NoRoom`.
     NoCapacity,
-    /// No target of the service is known.
+    /// No target of the service accepts work.
     NoTarget,
-    /// The process is stopping.
+    /// The process is draining.
     Leaving,
-    /// The process was stalled, so the age of the request is unknown.
+    /// The process was stalled, so the request may be outdated.
     Stalled,
 }
 
 impl JobRefusal {
-    /// Returns the name by which logs and answers call it; it is part of the outside interface.
+    /// Returns the stable name that is used in logs and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoCapacity => "NoRoom",
@@ -32,26 +30,26 @@
     }
 }
 
-/// The one answer to a submission.
+/// Final answer to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobAnswer {
     /// All tasks are done.
     Completed,
-    /// A task has failed as often as it may.
+    /// A task has used up its attempts.
     Failed,
-    /// Nothing has run and nothing will.
+    /// None of the tasks has run or will run.
     Refused {
         /// Why.
         cause: JobRefusal,
-        /// When it is worth asking again.
+        /// Delay after which the job may be submitted again.
         retry_after: Duration,
     },
-    /// Parts may have run; the rest was given up.
+    /// Some tasks may have run; the others were given up.
     GivenUp,
 }
 
 impl JobAnswer {
-    /// Returns the answer to a job that is refused; it may be submitted again after [`RETRY_AFTER`].
+    /// Returns the answer to a refused job, with [`RETRY_AFTER`].
     pub const fn refused(cause: JobRefusal) -> Self {
         Self::Refused {
             cause,
--- a/crates/leased/cloverfold_lease/src/dispatcher/closing.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/closing.rs
@@ -1,9 +1,7 @@
-//! How jobs are closed, and what is left of them.
+//! Closing of jobs.
 //!
-//! A job that is closed may leave **detached runs** behind: their stop was ordered, but their end is not known yet. Until it is, no
-//! task of the same name is started.
-//!
-//! Owns [`DetachedRun`]. Relies on `run_ends` and `sessions` to remove them when they are over.
+//! A closed job may leave detached runs behind, which were told to stop but may not have ended. No task with the same ID is started before
+//! the detached run has ended. `run_ends` and `sessions` remove detached runs.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::actions::DispatcherAction;
@@ -11,22 +9,22 @@
 use crate::dispatcher::job::{JobNumber, TaskPhase, TaskPosition};
 use crate::messages::{DispatcherMessage, SessionId};
 
-/// A run whose job is closed and whose end is not known.
+/// A run of a closed job that may not have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DetachedRun {
-    /// A runner will report its end.
+    /// The run is assigned to a runner, which will report its end.
     At {
         /// The session with the runner.
         session: SessionId,
         /// The run.
         run: u64,
     },
-    /// The session is lost; the run counts as over when the lost session is released.
+    /// The session was lost; the run has ended when the lost session is released.
     Uncertain,
 }
 
 impl DetachedRun {
-    /// Returns what a task of a closed job leaves behind, if it may still run.
+    /// Returns the run that a task in this phase leaves behind when its job is closed, if any.
     fn from_phase(phase: TaskPhase) -> Option<Self> {
         match phase {
             TaskPhase::Assigned { session, run, .. } => Some(Self::At { session, run }),
@@ -50,7 +48,7 @@
         self.actions.push(DispatcherAction::Answer(number, answer));
     }
 
-    /// Forgets a job and stops what runs of it.
+    /// Removes a job and withdraws its runs.
     pub(super) fn close_job(&mut self, number: JobNumber) {
         let task_count = self.jobs.get(&number).map_or(0, |job| job.tasks.len());
         for index in 0..task_count {
@@ -71,7 +69,7 @@
         }
     }
 
-    /// Tells the runner of a task to stop its run; the task stays assigned until the end is reported.
+    /// Tells the runner of a task to stop its run. The task remains assigned until the runner reports the end of the run.
     pub(super) fn withdraw_task(&mut self, position: TaskPosition) {
         let Some(task) = self.task_mut(position) else {
             return;
--- a/crates/leased/cloverfold_lease/src/dispatcher/counts.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/counts.rs
@@ -1,10 +1,8 @@
-//! What a dispatcher counts, for the metrics.
-//!
-//! Owns [`DispatcherCounts`] and relies on nothing.
+//! Counters of a dispatcher, exported as metrics.
 
 use crate::messages::RunRefusal;
 
-/// Runs given back without a start, by the reason that their runner gave.
+/// Number of runs that runners refused to start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RefusedRunCounts {
     /// In the order of [`RunRefusal::ALL`].
@@ -16,43 +14,43 @@
         self.by_reason[reason as usize] += 1;
     }
 
-    /// Returns how many there are in all.
+    /// Returns the sum over all reasons.
     pub fn total(&self) -> u64 {
         self.by_reason.iter().sum()
     }
 
-    /// Returns each reason with its count.
+    /// Returns all reasons with their counts.
     pub fn iter(&self) -> impl Iterator<Item = (RunRefusal, u64)> {
         RunRefusal::ALL.into_iter().zip(self.by_reason)
     }
 }
 
-/// Counts since the start, by cause.
+/// Counts since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DispatcherCounts {
     /// Runs assigned.
     pub assigned: u64,
-    /// Runs given back without a start.
+    /// Runs that runners refused to start.
     pub refused_runs: RefusedRunCounts,
-    /// Jobs that began while not all their tasks found a target: a job that has begun is no longer refused, and what it uses is lost if
-    /// the rest comes late.
+    /// Jobs that started although not all of their waiting tasks found a target. Such a job is no longer refused, and its work is wasted if
+    /// the remaining tasks are late.
     pub partially_started: u64,
-    /// Jobs that came again past their objective, so that others went before them.
+    /// Resubmitted jobs that had already missed their objective and were served after others.
     pub late_resubmissions: u64,
-    /// Runs that ended `failed`.
+    /// Runs that failed.
     pub failed: u64,
-    /// Runs whose target or lease was lost.
+    /// Runs that were lost with their target, lease or session.
     pub lost: u64,
-    /// Runs that made no progress at their target and were stopped there.
+    /// Runs that their runner stopped because they made no progress.
     pub stuck: u64,
     /// Runs withdrawn because they took far longer than expected.
     pub overdue: u64,
-    /// Runs withdrawn from a slow target to restart elsewhere.
+    /// Runs withdrawn from a slow target to restart on another.
     pub withdrawn_stragglers: u64,
-    /// Runs withdrawn because their caller left or their job was given up.
+    /// Runs withdrawn for any reason.
     pub withdrawn: u64,
-    /// Jobs given up because the process was stalled.
+    /// Jobs given up because this process was stalled.
     pub stalled: u64,
-    /// Times a target was paused.
+    /// Number of pauses of targets.
     pub pauses: u64,
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
@@ -1,11 +1,10 @@
-//! Decision: how long a job may wait, and how long it is worked on.
+//! Deadlines of repeatable jobs.
 //!
-//! The grace of a job ends some times its objective after its submission. From then on it goes on only while all its open tasks have a
-//! place: as soon as one has to wait, the job is given up. What runs, or whose end is not known yet, may still be answered while the caller
-//! waits; a caller that hears earlier that its job is given up sends it again, and all of it runs anew.
+//! The grace period of a job ends some multiple of its target latency after its submission. After that the job continues only while none of
+//! its tasks waits for a target; as soon as one does, the job is given up. Runs in progress may still complete the job while its caller
+//! waits. If the caller were told earlier that the job is given up, it would submit it again and all tasks would run anew.
 //!
-//! Owns no state: [`JobDeadlines`] follow from a request and the time of its submission. Relies on the caller's estimates, which are
-//! rough.
+//! The deadlines depend on the estimates of the caller, which are rough.
 
 use std::time::Duration;
 
@@ -13,36 +12,34 @@
 
 use crate::request::JobRequest;
 
-/// Share of the objective for which a job may wait for its first task to be offered to a target.
+/// Share of the target latency for which a job may wait for its first assignment.
 ///
-/// The processors in use swing between 70 % and all of them within tenths of a second, so a job that can wait that long and still
-/// end in time is mostly served.
+/// Utilization fluctuates within tenths of a second, so most jobs that can wait that long are served and still end on time.
 const QUEUE_TIMEOUT_SHARE: f64 = 0.25;
-/// As [`QUEUE_TIMEOUT_SHARE`], for a queue that stands (`standing_queues`).
+/// Like [`QUEUE_TIMEOUT_SHARE`], for jobs in a standing queue (`standing_queues`).
 const STANDING_QUEUE_TIMEOUT_SHARE: f64 = 0.10;
-/// How many times the objective, for [`ESTIMATE_MARGIN`] times the estimated work, is the grace of a job.
+/// The grace period is this multiple of the target latency for [`ESTIMATE_MARGIN`] times the estimated work.
 const GRACE_FACTOR: f64 = 3.0;
-/// How many times its estimate the work may last without being late.
+/// Factor by which the work may exceed its estimate.
 const ESTIMATE_MARGIN: f64 = 2.0;
-/// Share of the time that a caller waits after which it gets its answer: a later one would find it gone. Introduced with
-/// [`QUEUE_TIMEOUT_SHARE`] and measured together with it only.
+/// Share of the caller timeout after which a job is answered, so that the answer arrives before the caller disconnects.
 const CALLER_TIMEOUT_SHARE: f64 = 0.9;
 
-/// The points in time at which a job is refused or given up.
+/// Times at which a job is refused or given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct JobDeadlines {
-    /// The job is refused then unless a task was offered to a target.
+    /// The job is refused at this time unless a task was assigned.
     pub(crate) queue: Timestamp,
-    /// As `queue`, while the job's queue stands.
+    /// Like `queue`, while the job's queue stands.
     pub(crate) standing_queue: Timestamp,
-    /// After this the job goes on only while all its open tasks have a place.
+    /// After this time the job continues only while none of its tasks waits for a target.
     pub(crate) grace_end: Timestamp,
-    /// The job is given up then.
+    /// The job is given up at this time.
     pub(crate) give_up: Timestamp,
 }
 
 impl JobDeadlines {
-    /// Returns the deadlines of a job that is submitted `now`.
+    /// Returns the deadlines of a job that is submitted at `now`.
     pub(crate) fn new(request: &JobRequest, now: Timestamp) -> Self {
         let objective = request.target_latency();
         Self {
@@ -54,7 +51,7 @@
     }
 }
 
-/// Returns how long after its submission a job is given up whatever it does.
+/// Returns the time from submission after which a job is given up in any case.
 fn give_up_delay(request: &JobRequest) -> Duration {
     match request.caller_timeout {
         Some(timeout) => timeout.mul_f64(CALLER_TIMEOUT_SHARE),
@@ -62,7 +59,7 @@
     }
 }
 
-/// Returns how long after its submission the grace of a job ends.
+/// Returns the grace period of a job.
 fn grace_period(request: &JobRequest) -> Duration {
     let work_with_margin = request.critical_path().mul_f64(ESTIMATE_MARGIN);
     let grace = request
--- a/crates/leased/cloverfold_lease/src/dispatcher/evacuation.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/evacuation.rs
@@ -1,10 +1,10 @@
-//! Decision: to which targets nothing is assigned because their data hall is evacuated.
+//! Exclusion of targets in evacuated data halls.
 //!
-//! Rule: a target in an evacuated hall accepts no work, whatever its runner announces; what runs there goes on. Inputs: the evacuated
-//! halls as the process was told last, the hall that each runner names. Reason: the runner there offers nothing and gives back what
-//! comes, so this saves the way there and back, and holds where the runner does not know of the evacuation yet.
+//! No task is assigned to a target in an evacuated hall, whatever its runner announces. Runs that are in progress there continue. The
+//! runner would return such assignments anyway; checking here saves the round trip and also applies before the runner knows of the
+//! evacuation.
 //!
-//! Owns no state besides the dispatcher's. Waiting tasks need no step of their own: they are placed on what is left in the next pass.
+//! Waiting tasks need no special handling: the next pass places them on the remaining targets.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 use crate::messages::SessionId;
 
 impl Dispatcher {
-    /// Records in which data hall the runner of a session stands.
+    /// Records the data hall of the runner of a session.
     pub fn set_data_hall(&mut self, session: SessionId, hall: &DataHall) {
         let is_evacuated = self.evacuated_halls.contains(hall);
         if let Some(runner) = self.sessions.get_mut(&session) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Assigns nothing in these data halls from now on, and in all others again.
+    /// Sets the evacuated data halls; tasks are assigned in all others.
     pub fn set_evacuated_halls(&mut self, halls: &BTreeSet<DataHall>) {
         self.evacuated_halls.clone_from(halls);
         for runner in self.sessions.values_mut() {
--- a/crates/leased/cloverfold_lease/src/dispatcher/events.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/events.rs
@@ -1,103 +1,103 @@
-//! Decisions that operators want to see, with what decided them.
+//! Decisions that are logged for operators, with their inputs.
 //!
-//! Owns [`DispatcherEvent`]; the process writes the text of the log lines.
+//! The process writes the text of the log lines.
 
 use std::time::Duration;
 
 use crate::dispatcher::answers::JobRefusal;
 use crate::messages::{RunOutcome, TaskId};
 
-/// How many targets a dispatcher knows.
+/// Number of targets known to a dispatcher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TargetCounts {
     /// Targets that accept work.
     pub ready: usize,
-    /// Runners with a session, whether their targets accept work or not.
+    /// Runners with an open session, including those whose target accepts no work.
     pub connected: usize,
 }
 
 /// A decision and its inputs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatcherEvent {
-    /// A job was refused; it has not run and never will.
+    /// A job was refused; none of its tasks has run or will run.
     Refused {
-        /// The caller's name for it.
+        /// The name that its caller chose.
         job: String,
-        /// Why.
+        /// The reason.
         cause: JobRefusal,
         /// How long it waited in the queue.
         waited: Duration,
-        /// The targets at that moment.
+        /// The targets at that time.
         targets: TargetCounts,
-        /// Jobs in the queue.
+        /// Number of queued jobs.
         waiting: usize,
-        /// Age of the oldest report that the decision rests on.
+        /// Age of the oldest of the runner reports that the decision is based on.
         oldest_report: Duration,
     },
-    /// A job was given up though parts of it may have run: its time is over.
+    /// A job was given up because it expired; some of its tasks may have run.
     GivenUp {
-        /// The caller's name for it.
+        /// The name that its caller chose.
         job: String,
-        /// How long ago it was submitted.
+        /// Time since its submission.
         age: Duration,
-        /// Tasks that are not done.
+        /// Number of tasks that are not done.
         open_tasks: usize,
     },
-    /// A run was over without being done; its task is tried again if its job allows.
+    /// A run ended without being done; its task is retried unless its attempts are used up.
     RunEnded {
         /// The task.
         task: TaskId,
         /// The run.
         run: u64,
-        /// The runner that had it.
+        /// The runner that executed it.
         runner: String,
-        /// How it ended.
+        /// The outcome of the run.
         outcome: RunOutcome,
-        /// Ends `failed` of the task so far.
+        /// Number of failures of the task so far.
         failures: u32,
     },
-    /// A run took far longer than expected and is withdrawn.
+    /// A run takes far longer than expected and is withdrawn.
     RunOverdue {
         /// The task.
         task: TaskId,
         /// The run.
         run: u64,
-        /// The runner that has it.
+        /// The runner that executes it.
         runner: String,
-        /// How long it has run.
+        /// Time since it was assigned.
         age: Duration,
-        /// How long it was expected to run.
+        /// The estimated duration.
         estimate: Duration,
     },
-    /// A run at a slow target is withdrawn, since it ends sooner if it restarts elsewhere.
+    /// A run on a slow target is withdrawn because it ends earlier if it restarts on another.
     StragglerWithdrawn {
         /// The task.
         task: TaskId,
         /// The run.
         run: u64,
-        /// The runner that has it.
+        /// The runner that executes it.
         runner: String,
-        /// How long it has run.
+        /// Time since it was assigned.
         age: Duration,
-        /// How slowly runs advance there, in thousandths of their estimated durations.
+        /// Current duration of runs on the target, in thousandths of their estimated durations.
         slowness_permille: u32,
-        /// How long the runner's report is ago.
+        /// Age of the runner's report.
         report_age: Duration,
     },
-    /// A session ended with runs under way; they wait until they are over for certain.
+    /// A session closed with runs in progress; their tasks wait until the runs have certainly ended.
     SessionLost {
         /// The runner.
         runner: String,
-        /// Its runs.
+        /// Number of its runs in progress.
         runs: usize,
-        /// The jobs that they belong to, the first of them where there are many.
+        /// Names of their jobs, up to a limit.
         jobs: Vec<String>,
-        /// How old the last echo to the runner is.
+        /// Time since the last echo to the runner.
         last_echo: Duration,
     },
-    /// A target gets no work for a while, since its runs go wrong.
+    /// A target is paused because too many of its runs fail.
     TargetPaused {
-        /// Its runner.
+        /// The runner of the target.
         runner: String,
     },
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/headroom.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/headroom.rs
@@ -1,33 +1,33 @@
-//! Decision: what part of a target is kept free for urgent work.
+//! Share of a target that less urgent work leaves free.
 //!
-//! The tasks of a job all need a place at about the same time. While targets are full, a job of many tasks finds them one by one as runs
-//! end, and each that ends is taken at once by whatever waits or arrives. So a task leaves some of a target's processors free
-//! while a queue that is more urgent than its own is in use; urgent work then finds places at once, and the rest waits for the next ends.
+//! The tasks of a job need capacity at about the same time. While targets are full, a job with many tasks would obtain it one task at a
+//! time as runs end, in competition with everything else that waits. So tasks leave some processors of a target free while a queue that is
+//! more urgent than their own is active. Urgent work then finds capacity at once.
 //!
-//! Owns no state. Relies on [`QueueShares`](super::shares::QueueShares) for which queues are in use.
+//! [`QueueShares`](super::shares::QueueShares) determines which queues are active.
 
 use crate::resources::Resources;
 
-/// Share of a target's processors that less urgent work leaves free.
+/// Share of a target's processors that tasks leave free for more urgent queues.
 const URGENT_HEADROOM_SHARE: f64 = 0.05;
 
-/// Share of a target's processors that jobs leave free that came past their objective (`resubmissions`) or whose grace is over
-/// (`deadlines`): what is left for jobs that can be in time while as many come again.
+/// Share of a target's processors that tasks leave free for jobs that can still be on time, if their own job is a late resubmission
+/// (`resubmissions`) or its grace period is over (`deadlines`).
 const ON_TIME_HEADROOM_SHARE: f64 = 0.25;
 
-/// What a task leaves free at its target.
+/// Capacity that a task leaves free on its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Headroom {
-    /// Nothing.
+    /// No capacity.
     None,
-    /// Room for more urgent work.
+    /// Capacity for more urgent work.
     ForUrgent,
-    /// Room for all work that can be in time.
+    /// Capacity for all work that can still be on time.
     ForOnTime,
 }
 
 impl Headroom {
-    /// Returns the share of a target's processors.
+    /// Returns the headroom as a share of a target's processors.
     fn share(self) -> f64 {
         match self {
             Self::None => 0.0,
@@ -37,9 +37,9 @@
     }
 }
 
-/// Returns what must be free at a target for a task to be placed there, so that the headroom stays free with it.
+/// Returns the resources that must be free on a target so that the headroom remains free after a task is placed there.
 ///
-/// A task that is nearly as large as the whole target needs no more than all of it.
+/// The sum is limited to the capacity of the target, so that a task that is nearly as large as the target can be placed on an empty one.
 pub(super) fn demand_with_headroom(
     demand: &Resources,
     capacity: &Resources,
--- a/crates/leased/cloverfold_lease/src/dispatcher/job.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/job.rs
@@ -1,12 +1,10 @@
-//! One job and its tasks: how far each has come.
+//! State of a job and its tasks.
 //!
-//! Decision: how long a run of a kept task is expected to take. Rule: the caller's estimate, doubled with each run of it that was ended as
-//! too slow or stuck, up to [`MAX_DOUBLINGS`] times. Inputs: the estimate, those runs. Reason: the estimate is a rough guess, and what was
-//! accepted is not given up: ended again and again after the same time, a task that takes longer would never be done. Found by a test with
-//! an estimate of 50 ms for 700 ms of work.
+//! The expected duration of a run is the caller's estimate. For a task of a kept job it doubles, up to [`MAX_DOUBLINGS`] times, with each
+//! run that was withdrawn as too slow or ended as stuck. A kept job is never given up, so a task that takes longer than its estimate would
+//! otherwise be withdrawn after the same time again and again and never complete.
 //!
-//! Owns [`Job`], [`Task`] and the positions by which the other modules refer to them. Relies on nothing: what
-//! follows from a phase is decided elsewhere.
+//! Other modules decide what follows from a phase.
 
 use std::time::Duration;
 
@@ -17,79 +15,78 @@
 use crate::messages::{SessionId, TaskId};
 use crate::request::{JobRequest, StepRequest};
 
-/// The estimate that is doubled if the caller gave none or a shorter one.
+/// Minimum estimate to which doublings apply.
 const MIN_DOUBLED_ESTIMATE: Duration = Duration::from_millis(50);
-/// After so many doublings the estimate is over half an hour at least and grows no more.
+/// Caps the doubled estimate; with this number it is at least half an hour.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Number of one submission within this process, from 1.
+/// Number of a submission within this process, starting at 1.
 pub type JobNumber = u64;
 
-/// Which task of which job.
+/// Identifies a task of an open job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TaskPosition {
     pub(crate) job: JobNumber,
-    /// Index among the job's tasks.
+    /// Index into the job's tasks.
     pub(crate) index: usize,
 }
 
-/// Place of a job in the queue; the lowest is served first.
+/// Position of a job in the queue; the lowest is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
-    /// 0 comes first.
+    /// 0 is the most urgent.
     pub(crate) priority: u32,
     /// Earlier submissions come first.
     pub(crate) job: JobNumber,
 }
 
-/// How far a task has come.
+/// Phase of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TaskPhase {
-    /// An earlier step isn't over.
+    /// A step that it depends on is not done.
     Blocked,
-    /// It waits for a target.
+    /// It waits to be assigned to a target.
     Waiting,
-    /// A runner has it.
+    /// It is assigned to a runner.
     Assigned {
         session: SessionId,
         run: u64,
         since: Timestamp,
         is_withdrawn: bool,
     },
-    /// The session that had it was lost; it may still run.
+    /// The session that it was assigned to was lost; its run may not have ended.
     Uncertain,
-    /// Its job is kept, its run is over, and how it ended is not known here: it may be recorded as done.
+    /// Its run ended with an unknown outcome, which may be recorded as done; only in kept jobs.
     Unrecorded,
     /// It is done.
     Done,
 }
 
 impl TaskPhase {
-    /// Returns whether a session has the task.
+    /// Returns whether the task is assigned to this session.
     pub(crate) fn is_assigned_to(&self, to: SessionId) -> bool {
         matches!(self, Self::Assigned { session, .. } if *session == to)
     }
 }
 
-/// A task and its history.
+/// A task of an open job.
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub(crate) id: TaskId,
     /// Index of its step.
     pub(crate) step: usize,
     pub(crate) phase: TaskPhase,
-    /// Number of its next run.
     pub(crate) next_run: u64,
-    /// Runs that ended `failed`.
+    /// Number of failed runs.
     pub(crate) failures: u32,
-    /// The session whose target it did not do well on.
+    /// Session with the target on which the latest unsuccessful run was; other targets are preferred.
     pub(crate) avoided_session: Option<SessionId>,
-    /// How often a run of it was ended as too slow or stuck; counted only where the job is kept.
+    /// Number of runs that were withdrawn as too slow or ended as stuck; only counted for kept jobs.
     pub(crate) late_runs: u32,
 }
 
 impl Task {
-    /// Begins the next run and returns its number.
+    /// Starts the next run and returns its number.
     pub(crate) fn begin_run(&mut self, session: SessionId, now: Timestamp) -> u64 {
         let run = self.next_run;
         self.next_run += 1;
@@ -103,23 +100,23 @@
     }
 }
 
-/// A job that waits for its answer.
+/// A job that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) request: JobRequest,
     pub(crate) tasks: Vec<Task>,
     pub(crate) submitted_at: Timestamp,
     pub(crate) deadlines: JobDeadlines,
-    /// Whether its objective was over when it came.
+    /// Whether its latency objective had already passed when it was submitted.
     pub(crate) is_late_resubmission: bool,
-    /// Whether a run ended in another way than by not being started, or its end was never reported.
+    /// Whether any run may have started: it ended other than as not started, or its end was never reported.
     pub(crate) has_run: bool,
-    /// The epoch in which this entry drives it; `None` for a job that need not be kept.
+    /// Epoch in which this entry drives it; `None` for a repeatable job.
     pub(crate) epoch: Option<Epoch>,
 }
 
 impl Job {
-    /// Returns a job of which nothing is assigned; its tasks begin with the run number `first_run`.
+    /// Returns a job without assigned tasks; `first_run` is the number of the first run of each task.
     pub(crate) fn new(
         request: JobRequest,
         is_late_resubmission: bool,
@@ -139,12 +136,12 @@
         }
     }
 
-    /// Returns whether the job is kept: it ends only by its runs or by the end of its driver.
+    /// Returns whether the job is kept; such a job is never given up.
     pub(crate) fn is_kept(&self) -> bool {
         self.epoch.is_some()
     }
 
-    /// Returns the place in the queue of the job with this number.
+    /// Returns the queue position of this job, which has number `number`.
     pub(crate) fn queue_position(&self, number: JobNumber) -> QueuePosition {
         QueuePosition {
             priority: self.request.priority,
@@ -152,18 +149,17 @@
         }
     }
 
-    /// Returns whether its grace is over (`deadlines`); a job that is kept has none.
+    /// Returns whether its grace period has ended (`deadlines`); a kept job has none.
     pub(crate) fn is_past_grace(&self, now: Timestamp) -> bool {
         !self.is_kept() && now >= self.deadlines.grace_end
     }
 
-    /// Returns the step of one of its tasks.
+    /// Returns the step that a task belongs to.
     pub(crate) fn step(&self, task: &Task) -> &StepRequest {
         &self.request.steps[task.step]
     }
 
-    /// Returns how long a run of one of its tasks should take: the caller's estimate, doubled with each run that was ended as too slow or
-    /// stuck.
+    /// Returns the expected duration of a run of a task: the caller's estimate, doubled for each late run.
     pub(crate) fn estimate(&self, task: &Task) -> Duration {
         let estimate = self.step(task).estimate;
         if task.late_runs == 0 {
@@ -172,7 +168,7 @@
         estimate.max(MIN_DOUBLED_ESTIMATE) * (1 << task.late_runs.min(MAX_DOUBLINGS))
     }
 
-    /// Counts a run of a task that was ended as too slow or stuck, if the job is kept.
+    /// Counts a late run of a task if the job is kept.
     pub(crate) fn record_late_run(&mut self, index: usize) {
         if self.is_kept() {
             self.tasks[index].late_runs += 1;
@@ -184,37 +180,37 @@
         self.tasks.iter().all(|task| task.phase == TaskPhase::Done)
     }
 
-    /// Returns whether a task runs, has run, or may yet do either by an order that was given.
+    /// Returns whether any task has run, is running, or may run because of an assignment that was sent.
     pub(crate) fn may_have_run(&self) -> bool {
         let may_run = |task: &Task| !matches!(task.phase, TaskPhase::Waiting | TaskPhase::Blocked);
         self.has_run || self.tasks.iter().any(may_run)
     }
 
-    /// Returns whether a task waits for a target.
+    /// Returns whether any task waits to be assigned.
     pub(crate) fn has_waiting(&self) -> bool {
         self.tasks
             .iter()
             .any(|task| task.phase == TaskPhase::Waiting)
     }
 
-    /// Counts the tasks that are not done.
+    /// Returns the number of tasks that are not done.
     pub(crate) fn count_open(&self) -> usize {
         let tasks = self.tasks.iter();
         tasks.filter(|task| task.phase != TaskPhase::Done).count()
     }
 
-    /// Counts the tasks of a step that a session has.
+    /// Returns the number of tasks of a step that are assigned to a session.
     pub(crate) fn count_assigned(&self, step: usize, session: SessionId) -> u32 {
         let is_there = |task: &&Task| task.step == step && task.phase.is_assigned_to(session);
         self.tasks.iter().filter(is_there).count() as u32
     }
 
-    /// Returns the index of a task.
+    /// Returns the index of the task with this ID.
     pub(crate) fn find_task(&self, id: &TaskId) -> Option<usize> {
         self.tasks.iter().position(|task| task.id == *id)
     }
 
-    /// Moves the tasks of each step whose earlier steps are all done from `Blocked` to `Waiting`.
+    /// Moves blocked tasks to `Waiting` if all steps that they depend on are done.
     pub(crate) fn unblock_steps(&mut self) {
         for index in 0..self.tasks.len() {
             let task = &self.tasks[index];
@@ -234,7 +230,7 @@
     }
 }
 
-/// Makes the tasks of all steps, in order; those of steps without dependencies wait at once.
+/// Builds the tasks of all steps, in order; those without dependencies start in `Waiting`, the others in `Blocked`.
 fn build_tasks(request: &JobRequest, first_run: u64) -> Vec<Task> {
     let mut tasks = Vec::new();
     for (step_number, step) in request.steps.iter().enumerate() {
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
@@ -1,20 +1,19 @@
-//! Decision: whether a kept job is refused before it is submitted to its group.
+//! Admission of kept jobs before they are submitted to their group.
 //!
-//! Rule, the first that applies:
+//! The first applicable rule decides:
 //!
-//! 1. `Leaving`: the process is stopping.
-//! 2. `NoTarget`: no target of the service accepts work, or none that does could ever run a task of each step: it is smaller than the task
-//!    or lacks the label.
-//! 3. `NoRoom`: the work that is served before it, divided by the processors of the targets of its service, and its own longest chain
-//!    take longer than [`MAX_OBJECTIVE_FACTOR`] times its objective.
+//! 1. `Leaving`: the process is draining.
+//! 2. `NoTarget`: no target of the service accepts work, or some step has no target that could run one of its tasks even when empty,
+//!    because the targets are too small or lack the required label.
+//! 3. `NoRoom`: the expected latency is more than [`MAX_OBJECTIVE_FACTOR`] times the target latency of the job. The expected latency is the
+//!    work that is served first, divided by the processors of the targets of the service, plus the critical path of the job.
 //!
-//! Work that is served before it: tasks not done of kept jobs of the service of the same or a more urgent priority, and waiting tasks of
-//! best-effort jobs of a more urgent one; demand in cores times the estimate times the ratio of durations to estimates.
+//! Work that is served first consists of the unfinished tasks of kept jobs of the same service with the same or a more urgent priority, and
+//! the waiting tasks of repeatable jobs with a more urgent one. It is the product of demand in cores, estimated duration and the ratio of
+//! durations to estimates.
 //!
-//! Inputs: the open jobs of this entry, the targets that it sees, the job's estimates and objective.
-//!
-//! Reason: what was accepted is never shed, so a backlog that takes longer than callers find useful must not be taken on. Other entries use
-//! the same targets, so the time is reckoned too short rather than too long: what is refused here could not have been in time.
+//! An accepted kept job is never given up, so a backlog that takes longer than callers find useful must not be accepted. Other entries use
+//! the same targets, so the estimate tends to be too low: a job that is refused here could not have been answered in time.
 
 use std::time::Duration;
 
@@ -26,11 +25,11 @@
 use crate::dispatcher::runner_session::RunnerSession;
 use crate::request::{JobRequest, StepRequest};
 
-/// How many times its objective a job may be expected to take. Given by callers, to whom an answer is worth something up to then.
+/// Multiple of the target latency beyond which an answer has no value for callers.
 const MAX_OBJECTIVE_FACTOR: f64 = 3.0;
 
 impl Dispatcher {
-    /// Returns why a kept job is refused before it is submitted, if there is a reason.
+    /// Returns why a kept job must be refused before it is submitted to its group, or `None` if it may be submitted.
     pub fn find_kept_refusal(&self, request: &JobRequest, now: Timestamp) -> Option<JobRefusal> {
         if self.is_draining {
             return Some(JobRefusal::Leaving);
@@ -49,7 +48,7 @@
         (expected > max_latency).then_some(JobRefusal::NoCapacity)
     }
 
-    /// Returns whether a target that accepts work could run a task of each step, were it empty.
+    /// Returns whether each step has a target that accepts work and could run a task of the step when empty.
     fn has_capable_targets(&self, request: &JobRequest, now: Timestamp) -> bool {
         self.has_target_of(&request.service, now)
             && request.steps.iter().all(|step| {
@@ -72,7 +71,7 @@
         Duration::try_from_secs_f64(backlog / cores).unwrap_or(Duration::MAX)
     }
 
-    /// Returns the work of a job that is served before another, in core-seconds.
+    /// Returns the work of a job that is served before another job, in core-seconds.
     fn work_ahead_of(&self, job: &Job, other: &JobRequest) -> f64 {
         if job.request.service != other.service {
             return 0.0;
@@ -94,7 +93,7 @@
     }
 }
 
-/// Returns whether a target could run a task of a step, were it empty.
+/// Returns whether a target accepts work and could run a task of a step when empty.
 fn can_run_step(
     runner: &RunnerSession,
     request: &JobRequest,
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
@@ -1,27 +1,23 @@
-//! Kept jobs: how an entry's dispatcher begins and ends to drive one, and how they wait.
+//! Kept (durable) jobs: how the dispatcher starts and stops driving one, and how they wait.
 //!
-//! A kept job is placed like any other (`placement`, `precedence`, `late_runs`) but has no queue deadline and is never given up, shed or
-//! cancelled here: only its runs end it, or [`Dispatcher::stop_driving`], which its driver orders. Its runs are numbered from the epoch, so
-//! that each run of a later driver is a later one, and go only to runners whose build records their ends.
+//! A kept job is placed like a repeatable one (`placement`, `precedence`, `late_runs`) but has no queue deadline and is never given up or
+//! cancelled here. It ends only through its runs or through [`Dispatcher::stop_driving`], which its driver calls. Its run numbers start at
+//! a value that depends on the epoch, so that runs of a later driver have higher numbers. Its runs are assigned only to runners whose build
+//! records their ends.
 //!
-//! Decision: what follows when a session is lost with runs of a kept job. Rule: once they are over, the job is given back to its group
-//! ([`DispatcherAction::HandBack`]), to be driven in another epoch.
+//! # Lost sessions
 //!
-//! Inputs: the lost session.
+//! When a session is lost with runs of a kept job, the job is handed back to its group once these runs have ended
+//! ([`DispatcherAction::HandBack`]), to be driven in another epoch. The runner may have recorded an end `Done` of which this dispatcher was
+//! not told, and a task that is done must not start again. An epoch starts with everything that is recorded, and no end of an earlier epoch
+//! is recorded after that.
 //!
-//! Reason: the runner may have recorded an end `Done` that this dispatcher has not heard of. A task that is done must not begin again;
-//! an epoch begins with all that is recorded, and nothing of an earlier one is recorded after it. Found by the simulated world.
+//! # Skipped jobs
 //!
-//! Decision: which kept jobs are passed over in one pass over the queue. Rule: those of a service of which no target accepts work; those
-//! whose next task is as large as one that found no target in this pass and no more urgent; all once [`MAX_TRIED_JOBS`] have found none. None of them counts among the
-//! jobs that best-effort work may overtake.
-//!
-//! Inputs: the waiting jobs in order, the targets.
-//!
-//! Reason: a kept job may wait for hours, and a few that fit nowhere must not hold up all others, nor may thousands be tried at each
-//! message.
-//!
-//! Owns [`KeptJob`] and [`BlockedKeptJobs`].
+//! A kept job may wait for hours. A few that fit no target must not block the others, and thousands must not be tried for each message. So
+//! one pass over the queue skips a kept job if no target of its service accepts work, if its next task needs as much as one that found no
+//! target in this pass and is not more urgent, or if [`MAX_TRIED_JOBS`] kept jobs have already found no target. Skipped kept jobs do not
+//! count towards the limit on jobs that `placement` skips.
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{EndOutcome, Epoch, TaskIndex, TaskProgress, first_run_of};
@@ -33,22 +29,22 @@
 use crate::messages::{RunOutcome, SessionId};
 use crate::request::{JobRequest, StepRequest};
 
-/// Kept jobs without a target that are tried in one pass. Four times as many as of best-effort jobs, since those that fit nowhere
-/// stay.
+/// Maximum number of kept jobs that may find no target in one pass. Higher than for repeatable jobs, since kept jobs that fit no target
+/// remain in the queue.
 const MAX_TRIED_JOBS: usize = 16;
 
-/// A kept job as its driver gives it to the dispatcher.
+/// A kept job as its driver passes it to the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeptJob {
-    /// What is to be run.
+    /// The steps and their tasks.
     pub request: JobRequest,
-    /// The epoch in which this entry drives it.
+    /// Epoch in which this entry drives it.
     pub epoch: Epoch,
-    /// What is recorded of its tasks; those without a recorded end are left out.
+    /// Recorded progress of its tasks; tasks without a recorded end are omitted.
     pub progress: Vec<(TaskIndex, TaskProgress)>,
 }
 
-/// What a kept job asked for that found no target.
+/// Request of a kept job for which no target was found.
 #[derive(Debug)]
 struct BlockedShape {
     service: String,
@@ -57,7 +53,7 @@
 }
 
 impl BlockedShape {
-    /// Returns whether a job that asks for this would find no target either: it is as large, and no more urgent.
+    /// Returns whether this request would find no target either: it needs at least as much and is not more urgent.
     fn also_blocks(&self, request: &JobRequest, step: &StepRequest) -> bool {
         self.service == request.service
             && self.priority <= request.priority
@@ -81,7 +77,7 @@
 
     fn record(&mut self, request: &JobRequest, step: &StepRequest) {
         self.tried += 1;
-        // A job that may not have two tasks at one target may be held up by its own tasks alone.
+        // With a limit per target, the job may be blocked only by its own tasks, which does not affect others.
         if step.max_per_target.is_none() {
             self.shapes.push(BlockedShape {
                 service: request.service.clone(),
@@ -93,8 +89,10 @@
 }
 
 impl Dispatcher {
-    /// Drives a kept job from now on, and returns its number. What is recorded as done is not run again, and recorded failures count.
-    /// [`DispatcherAction::Answer`](crate::DispatcherAction::Answer) says that all of it has ended.
+    /// Starts driving a kept job and returns its number.
+    ///
+    /// Tasks that are recorded as done are not run again, and recorded failures count as attempts.
+    /// [`DispatcherAction::Answer`](crate::DispatcherAction::Answer) reports that the job has ended.
     pub fn drive(&mut self, kept: KeptJob, now: Timestamp) -> JobNumber {
         self.give_up_after_stall(now);
         if let Some(&earlier) = self.open_jobs_by_name.get(&kept.request.id) {
@@ -115,14 +113,16 @@
         number
     }
 
-    /// Drives a kept job no more: its runs are withdrawn, and those that are not certainly over keep blocking the names of its tasks. Does
-    /// nothing if it has ended.
+    /// Stops driving a kept job and withdraws its runs; does nothing if it has ended.
+    ///
+    /// Tasks with the same IDs are not started before these runs have certainly ended.
     pub fn stop_driving(&mut self, number: JobNumber) {
         self.close_job(number);
     }
 
-    /// A task of a kept job whose run was lost with its session is over, and may have been recorded as done: it is not run again in this
-    /// epoch, and its job is given back.
+    /// Hands a kept job back to its group because a run of this task ended with an unknown outcome.
+    ///
+    /// The run may have been recorded as done, so the task is not run again in this epoch.
     pub(super) fn hand_back(&mut self, position: TaskPosition) {
         if let Some(task) = self.task_mut(position) {
             task.phase = TaskPhase::Unrecorded;
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Tells the process of an end of a kept run that counts.
+    /// Passes the end of a run of a kept job to the process if the run is done or failed.
     pub(super) fn observe_kept_end(
         &mut self,
         position: TaskPosition,
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Counts a run of a kept job that was ended as too slow or stuck.
+    /// Counts a late run of a task if its job is kept.
     pub(super) fn record_late_run(&mut self, position: TaskPosition) {
         if let Some(job) = self.jobs.get_mut(&position.job) {
             job.record_late_run(position.index);
         }
     }
 
-    /// Returns whether a run of a job may be at work; `false` for one that is closed.
+    /// Returns whether a run of an open job may be in progress; `false` if the job is closed.
     pub fn has_open_runs(&self, number: JobNumber) -> bool {
         let job = self.jobs.get(&number);
         let may_be_running = |task: &Task| {
@@ -171,24 +171,24 @@
         job.is_some_and(|job| job.tasks.iter().any(may_be_running))
     }
 
-    /// Returns whether a run of a closed job of this name may be at work.
+    /// Returns whether a run of a closed job with this name may be in progress.
     pub fn has_detached_runs(&self, id: &str) -> bool {
         self.detached_runs.keys().any(|task| task.job == id)
     }
 
-    /// Returns whether a task of an open job runs, has run, or may yet do either.
+    /// Returns whether any task of an open job has run, is running, or may run because of an assignment that was sent.
     pub fn has_begun(&self, number: JobNumber) -> bool {
         self.jobs.get(&number).is_some_and(Job::may_have_run)
     }
 
-    /// Records that the runner's build can read assignments of kept jobs.
+    /// Records that the runner's build can decode assignments of kept jobs.
     pub fn set_supports_kept_jobs(&mut self, session: SessionId) {
         if let Some(runner) = self.sessions.get_mut(&session) {
             runner.supports_kept_jobs = true;
         }
     }
 
-    /// Returns whether a job is passed over in this pass: it is kept, and what is like it found no target.
+    /// Returns whether a job is kept and must be skipped in this pass over the queue.
     pub(super) fn is_blocked(
         &self,
         number: JobNumber,
@@ -207,7 +207,7 @@
         blocked.blocks(&job.request, step) || !self.has_target_of(&job.request.service, now)
     }
 
-    /// Records that a job found no target; returns whether it is kept.
+    /// Records that a job found no target if it is kept; returns whether it is.
     pub(super) fn record_blocked(&self, number: JobNumber, blocked: &mut BlockedKeptJobs) -> bool {
         let Some(job) = self.jobs.get(&number).filter(|job| job.is_kept()) else {
             return false;
@@ -218,21 +218,21 @@
         true
     }
 
-    /// Returns whether a target of a service accepts work.
+    /// Returns whether any target of a service accepts work.
     pub(super) fn has_target_of(&self, service: &str, now: Timestamp) -> bool {
         let mut runners = self.sessions.values();
         runners.any(|runner| runner.accepts_work(now) && runner.serves(service))
     }
 }
 
-/// Returns the step of the first task that waits.
+/// Returns the step of the first waiting task.
 fn next_step(job: &Job) -> Option<&StepRequest> {
     let waits = |task: &&Task| task.phase == TaskPhase::Waiting;
     let task = job.tasks.iter().find(waits)?;
     Some(job.step(task))
 }
 
-/// Makes a job of what is recorded of it.
+/// Builds a job from its recorded progress.
 fn resume(kept: KeptJob, now: Timestamp) -> Job {
     let first_run = first_run_of(kept.epoch);
     let mut job = Job::new(kept.request, false, first_run, now);
--- a/crates/leased/cloverfold_lease/src/dispatcher/late_runs.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/late_runs.rs
@@ -1,17 +1,16 @@
-//! Which runs take too long where they are.
+//! Detection of runs that take too long.
 //!
-//! Two rules, each a pure function of the expected duration of a run, its age and the slowness of its target:
+//! There are two rules, each a pure function of the expected duration of a run, its age and the slowness of its target:
 //!
-//! - a run is **overdue** if it takes far longer than expected where nobody sees its progress; it is withdrawn, and its target gets the
-//!   blame. What is expected is what runs take on all targets, or at this one by its nature if that is more;
-//! - a run is a **straggler** if its target is slow and it would be over sooner if it restarted elsewhere; it is moved, if a target that
-//!   is not slow has free capacity.
+//! - A run is overdue if it takes far longer than expected and its progress is not visible. It is withdrawn, and a failure of its target is
+//!   recorded. The expected duration is that on all targets or the usual one on this target, whichever is longer.
+//! - A run is a straggler if its target is slow and the run would end earlier if it restarted on another. It is withdrawn if a target that
+//!   is not slow can run its task now.
 //!
-//! Runs whose progress is seen are judged by the runner beside the target: a run that advances is late because its estimate was wrong,
-//! and begun anew it would end later still. Withdrawing those as well cost 0.006 +- 0.001 of the worth on five days with trouble of
-//! one site, three seeds each, without processor time, most of it of the jobs with the longest tasks (docs/LARGE.md, round 3).
+//! The runner beside the target judges runs whose progress is visible. A run that advances is late because its estimate was wrong, and
+//! would end even later if it restarted, so it is not overdue.
 //!
-//! Owns the ratio of durations to estimates ([`DurationRatio`]). Relies on the slowness that runners report.
+//! The slowness of targets comes from the reports of their runners.
 
 use std::time::Duration;
 
@@ -22,32 +21,31 @@
 use crate::dispatcher::runner_session::RunnerSession;
 use crate::messages::SessionId;
 
-/// Weight of the newest run in the ratio of durations to estimates.
+/// Weight of the newest run in the moving average [`DurationRatio`].
 const RATIO_WEIGHT: f64 = 0.02;
-/// Lowest ratio of one run that counts: one further off reflects a wrong estimate rather than the targets.
+/// Lower bound on the ratio of one run; a lower ratio reflects a wrong estimate rather than the targets.
 const MIN_RUN_RATIO: f64 = 0.2;
-/// Highest ratio of one run that counts, as [`MIN_RUN_RATIO`].
+/// Upper bound on the ratio of one run, like [`MIN_RUN_RATIO`].
 const MAX_RUN_RATIO: f64 = 8.0;
-/// Lowest ratio that the expected duration of a run is calculated with: narrower than the bounds of one run, which move the mean
-/// only a little, since this one decides on a run at once.
+/// Lower bound on the ratio in expected durations. The range is narrower than for a single run, which changes the average only slightly,
+/// because this ratio directly decides whether runs are withdrawn.
 const MIN_EXPECTED_RATIO: f64 = 0.5;
-/// Highest ratio that the expected duration of a run is calculated with, as [`MIN_EXPECTED_RATIO`].
+/// Upper bound on the ratio in expected durations, like [`MIN_EXPECTED_RATIO`].
 const MAX_EXPECTED_RATIO: f64 = 4.0;
 
-/// A run whose progress is not seen is overdue after this many times its expected duration and [`OVERDUE_ALLOWANCE`].
+/// A run is overdue after its expected duration times this factor, plus [`OVERDUE_ALLOWANCE`].
 const OVERDUE_FACTOR: f64 = 2.6;
-/// Time allowed on top of [`OVERDUE_FACTOR`], for short runs.
+/// Constant allowance for short runs.
 const OVERDUE_ALLOWANCE: Duration = Duration::from_millis(120);
 
-/// Slowness of a target, against all others, from which its runs may restart elsewhere.
+/// Slowness of a target, relative to all targets, from which its runs can be stragglers.
 const STRAGGLER_SLOWNESS: f64 = 2.5;
-/// What is left of a run must be longer than a whole run elsewhere by this factor, and by [`RESTART_COST`]. As
-/// [`STRAGGLER_SLOWNESS`].
+/// A straggler needs longer for the rest of its run than this factor times a whole run on another target, plus [`RESTART_COST`].
 const STRAGGLER_GAIN: f64 = 1.4;
-/// What the stop and the new start of a run take.
+/// Time to stop a run and start the next one.
 const RESTART_COST: Duration = Duration::from_millis(60);
 
-/// Durations of ended runs against their estimates: a moving mean over all targets, 1 at first.
+/// Moving average, over all targets, of the ratio of durations of completed runs to their estimates; initially 1.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DurationRatio(f64);
 
@@ -63,7 +61,7 @@
         self.0
     }
 
-    /// Records a run that is done; one without an estimate is ignored.
+    /// Records a completed run; runs without an estimate are ignored.
     pub(crate) fn record(&mut self, ran: Duration, estimate: Duration) {
         if estimate.is_zero() {
             return;
@@ -73,29 +71,29 @@
         self.0 += RATIO_WEIGHT * (ratio - self.0);
     }
 
-    /// Returns how long a run with this estimate should take.
+    /// Returns the expected duration of a run with this estimate.
     pub(crate) fn expected_duration(self, estimate: Duration) -> Duration {
         estimate.mul_f64(self.0.clamp(MIN_EXPECTED_RATIO, MAX_EXPECTED_RATIO))
     }
 }
 
-/// Returns how long a run with this estimate should take at a target by the target's nature; zero while that is not known.
+/// Returns the usual duration of a run with this estimate on a target; zero if unknown.
 fn usual_duration_at(runner: &RunnerSession, estimate: Duration) -> Duration {
     estimate * runner.usual_slowness_permille() / 1_000
 }
 
-/// Returns whether a run of this age has taken far too long.
+/// Returns whether a run of this age is overdue.
 fn is_overdue(expected: Duration, age: Duration) -> bool {
     age > expected.mul_f64(OVERDUE_FACTOR) + OVERDUE_ALLOWANCE
 }
 
-/// Returns whether a run of this age would be over sooner if it restarted elsewhere; `slowness` is that of its target against all.
+/// Returns whether a run of this age is a straggler; `slowness` is that of its target relative to all targets.
 fn is_straggler(expected: Duration, age: Duration, slowness: f64) -> bool {
     let remaining = expected.mul_f64(slowness).saturating_sub(age);
     slowness >= STRAGGLER_SLOWNESS && remaining > expected.mul_f64(STRAGGLER_GAIN) + RESTART_COST
 }
 
-/// What becomes of a run that takes too long.
+/// In which way a run takes too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LateRun {
     Overdue(SessionId),
@@ -103,9 +101,9 @@
 }
 
 impl Dispatcher {
-    /// Withdraws the runs that are overdue, and those that end sooner elsewhere.
+    /// Withdraws overdue runs and stragglers.
     pub(super) fn withdraw_late_runs(&mut self, now: Timestamp) {
-        // Stragglers first: a target that has just been blamed would count as paused.
+        // Stragglers first: recording the failure of an overdue run may pause its target, which would then not be a candidate.
         let (overdue, stragglers): (Vec<_>, Vec<_>) = self
             .find_late_runs(now)
             .into_iter()
@@ -120,7 +118,7 @@
         }
     }
 
-    /// Lists the runs that take too long, with what follows.
+    /// Returns the runs that take too long.
     fn find_late_runs(&self, now: Timestamp) -> Vec<(TaskPosition, LateRun)> {
         let mut late_runs = Vec::new();
         for (number, job) in &self.jobs {
@@ -148,7 +146,7 @@
         late_runs
     }
 
-    /// Returns whether a run of this estimate and age takes too long at a session's target, and in which way.
+    /// Returns in which way a run with this estimate and age takes too long on a session's target, or `None` if it does not.
     fn classify_run(
         &self,
         session: SessionId,
@@ -165,7 +163,7 @@
         is_straggler(expected, age, slowness).then_some(LateRun::Straggler)
     }
 
-    /// Withdraws a straggler if a target that is not slow could run its task now.
+    /// Withdraws a straggler if a target that is not slow can run its task now.
     fn withdraw_straggler(&mut self, task: TaskPosition, now: Timestamp) {
         if self.has_faster_target(task, now) {
             self.counts.withdrawn_stragglers += 1;
@@ -175,7 +173,7 @@
         }
     }
 
-    /// Withdraws an overdue run and counts it against its target.
+    /// Withdraws an overdue run and records a failure of its target.
     fn withdraw_overdue(&mut self, task: TaskPosition, session: SessionId, now: Timestamp) {
         self.counts.overdue += 1;
         self.report_overdue(task, session, now);
--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -1,18 +1,24 @@
-//! The dispatcher: the repeatable jobs of one entry, and where their tasks run.
+//! The dispatcher of an entry: accepts jobs and assigns their tasks to targets.
 //!
-//! This file holds the state and the calls from outside. The rules are in the modules, one duty each:
+//! There are two kinds of jobs:
 //!
-//! - `admission`: which jobs are refused or given up; `deadlines`, `standing_queues`: until when;
-//! - `precedence`, `shares`, `resubmissions`: in which order waiting jobs are served;
-//! - `placement`, `headroom`: which target a task goes to; `evacuation`: in which data halls none is;
-//! - `run_ends`: what follows from the end of a run; `late_runs`: which runs take too long;
-//! - `sessions`, `runner_session`: what is known of runners, and when the runs of a lost session are over;
-//! - `closing`: what a closed job leaves behind; `reports`: the decisions that are logged.
+//! - A *repeatable* (best-effort) job belongs to the caller that submitted it. It may be refused or given up, and its caller may submit it
+//!   again.
+//! - A *kept* (durable) job is stored by a group of control processes. It is never given up here; the dispatcher drives it on behalf of its
+//!   group until all its tasks have ended or it is told to stop.
+//!
+//! This module holds the state and the public interface. The rules are in the submodules:
 //!
-//! The types between them are in `job`, `answers`, `actions`, `events` and `counts`.
+//! - `admission`, `kept_admission`: which jobs are refused or given up; `deadlines`, `standing_queues`: when;
+//! - `precedence`, `shares`, `resubmissions`: the order in which waiting jobs are served;
+//! - `placement`, `headroom`: which target a task is assigned to; `evacuation`: which data halls are excluded;
+//! - `run_ends`: what follows from the end of a run; `late_runs`: which runs take too long;
+//! - `sessions`, `runner_session`: what is known of runners, and when the runs of a lost session have ended;
+//! - `stall_recovery`: which conclusions are suspended after a stall of this process;
+//! - `kept_jobs`: what is specific to kept jobs;
+//! - `closing`: runs that outlive their job; `reports`: decisions to be logged.
 //!
-//! Owns all jobs, tasks and sessions of the entry. Relies on the process to call [`Dispatcher::tick`], to carry out the
-//! actions in order, and to pass on each message and each closed link.
+//! The process calls [`Dispatcher::tick`] regularly, carries out the actions in order, and passes on every message and every closed link.
 
 mod actions;
 mod admission;
@@ -67,29 +73,29 @@
 use shares::QueueShares;
 use standing_queues::StandingQueues;
 
-/// Coordinates the repeatable jobs that one entry accepted.
+/// Coordinates the jobs of one entry.
 #[derive(Debug)]
 pub struct Dispatcher {
     timings: Timings,
     health_limits: HealthLimits,
     rng: SmallRng,
     sessions: BTreeMap<SessionId, RunnerSession>,
-    /// Sessions that ended with runs whose end is not known.
+    /// Closed sessions whose runs may not have ended yet.
     lost_sessions: Vec<LostSession>,
     jobs: BTreeMap<JobNumber, Job>,
-    /// How many of them are kept: without any, nothing is looked up for them.
+    /// Number of kept jobs among `jobs`; if it is 0, checks for kept jobs are skipped.
     kept_jobs: usize,
-    /// Numbers of the open jobs, by the caller's names for them.
+    /// Open jobs by the name that the caller chose.
     open_jobs_by_name: HashMap<String, JobNumber>,
-    /// Jobs with waiting tasks; `precedence` has the order in which they are served.
+    /// Jobs with waiting tasks; `precedence` determines the order in which they are served.
     waiting: BTreeSet<QueuePosition>,
-    /// Runs of jobs that are closed; until they are over, no task of the same name is started.
+    /// Runs of closed jobs; a task with the same ID is not started before the run has ended.
     detached_runs: HashMap<TaskId, DetachedRun>,
     next_job: JobNumber,
-    /// When the process last called; a long gap is a stall.
+    /// Time of the latest call; a long gap indicates a stall.
     last_call_at: Timestamp,
     catch_up: CatchUp,
-    /// Number of the first run of a new task.
+    /// Run number with which a new task starts.
     first_run: u64,
     duration_ratio: DurationRatio,
     shares: QueueShares,
@@ -102,7 +108,7 @@
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher without jobs or sessions. Its choices follow from `seed`.
+    /// Returns a dispatcher without jobs or sessions. `seed` determines its random choices.
     pub fn new(timings: Timings, health_limits: HealthLimits, seed: u64) -> Self {
         Self {
             timings,
@@ -130,59 +136,62 @@
         }
     }
 
-    /// Sets the number that the first run of a new task gets: above any that an earlier submission of the same job,
-    /// here or elsewhere, can have used. It never falls.
+    /// Raises the run number with which new tasks start; a lower number has no effect.
+    ///
+    /// The number must be higher than any that an earlier submission of the same job used, at this or another entry.
     pub fn raise_first_run(&mut self, first_run: u64) {
         self.first_run = self.first_run.max(first_run);
     }
 
-    /// Takes what has to be done since the last call.
+    /// Returns the actions that have accumulated since the previous call.
     pub fn take_actions(&mut self) -> Vec<DispatcherAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the counts since the start.
+    /// Returns the counts since the process started.
     pub fn counts(&self) -> DispatcherCounts {
         self.counts
     }
 
-    /// Returns how many jobs are open.
+    /// Returns the number of open jobs.
     pub fn count_open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Counts the open jobs that match, need not be kept, and of which no task may have run.
+    /// Counts the matching open repeatable jobs of which no task can have run.
     pub fn count_queued(&self, matches: impl Fn(&JobRequest) -> bool) -> usize {
         let jobs = self.jobs.values().filter(|job| !job.is_kept());
         jobs.filter(|job| !job.may_have_run() && matches(&job.request))
             .count()
     }
 
-    /// Returns whether a job of this name is open that need not be kept.
+    /// Returns whether a repeatable job with this name is open.
     pub fn is_open(&self, id: &str) -> bool {
         self.find_repeatable(id).is_some()
     }
 
-    /// Returns the open job of this name that need not be kept.
+    /// Returns the open repeatable job with this name.
     fn find_repeatable(&self, id: &str) -> Option<JobNumber> {
         let number = *self.open_jobs_by_name.get(id)?;
         let job = self.jobs.get(&number)?;
         (!job.is_kept()).then_some(number)
     }
 
-    /// Counts the targets that accept work.
+    /// Returns the number of targets that accept work.
     pub fn count_ready_targets(&self, now: Timestamp) -> usize {
         let runners = self.sessions.values();
         runners.filter(|runner| runner.accepts_work(now)).count()
     }
 
-    /// Refuses each further job; those that are open go on.
+    /// Refuses all further jobs; open jobs continue.
     pub fn begin_draining(&mut self) {
         self.is_draining = true;
     }
 
-    /// Submits a job and returns its number; a job of the same name that is open is given up first, since its caller has turned
-    /// to a new request. One that is kept goes on, and the new one is given up.
+    /// Submits a job and returns its number.
+    ///
+    /// An open repeatable job with the same name is given up first, since its caller has replaced it by this submission. If the open job is
+    /// kept, it continues and the new job is given up.
     pub fn submit(&mut self, request: JobRequest, now: Timestamp) -> JobNumber {
         self.give_up_after_stall(now);
         let number = self.next_job_number();
@@ -214,12 +223,12 @@
         number
     }
 
-    /// Closes a job whose caller has disconnected; it gets no answer.
+    /// Closes a job whose caller has disconnected, without an answer.
     pub fn cancel(&mut self, number: JobNumber) {
         self.close_job(number);
     }
 
-    /// Gives up a job by its name; returns whether it was open. A kept one is cancelled by its group alone.
+    /// Gives up the repeatable job with this name; returns whether one was open. Only its group can cancel a kept job.
     pub fn cancel_named(&mut self, id: &str) -> bool {
         let Some(number) = self.find_repeatable(id) else {
             return false;
@@ -228,8 +237,9 @@
         true
     }
 
-    /// Does what has fallen due; call it every few tens of milliseconds. A gap above [`JOB_STALL_LIMIT`](crate::JOB_STALL_LIMIT) ends all open
-    /// jobs that need not be kept.
+    /// Performs all work that is due; must be called every few tens of milliseconds.
+    ///
+    /// After a gap of more than [`JOB_STALL_LIMIT`](crate::JOB_STALL_LIMIT), all open repeatable jobs are given up.
     pub fn tick(&mut self, now: Timestamp) {
         self.give_up_after_stall(now);
         self.close_silent_sessions(now);
@@ -241,7 +251,7 @@
         }
     }
 
-    /// Returns a task; `None` once its job is closed.
+    /// Returns a task, or `None` if its job is closed.
     fn task(&self, position: TaskPosition) -> Option<&Task> {
         self.jobs.get(&position.job)?.tasks.get(position.index)
     }
@@ -251,7 +261,7 @@
         job.tasks.get_mut(position.index)
     }
 
-    /// Counts an assignment and sends it to a runner, with the place of its task in the job if that is kept.
+    /// Sends an assignment to a runner; `kept` is the epoch and the index of the task in its job if the job is kept.
     fn send_assignment(
         &mut self,
         session: SessionId,
--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -1,15 +1,15 @@
-//! Which target a waiting task goes to.
+//! Assignment of waiting tasks to targets.
 //!
 //! Jobs are served in the order of `precedence`. For each waiting task:
 //!
-//! 1. **Candidates** are the targets that accept work, serve the service, have the required label, have free capacity for the task
-//!    and the headroom of `headroom`, and have fewer tasks of its step than one target may ([`Dispatcher::list_candidates`]).
-//! 2. The candidates are narrowed three times, each time only if one is left: to those with the preferred label, to those that are
-//!    not slow, to another session than the one on which the task did not do well ([`narrow`]).
-//! 3. Of [`SAMPLE_SIZE`] sampled at random the emptiest is taken ([`sample_emptiest`]).
+//! 1. The candidates are the targets that accept work, serve the service, have the required label, have enough free capacity for the task
+//!    and its `headroom`, and have fewer tasks of its step than the limit per target ([`Dispatcher::list_candidates`]).
+//! 2. The candidates are narrowed to those with the preferred label, then to those that are not slow, then to those on which the task was
+//!    not unsuccessful before. Each filter is skipped if it would leave none ([`narrow`]).
+//! 3. Out of [`SAMPLE_SIZE`] random candidates, the one with the largest share of free processors is chosen ([`sample_emptiest`]).
 //!
-//! Owns no state. Relies on the free capacity that runners report, which is up to 20 ms old; the runner alone decides in the end, and
-//! gives back what finds none.
+//! The free capacity that runners report may be up to 20 ms old. The runner has the final decision and returns a task for which it has no
+//! capacity.
 
 use cloverfold_base::Timestamp;
 use rand::RngExt;
@@ -24,36 +24,36 @@
 use crate::request::StepRequest;
 use crate::resources::Resources;
 
-/// How many candidates are sampled, of which the emptiest is taken: dispatchers that choose at the same moment from the same reports
-/// should not all choose the same target.
+/// Number of random samples among the candidates. Sampling prevents dispatchers that decide at the same time on the same reports from all
+/// choosing the same target.
 const SAMPLE_SIZE: usize = 3;
-/// How long an assignment may wait at the runner when others were faster, in milliseconds.
+/// How long an assignment may wait at the runner for capacity that another dispatcher took first, in milliseconds.
 const RUNNER_WAIT_MS: u32 = 25;
-/// Jobs without a candidate that later ones may overtake in one pass.
+/// Number of jobs without a candidate after which a pass over the queue ends.
 const MAX_SKIPPED_JOBS: usize = 4;
 
-/// A target that could run a task now.
+/// A target that can run a task now.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     session: SessionId,
-    /// Whether it has the label that the step prefers.
+    /// Whether it has the preferred label of the step.
     is_preferred: bool,
-    /// Whether its runs advance slowly against those of all targets.
+    /// Whether its runs are slow compared with those on all targets.
     is_slow: bool,
-    /// Whether the task did not do well there.
+    /// Whether the latest unsuccessful run of the task was there.
     is_avoided: bool,
-    /// Share of its processors that would be free with the task.
+    /// Share of its processors that would remain free with the task.
     free_share: f64,
 }
 
-/// Keeps the candidates that satisfy a wish; all of them if none does.
+/// Keeps the matching candidates, or all if none matches.
 fn narrow(candidates: &mut Vec<Candidate>, is_match: impl Fn(&Candidate) -> bool) {
     if candidates.iter().any(&is_match) {
         candidates.retain(is_match);
     }
 }
 
-/// Draws [`SAMPLE_SIZE`] times and returns the emptiest candidate sampled.
+/// Samples [`SAMPLE_SIZE`] times and returns the candidate with the largest free share.
 fn sample_emptiest(candidates: &[Candidate], rng: &mut SmallRng) -> Option<SessionId> {
     let mut emptiest: Option<Candidate> = None;
     for _ in 0..SAMPLE_SIZE.min(candidates.len()) {
@@ -65,7 +65,7 @@
     emptiest.map(|candidate| candidate.session)
 }
 
-/// Returns what must be free at a runner's target for a task of this step to be placed there.
+/// Returns the resources that must be free on a target to assign a task of this step there.
 fn required_free(runner: &RunnerSession, step: &StepRequest, headroom: Headroom) -> Resources {
     let target = runner.description.as_ref();
     target.map_or(step.demand, |target| {
@@ -74,7 +74,7 @@
 }
 
 impl Dispatcher {
-    /// Assigns waiting tasks in order while targets have free capacity.
+    /// Assigns waiting tasks in the order of precedence while targets have free capacity.
     pub(super) fn place_waiting(&mut self, now: Timestamp) {
         let mut skipped = 0;
         let mut blocked = BlockedKeptJobs::default();
@@ -99,7 +99,7 @@
         self.record_standing_queues(now);
     }
 
-    /// Records which queues have jobs that wait to begin.
+    /// Records which queues have jobs that wait to start.
     fn record_standing_queues(&mut self, now: Timestamp) {
         let jobs = self.waiting.iter();
         let jobs = jobs.filter_map(|position| self.jobs.get(&position.job));
@@ -108,7 +108,7 @@
         self.standing_queues.record(queues, now);
     }
 
-    /// Assigns the waiting tasks of one job; returns whether all found a target.
+    /// Assigns the waiting tasks of a job; returns whether all found a target.
     fn place_job(&mut self, number: JobNumber, now: Timestamp) -> bool {
         let had_begun = self.jobs.get(&number).is_some_and(Job::may_have_run);
         for index in self.list_placeable(number) {
@@ -123,7 +123,7 @@
         true
     }
 
-    /// Lists the waiting tasks of a job of whose name no earlier run may be at work.
+    /// Returns the waiting tasks of a job, except those of which a detached run may still be in progress.
     fn list_placeable(&self, number: JobNumber) -> Vec<usize> {
         let Some(job) = self.jobs.get(&number) else {
             return Vec::new();
@@ -138,7 +138,7 @@
             .collect()
     }
 
-    /// Chooses a target for a task; `None` if no target could run it now.
+    /// Chooses a target for a task, or returns `None` if no target can run it now.
     fn choose_target(&mut self, position: TaskPosition, now: Timestamp) -> Option<SessionId> {
         let job = self.jobs.get(&position.job)?;
         let task = &job.tasks[position.index];
@@ -149,7 +149,7 @@
         sample_emptiest(&candidates, &mut self.rng)
     }
 
-    /// Returns whether a target that is not slow could run a task now.
+    /// Returns whether a target that is not slow can run a task now.
     pub(super) fn has_faster_target(&self, position: TaskPosition, now: Timestamp) -> bool {
         let Some(job) = self.jobs.get(&position.job) else {
             return false;
@@ -159,7 +159,7 @@
             .any(|candidate| !candidate.is_slow)
     }
 
-    /// Returns what the tasks of a job leave free.
+    /// Returns the headroom that tasks of a job must leave.
     fn headroom_of(&self, job: &Job, now: Timestamp) -> Headroom {
         if job.is_late_resubmission || job.is_past_grace(now) {
             Headroom::ForOnTime
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Lists the targets that could run a task now, in order of their sessions.
+    /// Returns the targets that can run a task now, in order of their session IDs.
     fn list_candidates(
         &self,
         job: &Job,
@@ -185,7 +185,7 @@
         })
     }
 
-    /// Returns a target as a candidate if it could run a task now; `needed` must be free there.
+    /// Returns a target as a candidate if it can run a task now and `needed` is free there.
     fn check_candidate(
         &self,
         job: &Job,
@@ -221,7 +221,7 @@
         })
     }
 
-    /// Begins the next run of a task at a target.
+    /// Starts the next run of a task on a target.
     fn assign(&mut self, position: TaskPosition, session: SessionId, now: Timestamp) {
         let session_span = self.timings.session_timeout;
         let Some(job) = self.jobs.get_mut(&position.job) else {
--- a/crates/leased/cloverfold_lease/src/dispatcher/precedence.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/precedence.rs
@@ -1,16 +1,15 @@
-//! Decision: in which order waiting jobs are served.
+//! Order in which waiting jobs are served.
 //!
-//! 1. A job whose grace is not over ([`Job::is_past_grace`]): few callers can still use the answer of another.
-//! 2. A job that has begun: what it already used is lost if it ends late.
-//! 3. A job that can still be in time, before one that came past its objective (`resubmissions`).
-//! 4. A job whose queue is within its share of the processors, before one whose queue is above it ([`shares`]).
-//! 5. Priority, 0 first.
-//! 6. Arrival.
+//! The first criterion that differs decides:
 //!
-//! Owns no state. Relies on [`QueueShares`].
+//! 1. Jobs whose grace period is not over ([`Job::is_past_grace`]) come first, since few callers can still use the answers of the others.
+//! 2. Jobs that have started come before others, since their work is wasted if they end late.
+//! 3. Jobs that can still be on time come before late resubmissions (`resubmissions`).
+//! 4. Jobs of a queue within its share of the processors come before jobs of a queue above it ([`shares`]).
+//! 5. Priority, 0 first.
+//! 6. Order of submission.
 //!
 //! [`shares`]: super::shares
-//! [`QueueShares`]: super::shares::QueueShares
 //! [`Job::is_past_grace`]: super::job::Job::is_past_grace
 
 use cloverfold_base::Timestamp;
@@ -18,7 +17,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::job::QueuePosition;
 
-/// Place of a waiting job in one pass over the queue; the lowest is served first.
+/// Rank of a waiting job in one pass over the queue; the lowest is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Precedence {
     is_past_grace: bool,
@@ -29,7 +28,7 @@
 }
 
 impl Dispatcher {
-    /// Lists the jobs with waiting tasks in the order in which they are served now.
+    /// Returns the jobs with waiting tasks in the order in which they are served.
     pub(super) fn list_waiting(&self, now: Timestamp) -> Vec<QueuePosition> {
         let mut order: Vec<Precedence> = self
             .waiting
--- a/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
@@ -1,6 +1,6 @@
-//! How a decision is reported, with the state that decided it.
+//! Reports of decisions, with the state that led to them.
 //!
-//! Owns no state. Relies on being called before the decision is carried out, while its inputs are still there.
+//! A decision is reported before it is carried out, while its inputs are still available.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
         self.actions.push(DispatcherAction::Report(event));
     }
 
-    /// Reports that a job is refused; `waited` is how long it was queued.
+    /// Reports that a job is refused after it was queued for `waited`.
     pub(super) fn report_refusal(
         &mut self,
         job: &str,
@@ -37,12 +37,12 @@
                 connected: self.sessions.len(),
             },
             waiting: self.waiting.len(),
-            // Without a session there is no report that could be old.
+            // Zero if there is no session.
             oldest_report: ages.max().unwrap_or_default(),
         });
     }
 
-    /// Reports that a job is given up because its give-up deadline has passed.
+    /// Reports that a job is given up because it has expired.
     pub(super) fn report_given_up(&mut self, number: JobNumber, now: Timestamp) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -54,7 +54,7 @@
         });
     }
 
-    /// Reports that the present run of a task is overdue.
+    /// Reports that the current run of a task is overdue.
     pub(super) fn report_overdue(
         &mut self,
         position: TaskPosition,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reports that the present run of a task is withdrawn from a slow target.
+    /// Reports that the current run of a task is withdrawn from a slow target.
     pub(super) fn report_straggler(&mut self, position: TaskPosition, now: Timestamp) {
         let Some(task) = self.task(position) else {
             return;
@@ -103,7 +103,7 @@
         });
     }
 
-    /// Reports the end of a run that is not done; a failure is included in the count.
+    /// Reports the end of a run that is not done; the reported number of failures includes this run.
     pub(super) fn report_run_end(
         &mut self,
         position: TaskPosition,
@@ -123,7 +123,7 @@
         });
     }
 
-    /// Returns the name of a session's runner; empty if the session is gone.
+    /// Returns the name of a session's runner, or an empty string if the session is closed.
     fn runner_name(&self, session: SessionId) -> String {
         let runner = self.sessions.get(&session);
         runner
--- a/crates/leased/cloverfold_lease/src/dispatcher/resubmissions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/resubmissions.rs
@@ -1,19 +1,16 @@
-//! Decision: which jobs come again after a lost answer, so that they are late already.
+//! Detection of jobs that callers submit again after a lost answer and that have already missed their objective.
 //!
-//! After a loss of power every job whose answer was lost comes again [`Timings::resend_interval`](crate::Timings::resend_interval) later, together with
-//! the new ones: for that long twice as much is asked for as usual, and what comes again may be past its objective. Served in order of
-//! arrival, such jobs make those late that could still be in time. So a job that is late when it comes is served after the others (`precedence`)
-//! and leaves headroom (`headroom`).
+//! After a power loss, every job whose answer was lost is resubmitted after [`Timings::resend_interval`](crate::Timings::resend_interval),
+//! in addition to the new jobs. The load doubles for that time, and resubmitted jobs may already have missed their objective. In order of
+//! arrival they would make jobs late that could still be on time. So a late resubmission is served after other jobs (`precedence`) and
+//! leaves headroom (`headroom`).
 //!
-//! Rule: a caller that comes again waits for less than callers of its queue usually do, by the time since its first attempt. A job whose caller waits for
-//! less than usual, by half a resend at least and by [`NOISE_FACTOR`] times what callers of the queue differ by, comes again; it is
-//! late if its objective is no longer than a resend.
+//! A caller that resubmits a job specifies a shorter timeout than other callers of its queue, by the time since its first attempt. A job
+//! counts as a resubmission if its timeout is shorter than usual by at least half a resend interval and by [`NOISE_FACTOR`] standard
+//! deviations of the timeouts in its queue. It is late if its target latency is not above the resend interval. Jobs without a caller
+//! timeout are never late.
 //!
-//! Inputs: the time for which callers say that they wait, in milliseconds; the objective; the resend of the settings. Without the former
-//! nothing is late.
-//!
-//! Owns how long callers of each queue wait of late ([`ResubmissionDetector`]). Nothing is stored: the first [`MIN_SAMPLES`] jobs of a queue
-//! after a start count as new.
+//! Nothing is stored: after a start, the first [`MIN_SAMPLES`] jobs of each queue count as new.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -21,25 +18,23 @@
 use crate::dispatcher::Dispatcher;
 use crate::request::JobRequest;
 
-/// Newest callers of a queue of which is kept how long they wait: about the callers of one second at one entry of the largest
-/// installations played.
+/// Number of recent callers of a queue whose timeouts are stored: about the callers of one second at one entry of a large installation.
 const WINDOW_SIZE: usize = 64;
-/// With fewer callers than this, how long they usually wait is unknown.
+/// Number of samples below which the usual timeout of a queue is unknown.
 const MIN_SAMPLES: usize = 8;
-/// Queues at most; beyond them nothing is learned, so that memory is bounded.
+/// Limits memory use; resubmissions to further queues are not detected.
 const MAX_QUEUES: usize = 256;
-/// How many times what callers of a queue differ by a caller must wait for less than usual. Reckoned on the waits of new callers in a play,
-/// 1,300 ms less for those that come again: 2 finds 64 % of the jobs of 200 ms that come again and takes 1.3 % of the new ones for such,
-/// 1.5 finds 83 % and takes 2.6 %, 1 finds 92 % and takes 4.2 %; of the jobs of 60 ms each finds all and takes none (design note 15).
+/// Number of standard deviations by which the timeout of a resubmission is below the usual one. A lower value detects more resubmissions
+/// and misclassifies more new jobs.
 const NOISE_FACTOR: f64 = 2.0;
-/// The quantile of the waits that counts as usual: while half of all come again it is the median of the new ones.
+/// Quantile of the timeouts that counts as usual: the median of new callers while half of all callers resubmit.
 const TYPICAL_QUANTILE: f64 = 0.75;
-/// Between this quantile and [`TYPICAL_QUANTILE`] the difference of callers is measured: above the latter there are only new callers.
+/// The standard deviation is estimated between [`TYPICAL_QUANTILE`] and this quantile, where all callers are new.
 const HIGH_QUANTILE: f64 = 0.90;
-/// Standard deviations of a normal distribution between the two quantiles.
+/// Standard deviations of a normal distribution between these two quantiles.
 const DEVIATIONS_BETWEEN_QUANTILES: f64 = 0.61;
 
-/// How long the callers of one queue wait.
+/// Recent caller timeouts of one queue.
 #[derive(Debug, Default)]
 struct CallerTimeouts {
     /// Oldest first.
@@ -54,7 +49,7 @@
         self.recent.push_back(timeout);
     }
 
-    /// Returns the wait below which a caller comes again; `None` while too few are known.
+    /// Returns the timeout below which a job counts as a resubmission, or `None` without enough samples.
     fn min_first_timeout(&self, resend: Duration) -> Option<Duration> {
         if self.recent.len() < MIN_SAMPLES {
             return None;
@@ -69,10 +64,10 @@
     }
 }
 
-/// How long the callers of each queue wait, and with it which of them come again.
+/// Detects resubmissions by the timeouts of callers.
 #[derive(Debug)]
 pub(super) struct ResubmissionDetector {
-    /// After this time a caller comes again.
+    /// Interval after which callers resubmit an unanswered job.
     resend: Duration,
     timeouts: HashMap<String, CallerTimeouts>,
 }
@@ -85,7 +80,7 @@
         }
     }
 
-    /// Records a caller that waits for so long, and returns whether its job is past its objective already.
+    /// Records the timeout of a caller, and returns whether its job is a late resubmission.
     pub(super) fn record(&mut self, queue: &str, timeout: Duration, objective: Duration) -> bool {
         let is_resubmission = self.is_resubmission(queue, timeout);
         if let Some(timeouts) = self.timeouts.get_mut(queue) {
@@ -105,7 +100,7 @@
 }
 
 impl Dispatcher {
-    /// Returns whether a job that is submitted now is past its objective.
+    /// Returns whether a new submission is a late resubmission, and counts it if so.
     pub(super) fn detect_late_resubmission(&mut self, request: &JobRequest) -> bool {
         let Some(timeout) = request.caller_timeout else {
             return false;
--- a/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
@@ -1,14 +1,15 @@
-//! What follows from the end of a run.
+//! Consequences of the end of a run.
 //!
-//! | outcome | the task | the target |
-//! |---|---|---|
-//! | `Done` | is done | credited |
-//! | `Failed` | is tried elsewhere until its attempts are used up; then the job has failed | blamed for the task's first failure |
-//! | `Stopped`, `Lost` | is queued again | – |
-//! | `Stuck` | is retried elsewhere; no attempt is counted | judged by its runner already |
-//! | `NotStarted` | is retried elsewhere; `Rejected` fails a job that need not be kept | full, or blamed if it did not answer or can't work |
+//! - `Done`: the task is done, and the target's health improves.
+//! - `Failed`: the task is retried, preferably on another target. After the last attempt its job fails. Only the first failure of a task
+//!   counts against the target.
+//! - `Stopped`, `Lost`: the task is queued again.
+//! - `Stuck`: the task is retried, preferably on another target, and no attempt is counted. The runner records the failure of its target
+//!   itself.
+//! - `NotStarted`: the task is retried, preferably on another target. The target is treated as full, or a failure is recorded if it did not
+//!   answer or is unhealthy. `Rejected` fails a repeatable job.
 //!
-//! Owns no state. Relies on the runner to report an end only when the run is over.
+//! Runners report an end only when the run has certainly ended.
 
 use std::time::Duration;
 
@@ -20,12 +21,12 @@
 use crate::dispatcher::job::{Job, JobNumber, TaskPhase, TaskPosition};
 use crate::messages::{RunOutcome, RunRefusal, SessionId, TaskId};
 
-/// How far the run number rises when a target has seen a later run: above what another submission can have used, also where the
-/// wall clocks of two entries differ by five seconds (run numbers count tenths of seconds).
+/// Increment of the run number after a target has seen a later run. Run numbers count tenths of a second, so this exceeds the numbers of
+/// another entry whose wall clock is five seconds ahead.
 const STALE_RUN_STEP: u64 = 50;
 
 impl Dispatcher {
-    /// Handles the end of a run that a runner reports; `ran` is how long it ran there.
+    /// Handles the end of a run that lasted for `ran`, as reported by its runner.
     pub(super) fn handle_run_end(
         &mut self,
         session: SessionId,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Returns the task that is assigned to a session as this run.
+    /// Returns the task whose current run is this run in this session.
     fn find_run(
         &self,
         id: &TaskId,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Marks a task as done, unblocks the steps after it, and completes the job if it was the last.
+    /// Marks a task as done, unblocks dependent steps, and completes the job after its last task.
     fn handle_done(&mut self, position: TaskPosition, session: SessionId, ran: Duration) {
         let Some(job) = self.jobs.get_mut(&position.job) else {
             return;
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Counts a failure of a task: it is retried elsewhere, or its job fails after the last attempt.
+    /// Counts a failure of a task, and retries it or fails its job after the last attempt.
     fn handle_failed(&mut self, position: TaskPosition, session: SessionId, now: Timestamp) {
         self.counts.failed += 1;
         let Some(job) = self.jobs.get_mut(&position.job) else {
@@ -117,12 +118,12 @@
             self.queue_task(position);
         }
         if failures == 1 {
-            // A task that fails again elsewhere is probably at fault itself.
+            // A further failure is probably caused by the task rather than the target.
             self.record_failure(session, now);
         }
     }
 
-    /// The runner has judged its target already, for all dispatchers; here only this task is retried elsewhere.
+    /// Retries a task whose run was stuck. The runner has already recorded the failure of its target, for all dispatchers.
     fn handle_stuck(&mut self, position: TaskPosition, session: SessionId) {
         self.counts.stuck += 1;
         self.record_late_run(position);
@@ -130,14 +131,16 @@
         self.queue_task(position);
     }
 
-    /// Retries a task whose run ended because its lease lapsed or its target died.
+    /// Retries a task whose run ended because its lease expired or its target died.
     fn handle_lost(&mut self, position: TaskPosition) {
         self.counts.lost += 1;
         self.queue_task(position);
     }
 
-    /// Handles a run that was not started. `Rejected` fails the job unless it is kept, which only recorded ends may do; otherwise the task is queued again, and the reason decides whether
-    /// the target counts as full, whether it is blamed, and whether the run number rises.
+    /// Handles a run that was not started.
+    ///
+    /// `Rejected` fails a repeatable job; a kept job fails only through recorded ends. Otherwise the task is queued again, and the refusal
+    /// determines whether the target is treated as full, whether a failure of it is recorded, and whether the run number is raised.
     fn handle_refused(
         &mut self,
         position: TaskPosition,
@@ -176,14 +179,14 @@
         self.queue_task(position);
     }
 
-    /// Makes the task prefer other targets than that of this session.
+    /// Makes the task prefer targets of other sessions.
     fn avoid_session(&mut self, position: TaskPosition, session: SessionId) {
         if let Some(task) = self.task_mut(position) {
             task.avoided_session = Some(session);
         }
     }
 
-    /// Queues a task again, to wait for a target.
+    /// Queues a task again.
     pub(super) fn queue_task(&mut self, position: TaskPosition) {
         if let Some(job) = self.jobs.get_mut(&position.job) {
             job.tasks[position.index].phase = TaskPhase::Waiting;
--- a/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
@@ -1,10 +1,10 @@
-//! Sessions with runners: how they begin, what their messages change, and how they end.
+//! Lifecycle of the sessions with runners, and handling of runner messages.
 //!
-//! A session ends when its link is gone or its runner has been silent for the length of a session. Its runs may go on until the
-//! bound [`Timings::run_end_bound`](crate::Timings::run_end_bound) has passed since the last echo; until then the session is kept as a [`LostSession`] and its
-//! tasks wait.
+//! A session closes when its link closes or when its runner has been silent for the session timeout. Its runs may continue until
+//! [`Timings::run_end_bound`](crate::Timings::run_end_bound) has passed since the last echo. Until then the session is tracked as a
+//! [`LostSession`] and its tasks are not assigned again.
 //!
-//! Owns [`LostSession`]; the sessions themselves are in `runner_session`. Relies on the process to report closed links.
+//! The state of open sessions is in `runner_session`. The process reports closed links.
 
 use std::time::Duration;
 
@@ -19,28 +19,30 @@
 use crate::health::TargetHealth;
 use crate::messages::{DispatcherMessage, RunnerMessage, SessionId, TargetDescription, TaskId};
 
-/// Jobs that the report of a lost session names, so that a line of the log stays readable.
+/// Limits the length of the log line about a lost session.
 const MAX_REPORTED_JOBS: usize = 24;
 
-/// A session that ended while runs of it were under way.
+/// A closed session with runs that may not have ended.
 #[derive(Clone, Debug)]
 pub(crate) struct LostSession {
     runner: String,
-    /// After this all its runs are over.
+    /// Time at which all its runs have certainly ended.
     runs_ended_by: Timestamp,
     tasks: Vec<LostTask>,
 }
 
-/// A task whose run was under way when its session was lost.
+/// A task with a run in progress when its session was lost.
 #[derive(Clone, Debug)]
 struct LostTask {
-    /// Its job; `None` if that is closed.
+    /// `None` if the job is closed.
     job: Option<JobNumber>,
     id: TaskId,
 }
 
 impl Dispatcher {
-    /// Begins a session with a runner's process.
+    /// Opens a session with a runner.
+    ///
+    /// If the runner has an earlier session, the new one takes over the health of its target.
     pub fn open_session(&mut self, session: SessionId, runner: &str, now: Timestamp) {
         let earlier = self.sessions.values().find(|other| other.runner == runner);
         let health = match earlier {
@@ -51,7 +53,7 @@
         self.sessions.insert(session, opened);
     }
 
-    /// Ends a session whose link is gone.
+    /// Closes a session whose link is closed.
     pub fn close_session(&mut self, session: SessionId, now: Timestamp) {
         self.give_up_after_stall(now);
         let Some(closed) = self.sessions.remove(&session) else {
@@ -75,7 +77,7 @@
         });
     }
 
-    /// Makes the tasks uncertain that a session has, and lists them.
+    /// Marks the tasks of a session as uncertain and returns them.
     fn mark_tasks_uncertain(&mut self, session: SessionId) -> Vec<LostTask> {
         let mut lost = Vec::new();
         for (number, job) in &mut self.jobs {
@@ -93,7 +95,7 @@
         lost
     }
 
-    /// Makes the detached runs uncertain that a session has, and lists their tasks.
+    /// Marks the detached runs of a session as uncertain and returns their tasks.
     fn mark_detached_runs_uncertain(&mut self, session: SessionId) -> Vec<LostTask> {
         let mut lost = Vec::new();
         for (id, run) in &mut self.detached_runs {
@@ -108,7 +110,7 @@
         lost
     }
 
-    /// Handles a message of a runner.
+    /// Handles a message from a runner.
     pub fn receive(&mut self, session: SessionId, message: RunnerMessage, now: Timestamp) {
         self.give_up_after_stall(now);
         let Some(runner) = self.sessions.get_mut(&session) else {
@@ -145,8 +147,9 @@
         self.place_unless_catching_up(now);
     }
 
-    /// Handles the announcement of a runner's target. A runner announces one only when nothing of earlier sessions runs there, so the
-    /// runner's lost sessions are released.
+    /// Handles the announcement of a runner's target.
+    ///
+    /// A runner announces a target only when no run of an earlier session is left there, so its lost sessions are released.
     fn receive_target(&mut self, session: SessionId, description: Option<TargetDescription>) {
         let Some(runner) = self.sessions.get_mut(&session) else {
             return;
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Counts a trouble against the target of a session; it may be paused by it.
+    /// Records a failure of the target of a session, which may pause the target.
     pub(super) fn record_failure(&mut self, session: SessionId, now: Timestamp) {
         if let Some(target) = self.sessions.get_mut(&session)
             && target.health.record_failure(now)
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Closes the sessions whose runner was silent for the length of a session: it may be frozen or cut off.
+    /// Closes the sessions whose runner has been silent for the session timeout; it may be frozen or disconnected.
     pub(super) fn close_silent_sessions(&mut self, now: Timestamp) {
         let timeout = self.timings.session_timeout;
         let silent: Vec<SessionId> = self
@@ -187,12 +190,12 @@
         }
     }
 
-    /// Queues the tasks again of the lost sessions whose runs are over by time.
+    /// Releases the lost sessions whose runs have certainly ended by now.
     pub(super) fn release_expired_lost_sessions(&mut self, now: Timestamp) {
         self.release_lost_sessions(|lost| now >= lost.runs_ended_by);
     }
 
-    /// Forgets the lost sessions whose runs are all over, and queues their tasks again.
+    /// Removes the lost sessions whose runs have all ended, and releases their tasks.
     fn release_lost_sessions(&mut self, is_over: impl Fn(&LostSession) -> bool) {
         let (over, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.lost_sessions)
             .into_iter()
@@ -203,7 +206,8 @@
         }
     }
 
-    /// Queues a task of a lost session again, or forgets its run if its job is closed.
+    /// Queues a task of a lost session again. If its job is closed, its detached run is removed; if its job is kept, the job is handed
+    /// back.
     fn release_task(&mut self, lost: &LostTask) {
         if self.detached_runs.get(&lost.id) == Some(&DetachedRun::Uncertain) {
             self.detached_runs.remove(&lost.id);
@@ -227,7 +231,7 @@
     }
 }
 
-/// Lists the jobs of tasks, each once, [`MAX_REPORTED_JOBS`] at the most.
+/// Returns the distinct job names of tasks, at most [`MAX_REPORTED_JOBS`].
 fn list_job_names(tasks: &[LostTask]) -> Vec<String> {
     let mut jobs: Vec<String> = tasks.iter().map(|task| task.id.job.clone()).collect();
     jobs.sort_unstable();
--- a/crates/leased/cloverfold_lease/src/dispatcher/stall_recovery.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/stall_recovery.rs
@@ -1,19 +1,16 @@
-//! Decision: what a dispatcher concludes from the silence of others after its own process was stalled.
+//! Handling of stalls of the dispatcher's own process.
 //!
-//! Rule:
+//! Messages that arrived during a stall are read one after the other when it ends. If the dispatcher judged by the clock alone before it
+//! has read them, it would withdraw runs that are done, close sessions with live runners and give up completed jobs. Therefore:
 //!
-//! - a runner's silence during the stall does not count towards the end of its session;
-//! - a runner whose session may be over at its side gets no work before its next heartbeat;
-//! - in the [`CatchUp`](crate::stall::CatchUp) no run counts as overdue, no job is given up or refused for its age or for want of a target,
-//!   and tasks are placed at ticks alone, when all that had arrived has been read.
+//! - The silence of a runner during the stall does not count towards the timeout of its session.
+//! - A runner whose session may have expired on its side receives no work before its next heartbeat.
+//! - During the [`CatchUp`](crate::stall::CatchUp) period, no run counts as overdue, no job is given up or refused because of its age or
+//!   because no target is available, and tasks are assigned only in ticks, when all messages that had arrived have been read.
 //!
-//! Inputs: the length of the stall. Reason: reports of ends, heartbeats and closed links that came during the stall are read one after the
-//! other after it. Judged by the clock alone before that, runs that are done are withdrawn and begun again, sessions with runners that
-//! are alive are closed, and jobs that are done are given up.
+//! This cannot cause overlapping runs, because the time at which the runs of a lost session have ended is computed from its last echo.
 //!
-//! No run can overlap another for it: when the runs of a lost session are over is reckoned from its last echo, not from its end.
-//!
-//! Owns no state. Relies on the process to call [`Dispatcher::allow_for_stall`] before anything else after a stall.
+//! The process calls [`Dispatcher::allow_for_stall`] before anything else after a stall.
 
 use std::time::Duration;
 
@@ -22,7 +19,7 @@
 use crate::dispatcher::Dispatcher;
 
 impl Dispatcher {
-    /// Allows for a stall of this process of this length; call it before anything else after the stall.
+    /// Compensates for a stall of this process; must be called before anything else after the stall.
     pub fn allow_for_stall(&mut self, stall: Duration, now: Timestamp) {
         let session_span = self.timings.session_timeout;
         for runner in self.sessions.values_mut() {
@@ -31,7 +28,7 @@
         self.catch_up.begin(self.timings.heartbeat_interval, now);
     }
 
-    /// Assigns waiting tasks, unless messages are still unread that may change where they fit; the next tick does it then.
+    /// Assigns waiting tasks, except while catching up after a stall, when the next tick assigns them.
     pub(super) fn place_unless_catching_up(&mut self, now: Timestamp) {
         if !self.catch_up.is_active(now) {
             self.place_waiting(now);
--- a/crates/leased/cloverfold_lease/src/dispatcher/standing_queues.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/standing_queues.rs
@@ -1,29 +1,28 @@
-//! Decision: which queues have stood too long for a long wait to help.
+//! Detection of standing queues, in which a longer wait does not help.
 //!
-//! A job that waits for longer is served if its queue is only the crest of a wave: the queue is empty again soon. If jobs come faster than
-//! they can be served, a longer wait serves no more of them; all that are served have waited for as long as they may, and more
-//! end late. A queue that has not been empty for [`STANDING_THRESHOLD`] counts as standing. So does one whose only job has waited for as long:
-//! a job whose quarter is longer waits for [`STANDING_THRESHOLD`], or for its tenth if that is longer still.
+//! If a queue is only briefly backlogged, a job that waits longer is eventually served. If jobs arrive faster than they can be served,
+//! longer waits serve no more jobs; every served job has then waited as long as it may, and more jobs miss their objective. A queue stands
+//! if it has not been empty for [`STANDING_THRESHOLD`], even if the same job waited all the time. Jobs of standing queues have a shorter
+//! queue deadline (`deadlines`).
 //!
-//! Owns since when each queue has had jobs that wait to begin ([`StandingQueues`]). Relies on the dispatcher to report them after each
-//! pass over the queue.
+//! The dispatcher reports the queues after each pass.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
 
-/// A queue that has had waiting jobs for so long stands.
+/// Time without being empty after which a queue stands.
 const STANDING_THRESHOLD: Duration = Duration::from_millis(200);
 
-/// Since when each queue has had jobs that wait to begin.
+/// Tracks since when each queue has had jobs that wait to start.
 #[derive(Debug, Default)]
 pub(super) struct StandingQueues {
     since: HashMap<String, Timestamp>,
 }
 
 impl StandingQueues {
-    /// Records the queues that have waiting jobs now; all others are empty.
+    /// Records the queues that currently have waiting jobs; all others are empty.
     pub(super) fn record<'a>(&mut self, waiting: impl Iterator<Item = &'a str>, now: Timestamp) {
         let mut previous = std::mem::take(&mut self.since);
         for queue in waiting {
