--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
@@ -92,7 +92,7 @@
     /// Starts driving a kept job and returns its number.
     ///
     /// Tasks that are recorded as done are not run again, and recorded failures count as attempts.
-    /// [`DispatcherAction::Answer`](crate::DispatcherAction::Answer) reports that the job has ended.
+    /// [`DispatcherAction::Answer`] reports that the job has ended.
     pub fn drive(&mut self, kept: KeptJob, now: Timestamp) -> JobNumber {
         self.give_up_after_stall(now);
         if let Some(&earlier) = self.open_jobs_by_name.get(&kept.request.id) {
--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -103,19 +103,19 @@
     fn record_standing_queues(&mut self, now: Timestamp) {
         let jobs = self.waiting.iter();
         let jobs = jobs.filter_map(|position| self.jobs.get(&position.job));
-        let unbegun = jobs.filter(|job| !job.may_have_run());
-        let queues = unbegun.map(|job| job.request.queue.as_str());
+        let unstarted = jobs.filter(|job| !job.may_have_run());
+        let queues = unstarted.map(|job| job.request.queue.as_str());
         self.standing_queues.record(queues, now);
     }
 
     /// Assigns the waiting tasks of a job; returns whether all found a target.
     fn place_job(&mut self, number: JobNumber, now: Timestamp) -> bool {
-        let had_begun = self.jobs.get(&number).is_some_and(Job::may_have_run);
+        let had_started = self.jobs.get(&number).is_some_and(Job::may_have_run);
         for index in self.list_placeable(number) {
             let position = TaskPosition { job: number, index };
             let Some(session) = self.choose_target(position, now) else {
-                let has_begun = self.jobs.get(&number).is_some_and(Job::may_have_run);
-                self.counts.partially_started += u64::from(has_begun && !had_begun);
+                let has_started = self.jobs.get(&number).is_some_and(Job::may_have_run);
+                self.counts.partially_started += u64::from(has_started && !had_started);
                 return false;
             };
             self.assign(position, session, now);
--- a/crates/leased/cloverfold_lease/src/health.rs
+++ b/crates/leased/cloverfold_lease/src/health.rs
@@ -20,11 +20,11 @@
     /// Weight of the newest result in the moving average, between 0 and 1.
     pub weight: f64,
     /// Failure rate from which a target is paused, between 0 and 1.
-    pub troubled_share: f64,
+    pub failure_threshold: f64,
     /// Duration of the first pause.
-    pub first_pause: Duration,
+    pub initial_pause: Duration,
     /// Maximum duration of a pause.
-    pub longest_pause: Duration,
+    pub max_pause: Duration,
 }
 
 impl Default for HealthLimits {
@@ -32,9 +32,9 @@
     fn default() -> Self {
         Self {
             weight: 0.25,
-            troubled_share: 0.5,
-            first_pause: Duration::from_millis(1_000),
-            longest_pause: Duration::from_millis(8_000),
+            failure_threshold: 0.5,
+            initial_pause: Duration::from_millis(1_000),
+            max_pause: Duration::from_millis(8_000),
         }
     }
 }
@@ -56,7 +56,7 @@
             limits,
             failure_rate: 0.0,
             paused_until: Timestamp::ZERO,
-            next_pause: limits.first_pause,
+            next_pause: limits.initial_pause,
         }
     }
 
@@ -64,7 +64,7 @@
     pub fn record_success(&mut self) {
         self.failure_rate *= 1.0 - self.limits.weight;
         if self.failure_rate < RESET_THRESHOLD {
-            self.next_pause = self.limits.first_pause;
+            self.next_pause = self.limits.initial_pause;
         }
     }
 
@@ -72,13 +72,13 @@
     pub fn record_failure(&mut self, now: Timestamp) -> bool {
         let weight = self.limits.weight;
         self.failure_rate += weight * (1.0 - self.failure_rate);
-        if self.failure_rate < self.limits.troubled_share || now < self.paused_until {
+        if self.failure_rate < self.limits.failure_threshold || now < self.paused_until {
             return false;
         }
         self.paused_until = now + self.next_pause;
-        self.next_pause = (self.next_pause * 2).min(self.limits.longest_pause);
+        self.next_pause = (self.next_pause * 2).min(self.limits.max_pause);
         // A single failure after the pause starts the next one.
-        self.failure_rate = self.limits.troubled_share - weight / 2.0;
+        self.failure_rate = self.limits.failure_threshold - weight / 2.0;
         true
     }
 
