--- a/crates/leased/cloverfold_lease/src/lib.rs
+++ b/crates/leased/cloverfold_lease/src/lib.rs
@@ -1,42 +1,42 @@
-//! Decisions on leased runs, without I/O or a clock.
+//! Scheduling and execution of leased runs, without I/O or a clock.
 //!
-//! A caller submits a *job* to an entry. A job has steps, a step has tasks, and a *run* is one attempt to execute a task at a target
-//! (the back end beside a guard).
+//! A caller submits a *job* to an entry. A job consists of steps, a step of tasks, and a *run* is one attempt to execute a task on a
+//! target, the back end beside a guard.
 //!
-//! - A [`Dispatcher`], in an entry, admits or refuses jobs, chooses a target for each task, retries what did not run, and answers the
+//! - A [`Dispatcher`], in an entry, accepts or refuses jobs, chooses a target for each task, retries unsuccessful runs, and answers each
 //!   job once.
-//! - A [`Runner`], in a guard, executes runs at the one target beside it: it accounts for the target's capacity, starts and stops
-//!   runs, renews the target's lease while it is alive, and stops the runs of a session that is over.
+//! - A [`Runner`], in a guard, executes runs on the target beside it. It tracks the target's capacity, starts and stops runs, renews the
+//!   target's lease, and stops the runs of expired sessions.
 //!
-//! # The way of a job
+//! # Life of a job
 //!
 //! 1. [`Dispatcher::submit`] refuses the job at once (`dispatcher/admission`) or queues it.
-//! 2. `dispatcher/placement` sends an [`Assignment`] to a runner. A job that gets none before its queue deadline
+//! 2. `dispatcher/placement` sends an [`Assignment`] to a runner. A job without an assignment at its queue deadline
 //!    (`dispatcher/deadlines`) is refused.
-//! 3. The runner gives the assignment back (`runner/assignment`, [`RunRefusal`]) or starts it (`runner/starts`, [`StartOrder`]).
-//! 4. The runner learns of the end from the target's list (`runner/listing`), which each renewal of the lease returns, and reports a
-//!    [`RunOutcome`].
+//! 3. The runner refuses the assignment (`runner/assignment`, [`RunRefusal`]) or starts the run (`runner/starts`, [`StartOrder`]).
+//! 4. Each renewal of the lease returns the target's list of runs (`runner/listing`), from which the runner learns that the run has ended.
+//!    It reports a [`RunOutcome`].
 //! 5. `dispatcher/run_ends` completes the job, fails it, or queues the task again.
 //!
 //! # Why two runs of a task never overlap
 //!
-//! Neither side stores anything or votes; the guarantee rests on time alone:
+//! Neither side stores anything or votes. The guarantee rests on time alone:
 //!
 //! - A dispatcher's *session* with a runner is valid for [`Timings::session_timeout`] after the runner's own clock reading that the
-//!   dispatcher echoed last. A runner stops the runs of a session that is over.
-//! - A target kills all its runs when its lease of [`Timings::lease_duration`] is not renewed.
-//! - A dispatcher starts a task elsewhere only after the end of its run was reported, after the runner announced its target to a new
-//!   session (it does so only when no run of an earlier session is left), or [`Timings::run_end_bound`] after its last echo.
+//!   dispatcher echoed last. A runner stops the runs of an expired session.
+//! - A target kills all its runs if its lease is not renewed within [`Timings::lease_duration`].
+//! - A dispatcher starts a task again only after the end of its run was reported, after the runner announced its target to a new session
+//!   (it does so only when no run of an earlier session is left), or [`Timings::run_end_bound`] after the last echo.
 //!
-//! The inequality behind this stands in `timings`.
+//! The module `timings` documents the underlying inequality.
 //!
-//! # How it is driven
+//! # How to drive it
 //!
-//! Each process owns one dispatcher or one runner. It passes in each message, each closed link and the time, calls `tick` every few
-//! tens of milliseconds, and carries out the actions that `take_actions` returns, in order. No call returns an error: failures are
-//! variants of messages and answers.
+//! Each process owns one dispatcher or one runner. It passes in each message, each closed link and the time, calls `tick` every few tens of
+//! milliseconds, and carries out the actions that `take_actions` returns, in order. No call returns an error: failures are variants of
+//! messages and answers.
 //!
-//! Log lines write the names that `as_str` or `Display` return, which can differ from the variant: `NoRoom` is
+//! Log lines contain the names that `as_str` or `Display` return, which can differ from the variant: `NoRoom` is
 //! [`JobRefusal::NoCapacity`]. To find a variant, search for the written name in quotes.
 
 #![warn(clippy::disallowed_methods)]
--- a/crates/leased/cloverfold_lease/src/messages.rs
+++ b/crates/leased/cloverfold_lease/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between dispatchers and runners.
 //!
-//! Owns no state. Relies on the link to keep the order of messages. The bytes are fixed by the order of fields and variants (recorded
-//! in `compatibility/`), not by their names.
+//! The link preserves the order of messages. The encoding depends on the order of fields and variants (recorded in `compatibility/`), not
+//! on their names.
 
 use std::fmt;
 
@@ -10,81 +10,81 @@
 
 use crate::resources::Resources;
 
-/// Number of one session, that is of one link between a dispatcher and a runner; each process counts its own.
+/// Identifies a session, that is a link between a dispatcher and a runner, within one process.
 pub type SessionId = u64;
 
-/// Name of one task; the same in every run of it.
+/// Identifies a task across all its runs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
-    /// The caller's name for the job.
+    /// Name of the job, chosen by the caller.
     pub job: String,
-    /// Which repetition of the job's steps, from 0.
+    /// Repetition of the job's steps, starting at 0.
     pub repetition: u32,
-    /// Which step, from 0.
+    /// Index of the step in the job.
     pub step: u32,
-    /// Which task of the step, from 0.
+    /// Index of the task in the step.
     pub index: u32,
 }
 
-/// One run of a task, given to a runner.
+/// Assignment of a run to a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
     /// The task.
     pub task: TaskId,
-    /// Number of the run; rises with each run of the task, also over submissions.
+    /// Number of the run; it increases with each run of the task, also across submissions of the job.
     pub run: u64,
-    /// The work description that the target executes; opaque here.
+    /// Work description for the target; opaque to this crate.
     pub spec: String,
-    /// What the task uses.
+    /// Resources that the task uses.
     pub demand: Resources,
-    /// 0 comes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// How long it may wait at the runner for free capacity, in milliseconds.
+    /// Maximum time that it waits at the runner for free capacity, in milliseconds.
     pub wait_ms: u32,
-    /// How long it is expected to run, in milliseconds.
+    /// Estimated duration of the run, in milliseconds.
     pub estimate_ms: u32,
-    /// After this the assignment is void: the end of the session as the dispatcher knows it, on the runner's clock.
+    /// Time at which the assignment expires, on the runner's clock: the end of the session as known to the dispatcher.
     pub valid_until: Timestamp,
 }
 
-/// One run of a task of a job that is kept, given to a runner: the end of the run is recorded before the target may forget it.
+/// Assignment of a run of a kept job, whose end must be recorded before the target may forget it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAssignment {
     /// The run.
     pub assignment: Assignment,
-    /// The epoch in which the sender drives the job.
+    /// Epoch in which the sender drives the job.
     pub epoch: u64,
-    /// Place of the task among all tasks of its job.
+    /// Index of the task among all tasks of its job.
     pub index_in_job: u32,
 }
 
-/// How fast a target usually is, as its runner has learned it. A hint that may be lost.
+/// Usual speed of a target, as measured by its runner. Only a hint; the message may be lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsualSpeed {
-    /// How long runs usually take there, in thousandths of their estimated durations; 0 while that is not known.
+    /// Usual duration of runs on the target, in thousandths of their estimated durations; 0 if unknown.
     pub slowness_permille: u32,
-    /// On how many runs that rests.
+    /// Number of runs that this is based on.
     pub runs: u32,
 }
 
-/// From a dispatcher to a runner. [`Self::AssignKept`] is sent only to runners whose build can read it.
+/// Message from a dispatcher to a runner. [`Self::AssignKept`] is sent only to runners whose build can decode it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DispatcherMessage {
-    /// Echoes the runner's newest clock reading, which prolongs the session.
+    /// Echoes the runner's latest clock reading, which extends the session.
     Echo {
-        /// The reading.
+        /// The clock reading.
         clock: Timestamp,
     },
-    /// Run this.
+    /// Assigns a run.
     Assign(Assignment),
-    /// Stop a run or give it back.
+    /// Tells the runner to stop a run, or to return it if it has not started.
     Withdraw {
         /// The task.
         task: TaskId,
         /// The run.
         run: u64,
     },
-    /// Run this, of a job that is kept.
+    /// Assigns a run of a kept job.
     AssignKept(KeptAssignment),
 }
 
@@ -93,30 +93,30 @@
 pub enum RunRefusal {
     /// There was no free capacity in time. Written `NoRoom`.
     NoCapacity,
-    /// No target that accepts work is known.
+    /// The runner has no target that accepts work.
     NoTarget,
-    /// The target is leaving.
+    /// The target is draining.
     Draining,
-    /// The assignment came after the end of its session.
+    /// The assignment arrived after its session had expired.
     Expired,
-    /// The runner still has an earlier run of this task, whose end is not certain. Written `Held`.
+    /// The runner still has an earlier run of this task that may not have ended. Written `Held`.
     EarlierRunOpen,
-    /// The target has seen this run or a later one.
+    /// The target has already seen this run or a later one.
     Stale,
-    /// The target did not answer and certainly runs nothing.
+    /// The target did not answer, and the run was certainly not started.
     Unanswered,
-    /// The target can't work at present.
+    /// The target is currently unable to work.
     Unhealthy,
-    /// The target refused the order as invalid.
+    /// The target rejected the order as invalid.
     Rejected,
-    /// The dispatcher withdrew it first.
+    /// The dispatcher withdrew the run before it started.
     Withdrawn,
-    /// The data hall is evacuated. Sent only to dispatchers whose build can read it; others get `Draining`.
+    /// The data hall is evacuated. Sent only to dispatchers whose build can decode it; others receive `Draining`.
     Evacuated,
 }
 
 impl RunRefusal {
-    /// All of them, in order.
+    /// All variants, in order.
     pub const ALL: [Self; 11] = [
         Self::NoCapacity,
         Self::NoTarget,
@@ -131,7 +131,7 @@
         Self::Evacuated,
     ];
 
-    /// Returns the name by which logs and answers call it; it is part of the outside interface.
+    /// Returns the stable name that is used in logs and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoCapacity => "NoRoom",
@@ -149,25 +149,25 @@
     }
 }
 
-/// How a run ended. Whatever the outcome, the run is over for certain.
+/// How a run ended. With every outcome, the run has certainly ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RunOutcome {
-    /// Its work is done.
+    /// The run completed its work.
     Done,
-    /// It failed, by its own fault or the target's.
+    /// The run failed because of the task or the target.
     Failed,
-    /// It was stopped by an order.
+    /// The run was stopped by an order.
     Stopped,
-    /// It made no progress at the target and was stopped.
+    /// The run made no progress and was stopped by its runner.
     Stuck,
-    /// Its lease lapsed or its target died.
+    /// The lease of the target expired or the target died.
     Lost,
-    /// It never ran.
+    /// The run was not started.
     NotStarted(RunRefusal),
 }
 
 impl fmt::Display for RunOutcome {
-    /// Writes the name by which logs call it; it is part of the outside interface.
+    /// Writes the stable name that is used in logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Done => f.write_str("Done"),
@@ -180,63 +180,64 @@
     }
 }
 
-/// What is free at a runner's target.
+/// Free capacity of a runner's target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FreeCapacity {
-    /// Free after all that runs and waits there; negative if more waits than fits.
+    /// Capacity that running and waiting assignments leave free; negative if they do not all fit.
     pub free: Resources,
-    /// How many assignments of this session it accounts for, since the start of the session.
+    /// Number of assignments since the start of the session that this accounts for.
     pub assignments_seen: u64,
-    /// How slowly runs advance there at present, in thousandths of their estimated durations; 0 while that is not known.
+    /// Current duration of runs on the target, in thousandths of their estimated durations; 0 if unknown.
     pub slowness_permille: u32,
 }
 
 /// A target that accepts work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetDescription {
-    /// The incarnation of the target: a new one begins when the target restarts.
+    /// Identifies the incarnation of the target; it changes when the target restarts.
     pub incarnation: String,
-    /// What it runs.
+    /// Service that the target runs.
     pub service: String,
-    /// What it has in all.
+    /// Total capacity.
     pub capacity: Resources,
-    /// Its kind, its rack.
+    /// Labels, such as its kind and its rack.
     pub labels: Vec<String>,
 }
 
-/// From a runner to a dispatcher. Read by a build that does not know [`RunRefusal::Evacuated`] after [`Self::without_evacuated`].
+/// Message from a runner to a dispatcher. A build that does not know [`RunRefusal::Evacuated`] receives the result of
+/// [`Self::without_evacuated`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunnerMessage {
-    /// The runner is alive.
+    /// Periodic sign of life, answered by an echo.
     Heartbeat {
-        /// Its clock, to be echoed.
+        /// Clock reading of the runner, to be echoed.
         clock: Timestamp,
-        /// What is free at its target.
+        /// Free capacity of its target.
         free_capacity: FreeCapacity,
     },
-    /// What is free at its target has changed; needs no echo.
+    /// The free capacity of its target has changed. Not echoed.
     FreeCapacity(FreeCapacity),
-    /// Its target now, if that accepts work. Sent only while nothing of an earlier session runs there.
+    /// Announces the target, or `None` if it accepts no work. Sent only while no run of an earlier session is left there.
     Target(Option<TargetDescription>),
-    /// A run is over or was not started.
+    /// A run has ended or was not started.
     Ended {
         /// The task.
         task: TaskId,
         /// The run.
         run: u64,
-        /// How.
+        /// The outcome of the run.
         outcome: RunOutcome,
-        /// How long it ran as the runner saw it, in milliseconds.
+        /// Duration of the run as observed by the runner, in milliseconds.
         ran_ms: u32,
-        /// What is free now.
+        /// Free capacity after the run.
         free_capacity: FreeCapacity,
     },
-    /// How fast its target usually is. Sent only to dispatchers and control processes whose build can read it.
+    /// Usual speed of its target. Sent only to dispatchers and control processes whose build can decode it.
     UsualSpeed(UsualSpeed),
 }
 
 impl RunnerMessage {
-    /// Returns the message for a dispatcher that does not know [`RunRefusal::Evacuated`]: it is told `Draining` instead.
+    /// Returns the message for a dispatcher that does not know [`RunRefusal::Evacuated`], with `Draining` instead.
     #[must_use]
     pub fn without_evacuated(self) -> Self {
         match self {
--- a/crates/leased/cloverfold_lease/src/request.rs
+++ b/crates/leased/cloverfold_lease/src/request.rs
@@ -49,10 +49,10 @@
     }
 }
 
-/// A repeatable job: the caller may submit it again, and all of its tasks may run again, if the answer is lost.
+/// A request to run a job. Its tasks are repeatable: they may run again if an end or the answer is lost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRequest {
-    /// The caller's name for the job.
+    /// Name of the job, chosen by the caller.
     pub id: String,
     /// Name of the queue to which it was submitted.
     pub queue: String,
