--- a/crates/leased/cloverfold_leased_process/src/suspensions.rs
+++ b/crates/leased/cloverfold_leased_process/src/suspensions.rs
@@ -4,16 +4,16 @@
 
 use std::time::Duration;
 
-use cloverfold_base::{SuspensionWatch, has_boot_clock};
+use cloverfold_base::{SuspensionDetector, has_boot_clock};
 
 /// The suspensions of the box that a process has noticed.
 #[derive(Debug)]
-pub struct Suspensions {
-    watch: SuspensionWatch,
-    noticed: u64,
+pub struct SuspensionMonitor {
+    watch: SuspensionDetector,
+    detected_count: u64,
 }
 
-impl Default for Suspensions {
+impl Default for SuspensionMonitor {
     /// Begins to watch; logs if the system has no clock that would show a suspension.
     fn default() -> Self {
         if !has_boot_clock() {
@@ -22,23 +22,23 @@
             );
         }
         Self {
-            watch: SuspensionWatch::default(),
-            noticed: 0,
+            watch: SuspensionDetector::default(),
+            detected_count: 0,
         }
     }
 }
 
-impl Suspensions {
+impl SuspensionMonitor {
     /// Returns for how long the box was suspended since the last call, at the least; `None` if it was not.
-    pub fn look(&mut self) -> Option<Duration> {
-        let span = self.watch.look()?;
-        self.noticed += 1;
+    pub fn poll(&mut self) -> Option<Duration> {
+        let span = self.watch.poll()?;
+        self.detected_count += 1;
         log::warn!(suspended_ms = span.as_millis() as u64; "the box was suspended");
         Some(span)
     }
 
     /// Returns how many were noticed since the start.
-    pub fn noticed(&self) -> u64 {
-        self.noticed
+    pub fn detected_count(&self) -> u64 {
+        self.detected_count
     }
 }
