--- a/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
@@ -9,15 +9,15 @@
 use crate::fixture::{CAPACITY, FULL, Fixture, job, long_step, ms, one_task_job, step};
 
 #[test]
-fn a_job_that_cannot_be_offered_in_a_quarter_of_its_objective_is_refused() {
+fn a_job_without_an_assignment_within_a_quarter_of_its_target_latency_is_refused() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, 0);
     let number = fixture.submit(one_task_job("a"));
 
     // The objective is 1.6 x 100 + 60 = 220 ms; a quarter of it 55 ms.
-    fixture.pass(55, &[1]);
+    fixture.advance(55, &[1]);
 
-    let answers = fixture.answers();
+    let answers = fixture.take_answers();
     let [(answered, JobAnswer::Refused { cause, retry_after })] = answers[..] else {
         panic!("{answers:?}");
     };
@@ -26,18 +26,18 @@
 }
 
 #[test]
-fn with_too_much_work_a_job_is_refused_after_a_tenth_of_its_objective() {
+fn in_a_standing_queue_a_job_is_refused_after_a_tenth_of_its_target_latency() {
     let mut fixture = Fixture::new(1);
-    fixture.report(1, Resources::default(), 1_000);
+    fixture.report_free_capacity(1, Resources::default(), 1_000);
     fixture.submit(job("a", vec![long_step()]));
 
     // The objective is 1.6 x 1,000 + 60 = 1,660 ms.
-    fixture.pass(160, &[1]);
-    assert!(fixture.answers().is_empty(), "it may wait for a tenth");
-    fixture.pass(40, &[1]);
+    fixture.advance(160, &[1]);
+    assert!(fixture.take_answers().is_empty(), "it may wait for a tenth");
+    fixture.advance(40, &[1]);
 
     assert!(matches!(
-        fixture.answers()[..],
+        fixture.take_answers()[..],
         [(_, JobAnswer::Refused { .. })]
     ));
 }
@@ -52,52 +52,52 @@
 }
 
 #[test]
-fn a_job_of_a_queue_that_was_empty_just_now_waits_for_a_quarter_of_its_objective() {
+fn a_job_of_a_recently_empty_queue_waits_for_a_quarter_of_its_target_latency() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, 0);
     fixture.submit(job_of_200_ms("a"));
 
-    fixture.pass(80, &[1]);
-    assert!(fixture.answers().is_empty(), "a quarter is 95 ms");
-    fixture.pass(20, &[1]);
+    fixture.advance(80, &[1]);
+    assert!(fixture.take_answers().is_empty(), "a quarter is 95 ms");
+    fixture.advance(20, &[1]);
 
     assert!(matches!(
-        fixture.answers()[..],
+        fixture.take_answers()[..],
         [(_, JobAnswer::Refused { .. })]
     ));
 }
 
 #[test]
-fn a_job_of_a_queue_that_is_never_empty_is_refused_after_a_tenth_of_its_objective() {
+fn a_job_of_a_queue_that_is_never_empty_is_refused_after_a_tenth_of_its_target_latency() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, 0);
     for round in 0..6 {
         fixture.submit(job_of_200_ms(&format!("before-{round}")));
-        fixture.pass(40, &[1]);
+        fixture.advance(40, &[1]);
     }
-    fixture.answers();
+    fixture.take_answers();
     let number = fixture.submit(job_of_200_ms("a"));
 
     // A tenth is 38 ms.
-    fixture.pass(40, &[1]);
+    fixture.advance(40, &[1]);
 
-    let refused = fixture.answers();
+    let refused = fixture.take_answers();
     assert!(refused.iter().any(|(answered, _)| *answered == number));
 }
 
 #[test]
-fn a_job_is_given_up_before_its_caller_leaves() {
+fn a_job_is_given_up_before_its_caller_times_out() {
     let mut fixture = Fixture::new(1);
-    let patient = JobRequest {
+    let with_timeout = JobRequest {
         caller_timeout: Some(ms(200)),
         ..one_task_job("a")
     };
-    let number = fixture.submit(patient);
-    assert_eq!(fixture.assigned().len(), 1);
+    let number = fixture.submit(with_timeout);
+    assert_eq!(fixture.take_assignments().len(), 1);
 
-    fixture.pass(190, &[1]);
+    fixture.advance(190, &[1]);
 
-    assert_eq!(fixture.answers(), [(number, JobAnswer::GivenUp)]);
+    assert_eq!(fixture.take_answers(), [(number, JobAnswer::GivenUp)]);
 }
 
 #[test]
@@ -105,19 +105,19 @@
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, 0);
     fixture.submit(one_task_job("a"));
-    fixture.pass(80, &[1]);
-    assert_eq!(fixture.answers().len(), 1);
+    fixture.advance(80, &[1]);
+    assert_eq!(fixture.take_answers().len(), 1);
 
     fixture.heartbeat(1, CAPACITY, 0);
 
-    assert!(fixture.assigned().is_empty());
+    assert!(fixture.take_assignments().is_empty());
 }
 
 #[test]
 fn without_a_target_a_job_is_refused_at_once() {
     let mut fixture = Fixture::new(0);
     let number = fixture.submit(one_task_job("a"));
-    let answers = fixture.answers();
+    let answers = fixture.take_answers();
     assert!(matches!(
         answers[..],
         [(n, JobAnswer::Refused { cause: JobRefusal::NoTarget, .. })] if n == number
@@ -125,12 +125,12 @@
 }
 
 #[test]
-fn while_leaving_a_job_is_refused_at_once() {
+fn while_draining_a_job_is_refused_at_once() {
     let mut fixture = Fixture::new(1);
     fixture.dispatcher.begin_draining();
     fixture.submit(one_task_job("b"));
     assert!(matches!(
-        fixture.answers()[..],
+        fixture.take_answers()[..],
         [(
             _,
             JobAnswer::Refused {
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_process_that_stood_still_gives_up_its_jobs_before_it_starts_anything() {
+fn after_a_long_stall_jobs_are_given_up_before_anything_is_assigned() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, 0);
     let number = fixture.submit(one_task_job("a"));
--- a/crates/leased/cloverfold_lease/tests/dispatcher/evacuation.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/evacuation.rs
@@ -23,16 +23,16 @@
 }
 
 fn sessions(fixture: &mut Fixture) -> BTreeSet<SessionId> {
-    let assigned = fixture.assigned().into_iter();
+    let assigned = fixture.take_assignments().into_iter();
     assigned.map(|(session, _)| session).collect()
 }
 
 #[test]
-fn nothing_is_assigned_in_an_evacuated_hall_also_while_its_runners_offer_their_targets() {
+fn nothing_is_assigned_in_an_evacuated_hall_even_if_its_runners_announce_targets() {
     let mut fixture = two_halls();
 
     evacuate(&mut fixture, &["a"]);
-    fixture.offer(1, &["a"]);
+    fixture.announce_target(1, &["a"]);
     fixture.heartbeat(1, CAPACITY, 0);
     fixture.submit(job("wide", vec![step(12, vec![])]));
 
@@ -41,16 +41,16 @@
 }
 
 #[test]
-fn a_run_that_is_given_back_is_assigned_elsewhere_at_once() {
+fn a_run_refused_because_of_an_evacuation_is_assigned_elsewhere_at_once() {
     let mut fixture = two_halls();
     evacuate(&mut fixture, &["b"]);
     fixture.submit(one_task_job("job"));
-    let first = fixture.assigned().remove(0);
+    let first = fixture.take_assignments().remove(0);
     evacuate(&mut fixture, &["a"]);
 
-    fixture.end(&first, RunOutcome::NotStarted(RunRefusal::Evacuated));
+    fixture.report_end(&first, RunOutcome::NotStarted(RunRefusal::Evacuated));
 
-    let (session, assignment) = fixture.assigned().remove(0);
+    let (session, assignment) = fixture.take_assignments().remove(0);
     assert!([3, 4].contains(&session), "{session}");
     assert_eq!(assignment.run, first.1.run + 1);
 }
@@ -63,11 +63,11 @@
     let number = fixture.submit(one_task_job("job"));
 
     let refused = JobAnswer::refused(JobRefusal::NoTarget);
-    assert_eq!(fixture.answers(), [(number, refused)]);
+    assert_eq!(fixture.take_answers(), [(number, refused)]);
 }
 
 #[test]
-fn a_runner_that_connects_meanwhile_is_in_its_hall_from_the_start() {
+fn a_runner_that_connects_during_an_evacuation_is_excluded() {
     let mut fixture = two_halls();
     evacuate(&mut fixture, &["a"]);
     fixture.dispatcher.close_session(1, fixture.now);
@@ -75,14 +75,14 @@
     fixture.dispatcher.open_session(5, "runner-1", fixture.now);
     fixture.dispatcher.set_data_hall(5, &"a".to_owned());
     fixture.heartbeat(5, CAPACITY, 0);
-    fixture.offer(5, &["a"]);
+    fixture.announce_target(5, &["a"]);
     fixture.submit(job("wide", vec![step(12, vec![])]));
 
     assert_eq!(sessions(&mut fixture), [3, 4].into());
 }
 
 #[test]
-fn a_hall_that_is_taken_back_gets_work_again() {
+fn a_hall_receives_work_again_after_its_evacuation_ends() {
     let mut fixture = two_halls();
     evacuate(&mut fixture, &["a", "b"]);
 
@@ -97,14 +97,14 @@
     let mut fixture = two_halls();
     evacuate(&mut fixture, &["b"]);
     fixture.submit(one_task_job("job"));
-    let run = fixture.assigned().remove(0);
+    let run = fixture.take_assignments().remove(0);
 
     evacuate(&mut fixture, &["a"]);
     fixture.heartbeat(run.0, CAPACITY, 1);
     fixture.dispatcher.tick(fixture.now);
 
-    assert_eq!(fixture.withdrawn(), []);
-    fixture.end(&run, RunOutcome::Done);
+    assert_eq!(fixture.take_withdrawals(), []);
+    fixture.report_end(&run, RunOutcome::Done);
     let actions = fixture.dispatcher.take_actions();
     let is_completed = |action: &DispatcherAction| {
         matches!(action, DispatcherAction::Answer(_, JobAnswer::Completed))
--- a/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
@@ -112,20 +112,20 @@
                 .dispatcher
                 .open_session(session, &format!("runner-{session}"), fixture.now);
             fixture.heartbeat(session, CAPACITY, 0);
-            fixture.offer(session, &["a"]);
+            fixture.announce_target(session, &["a"]);
         }
         fixture.dispatcher.take_actions();
         fixture
     }
 
-    fn tell(&mut self, session: SessionId, message: RunnerMessage) {
+    fn send_message(&mut self, session: SessionId, message: RunnerMessage) {
         self.dispatcher.receive(session, message, self.now);
     }
 
     /// A runner sends its clock and what is free, with the assignments of the session that this accounts for.
     pub fn heartbeat(&mut self, session: SessionId, free: Resources, assignments_seen: u64) {
         let free_capacity = free_capacity(free, assignments_seen, 0);
-        self.tell(
+        self.send_message(
             session,
             RunnerMessage::Heartbeat {
                 clock: self.now,
@@ -135,13 +135,18 @@
     }
 
     /// A runner reports what is free and how slowly its target's runs get on.
-    pub fn report(&mut self, session: SessionId, free: Resources, slowness_permille: u32) {
+    pub fn report_free_capacity(
+        &mut self,
+        session: SessionId,
+        free: Resources,
+        slowness_permille: u32,
+    ) {
         let free_capacity = free_capacity(free, u64::MAX, slowness_permille);
-        self.tell(session, RunnerMessage::FreeCapacity(free_capacity));
+        self.send_message(session, RunnerMessage::FreeCapacity(free_capacity));
     }
 
     /// Returns the sessions that were ordered to withdraw a run since the last call.
-    pub fn withdrawn(&mut self) -> Vec<SessionId> {
+    pub fn take_withdrawals(&mut self) -> Vec<SessionId> {
         let actions = self.dispatcher.take_actions().into_iter();
         actions
             .filter_map(|action| match action {
@@ -154,14 +159,14 @@
     }
 
     /// A runner offers its target.
-    pub fn offer(&mut self, session: SessionId, labels: &[&str]) {
+    pub fn announce_target(&mut self, session: SessionId, labels: &[&str]) {
         let description = TargetDescription {
             incarnation: format!("target-{session}"),
             service: "service".into(),
             capacity: CAPACITY,
             labels: labels.iter().map(|&label| label.into()).collect(),
         };
-        self.tell(session, RunnerMessage::Target(Some(description)));
+        self.send_message(session, RunnerMessage::Target(Some(description)));
     }
 
     /// Submits a job now.
@@ -170,7 +175,7 @@
     }
 
     /// Lets time pass, in milliseconds, in which these runners live and their targets are full.
-    pub fn pass(&mut self, span: u64, sessions: &[SessionId]) {
+    pub fn advance(&mut self, span: u64, sessions: &[SessionId]) {
         let until = self.now + ms(span);
         while self.now < until {
             self.now += ms(20);
@@ -182,7 +187,7 @@
     }
 
     /// Returns the assignments since the last call, with their sessions.
-    pub fn assigned(&mut self) -> Vec<(SessionId, Assignment)> {
+    pub fn take_assignments(&mut self) -> Vec<(SessionId, Assignment)> {
         let actions = self.dispatcher.take_actions().into_iter();
         actions
             .filter_map(|action| match action {
@@ -195,7 +200,7 @@
     }
 
     /// Returns the answers since the last call.
-    pub fn answers(&mut self) -> Vec<(JobNumber, JobAnswer)> {
+    pub fn take_answers(&mut self) -> Vec<(JobNumber, JobAnswer)> {
         let actions = self.dispatcher.take_actions().into_iter();
         actions
             .filter_map(|action| match action {
@@ -206,12 +211,12 @@
     }
 
     /// A runner reports the end of a run after 100 ms; its target is empty then.
-    pub fn end(&mut self, run: &(SessionId, Assignment), outcome: RunOutcome) {
-        self.end_with_free(run, outcome, CAPACITY);
+    pub fn report_end(&mut self, run: &(SessionId, Assignment), outcome: RunOutcome) {
+        self.report_end_with_free(run, outcome, CAPACITY);
     }
 
     /// A runner reports the end of a run after 100 ms, and what is free then.
-    pub fn end_with_free(
+    pub fn report_end_with_free(
         &mut self,
         run: &(SessionId, Assignment),
         outcome: RunOutcome,
@@ -226,6 +231,6 @@
             ran_ms: 100,
             free_capacity,
         };
-        self.tell(*session, message);
+        self.send_message(*session, message);
     }
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/grace.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/grace.rs
@@ -5,7 +5,7 @@
 use crate::fixture::{CAPACITY, FULL, Fixture, job, ms, one_task_job, step};
 
 /// The job's grace ends after three times its objective for twice its work: 1,140 ms. Its caller waits for longer.
-fn patient_job(id: &str) -> JobRequest {
+fn job_with_long_timeout(id: &str) -> JobRequest {
     JobRequest {
         caller_timeout: Some(ms(2_000)),
         ..one_task_job(id)
@@ -13,13 +13,13 @@
 }
 
 /// Lets time pass in which runners 1 and 2 live and have this much free.
-fn pass(fixture: &mut Fixture, span: u64, free: cloverfold_lease::Resources) {
+fn advance(fixture: &mut Fixture, span: u64, free: cloverfold_lease::Resources) {
     let until = fixture.now + ms(span);
     while fixture.now < until {
         fixture.now += ms(20);
         for session in [1, 2] {
             fixture.heartbeat(session, free, u64::MAX);
-            fixture.report(session, free, 1_000);
+            fixture.report_free_capacity(session, free, 1_000);
         }
         fixture.dispatcher.tick(fixture.now);
     }
@@ -27,79 +27,79 @@
 
 // A caller with time left was told that its job is given up while the run was still at work.
 #[test]
-fn a_run_at_work_is_waited_for_as_long_as_its_caller_waits() {
+fn a_run_in_progress_may_complete_its_job_until_the_caller_timeout() {
     let mut fixture = Fixture::new(2);
-    let number = fixture.submit(patient_job("a"));
-    let run = fixture.assigned().remove(0);
+    let number = fixture.submit(job_with_long_timeout("a"));
+    let run = fixture.take_assignments().remove(0);
 
-    pass(&mut fixture, 1_700, CAPACITY);
-    let early = fixture.answers();
-    fixture.end(&run, RunOutcome::Done);
+    advance(&mut fixture, 1_700, CAPACITY);
+    let early = fixture.take_answers();
+    fixture.report_end(&run, RunOutcome::Done);
 
     assert_eq!(early, []);
-    assert_eq!(fixture.answers(), [(number, JobAnswer::Completed)]);
+    assert_eq!(fixture.take_answers(), [(number, JobAnswer::Completed)]);
 }
 
 // A task that was lost with a dark target was given up although its caller waited and another target was free.
 #[test]
-fn a_task_that_is_lost_after_the_grace_of_its_job_is_begun_again_where_there_is_room() {
+fn a_lost_task_is_retried_after_the_grace_period_if_there_is_capacity() {
     let mut fixture = Fixture::new(2);
-    fixture.submit(patient_job("a"));
-    let run = fixture.assigned().remove(0);
-    pass(&mut fixture, 1_300, CAPACITY);
+    fixture.submit(job_with_long_timeout("a"));
+    let run = fixture.take_assignments().remove(0);
+    advance(&mut fixture, 1_300, CAPACITY);
     fixture.dispatcher.take_actions();
 
-    fixture.end(&run, RunOutcome::Lost);
+    fixture.report_end(&run, RunOutcome::Lost);
 
-    assert_eq!(fixture.assigned().len(), 1);
+    assert_eq!(fixture.take_assignments().len(), 1);
 }
 
 // Work that few callers can use must not hold up the others, and its callers must hear of it at once.
 #[test]
-fn a_job_is_given_up_as_soon_as_a_task_finds_no_room_after_its_grace() {
+fn after_its_grace_period_a_job_is_given_up_as_soon_as_a_task_waits() {
     let mut fixture = Fixture::new(2);
-    let number = fixture.submit(patient_job("a"));
-    let run = fixture.assigned().remove(0);
-    pass(&mut fixture, 1_300, FULL);
+    let number = fixture.submit(job_with_long_timeout("a"));
+    let run = fixture.take_assignments().remove(0);
+    advance(&mut fixture, 1_300, FULL);
 
-    fixture.end_with_free(&run, RunOutcome::Lost, FULL);
+    fixture.report_end_with_free(&run, RunOutcome::Lost, FULL);
     fixture.dispatcher.tick(fixture.now);
 
-    assert_eq!(fixture.answers(), [(number, JobAnswer::GivenUp)]);
+    assert_eq!(fixture.take_answers(), [(number, JobAnswer::GivenUp)]);
 }
 
 // A job that still can be in time finds the place, not one whose grace is over.
 #[test]
-fn a_job_after_its_grace_waits_behind_all_others() {
+fn a_job_past_its_grace_period_is_served_after_all_others() {
     let mut fixture = Fixture::new(1);
     fixture.submit(JobRequest {
         caller_timeout: Some(ms(2_000)),
         ..job("old", vec![step(4, vec![])])
     });
-    let runs = fixture.assigned();
+    let runs = fixture.take_assignments();
     for _ in 0..65 {
         fixture.now += ms(20);
         fixture.heartbeat(1, FULL, u64::MAX);
-        fixture.report(1, FULL, 1_000);
+        fixture.report_free_capacity(1, FULL, 1_000);
         fixture.dispatcher.tick(fixture.now);
     }
     fixture.submit(one_task_job("new"));
-    fixture.assigned();
+    fixture.take_assignments();
 
-    fixture.end_with_free(&runs[0], RunOutcome::Lost, CAPACITY);
+    fixture.report_end_with_free(&runs[0], RunOutcome::Lost, CAPACITY);
 
-    let assigned = fixture.assigned();
+    let assigned = fixture.take_assignments();
     assert_eq!(assigned[0].1.task.job, "new");
 }
 
 // A caller that does not say how long it waits is answered at the end of the grace.
 #[test]
-fn without_a_deadline_of_its_caller_a_job_is_given_up_with_its_grace() {
+fn without_a_caller_timeout_a_job_is_given_up_at_the_end_of_its_grace_period() {
     let mut fixture = Fixture::new(2);
     let number = fixture.submit(one_task_job("a"));
-    fixture.assigned();
+    fixture.take_assignments();
 
-    pass(&mut fixture, 1_160, CAPACITY);
+    advance(&mut fixture, 1_160, CAPACITY);
 
-    assert_eq!(fixture.answers(), [(number, JobAnswer::GivenUp)]);
+    assert_eq!(fixture.take_answers(), [(number, JobAnswer::GivenUp)]);
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/judging.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/judging.rs
@@ -7,15 +7,15 @@
 use crate::fixture::{CAPACITY, FULL, Fixture, job, long_step, ms, one_task_job};
 
 #[test]
-fn a_target_that_fails_run_after_run_gets_a_pause() {
+fn consecutive_failures_pause_a_target() {
     let mut fixture = Fixture::new(1);
     for number in 0..4 {
         fixture.submit(JobRequest {
             max_attempts: 1,
             ..one_task_job(&format!("{number}"))
         });
-        if let Some(run) = fixture.assigned().pop() {
-            fixture.end(&run, RunOutcome::Failed);
+        if let Some(run) = fixture.take_assignments().pop() {
+            fixture.report_end(&run, RunOutcome::Failed);
         }
         fixture.dispatcher.take_actions();
     }
@@ -24,11 +24,11 @@
 }
 
 #[test]
-fn a_hung_run_is_withdrawn() {
+fn an_overdue_run_is_withdrawn() {
     let mut fixture = Fixture::new(1);
     fixture.submit(one_task_job("hung"));
-    fixture.assigned();
-    fixture.pass(420, &[1]);
+    fixture.take_assignments();
+    fixture.advance(420, &[1]);
     let withdrawn = fixture.dispatcher.take_actions().into_iter().any(|action| {
         matches!(
             action,
@@ -39,34 +39,40 @@
 }
 
 #[test]
-fn a_run_that_advances_is_not_withdrawn_for_its_wrong_estimate() {
+fn a_run_that_advances_is_not_withdrawn_because_of_a_wrong_estimate() {
     let mut fixture = Fixture::new(1);
     fixture.submit(one_task_job("long"));
-    fixture.assigned();
+    fixture.take_assignments();
 
     for _ in 0..30 {
         fixture.now += ms(20);
-        fixture.report(1, FULL, 1_000);
+        fixture.report_free_capacity(1, FULL, 1_000);
         fixture.dispatcher.tick(fixture.now);
     }
 
-    assert!(fixture.withdrawn().is_empty(), "six times its estimate");
+    assert!(
+        fixture.take_withdrawals().is_empty(),
+        "six times its estimate"
+    );
     assert_eq!(fixture.dispatcher.counts().overdue, 0);
 }
 
 #[test]
-fn a_long_run_at_a_slow_target_begins_anew_where_it_ends_sooner() {
+fn a_straggler_is_withdrawn_once_a_faster_target_has_capacity() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job("a", vec![long_step()]));
-    let (slow, _) = fixture.assigned().remove(0);
+    let (slow, _) = fixture.take_assignments().remove(0);
     let fast = 3 - slow;
     fixture.now += ms(100);
 
-    fixture.report(slow, FULL, 5_000);
-    fixture.report(fast, FULL, 1_000);
+    fixture.report_free_capacity(slow, FULL, 5_000);
+    fixture.report_free_capacity(fast, FULL, 1_000);
     fixture.dispatcher.tick(fixture.now);
-    assert!(fixture.withdrawn().is_empty(), "nowhere is it sooner");
-    fixture.report(fast, CAPACITY, 1_000);
+    assert!(
+        fixture.take_withdrawals().is_empty(),
+        "nowhere is it sooner"
+    );
+    fixture.report_free_capacity(fast, CAPACITY, 1_000);
     fixture.dispatcher.tick(fixture.now);
 
     let actions = fixture.dispatcher.take_actions();
@@ -86,15 +92,15 @@
 }
 
 #[test]
-fn a_run_at_a_slow_target_that_is_nearly_over_stays_there() {
+fn a_nearly_completed_run_on_a_slow_target_is_not_withdrawn() {
     let mut fixture = Fixture::new(2);
     fixture.submit(one_task_job("a"));
-    let (slow, assignment) = fixture.assigned().remove(0);
+    let (slow, assignment) = fixture.take_assignments().remove(0);
     let estimate = u64::from(assignment.estimate_ms);
     fixture.now += ms(estimate * 2);
 
-    fixture.report(slow, CAPACITY, 3_000);
+    fixture.report_free_capacity(slow, CAPACITY, 3_000);
     fixture.dispatcher.tick(fixture.now);
 
-    assert!(fixture.withdrawn().is_empty());
+    assert!(fixture.take_withdrawals().is_empty());
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/own_stall.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/own_stall.rs
@@ -11,7 +11,7 @@
 }
 
 /// Ticks at once and then so many times every 20 ms, while no runner is heard from.
-fn tick_unheard(fixture: &mut Fixture, ticks: u32) {
+fn tick_without_messages(fixture: &mut Fixture, ticks: u32) {
     fixture.dispatcher.tick(fixture.now);
     for _ in 0..ticks {
         fixture.now += ms(20);
@@ -24,43 +24,43 @@
 fn a_run_that_ended_during_a_stall_is_not_withdrawn_before_its_end_is_read() {
     let mut fixture = Fixture::new(1);
     let number = fixture.submit(one_task_job("a"));
-    let run = fixture.assigned().remove(0);
+    let run = fixture.take_assignments().remove(0);
 
     stall(&mut fixture, 450);
     fixture.dispatcher.tick(fixture.now);
 
     assert_eq!(fixture.dispatcher.counts().withdrawn, 0);
-    fixture.end(&run, RunOutcome::Done);
-    assert_eq!(fixture.answers(), [(number, JobAnswer::Completed)]);
+    fixture.report_end(&run, RunOutcome::Done);
+    assert_eq!(fixture.take_answers(), [(number, JobAnswer::Completed)]);
 }
 
 // A job whose deadline passed during the stall was given up although its end had been reported.
 #[test]
-fn a_job_that_was_done_during_a_stall_is_answered_with_its_end() {
+fn a_job_that_completed_during_a_stall_is_answered_as_completed() {
     let mut fixture = Fixture::new(1);
     let number = fixture.submit(one_task_job("a"));
-    let run = fixture.assigned().remove(0);
-    fixture.pass(600, &[1]);
+    let run = fixture.take_assignments().remove(0);
+    fixture.advance(600, &[1]);
     fixture.dispatcher.take_actions();
 
     stall(&mut fixture, 690);
     fixture.dispatcher.tick(fixture.now);
-    fixture.end(&run, RunOutcome::Done);
+    fixture.report_end(&run, RunOutcome::Done);
 
-    assert_eq!(fixture.answers(), [(number, JobAnswer::Completed)]);
+    assert_eq!(fixture.take_answers(), [(number, JobAnswer::Completed)]);
 }
 
 // Sessions with runners that were alive all the time were closed, and their runs counted as lost.
 #[test]
-fn a_session_is_not_closed_for_the_time_of_a_stall() {
+fn the_duration_of_a_stall_does_not_count_towards_the_session_timeout() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job("a", vec![long_step()]));
     fixture.dispatcher.take_actions();
 
     stall(&mut fixture, 600);
-    tick_unheard(&mut fixture, 24);
+    tick_without_messages(&mut fixture, 24);
     let before = fixture.dispatcher.take_actions();
-    tick_unheard(&mut fixture, 2);
+    tick_without_messages(&mut fixture, 2);
     let after = fixture.dispatcher.take_actions();
 
     assert!(!before.contains(&DispatcherAction::CloseSession(1)));
@@ -69,31 +69,31 @@
 
 // A runner ends a session by its own clock; what is assigned over one that may be over is lost with it.
 #[test]
-fn a_runner_whose_session_may_have_ended_in_a_stall_gets_work_after_its_next_heartbeat() {
+fn a_runner_whose_session_may_have_expired_receives_work_after_its_next_heartbeat() {
     let mut fixture = Fixture::new(1);
     stall(&mut fixture, 600);
 
     fixture.submit(one_task_job("a"));
     fixture.dispatcher.tick(fixture.now);
-    let before = fixture.assigned().len();
+    let before = fixture.take_assignments().len();
     fixture.heartbeat(1, CAPACITY, 0);
     fixture.now += ms(20);
     fixture.dispatcher.tick(fixture.now);
 
-    assert_eq!((before, fixture.assigned().len()), (0, 1));
+    assert_eq!((before, fixture.take_assignments().len()), (0, 1));
 }
 
 // Callers were refused for want of a target by an entry that had read nothing yet of its targets.
 #[test]
-fn a_job_that_comes_right_after_a_stall_waits_until_its_targets_are_heard_from() {
+fn a_job_submitted_right_after_a_stall_waits_during_the_catch_up_period() {
     let mut fixture = Fixture::new(1);
     stall(&mut fixture, 600);
 
     fixture.submit(one_task_job("a"));
-    tick_unheard(&mut fixture, 4);
-    let early = fixture.answers();
-    tick_unheard(&mut fixture, 2);
-    let late = fixture.answers();
+    tick_without_messages(&mut fixture, 4);
+    let early = fixture.take_answers();
+    tick_without_messages(&mut fixture, 2);
+    let late = fixture.take_answers();
 
     assert_eq!(early, []);
     assert!(
@@ -104,7 +104,7 @@
 
 // A process that gets too little processor time all the time would give up no job and close no session.
 #[test]
-fn a_process_that_is_stalled_again_and_again_still_reaches_its_conclusions() {
+fn repeated_stalls_do_not_keep_jobs_open() {
     let mut fixture = Fixture::new(1);
     let number = fixture.submit(one_task_job("a"));
     fixture.dispatcher.take_actions();
@@ -114,5 +114,5 @@
         fixture.dispatcher.tick(fixture.now);
     }
 
-    assert_eq!(fixture.answers(), [(number, JobAnswer::GivenUp)]);
+    assert_eq!(fixture.take_answers(), [(number, JobAnswer::GivenUp)]);
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/placement.rs
@@ -5,7 +5,7 @@
 use crate::fixture::{CAPACITY, FULL, Fixture, job, one_task_job, step};
 
 #[test]
-fn what_comes_first_by_priority_is_placed_first() {
+fn the_most_urgent_job_is_placed_first() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, 0);
     fixture.submit(one_task_job("late"));
@@ -24,17 +24,17 @@
         0,
     );
 
-    let assigned = fixture.assigned();
+    let assigned = fixture.take_assignments();
     assert_eq!(assigned.len(), 1);
     assert_eq!(assigned[0].1.task.job, "urgent");
 }
 
 #[test]
-fn targets_are_filled_evenly_and_never_beyond_what_was_reported() {
+fn targets_are_filled_evenly_and_not_beyond_their_free_capacity() {
     let mut fixture = Fixture::new(3);
     fixture.submit(job("a", vec![step(20, vec![])]));
 
-    let assigned = fixture.assigned();
+    let assigned = fixture.take_assignments();
 
     for session in 1..=3 {
         let there = assigned
@@ -48,13 +48,18 @@
 #[test]
 fn a_task_goes_only_where_its_required_label_is() {
     let mut fixture = Fixture::new(2);
-    fixture.offer(2, &["b"]);
+    fixture.announce_target(2, &["b"]);
     let labelled = StepRequest {
         required_label: Some("b".into()),
         ..step(2, vec![])
     };
     fixture.submit(job("labelled", vec![labelled]));
-    assert!(fixture.assigned().iter().all(|(session, _)| *session == 2));
+    assert!(
+        fixture
+            .take_assignments()
+            .iter()
+            .all(|(session, _)| *session == 2)
+    );
 }
 
 #[test]
@@ -66,7 +71,7 @@
     };
     fixture.submit(job("spread", vec![spread]));
     let mut places: Vec<SessionId> = fixture
-        .assigned()
+        .take_assignments()
         .iter()
         .map(|(session, _)| *session)
         .collect();
@@ -75,28 +80,28 @@
 }
 
 #[test]
-fn a_slow_target_is_used_only_when_no_other_has_room() {
+fn a_slow_target_is_used_only_if_no_other_has_capacity() {
     let mut fixture = Fixture::new(2);
-    fixture.report(1, CAPACITY, 2_500);
-    fixture.report(2, CAPACITY, 900);
+    fixture.report_free_capacity(1, CAPACITY, 2_500);
+    fixture.report_free_capacity(2, CAPACITY, 900);
 
     fixture.submit(one_task_job("a"));
 
-    assert_eq!(fixture.assigned()[0].0, 2);
+    assert_eq!(fixture.take_assignments()[0].0, 2);
 }
 
 #[test]
-fn a_job_that_begins_without_all_its_tasks_is_counted_once() {
+fn a_partially_started_job_is_counted_once() {
     let mut fixture = Fixture::new(1);
 
     fixture.submit(job("wide", vec![step(6, vec![])]));
-    fixture.pass(40, &[1]);
+    fixture.advance(40, &[1]);
 
     assert_eq!(fixture.dispatcher.counts().partially_started, 1);
 }
 
 #[test]
-fn a_job_that_begins_whole_or_not_at_all_is_not_counted_as_begun_in_part() {
+fn a_job_that_starts_completely_or_not_at_all_is_not_counted_as_partially_started() {
     let mut fixture = Fixture::new(1);
 
     fixture.submit(job("whole", vec![step(4, vec![])]));
--- a/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
@@ -9,9 +9,9 @@
 use crate::fixture::{CAPACITY, DEMAND, FULL, Fixture, job, ms, step};
 
 /// For how long callers wait, beyond three times their objective.
-const SPARE_MS: u64 = 1_500;
+const EXTRA_TIMEOUT_MS: u64 = 1_500;
 /// Callers come again after this time.
-const RESEND_MS: u64 = 1_300;
+const RESEND_INTERVAL_MS: u64 = 1_300;
 
 /// A job of one task of this true duration whose caller sent it first `age` ago; the estimate is off by up to 40 %.
 fn job_of_age(id: &str, work_ms: u64, age: u64, rng: &mut SmallRng) -> JobRequest {
@@ -22,13 +22,13 @@
     };
     let objective = work_ms * 16 / 10 + 60;
     JobRequest {
-        caller_timeout: Some(ms(SPARE_MS + 3 * objective - age)),
+        caller_timeout: Some(ms(EXTRA_TIMEOUT_MS + 3 * objective - age)),
         ..job(id, vec![estimated])
     }
 }
 
 /// A work of about 200 ms.
-fn draw_work(rng: &mut SmallRng) -> u64 {
+fn random_work_ms(rng: &mut SmallRng) -> u64 {
     rng.random_range(120..=280)
 }
 
@@ -45,7 +45,7 @@
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, u64::MAX);
     for caller in 0..callers {
-        let work = draw_work(rng);
+        let work = random_work_ms(rng);
         let number = fixture.submit(job_of_age(&format!("before-{caller}"), work, 0, rng));
         fixture.dispatcher.cancel(number);
     }
@@ -55,15 +55,15 @@
 
 /// Names of the jobs that were assigned since the last call.
 fn assigned_jobs(fixture: &mut Fixture) -> Vec<String> {
-    let assigned = fixture.assigned().into_iter();
+    let assigned = fixture.take_assignments().into_iter();
     assigned.map(|(_, run)| run.task.job).collect()
 }
 
 #[test]
-fn a_job_that_came_past_its_objective_is_served_after_one_that_can_be_in_time() {
+fn a_late_resubmission_is_served_after_a_job_that_can_be_on_time() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut fixture = fixture_after(20, &mut rng);
-    fixture.submit(job_of_age("again", 200, RESEND_MS, &mut rng));
+    fixture.submit(job_of_age("again", 200, RESEND_INTERVAL_MS, &mut rng));
     fixture.submit(job_of_age("new", 200, 0, &mut rng));
 
     fixture.heartbeat(1, free_for(1), u64::MAX);
@@ -75,19 +75,19 @@
 }
 
 #[test]
-fn a_job_that_came_past_its_objective_is_served_at_once_while_there_is_room() {
+fn a_late_resubmission_is_served_at_once_if_there_is_capacity() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut fixture = fixture_after(20, &mut rng);
     fixture.heartbeat(1, CAPACITY, u64::MAX);
 
-    fixture.submit(job_of_age("again", 200, RESEND_MS, &mut rng));
+    fixture.submit(job_of_age("again", 200, RESEND_INTERVAL_MS, &mut rng));
 
     assert_eq!(assigned_jobs(&mut fixture), ["again"]);
     assert_eq!(fixture.dispatcher.counts().late_resubmissions, 1);
 }
 
 #[test]
-fn a_job_that_comes_again_and_can_still_be_in_time_keeps_its_place() {
+fn a_resubmission_that_can_still_be_on_time_keeps_its_position() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut fixture = Fixture::new(1);
     for caller in 0..20 {
@@ -96,7 +96,7 @@
         fixture.dispatcher.cancel(number);
     }
     fixture.heartbeat(1, FULL, u64::MAX);
-    fixture.submit(job_of_age("again", 2_000, RESEND_MS, &mut rng));
+    fixture.submit(job_of_age("again", 2_000, RESEND_INTERVAL_MS, &mut rng));
     fixture.submit(job_of_age("new", 2_000, 0, &mut rng));
     fixture.dispatcher.take_actions();
 
@@ -117,11 +117,11 @@
     fn advance(&mut self, fixture: &mut Fixture, step: u64) -> Vec<String> {
         let is_over = |run: &mut (u64, _)| run.0 <= step;
         for (_, run) in self.runs.extract_if(.., is_over).collect::<Vec<_>>() {
-            fixture.end_with_free(&run, RunOutcome::Done, FULL);
+            fixture.report_end_with_free(&run, RunOutcome::Done, FULL);
         }
         fixture.heartbeat(1, free_for(4 - self.runs.len() as i64), u64::MAX);
         fixture.dispatcher.tick(fixture.now);
-        let assigned = fixture.assigned();
+        let assigned = fixture.take_assignments();
         let names = assigned.iter().map(|(_, run)| run.task.job.clone());
         let names = names.collect();
         self.runs
@@ -132,7 +132,7 @@
 
 /// After a loss of power: for 1.3 s as many jobs come again as come new, one of each in 80 ms, and one in 50 ms could be served. Returns how
 /// many of the new ones are offered to a target, of how many.
-fn play_return(seed: u64) -> (usize, usize) {
+fn simulate_resubmissions(seed: u64) -> (usize, usize) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut fixture = fixture_after(10, &mut rng);
     let mut target = BusyTarget::default();
@@ -142,10 +142,10 @@
         fixture.now += ms(10);
         if step % 8 == 0 {
             new_jobs += 1;
-            let age = RESEND_MS + rng.random_range(0..30);
-            let work = draw_work(&mut rng);
+            let age = RESEND_INTERVAL_MS + rng.random_range(0..30);
+            let work = random_work_ms(&mut rng);
             fixture.submit(job_of_age(&format!("again-{step}"), work, age, &mut rng));
-            let work = draw_work(&mut rng);
+            let work = random_work_ms(&mut rng);
             fixture.submit(job_of_age(&format!("new-{step}"), work, 0, &mut rng));
         }
         let offered = target.advance(&mut fixture, step);
@@ -158,9 +158,9 @@
 }
 
 #[test]
-fn after_a_loss_of_power_new_callers_are_served_although_twice_as_much_is_asked_for() {
+fn after_a_power_loss_new_callers_are_served_despite_doubled_load() {
     for seed in 0..20 {
-        let (served, new_jobs) = play_return(seed);
+        let (served, new_jobs) = simulate_resubmissions(seed);
 
         assert!(
             served * 10 >= new_jobs * 9,
@@ -170,15 +170,15 @@
 }
 
 #[test]
-fn callers_who_say_nothing_of_their_wait_keep_the_order_of_arrival() {
+fn jobs_without_a_caller_timeout_are_served_in_order_of_submission() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, u64::MAX);
-    let silent = |id: &str| JobRequest {
+    let without_timeout = |id: &str| JobRequest {
         caller_timeout: None::<Duration>,
         ..job(id, vec![step(1, vec![])])
     };
-    fixture.submit(silent("first"));
-    fixture.submit(silent("second"));
+    fixture.submit(without_timeout("first"));
+    fixture.submit(without_timeout("second"));
     fixture.dispatcher.take_actions();
 
     fixture.heartbeat(1, free_for(1), u64::MAX);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/run_ends.rs
@@ -7,76 +7,76 @@
 use crate::fixture::{CAPACITY, FULL, Fixture, job, one_task_job, step};
 
 #[test]
-fn a_job_is_complete_when_all_tasks_of_all_steps_are_done() {
+fn a_job_is_completed_when_all_tasks_of_all_steps_are_done() {
     let mut fixture = Fixture::new(2);
     let number = fixture.submit(job("a", vec![step(2, vec![]), step(1, vec![0])]));
-    let first = fixture.assigned();
+    let first = fixture.take_assignments();
     assert_eq!(first.len(), 2, "the second step waits for the first");
-    fixture.end(&first[0], RunOutcome::Done);
-    assert!(fixture.assigned().is_empty());
-    fixture.end(&first[1], RunOutcome::Done);
-    let second = fixture.assigned();
+    fixture.report_end(&first[0], RunOutcome::Done);
+    assert!(fixture.take_assignments().is_empty());
+    fixture.report_end(&first[1], RunOutcome::Done);
+    let second = fixture.take_assignments();
     assert_eq!(second.len(), 1);
 
-    fixture.end(&second[0], RunOutcome::Done);
+    fixture.report_end(&second[0], RunOutcome::Done);
 
-    assert_eq!(fixture.answers(), [(number, JobAnswer::Completed)]);
+    assert_eq!(fixture.take_answers(), [(number, JobAnswer::Completed)]);
 }
 
 #[test]
-fn a_failed_run_is_tried_elsewhere_and_its_job_fails_after_the_attempts() {
+fn a_failed_run_is_retried_on_another_target_and_its_job_fails_after_the_last_attempt() {
     let mut fixture = Fixture::new(2);
     let number = fixture.submit(one_task_job("a"));
-    let first = fixture.assigned().remove(0);
-    fixture.end(&first, RunOutcome::Failed);
-    let second = fixture.assigned().remove(0);
+    let first = fixture.take_assignments().remove(0);
+    fixture.report_end(&first, RunOutcome::Failed);
+    let second = fixture.take_assignments().remove(0);
     assert_ne!(second.0, first.0);
     assert!(second.1.run > first.1.run);
 
-    fixture.end(&second, RunOutcome::Failed);
+    fixture.report_end(&second, RunOutcome::Failed);
 
-    assert_eq!(fixture.answers(), [(number, JobAnswer::Failed)]);
+    assert_eq!(fixture.take_answers(), [(number, JobAnswer::Failed)]);
 }
 
 #[test]
-fn a_run_that_stood_still_is_begun_elsewhere_and_is_no_failure_of_its_task() {
+fn a_stuck_run_is_retried_on_another_target_without_counting_a_failure() {
     let mut fixture = Fixture::new(2);
     fixture.submit(one_task_job("a"));
-    let first = fixture.assigned().remove(0);
+    let first = fixture.take_assignments().remove(0);
 
-    fixture.end(&first, RunOutcome::Stuck);
+    fixture.report_end(&first, RunOutcome::Stuck);
 
-    let second = fixture.assigned().remove(0);
+    let second = fixture.take_assignments().remove(0);
     assert_ne!(second.0, first.0);
     assert!(second.1.run > first.1.run);
-    assert!(fixture.answers().is_empty());
+    assert!(fixture.take_answers().is_empty());
     assert_eq!(fixture.dispatcher.counts().failed, 0);
 }
 
 #[test]
-fn a_stale_run_number_is_raised_far_enough() {
+fn a_stale_run_number_is_raised_by_more_than_ten() {
     let mut fixture = Fixture::new(1);
     fixture.submit(one_task_job("a"));
-    let run = fixture.assigned().remove(0);
+    let run = fixture.take_assignments().remove(0);
 
-    fixture.end(&run, RunOutcome::NotStarted(RunRefusal::Stale));
+    fixture.report_end(&run, RunOutcome::NotStarted(RunRefusal::Stale));
 
-    assert!(fixture.assigned()[0].1.run > run.1.run + 10);
+    assert!(fixture.take_assignments()[0].1.run > run.1.run + 10);
 }
 
 #[test]
-fn a_job_whose_only_run_was_given_back_is_refused_and_not_worked_on() {
+fn a_job_whose_only_run_was_not_started_is_refused_at_its_queue_deadline() {
     let mut fixture = Fixture::new(1);
     let number = fixture.submit(one_task_job("a"));
-    let run = fixture.assigned().remove(0);
-    fixture.pass(60, &[1]);
-    assert!(fixture.answers().is_empty(), "it may be at work");
+    let run = fixture.take_assignments().remove(0);
+    fixture.advance(60, &[1]);
+    assert!(fixture.take_answers().is_empty(), "it may be at work");
 
-    fixture.end(&run, RunOutcome::NotStarted(RunRefusal::NoCapacity));
+    fixture.report_end(&run, RunOutcome::NotStarted(RunRefusal::NoCapacity));
     fixture.heartbeat(1, FULL, u64::MAX);
     fixture.dispatcher.tick(fixture.now);
 
-    let answers = fixture.answers();
+    let answers = fixture.take_answers();
     assert!(
         matches!(answers[..], [(n, JobAnswer::Refused { cause: JobRefusal::NoCapacity, .. })] if n == number),
         "{answers:?}"
@@ -84,22 +84,22 @@
 }
 
 #[test]
-fn a_job_that_comes_again_is_not_started_while_an_earlier_run_may_be_at_work() {
+fn a_resubmitted_job_is_not_started_while_an_earlier_run_may_be_in_progress() {
     let mut fixture = Fixture::new(1);
     let first = fixture.submit(one_task_job("same"));
-    let run = fixture.assigned().remove(0);
+    let run = fixture.take_assignments().remove(0);
     fixture.dispatcher.cancel(first);
     fixture.dispatcher.take_actions();
 
     fixture.submit(one_task_job("same"));
 
-    assert!(fixture.assigned().is_empty());
-    fixture.end(&run, RunOutcome::Stopped);
-    assert_eq!(fixture.assigned().len(), 1);
+    assert!(fixture.take_assignments().is_empty());
+    fixture.report_end(&run, RunOutcome::Stopped);
+    assert_eq!(fixture.take_assignments().len(), 1);
 }
 
 #[test]
-fn runs_without_an_estimate_that_are_done_speak_for_their_target() {
+fn completed_runs_without_an_estimate_improve_the_health_of_their_target() {
     let mut fixture = Fixture::new(1);
     let unestimated = StepRequest {
         estimate: Duration::ZERO,
@@ -110,8 +110,8 @@
             max_attempts: 1,
             ..job(id, vec![unestimated.clone()])
         });
-        let run = fixture.assigned().pop().unwrap();
-        fixture.end(&run, outcome);
+        let run = fixture.take_assignments().pop().unwrap();
+        fixture.report_end(&run, outcome);
         fixture.dispatcher.take_actions();
     };
 
@@ -127,15 +127,15 @@
 }
 
 #[test]
-fn runs_that_are_given_back_are_counted_by_reason() {
+fn runs_that_are_not_started_are_counted_by_reason() {
     let mut fixture = Fixture::new(1);
     fixture.submit(one_task_job("a"));
-    let first = fixture.assigned().remove(0);
-    fixture.end(&first, RunOutcome::NotStarted(RunRefusal::NoCapacity));
+    let first = fixture.take_assignments().remove(0);
+    fixture.report_end(&first, RunOutcome::NotStarted(RunRefusal::NoCapacity));
     fixture.heartbeat(1, CAPACITY, u64::MAX);
-    let second = fixture.assigned().remove(0);
+    let second = fixture.take_assignments().remove(0);
 
-    fixture.end(&second, RunOutcome::NotStarted(RunRefusal::Stale));
+    fixture.report_end(&second, RunOutcome::NotStarted(RunRefusal::Stale));
 
     let refused_runs = fixture.dispatcher.counts().refused_runs;
     let counted: Vec<_> = refused_runs
--- a/crates/leased/cloverfold_lease/tests/dispatcher/shortage.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/shortage.rs
@@ -23,7 +23,7 @@
 
 /// Names of the jobs that were assigned since the last call, each as often as it has tasks among them.
 fn assigned_jobs(fixture: &mut Fixture) -> Vec<String> {
-    let assigned = fixture.assigned().into_iter();
+    let assigned = fixture.take_assignments().into_iter();
     assigned.map(|(_, run)| run.task.job).collect()
 }
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn past_use_is_forgotten() {
+fn past_usage_of_a_queue_decays() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_of("busy", 0, "busy-1", 3));
     fixture.submit(job_of("modest", 2, "modest-1", 1));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_job_that_has_begun_is_completed_before_another_begins() {
+fn a_job_that_has_started_is_completed_before_another_starts() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, free_for(1), 0);
     fixture.submit(job_of("queue", 1, "begun", 2));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn less_urgent_work_leaves_headroom_while_urgent_work_is_in_use() {
+fn less_urgent_work_leaves_headroom_while_an_urgent_queue_is_active() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_of("urgent", 0, "urgent-1", 1));
     fixture.dispatcher.take_actions();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn without_more_urgent_work_no_headroom_is_left() {
+fn without_a_more_urgent_queue_no_headroom_is_left() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, free_for(1), 0);
 
@@ -109,8 +109,8 @@
 fn a_task_as_large_as_a_target_is_placed_on_an_empty_one() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_of("urgent", 0, "urgent-1", 1));
-    let run = fixture.assigned().remove(0);
-    fixture.end(&run, RunOutcome::Done);
+    let run = fixture.take_assignments().remove(0);
+    fixture.report_end(&run, RunOutcome::Done);
     let whole = StepRequest {
         demand: CAPACITY,
         ..step(1, vec![])
--- a/crates/leased/cloverfold_lease/tests/dispatcher/startup.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/startup.rs
@@ -20,43 +20,43 @@
 }
 
 #[test]
-fn a_job_that_comes_just_before_the_first_target_is_served() {
+fn a_job_submitted_just_before_the_first_target_connects_is_served() {
     let mut fixture = fixture_at(at(20));
     fixture.submit(one_task_job("early"));
-    assert!(fixture.answers().is_empty());
+    assert!(fixture.take_answers().is_empty());
 
     fixture.now += ms(20);
     fixture.dispatcher.open_session(1, "runner-1", fixture.now);
     fixture.heartbeat(1, CAPACITY, 0);
-    fixture.offer(1, &["a"]);
+    fixture.announce_target(1, &["a"]);
 
-    assert_eq!(fixture.assigned().len(), 1);
+    assert_eq!(fixture.take_assignments().len(), 1);
 }
 
 #[test]
-fn a_job_is_refused_for_want_of_a_target_when_none_comes_in_time() {
+fn a_job_is_refused_if_no_target_connects_before_its_queue_deadline() {
     let mut fixture = fixture_at(at(20));
     let number = fixture.submit(one_task_job("early"));
 
     // A quarter of its objective of 220 ms.
-    fixture.pass(60, &[]);
+    fixture.advance(60, &[]);
 
     let refused = JobAnswer::refused(JobRefusal::NoTarget);
-    assert_eq!(fixture.answers(), [(number, refused)]);
+    assert_eq!(fixture.take_answers(), [(number, refused)]);
 }
 
 #[test]
-fn a_job_without_a_target_is_refused_at_once_when_the_start_is_over() {
+fn after_startup_a_job_without_a_target_is_refused_at_once() {
     let mut fixture = fixture_at(Timestamp::ZERO + STARTUP_PERIOD);
 
     let number = fixture.submit(one_task_job("later"));
 
     let refused = JobAnswer::refused(JobRefusal::NoTarget);
-    assert_eq!(fixture.answers(), [(number, refused)]);
+    assert_eq!(fixture.take_answers(), [(number, refused)]);
 }
 
 #[test]
-fn only_a_process_that_has_just_started_lets_requests_wait_for_its_configuration() {
+fn requests_wait_for_the_configuration_only_during_startup() {
     let last = Timestamp::ZERO + STARTUP_PERIOD - ms(1);
 
     assert!(configuration_timeout(last).is_some());
--- a/crates/leased/cloverfold_lease/tests/timings.rs
+++ b/crates/leased/cloverfold_lease/tests/timings.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn runs_are_over_before_a_caller_sends_again_by_default() {
+fn by_default_runs_end_before_a_caller_resubmits() {
     let timings = Timings::default();
 
     assert_eq!(timings.run_end_bound().as_millis(), 1_213);
@@ -31,7 +31,7 @@
 
 // Requests that had waited for 300 ms were refused although jobs as old went on.
 #[test]
-fn a_request_outlives_the_stalls_that_open_jobs_outlive() {
+fn requests_and_open_jobs_survive_the_same_stalls() {
     let last_tick_at = Timestamp::from_start(Duration::from_secs(1));
     let longest = last_tick_at + JOB_STALL_LIMIT;
 
--- a/crates/leased/cloverfold_lease/tests/written_names.rs
+++ b/crates/leased/cloverfold_lease/tests/written_names.rs
@@ -5,7 +5,7 @@
 };
 
 #[test]
-fn each_reason_not_to_start_a_run_keeps_its_written_name() {
+fn each_run_refusal_keeps_its_written_name() {
     let names = [
         (RunRefusal::NoCapacity, "NoRoom"),
         (RunRefusal::NoTarget, "NoTarget"),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn each_outcome_of_a_run_keeps_its_written_name() {
+fn each_run_outcome_keeps_its_written_name() {
     let names = [
         (RunOutcome::Done, "Done"),
         (RunOutcome::Failed, "Failed"),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn each_refusal_of_a_job_keeps_its_written_name() {
+fn each_job_refusal_keeps_its_written_name() {
     let names = [
         (JobRefusal::NoCapacity, "NoRoom"),
         (JobRefusal::NoTarget, "NoTarget"),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn each_reason_why_a_target_gets_no_work_keeps_its_written_name() {
+fn each_reason_for_an_unavailable_target_keeps_its_written_name() {
     let names = [
         (UnavailableReason::NoTarget, "NoTarget"),
         (UnavailableReason::Draining, "Draining"),
