--- a/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! When jobs are refused or given up without the end of a run.
+//! Jobs that are refused or given up for reasons other than the end of a run.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     fixture.heartbeat(1, FULL, 0);
     let number = fixture.submit(one_task_job("a"));
 
-    // The objective is 1.6 x 100 + 60 = 220 ms; a quarter of it 55 ms.
+    // The target latency is 1.6 x 100 + 60 = 220 ms; a quarter of it is 55 ms.
     fixture.advance(55, &[1]);
 
     let answers = fixture.take_answers();
@@ -31,9 +31,9 @@
     fixture.report_free_capacity(1, Resources::default(), 1_000);
     fixture.submit(job("a", vec![long_step()]));
 
-    // The objective is 1.6 x 1,000 + 60 = 1,660 ms.
+    // The target latency is 1.6 x 1,000 + 60 = 1,660 ms.
     fixture.advance(160, &[1]);
-    assert!(fixture.take_answers().is_empty(), "it may wait for a tenth");
+    assert!(fixture.take_answers().is_empty(), "the deadline is a tenth");
     fixture.advance(40, &[1]);
 
     assert!(matches!(
@@ -42,7 +42,7 @@
     ));
 }
 
-/// A job with an objective of 1.6 x 200 + 60 = 380 ms.
+/// Returns a job with a target latency of 1.6 x 200 + 60 = 380 ms.
 fn job_of_200_ms(id: &str) -> JobRequest {
     let work = StepRequest {
         estimate: ms(200),
--- a/crates/leased/cloverfold_lease/tests/dispatcher/evacuation.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/evacuation.rs
@@ -1,4 +1,4 @@
-//! An evacuated data hall: nothing is assigned there, and what waited for it goes elsewhere.
+//! Evacuated data halls: nothing is assigned there, and waiting tasks go elsewhere.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 
 use crate::fixture::{CAPACITY, Fixture, job, one_task_job, step};
 
-/// Sessions 1 and 2 are in hall a, 3 and 4 in hall b.
+/// Returns a fixture with sessions 1 and 2 in hall a, and 3 and 4 in hall b.
 fn two_halls() -> Fixture {
     let mut fixture = Fixture::new(4);
     for (session, hall) in [(1, "a"), (2, "a"), (3, "b"), (4, "b")] {
--- a/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with targets that accept work, driven message by message.
+//! A dispatcher with targets that accept work, driven by single messages.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
     SessionId, StepRequest, TargetDescription, Timings,
 };
 
-/// What each target has.
+/// Capacity of each target.
 pub const CAPACITY: Resources = Resources {
     cpu_milli: 8_000,
     memory_mb: 8_000,
     accelerators: 0,
 };
-/// What each task uses: a target has capacity for four.
+/// Demand of each task; four fit on a target.
 pub const DEMAND: Resources = Resources {
     cpu_milli: 2_000,
     memory_mb: 64,
     accelerators: 0,
 };
 
-/// What is free at a target without a free processor.
+/// Free capacity of a target without a free processor.
 pub const FULL: Resources = Resources {
     cpu_milli: 0,
     ..CAPACITY
@@ -32,12 +32,12 @@
     Duration::from_millis(value)
 }
 
-/// The point in time `value` milliseconds after the start of the clock.
+/// Returns the time `value` milliseconds after the start of the clock.
 pub fn at(value: u64) -> Timestamp {
     Timestamp::from_start(ms(value))
 }
 
-/// A step of tasks that should take 100 ms each.
+/// Returns a step of tasks with an estimate of 100 ms.
 pub fn step(count: u32, depends_on: Vec<usize>) -> StepRequest {
     StepRequest {
         count,
@@ -50,7 +50,7 @@
     }
 }
 
-/// A job with an objective of 1.6 times its work and 60 ms.
+/// Returns a job with a target latency of 1.6 times its work plus 60 ms.
 pub fn job(id: &str, steps: Vec<StepRequest>) -> JobRequest {
     JobRequest {
         id: id.into(),
@@ -68,12 +68,12 @@
     }
 }
 
-/// A job of one task that should take 100 ms.
+/// Returns a job of one task with an estimate of 100 ms.
 pub fn one_task_job(id: &str) -> JobRequest {
     job(id, vec![step(1, vec![])])
 }
 
-/// A step of one task that should take 1 s.
+/// Returns a step of one task with an estimate of 1 s.
 pub fn long_step() -> StepRequest {
     StepRequest {
         estimate: ms(1_000),
@@ -89,16 +89,16 @@
     }
 }
 
-/// A dispatcher and the time of the test.
+/// A dispatcher and the current time of the test.
 pub struct Fixture {
     pub dispatcher: Dispatcher,
     pub now: Timestamp,
-    /// The run that a test follows.
+    /// The run that the test tracks.
     pub run: Option<(SessionId, Assignment)>,
 }
 
 impl Fixture {
-    /// A dispatcher with sessions 1 to `targets`, each with an empty target.
+    /// Returns a dispatcher with sessions 1 to `targets`, each with an empty target.
     pub fn new(targets: SessionId) -> Self {
         let dispatcher = Dispatcher::new(Timings::default(), HealthLimits::default(), 3);
         let mut fixture = Self {
@@ -122,7 +122,7 @@
         self.dispatcher.receive(session, message, self.now);
     }
 
-    /// A runner sends its clock and what is free, with the assignments of the session that this accounts for.
+    /// Sends a heartbeat of a runner with its free capacity and the number of assignments that this accounts for.
     pub fn heartbeat(&mut self, session: SessionId, free: Resources, assignments_seen: u64) {
         let free_capacity = free_capacity(free, assignments_seen, 0);
         self.send_message(
@@ -134,7 +134,7 @@
         );
     }
 
-    /// A runner reports what is free and how slowly its target's runs get on.
+    /// Sends a report of a runner with its free capacity and the slowness of its target.
     pub fn report_free_capacity(
         &mut self,
         session: SessionId,
@@ -145,7 +145,7 @@
         self.send_message(session, RunnerMessage::FreeCapacity(free_capacity));
     }
 
-    /// Returns the sessions that were ordered to withdraw a run since the last call.
+    /// Returns the sessions to which a withdrawal was sent, and discards all other actions.
     pub fn take_withdrawals(&mut self) -> Vec<SessionId> {
         let actions = self.dispatcher.take_actions().into_iter();
         actions
@@ -158,7 +158,7 @@
             .collect()
     }
 
-    /// A runner offers its target.
+    /// Announces the target of a runner.
     pub fn announce_target(&mut self, session: SessionId, labels: &[&str]) {
         let description = TargetDescription {
             incarnation: format!("target-{session}"),
@@ -169,12 +169,12 @@
         self.send_message(session, RunnerMessage::Target(Some(description)));
     }
 
-    /// Submits a job now.
+    /// Submits a job at the current time.
     pub fn submit(&mut self, request: JobRequest) -> JobNumber {
         self.dispatcher.submit(request, self.now)
     }
 
-    /// Lets time pass, in milliseconds, in which these runners live and their targets are full.
+    /// Advances the time by `span` milliseconds, during which these runners send heartbeats and their targets are full.
     pub fn advance(&mut self, span: u64, sessions: &[SessionId]) {
         let until = self.now + ms(span);
         while self.now < until {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Returns the assignments since the last call, with their sessions.
+    /// Returns the assignments with their sessions, and discards all other actions.
     pub fn take_assignments(&mut self) -> Vec<(SessionId, Assignment)> {
         let actions = self.dispatcher.take_actions().into_iter();
         actions
@@ -199,7 +199,7 @@
             .collect()
     }
 
-    /// Returns the answers since the last call.
+    /// Returns the answers to submissions, and discards all other actions.
     pub fn take_answers(&mut self) -> Vec<(JobNumber, JobAnswer)> {
         let actions = self.dispatcher.take_actions().into_iter();
         actions
@@ -210,12 +210,12 @@
             .collect()
     }
 
-    /// A runner reports the end of a run after 100 ms; its target is empty then.
+    /// Reports the end of a run after 100 ms, with an empty target.
     pub fn report_end(&mut self, run: &(SessionId, Assignment), outcome: RunOutcome) {
         self.report_end_with_free(run, outcome, CAPACITY);
     }
 
-    /// A runner reports the end of a run after 100 ms, and what is free then.
+    /// Reports the end of a run after 100 ms, with this free capacity.
     pub fn report_end_with_free(
         &mut self,
         run: &(SessionId, Assignment),
--- a/crates/leased/cloverfold_lease/tests/dispatcher/grace.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/grace.rs
@@ -1,10 +1,10 @@
-//! What becomes of jobs that take many times as long as they should.
+//! Jobs that continue after their grace period.
 
 use cloverfold_lease::{JobAnswer, JobRequest, RunOutcome};
 
 use crate::fixture::{CAPACITY, FULL, Fixture, job, ms, one_task_job, step};
 
-/// The job's grace ends after three times its objective for twice its work: 1,140 ms. Its caller waits for longer.
+/// Returns a job whose grace period is three times its target latency for twice its work, 1,140 ms, and whose caller waits longer.
 fn job_with_long_timeout(id: &str) -> JobRequest {
     JobRequest {
         caller_timeout: Some(ms(2_000)),
@@ -12,7 +12,7 @@
     }
 }
 
-/// Lets time pass in which runners 1 and 2 live and have this much free.
+/// Advances the time, during which runners 1 and 2 are alive and report this free capacity.
 fn advance(fixture: &mut Fixture, span: u64, free: cloverfold_lease::Resources) {
     let until = fixture.now + ms(span);
     while fixture.now < until {
@@ -25,7 +25,7 @@
     }
 }
 
-// A caller with time left was told that its job is given up while the run was still at work.
+// Guards against giving up a job with a run in progress while its caller still waits.
 #[test]
 fn a_run_in_progress_may_complete_its_job_until_the_caller_timeout() {
     let mut fixture = Fixture::new(2);
@@ -40,7 +40,7 @@
     assert_eq!(fixture.take_answers(), [(number, JobAnswer::Completed)]);
 }
 
-// A task that was lost with a dark target was given up although its caller waited and another target was free.
+// Guards against giving up a job with a lost task although its caller still waits and another target is free.
 #[test]
 fn a_lost_task_is_retried_after_the_grace_period_if_there_is_capacity() {
     let mut fixture = Fixture::new(2);
@@ -54,7 +54,7 @@
     assert_eq!(fixture.take_assignments().len(), 1);
 }
 
-// Work that few callers can use must not hold up the others, and its callers must hear of it at once.
+// Guards against late work that delays other jobs, and against callers that learn too late that their job is given up.
 #[test]
 fn after_its_grace_period_a_job_is_given_up_as_soon_as_a_task_waits() {
     let mut fixture = Fixture::new(2);
@@ -68,7 +68,7 @@
     assert_eq!(fixture.take_answers(), [(number, JobAnswer::GivenUp)]);
 }
 
-// A job that still can be in time finds the place, not one whose grace is over.
+// Guards against assigning capacity to a job past its grace period before one that can still be on time.
 #[test]
 fn a_job_past_its_grace_period_is_served_after_all_others() {
     let mut fixture = Fixture::new(1);
@@ -92,7 +92,6 @@
     assert_eq!(assigned[0].1.task.job, "new");
 }
 
-// A caller that does not say how long it waits is answered at the end of the grace.
 #[test]
 fn without_a_caller_timeout_a_job_is_given_up_at_the_end_of_its_grace_period() {
     let mut fixture = Fixture::new(2);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/judging.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/judging.rs
@@ -1,4 +1,4 @@
-//! Which targets are paused, and which runs are withdrawn since they take too long.
+//! Pauses of targets and withdrawals of runs that take too long.
 
 use cloverfold_lease::{
     DispatcherAction, DispatcherEvent, DispatcherMessage, JobRequest, RunOutcome,
@@ -70,13 +70,13 @@
     fixture.dispatcher.tick(fixture.now);
     assert!(
         fixture.take_withdrawals().is_empty(),
-        "nowhere is it sooner"
+        "no other target has capacity"
     );
     fixture.report_free_capacity(fast, CAPACITY, 1_000);
     fixture.dispatcher.tick(fixture.now);
 
     let actions = fixture.dispatcher.take_actions();
-    let moved = |action: &DispatcherAction| {
+    let is_reported = |action: &DispatcherAction| {
         matches!(
             action,
             DispatcherAction::Report(DispatcherEvent::StragglerWithdrawn {
@@ -85,7 +85,10 @@
             })
         )
     };
-    assert!(actions.iter().any(moved), "operators are told why");
+    assert!(
+        actions.iter().any(is_reported),
+        "the withdrawal is reported"
+    );
     let withdrawn = |action: &DispatcherAction| matches!(action, DispatcherAction::Send(session, DispatcherMessage::Withdraw { .. }) if *session == slow);
     assert_eq!(actions.iter().filter(|action| withdrawn(action)).count(), 1);
     assert_eq!(fixture.dispatcher.counts().withdrawn_stragglers, 1);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
@@ -1,4 +1,4 @@
-//! Kept jobs: driven with an epoch and recorded progress, never shed, and refused only before they are accepted.
+//! Kept jobs: driven with an epoch and recorded progress, never given up, and refused only before they are accepted.
 
 use cloverfold_kept_jobs::{TaskProgress, first_run_of};
 use cloverfold_lease::{
@@ -8,7 +8,7 @@
 
 use crate::fixture::{CAPACITY, FULL, Fixture, job, ms, one_task_job, step};
 
-/// A dispatcher whose runners know kept jobs.
+/// Returns a dispatcher whose runners support kept jobs.
 fn fixture_with_kept_jobs(targets: SessionId) -> Fixture {
     let mut fixture = Fixture::new(targets);
     for session in 1..=targets {
@@ -158,7 +158,7 @@
     drive(&mut fixture, kept(one_task_job("a"), 2));
     assert!(
         take_kept_assignments(&mut fixture).is_empty(),
-        "the first may be at work"
+        "the first run may be in progress"
     );
     fixture.report_end(&run_of(&runs[0]), RunOutcome::Stopped);
 
@@ -196,7 +196,7 @@
     assert_eq!(
         take_kept_assignments(&mut fixture).len(),
         1,
-        "it is tried again"
+        "the task is retried"
     );
 }
 
@@ -205,7 +205,7 @@
     let mut fixture = fixture_with_kept_jobs(2);
     drive(&mut fixture, kept(one_task_job("a"), 1));
     let mut estimates = Vec::new();
-    // The task should take 100 ms; a run of it is overdue after 2.6 times that and 120 ms.
+    // A run is overdue after 2.6 times its estimate plus 120 ms.
     for _ in 0..600 {
         fixture.now += ms(20);
         for session in [1, 2] {
@@ -278,7 +278,7 @@
 fn a_kept_job_is_refused_if_the_backlog_exceeds_three_times_its_target_latency() {
     let mut fixture = fixture_with_kept_jobs(1);
     fixture.heartbeat(1, FULL, u64::MAX);
-    // One target of 8 cores: each job of 40 tasks of 0.2 core-seconds takes it 1 s; the objective is 220 ms.
+    // On the target with 8 cores, 20 tasks of 0.2 core-seconds take 0.5 s. The target latency is 220 ms.
     let refusal = |fixture: &Fixture| {
         let request = one_task_job("next");
         fixture.dispatcher.find_kept_refusal(&request, fixture.now)
@@ -289,7 +289,7 @@
     assert_eq!(
         refusal(&fixture),
         None,
-        "0.5 s of work and 0.1 s of its own"
+        "0.5 s of backlog and 0.1 s of its own work"
     );
     drive(&mut fixture, kept(job("b", vec![step(20, vec![])]), 1));
 
--- a/crates/leased/cloverfold_lease/tests/dispatcher/main.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/main.rs
@@ -1,4 +1,4 @@
-//! Single rules of a dispatcher, one file for each duty.
+//! Rules of a dispatcher, one file for each topic.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/leased/cloverfold_lease/tests/dispatcher/own_stall.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/own_stall.rs
@@ -1,16 +1,16 @@
-//! What a dispatcher concludes after its own process was stalled.
+//! Stalls of the dispatcher's own process.
 
 use cloverfold_lease::{DispatcherAction, JobAnswer, RunOutcome};
 
 use crate::fixture::{CAPACITY, Fixture, job, long_step, ms, one_task_job};
 
-/// Lets the process stand still for so long and notice it.
+/// Simulates a stall of the process that it detects afterwards.
 fn stall(fixture: &mut Fixture, span_ms: u64) {
     fixture.now += ms(span_ms);
     fixture.dispatcher.allow_for_stall(ms(span_ms), fixture.now);
 }
 
-/// Ticks at once and then so many times every 20 ms, while no runner is heard from.
+/// Ticks once immediately and then `ticks` times every 20 ms, without any messages from runners.
 fn tick_without_messages(fixture: &mut Fixture, ticks: u32) {
     fixture.dispatcher.tick(fixture.now);
     for _ in 0..ticks {
@@ -19,7 +19,7 @@
     }
 }
 
-// A run that ended during the stall was withdrawn before its end was read.
+// Guards against withdrawing a run whose end was reported during the stall but not read yet.
 #[test]
 fn a_run_that_ended_during_a_stall_is_not_withdrawn_before_its_end_is_read() {
     let mut fixture = Fixture::new(1);
@@ -34,7 +34,7 @@
     assert_eq!(fixture.take_answers(), [(number, JobAnswer::Completed)]);
 }
 
-// A job whose deadline passed during the stall was given up although its end had been reported.
+// Guards against giving up a job whose deadline passed during the stall although its end was reported meanwhile.
 #[test]
 fn a_job_that_completed_during_a_stall_is_answered_as_completed() {
     let mut fixture = Fixture::new(1);
@@ -50,7 +50,7 @@
     assert_eq!(fixture.take_answers(), [(number, JobAnswer::Completed)]);
 }
 
-// Sessions with runners that were alive all the time were closed, and their runs counted as lost.
+// Guards against closing sessions with live runners, whose runs would count as lost.
 #[test]
 fn the_duration_of_a_stall_does_not_count_towards_the_session_timeout() {
     let mut fixture = Fixture::new(1);
@@ -67,7 +67,7 @@
     assert!(after.contains(&DispatcherAction::CloseSession(1)));
 }
 
-// A runner ends a session by its own clock; what is assigned over one that may be over is lost with it.
+// A runner closes a session by its own clock; assignments in a session that may have expired would be lost.
 #[test]
 fn a_runner_whose_session_may_have_expired_receives_work_after_its_next_heartbeat() {
     let mut fixture = Fixture::new(1);
@@ -83,7 +83,7 @@
     assert_eq!((before, fixture.take_assignments().len()), (0, 1));
 }
 
-// Callers were refused for want of a target by an entry that had read nothing yet of its targets.
+// Guards against refusing jobs before the unread messages of targets are handled.
 #[test]
 fn a_job_submitted_right_after_a_stall_waits_during_the_catch_up_period() {
     let mut fixture = Fixture::new(1);
@@ -102,7 +102,7 @@
     );
 }
 
-// A process that gets too little processor time all the time would give up no job and close no session.
+// Guards against an endless catch-up period of a process that is starved of processor time.
 #[test]
 fn repeated_stalls_do_not_keep_jobs_open() {
     let mut fixture = Fixture::new(1);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/placement.rs
@@ -1,4 +1,4 @@
-//! Which target a waiting task goes to.
+//! The choice of targets for waiting tasks.
 
 use cloverfold_lease::{JobRequest, Resources, SessionId, StepRequest};
 
@@ -41,7 +41,7 @@
             .iter()
             .filter(|(assigned_to, _)| *assigned_to == session)
             .count();
-        assert_eq!(there, 4, "8,000 thousandths take four tasks of 2,000");
+        assert_eq!(there, 4, "a capacity of 8,000 holds four tasks of 2,000");
     }
 }
 
--- a/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
@@ -1,4 +1,4 @@
-//! Jobs that come again after a lost answer, past their objective.
+//! Late resubmissions: jobs submitted again after a lost answer that have already missed their objective.
 
 use std::time::Duration;
 
@@ -8,12 +8,11 @@
 
 use crate::fixture::{CAPACITY, DEMAND, FULL, Fixture, job, ms, step};
 
-/// For how long callers wait, beyond three times their objective.
+/// Caller timeouts exceed three times the target latency by this time.
 const EXTRA_TIMEOUT_MS: u64 = 1_500;
-/// Callers come again after this time.
 const RESEND_INTERVAL_MS: u64 = 1_300;
 
-/// A job of one task of this true duration whose caller sent it first `age` ago; the estimate is off by up to 40 %.
+/// Returns a job of one task of this duration that its caller first submitted `age` ms ago. The estimate is off by up to 40 %.
 fn job_of_age(id: &str, work_ms: u64, age: u64, rng: &mut SmallRng) -> JobRequest {
     let off = rng.random_range(0.6..1.4);
     let estimated = StepRequest {
@@ -27,12 +26,12 @@
     }
 }
 
-/// A work of about 200 ms.
+/// Returns a random duration of about 200 ms.
 fn random_work_ms(rng: &mut SmallRng) -> u64 {
     rng.random_range(120..=280)
 }
 
-/// What is free when `tasks` more tasks fit, and the headroom.
+/// Returns the free capacity that `tasks` tasks and the headroom need.
 fn free_for(tasks: i64) -> Resources {
     Resources {
         cpu_milli: tasks * DEMAND.cpu_milli + CAPACITY.cpu_milli / 20,
@@ -40,7 +39,7 @@
     }
 }
 
-/// A full target, and a queue of which so many new callers have come and gone.
+/// Returns a fixture with a full target and a queue with this number of past callers.
 fn fixture_after(callers: u64, rng: &mut SmallRng) -> Fixture {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, u64::MAX);
@@ -53,7 +52,7 @@
     fixture
 }
 
-/// Names of the jobs that were assigned since the last call.
+/// Returns the names of the jobs with new assignments.
 fn assigned_jobs(fixture: &mut Fixture) -> Vec<String> {
     let assigned = fixture.take_assignments().into_iter();
     assigned.map(|(_, run)| run.task.job).collect()
@@ -105,15 +104,15 @@
     assert_eq!(assigned_jobs(&mut fixture), ["again"]);
 }
 
-/// A target with room for four runs of 200 ms each, in steps of 10 ms.
+/// A target with capacity for four runs of 200 ms each, simulated in steps of 10 ms.
 #[derive(Default)]
 struct BusyTarget {
-    /// The runs, each with the step at which it ends.
+    /// Runs, each with the step at which it ends.
     runs: Vec<(u64, (SessionId, Assignment))>,
 }
 
 impl BusyTarget {
-    /// Ends what is over at this step, reports what is free, and takes over what is assigned; returns the names of its jobs.
+    /// Ends the runs that are due at this step, reports the free capacity, and starts new assignments. Returns the names of their jobs.
     fn advance(&mut self, fixture: &mut Fixture, step: u64) -> Vec<String> {
         let is_over = |run: &mut (u64, _)| run.0 <= step;
         for (_, run) in self.runs.extract_if(.., is_over).collect::<Vec<_>>() {
@@ -130,8 +129,8 @@
     }
 }
 
-/// After a loss of power: for 1.3 s as many jobs come again as come new, one of each in 80 ms, and one in 50 ms could be served. Returns how
-/// many of the new ones are offered to a target, of how many.
+/// Simulates the time after a power loss: for 1.3 s, a resubmitted and a new job arrive every 80 ms, and one job can be served every 50 ms.
+/// Returns the number of new jobs that are assigned, and the number of all new jobs.
 fn simulate_resubmissions(seed: u64) -> (usize, usize) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut fixture = fixture_after(10, &mut rng);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/run_ends.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of a run.
+//! Consequences of the end of a run.
 
 use std::time::Duration;
 
@@ -70,7 +70,10 @@
     let number = fixture.submit(one_task_job("a"));
     let run = fixture.take_assignments().remove(0);
     fixture.advance(60, &[1]);
-    assert!(fixture.take_answers().is_empty(), "it may be at work");
+    assert!(
+        fixture.take_answers().is_empty(),
+        "the run may be in progress"
+    );
 
     fixture.report_end(&run, RunOutcome::NotStarted(RunRefusal::NoCapacity));
     fixture.heartbeat(1, FULL, u64::MAX);
@@ -115,7 +118,7 @@
         fixture.dispatcher.take_actions();
     };
 
-    // One failure in five: far below the share from which a target is paused.
+    // A failure rate of one in five is far below the threshold for a pause.
     for round in 0..4 {
         run_once(&format!("failed-{round}"), RunOutcome::Failed);
         for index in 0..4 {
--- a/crates/leased/cloverfold_lease/tests/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/sessions.rs
@@ -1,4 +1,4 @@
-//! What becomes of tasks whose session is lost.
+//! Tasks of lost sessions.
 
 use cloverfold_lease::{JobAnswer, Timings};
 
@@ -56,7 +56,7 @@
     let other = 3 - run.0;
     fixture.dispatcher.close_session(run.0, fixture.now);
 
-    // Its run is surely over after 1.3 s; no other target has free capacity, and its time is over after 9.8 s.
+    // The run has certainly ended after 1.3 s. No other target has free capacity, and the job expires after 9.8 s.
     fixture.advance(12_000, &[other]);
 
     assert_eq!(fixture.take_answers(), [(number, JobAnswer::GivenUp)]);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/shortage.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/shortage.rs
@@ -1,10 +1,10 @@
-//! Who is served when targets are nearly full.
+//! The order in which jobs are served when targets are nearly full.
 
 use cloverfold_lease::{JobRequest, Resources, RunOutcome, StepRequest};
 
 use crate::fixture::{CAPACITY, DEMAND, FULL, Fixture, job, ms, step};
 
-/// A job of a queue with this priority.
+/// Returns a job of a queue with this priority.
 fn job_of(queue: &str, priority: u32, id: &str, tasks: u32) -> JobRequest {
     JobRequest {
         queue: queue.into(),
@@ -13,7 +13,7 @@
     }
 }
 
-/// What is free when `tasks` more tasks fit.
+/// Returns the free capacity that `tasks` tasks need.
 fn free_for(tasks: i64) -> Resources {
     Resources {
         cpu_milli: tasks * DEMAND.cpu_milli,
@@ -21,7 +21,7 @@
     }
 }
 
-/// Names of the jobs that were assigned since the last call, each as often as it has tasks among them.
+/// Returns the job name of each new assignment.
 fn assigned_jobs(fixture: &mut Fixture) -> Vec<String> {
     let assigned = fixture.take_assignments().into_iter();
     assigned.map(|(_, run)| run.task.job).collect()
@@ -72,7 +72,7 @@
     fixture.submit(job_of("urgent", 0, "urgent-1", 1));
     assert_eq!(assigned_jobs(&mut fixture), ["begun"]);
 
-    // One task and the headroom fit.
+    // Enough for one task and the headroom.
     let free = Resources {
         cpu_milli: DEMAND.cpu_milli + CAPACITY.cpu_milli / 20,
         ..CAPACITY
--- a/crates/leased/cloverfold_lease/tests/dispatcher/startup.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/startup.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests that come before an entry has what it needs.
+//! Requests that arrive before an entry has a configuration and targets.
 
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
@@ -7,7 +7,7 @@
 
 use crate::fixture::{CAPACITY, Fixture, at, ms, one_task_job};
 
-/// A dispatcher without a target so long after the start of its process.
+/// Returns a dispatcher without targets at this time after the start of its process.
 fn fixture_at(now: Timestamp) -> Fixture {
     let dispatcher = Dispatcher::new(Timings::default(), HealthLimits::default(), 3);
     let mut fixture = Fixture {
@@ -38,7 +38,7 @@
     let mut fixture = fixture_at(at(20));
     let number = fixture.submit(one_task_job("early"));
 
-    // A quarter of its objective of 220 ms.
+    // The queue deadline is a quarter of the target latency of 220 ms.
     fixture.advance(60, &[]);
 
     let refused = JobAnswer::refused(JobRefusal::NoTarget);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/unlike_boxes.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/unlike_boxes.rs
@@ -1,10 +1,10 @@
-//! Runs on boxes that are slow by nature.
+//! Runs on boxes that usually are slower or faster than others.
 
 use cloverfold_lease::{RunnerMessage, SessionId, UsualSpeed};
 
 use crate::fixture::{Fixture, one_task_job};
 
-/// A runner tells how fast its target usually is.
+/// Reports the usual speed of the target of a runner.
 fn report_usual_speed(fixture: &mut Fixture, session: SessionId, slowness_permille: u32) {
     let speed = UsualSpeed {
         slowness_permille,
@@ -14,7 +14,7 @@
     fixture.dispatcher.receive(session, message, fixture.now);
 }
 
-/// A target of this usual slowness with a run whose estimate is 100 ms and whose progress nobody sees.
+/// Returns a fixture with one target of this usual slowness and a run with an estimate of 100 ms whose progress is not visible.
 fn fixture_with_run(slowness_permille: u32) -> Fixture {
     let mut fixture = Fixture::new(1);
     report_usual_speed(&mut fixture, 1, slowness_permille);
@@ -27,7 +27,7 @@
 fn a_run_on_a_usually_slow_box_is_overdue_later() {
     let mut fixture = fixture_with_run(2_000);
 
-    // Elsewhere 2.6 times 100 ms and 120 ms are too long.
+    // On other boxes the run is overdue after 2.6 * 100 ms + 120 ms.
     fixture.advance(420, &[1]);
 
     assert!(fixture.take_withdrawals().is_empty());
@@ -38,7 +38,7 @@
 fn a_run_on_a_usually_slow_box_is_overdue_eventually() {
     let mut fixture = fixture_with_run(2_000);
 
-    // 2.6 times 200 ms and 120 ms.
+    // 2.6 * 200 ms + 120 ms.
     fixture.advance(660, &[1]);
 
     assert_eq!(fixture.dispatcher.counts().overdue, 1);
@@ -51,7 +51,7 @@
     fixture.advance(380, &[1]);
     assert!(
         fixture.take_withdrawals().is_empty(),
-        "2.6 times 100 ms and 120 ms"
+        "2.6 times 100 ms plus 120 ms"
     );
     fixture.advance(40, &[1]);
 
--- a/crates/leased/cloverfold_lease/tests/timings.rs
+++ b/crates/leased/cloverfold_lease/tests/timings.rs
@@ -1,4 +1,4 @@
-//! The inequality that keeps two runs of a task apart.
+//! The inequality that prevents overlapping runs of a task.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_session_that_is_too_long_breaks_the_inequality() {
-    // 586 ms + 650 ms / 0.98 + 50 ms is 1,299.3 ms; one more is too long.
+    // 586 ms + 650 ms / 0.98 + 50 ms = 1,299.3 ms, just below the resend interval.
     let longest = Duration::from_millis(586);
     let longer = Duration::from_millis(587);
 
@@ -29,7 +29,7 @@
     assert!(!longer.is_resend_safe(DEFAULT_RESEND_INTERVAL));
 }
 
-// Requests that had waited for 300 ms were refused although jobs as old went on.
+// Guards against refusing requests that are no older than jobs that continue.
 #[test]
 fn requests_and_open_jobs_survive_the_same_stalls() {
     let last_tick_at = Timestamp::from_start(Duration::from_secs(1));
@@ -42,6 +42,6 @@
     ));
     assert!(
         JOB_STALL_LIMIT < DEFAULT_RESEND_INTERVAL,
-        "callers ask elsewhere later"
+        "callers resubmit after the limit"
     );
 }
--- a/crates/leased/cloverfold_lease/tests/written_names.rs
+++ b/crates/leased/cloverfold_lease/tests/written_names.rs
@@ -1,4 +1,4 @@
-//! The names that clients and logs read stay as they are, whatever the variants are called.
+//! Names that clients and logs read must not change with the variants.
 
 use cloverfold_lease::{
     JobRefusal, RunOutcome, RunRefusal, StartAnswer, StartRefusal, UnavailableReason,
