--- a/crates/leased/cloverfold_lease/tests/dispatcher/shortage.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/shortage.rs
@@ -1,10 +1,10 @@
-//! Who is served when targets are nearly full.
+//! The order in which jobs are served when targets are nearly full.
 
 use cloverfold_lease::{JobRequest, Resources, RunOutcome, StepRequest};
 
 use crate::fixture::{CAPACITY, DEMAND, FULL, Fixture, job, ms, step};
 
-/// A job of a queue with this priority.
+/// Returns a job of a queue with this priority.
 fn job_of(queue: &str, priority: u32, id: &str, tasks: u32) -> JobRequest {
     JobRequest {
         queue: queue.into(),
@@ -13,7 +13,7 @@
     }
 }
 
-/// What is free when `tasks` more tasks fit.
+/// Returns the free capacity that `tasks` tasks need.
 fn free_for(tasks: i64) -> Resources {
     Resources {
         cpu_milli: tasks * DEMAND.cpu_milli,
@@ -21,9 +21,9 @@
     }
 }
 
-/// Names of the jobs that were assigned since the last call, each as often as it has tasks among them.
+/// Returns the job name of each new assignment.
 fn assigned_jobs(fixture: &mut Fixture) -> Vec<String> {
-    let assigned = fixture.assigned().into_iter();
+    let assigned = fixture.take_assignments().into_iter();
     assigned.map(|(_, run)| run.task.job).collect()
 }
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn past_use_is_forgotten() {
+fn past_usage_of_a_queue_decays() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_of("busy", 0, "busy-1", 3));
     fixture.submit(job_of("modest", 2, "modest-1", 1));
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn a_job_that_has_begun_is_completed_before_another_begins() {
+fn a_job_that_has_started_is_completed_before_another_starts() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, free_for(1), 0);
     fixture.submit(job_of("queue", 1, "begun", 2));
     fixture.submit(job_of("urgent", 0, "urgent-1", 1));
     assert_eq!(assigned_jobs(&mut fixture), ["begun"]);
 
-    // One task and the headroom fit.
+    // Enough for one task and the headroom.
     let free = Resources {
         cpu_milli: DEMAND.cpu_milli + CAPACITY.cpu_milli / 20,
         ..CAPACITY
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn less_urgent_work_leaves_headroom_while_urgent_work_is_in_use() {
+fn less_urgent_work_leaves_headroom_while_an_urgent_queue_is_active() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_of("urgent", 0, "urgent-1", 1));
     fixture.dispatcher.take_actions();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn without_more_urgent_work_no_headroom_is_left() {
+fn without_a_more_urgent_queue_no_headroom_is_left() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, free_for(1), 0);
 
@@ -109,8 +109,8 @@
 fn a_task_as_large_as_a_target_is_placed_on_an_empty_one() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_of("urgent", 0, "urgent-1", 1));
-    let run = fixture.assigned().remove(0);
-    fixture.end(&run, RunOutcome::Done);
+    let run = fixture.take_assignments().remove(0);
+    fixture.report_end(&run, RunOutcome::Done);
     let whole = StepRequest {
         demand: CAPACITY,
         ..step(1, vec![])
