--- a/crates/leased/cloverfold_kept_jobs/tests/world/simulation.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/simulation.rs
@@ -212,7 +212,7 @@
                 for reassignment in reassignments.iter().filter(|a| jobs.contains(&a.job)) {
                     let open = self.table.open().get(&reassignment.job);
                     let assignment = open.map(|open| job_assignment(&reassignment.job, open));
-                    self.push_assignment(reassignment.driver, assignment);
+                    self.push(reassignment.driver, assignment);
                 }
             }
             _ => {}
@@ -252,7 +252,7 @@
     }
 
     /// Sends an unsolicited assignment to a driver.
-    fn push_assignment(&mut self, driver: u64, assignment: Option<JobAssignment>) {
+    fn push(&mut self, driver: u64, assignment: Option<JobAssignment>) {
         let name = self.drivers.entry_of(driver).map(str::to_owned);
         let index = self
             .entries
