--- a/crates/leased/cloverfold_upkeep/src/box_list.rs
+++ b/crates/leased/cloverfold_upkeep/src/box_list.rs
@@ -1,12 +1,11 @@
-//! What a holder knows of the platform's list, and when it reads it.
+//! The platform's list of boxes as the scheduler knows it.
 //!
-//! Decision: when the list is read. Rule: while a wave is open, before a box is chosen if the last reading is older than
-//! [`FRESH_FOR`]; and while a box is away, once its return is due and then every [`RETURN_INTERVAL`]. A reading that fails is repeated
-//! after a pause that doubles. Never without an open wave. Inputs: the last reading, the failures since, whether boxes are awaited.
-//! Reason: each reading has a price.
+//! Reading the list is expensive, so it is read only while a wave is open: before a box is selected, if the last reading is older than
+//! [`MAX_LIST_AGE`]; and while a box is down, once its return is due and then every [`RETURN_POLL_INTERVAL`]. Failed readings are retried
+//! with exponential backoff.
 //!
-//! Decision: when a box has left for good. Rule: it is missing from readings over [`GONE_AFTER`], three at least. Reason: the list lags,
-//! and a wave must not be called completed while a box that stays has not begun.
+//! A box counts as gone once it is missing from at least [`GONE_READINGS`] successive readings over at least [`GONE_AFTER`]. The list lags,
+//! and a wave must not complete while a box that is still there has not begun its upkeep.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,83 +16,86 @@
 use crate::calls::retry_backoff;
 use crate::wave::BoxName;
 
-/// For how long a reading is good enough to choose a box by. Chosen, not measured.
-const FRESH_FOR: Duration = Duration::from_secs(5);
-/// How often the list is read while a box is overdue. Chosen, not measured.
-const RETURN_INTERVAL: Duration = Duration::from_secs(1);
-/// Over which span a box must be missing. Chosen, not measured: twice the lag of the platform's lists.
+/// Largest age of a reading from which a box is selected.
+const MAX_LIST_AGE: Duration = Duration::from_secs(5);
+/// Interval between readings while the return of a box is due.
+const RETURN_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Shortest time for which a box must be missing; twice the lag of the platform's list.
 const GONE_AFTER: Duration = Duration::from_secs(6);
-/// How many readings in a row must miss it. Chosen, not measured.
+/// Smallest number of successive readings from which a box must be missing.
 const GONE_READINGS: u32 = 3;
 
-/// Since when a box is missing.
+/// How long a box has been missing from the list.
 #[derive(Clone, Copy, Debug)]
 struct Missing {
     since: Timestamp,
     readings: u32,
 }
 
-/// The list as it was read last.
+/// The list of the last complete reading, and the state of the next.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BoxList {
     pub(crate) boxes: BTreeMap<BoxName, ListedBox>,
-    /// When the last complete reading began.
-    began_at: Option<Timestamp>,
+    /// Start time of the last complete reading.
+    started_at: Option<Timestamp>,
     missing: BTreeMap<BoxName, Missing>,
-    is_under_way: bool,
+    is_in_flight: bool,
     failures: u32,
-    next_at: Timestamp,
+    next_reading_at: Timestamp,
 }
 
 impl BoxList {
-    pub(crate) fn began_at(&self) -> Option<Timestamp> {
-        self.began_at
+    pub(crate) fn started_at(&self) -> Option<Timestamp> {
+        self.started_at
     }
 
     pub(crate) fn is_fresh(&self, now: Timestamp) -> bool {
-        self.began_at.is_some_and(|began| now <= began + FRESH_FOR)
+        self.started_at
+            .is_some_and(|started| now <= started + MAX_LIST_AGE)
     }
 
-    /// Returns whether the list is to be read now. `return_due_at` is when the first box that is away is expected.
+    /// Returns whether the list must be read now. `return_due_at` is when the first box that is down is expected back.
     pub(crate) fn is_due(
         &self,
-        is_choosing: bool,
+        is_selecting: bool,
         return_due_at: Option<Timestamp>,
         now: Timestamp,
     ) -> bool {
-        if self.is_under_way || now < self.next_at {
+        if self.is_in_flight || now < self.next_reading_at {
             return false;
         }
         let is_return_due = return_due_at.is_some_and(|due| {
-            let interval = self.began_at.map(|began| began + RETURN_INTERVAL);
-            now >= due && (self.began_at < Some(due) || interval <= Some(now))
+            let interval = self
+                .started_at
+                .map(|started| started + RETURN_POLL_INTERVAL);
+            now >= due && (self.started_at < Some(due) || interval <= Some(now))
         });
-        is_return_due || (is_choosing && !self.is_fresh(now))
+        is_return_due || (is_selecting && !self.is_fresh(now))
     }
 
-    pub(crate) fn begin_reading(&mut self) {
-        self.is_under_way = true;
+    pub(crate) fn record_reading_start(&mut self) {
+        self.is_in_flight = true;
     }
 
-    /// Takes over a complete reading that began at a time. `awaited` are the boxes of open waves.
+    /// Stores a complete reading that started at `started_at`. `awaited` are the boxes of open waves.
     pub(crate) fn take<'a>(
         &mut self,
         boxes: Vec<ListedBox>,
-        began_at: Timestamp,
+        started_at: Timestamp,
         awaited: impl Iterator<Item = &'a BoxName>,
     ) {
-        self.is_under_way = false;
+        self.is_in_flight = false;
         self.failures = 0;
-        self.began_at = Some(began_at);
-        let named = boxes
+        self.started_at = Some(started_at);
+        let by_name = boxes
             .into_iter()
             .map(|listed| (listed.name.clone(), listed));
-        self.boxes = named.collect();
+        self.boxes = by_name.collect();
         let before = std::mem::take(&mut self.missing);
         for name in awaited.filter(|name| !self.boxes.contains_key(*name)) {
             let missing = before.get(name);
             let counted = Missing {
-                since: missing.map_or(began_at, |missing| missing.since),
+                since: missing.map_or(started_at, |missing| missing.since),
                 readings: missing.map_or(0, |missing| missing.readings) + 1,
             };
             self.missing.insert(name.clone(), counted);
@@ -101,25 +103,25 @@
     }
 
     /// Records that a reading failed.
-    pub(crate) fn fail(&mut self, now: Timestamp, random: u64) {
-        self.is_under_way = false;
+    pub(crate) fn record_failure(&mut self, now: Timestamp, random: u64) {
+        self.is_in_flight = false;
         self.failures += 1;
-        self.next_at = now + retry_backoff(self.failures, random);
+        self.next_reading_at = now + retry_backoff(self.failures, random);
     }
 
-    /// Returns whether any box is missing from the last reading, but not for long enough.
-    pub(crate) fn has_doubtful(&self) -> bool {
+    /// Returns whether a box is missing from the last reading but does not count as gone yet.
+    pub(crate) fn has_unconfirmed_missing(&self) -> bool {
         self.missing.keys().any(|name| !self.is_gone(name))
     }
 
-    /// Returns whether a box has left for good.
+    /// Returns whether a box has left the installation for good.
     pub(crate) fn is_gone(&self, name: &str) -> bool {
         let Some(missing) = self.missing.get(name) else {
             return false;
         };
-        let is_long = self
-            .began_at
-            .is_some_and(|began| began >= missing.since + GONE_AFTER);
-        is_long && missing.readings >= GONE_READINGS
+        let is_long_enough = self
+            .started_at
+            .is_some_and(|started| started >= missing.since + GONE_AFTER);
+        is_long_enough && missing.readings >= GONE_READINGS
     }
 }
--- a/crates/leased/cloverfold_upkeep/src/boxes.rs
+++ b/crates/leased/cloverfold_upkeep/src/boxes.rs
@@ -1,6 +1,6 @@
-//! What the platform shows of boxes, and the calls for their upkeep.
+//! The platform's interface for boxes: their list, and calls for their upkeep.
 //!
-//! [`BoxInterface`] is what a control process needs of the platform; the platform's adapter implements it.
+//! The platform's adapter implements [`BoxInterface`] for the control processes.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -9,31 +9,31 @@
 
 use crate::wave::{BoxName, WaveNumber};
 
-/// What the platform shows of a box.
+/// Status of a box in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BoxStatus {
-    /// It runs.
+    /// The box is running.
     Up,
-    /// It is on its way to another pool.
+    /// The box is moving to another pool.
     Moving,
-    /// It has its upkeep.
+    /// The upkeep of the box is in progress.
     Upkeep,
-    /// It does not run.
+    /// The box is not running.
     Down,
 }
 
-/// One box of the platform's list. The list may be seconds old.
+/// A box in the platform's list, which may be seconds old.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedBox {
-    /// Its name.
+    /// Name of the box.
     pub name: BoxName,
-    /// What it is shown as.
+    /// Status of the box.
     pub status: BoxStatus,
-    /// The pool that it belongs to.
+    /// The pool to which it belongs.
     pub pool: String,
-    /// The data hall that it stands in.
+    /// The data hall in which it is located.
     pub hall: String,
-    /// Its kind, its rack.
+    /// Labels such as its kind and its rack.
     pub labels: Vec<String>,
     /// The incarnation of its target, if it has one.
     pub target: Option<String>,
@@ -44,17 +44,17 @@
 pub struct BoxPage {
     /// The boxes on it.
     pub boxes: Vec<ListedBox>,
-    /// Names the next page; `None` on the last.
+    /// Token of the next page; `None` on the last page.
     pub next: Option<String>,
 }
 
-/// Why a page could not be read.
+/// The reason why a page of the list could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
-    /// The platform takes no more readings at present.
+    /// The platform's rate limit for readings is exceeded.
     #[error("too many readings")]
     TooMany,
-    /// There is no usable answer.
+    /// No usable answer was received.
     #[error("{0}")]
     Failed(String),
 }
@@ -62,43 +62,43 @@
 /// A call for the upkeep of a box.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpkeepCall {
-    /// The platform's interface.
+    /// Address of the platform's interface.
     pub address: SocketAddr,
     /// The box.
     pub name: BoxName,
     /// The wave.
     pub wave: WaveNumber,
-    /// Who calls.
+    /// Name of the calling control process.
     pub holder: String,
-    /// Rises with each holder.
+    /// Fencing token; it rises with each scheduler.
     pub fencing_token: u64,
-    /// Longest wait for the answer.
+    /// Timeout for the answer.
     pub timeout: Duration,
 }
 
-/// What became of a call for the upkeep of a box.
+/// The outcome of a call for the upkeep of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The upkeep has begun, now or before.
+    /// The upkeep has begun, by this call or an earlier one.
     Begun,
-    /// It was certainly not received.
+    /// The platform certainly did not receive the call.
     NotSent,
-    /// The platform takes no more calls at present; it has done nothing.
+    /// The platform's rate limit for calls is exceeded; the call had no effect.
     TooMany,
-    /// The box is not up, or is about to go; nothing was done.
+    /// The box is not up, or is about to move; the call had no effect.
     Busy,
-    /// The box is none of this wave's; nothing was done.
+    /// The box does not belong to the wave; the call had no effect.
     NotOfWave,
-    /// A holder with a higher token has called; nothing was done.
+    /// A caller with a higher fencing token has called; the call had no effect.
     Fenced,
-    /// There is no such box.
+    /// The platform knows no such box.
     NoSuchBox,
-    /// It may have been done, or may still be done.
+    /// No answer was received; the call may have taken effect or may still do so.
     Unanswered,
 }
 
 impl CallOutcome {
-    /// Returns the name that log lines and metrics use; it never changes.
+    /// Returns the stable name used in log lines and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Begun => "Begun",
@@ -113,12 +113,12 @@
     }
 }
 
-/// An answer of the platform that is on its way.
+/// A pending answer of the platform.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// The platform's interface for boxes.
 pub trait BoxInterface: Send + Sync {
-    /// Reads one page of the list, the first if `page` is `None`.
+    /// Reads one page of the list; the first if `page` is `None`.
     fn read_boxes<'a>(
         &'a self,
         address: SocketAddr,
--- a/crates/leased/cloverfold_upkeep/src/calls.rs
+++ b/crates/leased/cloverfold_upkeep/src/calls.rs
@@ -1,23 +1,19 @@
-//! The calls of one holder for one box, and what is known of them.
+//! The calls of one scheduler for one box.
 //!
-//! Decision: when a box that was called is called again, and when its call is known not to be done any more.
-//!
-//! | outcome | what follows |
+//! | outcome | consequence |
 //! |---|---|
 //! | `Begun` | the upkeep has begun |
-//! | `NotSent`, `TooMany` | called again; this call is certainly not done |
-//! | `Busy`, `NotOfWave`, `NoSuchBox` | if no call is open: the box waits again and is called later; else called again |
-//! | `Unanswered` | the call is open: it may be done, or be done late; called again until an answer comes |
-//! | `Fenced` | no call more by this holder |
-//!
-//! That a box has left for good is decided by the list alone (`box_list`): a call that the platform cannot read may be refused like one
-//! for a box that is not there, and a wave must not be called completed for that.
+//! | `NotSent`, `TooMany` | the call is retried; it certainly had no effect |
+//! | `Busy`, `NotOfWave`, `NoSuchBox` | retried if an earlier call may still take effect; otherwise the box waits and is called later |
+//! | `Unanswered` | the call may have taken effect or may still do so; it is retried until an answer arrives |
+//! | `Fenced` | this scheduler sends no further call |
 //!
-//! A call counts as open until an answer says that the upkeep has begun, or for [`MAX_CALL_DELAY`]. Calls are repeated after a pause that
-//! doubles from [`FIRST_PAUSE`] to [`LONGEST_PAUSE`], up to half of it drawn at random.
+//! An unanswered call may take effect until an answer says that the upkeep has begun, or until [`MAX_CALL_DELAY`] has passed. Retries are
+//! harmless, since the platform carries out the upkeep of a box once for each wave. Their backoff doubles from [`FIRST_BACKOFF`] to
+//! [`MAX_BACKOFF`], and up to half of it is jitter.
 //!
-//! Inputs: the outcomes in their order, the time passed. Reason: a call without an answer may have been done; repeating it is harmless,
-//! since one upkeep of a box is done once in a wave.
+//! `NoSuchBox` does not make a box count as gone; only the list does (`box_list`). The platform may give the same answer to a call that it
+//! cannot parse, and a wave must not complete because of it.
 
 use std::time::Duration;
 
@@ -25,126 +21,127 @@
 
 use crate::boxes::CallOutcome;
 
-/// Pause after the first call without success. Chosen, not measured.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause between two calls for a box. Chosen, not measured.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// After this a call without an answer is not carried out any more. Chosen, not measured: the platform carries calls out seconds late.
+/// Backoff after the first unsuccessful call.
+const FIRST_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest backoff between two calls for a box.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
+/// Time after which the platform certainly does not carry out an unanswered call any more.
 pub const MAX_CALL_DELAY: Duration = Duration::from_secs(30);
 
-/// Returns the pause before the call that follows so many calls without success; `random` spreads it.
+/// Returns the backoff after a number of successive failures. `random` provides the jitter.
 pub fn retry_backoff(failures: u32, random: u64) -> Duration {
-    let doubled = FIRST_PAUSE.saturating_mul(1 << failures.saturating_sub(1).min(8));
-    let longest = doubled.min(LONGEST_PAUSE);
-    let spread = (longest / 2).as_millis().max(1) as u64;
-    longest - Duration::from_millis(random % spread)
+    let doubled = FIRST_BACKOFF.saturating_mul(1 << failures.saturating_sub(1).min(8));
+    let capped = doubled.min(MAX_BACKOFF);
+    let jitter_ms = (capped / 2).as_millis().max(1) as u64;
+    capped - Duration::from_millis(random % jitter_ms)
 }
 
-/// After so many calls without success the target works on although a call may still be done. Chosen, not measured: some ten seconds.
-const MOST_HELD_FAILURES: u32 = 6;
+/// Number of unsuccessful calls, about ten seconds of retries, after which the target is no longer held although a call may still take
+/// effect.
+const MAX_FAILURES_WITH_HOLD: u32 = 6;
 
-/// What is known for certain of a box that was called.
+/// The certain result of the calls for a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// Its upkeep has begun.
+pub(crate) enum CallResult {
+    /// The upkeep has begun.
     Begun,
-    /// No call is open, and the last was refused.
+    /// The last call was refused, and no earlier call can still take effect.
     Refused,
 }
 
-/// The calls of this holder for one box in one wave.
+/// The calls of this scheduler for one box in one wave.
 #[derive(Clone, Debug)]
 pub(crate) struct BoxCalls {
-    /// Since when a call is open: it may be done, or may still be done.
-    open_since: Option<Timestamp>,
-    is_under_way: bool,
+    /// Time of the last call that may have taken effect or may still do so.
+    unresolved_since: Option<Timestamp>,
+    is_in_flight: bool,
     is_fenced: bool,
     failures: u32,
-    next_at: Timestamp,
-    verdict: Option<Verdict>,
-    /// When the guard was told last to hold the target.
-    held_at: Option<Timestamp>,
-    /// The incarnation of the target before the first call, if this holder saw it.
+    next_call_at: Timestamp,
+    result: Option<CallResult>,
+    /// When the last hold message was sent to the guard.
+    hold_sent_at: Option<Timestamp>,
+    /// Incarnation of the target before the first call, if this scheduler knows it.
     pub(crate) target_before: Option<String>,
 }
 
 impl BoxCalls {
-    /// Of a box that this holder is the first to call.
-    pub(crate) fn first(now: Timestamp, target_before: Option<String>) -> Self {
+    /// Returns the state of a box that no earlier scheduler has called.
+    pub(crate) fn initial(now: Timestamp, target_before: Option<String>) -> Self {
         Self {
-            open_since: None,
-            is_under_way: false,
+            unresolved_since: None,
+            is_in_flight: false,
             is_fenced: false,
             failures: 0,
-            next_at: now,
-            verdict: None,
-            held_at: None,
+            next_call_at: now,
+            result: None,
+            hold_sent_at: None,
             target_before,
         }
     }
 
-    /// Of a box that another holder may have called until now.
-    pub(crate) fn taken_over(now: Timestamp) -> Self {
+    /// Returns the state of a box that another scheduler may have called until now.
+    pub(crate) fn inherited(now: Timestamp) -> Self {
         Self {
-            open_since: Some(now),
-            ..Self::first(now, None)
+            unresolved_since: Some(now),
+            ..Self::initial(now, None)
         }
     }
 
-    pub(crate) fn verdict(&self) -> Option<Verdict> {
-        self.verdict
+    pub(crate) fn result(&self) -> Option<CallResult> {
+        self.result
     }
 
-    /// Returns the target to hold while a call may be done at any moment, if its guard is to be told again now.
-    pub(crate) fn take_hold(&mut self, interval: Duration, now: Timestamp) -> Option<String> {
-        let is_wanted = !self.is_fenced && self.failures < MOST_HELD_FAILURES;
-        let is_due = self.held_at.is_none_or(|held| now >= held + interval);
+    /// Returns the target to hold while a call may take effect, if a hold message is due.
+    pub(crate) fn due_hold(&mut self, interval: Duration, now: Timestamp) -> Option<String> {
+        let is_wanted = !self.is_fenced && self.failures < MAX_FAILURES_WITH_HOLD;
+        let is_due = self.hold_sent_at.is_none_or(|sent| now >= sent + interval);
         if !is_wanted || !is_due {
             return None;
         }
-        self.held_at = Some(now);
+        self.hold_sent_at = Some(now);
         self.target_before.clone()
     }
 
     pub(crate) fn is_due(&self, now: Timestamp) -> bool {
-        !self.is_under_way && !self.is_fenced && self.verdict.is_none() && now >= self.next_at
+        !self.is_in_flight && !self.is_fenced && self.result.is_none() && now >= self.next_call_at
     }
 
-    pub(crate) fn begin(&mut self) {
-        self.is_under_way = true;
+    pub(crate) fn record_start(&mut self) {
+        self.is_in_flight = true;
     }
 
     /// Records the outcome of a call.
-    pub(crate) fn end(&mut self, outcome: CallOutcome, now: Timestamp, random: u64) {
-        self.is_under_way = false;
+    pub(crate) fn record_outcome(&mut self, outcome: CallOutcome, now: Timestamp, random: u64) {
+        self.is_in_flight = false;
         match outcome {
-            CallOutcome::Begun => self.verdict = Some(Verdict::Begun),
+            CallOutcome::Begun => self.result = Some(CallResult::Begun),
             CallOutcome::Fenced => self.is_fenced = true,
-            CallOutcome::Unanswered => self.open_since = Some(now),
+            CallOutcome::Unanswered => self.unresolved_since = Some(now),
             CallOutcome::Busy | CallOutcome::NotOfWave | CallOutcome::NoSuchBox => {
-                if !self.is_open(now) {
-                    self.verdict = Some(Verdict::Refused);
+                if !self.is_unresolved(now) {
+                    self.result = Some(CallResult::Refused);
                 }
             }
             CallOutcome::NotSent | CallOutcome::TooMany => {}
         }
         self.failures += 1;
-        self.next_at = now + retry_backoff(self.failures, random);
+        self.next_call_at = now + retry_backoff(self.failures, random);
     }
 
-    /// Allows the next call to a box that was refused.
-    pub(crate) fn begin_again(&mut self, target_before: Option<String>) {
-        self.verdict = None;
+    /// Prepares the next call for a box whose calls were refused.
+    pub(crate) fn prepare_retry(&mut self, target_before: Option<String>) {
+        self.result = None;
         self.target_before = target_before;
     }
 
-    /// Returns whether a pause after a refusal is over.
-    pub(crate) fn may_begin_again(&self, now: Timestamp) -> bool {
-        !self.is_fenced && now >= self.next_at
+    /// Returns whether the backoff after a refusal has passed.
+    pub(crate) fn may_retry(&self, now: Timestamp) -> bool {
+        !self.is_fenced && now >= self.next_call_at
     }
 
-    fn is_open(&self, now: Timestamp) -> bool {
-        self.open_since
+    fn is_unresolved(&self, now: Timestamp) -> bool {
+        self.unresolved_since
             .is_some_and(|since| now < since + MAX_CALL_DELAY)
     }
 }
--- a/crates/leased/cloverfold_upkeep/src/down_boxes.rs
+++ b/crates/leased/cloverfold_upkeep/src/down_boxes.rs
@@ -1,34 +1,36 @@
-//! Boxes that count as down, and boxes that have left.
+//! Boxes that count as down, and boxes that have left the installation.
 //!
-//! Decision: when a box is up again. Rule: a reading of the list that began after the end of its upkeep shows it up with a target, and
-//! either an earlier reading showed the upkeep and the target is another incarnation than before the call, or the reading began so late
-//! after the end that even the oldest list would show the upkeep. Inputs: when this holder saw that the upkeep has begun, how long it
-//! lasts, the lag of the list, the targets. Reason: a list that lags shows a box up that is just going down; and an incarnation that is
-//! new in the list may be older than the upkeep.
+//! A box is up again if a reading of the list that started after the end of its upkeep shows it up with a target, and one of these holds:
+//!
+//! - An earlier reading showed the upkeep, and the target has another incarnation than before the call.
+//! - The reading started so long after the end of the upkeep that even the list with the largest lag would still show it.
+//!
+//! The list lags, so it may still show a box as up that is just going down, and an incarnation that is new in the list may be older than
+//! the upkeep.
 
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
 
 use crate::boxes::{BoxStatus, ListedBox};
-use crate::calls::{BoxCalls, Verdict};
-use crate::holder::{HOLD_INTERVAL, SchedulerAction, UpkeepScheduler, WaveBox};
+use crate::calls::{BoxCalls, CallResult};
+use crate::scheduler::{HOLD_INTERVAL, SchedulerAction, UpkeepScheduler, WaveBox};
 use crate::state::{BoxPhase, Wave};
 use crate::wave::{UpkeepCommand, WaveNumber};
 
 /// A box whose upkeep has begun.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AwayBox {
-    /// When this holder saw first that it has begun.
+pub(crate) struct BoxInUpkeep {
+    /// When this scheduler first saw that the upkeep had begun.
     pub(crate) since: Timestamp,
-    /// Whether a reading since has shown the upkeep.
-    pub(crate) is_seen: bool,
+    /// Whether a later reading of the list has shown the upkeep.
+    pub(crate) is_upkeep_listed: bool,
 }
 
-impl AwayBox {
-    /// Returns when the list is to be read for it: in the middle of its upkeep until that is seen, then after its end.
+impl BoxInUpkeep {
+    /// Returns when the list must be read: in the middle of the upkeep until a reading has shown it, then after its end.
     pub(crate) fn reading_due_at(&self, maintenance: Duration) -> Timestamp {
-        let span = if self.is_seen {
+        let span = if self.is_upkeep_listed {
             maintenance
         } else {
             maintenance / 2
@@ -38,92 +40,93 @@
 }
 
 impl UpkeepScheduler {
-    /// Calls the boxes that were announced, watches for those that are away, and notes those that have left.
-    pub(crate) fn drive_on(
+    /// Calls the announced boxes, checks whether boxes are up again, and detects boxes that have left.
+    pub(crate) fn advance_boxes(
         &mut self,
         number: WaveNumber,
         wave: &Wave,
         now: Timestamp,
-        steps: &mut Vec<SchedulerAction>,
+        actions: &mut Vec<SchedulerAction>,
     ) {
         for name in &wave.order.boxes {
             let key = (number, name.clone());
             let phase = wave.phases.get(name).copied();
             if phase != Some(BoxPhase::Begun) {
-                self.away.remove(&key);
+                self.in_upkeep.remove(&key);
             }
             let is_over = matches!(phase, Some(BoxPhase::Back | BoxPhase::Gone));
             if !is_over && self.list.is_gone(name) {
-                self.propose_gone(&key, now, steps);
+                self.propose_gone(&key, now, actions);
                 continue;
             }
             match phase {
-                Some(BoxPhase::Called) => self.drive_call(&key, now, steps),
-                Some(BoxPhase::Begun) => self.watch_return(&key, now, steps),
+                Some(BoxPhase::Called) => self.advance_call(&key, now, actions),
+                Some(BoxPhase::Begun) => self.check_return(&key, now, actions),
                 _ => {}
             }
         }
     }
 
-    fn drive_call(&mut self, key: &WaveBox, now: Timestamp, steps: &mut Vec<SchedulerAction>) {
+    fn advance_call(&mut self, key: &WaveBox, now: Timestamp, actions: &mut Vec<SchedulerAction>) {
         let calls = self.calls.entry(key.clone());
-        let calls = calls.or_insert_with(|| BoxCalls::taken_over(now));
+        let calls = calls.or_insert_with(|| BoxCalls::inherited(now));
         let is_due = calls.is_due(now);
-        steps.extend(
+        actions.extend(
             calls
-                .take_hold(HOLD_INTERVAL, now)
+                .due_hold(HOLD_INTERVAL, now)
                 .map(SchedulerAction::HoldTarget),
         );
         let (wave, name) = key.clone();
-        match calls.verdict() {
-            Some(Verdict::Begun) => {
-                self.propose(key, UpkeepCommand::Begun { wave, name }, now, steps);
+        match calls.result() {
+            Some(CallResult::Begun) => {
+                self.propose(key, UpkeepCommand::Begun { wave, name }, now, actions);
             }
-            Some(Verdict::Refused) => {
-                self.propose(key, UpkeepCommand::Refused { wave, name }, now, steps);
+            Some(CallResult::Refused) => {
+                self.propose(key, UpkeepCommand::Refused { wave, name }, now, actions);
             }
-            None if is_due && self.take_call(&name, now) => {
+            None if is_due && self.reserve_call(&name, now) => {
                 if let Some(calls) = self.calls.get_mut(key) {
-                    calls.begin();
+                    calls.record_start();
                 }
-                steps.push(SchedulerAction::Call(key.clone()));
+                actions.push(SchedulerAction::Call(key.clone()));
             }
             None => {}
         }
     }
 
-    fn watch_return(&mut self, key: &WaveBox, now: Timestamp, steps: &mut Vec<SchedulerAction>) {
-        let away = self.away.entry(key.clone()).or_insert(AwayBox {
+    fn check_return(&mut self, key: &WaveBox, now: Timestamp, actions: &mut Vec<SchedulerAction>) {
+        let in_upkeep = self.in_upkeep.entry(key.clone()).or_insert(BoxInUpkeep {
             since: now,
-            is_seen: false,
+            is_upkeep_listed: false,
         });
         let Some(listed) = self.list.boxes.get(&key.1) else {
             return;
         };
-        // Every reading that is not older than the beginning counts, so that this runs for each of them.
-        away.is_seen |=
-            listed.status == BoxStatus::Upkeep && self.list.began_at() >= Some(away.since);
-        let away = *away;
-        if self.is_back(key, listed, away) {
+        // Check every reading that started after the upkeep had begun.
+        in_upkeep.is_upkeep_listed |=
+            listed.status == BoxStatus::Upkeep && self.list.started_at() >= Some(in_upkeep.since);
+        let in_upkeep = *in_upkeep;
+        if self.is_back(key, listed, in_upkeep) {
             let (wave, name) = key.clone();
-            self.propose(key, UpkeepCommand::Back { wave, name }, now, steps);
+            self.propose(key, UpkeepCommand::Back { wave, name }, now, actions);
         }
     }
 
-    fn is_back(&self, key: &WaveBox, listed: &ListedBox, away: AwayBox) -> bool {
-        let ends_at = away.since + self.timings.maintenance;
-        let Some(read_at) = self.list.began_at().filter(|read_at| *read_at >= ends_at) else {
+    fn is_back(&self, key: &WaveBox, listed: &ListedBox, in_upkeep: BoxInUpkeep) -> bool {
+        let ends_at = in_upkeep.since + self.timings.maintenance;
+        let Some(read_at) = self.list.started_at().filter(|read_at| *read_at >= ends_at) else {
             return false;
         };
         let calls = self.calls.get(key);
         let before = calls.and_then(|calls| calls.target_before.as_ref());
-        let is_new = away.is_seen && before.is_some() && listed.target.as_ref() != before;
-        let is_certain = read_at >= ends_at + self.timings.list_lag;
-        listed.status == BoxStatus::Up && listed.target.is_some() && (is_new || is_certain)
+        let is_new =
+            in_upkeep.is_upkeep_listed && before.is_some() && listed.target.as_ref() != before;
+        let is_beyond_lag = read_at >= ends_at + self.timings.list_lag;
+        listed.status == BoxStatus::Up && listed.target.is_some() && (is_new || is_beyond_lag)
     }
 
-    fn propose_gone(&mut self, key: &WaveBox, now: Timestamp, steps: &mut Vec<SchedulerAction>) {
+    fn propose_gone(&mut self, key: &WaveBox, now: Timestamp, actions: &mut Vec<SchedulerAction>) {
         let (wave, name) = key.clone();
-        self.propose(key, UpkeepCommand::Gone { wave, name }, now, steps);
+        self.propose(key, UpkeepCommand::Gone { wave, name }, now, actions);
     }
 }
--- a/crates/leased/cloverfold_upkeep/src/draining.rs
+++ b/crates/leased/cloverfold_upkeep/src/draining.rs
@@ -1,9 +1,8 @@
-//! Boxes that were chosen: their targets are held, and their calls announced once they are empty or were held for long enough.
+//! Selected boxes that are draining: their targets are held, and their calls are announced once they are drained.
 //!
-//! Decision: whether a chosen box has been emptied for long enough. Rule: it has no target, or its guard told after the hold that nothing
-//! runs there; otherwise after [`SchedulerTimings::drain_time`], or, where its guard told that something runs, after up to [`LONGEST_EMPTY`] times
-//! that as far as a quarter of what is left of the span allows. Inputs: what the guard told, the time. Reason: nothing should be cut that
-//! can end in time.
+//! A box is drained if it has no target, or if its guard reported after the start of the hold that nothing runs there. Otherwise it counts
+//! as drained after [`SchedulerTimings::drain_time`]. If its guard reported running work, it gets up to [`MAX_DRAIN_FACTOR`] times that,
+//! but at most a quarter of the wave's remaining time, so that work that ends in time is not interrupted.
 //!
 //! [`SchedulerTimings::drain_time`]: crate::SchedulerTimings::drain_time
 
@@ -12,121 +11,120 @@
 use cloverfold_base::Timestamp;
 
 use crate::calls::BoxCalls;
-use crate::holder::{HOLD_INTERVAL, SchedulerAction, SchedulerInput, UpkeepScheduler, WaveBox};
+use crate::scheduler::{HOLD_INTERVAL, SchedulerAction, SchedulerInput, UpkeepScheduler, WaveBox};
 use crate::state::{BoxPhase, UpkeepState, Wave};
 use crate::wave::{UpkeepCommand, WaveNumber};
 
-/// How often guards are asked what is free while a box waits. Chosen, not measured.
-const ASK_INTERVAL: Duration = Duration::from_secs(1);
-/// How long after the first word a guard's answer stands for a held target for certain. Chosen, not measured: many times the way there and
-/// back.
-const SETTLED_AFTER: Duration = Duration::from_millis(200);
-/// How many times the usual span a target may be held that is known to be at work. Chosen, not measured.
-const LONGEST_EMPTY: u32 = 4;
+/// Interval between the load queries to guards while a box waits.
+const LOAD_QUERY_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after the start of a hold from which load reports certainly reflect it; many times a network round trip.
+const HOLD_SETTLE_TIME: Duration = Duration::from_millis(200);
+/// Multiple of the drain time for which a target with running work may be held.
+const MAX_DRAIN_FACTOR: u32 = 4;
 
-/// A box that was chosen and is being emptied.
+/// A selected box whose target is draining.
 #[derive(Clone, Debug)]
-pub(crate) struct Emptying {
+pub(crate) struct Draining {
     pub(crate) since: Timestamp,
-    pub(crate) told_at: Option<Timestamp>,
+    pub(crate) hold_sent_at: Option<Timestamp>,
     pub(crate) target: Option<String>,
 }
 
-impl Emptying {
-    /// Returns whether the box was chosen just now.
+impl Draining {
+    /// Returns whether the box was selected in this step.
     pub(crate) fn is_new(&self, now: Timestamp) -> bool {
-        self.since == now && self.told_at.is_none()
+        self.since == now && self.hold_sent_at.is_none()
     }
 }
 
 impl UpkeepScheduler {
-    /// Holds the targets of the chosen boxes, and announces the calls of those that were held for long enough.
-    pub(crate) fn empty_boxes(
+    /// Holds the targets of the selected boxes, and announces the calls for those that are drained.
+    pub(crate) fn drain_boxes(
         &mut self,
         number: WaveNumber,
         wave: &Wave,
         state: &UpkeepState,
-        moment: &SchedulerInput,
-        left: Duration,
-        steps: &mut Vec<SchedulerAction>,
+        input: &SchedulerInput,
+        time_left: Duration,
+        actions: &mut Vec<SchedulerAction>,
     ) {
-        let now = moment.now;
-        let chosen = self.emptying.keys().filter(|(wave, _)| *wave == number);
-        for key in chosen.cloned().collect::<Vec<_>>() {
+        let now = input.now;
+        let selected = self.draining.keys().filter(|(wave, _)| *wave == number);
+        for key in selected.cloned().collect::<Vec<_>>() {
             let phase = wave.phases.get(&key.1);
             if state.is_down(&key.1) || !matches!(phase, None | Some(BoxPhase::Refused)) {
-                self.emptying.remove(&key);
+                self.draining.remove(&key);
                 continue;
             }
-            self.hold_target(&key, now, steps);
-            let emptying = &self.emptying[&key];
-            if !is_emptied(emptying, self.timings.drain_time, left, moment) {
+            self.hold_target(&key, now, actions);
+            let draining = &self.draining[&key];
+            if !is_drained(draining, self.timings.drain_time, time_left, input) {
                 continue;
             }
-            let target = emptying.target.clone();
+            let target = draining.target.clone();
             let calls = self.calls.entry(key.clone());
             calls
-                .or_insert_with(|| BoxCalls::first(now, target.clone()))
-                .begin_again(target);
+                .or_insert_with(|| BoxCalls::initial(now, target.clone()))
+                .prepare_retry(target);
             let (wave, name) = key.clone();
-            self.propose(&key, UpkeepCommand::Call { wave, name }, now, steps);
+            self.propose(&key, UpkeepCommand::Call { wave, name }, now, actions);
         }
     }
 
-    /// Tells the guard of a chosen box's target to hold it, if that is due.
-    fn hold_target(&mut self, key: &WaveBox, now: Timestamp, steps: &mut Vec<SchedulerAction>) {
-        let Some(emptying) = self.emptying.get_mut(key) else {
+    /// Sends a hold message for the target of a selected box, if one is due.
+    fn hold_target(&mut self, key: &WaveBox, now: Timestamp, actions: &mut Vec<SchedulerAction>) {
+        let Some(draining) = self.draining.get_mut(key) else {
             return;
         };
-        let is_due = emptying
-            .told_at
-            .is_none_or(|told| now >= told + HOLD_INTERVAL);
-        if let Some(target) = emptying.target.clone().filter(|_| is_due) {
-            emptying.told_at = Some(now);
-            steps.push(SchedulerAction::HoldTarget(target));
+        let is_due = draining
+            .hold_sent_at
+            .is_none_or(|sent| now >= sent + HOLD_INTERVAL);
+        if let Some(target) = draining.target.clone().filter(|_| is_due) {
+            draining.hold_sent_at = Some(now);
+            actions.push(SchedulerAction::HoldTarget(target));
         }
     }
 
-    /// Asks now and then what is free at the targets, while a box waits.
-    pub(crate) fn ask_loads(
+    /// Queries the loads of the targets periodically while a box waits.
+    pub(crate) fn query_loads(
         &mut self,
         state: &UpkeepState,
         now: Timestamp,
-        steps: &mut Vec<SchedulerAction>,
+        actions: &mut Vec<SchedulerAction>,
     ) {
         let mut open = state.open_waves();
-        let is_choosing = open.any(|(_, wave)| wave.waiting().next().is_some());
+        let is_selecting = open.any(|(_, wave)| wave.waiting().next().is_some());
         let is_due = self
-            .asked_at
-            .is_none_or(|asked| now >= asked + ASK_INTERVAL);
-        if !is_choosing || !is_due || self.list.boxes.is_empty() {
+            .loads_queried_at
+            .is_none_or(|queried| now >= queried + LOAD_QUERY_INTERVAL);
+        if !is_selecting || !is_due || self.list.boxes.is_empty() {
             return;
         }
-        self.asked_at = Some(now);
-        let away = self.list_away(state);
-        let asked = self.list.boxes.values();
-        let asked = asked.filter(|listed| !away.contains(&listed.name));
-        let targets = asked.filter_map(|listed| listed.target.clone());
-        steps.extend(targets.map(SchedulerAction::QueryLoad));
+        self.loads_queried_at = Some(now);
+        let unavailable = self.unavailable_boxes(state);
+        let queried = self.list.boxes.values();
+        let queried = queried.filter(|listed| !unavailable.contains(&listed.name));
+        let targets = queried.filter_map(|listed| listed.target.clone());
+        actions.extend(targets.map(SchedulerAction::QueryLoad));
     }
 }
 
-/// Returns whether a chosen box has been emptied for long enough.
-fn is_emptied(
-    emptying: &Emptying,
+/// Returns whether a selected box counts as drained.
+fn is_drained(
+    draining: &Draining,
     drain_time: Duration,
-    left: Duration,
-    moment: &SchedulerInput,
+    time_left: Duration,
+    input: &SchedulerInput,
 ) -> bool {
-    let Some(target) = &emptying.target else {
+    let Some(target) = &draining.target else {
         return true;
     };
-    let load = moment.loads.get(target);
-    let load = load.filter(|load| load.at >= emptying.since + SETTLED_AFTER);
-    let longest = match load {
+    let load = input.loads.get(target);
+    let load = load.filter(|load| load.at >= draining.since + HOLD_SETTLE_TIME);
+    let limit = match load {
         Some(load) if load.is_empty => return true,
-        Some(_) => drain_time.max((drain_time * LONGEST_EMPTY).min(left / 4)),
+        Some(_) => drain_time.max((drain_time * MAX_DRAIN_FACTOR).min(time_left / 4)),
         None => drain_time,
     };
-    moment.now >= emptying.since + longest
+    input.now >= draining.since + limit
 }
--- a/crates/leased/cloverfold_upkeep/src/load.rs
+++ b/crates/leased/cloverfold_upkeep/src/load.rs
@@ -1,9 +1,10 @@
-//! How busy targets are, and whether a wave must leave them room.
+//! Loads of targets, and whether a pool can spare a box.
 //!
-//! Decision: whether a pool has room for one box less. Rule: what its other boxes have, those that are up, not away and in no evacuated
-//! hall, holds what runs there now with a tenth to spare; where fewer than half of them have told a moment ago, there is room. Inputs: the
-//! list, the boxes that are away, what their guards told. Reason: a box that goes at a peak takes work from callers; one that goes a
-//! little later does not. The wave is held back only as long as it can still catch up ([`can_wait`]).
+//! A pool can spare a box if the remaining boxes of the pool (up, not draining or down, and in no evacuated hall) have capacity for the
+//! current load with a tenth to spare. If fewer than half of the boxes have reported recently, the pool counts as having room.
+//!
+//! A box that goes down at peak load takes capacity from callers. A wave waits for a lower load only as long as it can still finish in
+//! time ([`can_wait`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,44 +15,44 @@
 use crate::pace::plan_pace;
 use crate::wave::{BoxName, WaveOrder};
 
-/// The part of the processors of a pool that may be in use, in thousandths. Chosen, not measured.
-const MOST_USED_PERMILLE: i64 = 900;
-/// The part of its span that a wave keeps in reserve when it waits, for lost answers and holders that change. Chosen, not measured.
-const SPARE_PART: u32 = 4;
-/// After this what a guard told counts no more. Chosen, not measured: three times the interval of the questions.
-const TOLD_FOR: Duration = Duration::from_secs(3);
+/// Largest share of a pool's capacity that may be in use without the box, in thousandths.
+const MAX_USED_PERMILLE: i64 = 900;
+/// A waiting wave keeps this fraction (1/n) of its span in reserve for lost answers and changes of the scheduler.
+const SLACK_DIVISOR: u32 = 4;
+/// Largest age of a load report; three times the interval of the load queries.
+const MAX_LOAD_AGE: Duration = Duration::from_secs(3);
 
-/// What a guard told of its target.
+/// Load of a target as reported by its guard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetLoad {
-    /// Thousandths of a core that it has.
+    /// Capacity in thousandths of a core.
     pub capacity_milli: i64,
-    /// Of these, what is free after all that runs and waits there.
+    /// Capacity that is not taken by running or waiting runs, in thousandths of a core.
     pub free_milli: i64,
-    /// Whether nothing runs or waits there.
+    /// Whether the target has no running and no waiting runs.
     pub is_empty: bool,
-    /// When this was heard.
+    /// When the report was received.
     pub at: Timestamp,
 }
 
-/// What is known of all targets, by incarnation.
+/// Reported loads of all targets, by incarnation.
 pub type TargetLoads = BTreeMap<String, TargetLoad>;
 
-/// Returns what was told a moment ago of a box's target.
-pub(crate) fn find_load(
+/// Returns the load of a box's target if it was reported recently.
+pub(crate) fn recent_load(
     listed: &ListedBox,
     loads: &TargetLoads,
     now: Timestamp,
 ) -> Option<TargetLoad> {
     let load = loads.get(listed.target.as_ref()?)?;
-    (now <= load.at + TOLD_FOR).then_some(*load)
+    (now <= load.at + MAX_LOAD_AGE).then_some(*load)
 }
 
-/// Returns whether the pool of a box can do without it.
+/// Returns whether the pool of a box can spare it.
 pub(crate) fn has_room(
     next: &ListedBox,
     listed: &BTreeMap<BoxName, ListedBox>,
-    away: &BTreeSet<BoxName>,
+    unavailable: &BTreeSet<BoxName>,
     evacuated: &BTreeSet<String>,
     loads: &TargetLoads,
     now: Timestamp,
@@ -59,30 +60,35 @@
     if evacuated.contains(&next.hall) {
         return true;
     }
-    let is_working = |listed: &&ListedBox| {
+    let is_available = |listed: &&ListedBox| {
         listed.pool == next.pool
             && listed.status == BoxStatus::Up
-            && !away.contains(&listed.name)
+            && !unavailable.contains(&listed.name)
             && !evacuated.contains(&listed.hall)
     };
-    let (mut boxes, mut known, mut used, mut left) = (0, 0, 0, 0);
-    for listed in listed.values().filter(is_working) {
+    let (mut boxes, mut known, mut used, mut remaining) = (0, 0, 0, 0);
+    for listed in listed.values().filter(is_available) {
         boxes += 1;
-        let Some(load) = find_load(listed, loads, now) else {
+        let Some(load) = recent_load(listed, loads, now) else {
             continue;
         };
         known += 1;
         used += load.capacity_milli - load.free_milli;
         if listed.name != next.name {
-            left += load.capacity_milli;
+            remaining += load.capacity_milli;
         }
     }
-    2 * known < boxes || used * 1_000 <= left * MOST_USED_PERMILLE
+    2 * known < boxes || used * 1_000 <= remaining * MAX_USED_PERMILLE
 }
 
-/// Returns whether a wave that goes on two cycles later still begins in time, with a quarter of its span to spare.
-pub(crate) fn can_wait(waiting: usize, order: &WaveOrder, cycle: Duration, left: Duration) -> bool {
-    let later = left.saturating_sub(2 * cycle + order.span / SPARE_PART);
+/// Returns whether all boxes can still begin in time if the wave waits for two cycles, with a quarter of its span to spare.
+pub(crate) fn can_wait(
+    waiting: usize,
+    order: &WaveOrder,
+    cycle: Duration,
+    time_left: Duration,
+) -> bool {
+    let later = time_left.saturating_sub(2 * cycle + order.span / SLACK_DIVISOR);
     let pace = plan_pace(waiting, order.most_down, cycle, later);
     pace.late_by.is_none()
 }
--- a/crates/leased/cloverfold_upkeep/src/ranking.rs
+++ b/crates/leased/cloverfold_upkeep/src/ranking.rs
@@ -1,16 +1,15 @@
-//! Decision: which box of a wave is next.
+//! Ranking of the boxes of a wave that may go down next.
 //!
-//! Rule: of the boxes that may go down now, by this order:
+//! In order of preference:
 //!
-//! 1. one in an evacuated data hall: nothing starts there anyway;
-//! 2. one without a target, which has no work to lose;
-//! 3. one of which its guard told a moment ago that nothing runs there;
-//! 4. the one whose pool, data hall and labels have the smallest part of their boxes down or about to go down, counted with it; the
-//!    largest of these parts decides, then their sum;
-//! 5. by name.
+//! 1. a box in an evacuated data hall, where no work starts anyway;
+//! 2. a box without a target, which has no work to lose;
+//! 3. a box whose guard has recently reported that nothing runs there;
+//! 4. the box whose pool, data hall and labels have the smallest share of boxes that are down or draining, counting the box itself: first
+//!    by the largest of these shares, then by their sum;
+//! 5. the first box by name.
 //!
-//! Inputs: the list of boxes, which boxes are down or about to go down, the evacuated halls, what runs on boxes. Reason: boxes that go down together should
-//! share no rack and no hall, so that each kind of work keeps room everywhere.
+//! The shares spread the boxes that are down at once over racks and halls, so that each kind of work keeps capacity everywhere.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,29 +17,29 @@
 use crate::boxes::ListedBox;
 use crate::wave::BoxName;
 
-/// What boxes share.
+/// A set of boxes that share a property.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Group<'a> {
+enum Domain<'a> {
     Pool(&'a str),
     Hall(&'a str),
     Label(&'a str),
 }
 
-/// The boxes of a group, and how many of them are down.
+/// The number of boxes in a domain, and how many of them are down.
 #[derive(Clone, Copy, Debug, Default)]
-struct GroupSize {
+struct DomainCounts {
     boxes: u32,
     down: u32,
 }
 
-/// How good a choice a box is; the least is chosen.
+/// Rank of a candidate; the lowest is selected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Rank {
     is_hall_in_use: bool,
     has_target: bool,
     is_busy: bool,
-    largest_part: f64,
-    sum_of_parts: f64,
+    largest_share: f64,
+    sum_of_shares: f64,
 }
 
 impl Rank {
@@ -48,12 +47,12 @@
         let flags = |rank: &Self| (rank.is_hall_in_use, rank.has_target, rank.is_busy);
         flags(self)
             .cmp(&flags(other))
-            .then(self.largest_part.total_cmp(&other.largest_part))
-            .then(self.sum_of_parts.total_cmp(&other.sum_of_parts))
+            .then(self.largest_share.total_cmp(&other.largest_share))
+            .then(self.sum_of_shares.total_cmp(&other.sum_of_shares))
     }
 }
 
-/// Chooses the next box among those that may go down now.
+/// Returns the best of the candidates that may go down now.
 pub fn choose_next_box<'a>(
     candidates: impl Iterator<Item = &'a ListedBox>,
     listed: &BTreeMap<BoxName, ListedBox>,
@@ -61,9 +60,9 @@
     evacuated: &BTreeSet<String>,
     is_idle: impl Fn(&ListedBox) -> bool,
 ) -> Option<&'a ListedBox> {
-    let groups = count_groups(listed, down);
+    let domains = count_domains(listed, down);
     let ranked = candidates.map(|listed| {
-        let mut rank = rank(listed, &groups, evacuated);
+        let mut rank = rank_box(listed, &domains, evacuated);
         rank.is_busy = !is_idle(listed);
         (rank, listed)
     });
@@ -74,44 +73,44 @@
     next.map(|(_, listed)| listed)
 }
 
-fn count_groups<'a>(
+fn count_domains<'a>(
     listed: &'a BTreeMap<BoxName, ListedBox>,
     down: &BTreeSet<BoxName>,
-) -> BTreeMap<Group<'a>, GroupSize> {
-    let mut groups: BTreeMap<Group, GroupSize> = BTreeMap::new();
+) -> BTreeMap<Domain<'a>, DomainCounts> {
+    let mut domains: BTreeMap<Domain, DomainCounts> = BTreeMap::new();
     for listed in listed.values() {
         let is_down = down.contains(&listed.name);
-        for group in list_groups(listed) {
-            let size = groups.entry(group).or_default();
-            size.boxes += 1;
-            size.down += u32::from(is_down);
+        for domain in domains_of(listed) {
+            let counts = domains.entry(domain).or_default();
+            counts.boxes += 1;
+            counts.down += u32::from(is_down);
         }
     }
-    groups
+    domains
 }
 
-fn list_groups(listed: &ListedBox) -> impl Iterator<Item = Group<'_>> {
-    let labels = listed.labels.iter().map(|label| Group::Label(label));
-    [Group::Pool(&listed.pool), Group::Hall(&listed.hall)]
+fn domains_of(listed: &ListedBox) -> impl Iterator<Item = Domain<'_>> {
+    let labels = listed.labels.iter().map(|label| Domain::Label(label));
+    [Domain::Pool(&listed.pool), Domain::Hall(&listed.hall)]
         .into_iter()
         .chain(labels)
 }
 
-fn rank(
+fn rank_box(
     listed: &ListedBox,
-    groups: &BTreeMap<Group, GroupSize>,
+    domains: &BTreeMap<Domain, DomainCounts>,
     evacuated: &BTreeSet<String>,
 ) -> Rank {
-    let part = |group: Group| {
-        let size = groups.get(&group).copied().unwrap_or_default();
-        f64::from(size.down + 1) / f64::from(size.boxes.max(1))
+    let share = |domain: Domain| {
+        let counts = domains.get(&domain).copied().unwrap_or_default();
+        f64::from(counts.down + 1) / f64::from(counts.boxes.max(1))
     };
-    let parts: Vec<f64> = list_groups(listed).map(part).collect();
+    let shares: Vec<f64> = domains_of(listed).map(share).collect();
     Rank {
         is_hall_in_use: !evacuated.contains(&listed.hall),
         has_target: listed.target.is_some(),
         is_busy: true,
-        largest_part: parts.iter().copied().fold(0.0, f64::max),
-        sum_of_parts: parts.iter().sum(),
+        largest_share: shares.iter().copied().fold(0.0, f64::max),
+        sum_of_shares: shares.iter().sum(),
     }
 }
--- a/crates/leased/cloverfold_upkeep/src/request.rs
+++ b/crates/leased/cloverfold_upkeep/src/request.rs
@@ -1,81 +1,81 @@
-//! Decision: which orders of a wave are accepted.
+//! Validation of orders for waves.
 //!
-//! Rule: a number above 0; at least one box and at most [`MAX_BOXES`], each with a name of 1 to [`MAX_NAME_BYTES`] bytes without control
-//! characters, [`MAX_NAMES_BYTES`] together; a span above 0; at least one box down at once. Every fault is named. Whether the boxes exist is checked by the control
-//! process, where the list of boxes can be read. Inputs: the order. Reason: an order that cannot be carried out must not be taken.
+//! An order must have a number above 0, a span above 0 and a limit of at least one box down at once. It must name 1 to [`MAX_BOXES`] boxes.
+//! Each name has 1 to [`MAX_NAME_BYTES`] bytes without control characters, and all names together have at most [`MAX_NAMES_BYTES`].
+//! All errors are reported together. The control process checks whether the boxes exist, since it can read the list.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use crate::wave::{BoxName, WaveNumber};
 
-/// Most boxes of one wave. Guards the size of a message of the log. Chosen, not measured.
+/// Largest number of boxes in a wave; bounds the size of a log message.
 pub const MAX_BOXES: usize = 20_000;
-/// Longest name of a box, in bytes. Chosen, not measured.
+/// Longest name of a box, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Longest all names together, in bytes: a wave keeps each name up to twice, and a snapshot with it must fit into one message. Chosen, not
-/// measured.
+/// Largest total length of a wave's box names, in bytes. A wave stores each name up to twice, and a snapshot with it must fit into one
+/// message.
 pub const MAX_NAMES_BYTES: usize = 256 * 1024;
 
-/// What an operator asks for.
+/// An operator's request for a wave.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaveRequest {
-    /// The operator's number of the wave.
+    /// Number of the wave.
     pub wave: WaveNumber,
     /// The boxes.
     pub boxes: BTreeSet<BoxName>,
-    /// Within which span all of them are to begin.
+    /// Time within which the upkeep of all boxes must begin.
     pub span: Duration,
-    /// How many of them may be down at once.
+    /// How many boxes may be down at once.
     pub most_down: u32,
 }
 
-/// Why an order of a wave is refused.
+/// The reason why an order for a wave is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WaveRequestError {
-    /// It cannot be read.
+    /// The order cannot be decoded.
     #[error("{field}: {cause}")]
     Unreadable {
         /// Path to the field.
         field: String,
-        /// What is wrong with it.
+        /// The decoding error.
         cause: String,
     },
-    /// Its number names no wave.
+    /// The wave number is 0.
     #[error("the number of a wave is above 0")]
     NoNumber,
-    /// It names no box.
+    /// The order names no box.
     #[error("a wave names at least one box")]
     NoBoxes,
-    /// It names too many boxes.
+    /// The order names too many boxes.
     #[error("a wave names at most {MAX_BOXES} boxes, not {0}")]
     TooManyBoxes(usize),
-    /// A name can name no box.
+    /// A box name is not well-formed.
     #[error("a box's name has 1 to {MAX_NAME_BYTES} bytes and no control characters")]
     MalformedName,
-    /// Its names are too long together.
+    /// The box names are too long in total.
     #[error("the names of a wave's boxes have at most {MAX_NAMES_BYTES} bytes together, not {0}")]
     TooLongNames(usize),
-    /// It leaves no time.
+    /// The span is zero.
     #[error("the span of a wave is above 0")]
     NoSpan,
-    /// It lets no box go down.
+    /// The order allows no box to be down.
     #[error("at least one box must be allowed down at once")]
     NoneDown,
-    /// The installation has no such box.
+    /// A box does not exist in the installation.
     #[error("no box {0} in this installation")]
     UnknownBox(BoxName),
-    /// Another order has its number.
+    /// A different order has the same number.
     #[error("wave {0} was ordered with other content")]
     Conflicting(WaveNumber),
-    /// The settings name no interface of the platform.
+    /// The settings contain no address of the platform's interface.
     #[error("no upkeep here: the settings of the control process have no upkeep.address")]
     NotServed,
 }
 
 impl WaveRequest {
-    /// Returns every fault of the request.
+    /// Returns every error in the request.
     pub fn validate(&self) -> Vec<WaveRequestError> {
         let is_malformed = |name: &BoxName| {
             !(1..=MAX_NAME_BYTES).contains(&name.len()) || name.chars().any(char::is_control)
@@ -99,20 +99,20 @@
             (self.span.is_zero(), WaveRequestError::NoSpan),
             (self.most_down == 0, WaveRequestError::NoneDown),
         ];
-        let faults = checks.into_iter().filter(|(is_fault, _)| *is_fault);
-        faults.map(|(_, fault)| fault).collect()
+        let errors = checks.into_iter().filter(|(is_error, _)| *is_error);
+        errors.map(|(_, error)| error).collect()
     }
 }
 
-/// How operators write an order of a wave, and how they are told how far it is.
+/// The operators' format of orders for waves and of their state.
 pub trait WaveFormat: Send + Sync {
-    /// Decodes an order.
+    /// Decodes a request.
     ///
     /// # Errors
     ///
-    /// Returns the field that cannot be read.
+    /// Returns an error with the field that cannot be decoded.
     fn decode_wave(&self, text: &[u8]) -> Result<WaveRequest, WaveRequestError>;
 
-    /// Writes whether a wave is completed.
+    /// Encodes whether a wave is completed.
     fn write_wave_state(&self, is_completed: bool) -> String;
 }
--- a/crates/leased/cloverfold_upkeep/src/scheduler.rs
+++ b/crates/leased/cloverfold_upkeep/src/scheduler.rs
@@ -1,19 +1,19 @@
-//! The holder of the upkeep: the leader of the control processes' log, for as long as it leads.
+//! Scheduler of the upkeep, which runs at the leader of the control processes' log for as long as it leads.
 //!
-//! Decision: what the holder does next. Rule, in this order, for every wave that is not over, the one with the earliest end first:
+//! [`UpkeepScheduler`] owns the state that is not replicated. It does no I/O and reads no clock. For every open wave, the one with the
+//! earliest deadline first, it decides in this order:
 //!
-//! 1. a box that counts as down is driven on: called until its upkeep has begun, watched until it is up again (`progress`);
-//! 2. while fewer boxes of the wave are down than its pace and its order allow, the next box is chosen ([`choose_next_box`](crate::choose_next_box)), its target held
-//!    for [`SchedulerTimings::drain_time`], and its call announced in the log;
-//! 3. a call is sent only once its announcement is applied, so that every later holder counts the box as down.
+//! 1. A box that counts as down is called until its upkeep has begun, and then watched until it is up again (`down_boxes`).
+//! 2. While fewer boxes of the wave are down than its pace and its order allow, the next box is selected
+//!    ([`choose_next_box`](crate::choose_next_box)), its target is held for [`SchedulerTimings::drain_time`], and the call is announced in
+//!    the log.
+//! 3. A call is sent only after its announcement is applied, so that every later scheduler counts the box as down.
 //!
-//! A box of several waves goes down for one at a time and counts in all of them. A box that an earlier holder may have called is not
-//! called before [`SchedulerTimings::takeover_delay`] has passed since this one began.
+//! A box in several waves goes down for one wave at a time and counts as down in all of them. A box that an earlier scheduler may have
+//! called is not called until [`SchedulerTimings::takeover_delay`] has passed since this one started.
 //!
-//! Inputs: the replicated state, the list of boxes, the outcomes of the calls, the evacuated halls, the time. Reason: at most as many
-//! boxes as an order allows may ever be down, whichever holder called, whichever answer is lost, and however late a call is done.
-//!
-//! [`UpkeepScheduler`] owns what only this holder knows. It does no I/O and reads no clock.
+//! Together these rules ensure that no more boxes than an order allows are ever down, whichever scheduler called, and even if answers are
+//! lost or calls are carried out late.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -23,146 +23,146 @@
 use crate::box_list::BoxList;
 use crate::boxes::{CallOutcome, ListedBox};
 use crate::calls::{BoxCalls, retry_backoff};
-use crate::emptying::Emptying;
+use crate::down_boxes::BoxInUpkeep;
+use crate::draining::Draining;
 use crate::load::TargetLoads;
-use crate::outlook::WaveStatus;
-use crate::progress::AwayBox;
 use crate::state::{UpkeepState, Wave};
 use crate::wave::{BoxName, UpkeepCommand, WaveNumber};
+use crate::wave_status::WaveStatus;
 
-/// After this a command that is not applied yet is proposed again. Chosen, not measured.
-const PROPOSE_AGAIN_AFTER: Duration = Duration::from_millis(500);
-/// How long the guard of a held target leaves it alone after the last word. Chosen, not measured: three times [`HOLD_INTERVAL`].
+/// Time after which a command that has not been applied is proposed again.
+const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Time for which a guard holds its target after each hold message; three times [`HOLD_INTERVAL`].
 pub const TARGET_HOLD_DURATION: Duration = Duration::from_millis(1_500);
-/// How often a guard is told to hold its target. Chosen, not measured.
+/// Interval between the hold messages for a target.
 pub(crate) const HOLD_INTERVAL: Duration = Duration::from_millis(500);
-/// What a box needs between the end of its upkeep and the choice of the next one. Chosen, not measured.
-const OVERHEAD: Duration = Duration::from_millis(1_500);
+/// Estimated time from the end of a box's upkeep to the selection of the next box.
+const CYCLE_OVERHEAD: Duration = Duration::from_millis(1_500);
 
-/// A box in a wave.
+/// Key of a box in a wave.
 pub type WaveBox = (WaveNumber, BoxName);
 
-/// The spans that a holder keeps.
+/// Time spans that the scheduler uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SchedulerTimings {
-    /// How long a box is away for its upkeep.
+    /// Duration of a box's upkeep.
     pub maintenance: Duration,
-    /// How long after its beginning a holder leaves a box alone that an earlier one may have called.
+    /// Time after its start during which a scheduler does not call boxes that an earlier one may have called.
     pub takeover_delay: Duration,
-    /// How old the platform's list may be.
+    /// Largest lag of the platform's list.
     pub list_lag: Duration,
-    /// How long a target is held before its box is called.
+    /// Time for which a target is held before its box is called.
     pub drain_time: Duration,
-    /// Shortest span between two calls.
+    /// Shortest interval between two calls.
     pub call_spacing: Duration,
 }
 
 impl SchedulerTimings {
-    /// Returns how long a box takes from its choice until the next can be chosen.
+    /// Returns the time from the selection of a box to the selection of its successor.
     pub fn cycle(&self) -> Duration {
-        self.maintenance + self.drain_time + OVERHEAD
+        self.maintenance + self.drain_time + CYCLE_OVERHEAD
     }
 }
 
-/// What the process is to do for the holder.
+/// An action that the process must carry out for the scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SchedulerAction {
     /// Propose a command to the log.
     Propose(UpkeepCommand),
-    /// Call for the upkeep of a box, if this process still leads; [`UpkeepScheduler::record_call_outcome`] follows.
+    /// Call for the upkeep of a box if this process still leads, then call [`UpkeepScheduler::record_call_outcome`].
     Call(WaveBox),
-    /// Read the whole list; [`UpkeepScheduler::record_list`] or [`UpkeepScheduler::record_list_failure`] follows.
+    /// Read the whole list, then call [`UpkeepScheduler::record_list`] or [`UpkeepScheduler::record_list_failure`].
     ReadList,
-    /// Tell the guard of this incarnation to hold its target.
+    /// Tell the guard to hold the target with this incarnation.
     HoldTarget(String),
-    /// Log that this box is next; its target is held from now on.
+    /// Log that this box is selected; its target is held from now on.
     BoxChosen(WaveBox),
-    /// Ask the guard of this incarnation what is free at its target.
+    /// Ask the guard for the load of the target with this incarnation.
     QueryLoad(String),
 }
 
-/// The present, as the process sees it.
+/// Input of a scheduling step.
 #[derive(Clone, Debug)]
 pub struct SchedulerInput<'a> {
-    /// By the steady clock.
+    /// Time by the monotonic clock.
     pub now: Timestamp,
-    /// By the wall clock.
+    /// Time by the wall clock.
     pub wall: UnixTime,
     /// The evacuated data halls.
     pub evacuated: &'a BTreeSet<String>,
-    /// What guards told of their targets.
+    /// Loads of targets that guards have reported.
     pub loads: &'a TargetLoads,
 }
 
-/// What only the holder knows.
+/// Scheduler of the upkeep, with the state that is not replicated.
 #[derive(Clone, Debug)]
 pub struct UpkeepScheduler {
     pub(crate) timings: SchedulerTimings,
-    began_at: Timestamp,
-    /// Boxes that earlier holders may have called.
-    foreign: BTreeSet<BoxName>,
+    started_at: Timestamp,
+    /// Boxes that earlier schedulers may have called.
+    possibly_called: BTreeSet<BoxName>,
     pub(crate) list: BoxList,
     pub(crate) calls: BTreeMap<WaveBox, BoxCalls>,
-    pub(crate) emptying: BTreeMap<WaveBox, Emptying>,
-    /// Commands that are proposed and not applied yet, by the box, and when they were proposed last.
+    pub(crate) draining: BTreeMap<WaveBox, Draining>,
+    /// Time of the last proposal of each command that has not been applied, by box.
     proposed: BTreeMap<WaveBox, Timestamp>,
-    /// The boxes whose upkeep has begun.
-    pub(crate) away: BTreeMap<WaveBox, AwayBox>,
-    /// When this holder saw a wave first.
-    pub(crate) seen_at: BTreeMap<WaveNumber, Timestamp>,
+    /// Boxes whose upkeep has begun.
+    pub(crate) in_upkeep: BTreeMap<WaveBox, BoxInUpkeep>,
+    /// When this scheduler first saw each wave.
+    pub(crate) first_seen_at: BTreeMap<WaveNumber, Timestamp>,
     next_call_at: Timestamp,
-    refusals_in_a_row: u32,
-    /// When guards were asked last what is free.
-    pub(crate) asked_at: Option<Timestamp>,
+    consecutive_refusals: u32,
+    /// When the guards were last asked for their loads.
+    pub(crate) loads_queried_at: Option<Timestamp>,
     pub(crate) wave_statuses: BTreeMap<WaveNumber, WaveStatus>,
 }
 
 impl UpkeepScheduler {
-    /// Creates the holder that begins now, with all commands of earlier holders applied.
+    /// Creates a scheduler that starts now. All commands of earlier schedulers must be applied to `state`.
     pub fn new(timings: SchedulerTimings, state: &UpkeepState, now: Timestamp) -> Self {
         let phases = state.waves().values().flat_map(|wave| wave.phases.keys());
         Self {
             timings,
-            began_at: now,
-            foreign: phases.cloned().collect(),
+            started_at: now,
+            possibly_called: phases.cloned().collect(),
             list: BoxList::default(),
             calls: BTreeMap::new(),
-            emptying: BTreeMap::new(),
+            draining: BTreeMap::new(),
             proposed: BTreeMap::new(),
-            away: BTreeMap::new(),
-            seen_at: BTreeMap::new(),
+            in_upkeep: BTreeMap::new(),
+            first_seen_at: BTreeMap::new(),
             next_call_at: now,
-            refusals_in_a_row: 0,
-            asked_at: None,
+            consecutive_refusals: 0,
+            loads_queried_at: None,
             wave_statuses: BTreeMap::new(),
         }
     }
 
-    /// Returns how each open wave goes on, as of the last steps.
+    /// Returns the status of each open wave as of the last scheduling step.
     pub fn wave_statuses(&self) -> &BTreeMap<WaveNumber, WaveStatus> {
         &self.wave_statuses
     }
 
-    /// Returns what to do now.
+    /// Runs a scheduling step and returns the actions to carry out.
     pub fn next_actions(
         &mut self,
         state: &UpkeepState,
-        moment: &SchedulerInput,
+        input: &SchedulerInput,
     ) -> Vec<SchedulerAction> {
-        self.forget_finished(state);
-        let mut steps = Vec::new();
+        self.remove_finished(state);
+        let mut actions = Vec::new();
         let mut open: Vec<(WaveNumber, &Wave)> = state.open_waves().collect();
         open.sort_by_key(|(_, wave)| wave.order.received_at + wave.order.span);
         for (number, wave) in &open {
-            self.seen_at.entry(*number).or_insert(moment.now);
-            self.drive_on(*number, wave, moment.now, &mut steps);
+            self.first_seen_at.entry(*number).or_insert(input.now);
+            self.advance_boxes(*number, wave, input.now, &mut actions);
         }
         for (number, wave) in &open {
-            self.begin_boxes(*number, wave, state, moment, &mut steps);
+            self.select_boxes(*number, wave, state, input, &mut actions);
         }
-        self.read_list(state, moment.now, &mut steps);
-        self.ask_loads(state, moment.now, &mut steps);
-        steps
+        self.request_list(state, input.now, &mut actions);
+        self.query_loads(state, input.now, &mut actions);
+        actions
     }
 
     /// Records the outcome of a call.
@@ -174,97 +174,109 @@
         random: u64,
     ) {
         if let Some(calls) = self.calls.get_mut(key) {
-            calls.end(outcome, now, random);
+            calls.record_outcome(outcome, now, random);
         }
-        // The platform as a whole takes no calls at present: all wait.
+        // The platform as a whole accepts no calls, so all calls back off.
         if matches!(outcome, CallOutcome::TooMany | CallOutcome::NotSent) {
-            self.refusals_in_a_row += 1;
-            self.next_call_at = now + retry_backoff(self.refusals_in_a_row, random);
+            self.consecutive_refusals += 1;
+            self.next_call_at = now + retry_backoff(self.consecutive_refusals, random);
         } else {
-            self.refusals_in_a_row = 0;
+            self.consecutive_refusals = 0;
         }
     }
 
-    /// Takes over a complete reading of the list that began at a time.
-    pub fn record_list(&mut self, state: &UpkeepState, boxes: Vec<ListedBox>, began_at: Timestamp) {
+    /// Stores a complete reading of the list that started at `started_at`.
+    pub fn record_list(
+        &mut self,
+        state: &UpkeepState,
+        boxes: Vec<ListedBox>,
+        started_at: Timestamp,
+    ) {
         let open = state.open_waves();
         let awaited = open.flat_map(|(_, wave)| wave.order.boxes.iter());
-        self.list.take(boxes, began_at, awaited);
+        self.list.take(boxes, started_at, awaited);
     }
 
-    /// Records that the list could not be read whole.
+    /// Records that the list could not be read completely.
     pub fn record_list_failure(&mut self, now: Timestamp, random: u64) {
-        self.list.fail(now, random);
+        self.list.record_failure(now, random);
     }
 
-    /// Proposes a command about a box unless the same was proposed a moment ago.
+    /// Proposes a command for a box unless one was proposed recently.
     pub(crate) fn propose(
         &mut self,
         key: &WaveBox,
         command: UpkeepCommand,
         now: Timestamp,
-        steps: &mut Vec<SchedulerAction>,
+        actions: &mut Vec<SchedulerAction>,
     ) {
         let proposed = self.proposed.get(key);
-        if proposed.is_some_and(|at| now < *at + PROPOSE_AGAIN_AFTER) {
+        if proposed.is_some_and(|at| now < *at + PROPOSAL_RETRY_INTERVAL) {
             return;
         }
         self.proposed.insert(key.clone(), now);
-        steps.push(SchedulerAction::Propose(command));
+        actions.push(SchedulerAction::Propose(command));
     }
 
-    /// Records that a command about a box was applied; the next one may be proposed at once.
+    /// Records that a command for a box was applied, so that the next one may be proposed at once.
     pub fn record_applied(&mut self, key: &WaveBox) {
         self.proposed.remove(key);
     }
 
-    /// Returns whether a call may go out now, and counts it.
-    pub(crate) fn take_call(&mut self, name: &str, now: Timestamp) -> bool {
-        let may_call = now >= self.next_call_at && self.may_touch(name, now);
+    /// Returns whether a call may be sent now, and reserves the call slot if so.
+    pub(crate) fn reserve_call(&mut self, name: &str, now: Timestamp) -> bool {
+        let may_call = now >= self.next_call_at && self.is_takeover_safe(name, now);
         if may_call {
             self.next_call_at = now + self.timings.call_spacing;
         }
         may_call
     }
 
-    /// Returns whether no earlier holder can be calling a box any more.
-    pub(crate) fn may_touch(&self, name: &str, now: Timestamp) -> bool {
-        now >= self.began_at + self.timings.takeover_delay || !self.foreign.contains(name)
+    /// Returns whether no earlier scheduler can still be calling a box.
+    pub(crate) fn is_takeover_safe(&self, name: &str, now: Timestamp) -> bool {
+        now >= self.started_at + self.timings.takeover_delay || !self.possibly_called.contains(name)
     }
 
-    fn forget_finished(&mut self, state: &UpkeepState) {
+    fn remove_finished(&mut self, state: &UpkeepState) {
         let is_open = |number: &WaveNumber| {
             let wave = state.waves().get(number);
             wave.is_some_and(|wave| !wave.is_over())
         };
         self.calls.retain(|(number, _), _| is_open(number));
-        self.emptying.retain(|(number, _), _| is_open(number));
+        self.draining.retain(|(number, _), _| is_open(number));
         self.proposed.retain(|(number, _), _| is_open(number));
-        self.away.retain(|(number, _), _| is_open(number));
-        self.seen_at.retain(|number, _| is_open(number));
+        self.in_upkeep.retain(|(number, _), _| is_open(number));
+        self.first_seen_at.retain(|number, _| is_open(number));
         self.wave_statuses.retain(|number, _| is_open(number));
     }
 
-    /// Returns the boxes that are down, may be, or are about to go.
-    pub(crate) fn list_away(&self, state: &UpkeepState) -> BTreeSet<BoxName> {
+    /// Returns the boxes that are or may be down, and those that are draining.
+    pub(crate) fn unavailable_boxes(&self, state: &UpkeepState) -> BTreeSet<BoxName> {
         let phases = state.waves().values().flat_map(|wave| &wave.phases);
         let down = phases.filter(|(_, phase)| phase.is_down());
-        let emptying = self.emptying.keys().map(|(_, name)| name.clone());
-        down.map(|(name, _)| name.clone()).chain(emptying).collect()
+        let draining = self.draining.keys().map(|(_, name)| name.clone());
+        down.map(|(name, _)| name.clone()).chain(draining).collect()
     }
 
-    fn read_list(&mut self, state: &UpkeepState, now: Timestamp, steps: &mut Vec<SchedulerAction>) {
+    fn request_list(
+        &mut self,
+        state: &UpkeepState,
+        now: Timestamp,
+        actions: &mut Vec<SchedulerAction>,
+    ) {
         let mut open = state.open_waves();
-        let is_choosing = open.any(|(_, wave)| wave.waiting().next().is_some());
+        let is_selecting = open.any(|(_, wave)| wave.waiting().next().is_some());
         let maintenance = self.timings.maintenance;
-        let away = self.away.values();
-        let mut return_due_at = away.map(|away| away.reading_due_at(maintenance)).min();
-        if self.list.has_doubtful() {
+        let in_upkeep = self.in_upkeep.values();
+        let mut return_due_at = in_upkeep
+            .map(|in_upkeep| in_upkeep.reading_due_at(maintenance))
+            .min();
+        if self.list.has_unconfirmed_missing() {
             return_due_at = Some(now);
         }
-        if self.list.is_due(is_choosing, return_due_at, now) {
-            self.list.begin_reading();
-            steps.push(SchedulerAction::ReadList);
+        if self.list.is_due(is_selecting, return_due_at, now) {
+            self.list.record_reading_start();
+            actions.push(SchedulerAction::ReadList);
         }
     }
 }
--- a/crates/leased/cloverfold_upkeep/src/selection.rs
+++ b/crates/leased/cloverfold_upkeep/src/selection.rs
@@ -1,105 +1,116 @@
-//! How many boxes of a wave go down now, and which: the holder's rules put together.
+//! Selection of the next boxes of a wave: how many may go down now, and which.
 
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
 
 use crate::boxes::{BoxStatus, ListedBox};
-use crate::choice::choose_next_box;
-use crate::emptying::Emptying;
-use crate::holder::{SchedulerAction, SchedulerInput, UpkeepScheduler, WaveBox};
-use crate::load::{can_wait, find_load, has_room};
-use crate::outlook::{WaitReason, WaveStatus};
+use crate::draining::Draining;
+use crate::load::{can_wait, has_room, recent_load};
 use crate::pace::plan_pace;
+use crate::ranking::choose_next_box;
+use crate::scheduler::{SchedulerAction, SchedulerInput, UpkeepScheduler, WaveBox};
 use crate::state::{UpkeepState, Wave};
 use crate::wave::WaveNumber;
+use crate::wave_status::{WaitReason, WaveStatus};
 
 impl UpkeepScheduler {
-    /// Goes on with the boxes that are being emptied, and chooses further ones as the wave's pace allows.
-    pub(crate) fn begin_boxes(
+    /// Advances the draining boxes of a wave, and selects further ones as its pace allows.
+    pub(crate) fn select_boxes(
         &mut self,
         number: WaveNumber,
         wave: &Wave,
         state: &UpkeepState,
-        moment: &SchedulerInput,
-        steps: &mut Vec<SchedulerAction>,
+        input: &SchedulerInput,
+        actions: &mut Vec<SchedulerAction>,
     ) {
-        let left = self.find_time_left(number, wave, moment);
-        self.empty_boxes(number, wave, state, moment, left, steps);
+        let time_left = self.remaining_time(number, wave, input);
+        self.drain_boxes(number, wave, state, input, time_left, actions);
         let waiting = wave.waiting().count();
-        let pace = plan_pace(waiting, wave.order.most_down, self.timings.cycle(), left);
-        let mut outlook = WaveStatus::new(pace, waiting);
+        let pace = plan_pace(
+            waiting,
+            wave.order.most_down,
+            self.timings.cycle(),
+            time_left,
+        );
+        let mut status = WaveStatus::new(pace, waiting);
         if waiting > 0 {
-            let can_wait = can_wait(waiting, &wave.order, self.timings.cycle(), left);
-            outlook.waits = self.choose_boxes(number, wave, state, moment, pace.at_once, can_wait);
+            let can_wait = can_wait(waiting, &wave.order, self.timings.cycle(), time_left);
+            status.waits = self.choose_boxes(number, wave, state, input, pace.at_once, can_wait);
         }
-        let chosen = self.emptying.iter();
-        let chosen = chosen.filter(|(_, emptying)| emptying.is_new(moment.now));
-        let chosen = chosen.filter(|((wave, _), _)| *wave == number);
-        steps.extend(chosen.map(|(key, _)| SchedulerAction::BoxChosen(key.clone())));
-        let down = self.list_away(state);
-        outlook.down = wave.order.boxes.intersection(&down).count();
-        let next = self.emptying.keys().filter(|(wave, _)| *wave == number);
-        outlook.next = next.map(|(_, name)| name.clone()).collect();
-        self.wave_statuses.insert(number, outlook);
+        let selected = self.draining.iter();
+        let selected = selected.filter(|(_, draining)| draining.is_new(input.now));
+        let selected = selected.filter(|((wave, _), _)| *wave == number);
+        actions.extend(selected.map(|(key, _)| SchedulerAction::BoxChosen(key.clone())));
+        let down = self.unavailable_boxes(state);
+        status.down = wave.order.boxes.intersection(&down).count();
+        let next = self.draining.keys().filter(|(wave, _)| *wave == number);
+        status.next = next.map(|(_, name)| name.clone()).collect();
+        self.wave_statuses.insert(number, status);
     }
 
-    /// Chooses boxes until as many are away as the pace allows; returns why no further one is chosen.
+    /// Selects boxes until as many are unavailable as the pace allows. Returns the reason why no further one is selected.
     fn choose_boxes(
         &mut self,
         number: WaveNumber,
         wave: &Wave,
         state: &UpkeepState,
-        moment: &SchedulerInput,
+        input: &SchedulerInput,
         at_once: u32,
         can_wait: bool,
     ) -> Option<WaitReason> {
-        if !self.list.is_fresh(moment.now) {
+        if !self.list.is_fresh(input.now) {
             return Some(WaitReason::NoList);
         }
         loop {
-            let away = self.list_away(state);
-            let down = wave.order.boxes.intersection(&away).count();
+            let unavailable = self.unavailable_boxes(state);
+            let down = wave.order.boxes.intersection(&unavailable).count();
             if down >= at_once.min(wave.order.most_down) as usize {
                 return Some(WaitReason::EnoughDown);
             }
             let candidates = wave.waiting().filter(|name| {
-                !away.contains(*name) && self.may_begin(&(number, (*name).clone()), moment.now)
+                !unavailable.contains(*name)
+                    && self.may_call_box(&(number, (*name).clone()), input.now)
             });
             let listed = candidates.filter_map(|name| self.list.boxes.get(name));
             let up = listed.filter(|listed| listed.status == BoxStatus::Up);
             let is_idle = |listed: &ListedBox| {
-                find_load(listed, moment.loads, moment.now).is_some_and(|load| load.is_empty)
+                recent_load(listed, input.loads, input.now).is_some_and(|load| load.is_empty)
             };
             let boxes = &self.list.boxes;
-            let next = choose_next_box(up, boxes, &away, moment.evacuated, is_idle);
+            let next = choose_next_box(up, boxes, &unavailable, input.evacuated, is_idle);
             let Some(next) = next else {
                 return Some(WaitReason::NoneReady);
             };
-            let (evacuated, loads) = (moment.evacuated, moment.loads);
-            if can_wait && !has_room(next, boxes, &away, evacuated, loads, moment.now) {
+            let (evacuated, loads) = (input.evacuated, input.loads);
+            if can_wait && !has_room(next, boxes, &unavailable, evacuated, loads, input.now) {
                 return Some(WaitReason::NoRoom);
             }
-            let emptying = Emptying {
-                since: moment.now,
-                told_at: None,
+            let draining = Draining {
+                since: input.now,
+                hold_sent_at: None,
                 target: next.target.clone(),
             };
-            self.emptying.insert((number, next.name.clone()), emptying);
+            self.draining.insert((number, next.name.clone()), draining);
         }
     }
 
-    fn may_begin(&self, key: &WaveBox, now: Timestamp) -> bool {
+    fn may_call_box(&self, key: &WaveBox, now: Timestamp) -> bool {
         let calls = self.calls.get(key);
-        calls.is_none_or(|calls| calls.may_begin_again(now)) && self.may_touch(&key.1, now)
+        calls.is_none_or(|calls| calls.may_retry(now)) && self.is_takeover_safe(&key.1, now)
     }
 
-    /// Returns what is left of a wave's span: by the steady clock since this holder saw it, or by the wall clock, whichever is less.
-    fn find_time_left(&self, number: WaveNumber, wave: &Wave, moment: &SchedulerInput) -> Duration {
+    /// Returns the remaining time of a wave: by the monotonic clock since this scheduler first saw it, or by the wall clock, whichever is
+    /// shorter.
+    fn remaining_time(&self, number: WaveNumber, wave: &Wave, input: &SchedulerInput) -> Duration {
         let span = wave.order.span;
-        let seen_at = self.seen_at.get(&number).copied().unwrap_or(moment.now);
-        let by_steady = span.saturating_sub(moment.now.saturating_duration_since(seen_at));
-        let by_wall = (wave.order.received_at + span).saturating_sub(moment.wall);
-        by_steady.min(by_wall)
+        let first_seen_at = self
+            .first_seen_at
+            .get(&number)
+            .copied()
+            .unwrap_or(input.now);
+        let by_monotonic = span.saturating_sub(input.now.saturating_duration_since(first_seen_at));
+        let by_wall = (wave.order.received_at + span).saturating_sub(input.wall);
+        by_monotonic.min(by_wall)
     }
 }
--- a/crates/leased/cloverfold_upkeep/src/state.rs
+++ b/crates/leased/cloverfold_upkeep/src/state.rs
@@ -1,20 +1,18 @@
 //! The state that the control processes replicate.
 //!
-//! [`UpkeepState`] owns the waves, how far each box of them is, and the audit trail. It relies on the log: every control process applies
-//! the same commands in the same order.
+//! [`UpkeepState`] owns the waves, the phases of their boxes and the audit trail. All control processes apply the same commands in log
+//! order.
 //!
-//! Decision: what a command changes.
-//!
-//! | command | changes |
+//! | command | applies to |
 //! |---|---|
-//! | `Order` | a wave with a new number; a known number changes nothing, whatever the order asks for |
-//! | `Call` | a box that waits, was refused or was gone: it counts as down from here on |
-//! | `Begun` | a box that has not begun yet |
-//! | `Back` | a box that has begun |
+//! | `Order` | a new wave number; an order with a known number changes no wave |
+//! | `Call` | a box that waits, was refused or was gone; it counts as down from then on |
+//! | `Begun` | a box whose upkeep has not begun |
+//! | `Back` | a box whose upkeep has begun |
 //! | `Gone` | a box that is not back |
 //! | `Refused` | a box that was called |
 //!
-//! Anything else leaves the state as it is, so that a command may be repeated. Reason: a leader repeats what it does not see applied.
+//! Any other command has no effect. Commands are idempotent, so the leader may repeat one that it has not seen applied.
 
 use std::collections::BTreeMap;
 
@@ -23,29 +21,29 @@
 
 use crate::wave::{BoxName, UpkeepCommand, WaveNumber, WaveOrder};
 
-/// Decisions that are kept of one wave: the first, and the latest of the others. Chosen, not measured.
-const MAX_RECORDS: usize = 16;
-/// Boxes, counted over all waves that are over, whose waves are kept so that a resent order is known; beyond that the waves with the
-/// lowest numbers are dropped. Guards the size of a snapshot. Chosen, not measured.
-const MAX_KEPT_BOXES: usize = 20_000;
+/// Largest number of audit records of a wave. The first record and the newest of the others are retained.
+const MAX_RECORDS_PER_WAVE: usize = 16;
+/// Largest total number of boxes in retained finished waves. Finished waves are retained to recognize resent orders; above this number,
+/// those with the lowest numbers are dropped to bound the size of a snapshot.
+const MAX_RETAINED_BOXES: usize = 20_000;
 
-/// How far a box is; one without a phase waits and was never called. The order of the variants is the format on disk.
+/// Phase of a box. A box without a phase waits and was never called. The order of the variants is part of the disk format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BoxPhase {
-    /// A call may have been sent: its upkeep may have begun, or may still begin.
+    /// A call may have been sent, so the upkeep may have begun or may still begin.
     Called,
-    /// Its upkeep has begun; it is down until it is seen up again.
+    /// The upkeep has begun. The box counts as down until the list shows it up again.
     Begun,
-    /// It is up again.
+    /// The box is up again.
     Back,
-    /// It has left the installation.
+    /// The box has left the installation.
     Gone,
-    /// It was called and refused, and waits.
+    /// The calls for the box were refused, and it waits.
     Refused,
 }
 
 impl BoxPhase {
-    /// Returns the name that log lines and operators' answers use; it never changes.
+    /// Returns the stable name used in log lines and answers to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Called => "called",
@@ -56,12 +54,12 @@
         }
     }
 
-    /// Returns whether the box is down, or may be, for its upkeep.
+    /// Returns whether the box is or may be down for its upkeep.
     pub fn is_down(self) -> bool {
         matches!(self, Self::Called | Self::Begun)
     }
 
-    /// Returns whether the upkeep has begun, or the box needs none any more.
+    /// Returns whether the upkeep has begun or is no longer needed.
     fn has_begun(self) -> bool {
         matches!(self, Self::Begun | Self::Back | Self::Gone)
     }
@@ -71,29 +69,29 @@
     }
 }
 
-/// One wave. The order of the fields is the format on disk.
+/// A wave. The order of the fields is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wave {
     /// The order.
     pub order: WaveOrder,
-    /// How far its boxes are.
+    /// Phases of its boxes.
     pub phases: BTreeMap<BoxName, BoxPhase>,
-    /// The decisions on orders with its number, oldest first.
+    /// Decisions on orders with the wave's number, oldest first.
     records: Vec<WaveRecord>,
 }
 
 impl Wave {
-    /// Returns whether every box that stays has begun its upkeep.
+    /// Returns whether the upkeep of every box has begun. Boxes that are gone are ignored.
     pub fn is_completed(&self) -> bool {
         self.all(BoxPhase::has_begun)
     }
 
-    /// Returns whether every box that stays is up again after its upkeep.
+    /// Returns whether every box is up again after its upkeep. Boxes that are gone are ignored.
     pub fn is_over(&self) -> bool {
         self.all(BoxPhase::is_over)
     }
 
-    /// Returns the boxes whose upkeep has not been called, or was refused.
+    /// Returns the boxes that were not called for upkeep, or whose calls were refused.
     pub fn waiting(&self) -> impl Iterator<Item = &BoxName> {
         let is_waiting =
             |name: &&BoxName| matches!(self.phases.get(*name), None | Some(BoxPhase::Refused));
@@ -106,19 +104,19 @@
     }
 }
 
-/// What became of an order. The order of the variants is the format on disk.
+/// The decision on an order. The order of the variants is part of the disk format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WaveOutcome {
-    /// The wave begins.
+    /// The order is accepted and the wave starts.
     Taken,
-    /// The same order was taken before.
+    /// The same order was accepted before.
     Repeated,
-    /// Another order has this number; nothing changes.
+    /// A different order has this number; the state does not change.
     Conflicting,
 }
 
 impl WaveOutcome {
-    /// Returns the name that log lines and the audit trail use; it never changes.
+    /// Returns the stable name used in log lines and the audit trail.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Taken => "Taken",
@@ -128,31 +126,31 @@
     }
 }
 
-/// One decision on an order. The order of the fields is the format on disk.
+/// Audit record of a decision on an order. The order of the fields is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveRecord {
     /// The wave.
     pub wave: WaveNumber,
-    /// What became of the order.
+    /// The decision.
     pub outcome: WaveOutcome,
-    /// How many boxes it named.
+    /// Number of boxes in the order.
     pub boxes: u64,
-    /// Place of the order in the log.
+    /// Log index of the order.
     pub index: u64,
-    /// Name of the control process that received it.
+    /// Name of the control process that received the order.
     pub source: String,
-    /// When it received it, by its wall clock.
+    /// When the control process received the order, by its wall clock.
     pub received_at: UnixTime,
 }
 
-/// All waves. The order of the fields is the format on disk.
+/// All waves. The order of the fields is part of the disk format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpkeepState {
     waves: BTreeMap<WaveNumber, Wave>,
 }
 
 impl UpkeepState {
-    /// Returns whether no wave was ever ordered.
+    /// Returns whether there is no wave.
     pub fn is_empty(&self) -> bool {
         self.waves.is_empty()
     }
@@ -168,7 +166,7 @@
         open.map(|(number, wave)| (*number, wave))
     }
 
-    /// Returns the decisions on orders of the waves that are kept, oldest first.
+    /// Returns the audit records of the retained waves, oldest first.
     pub fn audit(&self) -> Vec<&WaveRecord> {
         let waves = self.waves.values();
         let mut records: Vec<_> = waves.flat_map(|wave| &wave.records).collect();
@@ -176,7 +174,7 @@
         records
     }
 
-    /// Returns what has become of an order, or would, as of this state; `None` if its number is not known.
+    /// Returns the decision on an order with a known number; `None` if the number is unknown.
     pub fn order_outcome(&self, order: &WaveOrder) -> Option<WaveOutcome> {
         let known = self.waves.get(&order.wave)?;
         if known.order.is_same_as(order) {
@@ -186,21 +184,21 @@
         }
     }
 
-    /// Returns whether a box is down, or may be, for the upkeep of any wave.
+    /// Returns whether a box is or may be down for the upkeep of any wave.
     pub fn is_down(&self, name: &str) -> bool {
         let mut phases = self.waves.values().filter_map(|wave| wave.phases.get(name));
         phases.any(|phase| phase.is_down())
     }
 
-    /// Applies the command at a place of the log; returns whether the state has changed.
+    /// Applies the command at a log index. Returns whether it had an effect other than an audit record.
     pub fn apply(&mut self, command: UpkeepCommand, index: u64) -> bool {
         match command {
             UpkeepCommand::Order(order) => self.apply_order(order, index) == WaveOutcome::Taken,
-            UpkeepCommand::Call { wave, name } => self.change(wave, name, BoxPhase::Called),
-            UpkeepCommand::Begun { wave, name } => self.change(wave, name, BoxPhase::Begun),
-            UpkeepCommand::Back { wave, name } => self.change(wave, name, BoxPhase::Back),
-            UpkeepCommand::Gone { wave, name } => self.change(wave, name, BoxPhase::Gone),
-            UpkeepCommand::Refused { wave, name } => self.change(wave, name, BoxPhase::Refused),
+            UpkeepCommand::Call { wave, name } => self.set_phase(wave, name, BoxPhase::Called),
+            UpkeepCommand::Begun { wave, name } => self.set_phase(wave, name, BoxPhase::Begun),
+            UpkeepCommand::Back { wave, name } => self.set_phase(wave, name, BoxPhase::Back),
+            UpkeepCommand::Gone { wave, name } => self.set_phase(wave, name, BoxPhase::Gone),
+            UpkeepCommand::Refused { wave, name } => self.set_phase(wave, name, BoxPhase::Refused),
         }
     }
 
@@ -219,45 +217,45 @@
             phases: BTreeMap::new(),
             records: Vec::new(),
         });
-        if wave.records.len() == MAX_RECORDS {
+        if wave.records.len() == MAX_RECORDS_PER_WAVE {
             wave.records.remove(1);
         }
         wave.records.push(record);
-        self.drop_oldest();
+        self.drop_finished_waves();
         outcome
     }
 
-    fn change(&mut self, wave: WaveNumber, name: BoxName, to: BoxPhase) -> bool {
+    fn set_phase(&mut self, wave: WaveNumber, name: BoxName, to: BoxPhase) -> bool {
         let Some(wave) = self.waves.get_mut(&wave) else {
             return false;
         };
         let from = wave.phases.get(&name).copied();
-        let is_change = wave.order.boxes.contains(&name) && may_change(from, to);
-        if is_change {
+        let is_valid = wave.order.boxes.contains(&name) && is_valid_transition(from, to);
+        if is_valid {
             wave.phases.insert(name, to);
         }
-        is_change
+        is_valid
     }
 
-    /// Drops the waves with the lowest numbers that are over while those keep too many boxes.
-    fn drop_oldest(&mut self) {
+    /// Drops finished waves, lowest numbers first, while they have more than [`MAX_RETAINED_BOXES`] boxes.
+    fn drop_finished_waves(&mut self) {
         let over = self.waves.iter().filter(|(_, wave)| wave.is_over());
         let over: Vec<(WaveNumber, usize)> = over
             .map(|(number, wave)| (*number, wave.order.boxes.len()))
             .collect();
-        let mut kept: usize = over.iter().map(|(_, boxes)| boxes).sum();
+        let mut retained: usize = over.iter().map(|(_, boxes)| boxes).sum();
         for (number, boxes) in over {
-            if kept <= MAX_KEPT_BOXES {
+            if retained <= MAX_RETAINED_BOXES {
                 return;
             }
             self.waves.remove(&number);
-            kept -= boxes;
+            retained -= boxes;
         }
     }
 }
 
-/// Returns whether a box may go from one phase to another.
-fn may_change(from: Option<BoxPhase>, to: BoxPhase) -> bool {
+/// Returns whether a phase transition is valid.
+fn is_valid_transition(from: Option<BoxPhase>, to: BoxPhase) -> bool {
     use BoxPhase::{Back, Begun, Called, Gone, Refused};
     match to {
         Called => matches!(from, None | Some(Refused | Gone)),
--- a/crates/leased/cloverfold_upkeep/src/wave.rs
+++ b/crates/leased/cloverfold_upkeep/src/wave.rs
@@ -1,4 +1,6 @@
-//! What operators order and what the log holds of it. The bytes are postcard's: the order of fields and variants never changes.
+//! Orders of operators and the commands in the log.
+//!
+//! They are encoded with postcard: the order of fields and variants must not change.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,49 +8,49 @@
 use cloverfold_base::UnixTime;
 use serde::{Deserialize, Serialize};
 
-/// The operator's number of a wave.
+/// Number that the operator gives to a wave.
 pub type WaveNumber = u64;
-/// Name of a box, the same over its upkeep.
+/// Name of a box, which its upkeep does not change.
 pub type BoxName = String;
 
-/// An operator's order of a wave.
+/// An operator's order for a wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveOrder {
-    /// Its number.
+    /// Number of the wave.
     pub wave: WaveNumber,
-    /// The boxes.
+    /// The boxes of the wave.
     pub boxes: BTreeSet<BoxName>,
-    /// Within which span all of them are to begin.
+    /// Time within which the upkeep of all boxes must begin.
     pub span: Duration,
-    /// How many of them may be down at once.
+    /// How many boxes may be down at once.
     pub most_down: u32,
-    /// Name of the control process that received it.
+    /// Name of the control process that received the order.
     pub source: String,
-    /// When it received it, by its wall clock.
+    /// When the control process received the order, by its wall clock.
     pub received_at: UnixTime,
 }
 
 impl WaveOrder {
-    /// Returns whether another order asks for the same; who received it, and when, does not count.
+    /// Returns whether another order asks for the same. The receiver and the time of receipt are ignored.
     pub fn is_same_as(&self, other: &Self) -> bool {
         let asks = |order: &Self| (order.wave, order.span, order.most_down);
         asks(self) == asks(other) && self.boxes == other.boxes
     }
 }
 
-/// One change of the state. The order of the variants is the format on disk.
+/// A change of the state. The order of the variants is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpkeepCommand {
-    /// Begin a wave.
+    /// Start a wave.
     Order(WaveOrder),
-    /// A call for the upkeep of a box is about to be sent: from here on it may be done.
+    /// A call for the upkeep of a box is about to be sent and may take effect from now on.
     Call {
         /// The wave.
         wave: WaveNumber,
         /// The box.
         name: BoxName,
     },
-    /// The upkeep of a box has begun: a call was answered so, or the box was seen in it.
+    /// The upkeep of a box has begun, according to the answer to a call or to the list.
     Begun {
         /// The wave.
         wave: WaveNumber,
@@ -69,7 +71,7 @@
         /// The box.
         name: BoxName,
     },
-    /// The calls for the upkeep of a box were refused, so that none of them can still be done: it is to be called again later.
+    /// The calls for the upkeep of a box were refused and none can still take effect. The box is called again later.
     Refused {
         /// The wave.
         wave: WaveNumber,
@@ -78,11 +80,11 @@
     },
 }
 
-/// Tells a guard to offer its target to nobody for a while. It is repeated while that is wanted, so that it ends by itself.
+/// Tells a guard to stop offering its target for a while. The hold expires unless the message is repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldTarget {
-    /// The incarnation of the target that is meant.
+    /// Incarnation of the target to hold.
     pub incarnation: String,
-    /// For how long from its arrival, in milliseconds; 0 ends it.
+    /// Duration of the hold from the arrival of the message, in milliseconds; 0 ends the hold.
     pub for_ms: u32,
 }
--- a/crates/leased/cloverfold_upkeep/src/wave_status.rs
+++ b/crates/leased/cloverfold_upkeep/src/wave_status.rs
@@ -1,25 +1,25 @@
-//! How an open wave goes on, for operators and log lines. Owns nothing; the holder fills it.
+//! Status of an open wave for operators and log lines. The scheduler fills it in.
 
 use std::time::Duration;
 
 use crate::pace::WavePace;
 use crate::wave::BoxName;
 
-/// Why no further box goes down at present.
+/// The reason why no further box goes down now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// As many are down as the pace or the order allow.
+    /// As many boxes are down as the pace or the order allows.
     EnoughDown,
-    /// The list of boxes could not be read a moment ago.
+    /// There is no recent reading of the list of boxes.
     NoList,
-    /// The pool of the next box is too busy to do without it, and the wave can still catch up.
+    /// The pool of the next box is too busy to spare it, and the wave can still finish in time.
     NoRoom,
-    /// No box that waits is up and free to be called.
+    /// No waiting box is up and may be called.
     NoneReady,
 }
 
 impl WaitReason {
-    /// Returns the name that log lines and operators' answers use; it never changes.
+    /// Returns the stable name used in log lines and answers to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::EnoughDown => "EnoughDown",
@@ -30,20 +30,20 @@
     }
 }
 
-/// How an open wave goes on.
+/// Status of an open wave.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WaveStatus {
-    /// How many boxes wait.
+    /// Number of boxes that wait for their upkeep.
     pub waiting: usize,
-    /// How many are down, may be, or are about to go.
+    /// Number of boxes that are or may be down, or are draining.
     pub down: usize,
-    /// How many may be down at once at present.
+    /// How many boxes may currently be down at once.
     pub at_once: u32,
-    /// By how much the last box is expected to begin too late.
+    /// Expected delay of the last box beyond the span.
     pub late_by: Option<Duration>,
-    /// The boxes that are being emptied.
+    /// The draining boxes.
     pub next: Vec<BoxName>,
-    /// Why no further box goes down.
+    /// The reason why no further box goes down, if any.
     pub waits: Option<WaitReason>,
 }
 
--- a/crates/leased/cloverfold_upkeep/tests/gone_boxes.rs
+++ b/crates/leased/cloverfold_upkeep/tests/gone_boxes.rs
@@ -1,4 +1,4 @@
-//! Boxes that are missing from the list, and answers that say that there is no such box.
+//! Boxes that are missing from the list, and answers that a box does not exist.
 
 #![allow(clippy::unwrap_used)]
 
@@ -44,98 +44,98 @@
         drain_time: Duration::from_secs(1),
         call_spacing: Duration::from_millis(20),
     };
-    let holder = UpkeepScheduler::new(timings, &state, at(0));
-    (state, holder)
+    let scheduler = UpkeepScheduler::new(timings, &state, at(0));
+    (state, scheduler)
 }
 
-/// Takes the holder's steps, and applies what it proposes.
+/// Returns the scheduler's actions and applies the proposed commands.
 fn take(
-    holder: &mut UpkeepScheduler,
+    scheduler: &mut UpkeepScheduler,
     state: &mut UpkeepState,
     now: Timestamp,
 ) -> Vec<SchedulerAction> {
     let (evacuated, loads) = (BTreeSet::new(), BTreeMap::new());
-    let moment = SchedulerInput {
+    let input = SchedulerInput {
         now,
         wall: now.since_start(),
         evacuated: &evacuated,
         loads: &loads,
     };
-    let steps = holder.next_actions(state, &moment);
-    for step in &steps {
-        if let SchedulerAction::Propose(command) = step {
+    let actions = scheduler.next_actions(state, &input);
+    for action in &actions {
+        if let SchedulerAction::Propose(command) = action {
             state.apply(command.clone(), 2);
         }
     }
-    steps
+    actions
 }
 
-fn is_gone(steps: &[SchedulerAction]) -> bool {
-    let is_gone = |step: &SchedulerAction| {
-        matches!(step, SchedulerAction::Propose(UpkeepCommand::Gone { .. }))
+fn is_gone(actions: &[SchedulerAction]) -> bool {
+    let is_gone = |action: &SchedulerAction| {
+        matches!(action, SchedulerAction::Propose(UpkeepCommand::Gone { .. }))
     };
-    steps.iter().any(is_gone)
+    actions.iter().any(is_gone)
 }
 
-/// Reads a list with these boxes at a time.
-fn read(holder: &mut UpkeepScheduler, state: &UpkeepState, names: &[&str], now: Timestamp) {
+/// Records a list with these boxes at `now`.
+fn read(scheduler: &mut UpkeepScheduler, state: &UpkeepState, names: &[&str], now: Timestamp) {
     let boxes = names.iter().map(|name| listed(name)).collect();
-    holder.record_list(state, boxes, now);
+    scheduler.record_list(state, boxes, now);
 }
 
 #[test]
-fn a_box_is_gone_when_it_is_missing_for_long_and_not_before() {
-    let (mut state, mut holder) = start();
+fn a_box_is_gone_only_after_it_was_missing_long_enough() {
+    let (mut state, mut scheduler) = start();
 
     for millis in [0, 3_000, 5_900] {
-        read(&mut holder, &state, &["box-0"], at(millis));
-        let steps = take(&mut holder, &mut state, at(millis + 10));
-        assert!(!is_gone(&steps), "{millis}");
+        read(&mut scheduler, &state, &["box-0"], at(millis));
+        let actions = take(&mut scheduler, &mut state, at(millis + 10));
+        assert!(!is_gone(&actions), "{millis}");
     }
-    read(&mut holder, &state, &["box-0"], at(6_000));
-    let steps = take(&mut holder, &mut state, at(6_010));
+    read(&mut scheduler, &state, &["box-0"], at(6_000));
+    let actions = take(&mut scheduler, &mut state, at(6_010));
 
-    assert!(is_gone(&steps));
+    assert!(is_gone(&actions));
 }
 
 #[test]
-fn a_box_that_is_listed_again_is_missing_anew() {
-    let (mut state, mut holder) = start();
-    read(&mut holder, &state, &["box-0"], at(0));
-    read(&mut holder, &state, &["box-0"], at(3_000));
-    read(&mut holder, &state, &["box-0", "box-1"], at(4_000));
+fn a_box_that_is_listed_again_restarts_the_count() {
+    let (mut state, mut scheduler) = start();
+    read(&mut scheduler, &state, &["box-0"], at(0));
+    read(&mut scheduler, &state, &["box-0"], at(3_000));
+    read(&mut scheduler, &state, &["box-0", "box-1"], at(4_000));
 
-    read(&mut holder, &state, &["box-0"], at(7_000));
+    read(&mut scheduler, &state, &["box-0"], at(7_000));
 
-    let steps = take(&mut holder, &mut state, at(7_010));
-    assert!(!is_gone(&steps));
+    let actions = take(&mut scheduler, &mut state, at(7_010));
+    assert!(!is_gone(&actions));
 }
 
 #[test]
-fn an_answer_that_there_is_no_such_box_makes_a_listed_one_wait() {
-    let (mut state, mut holder) = start();
+fn a_listed_box_waits_after_a_no_such_box_answer() {
+    let (mut state, mut scheduler) = start();
     let key = (1, "box-0".to_owned());
-    read(&mut holder, &state, &["box-0", "box-1"], at(0));
-    take(&mut holder, &mut state, at(0));
-    take(&mut holder, &mut state, at(10));
-    holder.record_applied(&key);
-    let steps = take(&mut holder, &mut state, at(20));
+    read(&mut scheduler, &state, &["box-0", "box-1"], at(0));
+    take(&mut scheduler, &mut state, at(0));
+    take(&mut scheduler, &mut state, at(10));
+    scheduler.record_applied(&key);
+    let actions = take(&mut scheduler, &mut state, at(20));
     assert!(
-        steps.contains(&SchedulerAction::Call(key.clone())),
-        "{steps:?}"
+        actions.contains(&SchedulerAction::Call(key.clone())),
+        "{actions:?}"
     );
 
-    holder.record_call_outcome(&key, CallOutcome::NoSuchBox, at(30), 1);
-    let steps = take(&mut holder, &mut state, at(40));
+    scheduler.record_call_outcome(&key, CallOutcome::NoSuchBox, at(30), 1);
+    let actions = take(&mut scheduler, &mut state, at(40));
 
-    assert!(!is_gone(&steps));
+    assert!(!is_gone(&actions));
     let refused = UpkeepCommand::Refused {
         wave: 1,
         name: key.1,
     };
     assert!(
-        steps.contains(&SchedulerAction::Propose(refused)),
-        "{steps:?}"
+        actions.contains(&SchedulerAction::Propose(refused)),
+        "{actions:?}"
     );
     assert!(!state.waves()[&1].is_completed());
 }
--- a/crates/leased/cloverfold_upkeep/tests/holder.rs
+++ b/crates/leased/cloverfold_upkeep/tests/holder.rs
@@ -1,4 +1,5 @@
-//! Holders against a small platform that loses answers, carries calls out late and shows an old list; holders change at any point.
+//! Simulation of successive schedulers and a platform that loses answers, carries out calls late and shows an outdated list. Schedulers
+//! change at random.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,9 +18,9 @@
 const MAINTENANCE: Duration = Duration::from_secs(2);
 const LEASE: Duration = Duration::from_secs(3);
 const LIST_LAG: Duration = Duration::from_secs(3);
-const CALL_LIMIT: Duration = Duration::from_secs(1);
-/// Steps after which all boxes must have begun, whatever failed; faults end at half of it.
-const MOST_STEPS: u64 = 12_000;
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of steps within which all boxes must have begun. Faults stop after half of them.
+const MAX_STEPS: u64 = 12_000;
 
 fn timings() -> SchedulerTimings {
     SchedulerTimings {
@@ -31,27 +32,27 @@
     }
 }
 
-/// Numbers that follow from a seed.
-struct Dice(u64);
+/// Deterministic random numbers from a seed.
+struct Rng(u64);
 
-impl Dice {
-    fn roll(&mut self, sides: u64) -> u64 {
+impl Rng {
+    fn below(&mut self, end: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0 % sides
+        self.0 % end
     }
 }
 
 #[derive(Clone)]
 struct PlatformBox {
     listed: ListedBox,
-    /// The wave whose upkeep it has, and when that is over.
+    /// The wave whose upkeep is in progress, and when it ends.
     upkeep: Option<(WaveNumber, Timestamp)>,
     incarnation: u32,
 }
 
-struct LateCall {
+struct DelayedCall {
     at: Timestamp,
     key: WaveBox,
 }
@@ -65,10 +66,10 @@
 struct Platform {
     boxes: BTreeMap<BoxName, PlatformBox>,
     done: BTreeSet<WaveBox>,
-    late: Vec<LateCall>,
+    delayed: Vec<DelayedCall>,
     history: VecDeque<(Timestamp, Vec<ListedBox>)>,
     limits: BTreeMap<WaveNumber, usize>,
-    last_caller: BTreeMap<BoxName, (u64, Timestamp)>,
+    last_call: BTreeMap<BoxName, (u64, Timestamp)>,
 }
 
 impl Platform {
@@ -83,102 +84,109 @@
                 labels: vec![format!("rack-{}", index / 2)],
                 target: Some(format!("{name}.0")),
             };
-            let held = PlatformBox {
+            let platform_box = PlatformBox {
                 listed,
                 upkeep: None,
                 incarnation: 0,
             };
-            (name, held)
+            (name, platform_box)
         });
         Self {
             boxes: boxes.collect(),
             done: BTreeSet::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             history: VecDeque::new(),
             limits,
-            last_caller: BTreeMap::new(),
+            last_call: BTreeMap::new(),
         }
     }
 
-    /// Ends the upkeeps that are over, carries out what is late, and remembers the list.
-    fn pass(&mut self, now: Timestamp, dice: &mut Dice) {
-        for held in self.boxes.values_mut() {
-            if held.upkeep.is_some_and(|(_, until)| now >= until) {
-                held.upkeep = None;
-                held.renew();
-            } else if held.upkeep.is_none() && dice.roll(400) == 0 {
-                held.renew();
+    /// Ends finished upkeeps, carries out the delayed calls that are due, and records the list.
+    fn advance(&mut self, now: Timestamp, rng: &mut Rng) {
+        for platform_box in self.boxes.values_mut() {
+            if platform_box.upkeep.is_some_and(|(_, until)| now >= until) {
+                platform_box.upkeep = None;
+                platform_box.replace_target();
+            } else if platform_box.upkeep.is_none() && rng.below(400) == 0 {
+                platform_box.replace_target();
             }
         }
-        let late = std::mem::take(&mut self.late);
-        let (due, later) = late.into_iter().partition(|call| now >= call.at);
-        self.late = later;
-        let due: Vec<LateCall> = due;
+        let delayed = std::mem::take(&mut self.delayed);
+        let (due, not_due) = delayed.into_iter().partition(|call| now >= call.at);
+        self.delayed = not_due;
+        let due: Vec<DelayedCall> = due;
         for call in due {
-            self.carry_out(&call.key, now, dice);
+            self.carry_out(&call.key, now, rng);
         }
-        let list = self.boxes.values().map(|held| held.listed.clone());
+        let list = self
+            .boxes
+            .values()
+            .map(|platform_box| platform_box.listed.clone());
         self.history.push_back((now, list.collect()));
         self.history.retain(|(at, _)| *at + LIST_LAG + STEP >= now);
     }
 
-    fn carry_out(&mut self, key: &WaveBox, now: Timestamp, dice: &mut Dice) -> CallOutcome {
+    fn carry_out(&mut self, key: &WaveBox, now: Timestamp, rng: &mut Rng) -> CallOutcome {
         if self.done.contains(key) {
             return CallOutcome::Begun;
         }
         let (wave, name) = key;
         let down = self.boxes.values();
-        let down = down.filter(|held| held.upkeep.is_some_and(|(of, _)| of == *wave));
+        let down =
+            down.filter(|platform_box| platform_box.upkeep.is_some_and(|(of, _)| of == *wave));
         let down = down.count();
-        let held = self.boxes.get_mut(name).unwrap();
-        if held.upkeep.is_some() {
+        let platform_box = self.boxes.get_mut(name).unwrap();
+        if platform_box.upkeep.is_some() {
             return CallOutcome::Busy;
         }
         assert!(
             down < self.limits[wave],
-            "too many are down for wave {wave}"
+            "too many boxes are down for wave {wave}"
         );
-        let extra = Duration::from_millis(dice.roll(6_000));
-        held.upkeep = Some((*wave, now + MAINTENANCE + extra));
-        held.listed.status = BoxStatus::Upkeep;
-        held.listed.target = None;
+        let extra = Duration::from_millis(rng.below(6_000));
+        platform_box.upkeep = Some((*wave, now + MAINTENANCE + extra));
+        platform_box.listed.status = BoxStatus::Upkeep;
+        platform_box.listed.target = None;
         self.done.insert(key.clone());
         CallOutcome::Begun
     }
 
-    /// Receives a call; returns its answer and when it comes.
+    /// Receives a call and returns its answer with the time of arrival.
     fn receive(
         &mut self,
         key: WaveBox,
-        holder: u64,
+        term: u64,
         now: Timestamp,
         is_faulty: bool,
-        dice: &mut Dice,
+        rng: &mut Rng,
     ) -> Answer {
-        let last = self.last_caller.insert(key.1.clone(), (holder, now));
+        let last = self.last_call.insert(key.1.clone(), (term, now));
         if let Some((before, at)) = last {
-            assert!(before == holder || now >= at + LEASE, "holders take turns");
+            assert!(
+                before == term || now >= at + LEASE,
+                "an earlier scheduler may still be calling"
+            );
         }
-        let outcome = match dice.roll(if is_faulty { 10 } else { 1 }) {
+        let outcome = match rng.below(if is_faulty { 10 } else { 1 }) {
             1 => CallOutcome::TooMany,
             2 => CallOutcome::NotSent,
             3 => {
-                self.carry_out(&key, now, dice);
+                self.carry_out(&key, now, rng);
                 CallOutcome::Unanswered
             }
             4 => {
-                let at = now + Duration::from_millis(dice.roll(12_000));
+                let at = now + Duration::from_millis(rng.below(12_000));
                 let key = key.clone();
-                self.late.push(LateCall { at, key });
+                self.delayed.push(DelayedCall { at, key });
                 CallOutcome::Unanswered
             }
             5 => CallOutcome::Unanswered,
             6 => CallOutcome::Busy,
-            _ => self.carry_out(&key, now, dice),
+            _ => self.carry_out(&key, now, rng),
         };
         let after = match outcome {
-            CallOutcome::Unanswered => CALL_LIMIT,
-            _ => Duration::from_millis(dice.roll(300)),
+            CallOutcome::Unanswered => CALL_TIMEOUT,
+            _ => Duration::from_millis(rng.below(300)),
         };
         let at = now + after;
         Answer { at, key, outcome }
@@ -186,31 +194,31 @@
 }
 
 impl PlatformBox {
-    /// Gives the box a new target.
-    fn renew(&mut self) {
+    /// Sets the box up with a new target.
+    fn replace_target(&mut self) {
         self.incarnation += 1;
         self.listed.status = BoxStatus::Up;
         self.listed.target = Some(format!("{}.{}", self.listed.name, self.incarnation));
     }
 }
 
-struct World {
+struct Simulation {
     now: Timestamp,
     platform: Platform,
     state: UpkeepState,
     index: u64,
-    /// Proposed and not committed yet.
+    /// Proposed commands that are not committed.
     proposed: Vec<UpkeepCommand>,
     answers: Vec<Answer>,
-    /// When a reading began, and what it shows.
+    /// Start time of the current reading, and its result.
     reading: Option<(Timestamp, Vec<ListedBox>)>,
     lag: Duration,
-    holder: UpkeepScheduler,
+    scheduler: UpkeepScheduler,
     term: u64,
-    dice: Dice,
+    rng: Rng,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, waves: &[WaveOrder], boxes: usize) -> Self {
         let mut state = UpkeepState::default();
         for order in waves {
@@ -219,34 +227,34 @@
         let limits = waves
             .iter()
             .map(|order| (order.wave, order.most_down as usize));
-        let mut dice = Dice(seed | 1);
+        let mut rng = Rng(seed | 1);
         Self {
             now: Timestamp::ZERO,
             platform: Platform::new(boxes, limits.collect()),
-            holder: UpkeepScheduler::new(timings(), &state, Timestamp::ZERO),
+            scheduler: UpkeepScheduler::new(timings(), &state, Timestamp::ZERO),
             state,
             index: 100,
             proposed: Vec::new(),
             answers: Vec::new(),
             reading: None,
-            lag: Duration::from_millis(dice.roll(LIST_LAG.as_millis() as u64)),
+            lag: Duration::from_millis(rng.below(LIST_LAG.as_millis() as u64)),
             term: 1,
-            dice,
+            rng,
         }
     }
 
-    /// Commits what was proposed; a change of holders loses some of it and every answer.
-    fn change_holder(&mut self) {
+    /// Replaces the scheduler, which loses some of the proposed commands and all answers.
+    fn change_scheduler(&mut self) {
         let proposed = std::mem::take(&mut self.proposed);
         for command in proposed {
-            if self.dice.roll(2) == 0 {
+            if self.rng.below(2) == 0 {
                 self.apply(command);
             }
         }
         self.answers.clear();
         self.reading = None;
         self.term += 1;
-        self.holder = UpkeepScheduler::new(timings(), &self.state, self.now);
+        self.scheduler = UpkeepScheduler::new(timings(), &self.state, self.now);
     }
 
     fn apply(&mut self, command: UpkeepCommand) {
@@ -260,52 +268,61 @@
         };
         assert!(
             !matches!(command, UpkeepCommand::Gone { .. }),
-            "no box has left"
+            "a box counts as gone although none has left"
         );
         if matches!(command, UpkeepCommand::Begun { .. }) {
             let key = key.as_ref().unwrap();
-            assert!(self.platform.done.contains(key), "none has begun");
+            assert!(
+                self.platform.done.contains(key),
+                "a box counts as begun although its upkeep has not"
+            );
         }
         self.index += 1;
         self.state.apply(command, self.index);
         if let Some(key) = key {
-            self.holder.record_applied(&key);
+            self.scheduler.record_applied(&key);
         }
     }
 
     fn advance(&mut self, is_faulty: bool) {
         self.now += STEP;
-        self.platform.pass(self.now, &mut self.dice);
-        if is_faulty && self.dice.roll(300) == 0 {
-            self.change_holder();
+        self.platform.advance(self.now, &mut self.rng);
+        if is_faulty && self.rng.below(300) == 0 {
+            self.change_scheduler();
         }
         self.deliver();
         let evacuated = BTreeSet::new();
         let loads = self.list_loads();
-        let moment = SchedulerInput {
+        let input = SchedulerInput {
             now: self.now,
             wall: self.now.since_start(),
             evacuated: &evacuated,
             loads: &loads,
         };
-        for step in self.holder.next_actions(&self.state, &moment) {
-            self.carry_out(step, is_faulty);
+        for action in self.scheduler.next_actions(&self.state, &input) {
+            self.carry_out(action, is_faulty);
         }
     }
 
-    /// What guards tell: any load at all.
+    /// Returns random load reports of the guards.
     fn list_loads(&mut self) -> TargetLoads {
         let now = self.now;
         let mut loads = TargetLoads::new();
-        for held in self.platform.boxes.values() {
-            let free_milli = self.dice.roll(17) as i64 * 1_000;
+        for platform_box in self.platform.boxes.values() {
+            let free_milli = self.rng.below(17) as i64 * 1_000;
             let load = TargetLoad {
                 capacity_milli: 16_000,
                 free_milli,
                 is_empty: free_milli == 16_000,
                 at: now,
             };
-            loads.extend(held.listed.target.clone().map(|target| (target, load)));
+            loads.extend(
+                platform_box
+                    .listed
+                    .target
+                    .clone()
+                    .map(|target| (target, load)),
+            );
         }
         loads
     }
@@ -320,23 +337,23 @@
                 self.answers.push(answer);
                 continue;
             }
-            let random = self.dice.roll(u64::MAX);
-            self.holder
+            let random = self.rng.below(u64::MAX);
+            self.scheduler
                 .record_call_outcome(&answer.key, answer.outcome, self.now, random);
         }
         if let Some((began, boxes)) = self.reading.take() {
-            self.holder.record_list(&self.state, boxes, began);
+            self.scheduler.record_list(&self.state, boxes, began);
         }
     }
 
-    fn carry_out(&mut self, step: SchedulerAction, is_faulty: bool) {
-        match step {
+    fn carry_out(&mut self, action: SchedulerAction, is_faulty: bool) {
+        match action {
             SchedulerAction::Propose(command) => self.proposed.push(command),
             SchedulerAction::HoldTarget(_)
             | SchedulerAction::QueryLoad(_)
             | SchedulerAction::BoxChosen(_) => {}
-            SchedulerAction::ReadList if is_faulty && self.dice.roll(4) == 0 => {
-                self.holder.record_list_failure(self.now, self.dice.0);
+            SchedulerAction::ReadList if is_faulty && self.rng.below(4) == 0 => {
+                self.scheduler.record_list_failure(self.now, self.rng.0);
             }
             SchedulerAction::ReadList => {
                 let shown = self
@@ -350,13 +367,13 @@
             SchedulerAction::Call(key) => {
                 let answer =
                     self.platform
-                        .receive(key, self.term, self.now, is_faulty, &mut self.dice);
+                        .receive(key, self.term, self.now, is_faulty, &mut self.rng);
                 self.answers.push(answer);
             }
         }
     }
 
-    fn are_all_over(&self) -> bool {
+    fn are_all_waves_over(&self) -> bool {
         self.state.open_waves().next().is_none()
     }
 }
@@ -381,7 +398,7 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn never_too_many_are_down_and_all_begin_whatever_is_lost(
+    fn the_down_limit_holds_and_all_boxes_begin_despite_faults(
         seed in any::<u64>(),
         boxes in 1_usize..9,
         most_down in 1_u32..4,
@@ -389,53 +406,57 @@
         span_s in 1_u64..120,
     ) {
         let waves = [order(1, 0..boxes, most_down, span_s), order(2, boxes / 2..boxes, other_most_down, 40)];
-        let mut world = World::new(seed, &waves, boxes);
+        let mut simulation = Simulation::new(seed, &waves, boxes);
 
         let mut steps = 0;
-        while !world.are_all_over() && steps < MOST_STEPS {
-            world.advance(steps < MOST_STEPS / 2);
+        while !simulation.are_all_waves_over() && steps < MAX_STEPS {
+            simulation.advance(steps < MAX_STEPS / 2);
             steps += 1;
         }
 
-        prop_assert!(world.are_all_over(), "some have not begun: {:?}", world.state.waves());
+        prop_assert!(simulation.are_all_waves_over(), "some waves are not over: {:?}", simulation.state.waves());
         let expected = boxes + (boxes - boxes / 2);
-        prop_assert_eq!(world.platform.done.len(), expected);
+        prop_assert_eq!(simulation.platform.done.len(), expected);
     }
 }
 
 #[test]
-fn in_calm_all_boxes_begin_in_time_and_no_more_are_down_than_that_needs() {
-    let mut world = World::new(7, &[order(1, 0..12, 4, 120)], 24);
-    let mut most = 0;
-    let mut last_begun = Timestamp::ZERO;
-
-    while !world.are_all_over() {
-        let before = world.platform.done.len();
-        world.advance(false);
-        if world.platform.done.len() > before {
-            last_begun = world.now;
+fn without_faults_all_boxes_begin_in_time_with_the_fewest_down_at_once() {
+    let mut simulation = Simulation::new(7, &[order(1, 0..12, 4, 120)], 24);
+    let mut peak_down = 0;
+    let mut last_start = Timestamp::ZERO;
+
+    while !simulation.are_all_waves_over() {
+        let before = simulation.platform.done.len();
+        simulation.advance(false);
+        if simulation.platform.done.len() > before {
+            last_start = simulation.now;
         }
-        let held = world.platform.boxes.values();
-        most = most.max(held.filter(|held| held.upkeep.is_some()).count());
+        let boxes = simulation.platform.boxes.values();
+        peak_down = peak_down.max(
+            boxes
+                .filter(|platform_box| platform_box.upkeep.is_some())
+                .count(),
+        );
     }
 
-    assert!(last_begun <= Timestamp::from_start(Duration::from_secs(120)));
-    assert!(most <= 2, "{most} were down at once");
+    assert!(last_start <= Timestamp::from_start(Duration::from_secs(120)));
+    assert!(peak_down <= 2, "{peak_down} boxes were down at once");
 }
 
 #[test]
-fn without_an_open_wave_nothing_is_read_and_nothing_is_called() {
-    let mut holder = UpkeepScheduler::new(timings(), &UpkeepState::default(), Timestamp::ZERO);
+fn without_an_open_wave_the_scheduler_takes_no_action() {
+    let mut scheduler = UpkeepScheduler::new(timings(), &UpkeepState::default(), Timestamp::ZERO);
     let evacuated = BTreeSet::new();
 
     for second in 0..100 {
         let now = Timestamp::from_start(Duration::from_secs(second));
-        let moment = SchedulerInput {
+        let input = SchedulerInput {
             now,
             wall: now.since_start(),
             evacuated: &evacuated,
             loads: &BTreeMap::new(),
         };
-        assert_eq!(holder.next_actions(&UpkeepState::default(), &moment), []);
+        assert_eq!(scheduler.next_actions(&UpkeepState::default(), &input), []);
     }
 }
--- a/crates/leased/cloverfold_upkeep/tests/loads.rs
+++ b/crates/leased/cloverfold_upkeep/tests/loads.rs
@@ -1,4 +1,4 @@
-//! What a holder makes of the load of targets: idle boxes first, room left at a peak, and runs that are given time to end.
+//! Handling of target loads: idle boxes go first, a pool keeps capacity at peak load, and running work gets time to end.
 
 #![allow(clippy::unwrap_used)]
 
@@ -38,23 +38,23 @@
     }
 }
 
-fn load(used: i64, told: Timestamp) -> TargetLoad {
+fn load(used: i64, reported_at: Timestamp) -> TargetLoad {
     TargetLoad {
         capacity_milli: CAPACITY,
         free_milli: CAPACITY - used,
         is_empty: used == 0,
-        at: told,
+        at: reported_at,
     }
 }
 
-/// Returns what guards told of targets of which so much is in use.
-fn loads(used: &[i64], told: Timestamp) -> TargetLoads {
+/// Returns load reports of targets with this much capacity in use.
+fn loads(used: &[i64], reported_at: Timestamp) -> TargetLoads {
     let used = used.iter().enumerate();
-    used.map(|(index, used)| (format!("target-{index}"), load(*used, told)))
+    used.map(|(index, used)| (format!("target-{index}"), load(*used, reported_at)))
         .collect()
 }
 
-/// Returns a wave over so many boxes, and its holder with their list.
+/// Returns the state with a wave over `boxes` boxes, and a scheduler that has read their list.
 fn start(boxes: usize, span_s: u64) -> (UpkeepState, UpkeepScheduler) {
     let mut state = UpkeepState::default();
     let order = WaveOrder {
@@ -66,50 +66,50 @@
         received_at: Duration::ZERO,
     };
     state.apply(UpkeepCommand::Order(order), 1);
-    let mut holder = UpkeepScheduler::new(timings(), &state, at(0));
-    holder.record_list(&state, (0..boxes).map(listed).collect(), at(0));
-    (state, holder)
+    let mut scheduler = UpkeepScheduler::new(timings(), &state, at(0));
+    scheduler.record_list(&state, (0..boxes).map(listed).collect(), at(0));
+    (state, scheduler)
 }
 
 fn take(
-    holder: &mut UpkeepScheduler,
+    scheduler: &mut UpkeepScheduler,
     state: &UpkeepState,
     loads: &TargetLoads,
     evacuated: &[&str],
     now: Timestamp,
 ) -> Vec<SchedulerAction> {
     let evacuated: BTreeSet<String> = evacuated.iter().map(|hall| (*hall).to_owned()).collect();
-    let moment = SchedulerInput {
+    let input = SchedulerInput {
         now,
         wall: now.since_start(),
         evacuated: &evacuated,
         loads,
     };
-    holder.next_actions(state, &moment)
+    scheduler.next_actions(state, &input)
 }
 
-fn is_called(steps: &[SchedulerAction]) -> bool {
-    let is_call = |step: &SchedulerAction| {
-        matches!(step, SchedulerAction::Propose(UpkeepCommand::Call { .. }))
+fn is_called(actions: &[SchedulerAction]) -> bool {
+    let is_call = |action: &SchedulerAction| {
+        matches!(action, SchedulerAction::Propose(UpkeepCommand::Call { .. }))
     };
-    steps.iter().any(is_call)
+    actions.iter().any(is_call)
 }
 
 #[test]
-fn an_idle_box_goes_first_and_one_in_an_evacuated_hall_before_it() {
+fn an_idle_box_goes_first_unless_one_is_in_an_evacuated_hall() {
     let known = loads(&[4_000, 4_000, 0, 4_000], at(10));
-    let (state, mut holder) = start(4, 600);
+    let (state, mut scheduler) = start(4, 600);
     let (other_state, mut other) = start(4, 600);
 
-    take(&mut holder, &state, &known, &[], at(20));
+    take(&mut scheduler, &state, &known, &[], at(20));
     take(&mut other, &other_state, &known, &["hall-1"], at(20));
 
-    assert_eq!(holder.wave_statuses()[&1].next, ["box-2"]);
+    assert_eq!(scheduler.wave_statuses()[&1].next, ["box-2"]);
     assert_eq!(other.wave_statuses()[&1].next, ["box-1"]);
 }
 
 #[test]
-fn at_a_peak_a_wave_waits_while_it_can_catch_up_and_goes_on_when_it_cannot() {
+fn at_peak_load_a_wave_waits_only_while_it_can_finish_in_time() {
     let busy = loads(&[12_000; 4], at(10));
     let (state, mut patient) = start(4, 600);
     let (short_state, mut short) = start(4, 20);
@@ -120,61 +120,85 @@
     assert_eq!(patient.wave_statuses()[&1].waits, Some(WaitReason::NoRoom));
     assert_eq!(patient.wave_statuses()[&1].down, 0);
     assert_eq!(short.wave_statuses()[&1].down, 1);
-    // The peak is over.
+    // The load has dropped.
     let calm = loads(&[8_000; 4], at(1_000));
     take(&mut patient, &state, &calm, &[], at(1_010));
     assert_eq!(patient.wave_statuses()[&1].down, 1);
 }
 
 #[test]
-fn what_was_told_long_ago_holds_nothing_back() {
+fn an_outdated_load_report_does_not_delay_a_wave() {
     let old = loads(&[16_000; 4], at(10));
-    let (state, mut holder) = start(4, 600);
+    let (state, mut scheduler) = start(4, 600);
 
-    take(&mut holder, &state, &old, &[], at(4_000));
+    take(&mut scheduler, &state, &old, &[], at(4_000));
 
-    assert_eq!(holder.wave_statuses()[&1].down, 1);
+    assert_eq!(scheduler.wave_statuses()[&1].down, 1);
 }
 
 #[test]
-fn a_held_box_is_called_once_it_is_empty_and_given_time_while_it_works() {
-    let (state, mut holder) = start(1, 600);
+fn a_held_box_is_called_once_idle_and_gets_more_time_while_busy() {
+    let (state, mut scheduler) = start(1, 600);
     let nothing = BTreeMap::new();
-    let works = |now| loads(&[4_000], now);
-
-    take(&mut holder, &state, &nothing, &[], at(0));
-    take(&mut holder, &state, &nothing, &[], at(0));
-    // What was told before the hold was settled does not count.
-    let steps = take(&mut holder, &state, &loads(&[0], at(50)), &[], at(60));
-    assert!(!is_called(&steps));
-    let steps = take(&mut holder, &state, &works(at(1_400)), &[], at(1_500));
-    assert!(!is_called(&steps), "it is at work");
-    let steps = take(&mut holder, &state, &loads(&[0], at(1_900)), &[], at(1_950));
-
-    assert!(is_called(&steps));
+    let busy_loads = |now| loads(&[4_000], now);
+
+    take(&mut scheduler, &state, &nothing, &[], at(0));
+    take(&mut scheduler, &state, &nothing, &[], at(0));
+    // A report from before the hold took effect does not count.
+    let actions = take(&mut scheduler, &state, &loads(&[0], at(50)), &[], at(60));
+    assert!(!is_called(&actions));
+    let actions = take(
+        &mut scheduler,
+        &state,
+        &busy_loads(at(1_400)),
+        &[],
+        at(1_500),
+    );
+    assert!(!is_called(&actions), "the target is busy");
+    let actions = take(
+        &mut scheduler,
+        &state,
+        &loads(&[0], at(1_900)),
+        &[],
+        at(1_950),
+    );
+
+    assert!(is_called(&actions));
 }
 
 #[test]
-fn a_held_box_that_never_ends_its_work_is_called_all_the_same() {
-    let (state, mut holder) = start(2, 600);
-    let works = |now| loads(&[4_000, 4_000], now);
-    take(&mut holder, &state, &works(at(0)), &[], at(0));
-
-    take(&mut holder, &state, &works(at(3_900)), &[], at(3_900));
-    let steps = take(&mut holder, &state, &works(at(4_600)), &[], at(4_600));
-
-    assert!(is_called(&steps));
+fn a_held_box_that_stays_busy_is_called_after_the_longest_drain_time() {
+    let (state, mut scheduler) = start(2, 600);
+    let busy_loads = |now| loads(&[4_000, 4_000], now);
+    take(&mut scheduler, &state, &busy_loads(at(0)), &[], at(0));
+
+    take(
+        &mut scheduler,
+        &state,
+        &busy_loads(at(3_900)),
+        &[],
+        at(3_900),
+    );
+    let actions = take(
+        &mut scheduler,
+        &state,
+        &busy_loads(at(4_600)),
+        &[],
+        at(4_600),
+    );
+
+    assert!(is_called(&actions));
 }
 
 #[test]
-fn a_held_box_of_which_nothing_is_told_is_called_after_the_usual_span() {
-    let (state, mut holder) = start(1, 600);
+fn a_held_box_without_load_reports_is_called_after_the_drain_time() {
+    let (state, mut scheduler) = start(1, 600);
     let nothing = BTreeMap::new();
-    take(&mut holder, &state, &nothing, &[], at(0));
+    take(&mut scheduler, &state, &nothing, &[], at(0));
 
-    let early = take(&mut holder, &state, &nothing, &[], at(900));
-    let steps = take(&mut holder, &state, &nothing, &[], at(1_000));
+    let early = take(&mut scheduler, &state, &nothing, &[], at(900));
+    let actions = take(&mut scheduler, &state, &nothing, &[], at(1_000));
 
     assert!(!is_called(&early));
-    assert!(is_called(&steps));
+    assert!(is_called(&actions));
 }
--- a/crates/leased/cloverfold_upkeep/tests/orders.rs
+++ b/crates/leased/cloverfold_upkeep/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of waves: their faults, their numbers, and what commands change.
+//! Orders for waves: validation, repeated numbers, phase transitions, and the pace of a wave.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -46,8 +46,8 @@
     |wave, name| UpkeepCommand::Refused { wave, name };
 
 #[test]
-fn every_fault_of_an_order_is_named() {
-    let sound = request();
+fn every_error_of_an_order_is_reported() {
+    let valid = request();
     let empty = WaveRequest {
         wave: 0,
         boxes: BTreeSet::new(),
@@ -63,7 +63,7 @@
         ..request()
     };
 
-    assert_eq!(sound.validate(), []);
+    assert_eq!(valid.validate(), []);
     let all = [
         WaveRequestError::NoNumber,
         WaveRequestError::NoBoxes,
@@ -72,8 +72,8 @@
     ];
     assert_eq!(empty.validate(), all);
     for name in ["", "a\nb", &"x".repeat(MAX_NAME_BYTES + 1)] {
-        let faults = with_name(name.into()).validate();
-        assert_eq!(faults, [WaveRequestError::MalformedName], "{name:?}");
+        let errors = with_name(name.into()).validate();
+        assert_eq!(errors, [WaveRequestError::MalformedName], "{name:?}");
     }
     let too_many = WaveRequestError::TooManyBoxes(MAX_BOXES + 1);
     assert_eq!(many.validate(), [too_many]);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_first_order_of_a_number_holds_and_each_decision_is_kept() {
+fn the_first_order_with_a_number_wins_and_every_decision_is_recorded() {
     let mut state = UpkeepState::default();
     let mut other = order(1);
     other.most_down = 2;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_wave_is_completed_when_all_that_stay_have_begun_and_over_when_they_are_back() {
+fn a_wave_is_completed_once_all_boxes_have_begun_and_over_once_they_are_back() {
     let mut state = UpkeepState::default();
     state.apply(UpkeepCommand::Order(order(1)), 1);
 
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_command_that_comes_again_or_too_late_changes_nothing() {
+fn a_repeated_or_late_command_has_no_effect() {
     let mut state = UpkeepState::default();
     state.apply(UpkeepCommand::Order(order(1)), 1);
 
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_wave_goes_as_slowly_as_its_span_allows_and_says_when_it_will_be_late() {
+fn the_pace_is_the_slowest_that_fits_the_span_and_reports_delays() {
     let cycle = Duration::from_secs(4);
     let pace = |waiting, left_s| plan_pace(waiting, 3, cycle, Duration::from_secs(left_s));
 
