--- a/crates/leased/cloverfold_evacuation/src/evacuated_halls.rs
+++ b/crates/leased/cloverfold_evacuation/src/evacuated_halls.rs
@@ -1,7 +1,6 @@
-//! What a process knows of evacuations: which data halls are evacuated, as of which revision.
+//! The evacuated data halls as of a revision, as each process knows them.
 //!
-//! Decision: whether what a peer tells is newer. Rule: a higher revision replaces a lower one, whichever way it came. Reason: an
-//! evacuation never reverts at a process that knows of it, as a configuration does not.
+//! A process adopts the state of a peer only if its revision is higher, so the known state never goes back to an older one.
 
 use std::collections::BTreeSet;
 
@@ -10,13 +9,13 @@
 /// Name of a data hall.
 pub type DataHall = String;
 
-/// Number of a state of the evacuations; rises by one with each order that is taken. 0 is the state before the first.
+/// Revision of the evacuations. It starts at 0 and rises by one with each order that takes effect.
 pub type EvacuationRevision = u64;
 
-/// The evacuated data halls. The order of the fields is the format on the wire.
+/// The evacuated data halls. The order of the fields is part of the wire format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuatedHalls {
-    /// The revision that this is.
+    /// The revision of this state.
     pub revision: EvacuationRevision,
     /// The halls in which no task may start.
     pub halls: BTreeSet<DataHall>,
@@ -28,11 +27,11 @@
         self.halls.contains(hall)
     }
 
-    /// Takes over what a peer tells if it is newer; returns whether it was.
-    pub fn update(&mut self, told: Self) -> bool {
-        let is_newer = told.revision > self.revision;
+    /// Adopts the state of a peer if it is newer. Returns whether it was.
+    pub fn update(&mut self, received: Self) -> bool {
+        let is_newer = received.revision > self.revision;
         if is_newer {
-            *self = told;
+            *self = received;
         }
         is_newer
     }
--- a/crates/leased/cloverfold_evacuation/src/hall_names.rs
+++ b/crates/leased/cloverfold_evacuation/src/hall_names.rs
@@ -1,53 +1,52 @@
-//! Decision: which names of data halls an operator may use.
+//! Validation of the data hall names that operators use.
 //!
-//! Rule: 1 to [`MAX_NAME_BYTES`] ASCII letters, digits, dots, hyphens and underscores; and one of the halls that the settings name, if
-//! they name any. Inputs: the name, the settings. Reason: an order for a hall that does not exist would be acknowledged and evacuate
-//! nothing.
+//! A name has 1 to [`MAX_NAME_BYTES`] ASCII letters, digits, dots, hyphens and underscores. If the settings list the halls, it must be one
+//! of them; otherwise an order for a mistyped hall would be acknowledged without evacuating anything.
 
 use std::collections::BTreeSet;
 
 use crate::evacuated_halls::DataHall;
 
-/// Longest name of a data hall, in bytes. Chosen, not measured.
+/// Longest name of a data hall, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// Why a name cannot be used.
+/// The reason why a name is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HallNameError {
-    /// It can name no data hall.
+    /// The name is not well-formed.
     #[error(
         "a data hall's name has 1 to {MAX_NAME_BYTES} letters, digits, dots, hyphens or underscores"
     )]
     Malformed,
-    /// The installation has no such hall.
+    /// The installation has no hall with this name.
     #[error("no data hall {name} in this installation; it has: {known}")]
     Unknown {
         /// The name.
         name: DataHall,
-        /// The halls that there are, separated by commas.
+        /// The known halls, separated by commas.
         known: String,
     },
 }
 
-/// The data halls of an installation; if none are named, every well-formed name is taken for one.
+/// The data halls of an installation. If none are listed, every well-formed name is accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HallNames {
     known: BTreeSet<DataHall>,
 }
 
 impl HallNames {
-    /// Returns the names in the settings.
+    /// Returns the given names, as listed in the settings.
     pub fn new(known: impl IntoIterator<Item = DataHall>) -> Self {
         Self {
             known: known.into_iter().collect(),
         }
     }
 
-    /// Checks a name that an operator uses.
+    /// Checks a name that an operator has given.
     ///
     /// # Errors
     ///
-    /// Returns why it cannot be used.
+    /// Returns an error if the name is not well-formed or not known.
     pub fn check(&self, name: &str) -> Result<(), HallNameError> {
         if !is_well_formed(name) {
             return Err(HallNameError::Malformed);
--- a/crates/leased/cloverfold_evacuation/src/lib.rs
+++ b/crates/leased/cloverfold_evacuation/src/lib.rs
@@ -1,9 +1,10 @@
 //! Evacuations of data halls.
 //!
-//! An operator orders that a data hall is evacuated, or taken back ([`EvacuationOrder`]). While it is evacuated, no task starts in it;
-//! what runs there ends in peace. [`EvacuationState`] owns what the control processes replicate: the evacuated halls and the audit
-//! trail. [`EvacuatedHalls`] is what every other process is told. Nothing here does I/O; the log that orders the orders is
-//! `cloverfold_consensus`, the process around both `cloverfold_control`.
+//! An operator orders the evacuation of a data hall, or its return to service ([`EvacuationOrder`]). While a hall is evacuated, no task
+//! starts in it; running tasks are not interrupted. [`EvacuationState`] is the state that the control processes replicate: the evacuated
+//! halls and the audit trail. All other processes receive [`EvacuatedHalls`].
+//!
+//! Nothing in this crate does I/O. The log is in `cloverfold_consensus`, the process in `cloverfold_control`.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_evacuation/src/state.rs
+++ b/crates/leased/cloverfold_evacuation/src/state.rs
@@ -1,7 +1,6 @@
 //! The state that the control processes replicate.
 //!
-//! [`EvacuationState`] owns the evacuations in force and the audit trail. It relies on the log: every control process applies the same
-//! orders in the same order.
+//! [`EvacuationState`] owns the current evacuations and the audit trail. All control processes apply the same orders in log order.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,59 +8,59 @@
 use serde::{Deserialize, Serialize};
 
 use crate::evacuated_halls::{DataHall, EvacuatedHalls, EvacuationRevision};
-use crate::order::{EvacuationOrder, HallChange, OrderId, OrderOutcome, judge_order};
+use crate::order::{EvacuationOrder, HallChange, OrderId, OrderOutcome, decide_outcome};
 
-/// Audit records that are kept; older ones are dropped. Chosen, not measured: evacuations are rare.
+/// Largest number of audit records; older ones are dropped.
 const MAX_AUDIT_RECORDS: usize = 1_024;
 
-/// An evacuation in force. The order of the fields is the format on disk.
+/// A current evacuation. The order of the fields is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
     /// Name of the control process that received the order.
     pub source: String,
-    /// When it received it, by its wall clock.
+    /// When the control process received the order, by its wall clock.
     pub received_at: UnixTime,
-    /// Place of the order in the log.
+    /// Log index of the order.
     pub index: u64,
 }
 
-/// One decision on an order. The order of the fields is the format on disk.
+/// Audit record of a decision on an order. The order of the fields is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationRecord {
-    /// Number of the order.
+    /// Identifier of the order.
     pub order: OrderId,
     /// The data hall.
     pub hall: DataHall,
-    /// What the order wanted.
+    /// The requested change.
     pub change: HallChange,
-    /// What became of it.
+    /// The outcome of the order.
     pub outcome: OrderOutcome,
-    /// The revision after it.
+    /// The revision after the decision.
     pub revision: EvacuationRevision,
-    /// Place of the order in the log.
+    /// Log index of the order.
     pub index: u64,
-    /// Name of the control process that received it.
+    /// Name of the control process that received the order.
     pub source: String,
-    /// When it received it, by its wall clock.
+    /// When the control process received the order, by its wall clock.
     pub received_at: UnixTime,
 }
 
-/// The evacuations in force and how they came about. The order of the fields is the format on disk.
+/// The current evacuations and their audit trail. The order of the fields is part of the disk format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationState {
     revision: EvacuationRevision,
     in_force: BTreeMap<DataHall, Evacuation>,
-    /// The revision of each hall's last change.
+    /// Revision of each hall's last change.
     changed_at: BTreeMap<DataHall, EvacuationRevision>,
     audit: VecDeque<EvacuationRecord>,
 }
 
 impl EvacuationState {
-    /// Decodes a state; no bytes at all are the state of an installation without a single order.
+    /// Decodes a state. No bytes decode to the initial state, in which no order was given.
     ///
     /// # Errors
     ///
-    /// Returns the decoder's error if the bytes are no state.
+    /// Returns the decoding error if the bytes are not a valid state.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         if bytes.is_empty() {
             return Ok(Self::default());
@@ -69,11 +68,11 @@
         postcard::from_bytes(bytes)
     }
 
-    /// Encodes the state; that of an installation without a single order takes no bytes.
+    /// Encodes the state. The initial state is encoded as no bytes.
     ///
     /// # Panics
     ///
-    /// Never: every state can be encoded.
+    /// Never, since every state can be encoded.
     pub fn encode(&self) -> Vec<u8> {
         if self.audit.is_empty() {
             return Vec::new();
@@ -81,22 +80,22 @@
         postcard::to_stdvec(self).expect("a state in memory can be encoded")
     }
 
-    /// Returns the revision; 0 before the first order that was taken.
+    /// Returns the revision, or 0 if no order has taken effect.
     pub fn revision(&self) -> EvacuationRevision {
         self.revision
     }
 
-    /// Returns the evacuations in force, by hall.
+    /// Returns the current evacuations, by hall.
     pub fn in_force(&self) -> &BTreeMap<DataHall, Evacuation> {
         &self.in_force
     }
 
-    /// Returns the decisions, oldest first.
+    /// Returns the audit records, oldest first.
     pub fn audit(&self) -> impl Iterator<Item = &EvacuationRecord> {
         self.audit.iter()
     }
 
-    /// Returns what other processes are told.
+    /// Returns the state that other processes receive.
     pub fn halls(&self) -> EvacuatedHalls {
         EvacuatedHalls {
             revision: self.revision,
@@ -104,21 +103,21 @@
         }
     }
 
-    /// Returns what became of an order; `None` while it is not applied, or after [`MAX_AUDIT_RECORDS`] further ones.
+    /// Returns the outcome of an order, or `None` if it is not applied or its audit record was dropped.
     pub fn find_outcome(&self, order: OrderId) -> Option<OrderOutcome> {
         let mut newest_first = self.audit.iter().rev();
         let record = newest_first.find(|record| record.order == order)?;
         Some(record.outcome)
     }
 
-    /// Applies the order at a place of the log and records what became of it. One that was applied before changes nothing.
+    /// Applies the order at a log index and records its outcome. An order that was applied before has no effect.
     pub fn apply(&mut self, order: EvacuationOrder, index: u64) -> OrderOutcome {
         if let Some(outcome) = self.find_outcome(order.id) {
             return outcome;
         }
         let is_evacuated = self.in_force.contains_key(&order.hall);
         let changed_at = self.changed_at.get(&order.hall).copied().unwrap_or(0);
-        let outcome = judge_order(&order, is_evacuated, changed_at);
+        let outcome = decide_outcome(&order, is_evacuated, changed_at);
         if outcome == OrderOutcome::Taken {
             self.change_hall(&order, index);
         }
--- a/crates/leased/cloverfold_evacuation/tests/orders.rs
+++ b/crates/leased/cloverfold_evacuation/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders in every succession: what holds, what is recorded, and what a restart or a snapshot keeps.
+//! Evacuation orders in any sequence: the resulting state, the audit trail, and persistence over restarts and snapshots.
 
 #![allow(clippy::unwrap_used)]
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_order_that_was_taken_last_holds() {
+fn the_last_taken_order_determines_the_state() {
     let mut state = EvacuationState::default();
 
     assert_eq!(state.apply(evacuate(1, 0), 10), OrderOutcome::Taken);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_order_for_a_hall_that_is_as_wanted_changes_nothing() {
+fn an_order_for_the_current_state_changes_nothing() {
     let mut state = EvacuationState::default();
 
     assert_eq!(state.apply(take_back(1, 0), 10), OrderOutcome::Repeated);
@@ -62,26 +62,26 @@
 }
 
 #[test]
-fn an_order_that_was_held_up_does_not_undo_a_later_one() {
+fn a_delayed_order_does_not_undo_a_later_one() {
     let mut state = EvacuationState::default();
     state.apply(evacuate(1, 0), 10);
     state.apply(take_back(2, 1), 11);
 
-    let held_up = state.apply(evacuate(3, 1), 12);
+    let delayed = state.apply(evacuate(3, 1), 12);
 
-    assert_eq!(held_up, OrderOutcome::Outdated);
+    assert_eq!(delayed, OrderOutcome::Outdated);
     assert!(!is_evacuated(&state));
 }
 
 #[test]
-fn an_order_that_was_sent_again_as_a_new_one_is_taken_and_shows_in_the_audit_trail() {
+fn an_old_order_resent_as_a_new_one_is_taken_and_audited() {
     let mut state = EvacuationState::default();
     state.apply(evacuate(1, 0), 10);
     state.apply(take_back(2, 1), 11);
 
-    let sent_again = state.apply(evacuate(3, 2), 12);
+    let resent = state.apply(evacuate(3, 2), 12);
 
-    assert_eq!(sent_again, OrderOutcome::Taken);
+    assert_eq!(resent, OrderOutcome::Taken);
     let outcomes: Vec<_> = state.audit().map(|r| (r.order, r.outcome)).collect();
     assert_eq!(
         outcomes,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_order_that_stands_in_the_log_twice_is_decided_once() {
+fn an_order_that_is_in_the_log_twice_is_decided_once() {
     let mut state = EvacuationState::default();
     state.apply(evacuate(1, 0), 10);
     state.apply(take_back(2, 1), 11);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn names_are_checked() {
+fn hall_names_are_validated() {
     let names = HallNames::new(["hall-a".to_owned(), "hall-b".to_owned()]);
 
     assert_eq!(names.check("hall-b"), Ok(()));
@@ -130,18 +130,18 @@
 }
 
 #[test]
-fn what_is_told_never_reverts() {
-    let told = |revision, halls: &[&str]| EvacuatedHalls {
+fn the_known_halls_never_revert_to_an_older_revision() {
+    let halls_at = |revision, halls: &[&str]| EvacuatedHalls {
         revision,
         halls: halls.iter().map(|hall| (*hall).to_owned()).collect(),
     };
     let mut known = EvacuatedHalls::default();
 
-    assert!(known.update(told(2, &["hall-a"])));
-    assert!(!known.update(told(1, &[])));
-    assert!(!known.update(told(2, &["hall-b"])));
+    assert!(known.update(halls_at(2, &["hall-a"])));
+    assert!(!known.update(halls_at(1, &[])));
+    assert!(!known.update(halls_at(2, &["hall-b"])));
 
-    assert_eq!(known, told(2, &["hall-a"]));
+    assert_eq!(known, halls_at(2, &["hall-a"]));
 }
 
 fn any_orders() -> impl Strategy<Value = Vec<EvacuationOrder>> {
@@ -153,7 +153,7 @@
 
 proptest! {
     #[test]
-    fn the_last_taken_order_of_each_hall_holds_over_snapshots_and_restarts(orders in any_orders(), restart_each in 1_usize..5) {
+    fn the_last_taken_order_of_each_hall_survives_snapshots_and_restarts(orders in any_orders(), restart_interval in 1_usize..5) {
         let mut state = EvacuationState::default();
         let mut expected = std::collections::BTreeMap::new();
         let mut revision = 0;
@@ -165,19 +165,19 @@
                 expected.insert(hall, change);
                 revision += 1;
             }
-            if index % restart_each == 0 {
+            if index % restart_interval == 0 {
                 state = EvacuationState::decode(&state.encode()).unwrap();
             }
         }
 
-        let wanted = expected.into_iter().filter(|(_, change)| *change == HallChange::Evacuate);
-        let wanted: std::collections::BTreeSet<String> = wanted.map(|(hall, _)| hall).collect();
-        prop_assert_eq!(state.halls().halls, wanted);
+        let evacuated = expected.into_iter().filter(|(_, change)| *change == HallChange::Evacuate);
+        let evacuated: std::collections::BTreeSet<String> = evacuated.map(|(hall, _)| hall).collect();
+        prop_assert_eq!(state.halls().halls, evacuated);
         prop_assert_eq!(state.revision(), revision);
     }
 
     #[test]
-    fn a_process_that_is_told_in_any_order_ends_at_the_newest(revisions in prop::collection::vec(0_u64..50, 1..30)) {
+    fn a_process_ends_at_the_newest_revision_whatever_the_arrival_order(revisions in prop::collection::vec(0_u64..50, 1..30)) {
         let newest = *revisions.iter().max().unwrap();
         let mut known = EvacuatedHalls::default();
 
