--- a/crates/leased/cloverfold_lease/src/stall.rs
+++ b/crates/leased/cloverfold_lease/src/stall.rs
@@ -3,7 +3,7 @@
 //! A stall is the gap between two calls of the same process, measured with its own monotonic clock. There are two limits because the
 //! reactions differ in cost:
 //!
-//! - [`PROCESS_STALL`](cloverfold_base::PROCESS_STALL), 100 ms: messages of peers may still be unread. Their silence during the stall
+//! - [`STALL_THRESHOLD`](cloverfold_base::STALL_THRESHOLD), 100 ms: messages of peers may still be unread. Their silence during the stall
 //!   does not count, and nothing is concluded from it during a [`CatchUp`]. If this was unnecessary, a real failure is detected later.
 //! - [`JOB_STALL_LIMIT`], 700 ms: callers of open jobs, and of requests that arrived during the stall, may have resubmitted them elsewhere.
 //!   The dispatcher gives up all jobs (`Dispatcher::give_up_after_stall`), and the entry refuses requests ([`is_request_outdated`]). If
--- a/crates/leased/cloverfold_leased_process/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_process/src/metrics.rs
@@ -4,11 +4,11 @@
 //! `cloverfold_telemetry` for the text and the count of dropped log lines.
 
 use cloverfold_peer::SentCounts;
-use cloverfold_telemetry::{CauseGauges, count_dropped_lines, write_metrics};
+use cloverfold_telemetry::{CauseGauges, dropped_line_count, write_metrics};
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::{Metric, Registry};
 
-use crate::suspensions::Suspensions;
+use crate::suspensions::SuspensionMonitor;
 
 /// Metrics that are being declared; they are written in the order of their declaration.
 #[derive(Debug)]
@@ -72,9 +72,10 @@
 
 impl ProcessMetrics {
     /// Writes all metrics as text, in the format of Prometheus; `sent` is what the process has sent to others.
-    pub fn write(&self, sent: &SentCounts, suspensions: &Suspensions) -> String {
-        self.box_suspensions.set(suspensions.noticed() as i64);
-        self.dropped_lines.set(count_dropped_lines() as i64);
+    pub fn write(&self, sent: &SentCounts, suspensions: &SuspensionMonitor) -> String {
+        self.box_suspensions
+            .set(suspensions.detected_count() as i64);
+        self.dropped_lines.set(dropped_line_count() as i64);
         for sent in sent.iter() {
             self.sent_messages.set(&[(sent.kind, sent.messages)]);
             self.sent_bytes.set(&[(sent.kind, sent.bytes)]);
