--- a/crates/leased/cloverfold_lease/src/runner/answers.rs
+++ b/crates/leased/cloverfold_lease/src/runner/answers.rs
@@ -1,6 +1,6 @@
-//! What a runner learns from its target: registrations and answers to orders.
+//! Registrations of a target and its answers to orders.
 //!
-//! Separates the decisions from the package that speaks to targets, which owns the wire format. Owns no state.
+//! They are independent of the wire format, which the package that calls targets owns.
 
 use std::fmt;
 
@@ -9,50 +9,50 @@
 use crate::runner::incarnation_id::{IncarnationId, StartTimeMs};
 use crate::timings::TargetTime;
 
-/// What a target reports of itself when it registers, and again at intervals.
+/// State that a target reports when it registers, and again at intervals.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRegistration {
-    /// The incarnation of the target that reports.
+    /// The reporting incarnation.
     pub incarnation: IncarnationId,
-    /// Name of the service whose tasks it runs.
+    /// Name of the service whose tasks it executes.
     pub service: String,
-    /// Host and port at which it takes orders.
+    /// Host and port for orders.
     pub address: String,
-    /// Its whole capacity.
+    /// Its total capacity.
     pub capacity: Resources,
     /// Labels that a step may require or prefer, such as its kind or rack.
     pub labels: Vec<String>,
-    /// Whether it is about to leave.
+    /// Whether it drains before a planned end.
     pub is_draining: bool,
-    /// Its clock when it sent this, in milliseconds.
+    /// Its steady clock when it sent this, in milliseconds.
     pub clock: Option<TargetTime>,
-    /// Rises with each registration of this incarnation.
+    /// Increases with each registration of this incarnation.
     pub sequence: u64,
 }
 
-/// Why a target did not start a run by the order that it answers. An earlier order may still have an effect.
+/// Why a target refused a start order. An earlier order for the same run may still take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartRefusal {
     /// It has seen a higher fencing token.
     Fenced,
-    /// It has seen this run or a later one end.
+    /// The run or a later run of its task has already ended there.
     Stale,
-    /// Its clock was past the deadline of the order.
+    /// The deadline of the order has passed on its clock.
     Late,
     /// It has no free capacity. Written `NoRoom`.
     NoCapacity,
-    /// It can't work at present and has done nothing.
+    /// It cannot work at present; the order had no effect.
     Unhealthy,
-    /// There was no connection to it, so it has not received the order.
+    /// No connection could be opened, so it has not received the order.
     Unreachable,
     /// Another incarnation of the target answered. Written `OtherInstance`.
     OtherIncarnation,
-    /// It considers the order invalid.
+    /// It rejects the order as invalid.
     Invalid,
 }
 
 impl StartRefusal {
-    /// Returns the name by which logs and answers call it; it is part of the outside interface.
+    /// Returns its name in logs and answers, which is part of the external interface.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Fenced => "Fenced",
@@ -67,17 +67,17 @@
     }
 }
 
-/// The answer to a start.
+/// The answer to a start order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// The run is there.
+    /// The target has the run.
     Started {
         /// The target's clock, in milliseconds.
         clock: TargetTime,
     },
-    /// The run was not started by this order; with the target's clock in milliseconds, if the answer contains it.
+    /// The order did not start the run; with the target's clock in milliseconds, if the answer contains it.
     Refused(StartRefusal, Option<TargetTime>),
-    /// No answer came; the order may still be carried out.
+    /// No answer arrived; the order may still be executed.
     Unanswered,
 }
 
@@ -93,7 +93,7 @@
 }
 
 impl fmt::Display for StartAnswer {
-    /// Writes the text by which logs call it; it is part of the outside interface.
+    /// Writes the text used in logs, which is part of the external interface.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Started { clock } => write!(f, "Started {{ clock: {clock} }}"),
@@ -113,7 +113,7 @@
     pub task: TaskId,
     /// Number of the run.
     pub run: u64,
-    /// How much of its work is done, in percent; none if the target does not report it.
+    /// How much of its work is done, in percent; `None` if the target does not report it.
     pub progress: Option<u8>,
 }
 
@@ -126,14 +126,14 @@
     Failed,
     /// It was stopped.
     Stopped,
-    /// Its lease lapsed, or it could not go on for another reason that is not its own.
+    /// Its lease lapsed, or it could not go on for another reason outside the run.
     Lapsed,
 }
 
-/// A run that the target lists as over.
+/// A run that the target lists as ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRun {
-    /// Number of the end; rises within an incarnation of the target.
+    /// Number of the end; increases within an incarnation of the target.
     pub number: u64,
     /// The task.
     pub task: TaskId,
@@ -146,21 +146,21 @@
 /// The answer to a renewal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RenewalAnswer {
-    /// What runs and what has ended.
+    /// The running and ended runs.
     Listed {
-        /// When the incarnation started that answers; `None` if it does not tell.
+        /// When the answering incarnation started; `None` if the target does not report it.
         start_time: Option<StartTimeMs>,
         /// The target's clock, in milliseconds.
         clock: TargetTime,
-        /// All that runs there, whoever started it.
+        /// All runs at the target, whoever started them.
         running: Vec<ListedRun>,
-        /// What has ended and was not acknowledged, in order of number.
+        /// Ends that are not acknowledged yet, in order of number.
         ended: Vec<EndedRun>,
     },
     /// It has seen a higher fencing token.
     Fenced,
     /// Another incarnation of the target answered.
     OtherIncarnation,
-    /// No usable answer came.
+    /// No usable answer arrived.
     Unanswered,
 }
--- a/crates/leased/cloverfold_lease/src/runner/assignment.rs
+++ b/crates/leased/cloverfold_lease/src/runner/assignment.rs
@@ -1,7 +1,6 @@
-//! Decision: which assignments are accepted, and the withdrawal of accepted ones.
+//! Acceptance and withdrawal of assignments.
 //!
-//! Handles what dispatchers order. Changes the runner's runs and owns no state besides.
-//! Relies on `waiting` to start what is accepted, on `stops` and `ending` to withdraw it.
+//! An accepted assignment becomes a run that waits for capacity (`waiting`). A withdrawn one is stopped (`stops`, `ending`).
 
 use std::time::Duration;
 
@@ -14,7 +13,7 @@
 use crate::runner::target_incarnation::TargetIncarnation;
 
 impl Runner {
-    /// Accepts an assignment and starts it if it fits, or gives it back at once.
+    /// Accepts an assignment and starts it if it fits, or refuses it.
     pub(super) fn assign(
         &mut self,
         session: SessionId,
@@ -23,7 +22,7 @@
         now: Timestamp,
     ) {
         let Some(state) = self.sessions.get_mut(&session) else {
-            // The session is closed; its dispatcher counts the run as over with the session.
+            // The session is closed, so its dispatcher already counts the run as over.
             return;
         };
         state.assignments_seen += 1;
@@ -37,7 +36,7 @@
         self.start_waiting(now);
     }
 
-    /// Accepts or gives back an assignment of a job that is kept.
+    /// Accepts or refuses an assignment of a kept job.
     pub(super) fn assign_kept(&mut self, session: SessionId, kept: KeptAssignment, now: Timestamp) {
         let run = KeptRun {
             epoch: kept.epoch,
@@ -46,7 +45,7 @@
         self.assign(session, kept.assignment, Some(run), now);
     }
 
-    /// Gives an assignment back at once.
+    /// Reports an assignment as refused.
     fn refuse(
         &mut self,
         session: SessionId,
@@ -64,15 +63,15 @@
         self.send_end(session, report, now);
     }
 
-    /// Returns why an assignment is given back at once, if there is a reason; the first that applies.
+    /// Returns why an assignment is refused, if there is a reason; the first that applies.
     ///
     /// 1. `Expired`: its session is over, or it arrives after the end of the session as the dispatcher knew it (runner's clock). The
     ///    dispatcher may already count its runs here as over.
     /// 2. `Evacuated`: no task starts in the data hall.
     /// 3. `Draining` or `NoTarget`: the target accepts no work, see [`TargetIncarnation::find_unavailable_reason`].
-    /// 4. `Draining`: this runner is leaving, or the box is about to have its upkeep.
-    /// 5. `EarlierRunOpen`: a run of the same task is not certainly over; two at once must not happen.
-    /// 6. `NoCapacity`: it is larger than the whole target. What fits into the target but not now waits instead.
+    /// 4. `Draining`: this runner drains, or the target is held for upkeep.
+    /// 5. `EarlierRunOpen`: the end of an earlier run of the task is not certain, and two runs of a task must not overlap.
+    /// 6. `NoCapacity`: it exceeds the target's total capacity. A run that only exceeds the free capacity waits instead.
     fn find_refusal(
         &self,
         session: SessionId,
@@ -99,7 +98,7 @@
         (!fits).then_some(RunRefusal::NoCapacity)
     }
 
-    /// Returns `Draining` if the target is about to leave, otherwise `NoTarget`.
+    /// Returns `Draining` if the target drains, otherwise `NoTarget`.
     fn refusal_without_target(&self) -> RunRefusal {
         let is_draining = self
             .target
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Stops a run or gives it back, if this session assigned it.
+    /// Stops or refuses a run that this session assigned.
     pub(super) fn withdraw(&mut self, session: SessionId, task: &TaskId, run: u64, now: Timestamp) {
         let is_withdrawn_run = |known: &Run| known.number == run && known.session == Some(session);
         if self.runs.get(task).is_some_and(is_withdrawn_run) {
--- a/crates/leased/cloverfold_lease/src/runner/ending.rs
+++ b/crates/leased/cloverfold_lease/src/runner/ending.rs
@@ -1,6 +1,6 @@
 //! Ends of runs and their reports to dispatchers.
 //!
-//! The only place that removes a run. Owns no state besides the runner's; relies on `reports` for the free capacity.
+//! No other module removes a run.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::runner::run::Run;
 use crate::runner::{Runner, RunnerAction};
 
-/// The report of one run's end to its dispatcher.
+/// Report of the end of a run to its dispatcher.
 pub(super) struct EndReport {
     pub(super) task: TaskId,
-    /// The dispatcher's number of the run.
+    /// Number of the run, assigned by the dispatcher.
     pub(super) run: u64,
     pub(super) outcome: RunOutcome,
     /// Time since the first start was sent; zero if it never ran.
@@ -21,14 +21,14 @@
 }
 
 impl Runner {
-    /// Forgets a run whose end is certain and reports it to its dispatcher.
+    /// Removes a run whose end is certain and reports the end to its dispatcher.
     ///
-    /// The caller must know that the run does not run and can't start any more, since the dispatcher may then start the task elsewhere.
+    /// The caller must ensure that the run is not running and can no longer start, since the dispatcher may then start the task elsewhere.
     /// That is certain when
     ///
-    /// - no start of it was sent, or the only start was refused;
-    /// - the target reported its end;
-    /// - the target's list leaves it out, under the conditions of `outcome_of_unlisted_run`;
+    /// - no start was sent, or the only start was refused;
+    /// - the target reported the end;
+    /// - the target's list leaves the run out, under the conditions of `outcome_of_unlisted_run`;
     /// - the target's incarnation is over, or every lease that it may have has lapsed.
     pub(super) fn end_run(&mut self, task: &TaskId, outcome: RunOutcome, now: Timestamp) {
         let Some(run) = self.runs.remove(task) else {
@@ -37,7 +37,7 @@
         let outcome = reported_outcome(&run, outcome);
         self.count_end(outcome);
         let Some(session) = run.session else {
-            // Nobody waits for this end. It may have been the last leftover that kept the target from being announced.
+            // No session waits for this end, but it may have been the last leftover run that blocked the announcement.
             self.announce_target();
             return;
         };
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Ends every run: the target's incarnation is over, or its lease has lapsed.
+    /// Ends every run because the target's incarnation is over or its lease has lapsed.
     pub(super) fn end_all_runs(&mut self, now: Timestamp) {
         let tasks: Vec<TaskId> = self.runs.keys().cloned().collect();
         for task in tasks {
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Sends the report of an end to a dispatcher, together with the present free capacity.
+    /// Reports an end to a dispatcher, together with the current free capacity.
     pub(super) fn send_end(&mut self, session: SessionId, report: EndReport, now: Timestamp) {
         let free_capacity = self.free_capacity_for(session, now);
         let message = RunnerMessage::Ended {
             task: report.task,
             run: report.run,
             outcome: report.outcome,
-            // Milliseconds of a run fit: u32 covers 49 days.
+            // A u32 covers 49 days in milliseconds.
             ran_ms: report.ran.as_millis() as u32,
             free_capacity,
         };
@@ -86,7 +86,7 @@
     }
 }
 
-/// Returns the outcome to report: a run that was stopped because it made no progress is reported as stuck, not as stopped.
+/// Returns the outcome to report: a run that was stopped because it was stuck is reported as `Stuck`, not as `Stopped`.
 fn reported_outcome(run: &Run, outcome: RunOutcome) -> RunOutcome {
     match outcome {
         RunOutcome::Stopped if run.is_stopped_as_stuck => RunOutcome::Stuck,
--- a/crates/leased/cloverfold_lease/src/runner/evacuation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/evacuation.rs
@@ -1,18 +1,16 @@
-//! Decision: what an evacuation of the data hall changes at a runner.
+//! Behaviour of a runner while its data hall is evacuated.
 //!
-//! | | |
+//! | subject | behaviour |
 //! |---|---|
-//! | assignments | given back at once, `Evacuated` (`assignment`) |
-//! | runs that wait | given back at once, `Evacuated` |
-//! | the target | is offered to no dispatcher (`reports`) |
-//! | a start that was refused without effect | is not replaced by one with a later deadline; the run is given back (`starts`) |
-//! | a start that was sent and is not answered | is repeated with the same deadline, as always |
-//! | runs that are there, their leases and sessions | go on; nothing is cut |
+//! | new assignments | refused with `Evacuated` (`assignment`) |
+//! | waiting runs | refused with `Evacuated` |
+//! | the target | not offered to any dispatcher (`reports`) |
+//! | a start that was refused without effect | not replaced by one with a later deadline; the run is refused (`starts`) |
+//! | a start that was sent and is unanswered | retried with the same deadline, as usual |
+//! | started runs, their leases and sessions | unaffected |
 //!
-//! So the last start in the hall is carried out before its deadline, one lease ([`Timings::lease`](crate::Timings::lease)) after the
-//! evacuation came into force here. Repeating it is no new start: the target carries out each run once.
-//!
-//! Inputs: whether the hall is evacuated, as the guard was told last. Owns no state besides the runner's.
+//! The target therefore executes the last start in the hall at most one lease ([`Timings::lease`](crate::Timings::lease)) after the
+//! runner learns of the evacuation. A retry is not a new start, since the target executes each run only once.
 
 use cloverfold_base::Timestamp;
 
@@ -20,14 +18,14 @@
 use crate::runner::Runner;
 
 impl Runner {
-    /// Starts nothing more while the data hall is evacuated, and goes on when it is taken back.
+    /// Sets whether the data hall is evacuated. While it is, nothing more starts.
     pub fn set_evacuated(&mut self, is_evacuated: bool, now: Timestamp) {
         if is_evacuated == self.is_evacuated {
             return;
         }
         self.is_evacuated = is_evacuated;
         if is_evacuated {
-            self.give_back_waiting(RunRefusal::Evacuated, now);
+            self.refuse_waiting(RunRefusal::Evacuated, now);
         }
         self.announce_target();
     }
--- a/crates/leased/cloverfold_lease/src/runner/held_ends.rs
+++ b/crates/leased/cloverfold_lease/src/runner/held_ends.rs
@@ -1,42 +1,38 @@
-//! Decision: which ends a target must not forget yet.
+//! Ends of runs that the target must keep listing.
 //!
-//! Rule: it is told to forget ends up to the first one that is held.
+//! A target is told to forget ends up to the first held one.
 //!
 //! | end | held |
 //! |---|---|
-//! | `Done` or `Failed` of a kept run | until its group has decided that it is recorded or that the job is over |
-//! | the same, of an epoch that is over (`Fenced`) | until the lease has lapsed once |
-//! | `Done` or `Failed` of a kept run that is not known here | until the lease has lapsed once |
-//! | any other | not |
+//! | `Done` or `Failed` of a kept run | until its job group decides that it is recorded or that the job is over |
+//! | the same, if its epoch is over (`Fenced`) | until the lease has lapsed once |
+//! | `Done` or `Failed` of a kept run that is unknown here | until the lease has lapsed once |
+//! | any other | not held |
 //!
-//! An end that is held until the lease lapses makes it lapse (`lapses`); so does a list of [`MOST_LISTED`] ends while one is held.
+//! An end that is held until the lease lapses makes the runner withhold the lease (`lapses`). So does a list of [`MAX_LISTED_ENDS`] ends
+//! while any end is held: a target lists only its oldest ends, so held ones could hide newer ones.
 //!
-//! Inputs: the ends that the target lists, the decisions of the groups.
-//!
-//! Reason: an end that the target has forgotten must not be followed by another start of its task, unless the lease lapsed in between. A kept
-//! run that is not known here is that of an earlier process of this guard, whose record of its end may be lost; that it is kept shows in its
-//! number. Holding all unknown ends let the lease lapse at each restart of a guard: 0.019 of the worth on the five days with trouble of
-//! 11 boxes (seed 5, without processor time). A target lists only its oldest ends, so held ones must not hide the others.
-//!
-//! Owns [`HeldEnds`]. Processing an end does not wait for any of this.
+//! After the target has forgotten an end, its task may start again only if the lease has lapsed in between. An unknown kept run belongs to
+//! an earlier process of this guard, whose record of the end may be lost; its run number shows that it is kept. Other unknown ends are not
+//! held, since that would let the lease lapse at each restart of a guard.
 
 use std::collections::BTreeMap;
 
 use cloverfold_kept_jobs::{EndDecision, TaskEnd};
 
-/// Ends that a target may list before held ones are let go of by a lapse. Targets list 500 at once.
-const MOST_LISTED: usize = 400;
+/// Number of listed ends from which held ones may hide others. Targets list at most 500.
+const MAX_LISTED_ENDS: usize = 400;
 
 /// Why an end is held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum HeldEnd {
-    /// Its group has not decided on it.
+    /// Its job group has not decided on it.
     Undecided(TaskEnd),
-    /// Nothing but a lapse allows to forget it.
+    /// Only a lapse of the lease releases it.
     UntilLapse,
 }
 
-/// The ends of one target that were processed and that it must not forget yet, by their numbers.
+/// Processed ends that the target must keep listing, by number.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldEnds {
     ends: BTreeMap<u64, HeldEnd>,
@@ -44,28 +40,28 @@
 }
 
 impl HeldEnds {
-    /// Holds the end of a kept run.
+    /// Holds the end of a known kept run until its job group decides.
     pub(super) fn hold(&mut self, number: u64, end: TaskEnd) {
         self.ends.insert(number, HeldEnd::Undecided(end));
     }
 
-    /// Holds the end of a kept run that is not known.
-    pub(super) fn hold_unknown(&mut self, number: u64) {
+    /// Holds an end until the lease has lapsed.
+    pub(super) fn hold_until_lapse(&mut self, number: u64) {
         self.ends.insert(number, HeldEnd::UntilLapse);
         self.must_lapse = true;
     }
 
-    /// Lets the lease lapse if the target lists so many ends that held ones may hide others.
-    pub(super) fn bound(&mut self, listed: usize) {
-        if listed >= MOST_LISTED && !self.ends.is_empty() {
+    /// Requires a lapse of the lease if the target lists so many ends that held ones may hide others.
+    pub(super) fn require_lapse_if_full(&mut self, listed: usize) {
+        if listed >= MAX_LISTED_ENDS && !self.ends.is_empty() {
             self.must_lapse = true;
         }
     }
 
-    /// Takes the decision of a group on an end.
-    pub(super) fn decide(&mut self, end: &TaskEnd, decision: EndDecision) {
-        let is_meant = |held: &HeldEnd| matches!(held, HeldEnd::Undecided(held) if held == end);
-        let found = self.ends.iter().find(|(_, held)| is_meant(held));
+    /// Applies the decision of a job group on an end.
+    pub(super) fn apply_decision(&mut self, end: &TaskEnd, decision: EndDecision) {
+        let is_match = |held: &HeldEnd| matches!(held, HeldEnd::Undecided(held) if held == end);
+        let found = self.ends.iter().find(|(_, held)| is_match(held));
         let Some(number) = found.map(|(number, _)| *number) else {
             return;
         };
@@ -73,26 +69,25 @@
             EndDecision::Recorded | EndDecision::JobOver => {
                 self.ends.remove(&number);
             }
-            EndDecision::Fenced => self.hold_unknown(number),
+            EndDecision::Fenced => self.hold_until_lapse(number),
         }
     }
 
-    /// Returns the number of the first end that is held.
-    pub(super) fn first(&self) -> Option<u64> {
+    /// Returns the number of the first held end.
+    pub(super) fn first_number(&self) -> Option<u64> {
         self.ends.keys().next().copied()
     }
 
-    /// Returns how many ends are held.
     pub(super) fn count(&self) -> usize {
         self.ends.len()
     }
 
-    /// Returns whether an end is held that only a lapse lets go of.
+    /// Returns whether only a lapse of the lease can release the held ends.
     pub(super) fn must_lapse(&self) -> bool {
         self.must_lapse
     }
 
-    /// Lets go of all: the lease has lapsed since they ended.
+    /// Releases all held ends, after the lease has lapsed.
     pub(super) fn release(&mut self) {
         self.ends.clear();
         self.must_lapse = false;
--- a/crates/leased/cloverfold_lease/src/runner/lapses.rs
+++ b/crates/leased/cloverfold_lease/src/runner/lapses.rs
@@ -1,18 +1,16 @@
-//! Decision: when the lease of the target is left to lapse, and when it has.
+//! Decides when the target's lease is withheld, and when a withheld lease has lapsed.
 //!
-//! Rule: it is not extended, and nothing starts,
+//! The lease is not extended, and nothing starts,
 //!
-//! - while an end is held that only a lapse lets go of (`held_ends`);
-//! - while a kept run that was told to stop is still there after [`KeptTimings::stop_grace`](cloverfold_kept_jobs::KeptTimings).
+//! - while an end is held that only a lapse releases (`held_ends`);
+//! - while a kept run is still there [`KeptTimings::stop_grace`](cloverfold_kept_jobs::KeptTimings) after its first stop order.
 //!
-//! It has lapsed once every deadline that this runner has sent is over ([`TargetIncarnation::has_lease_lapsed`]) and the longest lease that an
-//! earlier process beside the target can have given it, counted from when a target was heard of first. Then all runs are over, and no end
-//! is held any more.
+//! It has lapsed once every deadline that this runner has sent is over ([`TargetIncarnation::has_lease_lapsed`]), and so is the longest
+//! lease that an earlier process beside the target can have granted, counted from the first registration. Then all runs are over, and all
+//! held ends are released.
 //!
-//! Inputs: the held ends, the states of kept runs, the deadlines that were sent, the target's clock.
-//!
-//! Reason: what a target was told to forget counts for good unless its lease lapsed since; and a kept job is given to another entry
-//! on the promise that runs end by themselves within a bound.
+//! Two guarantees rest on the lapse: a task starts again after the target has forgotten its end, and another entry takes over a kept
+//! job knowing that its runs end within a bound.
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{EndDecision, TaskEnd};
@@ -22,31 +20,31 @@
 use crate::runner::{Runner, RunnerAction};
 
 impl Runner {
-    /// Takes the decision of a group on an end that [`RunnerAction::RecordEnd`](crate::RunnerAction::RecordEnd) asked to record.
+    /// Processes the decision of a job group on an end that [`RunnerAction::RecordEnd`] asked to record.
     pub fn receive_end_decision(&mut self, end: &TaskEnd, decision: EndDecision, now: Timestamp) {
         if let Some(target) = &mut self.target {
             let held_before = target.acknowledged_end();
-            target.held_ends.decide(end, decision);
+            target.held_ends.apply_decision(end, decision);
             if target.acknowledged_end() > held_before {
-                // Until it may forget that end the target answers every renewal at once, and the next end is noticed later.
+                // Until the target may forget that end it answers every renewal at once, so the next end would be noticed later.
                 self.actions.push(RunnerAction::RenewNow);
             }
             self.check_withheld_lease(now);
         }
     }
 
-    /// Returns how many ends the target must not forget yet.
+    /// Returns the number of ends that the target must keep listing.
     pub fn held_end_count(&self) -> usize {
         let target = self.target.as_ref();
         target.map_or(0, |target| target.held_ends.count())
     }
 
-    /// Withholds the lease or extends it again, and ends all runs once a withheld one has lapsed.
+    /// Withholds the lease or extends it again, and ends all runs once a withheld lease has lapsed.
     pub(super) fn check_withheld_lease(&mut self, now: Timestamp) {
-        if self.is_lapse_wanted(now) && self.has_lease_lapsed(now) {
+        if self.is_lapse_required(now) && self.has_lease_lapsed(now) {
             self.end_lapsed_lease(now);
         }
-        let is_withheld = self.is_lapse_wanted(now);
+        let is_withheld = self.is_lapse_required(now);
         let Some(target) = &mut self.target else {
             return;
         };
@@ -55,18 +53,18 @@
         }
         target.is_lease_withheld = is_withheld;
         if is_withheld {
-            self.give_back_waiting(RunRefusal::NoTarget, now);
+            self.refuse_waiting(RunRefusal::NoTarget, now);
         }
         self.announce_target();
     }
 
-    fn is_lapse_wanted(&self, now: Timestamp) -> bool {
+    fn is_lapse_required(&self, now: Timestamp) -> bool {
         let Some(target) = &self.target else {
             return false;
         };
         let grace = self.kept_timings.stop_grace;
         let mut runs = self.runs.values();
-        target.held_ends.must_lapse() || runs.any(|run| run.resists_stop(grace, now))
+        target.held_ends.must_lapse() || runs.any(|run| run.is_stop_overdue(grace, now))
     }
 
     /// Returns whether every lease that the target may have is certainly over.
@@ -76,10 +74,10 @@
         target.is_some_and(is_over) && self.has_earlier_lease_lapsed(now)
     }
 
-    /// Returns whether every lease that an earlier process beside the target can have given it is over.
+    /// Returns whether every lease that an earlier process beside the target may have granted is over.
     ///
-    /// To a target that tells its start that process may have given it by the clock of an earlier incarnation of the same name, so that
-    /// only the target has bounded it.
+    /// If the target reports its start time, that process may have used the clock of an earlier incarnation under the same name, so only
+    /// the target's own limit bounds the lease.
     fn has_earlier_lease_lapsed(&self, now: Timestamp) -> bool {
         let target = self.target.as_ref();
         let may_have_restarted =
@@ -89,15 +87,15 @@
         } else {
             self.timings.lease
         };
-        let first_heard_at = self.first_heard_at.unwrap_or(now);
-        now > first_heard_at + self.timings.over_after_lease(lease)
+        let first_registration_at = self.first_registration_at.unwrap_or(now);
+        now > first_registration_at + self.timings.over_after_lease(lease)
     }
 
-    /// Ends all runs as lost, and holds no end any more: every lease of the target has lapsed.
+    /// Ends all runs as lost and releases all held ends, after every lease of the target has lapsed.
     pub(super) fn end_lapsed_lease(&mut self, now: Timestamp) {
         self.end_all_runs(now);
         if let Some(target) = &mut self.target {
-            // What it runs when it answers again is not known.
+            // Its runs are unknown until it answers again.
             target.has_only_own_runs = false;
             target.held_ends.release();
         }
--- a/crates/leased/cloverfold_lease/src/runner/listing.rs
+++ b/crates/leased/cloverfold_lease/src/runner/listing.rs
@@ -1,7 +1,6 @@
-//! Comparison of what the target lists with what should run there.
+//! Reconciliation of the target's list with the runs of this runner.
 //!
-//! Finds ends, confirmed starts, progress, missing runs and orphans. Owns no state besides the runner's.
-//! Relies on `unlisted` for the decision on missing runs, on `progress` and `performance` for the judgement by what is seen.
+//! It finds ends, confirmed starts, progress, missing runs (`unlisted`) and orphans.
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{EndOutcome, is_kept_run};
@@ -9,22 +8,22 @@
 use crate::messages::{RunOutcome, TaskId};
 use crate::runner::answers::{EndCause, EndedRun, ListedRun};
 use crate::runner::run::Run;
-use crate::runner::unlisted::{ListTimes, outcome_of_unlisted_run};
+use crate::runner::unlisted::{ListContext, outcome_of_unlisted_run};
 use crate::runner::{Runner, RunnerAction};
 
 impl Runner {
-    /// Processes the ends that the target lists; those that were processed before change nothing.
+    /// Processes the ends that the target lists; ends that were processed before are ignored.
     pub(super) fn record_ends(&mut self, ended: Vec<EndedRun>, now: Timestamp) {
         let listed = ended.len();
         for end in ended {
             self.record_end(&end, now);
         }
         if let Some(target) = &mut self.target {
-            target.held_ends.bound(listed);
+            target.held_ends.require_lapse_if_full(listed);
         }
     }
 
-    /// Processes one end that the target lists: acknowledges it unless it is held, judges the target by it, and removes the run.
+    /// Processes one listed end: acknowledges it unless it is held, updates the target's performance, and removes the run.
     fn record_end(&mut self, end: &EndedRun, now: Timestamp) {
         let Some(target) = &mut self.target else {
             return;
@@ -38,7 +37,7 @@
         target.last_processed_end = end.number;
         let Some(run) = run else {
             if is_kept_run(end.run) && recorded_outcome(end.cause).is_some() {
-                target.held_ends.hold_unknown(end.number);
+                target.held_ends.hold_until_lapse(end.number);
             }
             return;
         };
@@ -50,7 +49,8 @@
         let outcome = outcome_of_end(end.cause);
         if outcome == RunOutcome::Done {
             target.performance.record_done();
-            self.usual_speeds.record_run(run.ran_for(now), run.estimate);
+            self.usual_speed_estimator
+                .record_run(run.ran_for(now), run.estimate);
             if let Some(speed) = run.mean_speed(now) {
                 target.performance.record_speed(run.sequence, speed, now);
             }
@@ -58,22 +58,22 @@
         self.end_run(&end.task, outcome, now);
     }
 
-    /// Compares the runs that the target lists with those of this runner.
+    /// Reconciles the runs that the target lists with those of this runner.
     pub(super) fn reconcile_runs(
         &mut self,
         running: &[ListedRun],
-        times: ListTimes,
+        times: ListContext,
         now: Timestamp,
     ) {
         for row in running {
-            self.record_sighting(row, now);
+            self.record_listed_run(row, now);
         }
         self.end_unlisted_runs(running, times, now);
         self.stop_orphans(running);
     }
 
-    /// Records that the target lists a run: its start is confirmed, and its progress is known.
-    fn record_sighting(&mut self, row: &ListedRun, now: Timestamp) {
+    /// Records a listed run: confirms its start and updates its progress.
+    fn record_listed_run(&mut self, row: &ListedRun, now: Timestamp) {
         let run = self.runs.get_mut(&row.task);
         let Some(run) = run.filter(|run| run.number == row.run) else {
             return;
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Ends the runs that the target leaves out, where that makes their end certain.
-    fn end_unlisted_runs(&mut self, running: &[ListedRun], times: ListTimes, now: Timestamp) {
+    /// Ends the runs that the list leaves out, if that makes their end certain.
+    fn end_unlisted_runs(&mut self, running: &[ListedRun], times: ListContext, now: Timestamp) {
         let is_listed = |task: &TaskId, run: &Run| {
             let is_same = |row: &ListedRun| row.run == run.number && row.task == *task;
             running.iter().any(is_same)
@@ -113,9 +113,9 @@
         }
     }
 
-    /// Stops what runs at the target and is unknown here: runs of an earlier process of this runner, or starts that were carried out late.
+    /// Stops orphans: runs at the target that this runner does not know, from an earlier process or from a start that was executed late.
     ///
-    /// As long as there are any the target gets no work and its lease is not extended.
+    /// While there are any, the target gets no work and its lease is not extended.
     fn stop_orphans(&mut self, running: &[ListedRun]) {
         let is_own = |row: &ListedRun| {
             let run = self.runs.get(&row.task);
@@ -132,7 +132,7 @@
     }
 }
 
-/// Returns the outcome to record of a kept run; `None` if its end neither completes a task nor counts as an attempt.
+/// Returns the outcome to record for a kept run; `None` if its end neither completes a task nor counts as an attempt.
 fn recorded_outcome(cause: EndCause) -> Option<EndOutcome> {
     match cause {
         EndCause::Done => Some(EndOutcome::Done),
@@ -141,7 +141,7 @@
     }
 }
 
-/// Returns the outcome to report for a cause that the target lists.
+/// Returns the outcome to report for a listed cause.
 fn outcome_of_end(cause: EndCause) -> RunOutcome {
     match cause {
         EndCause::Done => RunOutcome::Done,
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -1,35 +1,34 @@
-//! The runner: executes at one target what dispatchers assign.
+//! The runner, which executes the assignments of dispatchers at one target.
 //!
-//! A runner serves the leased guard, which does the I/O around it. It accepts or refuses assignments, starts and stops runs, renews
-//! the target's lease, and reports ends.
-//! Owns the sessions with dispatchers, the runs at the target, and what is known of the target. Nothing is stored.
-//! Relies on the caller's clock, which must not go back, and on [`Runner::tick`] every few tens of milliseconds.
+//! The guard process does the I/O around it. The runner accepts or refuses assignments, starts and stops runs, renews the target's lease,
+//! and reports ends. It persists nothing. The caller's clock must not go back, and the caller must call [`Runner::tick`] every few tens of
+//! milliseconds.
 //!
 //! | decision | module |
 //! |---|---|
 //! | which assignments are accepted | `assignment` |
-//! | which waiting run starts, when one is given back | `waiting` |
-//! | when a start is repeated | `starts`, `run` |
+//! | which waiting run starts, and when one is refused | `waiting` |
+//! | when a start is retried | `starts`, `run` |
 //! | what follows a refused start | `refused_start` |
-//! | when a stop is repeated | `stops` |
+//! | when a stop is retried | `stops` |
 //! | when the end of a run is certain | `ending`, `unlisted` |
-//! | whether a run is stuck, how fast it is | `progress` |
-//! | whether the target is paused or on probation, how slow it is | `performance` |
+//! | whether a run is stuck, and how fast it is | `progress` |
+//! | whether the target is paused or on probation, and how slow it is | `performance` |
 //! | whether the target accepts work, when its lease has lapsed, when the fencing token rises | `target_incarnation` |
-//! | which incarnation is the target | `candidates` |
-//! | what another incarnation under the same name does to runs | `succession` |
+//! | which incarnation is the live target | `candidates` |
+//! | what happens to runs when the target restarts under the same name | `target_restart` |
 //! | how fast the target usually is | `usual_speed` |
 //! | whether the target is unresponsive | `target` |
 //! | when a lease is extended | `renewals` |
-//! | how long to wait between two renewals | `renewal_pace` |
-//! | when a session is over | `sessions` |
+//! | how long to pause between two renewals | `renewal_pace` |
+//! | when a session expires | `sessions` |
 //! | when the target is announced to a dispatcher | `reports` |
-//! | which ends the target must not forget yet | `held_ends` |
-//! | when the lease is left to lapse | `lapses` |
-//! | what an evacuation of the data hall changes | `evacuation` |
-//! | what the coming upkeep of the box changes | `upkeep` |
-//! | what a suspension of the box changes | `suspension` |
-//! | what a stall of this process changes | `own_stall` |
+//! | which ends the target must keep listing | `held_ends` |
+//! | when the lease is withheld | `lapses` |
+//! | what changes while the data hall is evacuated | `evacuation` |
+//! | what changes before the upkeep of the box | `upkeep` |
+//! | what changes after a suspension of the box | `suspension` |
+//! | what changes after a stall of this process | `own_stall` |
 
 mod actions;
 mod answers;
@@ -56,10 +55,10 @@
 mod starts;
 mod stops;
 mod stuck_runs;
-mod succession;
 mod suspension;
 mod target;
 mod target_incarnation;
+mod target_restart;
 mod unlisted;
 mod upkeep;
 mod usual_speed;
@@ -93,45 +92,45 @@
 use session::Session;
 use target_incarnation::TargetIncarnation;
 use upkeep::HeldTarget;
-use usual_speed::UsualSpeeds;
+use usual_speed::UsualSpeedEstimator;
 
-/// Executes what dispatchers assign at the one target beside it.
+/// Executes the assignments of dispatchers at the one target beside it.
 ///
 /// It does no I/O: after each call the caller carries out [`Runner::take_actions`].
 #[derive(Debug)]
 pub struct Runner {
     timings: Timings,
     kept_timings: KeptTimings,
-    /// The fencing token with which each incarnation of the target is first spoken to.
+    /// The initial fencing token for each incarnation of the target.
     first_fencing_token: u64,
     sessions: BTreeMap<SessionId, Session>,
-    /// All runs whose end is not certain, at most one of each task.
+    /// All runs whose end is not certain, at most one per task.
     runs: BTreeMap<TaskId, Run>,
     /// Numbers runs and incarnations of the target in order of arrival.
     next_sequence: u64,
     target: Option<TargetIncarnation>,
     candidates: Candidates,
-    usual_speeds: UsualSpeeds,
+    usual_speed_estimator: UsualSpeedEstimator,
     renewal_pace: RenewalPace,
     /// Earlier incarnations of the target, oldest first.
     ended_incarnations: VecDeque<IncarnationId>,
     catch_up: CatchUp,
-    /// When a target was heard of first: an earlier process beside it has ordered nothing later.
-    first_heard_at: Option<Timestamp>,
+    /// When the first registration arrived; earlier processes beside the target have sent no order since.
+    first_registration_at: Option<Timestamp>,
     is_draining: bool,
     /// Whether the data hall is evacuated.
     is_evacuated: bool,
-    /// Set while the box is about to have its upkeep.
+    /// Set while the target is held before the upkeep of the box.
     held: Option<HeldTarget>,
     counts: RunnerCounts,
     actions: Vec<RunnerAction>,
 }
 
 impl Runner {
-    /// Makes a runner without sessions or a target.
+    /// Creates a runner without sessions or a target.
     ///
-    /// `first_fencing_token` should be above that of every earlier process beside the same target; if it is not, the target's refusals
-    /// raise it.
+    /// `first_fencing_token` should be above that of every earlier process beside the same target; otherwise the target's refusals raise
+    /// it.
     pub fn new(timings: Timings, first_fencing_token: u64) -> Self {
         Self {
             timings,
@@ -142,11 +141,11 @@
             next_sequence: 0,
             target: None,
             candidates: Candidates::default(),
-            usual_speeds: UsualSpeeds::default(),
+            usual_speed_estimator: UsualSpeedEstimator::default(),
             renewal_pace: RenewalPace::default(),
             ended_incarnations: VecDeque::new(),
             catch_up: CatchUp::default(),
-            first_heard_at: None,
+            first_registration_at: None,
             is_draining: false,
             is_evacuated: false,
             held: None,
@@ -155,17 +154,17 @@
         }
     }
 
-    /// Returns what the caller has to do since the last call, in order.
+    /// Returns the actions since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<RunnerAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the counts since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> RunnerCounts {
         self.counts
     }
 
-    /// Returns how many runs are not certainly over, those that wait or are being stopped included.
+    /// Returns the number of runs whose end is not certain, including those that wait or are being stopped.
     pub fn run_count(&self) -> usize {
         self.runs.len()
     }
@@ -175,20 +174,20 @@
         self.find_unavailable_reason().is_none()
     }
 
-    /// Returns what runs at the target, whether it gets work or not; `None` while there is none.
+    /// Returns the service of the target, whether it gets work or not; `None` without a target.
     pub fn service(&self) -> Option<&str> {
         let target = self.target.as_ref();
         target.map(|target| target.registration.service.as_str())
     }
 
-    /// Returns what dispatchers are told of the target, whether it gets work or not; `None` while there is none.
+    /// Returns the description of the target for dispatchers, whether it gets work or not; `None` without a target.
     pub fn describe_target(&self) -> Option<TargetDescription> {
         self.target.as_ref().map(TargetIncarnation::describe)
     }
 
-    /// Returns how fast the target usually is; nothing is known at first.
+    /// Returns how fast the target usually is; the default while that is unknown.
     pub fn usual_speed(&self) -> UsualSpeed {
-        self.usual_speeds.known()
+        self.usual_speed_estimator.current()
     }
 
     /// Returns why the target gets no work, if there is a reason.
@@ -201,10 +200,10 @@
         reason.or(self.is_held().then_some(UnavailableReason::Upkeep))
     }
 
-    /// Begins draining: no further work is accepted, waiting runs are returned to their dispatchers, and started runs go on.
+    /// Begins draining: no further work is accepted, waiting runs are refused, and started runs go on.
     pub fn begin_draining(&mut self, now: Timestamp) {
         self.is_draining = true;
-        self.give_back_waiting(RunRefusal::Draining, now);
+        self.refuse_waiting(RunRefusal::Draining, now);
         self.announce_target();
     }
 
@@ -219,15 +218,15 @@
         }
     }
 
-    /// Does what has fallen due; call it every few tens of milliseconds.
+    /// Processes what is due; call it every few tens of milliseconds.
     pub fn tick(&mut self, now: Timestamp) {
         self.expire_sessions(now);
         self.check_responsiveness(now);
         self.end_target_pause(now);
         self.end_hold(now);
         self.expire_waiting(now);
-        self.repeat_unanswered_starts(now);
-        self.repeat_stops(now);
+        self.retry_unanswered_starts(now);
+        self.retry_stops(now);
         self.check_withheld_lease(now);
         self.send_heartbeats(now);
         self.start_waiting(now);
--- a/crates/leased/cloverfold_lease/src/runner/orders.rs
+++ b/crates/leased/cloverfold_lease/src/runner/orders.rs
@@ -1,9 +1,9 @@
 //! Orders of a runner to its target.
 //!
-//! Separates the decisions from the package that speaks to targets, which owns the wire format. Owns no state.
+//! They are independent of the wire format, which the package that calls targets owns.
 //!
-//! Every order names the target that is meant and carries a fencing token; a target of another name refuses it, and so does an incarnation that has
-//! seen a higher fencing token. Another incarnation under the same name carries it out (`succession`).
+//! Every order names the target and carries a fencing token. A target of another name refuses it, and so does an incarnation that has seen
+//! a higher fencing token. Another incarnation under the same name executes it (`target_restart`).
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 
 /// Order to start a run, which also extends the lease.
 ///
-/// Sent again it has the same deadline, and the target acknowledges a run that it already has.
+/// A retry has the same deadline, and the target acknowledges a run that it already has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
-    /// The incarnation of the target that is meant; the target is called by its name alone.
+    /// The addressed incarnation of the target; the call names only the target.
     pub incarnation: IncarnationId,
     /// Host and port of the target.
     pub address: String,
@@ -28,11 +28,11 @@
     pub run: u64,
     /// The work description that the target executes; opaque here.
     pub spec: String,
-    /// On the target's clock, in milliseconds: it refuses to start later than this, and extends its lease to it.
+    /// On the target's clock, in milliseconds: the target refuses to start the run after this, and extends its lease to it.
     pub deadline: TargetTime,
     /// Refused if the target has seen a higher one.
     pub fencing_token: u64,
-    /// How many times this start was sent, this one included.
+    /// Number of this attempt, from 1.
     pub attempt: u32,
     /// Timeout of the call.
     pub timeout: Duration,
@@ -41,7 +41,7 @@
 /// Order to stop a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopOrder {
-    /// The incarnation of the target that is meant; the target is called by its name alone.
+    /// The addressed incarnation of the target; the call names only the target.
     pub incarnation: IncarnationId,
     /// Host and port of the target.
     pub address: String,
@@ -55,20 +55,20 @@
     pub timeout: Duration,
 }
 
-/// Order to extend the lease, forget the ends up to a number, and list what runs and what has ended.
+/// Order to extend the lease, forget the ends up to a number, and list the running and ended runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RenewalOrder {
-    /// The incarnation of the target that is meant; the target is called by its name alone.
+    /// The addressed incarnation of the target; the call names only the target.
     pub incarnation: IncarnationId,
     /// Host and port of the target.
     pub address: String,
-    /// New end of the lease on the target's clock, in milliseconds; none leaves it as it is.
+    /// New end of the lease on the target's clock, in milliseconds; `None` leaves the lease unchanged.
     pub deadline: Option<TargetTime>,
     /// Refused if the target has seen a higher one.
     pub fencing_token: u64,
-    /// Number of the newest end that was processed; the target need not list it and earlier ones any more.
+    /// Number of the newest acknowledged end; the target need not list it or earlier ones any more.
     pub last_acknowledged_end: u64,
-    /// How long the target may wait for an end before it answers.
+    /// How long the target may wait for an end before it answers (long polling).
     pub wait: Duration,
     /// Timeout of the call, including `wait`.
     pub timeout: Duration,
--- a/crates/leased/cloverfold_lease/src/runner/own_stall.rs
+++ b/crates/leased/cloverfold_lease/src/runner/own_stall.rs
@@ -1,21 +1,21 @@
-//! Decision: what a runner concludes from the silence of others after its own process was stalled.
+//! Handling of a stall of this process.
 //!
-//! Rule:
+//! Answers of the target and echoes that arrived during the stall are still unread, so after a stall
 //!
 //! - the target's silence during the stall does not count;
-//! - a session that has ended by time is in doubt in the [`CatchUp`](crate::stall::CatchUp): its runs go on, but nothing starts and the
-//!   target's lease is not extended. An echo of a clock reading from after the stall makes it valid again, else it ends with the catch-up.
+//! - a session that has expired meanwhile is *in doubt* during the [`CatchUp`](crate::stall::CatchUp): its runs go on, but nothing starts
+//!   and the target's lease is not extended. An echo of a clock reading from after the stall makes the session valid again; otherwise it
+//!   ends with the catch-up.
 //!
-//! Inputs: the length of the stall, the sessions. Reason: answers of the target and echoes that came during the stall are unread. Judged
-//! by the clock alone, a target that is well gets no work, and runs are stopped that their dispatcher waits for.
+//! By the clock alone a healthy target would get no work, and runs would be stopped that their dispatcher waits for.
 //!
-//! No run can overlap another for it. Its dispatcher begins a task again no earlier than
-//! [`Timings::runs_over_after`](crate::Timings::runs_over_after) after its last echo. That reckons with a runner that is frozen when its session
-//! ends, so that the lease which it extended last must lapse; a session in doubt extends none. A dispatcher that echoes a reading from
-//! after the stall still has the session.
+//! This cannot make two runs of a task overlap. A dispatcher starts a task again no earlier than
+//! [`Timings::runs_over_after`](crate::Timings::runs_over_after) after its last echo. That span already allows for a runner that freezes
+//! when its session ends, so that its last lease extension must lapse; a session in doubt extends no lease. A dispatcher that echoes a
+//! reading from after the stall still has the session.
 //!
-//! Owns no state. Relies on the process to call [`Runner::allow_for_stall`] before anything else after a stall, unless the box
-//! was suspended: then the target's clock may have stood still, and its lease may outlive the session by the suspension.
+//! The process must call [`Runner::allow_for_stall`] before anything else after a stall, but not after a suspension of the box: then the
+//! target's clock may have stood still too, and its lease may outlive the session by the length of the suspension.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 use crate::timings::TargetTime;
 
 impl Runner {
-    /// Allows for a stall of this process of this length; call it before anything else after the stall.
+    /// Compensates for a stall of this process; call it before anything else after the stall.
     pub fn allow_for_stall(&mut self, stall: Duration, now: Timestamp) {
         if let Some(target) = &mut self.target {
             target.answered_at += stall;
@@ -38,8 +38,7 @@
         }
     }
 
-    /// Returns a deadline on the target's clock, a lease from now, for an order that extends its lease; `None` while that is not to be
-    /// extended.
+    /// Returns a lease deadline on the target's clock for an order; `None` while the lease must not be extended.
     pub(super) fn extend_lease(&mut self, now: Timestamp) -> Option<TargetTime> {
         if self.has_session_in_doubt(now) {
             return None;
@@ -48,7 +47,7 @@
         self.target.as_mut()?.extend_lease(now, lease)
     }
 
-    /// Returns whether a session is over by time and is not ended before the end of the catch-up.
+    /// Returns whether a session has expired but is kept until the end of the catch-up.
     pub(super) fn has_session_in_doubt(&self, now: Timestamp) -> bool {
         let mut sessions = self.sessions.values();
         self.catch_up.is_active(now) && sessions.any(|session| session.is_over(now))
--- a/crates/leased/cloverfold_lease/src/runner/renewal_pace.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewal_pace.rs
@@ -1,19 +1,17 @@
-//! Decision: how long to wait between the answer to a renewal and the next renewal.
+//! Decides how long to pause between the answer to a renewal and the next renewal.
 //!
 //! | answer | pause |
 //! |---|---|
-//! | a list, after the target has waited for about as long as it may | none |
-//! | a list that comes earlier and tells a new end | [`FIRST_PAUSE`] |
-//! | a list that comes earlier and tells nothing new | twice the pause before, up to the wait of a renewal; over at once when a held end is let go of |
-//! | a list without an extension of the lease | [`UNANSWERED_PAUSE`] |
-//! | none, or a refusal | [`UNANSWERED_PAUSE`], from a target that accepts no work [`UNREADY_PAUSE`] |
+//! | a list, after the target has used about its full wait | none |
+//! | an early list with a new end | [`MIN_PAUSE`] |
+//! | an early list without a new end | twice the previous pause, up to the wait of a renewal; ends as soon as a held end is released |
+//! | a list, to a renewal that did not extend the lease | [`UNANSWERED_PAUSE`] |
+//! | none, or a refusal | [`UNANSWERED_PAUSE`], or [`UNAVAILABLE_PAUSE`] if the target accepts no work |
 //!
-//! Inputs: when the renewal was sent and how long it may wait, the numbers of the listed ends, the time. Reason: a target with an end that it
-//! must not forget yet answers at once. Without a pause the guard asked it 5,100 times a second while no majority of the control processes
-//! recorded ends (a stand-in on the loopback, debug build), and in one process with its targets nothing else got a turn. An idle
-//! target is asked 40 times a second; with these pauses one whose end is held is asked about as often.
+//! A target with an end that it must keep listing answers at once. Without a pause the runner would renew in a busy loop for as long as no
+//! majority of the control processes records ends. With these pauses such a target gets about as many renewals as an idle one.
 //!
-//! Owns the pause that grows. No answer makes it shorter than [`FIRST_PAUSE`], so no target can be asked more than 500 times a second.
+//! No answer makes the pause shorter than [`MIN_PAUSE`], so a target gets at most 500 renewals per second.
 
 use std::time::Duration;
 
@@ -21,18 +19,15 @@
 
 use crate::runner::orders::RenewalOrder;
 
-/// Pause after an early list that tells a new end. Below the way to a target and back on a box under load.
-const FIRST_PAUSE: Duration = Duration::from_millis(2);
-/// Pause after a renewal that was not answered, or that listed runs which are being stopped. 30 ms before; with shorter waits for
-/// answers and more starts the benches' day of lost answers rose from 0.853 to 0.862 (commit 17223cb).
+/// Pause after an early list with a new end, shorter than a round trip to a target on a busy box.
+const MIN_PAUSE: Duration = Duration::from_millis(2);
+/// Pause after a renewal that was not answered or that did not extend the lease.
 const UNANSWERED_PAUSE: Duration = Duration::from_millis(10);
-/// Pause after a renewal that was not answered by a target that accepts no work, since each costs a connection: 11,410 connections on the
-/// day of lost answers without it, 8,745 with it (commit 17223cb).
-const UNREADY_PAUSE: Duration = Duration::from_millis(60);
+/// Pause after an unanswered renewal to a target that accepts no work; longer, since each renewal may open a connection.
+const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(60);
 
-/// A list is early that comes before one part of so many of the wait of its renewal. Far from the wait, since the timers of a
-/// target may fire a little before or after it.
-const EARLY_PART: u32 = 2;
+/// A list is early if it arrives within the wait of its renewal divided by this; the margin tolerates imprecise timers at the target.
+const EARLY_WAIT_DIVISOR: u32 = 2;
 
 /// Pause before the next renewal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -44,9 +39,9 @@
 }
 
 impl RenewalPause {
-    /// Returns whether it follows a list that came long before the target had to answer.
+    /// Returns whether it follows an early list.
     pub(super) fn is_for_early_list(self) -> bool {
-        self.min == FIRST_PAUSE
+        self.min == MIN_PAUSE
     }
 
     fn fixed(pause: Duration) -> Self {
@@ -57,7 +52,7 @@
     }
 }
 
-/// The pause after early lists that tell nothing new.
+/// Exponential backoff after early lists without a new end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RenewalPace {
     next: Duration,
@@ -65,24 +60,24 @@
 
 impl Default for RenewalPace {
     fn default() -> Self {
-        Self { next: FIRST_PAUSE }
+        Self { next: MIN_PAUSE }
     }
 }
 
 impl RenewalPace {
-    /// Decides the pause after a list; `is_news` if it tells an end for the first time.
+    /// Returns the pause after a list; `has_new_end` if it contains an end for the first time.
     pub(super) fn pause_after_list(
         &mut self,
         order: &RenewalOrder,
-        is_news: bool,
+        has_new_end: bool,
         now: Timestamp,
     ) -> RenewalPause {
         if order.deadline.is_none() {
             return RenewalPause::fixed(UNANSWERED_PAUSE);
         }
-        let is_early = now < order.sent_at + order.wait / EARLY_PART;
-        if is_news || !is_early {
-            self.next = FIRST_PAUSE;
+        let is_early = now < order.sent_at + order.wait / EARLY_WAIT_DIVISOR;
+        if has_new_end || !is_early {
+            self.next = MIN_PAUSE;
         }
         if !is_early {
             return RenewalPause::default();
@@ -90,17 +85,17 @@
         let pause = self.next;
         self.next = (pause * 2).min(order.wait);
         RenewalPause {
-            min: FIRST_PAUSE,
+            min: MIN_PAUSE,
             max: pause,
         }
     }
 
-    /// Decides the pause after a renewal that was not answered or refused.
+    /// Returns the pause after a renewal that was refused or not answered.
     pub(super) fn pause_after_failure(is_ready: bool) -> RenewalPause {
         RenewalPause::fixed(if is_ready {
             UNANSWERED_PAUSE
         } else {
-            UNREADY_PAUSE
+            UNAVAILABLE_PAUSE
         })
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -1,7 +1,6 @@
-//! Renewals of the target's lease, and their answers.
+//! Renewals of the target's lease, probes of candidates, and their answers.
 //!
-//! They keep the target's runs alive while this runner is, and show what runs there. Owns no state besides the runner's.
-//! Relies on `listing` for the comparison of what is listed with what should run.
+//! A renewal keeps the target's runs alive as long as this runner is, and returns the list of what runs there (`listing`).
 
 use std::time::Duration;
 
@@ -11,11 +10,11 @@
 use crate::runner::incarnation_id::IncarnationId;
 use crate::runner::orders::RenewalOrder;
 use crate::runner::renewal_pace::{RenewalPace, RenewalPause};
-use crate::runner::unlisted::ListTimes;
+use crate::runner::unlisted::ListContext;
 use crate::runner::{Runner, RunnerAction};
 use crate::timings::TargetTime;
 
-/// The contents of the target's answer to a renewal.
+/// The list in the target's answer to a renewal.
 struct TargetList {
     /// The target's clock.
     clock: TargetTime,
@@ -24,15 +23,15 @@
 }
 
 impl Runner {
-    /// Plans the next renewal of the lease, or the question to a candidate whether it is there; `None` without a target.
+    /// Returns the next renewal of the lease, or a probe of a candidate; `None` without a target.
     ///
-    /// The lease is not extended while the target may run something that this runner did not start: that must be able to lapse, since
-    /// nothing else ends it for certain; nor while it is withheld (`lapses`) or a session is in doubt (`own_stall`). Such a renewal is
-    /// answered at once instead of waiting for an end.
+    /// The lease is not extended while the target may execute runs that this runner did not start: only its lapse ends them for certain.
+    /// Nor is it extended while it is withheld (`lapses`) or a session is in doubt (`own_stall`). The target answers such a renewal at once
+    /// instead of waiting for an end.
     ///
-    /// Nor is the lease of a target extended that answers nothing: it may be gone, and its runs count as lost once the lease has lapsed.
+    /// The lease of an unresponsive target is not extended either: it may be gone, and its runs count as lost once the lease has lapsed.
     pub fn plan_renewal(&mut self, now: Timestamp) -> Option<RenewalOrder> {
-        if let Some(question) = self.plan_question(now) {
+        if let Some(question) = self.plan_probe(now) {
             return Some(question);
         }
         let is_in_doubt = self.has_session_in_doubt(now);
@@ -62,8 +61,8 @@
         })
     }
 
-    /// Plans the question whether a candidate is there: a renewal that extends no lease and is answered at once.
-    fn plan_question(&mut self, now: Timestamp) -> Option<RenewalOrder> {
+    /// Returns the probe of a candidate: a renewal that does not extend a lease and is answered at once.
+    fn plan_probe(&mut self, now: Timestamp) -> Option<RenewalOrder> {
         let timeout = self.timings.answer_slack;
         let candidate = self.candidates.take_due(now)?;
         self.counts.calls.probes += 1;
@@ -79,10 +78,10 @@
         })
     }
 
-    /// Processes the answer to a renewal or to a question.
+    /// Processes the answer to a renewal or probe; returns the pause before the next renewal.
     ///
-    /// An answer from a target of another name, or one that was overtaken by the answer to a later renewal, changes nothing. No answer
-    /// changes nothing of the runs either: `check_responsiveness` notices it. Returns how long to wait before the next renewal.
+    /// An answer from a target of another name, or an answer that arrives after the one to a later renewal, is ignored. A missing answer
+    /// does not change the runs either; `check_responsiveness` detects it.
     pub fn receive_renewal_answer(
         &mut self,
         order: &RenewalOrder,
@@ -91,10 +90,10 @@
     ) -> RenewalPause {
         self.expire_sessions(now);
         let is_listed = matches!(answer, RenewalAnswer::Listed { .. });
-        let is_news = self.tells_news(&answer);
+        let has_new_end = self.lists_new_end(&answer);
         self.take_renewal_answer(order, answer, now);
         if is_listed {
-            let pause = self.renewal_pace.pause_after_list(order, is_news, now);
+            let pause = self.renewal_pace.pause_after_list(order, has_new_end, now);
             self.counts.calls.answered_early += u64::from(pause.is_for_early_list());
             pause
         } else {
@@ -102,8 +101,8 @@
         }
     }
 
-    /// Returns whether an answer tells an end that was not processed yet.
-    fn tells_news(&self, answer: &RenewalAnswer) -> bool {
+    /// Returns whether an answer lists an end that was not processed yet.
+    fn lists_new_end(&self, answer: &RenewalAnswer) -> bool {
         let RenewalAnswer::Listed { ended, .. } = answer else {
             return false;
         };
@@ -125,20 +124,20 @@
                     running,
                     ended,
                 };
-                self.receive_list_of(order.incarnation.answered_by(start_time), order, list, now);
+                self.receive_list_from(order.incarnation.answered_by(start_time), order, list, now);
             }
             RenewalAnswer::Fenced => self.receive_fenced(order),
             RenewalAnswer::OtherIncarnation => self.discard_candidate(&order.incarnation),
             RenewalAnswer::Unanswered => {
                 if let Some(target) = self.target_of_incarnation(&order.incarnation) {
-                    target.is_answer_missing = true;
+                    target.is_renewal_unanswered = true;
                 }
             }
         }
     }
 
-    /// Processes a list and what it shows of who lives: `incarnation` has answered, `order` may have meant another one.
-    fn receive_list_of(
+    /// Processes a list that `incarnation` returned; `order` may have addressed another incarnation.
+    fn receive_list_from(
         &mut self,
         incarnation: IncarnationId,
         order: &RenewalOrder,
@@ -159,9 +158,9 @@
         let is_same_name =
             target.is_some_and(|target| target.registration.incarnation.name == incarnation.name);
         if is_same_name {
-            // What this list shows was asked for with the numbers of another incarnation: the next one counts.
+            // This list was requested with numbers of another incarnation, so only the next one is used.
             let registration = candidate.map(|candidate| candidate.registration);
-            self.follow_target(incarnation.clone(), registration, now);
+            self.adopt_restarted_target(incarnation.clone(), registration, now);
             self.report_incarnation(incarnation, true);
         } else if let Some(candidate) = candidate {
             let token = candidate.fencing_token;
@@ -171,7 +170,7 @@
         }
     }
 
-    /// Raises the fencing token of the target or of the candidate that has refused it.
+    /// Raises the fencing token of the target or candidate that refused the order.
     fn receive_fenced(&mut self, order: &RenewalOrder) {
         let refused = order.fencing_token;
         match self.target_of_incarnation(&order.incarnation) {
@@ -182,7 +181,7 @@
         }
     }
 
-    /// Forgets a candidate that is not there.
+    /// Discards a candidate that is not alive.
     fn discard_candidate(&mut self, incarnation: &IncarnationId) {
         if self.candidates.remove(incarnation).is_some() {
             self.remember_as_ended(incarnation.clone());
@@ -197,22 +196,22 @@
         });
     }
 
-    /// Brings runs and target up to date with a list, unless a newer list was processed.
+    /// Updates the runs and the target from a list, unless a newer one was processed.
     fn receive_list(&mut self, order: &RenewalOrder, list: TargetList, now: Timestamp) {
         let Some(target) = &mut self.target else {
             return;
         };
         if order.sent_at < target.newest_renewal_sent_at {
-            // The answer to a later renewal has overtaken this one.
+            // The answer to a later renewal arrived first.
             return;
         }
         target.newest_renewal_sent_at = order.sent_at;
         target.answered_at = now;
         target.is_unresponsive = false;
-        target.is_answer_missing = false;
-        target.record_fence(order.fencing_token, now);
-        target.read_clock(list.clock, now);
-        let times = ListTimes {
+        target.is_renewal_unanswered = false;
+        target.record_fencing_token(order.fencing_token, now);
+        target.record_clock(list.clock, now);
+        let times = ListContext {
             asked_at: order.sent_at,
             clock: list.clock,
             fencing_token: order.fencing_token,
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -1,7 +1,6 @@
-//! Messages to dispatchers that no message of theirs asks for: heartbeats, free capacity, the target.
+//! Unsolicited messages to dispatchers: heartbeats, free capacity, the usual speed and the target.
 //!
-//! Owns no state besides the runner's. Relies on [`Session`] for
-//! what was reported to each dispatcher last.
+//! [`Session`] tracks what was last reported to each dispatcher.
 //!
 //! [`Session`]: crate::runner::session::Session
 
@@ -9,11 +8,11 @@
 
 use crate::messages::{FreeCapacity, RunnerMessage, SessionId};
 use crate::runner::session::Announcement;
-use crate::runner::usual_speed::is_news;
+use crate::runner::usual_speed::differs_notably;
 use crate::runner::{Runner, RunnerAction};
 
 impl Runner {
-    /// Sends a heartbeat to every session whose last one is [`Timings::heartbeat`](crate::Timings::heartbeat) old.
+    /// Sends a heartbeat to every session whose last one is [`Timings::heartbeat`](crate::Timings::heartbeat) ago.
     pub(super) fn send_heartbeats(&mut self, now: Timestamp) {
         let interval = self.timings.heartbeat;
         let due: Vec<SessionId> = self
@@ -40,9 +39,9 @@
         }
     }
 
-    /// Reports the free capacity to every session whose last report differs, unless it is retired.
+    /// Reports the free capacity to every session that is not retired and whose last report differs.
     ///
-    /// The heartbeats alone would be too late: a dispatcher that does not know of free capacity refuses work which would fit.
+    /// Heartbeats alone would be too late: a dispatcher that does not know of free capacity refuses work that would fit.
     pub(super) fn report_free_capacity(&mut self, now: Timestamp) {
         let free = self.free_after_waiting();
         let stale: Vec<SessionId> = self
@@ -57,23 +56,23 @@
         }
     }
 
-    /// Tells each session how fast the target usually is, if that is news there.
+    /// Reports the usual speed of the target to each session whose last report differs notably.
     pub(super) fn report_usual_speed(&mut self) {
-        let known = self.usual_speeds.known();
+        let known = self.usual_speed_estimator.current();
         for (id, session) in &mut self.sessions {
-            if !is_news(session.told_speed, known) {
+            if !differs_notably(session.reported_speed, known) {
                 continue;
             }
-            session.told_speed = known;
+            session.reported_speed = known;
             let message = RunnerMessage::UsualSpeed(known);
             self.actions.push(RunnerAction::Send(*id, message));
         }
     }
 
-    /// Makes the report of free capacity for a session and records that it was made.
+    /// Returns the free capacity for a session and records it as reported.
     pub(super) fn free_capacity_for(&mut self, session: SessionId, now: Timestamp) -> FreeCapacity {
         let free = self.free_after_waiting();
-        // A run names its session only while that is open, so the session is there.
+        // A run refers to its session only while that is open, so the session exists.
         let assignments_seen = self.sessions.get_mut(&session).map_or(0, |state| {
             state.reported_free = free;
             state.assignments_seen
@@ -87,10 +86,10 @@
         }
     }
 
-    /// Announces the target to each session, or that there is none that accepts work, if the last announcement differs.
+    /// Announces the target, or that none accepts work, to each session whose last announcement differs.
     ///
-    /// While a run of an earlier session is not certainly over, no target is announced to a session that knows of
-    /// none: from the announcement a dispatcher concludes that no run of its lost sessions is left here.
+    /// While the end of a run of an earlier session is not certain, no target is announced to a session without one: the dispatcher
+    /// concludes from the announcement that no run of its lost sessions is left here.
     pub(super) fn announce_target(&mut self) {
         let has_leftovers = self.runs.values().any(|run| run.session.is_none());
         let target = self.target.as_ref();
--- a/crates/leased/cloverfold_lease/src/runner/run.rs
+++ b/crates/leased/cloverfold_lease/src/runner/run.rs
@@ -1,8 +1,4 @@
-//! One run of a task and the states that it passes through.
-//!
-//! Models how far a run has come at the target, as far as the runner knows it.
-//! Owns the state of one run, the session that gets the report of its end, and its progress.
-//! Relies on [`ProgressTracker`]; every point in time comes from the caller.
+//! One run of a task and its state machine.
 //!
 //! ```text
 //! Waiting ──begin_start──> Starting ──confirm_start──> Running
@@ -12,8 +8,8 @@
 //!                                                      Stopping
 //! ```
 //!
-//! From each state a run can end; then it is removed by `Runner::end_run`. Once a start was sent that requires that the run certainly
-//! neither runs nor can start any more. Until then it counts against the target's capacity.
+//! A run can end in each state; `Runner::end_run` then removes it. Once a start was sent, the end requires certainty that the run neither
+//! runs nor can still start. Until then the run counts against the target's capacity.
 
 use std::time::Duration;
 
@@ -26,52 +22,53 @@
 use crate::runner::progress::ProgressTracker;
 use crate::timings::TargetTime;
 
-/// Starts of one run that are sent at most; then the runner waits until the deadline of the start has passed.
+/// Maximum number of starts sent for one run; after that the runner waits for the deadline of the start.
 pub(super) const MAX_START_ATTEMPTS: u32 = 6;
 
 /// A start that was sent and is not acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PendingStart {
-    /// On the target's clock: the target refuses a start that it carries out later.
+    /// On the target's clock: the target refuses to start the run after this.
     pub(super) deadline: TargetTime,
     /// When the first start was sent.
     pub(super) first_sent_at: Timestamp,
     /// When the newest start was sent.
     pub(super) last_sent_at: Timestamp,
-    /// How many starts were sent.
+    /// Number of starts sent.
     pub(super) attempts: u32,
 }
 
-/// What shows that a run whose stop was sent neither runs nor can start any more, besides its end.
+/// What proves, besides a reported end, that a run whose stop was sent neither runs nor can still start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndProof {
-    /// It was known to run: a list leaves it out that was asked for after the stop.
+    /// The run was confirmed: a list requested after the stop leaves it out.
     ListedAfterStop,
-    /// A start may be under way: a list leaves it out that was made after this on the target's clock, when the target refuses that start.
+    /// A start may be in flight: a list made after this deadline on the target's clock leaves the run out; by then the target refuses the
+    /// start.
     StartExpired(TargetTime),
-    /// It was started in an earlier incarnation of the target: a list leaves it out that was asked for with this fencing token or a higher one.
+    /// It was started in an earlier incarnation of the target: a list requested with at least this fencing token leaves it out.
     IncarnationFenced(u64),
 }
 
 /// A stop that was sent; the run keeps its capacity until its end is certain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PendingStop {
-    /// What has to be seen before the run counts as over.
+    /// What proves the end of the run.
     pub(super) proof: EndProof,
     /// When the first stop was sent.
     pub(super) first_sent_at: Timestamp,
     /// When the newest stop was sent.
     pub(super) last_sent_at: Timestamp,
-    /// What to report if it turns out that the run never started.
+    /// The outcome to report if the run turns out never to have started.
     pub(super) outcome_if_never_started: RunOutcome,
 }
 
-/// How far a run has come.
+/// State of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunState {
     /// It waits for free capacity; nothing was sent to the target.
     Waiting {
-        /// After this it is given back.
+        /// It is refused after this.
         until: Timestamp,
     },
     /// Its start was sent and is not acknowledged.
@@ -85,53 +82,53 @@
     Stopping(PendingStop),
 }
 
-/// What has to be done to stop a run.
+/// The next step to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopStep {
-    /// Nothing was sent for it yet: it is over.
+    /// Nothing was sent for it: it is over.
     IsOver,
-    /// A stop has to be sent now.
+    /// Send a stop.
     SendStop,
-    /// A stop was sent before; the first reason stands.
+    /// A stop was already sent; the first reason stands.
     IsStopping,
 }
 
-/// One run of a task and for whom it is executed.
+/// One run of a task.
 #[derive(Clone, Debug)]
 pub(super) struct Run {
-    /// The session that gets the report of its end; none once that session is over.
+    /// The session to which its end is reported; `None` once that session is over.
     pub(super) session: Option<SessionId>,
     /// Order of arrival in this process.
     pub(super) sequence: u64,
-    /// The dispatcher's number of the run.
+    /// Number of the run, assigned by the dispatcher.
     pub(super) number: u64,
     pub(super) spec: String,
     pub(super) demand: Resources,
-    /// 0 is served first.
+    /// 0 is the highest.
     pub(super) priority: u32,
     pub(super) state: RunState,
-    /// When the first start was sent, once the target has confirmed it.
+    /// When the first start was sent, once the target has confirmed the run.
     started_at: Option<Timestamp>,
     /// Expected duration, from the assignment.
     pub(super) estimate: Duration,
     pub(super) progress: ProgressTracker,
-    /// Whether it is being stopped because it makes no progress.
+    /// Whether it is stopped because it makes no progress.
     pub(super) is_stopped_as_stuck: bool,
-    /// `None` for a run of a job that need not be kept.
+    /// `None` for a run of a best-effort job.
     pub(super) kept: Option<KeptRun>,
 }
 
 /// What is recorded of a run of a kept job besides its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct KeptRun {
-    /// The epoch of the driver that assigned it.
+    /// Epoch in which the dispatcher that assigned it drives the job.
     pub(super) epoch: Epoch,
-    /// Place of its task among all tasks of the job.
+    /// Index of its task among all tasks of the job.
     pub(super) index_in_job: TaskIndex,
 }
 
 impl Run {
-    /// Returns a run that waits for capacity, until the wait that its assignment allows is over.
+    /// Returns a run that waits for capacity, at most as long as its assignment allows.
     pub(super) fn new(
         session: SessionId,
         sequence: u64,
@@ -156,7 +153,7 @@
         }
     }
 
-    /// Returns what is to be recorded of its end; `None` if it need not be kept.
+    /// Returns the end to record; `None` for a run of a best-effort job.
     pub(super) fn task_end(&self, end: &EndedRun, outcome: EndOutcome) -> Option<TaskEnd> {
         let kept = self.kept?;
         Some(TaskEnd {
@@ -168,8 +165,8 @@
         })
     }
 
-    /// Returns whether it is kept and its stop has shown no effect for so long.
-    pub(super) fn resists_stop(&self, grace: Duration, now: Timestamp) -> bool {
+    /// Returns whether it is a kept run whose stop was sent at least `grace` ago.
+    pub(super) fn is_stop_overdue(&self, grace: Duration, now: Timestamp) -> bool {
         let is_late = |stop: &PendingStop| now >= stop.first_sent_at + grace;
         self.kept.is_some() && matches!(&self.state, RunState::Stopping(stop) if is_late(stop))
     }
@@ -182,7 +179,7 @@
         matches!(self.state, RunState::Running { .. })
     }
 
-    /// Returns whether it has waited for capacity as long as its assignment allows.
+    /// Returns whether it has waited for capacity for longer than its assignment allows.
     pub(super) fn has_waited_too_long(&self, now: Timestamp) -> bool {
         matches!(self.state, RunState::Waiting { until } if now > until)
     }
@@ -195,7 +192,7 @@
         }
     }
 
-    /// Returns how long ago the first start was sent; zero for a run that was not confirmed to run.
+    /// Returns the time since the first start was sent; zero for a run that was not confirmed.
     pub(super) fn ran_for(&self, now: Timestamp) -> Duration {
         let span = self
             .started_at
@@ -203,7 +200,7 @@
         span.unwrap_or_default()
     }
 
-    /// Returns the speed of a run that is done now, where 1 is as fast as estimated; none if either duration is unknown.
+    /// Returns the mean speed of a run that ends now, where 1 is as fast as estimated; `None` if either duration is unknown.
     pub(super) fn mean_speed(&self, now: Timestamp) -> Option<f64> {
         let ran = self.ran_for(now);
         if ran.is_zero() || self.estimate.is_zero() {
@@ -212,7 +209,7 @@
         Some(self.estimate.as_secs_f64() / ran.as_secs_f64())
     }
 
-    /// Waiting -> Starting: the first start is sent now.
+    /// Waiting -> Starting: records the first start.
     pub(super) fn begin_start(&mut self, deadline: TargetTime, now: Timestamp) {
         self.state = RunState::Starting(PendingStart {
             deadline,
@@ -222,9 +219,9 @@
         });
     }
 
-    /// Starting -> Starting: the same start is sent again, with the same deadline. Returns the start to send, none if the attempts
-    /// are used up or no start is pending.
-    pub(super) fn repeat_start(&mut self, now: Timestamp) -> Option<PendingStart> {
+    /// Starting -> Starting: records a retry with the same deadline. Returns the start to send; `None` if the attempts are used up or no
+    /// start is pending.
+    pub(super) fn retry_start(&mut self, now: Timestamp) -> Option<PendingStart> {
         let RunState::Starting(start) = &mut self.state else {
             return None;
         };
@@ -236,7 +233,7 @@
         Some(*start)
     }
 
-    /// Starting -> Starting with a new deadline. Correct only when the one start that was sent is known to have had no effect.
+    /// Starting -> Starting with a new deadline. Correct only if the one start that was sent is known to have had no effect.
     pub(super) fn replace_start(
         &mut self,
         deadline: TargetTime,
@@ -251,7 +248,7 @@
         Some(*start)
     }
 
-    /// Starting -> Running: the target has acknowledged the start or listed the run. Returns whether this was news.
+    /// Starting -> Running: the target acknowledged the start or listed the run. Returns whether the state changed.
     pub(super) fn confirm_start(&mut self, now: Timestamp) -> bool {
         let RunState::Starting(start) = self.state else {
             return false;
@@ -261,7 +258,7 @@
         true
     }
 
-    /// Starting or Running -> Stopping. A waiting run stays as it is, since it is over without a stop.
+    /// Starting or Running -> Stopping. A waiting run stays as it is, since it needs no stop.
     pub(super) fn begin_stop(
         &mut self,
         outcome_if_never_started: RunOutcome,
@@ -282,9 +279,9 @@
         StopStep::SendStop
     }
 
-    /// Any state in which it was started -> Stopping: the incarnation of the target is over in which it was, and another one may have taken its
-    /// start. `fencing_token` is above those of its orders.
-    pub(super) fn outlive_incarnation(&mut self, fencing_token: u64, now: Timestamp) {
+    /// Any started state -> Stopping, when the target has restarted: the new incarnation may have received the start. `fencing_token` is
+    /// above those of the run's orders.
+    pub(super) fn await_fencing(&mut self, fencing_token: u64, now: Timestamp) {
         self.state = RunState::Stopping(PendingStop {
             proof: EndProof::IncarnationFenced(fencing_token),
             first_sent_at: now,
--- a/crates/leased/cloverfold_lease/src/runner/session.rs
+++ b/crates/leased/cloverfold_lease/src/runner/session.rs
@@ -1,7 +1,4 @@
-//! One session with a dispatcher.
-//!
-//! Tracks how long a dispatcher's runs may go on without an echo from it, and what was reported to it last.
-//! Owns the state of one session. Relies on nothing; every point in time comes from the caller.
+//! State of one session with a dispatcher: its expiry and what was last reported.
 
 use cloverfold_base::Timestamp;
 
@@ -11,11 +8,11 @@
 /// The last announcement of the target to a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Announcement {
-    /// Nothing yet.
+    /// None was sent yet.
     NotSent,
-    /// That there is no target that accepts work.
+    /// No target accepts work.
     NoTarget,
-    /// The incarnation of this number.
+    /// The incarnation with this number.
     Target(u64),
 }
 
@@ -29,18 +26,18 @@
 /// A session with one dispatcher.
 #[derive(Clone, Debug)]
 pub(super) struct Session {
-    /// On the runner's clock.
+    /// Expiry on the runner's clock.
     valid_until: Timestamp,
-    /// How many assignments of it have arrived.
+    /// Number of assignments that arrived in this session.
     pub(super) assignments_seen: u64,
     /// When the last heartbeat was sent.
     pub(super) heartbeat_at: Timestamp,
-    /// What was reported as free last.
+    /// The free capacity that was last reported.
     pub(super) reported_free: Resources,
     pub(super) announced: Announcement,
-    /// The usual speed of the target as told last.
-    pub(super) told_speed: UsualSpeed,
-    /// Whether no target is offered to it any more.
+    /// The usual speed of the target that was last reported.
+    pub(super) reported_speed: UsualSpeed,
+    /// Whether the target is no longer offered to it.
     pub(super) is_retired: bool,
 }
 
@@ -52,17 +49,17 @@
             heartbeat_at: Timestamp::ZERO,
             reported_free: Resources::default(),
             announced: Announcement::NotSent,
-            told_speed: UsualSpeed::default(),
+            reported_speed: UsualSpeed::default(),
             is_retired: false,
         }
     }
 
-    /// Moves the end of the session; never to an earlier time.
+    /// Extends the session; never moves its expiry to an earlier time.
     pub(super) fn prolong(&mut self, valid_until: Timestamp) {
         self.valid_until = self.valid_until.max(valid_until);
     }
 
-    /// Returns whether the session has ended, so that its runs must be stopped.
+    /// Returns whether the session has expired, so that its runs must be stopped.
     pub(super) fn is_over(&self, now: Timestamp) -> bool {
         now > self.valid_until
     }
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -1,10 +1,7 @@
-//! Decision: how long sessions with dispatchers are valid, and what ends with them.
+//! Opening, extension and expiry of sessions with dispatchers.
 //!
-//! Opens, prolongs and ends sessions. Owns no state besides the runner's.
-//! Relies on `stops` to end the runs of a session, on `reports` for the first messages to a new one.
-//!
-//! A dispatcher counts the runs of a session as over some time after its last echo; see [`Timings`](crate::Timings). That
-//! holds only because a session here ends [`Timings::session`](crate::Timings::session) after the runner's own clock reading that was echoed.
+//! A dispatcher counts the runs of a session as over a fixed time after its last echo, see [`Timings`](crate::Timings). That is correct
+//! only because a session ends [`Timings::session`](crate::Timings::session) after the runner's own clock reading that was echoed.
 
 use cloverfold_base::Timestamp;
 
@@ -14,7 +11,7 @@
 use crate::runner::{Runner, RunnerAction};
 
 impl Runner {
-    /// Begins a session with a dispatcher's process.
+    /// Opens a session with a dispatcher.
     pub fn open_session(&mut self, session: SessionId, now: Timestamp) {
         let valid_until = now + self.timings.session;
         self.sessions.insert(session, Session::new(valid_until));
@@ -22,15 +19,15 @@
         self.announce_target();
     }
 
-    /// Ends a session whose link is closed; its runs are stopped.
+    /// Closes a session whose link is closed, and stops its runs.
     pub fn close_session(&mut self, session: SessionId, now: Timestamp) {
         if self.sessions.remove(&session).is_some() {
             self.stop_session_runs(session, now);
         }
     }
 
-    /// Offers no target to a session any more, or offers it again. What is assigned to a retired session goes on, and assignments that
-    /// were under way are accepted, so that leaving a dispatcher cuts nothing.
+    /// Stops offering the target to a session, or offers it again. Its runs go on, and assignments in flight are still accepted, so that
+    /// leaving a dispatcher interrupts no run.
     pub fn retire_session(&mut self, session: SessionId, is_retired: bool) {
         if let Some(state) = self.sessions.get_mut(&session) {
             state.is_retired = is_retired;
@@ -38,13 +35,13 @@
         }
     }
 
-    /// Counts the runs of a session that are not certainly over.
+    /// Returns the number of runs of a session whose end is not certain.
     pub fn count_session_runs(&self, session: SessionId) -> usize {
         let is_of_session = |run: &&Run| run.session == Some(session);
         self.runs.values().filter(is_of_session).count()
     }
 
-    /// Prolongs a session from the clock reading that its dispatcher echoed; a reading from the future counts as one from now.
+    /// Extends a session from the echoed clock reading; a reading in the future counts as now.
     pub(super) fn receive_echo(&mut self, session: SessionId, clock: Timestamp, now: Timestamp) {
         let span = self.timings.session;
         if let Some(session) = self.sessions.get_mut(&session) {
@@ -52,7 +49,7 @@
         }
     }
 
-    /// Ends the sessions whose dispatchers have sent no echo in time; after a stall of this process they are in doubt first (`own_stall`).
+    /// Closes the sessions whose dispatchers sent no echo in time; during the catch-up after a stall they stay in doubt (`own_stall`).
     pub(super) fn expire_sessions(&mut self, now: Timestamp) {
         if self.catch_up.is_active(now) {
             return;
@@ -70,7 +67,7 @@
         }
     }
 
-    /// Stops all that a session has assigned; these ends are not reported.
+    /// Stops all runs of a session; their ends are not reported.
     fn stop_session_runs(&mut self, session: SessionId, now: Timestamp) {
         let tasks: Vec<TaskId> = self
             .runs
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -1,9 +1,6 @@
-//! Starts of runs: sending, answers, repeats.
+//! Start orders: sending, answers and retries.
 //!
-//! Brings a waiting run to the target. Owns no state besides the runner's.
-//! Relies on [`Run`](crate::runner::run::Run) for the states of a run, `refused_start` for what follows a refusal.
-//!
-//! Sending a start twice is safe: it carries the same run number and deadline, and the target acknowledges a run that it already has.
+//! Retrying a start is idempotent: it carries the same run number and deadline, and the target acknowledges a run that it already has.
 
 use cloverfold_base::Timestamp;
 
@@ -28,7 +25,7 @@
         self.send_start(task, start);
     }
 
-    /// Sends a start with the deadline and attempt of `start`; does nothing without one.
+    /// Sends a start order with the deadline and attempt of `start`; does nothing for `None`.
     fn send_start(&mut self, task: &TaskId, start: Option<PendingStart>) {
         let (Some(target), Some(run), Some(start)) = (&self.target, self.runs.get(task), start)
         else {
@@ -51,8 +48,8 @@
 
     /// Processes the answer to a start.
     ///
-    /// An answer to a run that is no longer starting changes nothing but what is known of the target's clock and fencing token; one to an
-    /// order for another incarnation changes nothing at all, since it may show that incarnation's clock.
+    /// If the run is no longer starting, the answer only updates the target's clock and fencing token. The answer to an order for another
+    /// incarnation is ignored, since its clock reading may be of that incarnation.
     pub fn receive_start_answer(
         &mut self,
         order: &StartOrder,
@@ -78,11 +75,11 @@
             StartAnswer::Refused(refusal, _) => {
                 self.receive_start_refusal(&order.task, refusal, start.attempts, now);
             }
-            StartAnswer::Unanswered => self.repeat_start(&order.task, now),
+            StartAnswer::Unanswered => self.retry_start(&order.task, now),
         }
     }
 
-    /// Records what an answer shows of the target's clock and fencing token; returns whether it was for the present incarnation.
+    /// Updates the target's clock and fencing token from an answer; returns whether it concerns the current incarnation.
     fn learn_from_start_answer(
         &mut self,
         order: &StartOrder,
@@ -93,7 +90,7 @@
             return false;
         };
         if let Some(clock) = answer.clock() {
-            target.read_clock(clock, now);
+            target.record_clock(clock, now);
         }
         if matches!(answer, StartAnswer::Refused(StartRefusal::Fenced, _)) {
             target.raise_fencing_token(order.fencing_token);
@@ -101,7 +98,7 @@
         true
     }
 
-    /// Carries out what follows from a refusal, see [`step_after_refused_start`].
+    /// Carries out the reaction to a refusal, see [`step_after_refused_start`].
     fn receive_start_refusal(
         &mut self,
         task: &TaskId,
@@ -111,25 +108,25 @@
     ) {
         match step_after_refused_start(refusal, attempts) {
             RefusedStartStep::Replace if self.is_evacuated => {
-                // A start with a later deadline would be a new start in an evacuated hall.
+                // A start with a later deadline would be a new start in an evacuated data hall.
                 self.end_run(task, RunOutcome::NotStarted(RunRefusal::Evacuated), now);
             }
             RefusedStartStep::Replace if self.is_held() => {
-                // What starts now dies with the box.
+                // A run that starts now would be lost when the box goes down.
                 self.end_run(task, RunOutcome::NotStarted(RunRefusal::Draining), now);
             }
             RefusedStartStep::Replace => self.replace_start(task, now),
-            RefusedStartStep::Repeat => self.repeat_start(task, now),
-            RefusedStartStep::GiveBack(reason) => {
+            RefusedStartStep::Retry => self.retry_start(task, now),
+            RefusedStartStep::Refuse(reason) => {
                 self.end_run(task, RunOutcome::NotStarted(reason), now);
             }
-            RefusedStartStep::StopThenGiveBack(reason) => {
+            RefusedStartStep::StopThenRefuse(reason) => {
                 self.stop_run(task, RunOutcome::NotStarted(reason), now);
             }
         }
     }
 
-    /// Sends a start with a new deadline instead of the only one before it, which was refused and so can have no effect later.
+    /// Sends a start with a new deadline in place of the only one before, which was refused and so has no effect.
     fn replace_start(&mut self, task: &TaskId, now: Timestamp) {
         let Some(deadline) = self.extend_lease(now) else {
             return;
@@ -141,22 +138,22 @@
         self.send_start(task, start);
     }
 
-    /// Sends the same start again, while attempts are left.
-    fn repeat_start(&mut self, task: &TaskId, now: Timestamp) {
+    /// Sends the same start again while attempts are left.
+    fn retry_start(&mut self, task: &TaskId, now: Timestamp) {
         let Some(run) = self.runs.get_mut(task) else {
             return;
         };
-        let Some(start) = run.repeat_start(now) else {
+        let Some(start) = run.retry_start(now) else {
             return;
         };
         self.counts.repeated_starts += 1;
         self.send_start(task, Some(start));
     }
 
-    /// Sends starts again that got no answer within [`Timings::start_timeout`](crate::Timings::start_timeout).
+    /// Retries starts without an answer for [`Timings::start_timeout`](crate::Timings::start_timeout).
     ///
-    /// A target that answers nothing at all gets no further start: it would not answer it either.
-    pub(super) fn repeat_unanswered_starts(&mut self, now: Timestamp) {
+    /// An unresponsive target gets no retries.
+    pub(super) fn retry_unanswered_starts(&mut self, now: Timestamp) {
         let target = self.target.as_ref();
         if target.is_some_and(|target| target.is_unresponsive) {
             return;
@@ -170,7 +167,7 @@
             .map(|(task, _)| task.clone())
             .collect();
         for task in due {
-            self.repeat_start(&task, now);
+            self.retry_start(&task, now);
         }
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/stops.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stops.rs
@@ -1,8 +1,6 @@
-//! Stops of runs: sending and repeats.
+//! Stop orders: sending and retries.
 //!
-//! Ends a run before it is done. Owns no state besides the runner's.
-//! Relies on [`Run`](crate::runner::run::Run) for the states of a run. That a stop has had its effect is seen only in the target's list
-//! (`unlisted`) or in an end that it reports; the answer to a stop is not used.
+//! Only the target's list (`unlisted`) or a reported end shows that a stop took effect; the answer to a stop is not used.
 
 use std::time::Duration;
 
@@ -13,14 +11,14 @@
 use crate::runner::run::{RunState, StopStep};
 use crate::runner::{Runner, RunnerAction};
 
-/// How long a stop may show no effect before it is sent again.
-const STOP_REPEAT: Duration = Duration::from_millis(120);
+/// Time without effect after which a stop is retried.
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(120);
 
 impl Runner {
-    /// Stops a run: gives back one that waits at once, and sends a stop for one that may run.
+    /// Stops a run: refuses it if it is still waiting, otherwise sends a stop.
     ///
-    /// A run that may run keeps its capacity and blocks its task until its end is certain, see [`Runner::end_run`].
-    /// `outcome_if_never_started` is reported if it turns out that no start of it was carried out.
+    /// A run that may be running keeps its capacity and blocks its task until its end is certain, see [`Runner::end_run`].
+    /// `outcome_if_never_started` is reported if it turns out that no start was executed.
     pub(super) fn stop_run(
         &mut self,
         task: &TaskId,
@@ -41,7 +39,7 @@
         }
     }
 
-    /// Sends a stop of a run, whether or not the runner knows it; does nothing without a target.
+    /// Sends a stop, whether or not the runner knows the run; does nothing without a target.
     pub(super) fn send_stop(&mut self, task: TaskId, number: u64) {
         let Some(target) = &self.target else {
             return;
@@ -58,12 +56,12 @@
         self.actions.push(RunnerAction::Stop(order));
     }
 
-    /// Sends stops again that have shown no effect for [`STOP_REPEAT`].
-    pub(super) fn repeat_stops(&mut self, now: Timestamp) {
+    /// Retries stops without effect for [`STOP_RETRY_INTERVAL`].
+    pub(super) fn retry_stops(&mut self, now: Timestamp) {
         let mut due = Vec::new();
         for (task, run) in &mut self.runs {
             if let RunState::Stopping(stop) = &mut run.state
-                && now >= stop.last_sent_at + STOP_REPEAT
+                && now >= stop.last_sent_at + STOP_RETRY_INTERVAL
             {
                 stop.last_sent_at = now;
                 due.push((task.clone(), run.number));
--- a/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
@@ -1,7 +1,6 @@
-//! What follows from stuck runs: they are stopped, and their target is paused.
+//! Stops stuck runs and pauses their target.
 //!
-//! Carries out the verdicts of `progress` (one run) and `performance` (the target).
-//! Owns no state besides the runner's; relies on those two, on `stops` and on `waiting`.
+//! `progress` judges one run, `performance` judges the target.
 
 use cloverfold_base::Timestamp;
 
@@ -9,9 +8,9 @@
 use crate::runner::Runner;
 
 impl Runner {
-    /// Stops the runs that are stuck, and pauses the target if there are too many of them.
+    /// Stops stuck runs, and pauses the target if there are too many of them.
     ///
-    /// A target of which no run was ever seen to advance is not judged: it may report no progress at all.
+    /// A target whose runs were never seen to advance is not judged, since it may not report progress.
     pub(super) fn stop_stuck_runs(&mut self, now: Timestamp) {
         let target = self.target.as_ref();
         if !target.is_some_and(|target| target.performance.reports_progress()) {
@@ -35,7 +34,7 @@
             .collect()
     }
 
-    /// Stops a run that is stuck; its end is reported as [`RunOutcome::Stuck`].
+    /// Stops a stuck run; its end is reported as [`RunOutcome::Stuck`].
     fn stop_stuck_run(&mut self, task: &TaskId, now: Timestamp) {
         if let Some(run) = self.runs.get_mut(task) {
             run.is_stopped_as_stuck = true;
@@ -44,14 +43,14 @@
         self.stop_run(task, RunOutcome::Stuck, now);
     }
 
-    /// Gives back what waits and announces that the target accepts no work.
+    /// Refuses waiting runs and announces that the target accepts no work.
     fn begin_target_pause(&mut self, now: Timestamp) {
         self.counts.pauses += 1;
-        self.give_back_waiting(RunRefusal::NoTarget, now);
+        self.refuse_waiting(RunRefusal::NoTarget, now);
         self.announce_target();
     }
 
-    /// Offers the target again, in part, when its pause is over.
+    /// Offers the target again, in part, after its pause.
     pub(super) fn end_target_pause(&mut self, now: Timestamp) {
         let target = self.target.as_mut();
         if target.is_some_and(|target| target.performance.end_pause(now)) {
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -1,7 +1,4 @@
-//! The target beside a runner: registration, incarnations, and whether it responds.
-//!
-//! Learns of the target and of its end. Owns no state besides the runner's.
-//! Relies on [`TargetIncarnation`], and on `ending` for the runs of an incarnation that is over.
+//! The target beside a runner: registrations, its incarnations, and whether it responds.
 
 use cloverfold_base::Timestamp;
 
@@ -12,19 +9,19 @@
 use crate::runner::target_incarnation::TargetIncarnation;
 use crate::runner::{Runner, RunnerAction};
 
-/// Incarnations of the target that are remembered as over, so that a registration that comes late from one is ignored.
-const REMEMBERED_INCARNATIONS: usize = 16;
+/// Number of ended incarnations that are remembered, so that their late registrations are ignored.
+const MAX_ENDED_INCARNATIONS: usize = 16;
 
 impl Runner {
-    /// Processes a registration of the target; one that comes late from an earlier incarnation changes nothing.
+    /// Processes a registration of the target; a late one of an earlier incarnation is ignored.
     ///
-    /// An unknown incarnation beside a known target is a candidate, which is asked whether it is there (`candidates`).
+    /// An unknown incarnation beside a known target becomes a candidate and is probed (`candidates`).
     pub fn register(
         &mut self,
         registration: TargetRegistration,
         now: Timestamp,
     ) -> RegistrationVerdict {
-        self.first_heard_at.get_or_insert(now);
+        self.first_registration_at.get_or_insert(now);
         let verdict = self.judge_registration(&registration);
         self.counts.registrations.record(verdict);
         match verdict {
@@ -46,10 +43,10 @@
         verdict
     }
 
-    /// Decides what becomes of a registration.
+    /// Returns the verdict on a registration.
     ///
-    /// Sequences are compared within an incarnation alone: a target that starts again counts anew, and all that it says, also that it leaves,
-    /// would pass for late words of the incarnation before.
+    /// Sequence numbers are compared only within an incarnation: a restarted target starts them again, and otherwise its registrations,
+    /// even those that say that it drains, would count as late ones of the previous incarnation.
     fn judge_registration(&self, registration: &TargetRegistration) -> RegistrationVerdict {
         let incarnation = &registration.incarnation;
         if self.ended_incarnations.contains(incarnation) {
@@ -70,8 +67,8 @@
         RegistrationVerdict::Accepted
     }
 
-    /// Returns the fencing token with which a candidate is asked first: one that the target's present incarnation does not refuse either,
-    /// which may answer in its place.
+    /// Returns the fencing token for the first probe of a candidate: one that the current incarnation of the target, which may answer
+    /// instead, accepts too.
     fn fencing_token_for(&self, incarnation: &IncarnationId) -> u64 {
         let target = self.target.as_ref();
         let target =
@@ -79,7 +76,7 @@
         target.map_or(self.first_fencing_token, |target| target.fencing_token)
     }
 
-    /// Updates the registration of the present incarnation.
+    /// Updates the registration of the current incarnation.
     fn update_registration(&mut self, registration: TargetRegistration, now: Timestamp) {
         let Some(target) = &mut self.target else {
             return;
@@ -90,22 +87,22 @@
         target.is_registered = true;
         let is_draining = target.is_draining();
         if !was_registered {
-            self.usual_speeds.record_target(&target.registration);
+            self.usual_speed_estimator
+                .record_target(&target.registration);
         }
         if is_draining == was_draining && was_registered {
             return;
         }
         if is_draining {
-            self.give_back_waiting(RunRefusal::Draining, now);
+            self.refuse_waiting(RunRefusal::Draining, now);
         }
         self.announce_target();
     }
 
-    /// Forgets the target or candidate that reports its own end, and ends its runs.
+    /// Removes the target or candidate that reports its own end, and ends its runs; returns whether the report was accepted.
     ///
-    /// A target that tells its incarnations apart drains before it ends. A word without a start, while the present incarnation does not
-    /// drain, is a late one of an earlier incarnation and changes nothing: a target that is gone is noticed by its silence. Returns whether
-    /// the word was taken.
+    /// A target that reports start times drains before it ends. A report without a start time while the current incarnation does not drain
+    /// is therefore a late one of an earlier incarnation and is ignored; if the target is gone after all, it becomes unresponsive.
     pub fn unregister(&mut self, incarnation: &IncarnationId, now: Timestamp) -> bool {
         if self.candidates.remove(incarnation).is_some() {
             self.remember_as_ended(incarnation.clone());
@@ -114,17 +111,17 @@
         let Some(target) = &self.target else {
             return false;
         };
-        let present = &target.registration.incarnation;
-        let is_meant = present == incarnation
-            || (present.matches_untimed(incarnation) && target.is_draining());
-        if is_meant {
+        let current = &target.registration.incarnation;
+        let is_match = current == incarnation
+            || (current.matches_untimed(incarnation) && target.is_draining());
+        if is_match {
             self.end_target_incarnation(now);
             self.announce_target();
         }
-        is_meant
+        is_match
     }
 
-    /// Returns the present target if this is its incarnation.
+    /// Returns the target if this is its current incarnation.
     pub(super) fn target_of_incarnation(
         &mut self,
         incarnation: &IncarnationId,
@@ -133,7 +130,7 @@
         target.filter(|target| target.registration.incarnation == *incarnation)
     }
 
-    /// Makes a new incarnation the target, which ends all runs of the one before, and asks for its list.
+    /// Makes a new incarnation the target, which ends all runs of the previous one, and requests its list.
     pub(super) fn begin_target_incarnation(
         &mut self,
         registration: TargetRegistration,
@@ -141,7 +138,7 @@
         now: Timestamp,
     ) {
         self.end_target_incarnation(now);
-        self.usual_speeds.record_target(&registration);
+        self.usual_speed_estimator.record_target(&registration);
         self.next_sequence += 1;
         let number = self.next_sequence;
         self.target = Some(TargetIncarnation::new(
@@ -154,7 +151,7 @@
         self.actions.push(RunnerAction::RenewNow);
     }
 
-    /// Ends the present incarnation, if there is one, and with it all that ran there.
+    /// Ends the current incarnation, if any, and all its runs.
     fn end_target_incarnation(&mut self, now: Timestamp) {
         if let Some(target) = self.target.take() {
             self.remember_as_ended(target.registration.incarnation);
@@ -162,16 +159,16 @@
         self.end_all_runs(now);
     }
 
-    /// Remembers an incarnation as over: what comes from it later is ignored.
+    /// Remembers an incarnation as ended, so that its late registrations are ignored.
     pub(super) fn remember_as_ended(&mut self, incarnation: IncarnationId) {
         self.ended_incarnations.push_back(incarnation);
-        if self.ended_incarnations.len() > REMEMBERED_INCARNATIONS {
+        if self.ended_incarnations.len() > MAX_ENDED_INCARNATIONS {
             self.ended_incarnations.pop_front();
         }
     }
 
-    /// Decides whether the target is unresponsive: it has answered no renewal for [`Timings::silence`](crate::Timings::silence) and the time
-    /// that a renewal may wait.
+    /// Checks whether the target is unresponsive: it has answered no renewal for [`Timings::silence`](crate::Timings::silence) plus the
+    /// wait of a renewal.
     ///
     /// An unresponsive target gets no new work. Its runs may go on until its lease has lapsed; then they are lost.
     pub(super) fn check_responsiveness(&mut self, now: Timestamp) {
@@ -184,7 +181,7 @@
         }
         if !target.is_unresponsive {
             target.is_unresponsive = true;
-            self.give_back_waiting(RunRefusal::NoTarget, now);
+            self.refuse_waiting(RunRefusal::NoTarget, now);
             self.announce_target();
         }
         if self.has_lease_lapsed(now) {
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -1,7 +1,4 @@
-//! One incarnation of the target beside a runner: its clock, its leases, whether it accepts work.
-//!
-//! Tracks the target from its registration to its end.
-//! Owns what is known of it. Relies on [`TargetPerformance`] for the judgement by its runs, on [`Timings`] for the bounds.
+//! State of one incarnation of the target: its clock, its leases, and whether it accepts work.
 
 use std::time::Duration;
 
@@ -15,10 +12,10 @@
 use crate::runner::performance::TargetPerformance;
 use crate::timings::{TargetTime, Timings};
 
-/// How far the fencing token rises above one that the target has refused.
+/// Increase of the fencing token above a refused one, in milliseconds.
 ///
-/// Fencing tokens are milliseconds since 1970 at the start of the guard (docs/design/6-leased-runs.md, "Fencing tokens"), so this
-/// is 10 s of a clock that was put back.
+/// A guard's first fencing token is its start time in milliseconds since the Unix epoch, so this makes up for a wall clock that was set
+/// back by 10 s.
 pub(super) const FENCING_TOKEN_STEP: u64 = 10_000;
 
 /// Why a target gets no work.
@@ -26,26 +23,26 @@
 pub enum UnavailableReason {
     /// No target has registered.
     NoTarget,
-    /// It is about to leave.
+    /// It drains before a planned end.
     Draining,
-    /// It answers no renewals. Written `Silent`.
+    /// It does not answer renewals. Written `Silent`.
     Unresponsive,
     /// Its runs made no progress. Written `RunsStandStill`.
     StuckRuns,
     /// It executes runs that this runner did not start. Written `OtherRuns`.
     OrphanRuns,
-    /// Its clock is not known yet, so no deadline can be set.
+    /// Its clock is unknown, so no deadline can be set.
     NoClock,
     /// Its data hall is evacuated.
     Evacuated,
-    /// Its box is about to have its upkeep.
+    /// It is held before the upkeep of its box.
     Upkeep,
-    /// Its lease is left to lapse. Written `Lapsing`.
+    /// Its lease is withheld so that it lapses. Written `Lapsing`.
     LeaseWithheld,
 }
 
 impl UnavailableReason {
-    /// Returns the name by which logs and answers call it; it is part of the outside interface.
+    /// Returns its name in logs and answers, which is part of the external interface.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoTarget => "NoTarget",
@@ -61,52 +58,52 @@
     }
 }
 
-/// A reading of the target's clock and when it arrived here.
+/// A reading of the target's clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     clock: TargetTime,
-    /// On the runner's clock. The reading was made before this.
+    /// When the reading arrived, on the runner's clock; it was taken earlier.
     received_at: Timestamp,
 }
 
-/// The orders that were sent to the incarnation before under the same name, and may have reached this one.
+/// Orders to the previous incarnation under the same name, which may have reached this one.
 #[derive(Clone, Copy, Debug)]
-struct OrdersBefore {
-    /// The fencing token with which the target is to refuse them; `None` once it has seen it.
+struct PredecessorOrders {
+    /// The fencing token from which the target refuses those orders; `None` once it has seen it.
     awaited_token: Option<u64>,
-    /// When it had seen it; until then, when this incarnation was found.
+    /// When the target had seen that token; until then, when this incarnation was found.
     refused_at: Timestamp,
 }
 
-/// What is known of one incarnation of the target.
+/// State of one incarnation of the target.
 #[derive(Clone, Debug)]
 pub(super) struct TargetIncarnation {
     pub(super) registration: TargetRegistration,
-    /// Whether it has registered itself; otherwise the registration is that of the incarnation before, and it gets no work.
+    /// Whether it has registered; otherwise the registration is that of the previous incarnation, and it gets no work.
     pub(super) is_registered: bool,
-    /// Rises with each incarnation in this process.
+    /// Increases with each incarnation in this process.
     number: u64,
     pub(super) fencing_token: u64,
     clock: Option<ClockReading>,
-    /// The latest deadline that any order to it has carried: no lease of it ends later.
+    /// The latest deadline of any order sent to it, which bounds its lease.
     latest_deadline: TargetTime,
     /// Number of the newest end that was processed.
     pub(super) last_processed_end: u64,
-    /// Ends that were processed and that the target must not forget yet.
+    /// Processed ends that the target must keep listing.
     pub(super) held_ends: HeldEnds,
     /// Whether the lease is not extended, so that it lapses.
     pub(super) is_lease_withheld: bool,
-    /// When the newest renewal that it answered was sent.
+    /// When the newest answered renewal was sent.
     pub(super) newest_renewal_sent_at: Timestamp,
-    /// When it answered a renewal last, at first when it registered; moved on by the length of each stall of this process.
+    /// When it last answered a renewal, initially when it registered; moved forward by the length of each stall of this process.
     pub(super) answered_at: Timestamp,
-    /// Whether its newest list contained nothing but runs of this runner.
+    /// Whether its newest list contained only runs of this runner.
     pub(super) has_only_own_runs: bool,
     pub(super) is_unresponsive: bool,
-    /// Whether the newest renewal was not answered: another incarnation may answer the next one.
-    pub(super) is_answer_missing: bool,
-    /// Until when orders to the incarnation before it under its name may have extended its lease; `None` for a target that had none.
-    orders_before: Option<OrdersBefore>,
+    /// Whether the newest renewal is unanswered; another incarnation may answer the next one.
+    pub(super) is_renewal_unanswered: bool,
+    /// Orders to the previous incarnation that may have extended the lease of this one; `None` without a previous incarnation.
+    predecessor_orders: Option<PredecessorOrders>,
     pub(super) performance: TargetPerformance,
 }
 
@@ -135,14 +132,14 @@
             answered_at: now,
             has_only_own_runs: false,
             is_unresponsive: false,
-            is_answer_missing: false,
-            orders_before: None,
+            is_renewal_unanswered: false,
+            predecessor_orders: None,
             performance: TargetPerformance::new(),
         }
     }
 
-    /// Returns the next incarnation of the target under the same name, with a fencing token above that of this one.
-    pub(super) fn succeed(
+    /// Returns the next incarnation under the same name, with a higher fencing token.
+    pub(super) fn next_incarnation(
         &self,
         incarnation: IncarnationId,
         registration: Option<TargetRegistration>,
@@ -160,7 +157,7 @@
         let fencing_token = self.fencing_token + 1;
         Self {
             is_registered,
-            orders_before: Some(OrdersBefore {
+            predecessor_orders: Some(PredecessorOrders {
                 awaited_token: Some(fencing_token),
                 refused_at: now,
             }),
@@ -168,9 +165,9 @@
         }
     }
 
-    /// Records that it has answered a list that was asked for with this fencing token.
-    pub(super) fn record_fence(&mut self, fencing_token: u64, now: Timestamp) {
-        let Some(before) = &mut self.orders_before else {
+    /// Records that the target answered a renewal with this fencing token.
+    pub(super) fn record_fencing_token(&mut self, fencing_token: u64, now: Timestamp) {
+        let Some(before) = &mut self.predecessor_orders else {
             return;
         };
         let is_first = before
@@ -198,9 +195,6 @@
     }
 
     /// Returns why the target gets no work, if there is a reason; the first that applies.
-    ///
-    /// It gets work while it does not drain, answers, lets its runs make progress, runs nothing that this runner did not start, its
-    /// clock is known, and its lease is extended.
     pub(super) fn find_unavailable_reason(&self) -> Option<UnavailableReason> {
         if !self.is_registered {
             Some(UnavailableReason::NoTarget)
@@ -221,12 +215,12 @@
         }
     }
 
-    /// Returns the part of the capacity that dispatchers may use at present.
+    /// Returns the part of the capacity that dispatchers may currently use.
     pub(super) fn offered_capacity(&self) -> Resources {
         self.performance.offer(self.capacity())
     }
 
-    /// Returns what dispatchers are sent about the target.
+    /// Returns the description that dispatchers get.
     pub(super) fn describe(&self) -> TargetDescription {
         TargetDescription {
             incarnation: self.registration.incarnation.name.clone(),
@@ -236,29 +230,29 @@
         }
     }
 
-    /// Records a reading of the target's clock that arrives now.
-    pub(super) fn read_clock(&mut self, clock: TargetTime, now: Timestamp) {
+    /// Records a reading of the target's clock that arrived now.
+    pub(super) fn record_clock(&mut self, clock: TargetTime, now: Timestamp) {
         self.clock = Some(ClockReading {
             clock,
             received_at: now,
         });
     }
 
-    /// Returns the number up to which the target may forget ends: none while a renewal is unanswered. Numbers begin anew in each
-    /// incarnation, and another one that answers the next renewal would forget ends that nobody has seen.
+    /// Returns the number up to which the target may forget ends; 0 while a renewal is unanswered. Numbers restart in each incarnation, and
+    /// a new one that answers the next renewal would forget ends that nobody has seen.
     pub(super) fn acknowledged_end(&self) -> u64 {
-        if self.is_answer_missing {
+        if self.is_renewal_unanswered {
             return 0;
         }
-        let held = self.held_ends.first();
+        let held = self.held_ends.first_number();
         held.map_or(self.last_processed_end, |first| first - 1)
     }
 
-    /// Returns a deadline on the target's clock, `lease` from now, and records it as one that an order carries; none while the clock is
-    /// not known or the lease is left to lapse.
+    /// Returns a deadline on the target's clock, `lease` from now, and records it as sent; `None` while the clock is unknown or the lease
+    /// is withheld.
     ///
-    /// The target's present time is estimated from below: its reading was made before it arrived here. So the lease does not exceed what
-    /// the target allows.
+    /// The estimate of the target's current time is a lower bound, since a reading is taken before it arrives here. The lease is therefore
+    /// never longer than `lease` on the target's clock.
     pub(super) fn extend_lease(&mut self, now: Timestamp, lease: Duration) -> Option<TargetTime> {
         if self.is_lease_withheld {
             return None;
@@ -272,13 +266,13 @@
 
     /// Returns whether every lease that the target may have is certainly over, so that nothing runs there.
     ///
-    /// The latest deadline that was sent lies `left` after the newest reading of the target's clock. That clock may be slow, so `left` lasts
-    /// up to [`Timings::longest_true_span`] of it here; then the target has [`Timings::stop`] to end its runs. A reading that is later than
-    /// that shows it at once. Without a reading no order had a deadline, so there is no lease. What orders to an earlier incarnation of the same
-    /// name have extended is cut by the target to the longest lease that it grants.
+    /// The latest deadline lies `left` after the newest reading of the target's clock. That clock may be slow, so `left` lasts up to
+    /// [`Timings::longest_true_span`] here; then the target has [`Timings::stop`] to end its runs. A later reading past that point proves
+    /// the lapse at once. Without a reading no order had a deadline, so there is no lease. The target limits extensions by orders to an
+    /// earlier incarnation under the same name to the longest lease that it grants.
     pub(super) fn has_lease_lapsed(&self, timings: &Timings, now: Timestamp) -> bool {
         let longest = timings.over_after_lease(timings.longest_lease);
-        let before = self.orders_before;
+        let before = self.predecessor_orders;
         if before.is_some_and(|before| now <= before.refused_at + longest) {
             return false;
         }
@@ -292,19 +286,19 @@
         now > reading.received_at + timings.over_after_lease(Duration::from_millis(left))
     }
 
-    /// Takes the target's clock to have stood still for so long since it was read last.
+    /// Assumes that the target's clock stood still for this long since its last reading.
     pub(super) fn allow_for_suspension(&mut self, span: Duration) {
         if let Some(reading) = &mut self.clock {
             reading.received_at += span;
         }
-        if let Some(before) = &mut self.orders_before {
+        if let Some(before) = &mut self.predecessor_orders {
             before.refused_at += span;
         }
     }
 
-    /// Raises the fencing token above one that the target has refused; an answer to an older, lower one changes nothing.
+    /// Raises the fencing token above one that the target refused; a late refusal of an older, lower one is ignored.
     ///
-    /// The target refuses fencing tokens below the highest that it has seen: one of an earlier process whose clock was ahead.
+    /// The target refuses tokens below the highest that it has seen, for example from an earlier process whose wall clock was ahead.
     pub(super) fn raise_fencing_token(&mut self, refused: u64) {
         if refused >= self.fencing_token {
             self.fencing_token = refused + FENCING_TOKEN_STEP;
--- a/crates/leased/cloverfold_lease/src/runner/unlisted.rs
+++ b/crates/leased/cloverfold_lease/src/runner/unlisted.rs
@@ -1,6 +1,6 @@
-//! Decision: whether a run that the target does not list is over, and with which outcome.
+//! Decides whether a run that the target does not list is over, and with which outcome.
 //!
-//! The one rule that ends a run although the target reports no end. Pure: owns no state, relies on [`RunState`].
+//! This is the only rule that ends a run without an end reported by the target.
 
 use cloverfold_base::Timestamp;
 
@@ -8,27 +8,25 @@
 use crate::runner::run::{EndProof, PendingStop, RunState};
 use crate::timings::TargetTime;
 
-/// When a list of the target's runs was made, on both clocks.
+/// When and how a list was requested, and the target's clock in it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ListTimes {
-    /// When the target was asked, on the runner's clock. The list is at least as new as this.
+pub(super) struct ListContext {
+    /// When the list was requested, on the runner's clock; the list is at least as new.
     pub(super) asked_at: Timestamp,
     /// The target's clock in its answer.
     pub(super) clock: TargetTime,
-    /// With which it was asked: since then it refuses lower ones.
+    /// The fencing token of the request; from then on the target refuses lower ones.
     pub(super) fencing_token: u64,
 }
 
-/// Decides whether a run that a list leaves out is certainly over, and with which outcome; none while it may run or start.
+/// Returns the outcome of a run that a list leaves out; `None` while it may still run or start.
 ///
 /// - Waiting: nothing was sent, so no list can contain it.
 /// - Starting: the target refuses a start after its deadline. Once the target's clock is past it, the run never ran.
-/// - Running: confirmed before the target was asked, so it has been there and is gone: lost. A list that was asked for before the
+/// - Running: it was confirmed before the list was requested, so it was there and is gone: lost. A list that was requested before the
 ///   confirmation may be older than the run.
 /// - Stopping: see [`outcome_of_unlisted_stop`].
-///
-/// No constant: the deadline of a start is set by `TargetIncarnation::extend_lease`.
-pub(super) fn outcome_of_unlisted_run(state: &RunState, list: ListTimes) -> Option<RunOutcome> {
+pub(super) fn outcome_of_unlisted_run(state: &RunState, list: ListContext) -> Option<RunOutcome> {
     match state {
         RunState::Waiting { .. } => None,
         RunState::Starting(start) => {
@@ -42,12 +40,12 @@
     }
 }
 
-/// Decides the same for a run whose stop was sent.
+/// Returns the outcome of an unlisted run whose stop was sent.
 ///
-/// If its start was not acknowledged, the start may still be carried out after the stop: only the start's deadline ends that. A run that
-/// was known to run is stopped once a list that was asked for after the stop leaves it out. One of an earlier incarnation of the target is over
-/// once this incarnation refuses that one's orders: their deadlines are times of another clock.
-fn outcome_of_unlisted_stop(stop: &PendingStop, list: ListTimes) -> Option<RunOutcome> {
+/// If its start was not acknowledged, the target may still execute it after the stop, until the start's deadline. A confirmed run is
+/// stopped once a list requested after the stop leaves it out. A run of an earlier incarnation is over once the current incarnation refuses
+/// the orders to that one; their deadlines are on another clock.
+fn outcome_of_unlisted_stop(stop: &PendingStop, list: ListContext) -> Option<RunOutcome> {
     match stop.proof {
         EndProof::StartExpired(deadline) => {
             (list.clock > deadline).then_some(stop.outcome_if_never_started)
--- a/crates/leased/cloverfold_lease/src/runner/upkeep.rs
+++ b/crates/leased/cloverfold_lease/src/runner/upkeep.rs
@@ -1,15 +1,14 @@
-//! Decision: what the coming upkeep of the box changes at a runner.
+//! Behaviour of a runner before the upkeep (planned maintenance) of its box.
 //!
-//! | while the target is held | |
+//! | while the target is held | behaviour |
 //! |---|---|
-//! | assignments, and runs that wait | given back at once, `Draining` |
-//! | the target | is offered to no dispatcher |
-//! | a start that was refused without effect | is not replaced by one with a later deadline |
-//! | runs that are there | go on; nothing is cut |
+//! | new assignments and waiting runs | refused with `Draining` |
+//! | the target | not offered to any dispatcher |
+//! | a start that was refused without effect | not replaced by one with a later deadline |
+//! | started runs | unaffected |
 //!
-//! A target is held from the word of a control process on for as long as that says, and never in another incarnation. Each word replaces
-//! the one before. Inputs: the name that is meant, the span, the time. Reason: what runs when the box goes dies with it; a word
-//! that is lost, or a control process that dies, must not keep a target from work for good.
+//! A control process holds one incarnation of the target for a limited time; each request replaces the previous one. Work that still runs
+//! when the box goes down is lost with it. The time limit keeps a lost request or a dead control process from holding the target forever.
 
 use std::time::Duration;
 
@@ -19,7 +18,7 @@
 use crate::runner::Runner;
 use crate::runner::incarnation_id::IncarnationId;
 
-/// A target that is offered to nobody for a while.
+/// A target that is not offered for a limited time.
 #[derive(Clone, Debug)]
 pub(super) struct HeldTarget {
     /// The number of its incarnation in this process.
@@ -28,7 +27,7 @@
 }
 
 impl Runner {
-    /// Offers the present incarnation of the target to nobody for a span, if it has this name; none ends it.
+    /// Holds the current incarnation of the target for `span` if it has this name; a span of zero ends the hold.
     pub fn hold_target(&mut self, name: &str, span: Duration, now: Timestamp) {
         let target = self.target.as_ref();
         let Some(target) = target.filter(|target| target.registration.incarnation.name == name)
@@ -43,19 +42,19 @@
                 number,
                 until: now + span,
             });
-            self.give_back_waiting(RunRefusal::Draining, now);
+            self.refuse_waiting(RunRefusal::Draining, now);
         }
         self.announce_target();
     }
 
-    /// Returns whether the target is held for its upkeep.
+    /// Returns whether the target is held before upkeep.
     pub fn is_held(&self) -> bool {
         let target = self.target.as_ref();
         let held = self.held.as_ref();
         held.is_some_and(|held| target.is_some_and(|target| target.number() == held.number))
     }
 
-    /// Returns the present incarnation of the target; `None` while there is none.
+    /// Returns the current incarnation of the target; `None` while there is none.
     pub fn target_incarnation_id(&self) -> Option<&IncarnationId> {
         let target = self.target.as_ref();
         target.map(|target| &target.registration.incarnation)
@@ -74,7 +73,7 @@
         })
     }
 
-    /// Offers the target again once it was held for long enough.
+    /// Offers the target again after the hold has expired.
     pub(super) fn end_hold(&mut self, now: Timestamp) {
         if self.held.take_if(|held| now >= held.until).is_some() {
             self.announce_target();
--- a/crates/leased/cloverfold_lease/src/runner/waiting.rs
+++ b/crates/leased/cloverfold_lease/src/runner/waiting.rs
@@ -1,7 +1,4 @@
-//! Decision: which waiting run starts next, and when a waiting run is given back.
-//!
-//! Keeps the queue at the target and the account of its capacity. Owns no state besides the runner's.
-//! Relies on `starts` and `ending`.
+//! The queue of waiting runs and the accounting of the target's capacity.
 
 use cloverfold_base::Timestamp;
 
@@ -13,9 +10,9 @@
 use crate::runner::target_incarnation::TargetIncarnation;
 
 impl Runner {
-    /// Starts waiting runs in order of priority, then of arrival, while they fit.
+    /// Starts waiting runs by priority, then by arrival, while they fit.
     ///
-    /// The first that does not fit blocks all behind it: small runs do not overtake a large one again and again.
+    /// The first that does not fit blocks those behind it, so that small runs do not starve a large one.
     pub(super) fn start_waiting(&mut self, now: Timestamp) {
         if !self.has_ready_target() {
             return;
@@ -31,7 +28,7 @@
         }
     }
 
-    /// Gives back the runs that have waited as long as their assignment allows
+    /// Refuses the runs that have waited as long as their assignment allows
     /// ([`Assignment::wait_ms`](crate::Assignment::wait_ms), set by the dispatcher).
     pub(super) fn expire_waiting(&mut self, now: Timestamp) {
         let late: Vec<TaskId> = self
@@ -45,20 +42,20 @@
         }
     }
 
-    /// Gives back all waiting runs: the target accepts no work any more.
-    pub(super) fn give_back_waiting(&mut self, refusal: RunRefusal, now: Timestamp) {
+    /// Refuses all waiting runs because the target accepts no more work.
+    pub(super) fn refuse_waiting(&mut self, refusal: RunRefusal, now: Timestamp) {
         for task in self.waiting_in_order() {
             self.end_run(&task, RunOutcome::NotStarted(refusal), now);
         }
     }
 
-    /// Returns what is free when everything that waits has started; negative when more waits than fits.
+    /// Returns the capacity left once all waiting runs have started; negative if they exceed it.
     pub(super) fn free_after_waiting(&self) -> Resources {
         let demands = self.runs.values().map(|run| run.demand);
         self.capacity_minus(demands)
     }
 
-    /// Returns how the target's processors are used at present.
+    /// Returns the current use of the target's processors.
     pub fn processor_use(&self) -> ProcessorUse {
         let target = self.target.as_ref();
         let registered = target.map_or(0, |target| target.capacity().cpu_milli);
@@ -76,13 +73,13 @@
         }
     }
 
-    /// Returns what is free for the next start.
+    /// Returns the capacity left for the next start.
     fn free_now(&self) -> Resources {
         let busy = self.runs.values().filter(|run| !run.is_waiting());
         self.capacity_minus(busy.map(|run| run.demand))
     }
 
-    /// Returns the offered capacity without these demands; negative where they exceed it.
+    /// Returns the offered capacity minus these demands; negative if they exceed it.
     fn capacity_minus(&self, demands: impl Iterator<Item = Resources>) -> Resources {
         let capacity = self
             .target
@@ -94,7 +91,7 @@
         })
     }
 
-    /// Lists the waiting runs in order of priority, then of arrival.
+    /// Returns the waiting runs by priority, then by arrival.
     fn waiting_in_order(&self) -> Vec<TaskId> {
         let is_waiting = |(_, run): &(&TaskId, &Run)| run.is_waiting();
         let mut waiting: Vec<(&TaskId, &Run)> = self.runs.iter().filter(is_waiting).collect();
