--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -13,16 +13,16 @@
 
 use bytes::BytesMut;
 use cloverfold_base::Timestamp;
-use cloverfold_configuration::{ConfigurationChange, Proposal, StoredConfiguration, TextPiece};
+use cloverfold_configuration::{ConfigurationDelta, Proposal, StoredConfiguration, TextPiece};
 use cloverfold_consensus::{
-    Append, AppendReply, Entry, InstallSnapshot, Member, Members, Message, Payload, Snapshot,
-    SnapshotPart, Vote, VoteReply,
+    AppendEntries, AppendReply, Entry, InstallSnapshot, Member, Members, Message, Payload,
+    Snapshot, SnapshotPart, VoteReply, VoteRequest,
 };
 use cloverfold_evacuation::{EvacuatedHalls, EvacuationOrder, HallChange};
 use cloverfold_kept_jobs::{
-    CallRefusal, CancelOutcome, DriveOrder, DrivenJob, EndDecision, EndOutcome, Founder, HowEnded,
+    CallRefusal, CancelOutcome, DrivenJob, EndDecision, EndOutcome, Founder, JobAssignment,
     JobCall, JobCallMessage, JobGroups, JobPhase, JobReply, JobReplyMessage, JobSubmission,
-    ReleasedJob, Renewal, RenewalReply, SubmitOutcome, TaskEnd, TaskProgress,
+    ReleasedJob, Renewal, RenewalReply, SubmitOutcome, TaskEnd, TaskProgress, TerminalState,
 };
 use cloverfold_lease::{
     Assignment, DispatcherMessage, FreeCapacity, KeptAssignment, Resources, RunOutcome, RunRefusal,
@@ -168,7 +168,7 @@
 
 /// Returns an append of some entries.
 fn append(entries: Vec<Entry>) -> Message {
-    Message::Append(Append {
+    Message::Append(AppendEntries {
         term: 21,
         previous_index: 1_022,
         previous_term: 19,
@@ -257,7 +257,7 @@
 
 fn votes() -> Vec<Sample<Message>> {
     let vote = |is_pre_vote| {
-        Message::Vote(Vote {
+        Message::Vote(VoteRequest {
             term: 31,
             is_pre_vote,
             last_index: 3_200,
@@ -528,8 +528,8 @@
     })
 }
 
-fn configuration_change() -> ConfigurationChange {
-    ConfigurationChange {
+fn configuration_change() -> ConfigurationDelta {
+    ConfigurationDelta {
         base: 98,
         version: 99,
         pieces: vec![
@@ -614,7 +614,7 @@
     };
     RenewalReply {
         driver: 117_000,
-        drive: vec![DriveOrder {
+        drive: vec![JobAssignment {
             job: "job-118".to_owned(),
             epoch: 119,
             body: vec![120, 121],
@@ -634,16 +634,16 @@
     ]);
     let cancelled = several([
         ("cancelled", CancelOutcome::Cancelled),
-        ("cancelled-ended", CancelOutcome::Ended(HowEnded::Completed)),
+        ("cancelled-ended", CancelOutcome::Ended(TerminalState::Completed)),
         ("cancelled-unknown", CancelOutcome::Unknown),
     ]);
     let shown = several([
         ("shown-nothing", None),
         ("shown-queued", Some(JobPhase::Queued)),
         ("shown-running", Some(JobPhase::Running)),
-        ("shown-completed", Some(JobPhase::Ended(HowEnded::Completed))),
-        ("shown-failed", Some(JobPhase::Ended(HowEnded::Failed))),
-        ("shown-cancelled", Some(JobPhase::Ended(HowEnded::Cancelled))),
+        ("shown-completed", Some(JobPhase::Ended(TerminalState::Completed))),
+        ("shown-failed", Some(JobPhase::Ended(TerminalState::Failed))),
+        ("shown-cancelled", Some(JobPhase::Ended(TerminalState::Cancelled))),
     ]);
     let refused = several([
         ("refused-no-leader", CallRefusal::NoLeader),
--- a/crates/leased/cloverfold_lease/src/runner/evacuation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/evacuation.rs
@@ -9,8 +9,8 @@
 //! | a start that was sent and is unanswered | retried with the same deadline, as usual |
 //! | started runs, their leases and sessions | unaffected |
 //!
-//! The target therefore executes the last start in the hall at most one lease ([`Timings::lease`](crate::Timings::lease)) after the
-//! runner learns of the evacuation. A retry is not a new start, since the target executes each run only once.
+//! The target therefore executes the last start in the hall at most one lease ([`Timings::lease_duration`](crate::Timings::lease_duration))
+//! after the runner learns of the evacuation. A retry is not a new start, since the target executes each run only once.
 
 use cloverfold_base::Timestamp;
 
--- a/crates/leased/cloverfold_lease/src/runner/lapses.rs
+++ b/crates/leased/cloverfold_lease/src/runner/lapses.rs
@@ -3,7 +3,7 @@
 //! The lease is not extended, and nothing starts,
 //!
 //! - while an end is held that only a lapse releases (`held_ends`);
-//! - while a kept run is still there [`KeptTimings::stop_grace`](cloverfold_kept_jobs::KeptTimings) after its first stop order.
+//! - while a kept run is still there [`KeptJobTimings::stop_grace`](cloverfold_kept_jobs::KeptJobTimings) after its first stop order.
 //!
 //! It has lapsed once every deadline that this runner has sent is over ([`TargetIncarnation::has_lease_lapsed`]), and so is the longest
 //! lease that an earlier process beside the target can have granted, counted from the first registration. Then all runs are over, and all
@@ -83,12 +83,12 @@
         let may_have_restarted =
             target.is_some_and(|target| target.registration.incarnation.start_time.is_some());
         let lease = if may_have_restarted {
-            self.timings.longest_lease
+            self.timings.max_lease
         } else {
-            self.timings.lease
+            self.timings.lease_duration
         };
         let first_registration_at = self.first_registration_at.unwrap_or(now);
-        now > first_registration_at + self.timings.over_after_lease(lease)
+        now > first_registration_at + self.timings.lease_end_bound(lease)
     }
 
     /// Ends all runs as lost and releases all held ends, after every lease of the target has lapsed.
--- a/crates/leased/cloverfold_lease/src/runner/own_stall.rs
+++ b/crates/leased/cloverfold_lease/src/runner/own_stall.rs
@@ -10,7 +10,7 @@
 //! By the clock alone a healthy target would get no work, and runs would be stopped that their dispatcher waits for.
 //!
 //! This cannot make two runs of a task overlap. A dispatcher starts a task again no earlier than
-//! [`Timings::runs_over_after`](crate::Timings::runs_over_after) after its last echo. That span already allows for a runner that freezes
+//! [`Timings::run_end_bound`](crate::Timings::run_end_bound) after its last echo. That span already allows for a runner that freezes
 //! when its session ends, so that its last lease extension must lapse; a session in doubt extends no lease. A dispatcher that echoes a
 //! reading from after the stall still has the session.
 //!
@@ -31,7 +31,7 @@
         if let Some(target) = &mut self.target {
             target.answered_at += stall;
         }
-        self.catch_up.begin(self.timings.heartbeat, now);
+        self.catch_up.begin(self.timings.heartbeat_interval, now);
         let sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
         for session in sessions {
             self.send_heartbeat(session, now);
@@ -43,7 +43,7 @@
         if self.has_session_in_doubt(now) {
             return None;
         }
-        let lease = self.timings.lease;
+        let lease = self.timings.lease_duration;
         self.target.as_mut()?.extend_lease(now, lease)
     }
 
--- a/crates/leased/cloverfold_lease/src/runner/performance.rs
+++ b/crates/leased/cloverfold_lease/src/runner/performance.rs
@@ -130,7 +130,7 @@
     ///
     /// [`TargetHealth`] decides: three stuck runs without a completed one between them pause the target; after a pause one stuck run does.
     pub(super) fn record_stuck(&mut self, now: Timestamp) -> bool {
-        let is_new = self.health.record_trouble(now);
+        let is_new = self.health.record_failure(now);
         self.is_paused |= is_new;
         is_new
     }
--- a/crates/leased/cloverfold_lease/src/runner/renewal_pace.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewal_pace.rs
@@ -33,21 +33,21 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RenewalPause {
     /// Minimum pause.
-    pub min: Duration,
+    pub shortest: Duration,
     /// Maximum pause; [`RunnerAction::RenewNow`](crate::RunnerAction::RenewNow) ends it early.
-    pub max: Duration,
+    pub longest: Duration,
 }
 
 impl RenewalPause {
     /// Returns whether it follows an early list.
     pub(super) fn is_for_early_list(self) -> bool {
-        self.min == MIN_PAUSE
+        self.shortest == MIN_PAUSE
     }
 
     fn fixed(pause: Duration) -> Self {
         Self {
-            min: pause,
-            max: pause,
+            shortest: pause,
+            longest: pause,
         }
     }
 }
@@ -85,8 +85,8 @@
         let pause = self.next;
         self.next = (pause * 2).min(order.wait);
         RenewalPause {
-            min: MIN_PAUSE,
-            max: pause,
+            shortest: MIN_PAUSE,
+            longest: pause,
         }
     }
 
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -38,7 +38,7 @@
         let target = self.target.as_ref()?;
         let may_extend = target.has_only_own_runs && !target.is_lease_withheld && !is_in_doubt;
         let wait = if may_extend {
-            self.timings.renewal_wait
+            self.timings.renewal_poll_timeout
         } else {
             Duration::ZERO
         };
@@ -56,14 +56,14 @@
             fencing_token: target.fencing_token,
             last_acknowledged_end: target.acknowledged_end(),
             wait,
-            timeout: wait + self.timings.answer_slack,
+            timeout: wait + self.timings.answer_margin,
             sent_at: now,
         })
     }
 
     /// Returns the probe of a candidate: a renewal that does not extend a lease and is answered at once.
     fn plan_probe(&mut self, now: Timestamp) -> Option<RenewalOrder> {
-        let timeout = self.timings.answer_slack;
+        let timeout = self.timings.answer_margin;
         let candidate = self.candidates.take_due(now)?;
         self.counts.calls.probes += 1;
         Some(RenewalOrder {
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -1,7 +1,8 @@
 //! Opening, extension and expiry of sessions with dispatchers.
 //!
 //! A dispatcher counts the runs of a session as over a fixed time after its last echo, see [`Timings`](crate::Timings). That is correct
-//! only because a session ends [`Timings::session`](crate::Timings::session) after the runner's own clock reading that was echoed.
+//! only because a session ends [`Timings::session_timeout`](crate::Timings::session_timeout) after the runner's own clock reading that was
+//! echoed.
 
 use cloverfold_base::Timestamp;
 
@@ -13,7 +14,7 @@
 impl Runner {
     /// Opens a session with a dispatcher.
     pub fn open_session(&mut self, session: SessionId, now: Timestamp) {
-        let valid_until = now + self.timings.session;
+        let valid_until = now + self.timings.session_timeout;
         self.sessions.insert(session, Session::new(valid_until));
         self.send_heartbeat(session, now);
         self.announce_target();
@@ -43,7 +44,7 @@
 
     /// Extends a session from the echoed clock reading; a reading in the future counts as now.
     pub(super) fn receive_echo(&mut self, session: SessionId, clock: Timestamp, now: Timestamp) {
-        let span = self.timings.session;
+        let span = self.timings.session_timeout;
         if let Some(session) = self.sessions.get_mut(&session) {
             session.prolong(clock.min(now) + span);
         }
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -167,12 +167,12 @@
         }
     }
 
-    /// Checks whether the target is unresponsive: it has answered no renewal for [`Timings::silence`](crate::Timings::silence) plus the
-    /// wait of a renewal.
+    /// Checks whether the target is unresponsive: it has answered no renewal for
+    /// [`Timings::unresponsive_timeout`](crate::Timings::unresponsive_timeout) plus the wait of a renewal.
     ///
     /// An unresponsive target gets no new work. Its runs may go on until its lease has lapsed; then they are lost.
     pub(super) fn check_responsiveness(&mut self, now: Timestamp) {
-        let limit = self.timings.silence + self.timings.renewal_wait;
+        let limit = self.timings.unresponsive_timeout + self.timings.renewal_poll_timeout;
         let Some(target) = &mut self.target else {
             return;
         };
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -267,11 +267,11 @@
     /// Returns whether every lease that the target may have is certainly over, so that nothing runs there.
     ///
     /// The latest deadline lies `left` after the newest reading of the target's clock. That clock may be slow, so `left` lasts up to
-    /// [`Timings::longest_true_span`] here; then the target has [`Timings::stop`] to end its runs. A later reading past that point proves
-    /// the lapse at once. Without a reading no order had a deadline, so there is no lease. The target limits extensions by orders to an
-    /// earlier incarnation under the same name to the longest lease that it grants.
+    /// [`Timings::max_real_duration`] here; then the target has [`Timings::stop_timeout`] to end its runs. A later reading past that point
+    /// proves the lapse at once. Without a reading no order had a deadline, so there is no lease. The target limits extensions by orders to
+    /// an earlier incarnation under the same name to the longest lease that it grants.
     pub(super) fn has_lease_lapsed(&self, timings: &Timings, now: Timestamp) -> bool {
-        let longest = timings.over_after_lease(timings.longest_lease);
+        let longest = timings.lease_end_bound(timings.max_lease);
         let before = self.predecessor_orders;
         if before.is_some_and(|before| now <= before.refused_at + longest) {
             return false;
@@ -279,11 +279,11 @@
         let Some(reading) = self.clock else {
             return true;
         };
-        if reading.clock > self.latest_deadline + timings.stop.as_millis() as u64 {
+        if reading.clock > self.latest_deadline + timings.stop_timeout.as_millis() as u64 {
             return true;
         }
         let left = self.latest_deadline.saturating_sub(reading.clock);
-        now > reading.received_at + timings.over_after_lease(Duration::from_millis(left))
+        now > reading.received_at + timings.lease_end_bound(Duration::from_millis(left))
     }
 
     /// Assumes that the target's clock stood still for this long since its last reading.
--- a/crates/leased/cloverfold_lease/src/runner/target_restart.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_restart.rs
@@ -11,7 +11,7 @@
 //! | registration and end numbers, clock, draining, silence, pauses, speeds, a hold for upkeep | discarded |
 //!
 //! From the higher token on, the new incarnation refuses orders to the previous one. The bound on the lease is
-//! [`Timings::longest_lease`](crate::Timings::longest_lease) on a slow clock plus [`Timings::stop`](crate::Timings::stop).
+//! [`Timings::max_lease`](crate::Timings::max_lease) on a slow clock plus [`Timings::stop_timeout`](crate::Timings::stop_timeout).
 //!
 //! This assumes that a target refuses fencing tokens below the highest that its incarnation has seen. After an unanswered renewal no end is
 //! acknowledged (`TargetIncarnation::acknowledged_end`), since the next answer may come from a new incarnation, in which the same number
