--- a/crates/leased/cloverfold_kept_jobs/src/driver/mod.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/mod.rs
@@ -227,32 +227,32 @@
     }
 
     /// Starts to drive a job unless it is or was driven in this epoch. Releases it at once if this entry accepts no jobs.
-    fn accept_assignment(&mut self, index: usize, order: JobAssignment, now: Timestamp) {
+    fn accept_assignment(&mut self, index: usize, assignment: JobAssignment, now: Timestamp) {
         let group = &mut self.groups[index];
-        if group.is_release_unknown_to_leader(&order.job, order.epoch, now) {
+        if group.is_release_unknown_to_leader(&assignment.job, assignment.epoch, now) {
             // The job ended here long ago, so it has no runs.
-            self.send_release(index, vec![(order.job, order.epoch, true)], now);
+            self.send_release(index, vec![(assignment.job, assignment.epoch, true)], now);
             return;
         }
-        if !group.is_new_assignment(&order.job, order.epoch) {
+        if !group.is_new_assignment(&assignment.job, assignment.epoch) {
             return;
         }
         let driven = DrivenState {
-            epoch: order.epoch,
-            has_begun: !order.progress.is_empty(),
+            epoch: assignment.epoch,
+            has_begun: !assignment.progress.is_empty(),
             finished: None,
         };
-        if let Some(before) = group.driven.insert(order.job.clone(), driven) {
+        if let Some(before) = group.driven.insert(assignment.job.clone(), driven) {
             self.actions.push(DriverAction::StopDriving {
-                job: order.job.clone(),
+                job: assignment.job.clone(),
                 epoch: before.epoch,
                 cause: StopCause::Replaced,
             });
         }
         if self.takes_jobs {
-            self.actions.push(DriverAction::Drive(order));
+            self.actions.push(DriverAction::Drive(assignment));
         } else {
-            self.release_from_group(index, &[(order.job, true)], now);
+            self.release_from_group(index, &[(assignment.job, true)], now);
         }
     }
 
--- a/crates/leased/cloverfold_kept_jobs/src/driver/replies.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/replies.rs
@@ -76,9 +76,9 @@
             self.groups[index].unanswered = 0;
         }
         if is_reply && self.groups[index].lease.is_valid(now) {
-            for order in reply.drive {
-                self.answer_submissions(&order.job);
-                self.accept_assignment(index, order, now);
+            for assignment in reply.drive {
+                self.answer_submissions(&assignment.job);
+                self.accept_assignment(index, assignment, now);
             }
         } else if !reply.drive.is_empty() {
             self.renew_soon(index, RENEWAL_DELAY, now);
@@ -148,13 +148,13 @@
         };
         if submission.driver == self.groups[index].id {
             let JobSubmission { id, body, .. } = submission;
-            let order = JobAssignment {
+            let assignment = JobAssignment {
                 job: id,
                 epoch,
                 body,
                 progress: Vec::new(),
             };
-            self.accept_assignment(index, order, now);
+            self.accept_assignment(index, assignment, now);
         }
     }
 
--- a/crates/leased/cloverfold_kept_jobs/src/drivers.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/drivers.rs
@@ -194,8 +194,8 @@
     /// Returns the number of open jobs whose driver has no valid lease.
     pub fn count_without_driver(&self, table: &JobTable, now: Timestamp) -> usize {
         let drivers = table.by_driver().iter();
-        let orphaned = drivers.filter(|(driver, _)| !self.is_alive(**driver, now));
-        orphaned.map(|(_, jobs)| jobs.len()).sum()
+        let without_lease = drivers.filter(|(driver, _)| !self.is_alive(**driver, now));
+        without_lease.map(|(_, jobs)| jobs.len()).sum()
     }
 
     /// Returns the number of open jobs that have not started, by queue.
--- a/crates/leased/cloverfold_kept_jobs/src/handover.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/handover.rs
@@ -40,7 +40,7 @@
                 driver,
             });
         }
-        let jobs = planned.iter().map(|assignee| assignee.job.clone());
+        let jobs = planned.iter().map(|reassignment| reassignment.job.clone());
         self.pending_handover.extend(jobs);
         planned
     }
--- a/crates/leased/cloverfold_kept_jobs/src/table.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/table.rs
@@ -109,7 +109,7 @@
                 CommandOutcome::Ends(decisions.collect())
             }
             JobCommand::Cancel(job) => CommandOutcome::Cancel(self.cancel(&job)),
-            JobCommand::Assign(assignees) => CommandOutcome::Assigned(self.assign(assignees)),
+            JobCommand::Assign(jobs) => CommandOutcome::Assigned(self.assign(jobs)),
             JobCommand::Expire(up_to) => CommandOutcome::Expired(self.expire(up_to)),
         }
     }
@@ -163,9 +163,9 @@
         }
     }
 
-    fn assign(&mut self, assignees: Vec<JobReassignment>) -> Vec<JobId> {
+    fn assign(&mut self, reassignments: Vec<JobReassignment>) -> Vec<JobId> {
         let mut assigned = Vec::new();
-        for JobReassignment { job, after, driver } in assignees {
+        for JobReassignment { job, after, driver } in reassignments {
             let Some(open) = self.open.get_mut(&job) else {
                 continue;
             };
--- a/crates/leased/cloverfold_upkeep/src/state.rs
+++ b/crates/leased/cloverfold_upkeep/src/state.rs
@@ -239,12 +239,12 @@
 
     /// Drops finished waves, lowest numbers first, while they have more than [`MAX_RETAINED_BOXES`] boxes.
     fn drop_finished_waves(&mut self) {
-        let over = self.waves.iter().filter(|(_, wave)| wave.is_over());
-        let over: Vec<(WaveNumber, usize)> = over
+        let finished = self.waves.iter().filter(|(_, wave)| wave.is_over());
+        let finished: Vec<(WaveNumber, usize)> = finished
             .map(|(number, wave)| (*number, wave.order.boxes.len()))
             .collect();
-        let mut retained: usize = over.iter().map(|(_, boxes)| boxes).sum();
-        for (number, boxes) in over {
+        let mut retained: usize = finished.iter().map(|(_, boxes)| boxes).sum();
+        for (number, boxes) in finished {
             if retained <= MAX_RETAINED_BOXES {
                 return;
             }
