--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -1,15 +1,15 @@
-//! Which target a waiting task goes to.
+//! Assignment of waiting tasks to targets.
 //!
 //! Jobs are served in the order of `precedence`. For each waiting task:
 //!
-//! 1. **Candidates** are the targets that accept work, serve the service, have the required label, have free capacity for the task
-//!    and the headroom of `headroom`, and have fewer tasks of its step than one target may ([`Dispatcher::list_candidates`]).
-//! 2. The candidates are narrowed three times, each time only if one is left: to those with the preferred label, to those that are
-//!    not slow, to another session than the one on which the task did not do well ([`narrow`]).
-//! 3. Of [`DRAWN_TARGETS`] drawn at random the emptiest is taken ([`draw_emptiest`]).
+//! 1. The candidates are the targets that accept work, serve the service, have the required label, have enough free capacity for the task
+//!    and its `headroom`, and have fewer tasks of its step than the limit per target ([`Dispatcher::list_candidates`]).
+//! 2. The candidates are narrowed to those with the preferred label, then to those that are not slow, then to those on which the task was
+//!    not unsuccessful before. Each filter is skipped if it would leave none ([`narrow`]).
+//! 3. Out of [`SAMPLE_SIZE`] random candidates, the one with the largest share of free processors is chosen ([`sample_emptiest`]).
 //!
-//! Owns no state. Relies on the free capacity that runners report, which is up to 20 ms old; the runner alone decides in the end, and
-//! gives back what finds none.
+//! The free capacity that runners report may be up to 20 ms old. The runner has the final decision and returns a task for which it has no
+//! capacity.
 
 use cloverfold_base::Timestamp;
 use rand::RngExt;
@@ -24,49 +24,49 @@
 use crate::request::StepRequest;
 use crate::resources::Resources;
 
-/// How many candidates are drawn, of which the emptiest is taken: dispatchers that choose at the same moment from the same reports
-/// should not all choose the same target.
-const DRAWN_TARGETS: usize = 3;
-/// How long an assignment may wait at the runner when others were faster, in milliseconds.
+/// Number of random samples among the candidates. Sampling prevents dispatchers that decide at the same time on the same reports from all
+/// choosing the same target.
+const SAMPLE_SIZE: usize = 3;
+/// How long an assignment may wait at the runner for capacity that another dispatcher took first, in milliseconds.
 const RUNNER_WAIT_MS: u32 = 25;
-/// Jobs without a candidate that later ones may overtake in one pass.
-const MAX_OVERTAKEN_JOBS: usize = 4;
+/// Number of jobs without a candidate after which a pass over the queue ends.
+const MAX_SKIPPED_JOBS: usize = 4;
 
-/// A target that could run a task now.
+/// A target that can run a task now.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     session: SessionId,
-    /// Whether it has the label that the step prefers.
+    /// Whether it has the preferred label of the step.
     is_preferred: bool,
-    /// Whether its runs advance slowly against those of all targets.
+    /// Whether its runs are slow compared with those on all targets.
     is_slow: bool,
-    /// Whether the task did not do well there.
+    /// Whether the latest unsuccessful run of the task was there.
     is_avoided: bool,
-    /// Share of its processors that would be free with the task.
+    /// Share of its processors that would remain free with the task.
     free_share: f64,
 }
 
-/// Keeps the candidates that satisfy a wish; all of them if none does.
-fn narrow(candidates: &mut Vec<Candidate>, is_wished: impl Fn(&Candidate) -> bool) {
-    if candidates.iter().any(&is_wished) {
-        candidates.retain(is_wished);
+/// Keeps the matching candidates, or all if none matches.
+fn narrow(candidates: &mut Vec<Candidate>, is_match: impl Fn(&Candidate) -> bool) {
+    if candidates.iter().any(&is_match) {
+        candidates.retain(is_match);
     }
 }
 
-/// Draws [`DRAWN_TARGETS`] times and returns the emptiest candidate drawn.
-fn draw_emptiest(candidates: &[Candidate], rng: &mut SmallRng) -> Option<SessionId> {
+/// Samples [`SAMPLE_SIZE`] times and returns the candidate with the largest free share.
+fn sample_emptiest(candidates: &[Candidate], rng: &mut SmallRng) -> Option<SessionId> {
     let mut emptiest: Option<Candidate> = None;
-    for _ in 0..DRAWN_TARGETS.min(candidates.len()) {
-        let drawn = candidates[rng.random_range(0..candidates.len())];
-        if emptiest.is_none_or(|best| drawn.free_share > best.free_share) {
-            emptiest = Some(drawn);
+    for _ in 0..SAMPLE_SIZE.min(candidates.len()) {
+        let sampled = candidates[rng.random_range(0..candidates.len())];
+        if emptiest.is_none_or(|best| sampled.free_share > best.free_share) {
+            emptiest = Some(sampled);
         }
     }
     emptiest.map(|candidate| candidate.session)
 }
 
-/// Returns what must be free at a runner's target for a task of this step to be placed there.
-fn needed_at(runner: &RunnerSession, step: &StepRequest, headroom: Headroom) -> Resources {
+/// Returns the resources that must be free on a target to assign a task of this step there.
+fn required_free(runner: &RunnerSession, step: &StepRequest, headroom: Headroom) -> Resources {
     let target = runner.description.as_ref();
     target.map_or(step.demand, |target| {
         demand_with_headroom(&step.demand, &target.capacity, headroom)
@@ -74,9 +74,9 @@
 }
 
 impl Dispatcher {
-    /// Assigns waiting tasks in order while targets have free capacity.
+    /// Assigns waiting tasks in the order of precedence while targets have free capacity.
     pub(super) fn place_waiting(&mut self, now: Timestamp) {
-        let mut overtaken = 0;
+        let mut skipped = 0;
         let mut blocked = BlockedKeptJobs::default();
         for position in self.list_waiting(now) {
             if self.is_blocked(position.job, &blocked, now) {
@@ -86,8 +86,8 @@
                 if self.record_blocked(position.job, &mut blocked) {
                     continue;
                 }
-                overtaken += 1;
-                if overtaken >= MAX_OVERTAKEN_JOBS {
+                skipped += 1;
+                if skipped >= MAX_SKIPPED_JOBS {
                     break;
                 }
             }
@@ -99,23 +99,23 @@
         self.record_standing_queues(now);
     }
 
-    /// Records which queues have jobs that wait to begin.
+    /// Records which queues have jobs that wait to start.
     fn record_standing_queues(&mut self, now: Timestamp) {
         let jobs = self.waiting.iter();
         let jobs = jobs.filter_map(|position| self.jobs.get(&position.job));
-        let unbegun = jobs.filter(|job| !job.may_have_run());
-        let queues = unbegun.map(|job| job.request.queue.as_str());
+        let unstarted = jobs.filter(|job| !job.may_have_run());
+        let queues = unstarted.map(|job| job.request.queue.as_str());
         self.standing_queues.record(queues, now);
     }
 
-    /// Assigns the waiting tasks of one job; returns whether all found a target.
+    /// Assigns the waiting tasks of a job; returns whether all found a target.
     fn place_job(&mut self, number: JobNumber, now: Timestamp) -> bool {
-        let had_begun = self.jobs.get(&number).is_some_and(Job::may_have_run);
+        let had_started = self.jobs.get(&number).is_some_and(Job::may_have_run);
         for index in self.list_placeable(number) {
             let position = TaskPosition { job: number, index };
             let Some(session) = self.choose_target(position, now) else {
-                let has_begun = self.jobs.get(&number).is_some_and(Job::may_have_run);
-                self.counts.partially_started += u64::from(has_begun && !had_begun);
+                let has_started = self.jobs.get(&number).is_some_and(Job::may_have_run);
+                self.counts.partially_started += u64::from(has_started && !had_started);
                 return false;
             };
             self.assign(position, session, now);
@@ -123,7 +123,7 @@
         true
     }
 
-    /// Lists the waiting tasks of a job of whose name no earlier run may be at work.
+    /// Returns the waiting tasks of a job, except those of which a detached run may still be in progress.
     fn list_placeable(&self, number: JobNumber) -> Vec<usize> {
         let Some(job) = self.jobs.get(&number) else {
             return Vec::new();
@@ -138,7 +138,7 @@
             .collect()
     }
 
-    /// Chooses a target for a task; `None` if no target could run it now.
+    /// Chooses a target for a task, or returns `None` if no target can run it now.
     fn choose_target(&mut self, position: TaskPosition, now: Timestamp) -> Option<SessionId> {
         let job = self.jobs.get(&position.job)?;
         let task = &job.tasks[position.index];
@@ -146,10 +146,10 @@
         narrow(&mut candidates, |candidate| candidate.is_preferred);
         narrow(&mut candidates, |candidate| !candidate.is_slow);
         narrow(&mut candidates, |candidate| !candidate.is_avoided);
-        draw_emptiest(&candidates, &mut self.rng)
+        sample_emptiest(&candidates, &mut self.rng)
     }
 
-    /// Returns whether a target that is not slow could run a task now.
+    /// Returns whether a target that is not slow can run a task now.
     pub(super) fn has_faster_target(&self, position: TaskPosition, now: Timestamp) -> bool {
         let Some(job) = self.jobs.get(&position.job) else {
             return false;
@@ -159,10 +159,10 @@
             .any(|candidate| !candidate.is_slow)
     }
 
-    /// Returns what the tasks of a job leave free.
+    /// Returns the headroom that tasks of a job must leave.
     fn headroom_of(&self, job: &Job, now: Timestamp) -> Headroom {
-        if job.is_late || job.is_past_grace(now) {
-            Headroom::ForTimely
+        if job.is_late_resubmission || job.is_past_grace(now) {
+            Headroom::ForOnTime
         } else if self.shares.has_more_urgent(job.request.priority) {
             Headroom::ForUrgent
         } else {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Lists the targets that could run a task now, in order of their sessions.
+    /// Returns the targets that can run a task now, in order of their session IDs.
     fn list_candidates(
         &self,
         job: &Job,
@@ -180,12 +180,12 @@
         let headroom = self.headroom_of(job, now);
         let sessions = self.sessions.iter();
         sessions.filter_map(move |(session, runner)| {
-            let needed = needed_at(runner, job.step(task), headroom);
+            let needed = required_free(runner, job.step(task), headroom);
             self.check_candidate(job, task, *session, runner, &needed, now)
         })
     }
 
-    /// Returns a target as a candidate if it could run a task now; `needed` must be free there.
+    /// Returns a target as a candidate if it can run a task now and `needed` is free there.
     fn check_candidate(
         &self,
         job: &Job,
@@ -205,11 +205,11 @@
         }
         let free = runner.free();
         let has_space = free.covers(needed);
-        let allows_one_more = |most: u32| job.count_assigned(task.step, session) < most;
+        let allows_one_more = |limit: u32| job.count_assigned(task.step, session) < limit;
         if !has_space || !step.max_per_target.is_none_or(allows_one_more) {
             return None;
         }
-        if job.is_kept() && !runner.knows_kept_jobs {
+        if job.is_kept() && !runner.supports_kept_jobs {
             return None;
         }
         Some(Candidate {
@@ -217,11 +217,11 @@
             is_preferred: step.preferred_label.as_ref().is_some_and(has_label),
             is_slow: runner.is_slow(self.duration_ratio.value()),
             is_avoided: task.avoided_session == Some(session),
-            free_share: runner.share_of_processors(&free.minus(&step.demand)),
+            free_share: runner.cpu_share(&free.minus(&step.demand)),
         })
     }
 
-    /// Begins the next run of a task at a target.
+    /// Starts the next run of a task on a target.
     fn assign(&mut self, position: TaskPosition, session: SessionId, now: Timestamp) {
         let session_span = self.timings.session_timeout;
         let Some(job) = self.jobs.get_mut(&position.job) else {
@@ -239,7 +239,7 @@
         let run = task.begin_run(session, now);
         runner.record_assignment(demand);
         let work = demand.cores() * estimate.as_secs_f64();
-        self.shares.record_given(&job.request.queue, work, now);
+        self.shares.record_allocation(&job.request.queue, work, now);
         let assignment = Assignment {
             task: task.id.clone(),
             run,
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -211,7 +211,7 @@
 
     /// Stops accepting jobs and releases kept jobs without runs; open jobs are still answered.
     pub(crate) fn stop_accepting_jobs(&mut self) {
-        self.dispatcher.start_draining();
+        self.dispatcher.begin_draining();
         self.release_idle_jobs();
     }
 
