--- a/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
@@ -2,7 +2,7 @@
 //!
 //! The grace period of a job ends some multiple of its target latency after its submission. After that the job continues only while none of
 //! its tasks waits for a target; as soon as one does, the job is given up. Runs in progress may still complete the job while its caller
-//! waits. If the caller were told earlier that the job is given up, it would submit it again and all tasks would run anew.
+//! waits. If the caller were told earlier that the job is given up, it would submit it again and all tasks would run again.
 //!
 //! The deadlines depend on the estimates of the caller, which are rough.
 
@@ -30,7 +30,7 @@
 pub(crate) struct JobDeadlines {
     /// The job is refused at this time unless a task was assigned.
     pub(crate) queue: Timestamp,
-    /// Like `queue`, while the job's queue stands.
+    /// Like `queue`, while the job is in a standing queue.
     pub(crate) standing_queue: Timestamp,
     /// After this time the job continues only while none of its tasks waits for a target.
     pub(crate) grace_end: Timestamp,
--- a/crates/leased/cloverfold_lease/src/dispatcher/job.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/job.rs
@@ -2,7 +2,7 @@
 //!
 //! The expected duration of a run is the caller's estimate. For a task of a kept job it doubles, up to [`MAX_DOUBLINGS`] times, with each
 //! run that was withdrawn as too slow or ended as stuck. A kept job is never given up, so a task that takes longer than its estimate would
-//! otherwise be withdrawn after the same time again and again and never complete.
+//! otherwise be withdrawn repeatedly after the same time and never complete.
 //!
 //! Other modules decide what follows from a phase.
 
@@ -109,7 +109,7 @@
     pub(crate) deadlines: JobDeadlines,
     /// Whether its latency objective had already passed when it was submitted.
     pub(crate) is_late_resubmission: bool,
-    /// Whether any run may have started: it ended other than as not started, or its end was never reported.
+    /// Whether any run has started, or may have started because its end was never reported.
     pub(crate) has_run: bool,
     /// Epoch in which this entry drives it; `None` for a repeatable job.
     pub(crate) epoch: Option<Epoch>,
--- a/crates/leased/cloverfold_lease/src/dispatcher/standing_queues.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/standing_queues.rs
@@ -1,7 +1,7 @@
 //! Detection of standing queues, in which a longer wait does not help.
 //!
 //! If a queue is only briefly backlogged, a job that waits longer is eventually served. If jobs arrive faster than they can be served,
-//! longer waits serve no more jobs; every served job has then waited as long as it may, and more jobs miss their objective. A queue stands
+//! longer waits serve no more jobs; every served job has then waited as long as it may, and more jobs miss their objective. A queue counts
 //! if it has not been empty for [`STANDING_THRESHOLD`], even if the same job waited all the time. Jobs of standing queues have a shorter
 //! queue deadline (`deadlines`).
 //!
@@ -12,7 +12,7 @@
 
 use cloverfold_base::Timestamp;
 
-/// Time without being empty after which a queue stands.
+/// Time without being empty after which a queue counts as standing.
 const STANDING_THRESHOLD: Duration = Duration::from_millis(200);
 
 /// Tracks since when each queue has had jobs that wait to start.
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Returns whether a queue stands.
+    /// Returns whether a queue counts as standing.
     pub(super) fn is_standing(&self, queue: &str, now: Timestamp) -> bool {
         let since = self.since.get(queue);
         since.is_some_and(|since| now >= *since + STANDING_THRESHOLD)
