--- a/crates/leased/cloverfold_lease/src/dispatcher/resubmissions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/resubmissions.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns the timeout below which a job counts as a resubmission, or `None` without enough samples.
-    fn min_first_timeout(&self, resend: Duration) -> Option<Duration> {
+    fn min_first_timeout(&self, resend_interval: Duration) -> Option<Duration> {
         if self.recent.len() < MIN_SAMPLES {
             return None;
         }
@@ -60,7 +60,7 @@
         let typical = quantile(TYPICAL_QUANTILE);
         let deviation = (quantile(HIGH_QUANTILE) - typical).div_f64(DEVIATIONS_BETWEEN_QUANTILES);
         let margin = deviation.mul_f64(NOISE_FACTOR);
-        Some(typical.saturating_sub(margin.max(resend / 2)))
+        Some(typical.saturating_sub(margin.max(resend_interval / 2)))
     }
 }
 
@@ -68,14 +68,14 @@
 #[derive(Debug)]
 pub(super) struct ResubmissionDetector {
     /// Interval after which callers resubmit an unanswered job.
-    resend: Duration,
+    resend_interval: Duration,
     timeouts: HashMap<String, CallerTimeouts>,
 }
 
 impl ResubmissionDetector {
-    pub(super) fn new(resend: Duration) -> Self {
+    pub(super) fn new(resend_interval: Duration) -> Self {
         Self {
-            resend,
+            resend_interval,
             timeouts: HashMap::new(),
         }
     }
@@ -89,12 +89,13 @@
             let timeouts = self.timeouts.entry(queue.into()).or_default();
             timeouts.record(timeout);
         }
-        is_resubmission && objective <= self.resend
+        is_resubmission && objective <= self.resend_interval
     }
 
     fn is_resubmission(&self, queue: &str, timeout: Duration) -> bool {
         let timeouts = self.timeouts.get(queue);
-        let threshold = timeouts.and_then(|timeouts| timeouts.min_first_timeout(self.resend));
+        let threshold =
+            timeouts.and_then(|timeouts| timeouts.min_first_timeout(self.resend_interval));
         threshold.is_some_and(|threshold| timeout < threshold)
     }
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
@@ -147,8 +147,8 @@
             let work = random_work_ms(&mut rng);
             fixture.submit(job_of_age(&format!("new-{step}"), work, 0, &mut rng));
         }
-        let offered = target.advance(&mut fixture, step);
-        served += offered
+        let assigned = target.advance(&mut fixture, step);
+        served += assigned
             .iter()
             .filter(|name| name.starts_with("new"))
             .count();
