--- a/crates/leased/cloverfold_lease/src/dispatcher/standing_queues.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/standing_queues.rs
@@ -2,8 +2,8 @@
 //!
 //! If a queue is only briefly backlogged, a job that waits longer is eventually served. If jobs arrive faster than they can be served,
 //! longer waits serve no more jobs; every served job has then waited as long as it may, and more jobs miss their objective. A queue counts
-//! if it has not been empty for [`STANDING_THRESHOLD`], even if the same job waited all the time. Jobs of standing queues have a shorter
-//! queue deadline (`deadlines`).
+//! as standing if it has not been empty for [`STANDING_THRESHOLD`], even if the same job waited all the time. Jobs of standing queues have
+//! a shorter queue deadline (`deadlines`).
 //!
 //! The dispatcher reports the queues after each pass.
 
