--- a/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/deadlines.rs
@@ -1,7 +1,7 @@
 //! Deadlines of repeatable jobs.
 //!
-//! The grace period of a job ends some multiple of its target latency after its submission. After that the job continues only while none of
-//! its tasks waits for a target; as soon as one does, the job is given up. Runs in progress may still complete the job while its caller
+//! The grace period of a job ends some multiple of its latency objective after its submission. After that the job continues only while none
+//! of its tasks waits for a target; as soon as one does, the job is given up. Runs in progress may still complete the job while its caller
 //! waits. If the caller were told earlier that the job is given up, it would submit it again and all tasks would run again.
 //!
 //! The deadlines depend on the estimates of the caller, which are rough.
@@ -12,13 +12,13 @@
 
 use crate::request::JobRequest;
 
-/// Share of the target latency for which a job may wait for its first assignment.
+/// Share of the latency objective for which a job may wait for its first assignment.
 ///
 /// Utilization fluctuates within tenths of a second, so most jobs that can wait that long are served and still end on time.
 const QUEUE_TIMEOUT_SHARE: f64 = 0.25;
 /// Like [`QUEUE_TIMEOUT_SHARE`], for jobs in a standing queue (`standing_queues`).
 const STANDING_QUEUE_TIMEOUT_SHARE: f64 = 0.10;
-/// The grace period is this multiple of the target latency for [`ESTIMATE_MARGIN`] times the estimated work.
+/// The grace period is this multiple of the latency objective for [`ESTIMATE_MARGIN`] times the estimated work.
 const GRACE_FACTOR: f64 = 3.0;
 /// Factor by which the work may exceed its estimate.
 const ESTIMATE_MARGIN: f64 = 2.0;
@@ -41,7 +41,7 @@
 impl JobDeadlines {
     /// Returns the deadlines of a job that is submitted at `now`.
     pub(crate) fn new(request: &JobRequest, now: Timestamp) -> Self {
-        let objective = request.target_latency();
+        let objective = request.latency_objective();
         Self {
             queue: now + objective.mul_f64(QUEUE_TIMEOUT_SHARE),
             standing_queue: now + objective.mul_f64(STANDING_QUEUE_TIMEOUT_SHARE),
@@ -64,7 +64,7 @@
     let work_with_margin = request.critical_path().mul_f64(ESTIMATE_MARGIN);
     let grace = request
         .objective
-        .target_latency(work_with_margin)
+        .for_work(work_with_margin)
         .mul_f64(GRACE_FACTOR);
     match request.caller_timeout {
         Some(timeout) => grace.min(timeout.mul_f64(CALLER_TIMEOUT_SHARE)),
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
@@ -5,8 +5,8 @@
 //! 1. `Leaving`: the process is draining.
 //! 2. `NoTarget`: no target of the service accepts work, or some step has no target that could run one of its tasks even when empty,
 //!    because the targets are too small or lack the required label.
-//! 3. `NoRoom`: the expected latency is more than [`MAX_OBJECTIVE_FACTOR`] times the target latency of the job. The expected latency is the
-//!    work that is served first, divided by the processors of the targets of the service, plus the critical path of the job.
+//! 3. `NoRoom`: the expected latency is more than [`MAX_OBJECTIVE_FACTOR`] times the latency objective of the job. The expected latency is
+//!    the work that is served first, divided by the processors of the targets of the service, plus the critical path of the job.
 //!
 //! Work that is served first consists of the unfinished tasks of kept jobs of the same service with the same or a more urgent priority, and
 //! the waiting tasks of repeatable jobs with a more urgent one. It is the product of demand in cores, estimated duration and the ratio of
@@ -25,7 +25,7 @@
 use crate::dispatcher::runner_session::RunnerSession;
 use crate::request::{JobRequest, StepRequest};
 
-/// Multiple of the target latency beyond which an answer has no value for callers.
+/// Multiple of the latency objective beyond which an answer has no value for callers.
 const MAX_OBJECTIVE_FACTOR: f64 = 3.0;
 
 impl Dispatcher {
@@ -37,7 +37,7 @@
         if !self.has_capable_targets(request, now) {
             return Some(JobRefusal::NoTarget);
         }
-        let max_latency = request.target_latency().mul_f64(MAX_OBJECTIVE_FACTOR);
+        let max_latency = request.latency_objective().mul_f64(MAX_OBJECTIVE_FACTOR);
         let ratio = self
             .duration_ratio
             .expected_duration(Duration::from_secs(1));
--- a/crates/leased/cloverfold_lease/src/dispatcher/resubmissions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/resubmissions.rs
@@ -7,7 +7,7 @@
 //!
 //! A caller that resubmits a job specifies a shorter timeout than other callers of its queue, by the time since its first attempt. A job
 //! counts as a resubmission if its timeout is shorter than usual by at least half a resend interval and by [`NOISE_FACTOR`] standard
-//! deviations of the timeouts in its queue. It is late if its target latency is not above the resend interval. Jobs without a caller
+//! deviations of the timeouts in its queue. It is late if its latency objective is not above the resend interval. Jobs without a caller
 //! timeout are never late.
 //!
 //! Nothing is stored: after a start, the first [`MIN_SAMPLES`] jobs of each queue count as new.
@@ -106,7 +106,7 @@
         let Some(timeout) = request.caller_timeout else {
             return false;
         };
-        let objective = request.target_latency();
+        let objective = request.latency_objective();
         let is_late_resubmission = self
             .resubmissions
             .record(&request.queue, timeout, objective);
--- a/crates/leased/cloverfold_lease/src/request.rs
+++ b/crates/leased/cloverfold_lease/src/request.rs
@@ -6,7 +6,7 @@
 
 use crate::resources::Resources;
 
-/// Below this factor the target latency would end before the work does.
+/// Prevents a latency objective below the duration of the work.
 const MIN_STRETCH: f64 = 1.0;
 /// Prevents a wrong configuration from keeping jobs open for hours.
 const MAX_STRETCH: f64 = 100.0;
@@ -43,7 +43,7 @@
 
 impl LatencyObjective {
     /// Returns the time from submission within which work of this duration should be answered.
-    pub fn target_latency(&self, work: Duration) -> Duration {
+    pub fn for_work(&self, work: Duration) -> Duration {
         let stretch = self.stretch.clamp(MIN_STRETCH, MAX_STRETCH);
         work.mul_f64(stretch) + self.allowance
     }
@@ -84,8 +84,8 @@
         ends.into_iter().max().unwrap_or_default()
     }
 
-    /// Returns the time from submission within which the job should be answered.
-    pub fn target_latency(&self) -> Duration {
-        self.objective.target_latency(self.critical_path())
+    /// Returns the latency objective for the estimated duration of the critical path.
+    pub fn latency_objective(&self) -> Duration {
+        self.objective.for_work(self.critical_path())
     }
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
@@ -9,12 +9,12 @@
 use crate::fixture::{CAPACITY, FULL, Fixture, job, long_step, ms, one_task_job, step};
 
 #[test]
-fn a_job_without_an_assignment_within_a_quarter_of_its_target_latency_is_refused() {
+fn a_job_without_an_assignment_within_a_quarter_of_its_latency_objective_is_refused() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, 0);
     let number = fixture.submit(one_task_job("a"));
 
-    // The target latency is 1.6 x 100 + 60 = 220 ms; a quarter of it is 55 ms.
+    // The latency objective is 1.6 x 100 + 60 = 220 ms; a quarter of it is 55 ms.
     fixture.advance(55, &[1]);
 
     let answers = fixture.take_answers();
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn in_a_standing_queue_a_job_is_refused_after_a_tenth_of_its_target_latency() {
+fn in_a_standing_queue_a_job_is_refused_after_a_tenth_of_its_latency_objective() {
     let mut fixture = Fixture::new(1);
     fixture.report_free_capacity(1, Resources::default(), 1_000);
     fixture.submit(job("a", vec![long_step()]));
 
-    // The target latency is 1.6 x 1,000 + 60 = 1,660 ms.
+    // The latency objective is 1.6 x 1,000 + 60 = 1,660 ms.
     fixture.advance(160, &[1]);
     assert!(fixture.take_answers().is_empty(), "the deadline is a tenth");
     fixture.advance(40, &[1]);
@@ -42,7 +42,7 @@
     ));
 }
 
-/// Returns a job with a target latency of 1.6 x 200 + 60 = 380 ms.
+/// Returns a job with a latency objective of 1.6 x 200 + 60 = 380 ms.
 fn job_of_200_ms(id: &str) -> JobRequest {
     let work = StepRequest {
         estimate: ms(200),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_job_of_a_recently_empty_queue_waits_for_a_quarter_of_its_target_latency() {
+fn a_job_of_a_recently_empty_queue_waits_for_a_quarter_of_its_latency_objective() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, 0);
     fixture.submit(job_of_200_ms("a"));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_job_of_a_queue_that_is_never_empty_is_refused_after_a_tenth_of_its_target_latency() {
+fn a_job_of_a_queue_that_is_never_empty_is_refused_after_a_tenth_of_its_latency_objective() {
     let mut fixture = Fixture::new(1);
     fixture.heartbeat(1, FULL, 0);
     for round in 0..6 {
--- a/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns a job with a target latency of 1.6 times its work plus 60 ms.
+/// Returns a job with a latency objective of 1.6 times its work plus 60 ms.
 pub fn job(id: &str, steps: Vec<StepRequest>) -> JobRequest {
     JobRequest {
         id: id.into(),
--- a/crates/leased/cloverfold_lease/tests/dispatcher/grace.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/grace.rs
@@ -4,7 +4,7 @@
 
 use crate::fixture::{CAPACITY, FULL, Fixture, job, ms, one_task_job, step};
 
-/// Returns a job whose grace period is three times its target latency for twice its work, 1,140 ms, and whose caller waits longer.
+/// Returns a job whose grace period is three times its latency objective for twice its work, 1,140 ms, and whose caller waits longer.
 fn job_with_long_timeout(id: &str) -> JobRequest {
     JobRequest {
         caller_timeout: Some(ms(2_000)),
--- a/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
@@ -275,10 +275,10 @@
 }
 
 #[test]
-fn a_kept_job_is_refused_if_the_backlog_exceeds_three_times_its_target_latency() {
+fn a_kept_job_is_refused_if_the_backlog_exceeds_three_times_its_latency_objective() {
     let mut fixture = fixture_with_kept_jobs(1);
     fixture.heartbeat(1, FULL, u64::MAX);
-    // On the target with 8 cores, 20 tasks of 0.2 core-seconds take 0.5 s. The target latency is 220 ms.
+    // On the target with 8 cores, 20 tasks of 0.2 core-seconds take 0.5 s. The latency objective is 220 ms.
     let refusal = |fixture: &Fixture| {
         let request = one_task_job("next");
         fixture.dispatcher.find_kept_refusal(&request, fixture.now)
--- a/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
@@ -8,7 +8,7 @@
 
 use crate::fixture::{CAPACITY, DEMAND, FULL, Fixture, job, ms, step};
 
-/// Caller timeouts exceed three times the target latency by this time.
+/// Caller timeouts exceed three times the latency objective by this time.
 const EXTRA_TIMEOUT_MS: u64 = 1_500;
 const RESEND_INTERVAL_MS: u64 = 1_300;
 
--- a/crates/leased/cloverfold_lease/tests/dispatcher/startup.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/startup.rs
@@ -38,7 +38,7 @@
     let mut fixture = fixture_at(at(20));
     let number = fixture.submit(one_task_job("early"));
 
-    // The queue deadline is a quarter of the target latency of 220 ms.
+    // The queue deadline is a quarter of the latency objective of 220 ms.
     fixture.advance(60, &[]);
 
     let refused = JobAnswer::refused(JobRefusal::NoTarget);
--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -57,7 +57,7 @@
         if self.lock().drives(id) {
             return conflict_response();
         }
-        let objective = job.target_latency();
+        let objective = job.latency_objective();
         let submitted_at = self.now();
         let answer = self.run_job(id, job).await;
         let took = self.now().saturating_duration_since(submitted_at);
