--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -8,8 +8,8 @@
 //!    not unsuccessful before. Each filter is skipped if it would leave none ([`narrow`]).
 //! 3. Out of [`SAMPLE_SIZE`] random candidates, the one with the largest share of free processors is chosen ([`sample_emptiest`]).
 //!
-//! The free capacity that runners report may be up to 20 ms old. The runner has the final decision and returns a task for which it has no
-//! capacity.
+//! The free capacity that runners report may be up to 20 ms old. The runner has the final decision and refuses an assignment for which it
+//! has no capacity.
 
 use cloverfold_base::Timestamp;
 use rand::RngExt;
