--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -55,12 +55,12 @@
         if self.lock().is_driving(id) {
             return conflict_response();
         }
-        let target_latency = job.target_latency();
+        let objective = job.latency_objective();
         let submitted_at = self.now();
         let answer = self.run_job(id, job).await;
         let took = self.now().saturating_duration_since(submitted_at);
         self.record_answer(id, route, answer, took);
-        let outcome = JobOutcome::new(answer, took, target_latency);
+        let outcome = JobOutcome::new(answer, took, objective);
         self.metrics.count_job(&route.name, outcome);
         answer_response(self.protocol.as_ref(), answer)
     }
