--- a/crates/leased/cloverfold_lease/tests/runner/any_order.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/any_order.rs
@@ -1,67 +1,67 @@
-//! Incarnations of a target under one name, with registrations that come in any order, twice or never, renewals without an answer, and a
-//! runner that restarts between: the runner ends up with the one that lives, and never offers one that has said that it drains.
+//! Incarnations of a target under one name, whose registrations arrive in any order, more than once or never. Renewals can stay unanswered,
+//! and the runner can restart. The runner must end up with the live incarnation and must never offer one that has reported draining.
 
 use cloverfold_lease::{
     RenewalAnswer, Runner, StartTimeMs, TargetRegistration, Timings, UnavailableReason,
 };
 use proptest::prelude::*;
 
-use crate::fixture::{SESSION, at, echo, incarnation_id, list, registration, told_by};
+use crate::fixture::{SESSION, answered_by, at, echo, incarnation_id, list, registration};
 
-/// Starts of the incarnations in turn: the clock by which they are told is put back between two.
-const BORN: [StartTimeMs; 4] = [5_000, 9_000, 2_000, 7_000];
-/// How long everything is left alone at the end, in milliseconds; the target registers each 300.
-const QUIET_MS: u64 = 4_000;
+/// Start times of the successive incarnations; the wall clock is set back once.
+const START_TIMES: [StartTimeMs; 4] = [5_000, 9_000, 2_000, 7_000];
+/// Duration of the fault-free period at the end, in milliseconds; the target registers every 300 ms.
+const SETTLE_MS: u64 = 4_000;
 const STEP_MS: u64 = 15;
 
-/// What happens next.
+/// One step of a simulation.
 #[derive(Clone, Debug)]
 enum Event {
-    /// The target starts again.
-    StartAgain,
-    /// It registers; the word is under way.
+    /// The target restarts.
+    RestartTarget,
+    /// It sends a registration.
     Register,
-    /// It drains from now on.
+    /// It begins to drain.
     Drain,
-    /// A word that is under way arrives, and stays under way if it is to come again.
+    /// A registration in flight arrives; with `keeps_copy` it arrives again later.
     Deliver {
         which: prop::sample::Index,
-        again: bool,
+        keeps_copy: bool,
     },
-    /// A renewal or question goes out, and is answered or not.
+    /// A renewal or probe is sent, and answered or not.
     Renew { is_answered: bool },
-    /// The runner's process starts again.
+    /// The runner's process restarts.
     RestartRunner,
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        1 => Just(Event::StartAgain),
+        1 => Just(Event::RestartTarget),
         4 => Just(Event::Register),
         1 => Just(Event::Drain),
         5 => (any::<prop::sample::Index>(), any::<bool>())
-            .prop_map(|(which, again)| Event::Deliver { which, again }),
+            .prop_map(|(which, keeps_copy)| Event::Deliver { which, keeps_copy }),
         6 => prop::bool::weighted(0.8).prop_map(|is_answered| Event::Renew { is_answered }),
         1 => Just(Event::RestartRunner),
     ]
 }
 
-/// One target that starts again and again, the runner beside it, and what is under way between them.
-struct Course {
+/// A target that restarts repeatedly, its runner, and the registrations in flight between them.
+struct Simulation {
     runner: Runner,
     now_ms: u64,
     restarts: u64,
-    /// Which incarnation lives.
+    /// Index of the live incarnation.
     incarnation: usize,
     sequence: u64,
     is_draining: bool,
-    began_ms: u64,
-    under_way: Vec<TargetRegistration>,
-    /// The newest word of the living incarnation that the runner's present process has got.
+    started_ms: u64,
+    in_flight: Vec<TargetRegistration>,
+    /// The newest registration of the live incarnation that this process of the runner has received.
     newest: Option<TargetRegistration>,
 }
 
-impl Course {
+impl Simulation {
     fn new() -> Self {
         Self {
             runner: Runner::new(Timings::default(), 1_000),
@@ -70,37 +70,39 @@
             incarnation: 0,
             sequence: 0,
             is_draining: false,
-            began_ms: 0,
-            under_way: Vec::new(),
+            started_ms: 0,
+            in_flight: Vec::new(),
             newest: None,
         }
     }
 
     fn start_time(&self) -> StartTimeMs {
-        BORN[self.incarnation]
+        START_TIMES[self.incarnation]
     }
 
     fn clock(&self) -> u64 {
-        self.now_ms - self.began_ms
+        self.now_ms - self.started_ms
     }
 
     fn apply(&mut self, event: &Event) {
         match event {
-            Event::StartAgain if self.incarnation + 1 < BORN.len() => self.start_again(),
-            Event::StartAgain => {}
+            Event::RestartTarget if self.incarnation + 1 < START_TIMES.len() => {
+                self.restart_target();
+            }
+            Event::RestartTarget => {}
             Event::Register => {
-                let word = self.write_registration();
-                self.under_way.push(word);
+                let registration = self.next_registration();
+                self.in_flight.push(registration);
             }
             Event::Drain => self.is_draining = true,
-            Event::Deliver { .. } if self.under_way.is_empty() => {}
-            Event::Deliver { which, again } => {
-                let index = which.index(self.under_way.len());
-                let word = self.under_way[index].clone();
-                if !again {
-                    self.under_way.remove(index);
+            Event::Deliver { .. } if self.in_flight.is_empty() => {}
+            Event::Deliver { which, keeps_copy } => {
+                let index = which.index(self.in_flight.len());
+                let registration = self.in_flight[index].clone();
+                if !keeps_copy {
+                    self.in_flight.remove(index);
                 }
-                self.deliver(word);
+                self.deliver(registration);
             }
             Event::Renew { is_answered } => self.renew(*is_answered),
             Event::RestartRunner => self.restart_runner(),
@@ -108,11 +110,11 @@
         self.pass_time();
     }
 
-    fn start_again(&mut self) {
+    fn restart_target(&mut self) {
         self.incarnation += 1;
         self.sequence = 0;
         self.is_draining = false;
-        self.began_ms = self.now_ms;
+        self.started_ms = self.now_ms;
         self.newest = None;
     }
 
@@ -122,7 +124,7 @@
         self.newest = None;
     }
 
-    fn write_registration(&mut self) -> TargetRegistration {
+    fn next_registration(&mut self) -> TargetRegistration {
         self.sequence += 1;
         TargetRegistration {
             incarnation: incarnation_id("target", Some(self.start_time())),
@@ -133,12 +135,12 @@
         }
     }
 
-    fn deliver(&mut self, word: TargetRegistration) {
-        self.runner.register(word.clone(), at(self.now_ms));
-        let is_alive = word.incarnation.start_time == Some(self.start_time());
+    fn deliver(&mut self, registration: TargetRegistration) {
+        self.runner.register(registration.clone(), at(self.now_ms));
+        let is_live = registration.incarnation.start_time == Some(self.start_time());
         let known = self.newest.as_ref().map_or(0, |known| known.sequence);
-        if is_alive && word.sequence >= known {
-            self.newest = Some(word);
+        if is_live && registration.sequence >= known {
+            self.newest = Some(registration);
         }
     }
 
@@ -147,7 +149,7 @@
             return;
         };
         let answer = if is_answered {
-            told_by(self.start_time(), list(self.clock(), vec![], &[]))
+            answered_by(self.start_time(), list(self.clock(), vec![], &[]))
         } else {
             RenewalAnswer::Unanswered
         };
@@ -163,22 +165,25 @@
         self.runner.take_actions();
     }
 
-    /// Returns whether the runner offers the living incarnation although the newest word that it got says that it drains.
-    fn offers_leaving(&self) -> bool {
+    /// Returns whether the runner offers the live incarnation although its newest received registration reports draining.
+    fn offers_draining_target(&self) -> bool {
         let known = self.runner.target_incarnation_id();
-        let is_alive = known.is_some_and(|known| known.start_time == Some(self.start_time()));
-        let is_leaving = self.newest.as_ref().is_some_and(|word| word.is_draining);
-        is_alive && is_leaving && self.runner.has_ready_target()
+        let is_live = known.is_some_and(|known| known.start_time == Some(self.start_time()));
+        let is_known_draining = self
+            .newest
+            .as_ref()
+            .is_some_and(|registration| registration.is_draining);
+        is_live && is_known_draining && self.runner.has_ready_target()
     }
 
-    /// Loses what is under way, and plays on while the target registers and answers as usual.
-    fn quiet_down(&mut self) {
-        self.under_way.clear();
-        let until = self.now_ms + QUIET_MS;
+    /// Drops the registrations in flight and continues without faults.
+    fn settle(&mut self) {
+        self.in_flight.clear();
+        let until = self.now_ms + SETTLE_MS;
         while self.now_ms < until {
             if self.now_ms % 300 < STEP_MS {
-                let word = self.write_registration();
-                self.deliver(word);
+                let registration = self.next_registration();
+                self.deliver(registration);
             }
             self.renew(true);
             self.pass_time();
@@ -190,20 +195,20 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn the_living_incarnation_is_found_and_a_leaving_one_never_offered(
+    fn the_live_incarnation_becomes_the_target_and_a_draining_one_is_never_offered(
         events in proptest::collection::vec(event(), 1..80)
     ) {
-        let mut course = Course::new();
+        let mut simulation = Simulation::new();
         for event in &events {
-            course.apply(event);
-            prop_assert!(!course.offers_leaving());
+            simulation.apply(event);
+            prop_assert!(!simulation.offers_draining_target());
         }
 
-        course.quiet_down();
+        simulation.settle();
 
-        let living = incarnation_id("target", Some(course.start_time()));
-        prop_assert_eq!(course.runner.target_incarnation_id(), Some(&living));
-        let expected = course.is_draining.then_some(UnavailableReason::Draining);
-        prop_assert_eq!(course.runner.find_unavailable_reason(), expected);
+        let live = incarnation_id("target", Some(simulation.start_time()));
+        prop_assert_eq!(simulation.runner.target_incarnation_id(), Some(&live));
+        let expected = simulation.is_draining.then_some(UnavailableReason::Draining);
+        prop_assert_eq!(simulation.runner.find_unavailable_reason(), expected);
     }
 }
--- a/crates/leased/cloverfold_lease/tests/runner/assignments.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/assignments.rs
@@ -1,16 +1,16 @@
-//! Which assignments are accepted, which wait, which are given back.
+//! Which assignments are accepted, which wait, and which are refused.
 
 use cloverfold_lease::{EndCause, RunOutcome, RunRefusal};
 
-use crate::fixture::{SESSION, assign, at, list, ready, renew, started, take_ends, take_starts};
+use crate::fixture::{SESSION, assign, at, list, ready, renew, start_run, take_ends, take_starts};
 
 #[test]
-fn runs_wait_for_capacity_and_are_given_back_when_none_comes() {
+fn runs_wait_for_capacity_and_are_refused_after_their_wait() {
     let mut runner = ready();
     for index in 0..3 {
         runner.receive(SESSION, assign(index, at(600)), at(110));
     }
-    assert_eq!(take_starts(&mut runner).len(), 2, "two fit");
+    assert_eq!(take_starts(&mut runner).len(), 2, "only two runs fit");
 
     runner.tick(at(171));
 
@@ -31,9 +31,9 @@
 }
 
 #[test]
-fn a_leaving_runner_takes_nothing_and_ends_what_it_has() {
+fn a_draining_runner_refuses_assignments_and_finishes_its_runs() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
     runner.begin_draining(at(120));
     runner.receive(SESSION, assign(2, at(600)), at(121));
     let expected = [(2, RunOutcome::NotStarted(RunRefusal::Draining))];
--- a/crates/leased/cloverfold_lease/tests/runner/evacuation.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/evacuation.rs
@@ -1,4 +1,4 @@
-//! An evacuated data hall: nothing starts, nothing is cut, and what waited is given back.
+//! An evacuated data hall: nothing starts, started runs are not interrupted, and waiting runs are refused.
 
 use cloverfold_lease::{
     EndCause, RunOutcome, RunRefusal, Runner, RunnerAction, RunnerMessage, StartAnswer,
@@ -6,12 +6,12 @@
 };
 
 use crate::fixture::{
-    SESSION, assign, at, ends, list, ready, renew, row, started, stops, take_ends, take_starts,
+    SESSION, assign, at, ends, list, ready, renew, row, start_run, stops, take_ends, take_starts,
 };
 
-const GIVEN_BACK: RunOutcome = RunOutcome::NotStarted(RunRefusal::Evacuated);
+const REFUSED: RunOutcome = RunOutcome::NotStarted(RunRefusal::Evacuated);
 
-/// Returns whether each message about the target to [`SESSION`] offers one.
+/// Returns for each message about the target to [`SESSION`] whether it offers one.
 fn offers(actions: &[RunnerAction]) -> Vec<bool> {
     let offers = actions.iter().filter_map(|action| match action {
         RunnerAction::Send(SESSION, RunnerMessage::Target(target)) => Some(target.is_some()),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_target_is_offered_no_more_and_assignments_under_way_are_given_back() {
+fn evacuation_withdraws_the_target_and_refuses_assignments_in_flight() {
     let mut runner = ready();
 
     runner.set_evacuated(true, at(110));
@@ -40,27 +40,27 @@
     );
     runner.receive(SESSION, assign(1, at(400)), at(111));
     let actions = runner.take_actions();
-    assert_eq!(ends(&actions), [(1, GIVEN_BACK)]);
+    assert_eq!(ends(&actions), [(1, REFUSED)]);
     assert_eq!(take_starts(&mut runner), []);
 }
 
 #[test]
-fn runs_that_wait_are_given_back_at_once() {
+fn waiting_runs_are_refused_at_once() {
     let mut runner = ready();
-    started(&mut runner, 1, at(101));
-    started(&mut runner, 2, at(101));
+    start_run(&mut runner, 1, at(101));
+    start_run(&mut runner, 2, at(101));
     runner.receive(SESSION, assign(3, at(400)), at(102));
     runner.take_actions();
 
     runner.set_evacuated(true, at(110));
 
-    assert_eq!(take_ends(&mut runner), [(3, GIVEN_BACK)]);
+    assert_eq!(take_ends(&mut runner), [(3, REFUSED)]);
 }
 
 #[test]
-fn what_runs_ends_in_peace() {
+fn started_runs_finish_normally() {
     let mut runner = ready();
-    started(&mut runner, 1, at(101));
+    start_run(&mut runner, 1, at(101));
 
     runner.set_evacuated(true, at(110));
     runner.tick(at(120));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_start_without_an_answer_is_repeated_as_it_was() {
+fn an_unanswered_start_is_retried_with_the_same_deadline() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(101));
     let first = take_starts(&mut runner).remove(0);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_start_that_was_refused_is_not_replaced_by_a_later_one() {
+fn a_refused_start_is_not_replaced_by_one_with_a_later_deadline() {
     for refusal in [StartRefusal::Late, StartRefusal::Fenced] {
         let mut runner = ready();
         runner.receive(SESSION, assign(1, at(600)), at(101));
@@ -98,14 +98,14 @@
         runner.receive_start_answer(&first, refused, at(112));
 
         let actions = runner.take_actions();
-        assert_eq!(ends(&actions), [(1, GIVEN_BACK)], "{refusal:?}");
+        assert_eq!(ends(&actions), [(1, REFUSED)], "{refusal:?}");
         let is_start = |action: &RunnerAction| matches!(action, RunnerAction::Start(_));
         assert!(!actions.iter().any(is_start), "{refusal:?}");
     }
 }
 
 #[test]
-fn a_session_that_opens_meanwhile_is_offered_nothing() {
+fn a_session_that_opens_during_an_evacuation_gets_no_target() {
     let mut runner = evacuated();
     runner.close_session(SESSION, at(120));
 
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_hall_that_is_taken_back_is_offered_again_and_runs_start() {
+fn the_target_is_offered_again_after_the_evacuation() {
     let mut runner = evacuated();
 
     runner.set_evacuated(false, at(120));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_dispatcher_of_an_older_build_is_told_that_the_target_drains() {
+fn an_older_dispatcher_gets_draining_instead_of_evacuated() {
     let mut runner = evacuated();
     runner.receive(SESSION, assign(1, at(400)), at(120));
     let actions = runner.take_actions().into_iter();
--- a/crates/leased/cloverfold_lease/tests/runner/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/fixture.rs
@@ -1,4 +1,4 @@
-//! What the tests of the runner share: a runner with a target and a session, the messages to it, and what it does.
+//! Shared helpers of the runner tests: a runner with a target and a session, its input messages, and its actions.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     StartTimeMs, TargetRegistration, TaskId, Timings,
 };
 
-/// The session that [`ready`] opens.
+/// The session opened by [`ready`].
 pub const SESSION: u64 = 7;
 /// The number of every run.
 pub const RUN: u64 = 5;
@@ -21,7 +21,7 @@
     Duration::from_millis(value)
 }
 
-/// The point in time `value` milliseconds after the start of the clock.
+/// Returns the point in time `value` milliseconds after the start of the clock.
 pub fn at(value: u64) -> Timestamp {
     Timestamp::from_start(ms(value))
 }
@@ -42,7 +42,7 @@
     }
 }
 
-/// A target with capacity for two runs of [`assignment`], which does not tell when it started.
+/// Returns the registration of a target with capacity for two runs of [`assignment`] and without a start time.
 pub fn registration(incarnation: u32) -> TargetRegistration {
     TargetRegistration {
         incarnation: incarnation_id(&format!("incarnation-{incarnation}"), None),
@@ -93,7 +93,7 @@
     }
 }
 
-/// The answer to a renewal at which the target's clock shows `clock`; ends are given as number, task and cause.
+/// Returns an answer to a renewal with the target's clock at `clock`; ends are given as number, task and cause.
 pub fn list(clock: u64, running: Vec<ListedRun>, ended: &[(u64, u32, EndCause)]) -> RenewalAnswer {
     let ended = ended.iter().map(|&(number, index, cause)| EndedRun {
         number,
@@ -109,19 +109,19 @@
     }
 }
 
-/// A runner whose target has registered and was not heard since.
+/// Returns a runner whose target has registered but has not answered yet.
 pub fn registered(registration: TargetRegistration, now: Timestamp) -> Runner {
     let mut runner = Runner::new(Timings::default(), FIRST_FENCING_TOKEN);
     runner.register(registration, now);
     runner
 }
 
-/// A runner with a target that accepts work and one session, at 100 ms.
+/// Returns a runner at 100 ms with a target that accepts work and one session.
 pub fn ready() -> Runner {
     ready_with(registration(1))
 }
 
-/// The same with a target that registers so.
+/// Returns a runner like [`ready`], whose target has this registration.
 pub fn ready_with(registration: TargetRegistration) -> Runner {
     let mut runner = registered(registration, at(90));
     renew(&mut runner, at(95), list(50_005, vec![], &[]));
@@ -130,31 +130,32 @@
     runner
 }
 
-/// The same answer, from the life that began at `start_time`.
-pub fn told_by(start_time: StartTimeMs, mut answer: RenewalAnswer) -> RenewalAnswer {
+/// Returns the answer with this start time of the answering incarnation.
+pub fn answered_by(start_time: StartTimeMs, mut answer: RenewalAnswer) -> RenewalAnswer {
     if let RenewalAnswer::Listed {
-        start_time: told, ..
+        start_time: answered,
+        ..
     } = &mut answer
     {
-        *told = Some(start_time);
+        *answered = Some(start_time);
     }
     answer
 }
 
-/// Renews the lease at `now`; the answer comes 1 ms later.
+/// Renews the lease at `now`; the answer arrives 1 ms later.
 pub fn renew(runner: &mut Runner, now: Timestamp, answer: RenewalAnswer) {
     let order = runner.plan_renewal(now).unwrap();
     runner.receive_renewal_answer(&order, answer, now + ms(1));
 }
 
 /// Assigns a run whose start the target acknowledges at once.
-pub fn started(runner: &mut Runner, index: u32, now: Timestamp) {
+pub fn start_run(runner: &mut Runner, index: u32, now: Timestamp) {
     runner.receive(SESSION, assign(index, now + ms(400)), now);
     let order = take_starts(runner).remove(0);
     runner.receive_start_answer(&order, StartAnswer::Started { clock: 50_010 }, now);
 }
 
-/// Takes the actions of a runner and returns the starts among them.
+/// Takes the runner's actions and returns the starts.
 pub fn take_starts(runner: &mut Runner) -> Vec<StartOrder> {
     let starts = runner.take_actions().into_iter();
     let starts = starts.filter_map(|action| match action {
@@ -164,12 +165,12 @@
     starts.collect()
 }
 
-/// Takes the actions of a runner and returns the ends that are reported to [`SESSION`], as task and outcome.
+/// Takes the runner's actions and returns the ends reported to [`SESSION`], as task and outcome.
 pub fn take_ends(runner: &mut Runner) -> Vec<(u32, RunOutcome)> {
     ends(&runner.take_actions())
 }
 
-/// Returns the ends that are reported to [`SESSION`], as task and outcome.
+/// Returns the ends reported to [`SESSION`], as task and outcome.
 pub fn ends(actions: &[RunnerAction]) -> Vec<(u32, RunOutcome)> {
     let messages = actions.iter().filter_map(|action| match action {
         RunnerAction::Send(SESSION, RunnerMessage::Ended { task, outcome, .. }) => {
@@ -180,7 +181,7 @@
     messages.collect()
 }
 
-/// Returns the tasks whose runs the target is ordered to stop.
+/// Returns the tasks with a stop order.
 pub fn stops(actions: &[RunnerAction]) -> Vec<u32> {
     let stops = actions.iter().filter_map(|action| match action {
         RunnerAction::Stop(order) => Some(order.task.index),
--- a/crates/leased/cloverfold_lease/tests/runner/incarnations.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/incarnations.rs
@@ -1,4 +1,4 @@
-//! A target that starts again under the name that it had: what its next life says counts, and what its life before said does not.
+//! Restarts of a target under the same name: state of the previous incarnation must not be applied to the next one.
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::first_run_of;
@@ -8,70 +8,71 @@
 };
 
 use crate::fixture::{
-    SESSION, assign, at, echo, incarnation_id, list, ms, ready_with, registered, registration,
-    renew, row, started, stops, take_ends, take_starts, task, told_by,
+    SESSION, answered_by, assign, at, echo, incarnation_id, list, ms, ready_with, registered,
+    registration, renew, row, start_run, stops, take_ends, take_starts, task,
 };
 
-/// When the first life began.
-const FIRST_BORN: StartTimeMs = 1_767_225_600_000;
-/// When the second life began.
-const SECOND_BORN: StartTimeMs = FIRST_BORN + 5_000;
-/// Far above what the second life has reached.
-const MANY: u64 = 1_000;
+/// Start time of the first incarnation.
+const FIRST_START_TIME: StartTimeMs = 1_767_225_600_000;
+/// Start time of the second incarnation.
+const SECOND_START_TIME: StartTimeMs = FIRST_START_TIME + 5_000;
+/// A sequence or end number far above those of the second incarnation.
+const HIGH_NUMBER: u64 = 1_000;
 
-/// A registration of the first incarnation.
-fn first_life() -> TargetRegistration {
+/// Returns a registration of the first incarnation.
+fn first_incarnation() -> TargetRegistration {
     TargetRegistration {
-        incarnation: incarnation_id("incarnation-1", Some(FIRST_BORN)),
+        incarnation: incarnation_id("incarnation-1", Some(FIRST_START_TIME)),
         ..registration(1)
     }
 }
 
-/// A registration of the second incarnation, the first that it sends.
-fn second_life() -> TargetRegistration {
+/// Returns the first registration of the second incarnation.
+fn second_incarnation() -> TargetRegistration {
     TargetRegistration {
-        incarnation: incarnation_id("incarnation-1", Some(SECOND_BORN)),
+        incarnation: incarnation_id("incarnation-1", Some(SECOND_START_TIME)),
         clock: Some(10),
         sequence: 1,
-        ..first_life()
+        ..first_incarnation()
     }
 }
 
-/// A registration of the first incarnation, after many others.
-fn aged() -> TargetRegistration {
+/// Returns a registration of the first incarnation with a high sequence number.
+fn late_first_incarnation() -> TargetRegistration {
     TargetRegistration {
-        sequence: MANY,
-        ..first_life()
+        sequence: HIGH_NUMBER,
+        ..first_incarnation()
     }
 }
 
-/// A runner whose target has registered often in its first life.
-fn aged_target() -> Runner {
-    let mut runner = ready_with(first_life());
-    runner.register(aged(), at(101));
+/// Returns a runner whose target has registered many times in its first incarnation.
+fn runner_with_many_registrations() -> Runner {
+    let mut runner = ready_with(first_incarnation());
+    runner.register(late_first_incarnation(), at(101));
     runner
 }
 
-/// A runner whose target has registered in its second incarnation, was asked for it, and has answered twice: first by whom, then fenced.
-fn in_second_life() -> Runner {
-    let mut runner = aged_target();
-    runner.register(second_life(), at(102));
+/// Returns a runner whose target has registered in its second incarnation and has answered a probe and a renewal with the new fencing
+/// token.
+fn in_second_incarnation() -> Runner {
+    let mut runner = runner_with_many_registrations();
+    runner.register(second_incarnation(), at(102));
     renew(
         &mut runner,
         at(103),
-        told_by(SECOND_BORN, list(20, vec![], &[])),
+        answered_by(SECOND_START_TIME, list(20, vec![], &[])),
     );
     renew(
         &mut runner,
         at(105),
-        told_by(SECOND_BORN, list(22, vec![], &[])),
+        answered_by(SECOND_START_TIME, list(22, vec![], &[])),
     );
     runner.take_actions();
     runner
 }
 
 fn listed(clock: u64, running: Vec<ListedRun>, ended: &[(u64, u32, EndCause)]) -> RenewalAnswer {
-    told_by(SECOND_BORN, list(clock, running, ended))
+    answered_by(SECOND_START_TIME, list(clock, running, ended))
 }
 
 fn assert_not_ready(runner: &Runner, reason: UnavailableReason) {
@@ -79,24 +80,24 @@
 }
 
 #[test]
-fn the_next_life_is_used_although_it_counts_anew() {
-    let runner = in_second_life();
+fn the_next_incarnation_is_used_although_its_sequence_restarts() {
+    let runner = in_second_incarnation();
 
     assert!(runner.has_ready_target());
     assert_eq!(
         runner.target_incarnation_id(),
-        Some(&incarnation_id("incarnation-1", Some(SECOND_BORN)))
+        Some(&incarnation_id("incarnation-1", Some(SECOND_START_TIME)))
     );
 }
 
 #[test]
-fn the_next_life_drains_although_it_counts_anew() {
-    let mut runner = in_second_life();
+fn the_next_incarnation_drains_although_its_sequence_restarts() {
+    let mut runner = in_second_incarnation();
 
     let draining = TargetRegistration {
         is_draining: true,
         sequence: 2,
-        ..second_life()
+        ..second_incarnation()
     };
     let verdict = runner.register(draining, at(120));
 
@@ -105,13 +106,13 @@
 }
 
 #[test]
-fn a_next_life_whose_first_word_is_that_it_drains_gets_no_work() {
-    let mut runner = aged_target();
+fn an_incarnation_that_registers_as_draining_gets_no_work() {
+    let mut runner = runner_with_many_registrations();
 
     runner.register(
         TargetRegistration {
             is_draining: true,
-            ..second_life()
+            ..second_incarnation()
         },
         at(102),
     );
@@ -122,17 +123,17 @@
 }
 
 #[test]
-fn a_next_life_does_not_drain_because_the_one_before_did() {
-    let mut runner = aged_target();
+fn draining_of_the_previous_incarnation_does_not_affect_the_next() {
+    let mut runner = runner_with_many_registrations();
     runner.register(
         TargetRegistration {
             is_draining: true,
-            ..aged()
+            ..late_first_incarnation()
         },
         at(101),
     );
 
-    runner.register(second_life(), at(102));
+    runner.register(second_incarnation(), at(102));
     renew(&mut runner, at(103), listed(20, vec![], &[]));
     renew(&mut runner, at(105), listed(22, vec![], &[]));
 
@@ -140,12 +141,12 @@
 }
 
 #[test]
-fn a_late_word_of_the_life_before_begins_and_ends_no_draining() {
-    let mut runner = in_second_life();
+fn a_late_registration_of_the_previous_incarnation_does_not_change_draining() {
+    let mut runner = in_second_incarnation();
     let late = TargetRegistration {
         is_draining: true,
-        sequence: MANY + 1,
-        ..first_life()
+        sequence: HIGH_NUMBER + 1,
+        ..first_incarnation()
     };
 
     let begins = runner.register(late.clone(), at(120));
@@ -154,7 +155,7 @@
         TargetRegistration {
             is_draining: true,
             sequence: 2,
-            ..second_life()
+            ..second_incarnation()
         },
         at(130),
     );
@@ -173,15 +174,15 @@
 }
 
 #[test]
-fn a_late_word_of_a_life_that_this_process_never_knew_is_asked_after_and_changes_nothing() {
-    let mut runner = registered(second_life(), at(90));
+fn a_late_registration_of_an_unknown_incarnation_is_probed_and_then_ignored() {
+    let mut runner = registered(second_incarnation(), at(90));
     renew(&mut runner, at(95), listed(20, vec![], &[]));
     runner.open_session(SESSION, at(100));
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
 
-    let verdict = runner.register(aged(), at(120));
+    let verdict = runner.register(late_first_incarnation(), at(120));
     renew(&mut runner, at(121), listed(46, vec![row(1, None)], &[]));
-    let again = runner.register(aged(), at(130));
+    let again = runner.register(late_first_incarnation(), at(130));
 
     assert_eq!(verdict, RegistrationVerdict::Candidate);
     assert_eq!(again, RegistrationVerdict::IncarnationEnded);
@@ -190,24 +191,24 @@
 }
 
 #[test]
-fn the_order_of_births_does_not_matter_since_the_clock_may_be_put_back() {
-    let mut runner = aged_target();
-    let start_time = FIRST_BORN - 60_000;
-    let earlier_by_its_clock = TargetRegistration {
+fn start_times_may_decrease_when_the_wall_clock_is_set_back() {
+    let mut runner = runner_with_many_registrations();
+    let start_time = FIRST_START_TIME - 60_000;
+    let with_earlier_start_time = TargetRegistration {
         incarnation: incarnation_id("incarnation-1", Some(start_time)),
-        ..second_life()
+        ..second_incarnation()
     };
 
-    runner.register(earlier_by_its_clock, at(102));
+    runner.register(with_earlier_start_time, at(102));
     renew(
         &mut runner,
         at(103),
-        told_by(start_time, list(20, vec![], &[])),
+        answered_by(start_time, list(20, vec![], &[])),
     );
     renew(
         &mut runner,
         at(105),
-        told_by(start_time, list(22, vec![], &[])),
+        answered_by(start_time, list(22, vec![], &[])),
     );
 
     assert!(runner.has_ready_target());
@@ -218,29 +219,29 @@
 }
 
 #[test]
-fn a_list_shows_a_next_life_that_has_not_registered_and_it_gets_no_work_until_it_has() {
-    let mut runner = ready_with(first_life());
+fn an_unregistered_incarnation_found_by_a_list_gets_no_work_until_it_registers() {
+    let mut runner = ready_with(first_incarnation());
     renew(&mut runner, at(110), listed(5, vec![], &[]));
     renew(&mut runner, at(115), listed(10, vec![], &[]));
     let before = runner.find_unavailable_reason();
 
-    runner.register(second_life(), at(120));
+    runner.register(second_incarnation(), at(120));
 
     assert_eq!(before, Some(UnavailableReason::NoTarget));
     assert!(runner.has_ready_target());
 }
 
 #[test]
-fn ends_of_the_next_life_count_although_their_numbers_begin_anew() {
-    let mut runner = ready_with(first_life());
-    started(&mut runner, 1, at(110));
-    let many_ends = list(50_060, vec![], &[(MANY, 1, EndCause::Done)]);
+fn ends_of_the_next_incarnation_are_processed_although_their_numbers_restart() {
+    let mut runner = ready_with(first_incarnation());
+    start_run(&mut runner, 1, at(110));
+    let many_ends = list(50_060, vec![], &[(HIGH_NUMBER, 1, EndCause::Done)]);
     renew(&mut runner, at(130), many_ends);
-    runner.register(second_life(), at(140));
+    runner.register(second_incarnation(), at(140));
     renew(&mut runner, at(141), listed(20, vec![], &[]));
     renew(&mut runner, at(143), listed(22, vec![], &[]));
     runner.take_actions();
-    started(&mut runner, 2, at(150));
+    start_run(&mut runner, 2, at(150));
 
     renew(
         &mut runner,
@@ -255,9 +256,9 @@
 }
 
 #[test]
-fn no_end_is_acknowledged_to_a_target_that_has_left_a_renewal_unanswered() {
-    let mut runner = ready_with(first_life());
-    started(&mut runner, 1, at(110));
+fn no_end_is_acknowledged_after_an_unanswered_renewal() {
+    let mut runner = ready_with(first_incarnation());
+    start_run(&mut runner, 1, at(110));
     renew(
         &mut runner,
         at(130),
@@ -273,27 +274,26 @@
     assert_eq!(before.last_acknowledged_end, 7);
     assert_eq!(
         unanswered.last_acknowledged_end, 0,
-        "it may be another life's number"
+        "the number may belong to another incarnation"
     );
     assert_eq!(answered.last_acknowledged_end, 7);
 }
 
-/// A runner with a run under way at the first incarnation, whose start may have reached the second: the list that shows the second comes at
-/// 130 ms.
-fn found_with_run() -> Runner {
-    let mut runner = ready_with(first_life());
-    started(&mut runner, 1, at(110));
-    runner.register(second_life(), at(125));
+/// Returns a runner with a run at the first incarnation whose start may have reached the second, which a list at 130 ms reveals.
+fn restarted_with_run() -> Runner {
+    let mut runner = ready_with(first_incarnation());
+    start_run(&mut runner, 1, at(110));
+    runner.register(second_incarnation(), at(125));
     renew(&mut runner, at(130), listed(20, vec![row(1, None)], &[]));
     runner
 }
 
 #[test]
-fn a_run_of_the_life_before_is_over_only_when_the_next_life_refuses_its_orders() {
-    let mut runner = found_with_run();
+fn an_earlier_run_is_over_only_when_the_next_incarnation_refuses_its_orders() {
+    let mut runner = restarted_with_run();
     let found = runner.take_actions();
-    let fence = runner.plan_renewal(at(132)).unwrap();
-    runner.receive_renewal_answer(&fence, listed(25, vec![row(1, None)], &[]), at(133));
+    let fencing = runner.plan_renewal(at(132)).unwrap();
+    runner.receive_renewal_answer(&fencing, listed(25, vec![row(1, None)], &[]), at(133));
     let while_listed = take_ends(&mut runner);
 
     renew(
@@ -302,28 +302,32 @@
         listed(40, vec![], &[(1, 1, EndCause::Stopped)]),
     );
 
-    assert_eq!(stops(&found), [1], "it is stopped at the next life");
-    assert!(fence.fencing_token > 1_000);
-    assert_eq!((fence.deadline, fence.last_acknowledged_end), (None, 0));
-    assert_eq!(while_listed, [], "the next life runs it");
+    assert_eq!(
+        stops(&found),
+        [1],
+        "the run is stopped at the next incarnation"
+    );
+    assert!(fencing.fencing_token > 1_000);
+    assert_eq!((fencing.deadline, fencing.last_acknowledged_end), (None, 0));
+    assert_eq!(while_listed, [], "the next incarnation executes the run");
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Stopped)]);
 }
 
 #[test]
-fn a_run_of_the_life_before_that_the_next_does_not_list_is_lost() {
-    let mut runner = found_with_run();
+fn an_earlier_run_that_the_next_incarnation_does_not_list_is_lost() {
+    let mut runner = restarted_with_run();
     let before = take_ends(&mut runner);
 
     renew(&mut runner, at(132), listed(25, vec![], &[]));
 
-    assert_eq!(before, [], "its start may still be under way");
+    assert_eq!(before, [], "the start may still be in flight");
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Lost)]);
 }
 
 #[test]
-fn a_list_that_was_asked_for_with_the_old_token_proves_nothing() {
-    let mut runner = ready_with(first_life());
-    started(&mut runner, 1, at(110));
+fn a_list_requested_with_the_old_token_ends_no_run() {
+    let mut runner = ready_with(first_incarnation());
+    start_run(&mut runner, 1, at(110));
     let old = runner.plan_renewal(at(120)).unwrap();
     runner.receive_renewal_answer(&old, listed(20, vec![], &[]), at(130));
 
@@ -333,8 +337,8 @@
 }
 
 #[test]
-fn a_run_of_the_life_before_that_the_next_one_has_done_is_done() {
-    let mut runner = found_with_run();
+fn an_earlier_run_that_the_next_incarnation_completes_is_done() {
+    let mut runner = restarted_with_run();
     runner.take_actions();
 
     renew(
@@ -347,11 +351,11 @@
 }
 
 #[test]
-fn a_late_answer_to_a_start_of_the_life_before_tells_nothing_of_the_next_ones_clock() {
-    let mut runner = ready_with(first_life());
+fn a_late_answer_to_an_earlier_start_does_not_set_the_clock() {
+    let mut runner = ready_with(first_incarnation());
     runner.receive(SESSION, assign(1, at(510)), at(110));
     let start = take_starts(&mut runner).remove(0);
-    runner.register(second_life(), at(125));
+    runner.register(second_incarnation(), at(125));
     renew(&mut runner, at(130), listed(20, vec![], &[]));
     renew(&mut runner, at(132), listed(22, vec![], &[]));
 
@@ -362,12 +366,12 @@
 }
 
 #[test]
-fn waiting_runs_are_given_back_and_nothing_is_started_before_the_fence() {
-    let mut runner = ready_with(first_life());
-    started(&mut runner, 1, at(110));
-    started(&mut runner, 2, at(111));
+fn waiting_runs_are_refused_and_nothing_starts_before_fencing() {
+    let mut runner = ready_with(first_incarnation());
+    start_run(&mut runner, 1, at(110));
+    start_run(&mut runner, 2, at(111));
     runner.receive(SESSION, assign(3, at(510)), at(112));
-    runner.register(second_life(), at(125));
+    runner.register(second_incarnation(), at(125));
     runner.take_actions();
 
     renew(&mut runner, at(130), listed(20, vec![], &[]));
@@ -381,8 +385,8 @@
 }
 
 #[test]
-fn a_lease_that_an_order_to_the_life_before_may_have_extended_is_waited_out() {
-    let mut runner = found_with_run();
+fn a_lease_that_an_earlier_order_may_have_extended_must_lapse() {
+    let mut runner = restarted_with_run();
     let keep_session = |runner: &mut Runner, now: Timestamp| {
         runner.receive(SESSION, echo(now), now);
         runner.tick(now);
@@ -395,47 +399,54 @@
     let within = take_ends(&mut runner);
     keep_session(&mut runner, at(1_210));
 
-    assert_eq!(within, [], "it may have got the longest lease at 131 ms");
+    assert_eq!(
+        within,
+        [],
+        "an earlier order may have granted the longest lease at 131 ms"
+    );
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Lost)]);
 }
 
 #[test]
-fn the_end_of_the_life_before_does_not_end_the_next() {
-    let mut runner = in_second_life();
+fn the_end_of_the_previous_incarnation_does_not_end_the_next() {
+    let mut runner = in_second_incarnation();
 
-    let named = runner.unregister(&incarnation_id("incarnation-1", Some(FIRST_BORN)), at(120));
-    let unnamed = runner.unregister(&incarnation_id("incarnation-1", None), at(121));
+    let timed = runner.unregister(
+        &incarnation_id("incarnation-1", Some(FIRST_START_TIME)),
+        at(120),
+    );
+    let untimed = runner.unregister(&incarnation_id("incarnation-1", None), at(121));
 
-    assert!(!named && !unnamed);
+    assert!(!timed && !untimed);
     assert!(runner.has_ready_target());
 }
 
 #[test]
-fn a_draining_life_ends_by_a_word_that_leaves_its_start_out() {
-    let mut runner = in_second_life();
+fn a_draining_incarnation_can_unregister_without_a_start_time() {
+    let mut runner = in_second_incarnation();
     runner.register(
         TargetRegistration {
             is_draining: true,
             sequence: 2,
-            ..second_life()
+            ..second_incarnation()
         },
         at(120),
     );
 
-    let is_taken = runner.unregister(&incarnation_id("incarnation-1", None), at(130));
+    let is_accepted = runner.unregister(&incarnation_id("incarnation-1", None), at(130));
 
-    assert!(is_taken);
+    assert!(is_accepted);
     assert_not_ready(&runner, UnavailableReason::NoTarget);
 }
 
 #[test]
-fn a_registration_that_leaves_its_start_out_changes_nothing_of_a_target_that_tells() {
-    let mut runner = in_second_life();
+fn a_registration_without_the_known_start_time_is_ignored() {
+    let mut runner = in_second_incarnation();
     let foreign = TargetRegistration {
         incarnation: incarnation_id("incarnation-1", None),
         is_draining: true,
-        sequence: MANY,
-        ..first_life()
+        sequence: HIGH_NUMBER,
+        ..first_incarnation()
     };
 
     let verdict = runner.register(foreign, at(120));
@@ -445,17 +456,17 @@
 }
 
 #[test]
-fn a_target_that_never_tells_its_start_is_one_life_by_its_name() {
-    let silent = |sequence| TargetRegistration {
+fn a_target_without_start_times_is_one_incarnation_per_name() {
+    let untimed = |sequence| TargetRegistration {
         incarnation: incarnation_id("incarnation-1", None),
         sequence,
-        ..first_life()
+        ..first_incarnation()
     };
-    let mut runner = registered(silent(5), at(90));
+    let mut runner = registered(untimed(5), at(90));
     renew(&mut runner, at(95), list(50_005, vec![], &[]));
 
-    let older = runner.register(silent(4), at(100));
-    let newer = runner.register(silent(6), at(110));
+    let older = runner.register(untimed(4), at(100));
+    let newer = runner.register(untimed(6), at(110));
 
     assert_eq!(older, RegistrationVerdict::Outdated);
     assert_eq!(newer, RegistrationVerdict::Accepted);
@@ -463,12 +474,12 @@
 }
 
 #[test]
-fn a_hold_for_upkeep_ends_with_the_life_that_is_held() {
-    let mut runner = ready_with(first_life());
+fn a_hold_for_upkeep_ends_with_the_held_incarnation() {
+    let mut runner = ready_with(first_incarnation());
     runner.hold_target("incarnation-1", ms(5_000), at(101));
     assert!(runner.is_held());
 
-    runner.register(second_life(), at(102));
+    runner.register(second_incarnation(), at(102));
     renew(&mut runner, at(103), listed(20, vec![], &[]));
     renew(&mut runner, at(105), listed(22, vec![], &[]));
 
@@ -477,48 +488,51 @@
 }
 
 #[test]
-fn a_restarted_runner_that_hears_of_the_dead_life_first_finds_the_living_one() {
-    let mut runner = registered(aged(), at(90));
+fn a_restarted_runner_finds_the_live_incarnation_after_a_registration_of_the_dead_one() {
+    let mut runner = registered(late_first_incarnation(), at(90));
     renew(&mut runner, at(91), listed(20, vec![], &[]));
     renew(&mut runner, at(93), listed(22, vec![], &[]));
 
-    let living = runner.register(second_life(), at(100));
-    let dead = runner.register(aged(), at(110));
+    let live = runner.register(second_incarnation(), at(100));
+    let dead = runner.register(late_first_incarnation(), at(110));
 
-    assert_eq!(living, RegistrationVerdict::Accepted);
+    assert_eq!(live, RegistrationVerdict::Accepted);
     assert_eq!(dead, RegistrationVerdict::IncarnationEnded);
     assert!(runner.has_ready_target());
 }
 
 #[test]
-fn three_lives_in_a_row_are_followed() {
-    let mut runner = in_second_life();
+fn three_incarnations_in_a_row_are_adopted() {
+    let mut runner = in_second_incarnation();
     let third = TargetRegistration {
-        incarnation: incarnation_id("incarnation-1", Some(SECOND_BORN + 1)),
-        ..second_life()
+        incarnation: incarnation_id("incarnation-1", Some(SECOND_START_TIME + 1)),
+        ..second_incarnation()
     };
 
     runner.register(third, at(200));
     renew(
         &mut runner,
         at(201),
-        told_by(SECOND_BORN + 1, list(20, vec![], &[])),
+        answered_by(SECOND_START_TIME + 1, list(20, vec![], &[])),
     );
-    let fence = runner.plan_renewal(at(203)).unwrap();
+    let fencing = runner.plan_renewal(at(203)).unwrap();
     runner.receive_renewal_answer(
-        &fence,
-        told_by(SECOND_BORN + 1, list(22, vec![], &[])),
+        &fencing,
+        answered_by(SECOND_START_TIME + 1, list(22, vec![], &[])),
         at(204),
     );
 
     assert!(runner.has_ready_target());
-    assert_eq!(fence.fencing_token, 1_002, "one more with each life");
+    assert_eq!(
+        fencing.fencing_token, 1_002,
+        "each incarnation increases it by one"
+    );
 }
 
 #[test]
-fn a_next_life_is_reported() {
-    let mut runner = aged_target();
-    runner.register(second_life(), at(102));
+fn a_new_incarnation_is_reported() {
+    let mut runner = runner_with_many_registrations();
+    runner.register(second_incarnation(), at(102));
     runner.take_actions();
 
     renew(&mut runner, at(103), listed(20, vec![], &[]));
@@ -529,7 +543,7 @@
             action,
             RunnerAction::ReportIncarnation {
                 incarnation: IncarnationId {
-                    start_time: Some(SECOND_BORN),
+                    start_time: Some(SECOND_START_TIME),
                     ..
                 },
                 is_alive: true
@@ -540,9 +554,8 @@
 }
 
 #[test]
-fn a_restarted_runner_waits_out_the_lease_that_an_order_by_another_incarnations_clock_may_have_given()
- {
-    let mut runner = registered(first_life(), at(90));
+fn a_restarted_runner_waits_for_a_lease_granted_by_the_clock_of_another_incarnation() {
+    let mut runner = registered(first_incarnation(), at(90));
     let done = EndedRun {
         number: 4,
         task: task(1),
@@ -550,7 +563,7 @@
         cause: EndCause::Done,
     };
     let unknown = RenewalAnswer::Listed {
-        start_time: Some(FIRST_BORN),
+        start_time: Some(FIRST_START_TIME),
         clock: 50_005,
         running: vec![],
         ended: vec![done],
--- a/crates/leased/cloverfold_lease/tests/runner/kept_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/kept_runs.rs
@@ -1,4 +1,4 @@
-//! Kept runs: what the target must not forget yet, and when its lease is left to lapse.
+//! Kept runs: which ends the target must keep listing, and when its lease is withheld.
 
 use cloverfold_base::Timestamp;
 use cloverfold_kept_jobs::{EndDecision, EndOutcome, TaskEnd, first_run_of};
@@ -9,23 +9,23 @@
 
 use crate::fixture::{
     RUN, SESSION, assign, assignment, at, echo, ends, incarnation_id, list, ms, ready, registered,
-    registration, renew, row, started, take_ends, take_starts, task,
+    registration, renew, row, start_run, take_ends, take_starts, task,
 };
 
 const EPOCH: u64 = 3;
-/// Place of task `index` in its job.
-const PLACE: u32 = 40;
+/// Index in its job of task 0.
+const FIRST_INDEX: u32 = 40;
 
 fn kept(index: u32, valid_until: Timestamp) -> DispatcherMessage {
     DispatcherMessage::AssignKept(KeptAssignment {
         assignment: assignment(index, valid_until),
         epoch: EPOCH,
-        index_in_job: PLACE + index,
+        index_in_job: FIRST_INDEX + index,
     })
 }
 
 /// Assigns a kept run whose start the target acknowledges at once.
-fn kept_started(runner: &mut Runner, index: u32, now: Timestamp) {
+fn start_kept_run(runner: &mut Runner, index: u32, now: Timestamp) {
     runner.receive(SESSION, kept(index, now + ms(400)), now);
     let order = take_starts(runner).remove(0);
     runner.receive_start_answer(&order, StartAnswer::Started { clock: 50_010 }, now);
@@ -35,13 +35,13 @@
     TaskEnd {
         job: "job".into(),
         epoch: EPOCH,
-        task: PLACE + index,
+        task: FIRST_INDEX + index,
         run: RUN,
         outcome,
     }
 }
 
-/// Returns the ends that are to be recorded.
+/// Returns the ends to record.
 fn recorded(actions: &[RunnerAction]) -> Vec<TaskEnd> {
     let ends = actions.iter().filter_map(|action| match action {
         RunnerAction::RecordEnd(end) => Some(end.clone()),
@@ -55,11 +55,11 @@
     runner.plan_renewal(now).unwrap().last_acknowledged_end
 }
 
-/// A runner with a kept and a best-effort run that are done: ends 1 and 2.
+/// Returns a runner with a completed kept run (end 1) and a completed best-effort run (end 2).
 fn both_done() -> Runner {
     let mut runner = ready();
-    kept_started(&mut runner, 1, at(110));
-    started(&mut runner, 2, at(110));
+    start_kept_run(&mut runner, 1, at(110));
+    start_run(&mut runner, 2, at(110));
     let ended = [(1, 1, EndCause::Done), (2, 2, EndCause::Done)];
     renew(&mut runner, at(150), list(50_060, vec![], &ended));
     runner
@@ -81,10 +81,10 @@
 }
 
 #[test]
-fn an_end_before_the_held_one_is_acknowledged() {
+fn an_end_before_a_held_one_is_acknowledged() {
     let mut runner = ready();
-    kept_started(&mut runner, 1, at(110));
-    started(&mut runner, 2, at(110));
+    start_kept_run(&mut runner, 1, at(110));
+    start_run(&mut runner, 2, at(110));
 
     let ended = [(1, 2, EndCause::Done), (2, 1, EndCause::Failed)];
     renew(&mut runner, at(150), list(50_060, vec![], &ended));
@@ -110,7 +110,7 @@
 #[test]
 fn an_end_that_is_neither_done_nor_failed_is_not_recorded() {
     let mut runner = ready();
-    kept_started(&mut runner, 1, at(110));
+    start_kept_run(&mut runner, 1, at(110));
 
     let ended = [(1, 1, EndCause::Stopped)];
     renew(&mut runner, at(150), list(50_060, vec![], &ended));
@@ -134,7 +134,7 @@
 fn a_fenced_end_is_acknowledged_only_after_the_lease_has_lapsed() {
     let mut runner = both_done();
     let end = task_end(1, EndOutcome::Done);
-    // The newest deadline is that of the renewal at 150 ms: 650 ms later, 50_709 or so on the target's clock.
+    // The newest deadline is that of the renewal at 150 ms: 650 ms later, about 50_709 on the target's clock.
     runner.receive_end_decision(&end, EndDecision::Fenced, at(170));
     let reason = runner.find_unavailable_reason();
     assert_eq!(reason, Some(UnavailableReason::LeaseWithheld));
@@ -155,9 +155,9 @@
 }
 
 #[test]
-fn runs_that_were_there_are_lost_when_a_withheld_lease_lapses() {
+fn runs_are_lost_when_a_withheld_lease_lapses() {
     let mut runner = both_done();
-    started(&mut runner, 3, at(155));
+    start_run(&mut runner, 3, at(155));
     runner.take_actions();
     let end = task_end(1, EndOutcome::Done);
     runner.receive_end_decision(&end, EndDecision::Fenced, at(170));
@@ -175,7 +175,7 @@
 #[test]
 fn a_stop_of_a_kept_run_without_effect_lets_the_lease_lapse() {
     let mut runner = ready();
-    kept_started(&mut runner, 1, at(110));
+    start_kept_run(&mut runner, 1, at(110));
     runner.receive(SESSION, echo(at(140)), at(140));
     let withdraw = DispatcherMessage::Withdraw {
         task: task(1),
@@ -196,13 +196,16 @@
     runner.receive_renewal_answer(&after, list(50_310, vec![], &ended), at(402));
     runner.tick(at(403));
     let gone = runner.plan_renewal(at(404)).unwrap();
-    assert!(gone.deadline.is_some(), "the run is gone");
+    assert!(
+        gone.deadline.is_some(),
+        "the lease is extended once the run is gone"
+    );
 }
 
 #[test]
 fn a_stop_of_a_best_effort_run_without_effect_changes_nothing() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
     runner.receive(SESSION, echo(at(140)), at(140));
     let withdraw = DispatcherMessage::Withdraw {
         task: task(1),
@@ -260,7 +263,7 @@
 }
 
 #[test]
-fn ends_of_an_earlier_process_that_complete_nothing_hold_up_nothing() {
+fn ends_of_an_earlier_process_that_complete_no_task_are_acknowledged_at_once() {
     let mut runner = registered(registration(1), at(90));
     let unknown = [(4, 1, EndCause::Lapsed), (5, 2, EndCause::Stopped)];
 
@@ -272,9 +275,9 @@
 }
 
 #[test]
-fn held_ends_that_hide_others_are_let_go_of_by_a_lapse() {
+fn held_ends_that_hide_others_are_released_by_a_lapse() {
     let mut runner = ready();
-    kept_started(&mut runner, 1, at(110));
+    start_kept_run(&mut runner, 1, at(110));
     let mut listed = vec![EndedRun {
         number: 1,
         task: task(1),
@@ -303,7 +306,7 @@
 }
 
 #[test]
-fn a_new_incarnation_holds_no_end_of_the_one_before() {
+fn a_new_incarnation_holds_no_end_of_the_previous_one() {
     let mut runner = both_done();
     runner.unregister(&incarnation_id("incarnation-1", None), at(160));
     runner.register(registration(2), at(170));
@@ -317,9 +320,9 @@
 }
 
 #[test]
-fn a_kept_run_that_is_there_blocks_another_of_its_task() {
+fn an_open_kept_run_blocks_another_run_of_its_task() {
     let mut runner = ready();
-    kept_started(&mut runner, 1, at(110));
+    start_kept_run(&mut runner, 1, at(110));
 
     runner.receive(SESSION, assign(1, at(500)), at(120));
 
--- a/crates/leased/cloverfold_lease/tests/runner/leftover_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/leftover_runs.rs
@@ -1,9 +1,9 @@
-//! Runs that nobody wants any more end: those of a cancelled job that the target started late, and those whose starter is gone.
+//! Unwanted runs must end: late starts of withdrawn runs, orphans of an earlier process, and runs of an expired session.
 
 use cloverfold_lease::{RunnerAction, StartAnswer, TargetRegistration};
 
 use crate::fixture::{
-    SESSION, assign, at, list, ready, registered, registration, renew, row, started, stops,
+    SESSION, assign, at, list, ready, registered, registration, renew, row, start_run, stops,
     take_starts,
 };
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_start_that_is_carried_out_after_the_run_was_withdrawn_is_stopped_again_until_it_is_gone() {
+fn a_start_executed_after_withdrawal_is_stopped_again_until_it_is_gone() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(110));
     let start = take_starts(&mut runner).remove(0);
@@ -38,34 +38,31 @@
     let is_start = |action: &RunnerAction| matches!(action, RunnerAction::Start(_));
     assert!(
         !actions.iter().any(is_start),
-        "a withdrawn run is not started again"
+        "a withdrawn run must not be restarted"
     );
 }
 
 #[test]
-fn a_run_that_a_restarted_guard_finds_is_stopped_with_each_list_and_its_lease_not_extended() {
+fn an_orphan_found_after_a_restart_is_stopped_with_each_list_and_its_lease_not_extended() {
     let mut runner = registered(without_clock(), at(90));
 
-    for asked_at in [100, 200, 300] {
+    for sent_at in [100, 200, 300] {
         renew(
             &mut runner,
-            at(asked_at),
-            list(50_000 + asked_at, vec![row(9, None)], &[]),
+            at(sent_at),
+            list(50_000 + sent_at, vec![row(9, None)], &[]),
         );
 
         assert_eq!(stops(&runner.take_actions()), [9]);
-        let next = runner.plan_renewal(at(asked_at + 10)).unwrap();
-        assert_eq!(
-            next.deadline, None,
-            "the lease of what it may run must lapse"
-        );
+        let next = runner.plan_renewal(at(sent_at + 10)).unwrap();
+        assert_eq!(next.deadline, None, "the lease of an orphan must lapse");
     }
 }
 
 #[test]
-fn the_runs_of_an_entry_that_is_gone_for_good_are_stopped_with_its_session() {
+fn runs_are_stopped_when_their_session_expires() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
     runner.take_actions();
 
     runner.tick(at(601));
--- a/crates/leased/cloverfold_lease/tests/runner/main.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/main.rs
@@ -1,4 +1,4 @@
-//! Single rules of a runner, driven by hand with a clock of the test.
+//! Tests of the runner's rules, one at a time and with a simulated clock.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/leased/cloverfold_lease/tests/runner/renewal_pace.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/renewal_pace.rs
@@ -1,4 +1,4 @@
-//! The pauses between renewals: a target that answers at once is not asked without end, and is asked often enough.
+//! Pauses between renewals: a target that answers at once must not be renewed in a busy loop, nor too rarely to keep its lease.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 
 use crate::fixture::{RUN, SESSION, assignment, at, echo, list, ms, ready, take_starts};
 
-/// Renewals that an idle target is asked in a second: each waits 25 ms.
+/// Renewals of an idle target per second: each waits 25 ms.
 const IDLE_RENEWALS: usize = 40;
-/// The way to the target and back, in milliseconds.
+/// Round trip to the target, in milliseconds.
 const ROUND_TRIP_MS: u64 = 1;
 
-/// A runner whose kept run is done, but not recorded: end 1 is held. It was told at 151 ms.
+/// Returns a runner with a completed kept run whose end 1, listed at 151 ms, is held.
 fn with_held_end() -> Runner {
     let mut runner = ready();
     let kept = DispatcherMessage::AssignKept(KeptAssignment {
@@ -36,18 +36,18 @@
     list(clock, vec![], &[(1, 1, EndCause::Done)])
 }
 
-/// Renews at `now`, is answered after `took`, and returns the pause.
+/// Renews at `now` with an answer after `latency`; returns the pause.
 fn renew_after(
     runner: &mut Runner,
     now: Timestamp,
-    took: Duration,
+    latency: Duration,
     answer: RenewalAnswer,
 ) -> RenewalPause {
     let order = runner.plan_renewal(now).unwrap();
-    runner.receive_renewal_answer(&order, answer, now + took)
+    runner.receive_renewal_answer(&order, answer, now + latency)
 }
 
-/// Renews again and again until `until_ms` with the longest pauses; the target answers at once. Returns when each renewal went out.
+/// Renews until `until_ms` with the longest pauses, at a target that answers at once; returns when each renewal was sent.
 fn renew_until(
     runner: &mut Runner,
     from_ms: u64,
@@ -59,15 +59,15 @@
     while now < until_ms {
         runner.receive(SESSION, echo(at(now)), at(now));
         sent.push(now);
-        let took = ms(ROUND_TRIP_MS);
-        let pause = renew_after(runner, at(now), took, answer(50_000 + now));
+        let latency = ms(ROUND_TRIP_MS);
+        let pause = renew_after(runner, at(now), latency, answer(50_000 + now));
         now += ROUND_TRIP_MS + pause.longest.as_millis() as u64;
     }
     sent
 }
 
 #[test]
-fn a_target_with_a_held_end_is_asked_about_as_often_as_an_idle_one() {
+fn a_target_with_a_held_end_is_renewed_about_as_often_as_an_idle_one() {
     let mut runner = with_held_end();
 
     let sent = renew_until(&mut runner, 152, 1_152, done);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_lease_of_a_target_with_a_held_end_is_kept() {
+fn the_lease_of_a_target_with_a_held_end_is_extended_in_time() {
     let mut runner = with_held_end();
 
     let sent = renew_until(&mut runner, 152, 3_152, done);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn pauses_begin_short_so_that_an_end_right_after_another_is_noticed_soon() {
+fn pauses_start_short_and_double() {
     let mut runner = with_held_end();
 
     let sent = renew_until(&mut runner, 152, 300, done);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_new_end_makes_the_pauses_short_again() {
+fn a_new_end_resets_the_pause() {
     let mut runner = with_held_end();
     renew_until(&mut runner, 152, 400, done);
 
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_target_that_waits_is_renewed_without_a_pause() {
+fn a_target_that_uses_its_wait_is_renewed_without_a_pause() {
     let mut runner = ready();
 
     let waited = renew_after(&mut runner, at(110), ms(26), list(50_036, vec![], &[]));
@@ -146,12 +146,14 @@
 }
 
 #[test]
-fn a_target_that_answers_at_once_whatever_it_is_asked_is_asked_in_bounds() {
-    let mut silent = ready();
-    let mut telling = ready();
+fn renewals_are_rate_limited_for_a_target_that_always_answers_at_once() {
+    let mut without_ends = ready();
+    let mut with_new_ends = ready();
 
-    let idle = renew_until(&mut silent, 110, 1_110, |clock| list(clock, vec![], &[]));
-    let busy = renew_until(&mut telling, 110, 1_110, |clock| {
+    let idle = renew_until(&mut without_ends, 110, 1_110, |clock| {
+        list(clock, vec![], &[])
+    });
+    let busy = renew_until(&mut with_new_ends, 110, 1_110, |clock| {
         list(clock, vec![], &[(clock, 9, EndCause::Failed)])
     });
 
@@ -160,7 +162,7 @@
 }
 
 #[test]
-fn a_target_that_does_not_answer_is_asked_again_soon_while_it_accepts_work() {
+fn an_unanswered_renewal_is_retried_sooner_while_the_target_accepts_work() {
     let mut runner = ready();
     let order = runner.plan_renewal(at(110)).unwrap();
 
--- a/crates/leased/cloverfold_lease/tests/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/sessions.rs
@@ -1,13 +1,15 @@
-//! Sessions: how long they are valid, what ends with them, what is reported over them.
+//! Sessions: their expiry, what ends with them, and what is reported to them.
 
 use cloverfold_lease::{EndCause, Runner, RunnerAction, RunnerMessage};
 
-use crate::fixture::{SESSION, assign, at, echo, list, ready, renew, started, stops, take_starts};
+use crate::fixture::{
+    SESSION, assign, at, echo, list, ready, renew, start_run, stops, take_starts,
+};
 
 #[test]
-fn a_session_that_is_not_echoed_ends_and_its_runs_are_stopped() {
+fn a_session_without_echoes_expires_and_its_runs_are_stopped() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
     runner.receive(SESSION, echo(at(200)), at(210));
     runner.tick(at(699));
     let before = runner.take_actions();
@@ -21,7 +23,7 @@
 }
 
 #[test]
-fn an_echo_from_the_future_does_not_prolong_a_session_beyond_its_span() {
+fn an_echo_from_the_future_does_not_extend_a_session_beyond_its_timeout() {
     let mut runner = ready();
     runner.receive(SESSION, echo(at(900_000)), at(110));
 
@@ -35,9 +37,9 @@
 }
 
 #[test]
-fn a_new_session_is_told_of_the_target_only_when_nothing_of_the_last_runs() {
+fn the_target_is_announced_to_a_new_session_only_after_earlier_runs_have_ended() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
     runner.close_session(SESSION, at(120));
     runner.take_actions();
     runner.open_session(8, at(130));
@@ -63,12 +65,12 @@
 }
 
 #[test]
-fn every_session_is_told_of_changed_free_capacity_once() {
+fn changed_free_capacity_is_reported_once_to_every_session() {
     let mut runner = ready();
     runner.open_session(8, at(100));
     runner.tick(at(101));
     runner.take_actions();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
     let reported_sessions = |runner: &mut Runner| -> Vec<u64> {
         let actions = runner.take_actions().into_iter();
         let reported_sessions = actions.filter_map(|action| match action {
@@ -85,7 +87,7 @@
     assert_eq!(reported_sessions(&mut runner), []);
 }
 
-/// Takes the actions of a runner and returns whether each message about the target to [`SESSION`] offers one.
+/// Takes the runner's actions and returns for each message about the target to [`SESSION`] whether it offers one.
 fn take_offers(runner: &mut Runner) -> Vec<bool> {
     let actions = runner.take_actions().into_iter();
     let offers = actions.filter_map(|action| match action {
@@ -96,23 +98,27 @@
 }
 
 #[test]
-fn a_retired_session_is_offered_no_target_and_keeps_what_it_has() {
+fn a_retired_session_gets_no_target_and_keeps_its_runs() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
 
     runner.retire_session(SESSION, true);
 
     assert_eq!(take_offers(&mut runner), [false]);
     assert_eq!(runner.count_session_runs(SESSION), 1);
     runner.receive(SESSION, assign(2, at(500)), at(112));
-    assert_eq!(take_starts(&mut runner).len(), 1, "it was under way");
+    assert_eq!(
+        take_starts(&mut runner).len(),
+        1,
+        "the assignment was in flight"
+    );
     let ended = [(1, 1, EndCause::Done), (2, 2, EndCause::Done)];
     renew(&mut runner, at(140), list(50_050, vec![], &ended));
     assert_eq!(runner.count_session_runs(SESSION), 0);
 }
 
 #[test]
-fn a_session_that_is_no_longer_retired_is_offered_the_target_again() {
+fn a_session_that_is_no_longer_retired_gets_the_target_again() {
     let mut runner = ready();
     runner.retire_session(SESSION, true);
     runner.take_actions();
@@ -123,7 +129,7 @@
 }
 
 #[test]
-fn other_sessions_are_offered_the_target_while_one_is_retired() {
+fn other_sessions_get_the_target_while_one_is_retired() {
     let mut runner = ready();
     runner.retire_session(SESSION, true);
     runner.take_actions();
--- a/crates/leased/cloverfold_lease/tests/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/starts.rs
@@ -1,11 +1,11 @@
-//! Starts: repeats, refusals, the fencing token.
+//! Starts: retries, refusals and the fencing token.
 
 use cloverfold_lease::{RunOutcome, RunRefusal, StartAnswer, StartRefusal};
 
 use crate::fixture::{SESSION, assign, at, list, ready, renew, take_ends, take_starts};
 
 #[test]
-fn a_start_without_an_answer_is_repeated_as_it_was() {
+fn an_unanswered_start_is_retried_with_the_same_deadline() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(110));
     let first = take_starts(&mut runner).remove(0);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_start_that_was_sent_twice_and_refused_is_not_given_back_before_it_is_surely_void() {
+fn a_refused_retry_is_not_reported_before_the_first_start_has_expired() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(110));
     let first = take_starts(&mut runner).remove(0);
@@ -31,7 +31,7 @@
     assert_eq!(
         take_ends(&mut runner),
         [],
-        "the first may still be carried out"
+        "the first start may still be executed"
     );
     renew(&mut runner, at(150), list(first.deadline, vec![], &[]));
     assert_eq!(take_ends(&mut runner), []);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_refused_token_is_raised_and_the_start_sent_again() {
+fn a_refused_fencing_token_is_raised_and_the_start_resent() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(110));
     let first = take_starts(&mut runner).remove(0);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_start_that_never_left_is_given_back_at_once() {
+fn an_undelivered_start_is_refused_at_once() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(500)), at(110));
     let order = take_starts(&mut runner).remove(0);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_start_that_may_have_arrived_before_is_not_given_back_when_a_later_one_never_left() {
+fn an_undelivered_retry_is_not_refused_while_the_first_start_may_take_effect() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(500)), at(110));
     let first = take_starts(&mut runner).remove(0);
@@ -80,11 +80,15 @@
     runner.receive_start_answer(&second, answer, at(131));
 
     assert_eq!(take_ends(&mut runner), []);
-    assert_eq!(runner.run_count(), 1, "the first may still be carried out");
+    assert_eq!(
+        runner.run_count(),
+        1,
+        "the first start may still be executed"
+    );
 }
 
 #[test]
-fn a_start_is_sent_six_times_at_most() {
+fn a_start_is_sent_at_most_six_times() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(110));
     let mut sent = take_starts(&mut runner);
@@ -98,11 +102,11 @@
     assert_eq!(attempts, [1, 2, 3, 4, 5, 6]);
     let first = sent[0].deadline;
     assert!(sent.iter().all(|order| order.deadline == first));
-    assert_eq!(runner.run_count(), 1, "any of them may be carried out");
+    assert_eq!(runner.run_count(), 1, "each of them may still be executed");
 }
 
 #[test]
-fn the_only_start_that_came_too_late_is_replaced_by_one_with_a_new_deadline() {
+fn a_single_late_start_is_replaced_by_one_with_a_new_deadline() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(110));
     let first = take_starts(&mut runner).remove(0);
@@ -116,7 +120,7 @@
 }
 
 #[test]
-fn a_repeated_start_that_came_too_late_keeps_its_deadline() {
+fn a_late_retry_keeps_its_deadline() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(110));
     let first = take_starts(&mut runner).remove(0);
--- a/crates/leased/cloverfold_lease/tests/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/stuck_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that are stuck or slow at a target that looks well.
+//! Stuck or slow runs at a target that answers normally.
 
 use std::time::Duration;
 
@@ -24,41 +24,41 @@
     accelerators: 0,
 };
 
-/// A runner, its target's answers, and a clock that they share.
-struct Bench {
+/// A runner with its target's answers and a common clock.
+struct Harness {
     runner: Runner,
     now: Timestamp,
     actions: Vec<RunnerAction>,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let registration = TargetRegistration {
             capacity: CAPACITY,
             ..registration(1)
         };
-        let mut bench = Self {
+        let mut harness = Self {
             runner: registered(registration, at(0)),
             now: at(0),
             actions: Vec::new(),
         };
-        bench.list(&[], &[]);
-        bench.runner.open_session(SESSION, bench.now);
-        bench
+        harness.list(&[], &[]);
+        harness.runner.open_session(SESSION, harness.now);
+        harness
     }
 
-    /// A bench whose target was seen to tell the progress of a run.
+    /// Returns a harness whose target has reported the progress of a run.
     fn with_progress() -> Self {
-        let mut bench = Self::new();
-        bench.start(100, 60);
-        bench.list(&[(100, 10)], &[]);
-        bench.list(&[(100, 60)], &[]);
-        bench.list(&[], &[(1, 100, EndCause::Done)]);
-        bench.actions.clear();
-        bench
+        let mut harness = Self::new();
+        harness.start(100, 60);
+        harness.list(&[(100, 10)], &[]);
+        harness.list(&[(100, 60)], &[]);
+        harness.list(&[], &[(1, 100, EndCause::Done)]);
+        harness.actions.clear();
+        harness
     }
 
-    /// The target lists runs with their progress, and ends; afterwards a tick passes.
+    /// Renews the lease with a list of runs with their progress and of ends, then ticks.
     fn list(&mut self, running: &[(u32, u8)], ended: &[(u64, u32, EndCause)]) {
         let rows = running.iter();
         let rows = rows.map(|&(index, percent)| row(index, Some(percent)));
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Lets time pass in steps of 40 ms; the target lists the same again and again.
-    fn stand(&mut self, span: Duration, running: &[(u32, u8)]) {
+    /// Advances the clock in steps of 40 ms with the same list each time.
+    fn advance_without_progress(&mut self, span: Duration, running: &[(u32, u8)]) {
         let end = self.now + span;
         while self.now < end {
             self.now += ms(40);
@@ -115,148 +115,159 @@
 
 #[test]
 fn a_stuck_run_is_stopped_and_reported_as_stuck() {
-    let mut bench = Bench::with_progress();
-    bench.start(1, 60);
-    bench.list(&[(1, 30)], &[]);
+    let mut harness = Harness::with_progress();
+    harness.start(1, 60);
+    harness.list(&[(1, 30)], &[]);
 
-    bench.stand(ms(160), &[(1, 30)]);
+    harness.advance_without_progress(ms(160), &[(1, 30)]);
 
-    assert_eq!(bench.stops(), [1]);
-    bench.list(&[], &[(2, 1, EndCause::Stopped)]);
-    assert_eq!(bench.outcomes(), [(1, RunOutcome::Stuck)]);
-    assert_eq!(bench.runner.counts().stuck, 1);
+    assert_eq!(harness.stops(), [1]);
+    harness.list(&[], &[(2, 1, EndCause::Stopped)]);
+    assert_eq!(harness.outcomes(), [(1, RunOutcome::Stuck)]);
+    assert_eq!(harness.runner.counts().stuck, 1);
 }
 
 #[test]
-fn a_run_that_ends_while_it_is_stopped_as_stuck_is_done() {
-    let mut bench = Bench::with_progress();
-    bench.start(1, 60);
-    bench.stand(ms(200), &[(1, 30)]);
-    assert_eq!(bench.stops(), [1]);
+fn a_run_that_completes_while_it_is_stopped_as_stuck_is_done() {
+    let mut harness = Harness::with_progress();
+    harness.start(1, 60);
+    harness.advance_without_progress(ms(200), &[(1, 30)]);
+    assert_eq!(harness.stops(), [1]);
 
-    bench.list(&[], &[(2, 1, EndCause::Done)]);
+    harness.list(&[], &[(2, 1, EndCause::Done)]);
 
-    assert_eq!(bench.outcomes(), [(1, RunOutcome::Done)]);
+    assert_eq!(harness.outcomes(), [(1, RunOutcome::Done)]);
 }
 
 #[test]
-fn a_run_at_a_target_ten_times_slower_than_usual_gets_on() {
-    let mut bench = Bench::with_progress();
-    bench.start(1, 900);
+fn a_run_at_a_ten_times_slower_target_is_not_stuck() {
+    let mut harness = Harness::with_progress();
+    harness.start(1, 900);
 
     for percent in 0..40 {
-        bench.stand(ms(80), &[(1, percent)]);
+        harness.advance_without_progress(ms(80), &[(1, percent)]);
     }
 
-    assert!(bench.stops().is_empty());
+    assert!(harness.stops().is_empty());
 }
 
 #[test]
-fn a_target_that_tells_no_progress_is_not_judged_by_it() {
-    let mut bench = Bench::with_progress();
-    bench.start(1, 60);
+fn a_target_without_progress_reports_is_not_judged() {
+    let mut harness = Harness::with_progress();
+    harness.start(1, 60);
 
     for _ in 0..10 {
-        bench.now += ms(40);
-        bench.renew(vec![row(1, None)], &[]);
+        harness.now += ms(40);
+        harness.renew(vec![row(1, None)], &[]);
     }
 
-    assert_eq!(bench.runner.counts().stuck, 0);
+    assert_eq!(harness.runner.counts().stuck, 0);
 }
 
 #[test]
-fn a_target_that_always_tells_the_same_progress_is_not_judged_by_it() {
-    let mut bench = Bench::new();
-    bench.start(1, 60);
+fn a_target_with_constant_progress_is_not_judged() {
+    let mut harness = Harness::new();
+    harness.start(1, 60);
 
-    bench.stand(ms(400), &[(1, 50)]);
+    harness.advance_without_progress(ms(400), &[(1, 50)]);
 
-    assert!(bench.stops().is_empty());
+    assert!(harness.stops().is_empty());
 }
 
 #[test]
-fn a_runner_that_itself_stood_still_takes_no_run_for_stuck() {
-    let mut bench = Bench::with_progress();
-    bench.start(1, 60);
-    bench.list(&[(1, 30)], &[]);
+fn a_stalled_runner_does_not_consider_runs_stuck() {
+    let mut harness = Harness::with_progress();
+    harness.start(1, 60);
+    harness.list(&[(1, 30)], &[]);
 
-    bench.now += ms(450);
-    bench.list(&[(1, 30)], &[]);
+    harness.now += ms(450);
+    harness.list(&[(1, 30)], &[]);
 
-    assert!(bench.stops().is_empty());
+    assert!(harness.stops().is_empty());
 }
 
 #[test]
-fn a_target_whose_runs_are_stuck_is_paused_then_on_probation_and_then_trusted() {
-    let mut bench = Bench::with_progress();
+fn a_target_with_stuck_runs_is_paused_then_on_probation_then_fully_offered() {
+    let mut harness = Harness::with_progress();
     let stuck = [(1, 0), (2, 0), (3, 0)];
     for (index, _) in stuck {
-        bench.start(index, 60);
+        harness.start(index, 60);
     }
 
-    bench.stand(ms(160), &stuck);
+    harness.advance_without_progress(ms(160), &stuck);
 
-    assert!(!bench.runner.has_ready_target(), "all sessions get it back");
-    let reason = bench.runner.find_unavailable_reason();
+    assert!(
+        !harness.runner.has_ready_target(),
+        "the pause withdraws the target from all sessions"
+    );
+    let reason = harness.runner.find_unavailable_reason();
     assert_eq!(reason, Some(UnavailableReason::StuckRuns));
     let ends = [1, 2, 3].map(|index| (u64::from(index) + 1, index, EndCause::Stopped));
-    bench.list(&[], &ends);
-    bench.stand(ms(1_000), &[]);
+    harness.list(&[], &ends);
+    harness.advance_without_progress(ms(1_000), &[]);
     assert!(
-        bench.runner.has_ready_target(),
+        harness.runner.has_ready_target(),
         "it is on probation after a pause"
     );
-    assert_eq!(free(&bench), Some(CAPACITY.cpu_milli / 6), "in part");
-    bench.start(4, 60);
-    bench.list(&[], &[(5, 4, EndCause::Done)]);
-    assert_eq!(free(&bench), Some(CAPACITY.cpu_milli), "and then trusted");
+    assert_eq!(
+        free(&harness),
+        Some(CAPACITY.cpu_milli / 6),
+        "only a part is offered on probation"
+    );
+    harness.start(4, 60);
+    harness.list(&[], &[(5, 4, EndCause::Done)]);
+    assert_eq!(
+        free(&harness),
+        Some(CAPACITY.cpu_milli),
+        "then the whole capacity is offered"
+    );
 }
 
 #[test]
-fn runs_that_get_on_slowly_are_told_as_slowness_before_any_of_them_ends() {
-    let mut bench = Bench::with_progress();
+fn slow_progress_is_reported_as_slowness_before_any_run_ends() {
+    let mut harness = Harness::with_progress();
     let runs: Vec<u32> = (1..=6).collect();
     for index in &runs {
-        bench.start(*index, 1_000);
+        harness.start(*index, 1_000);
     }
 
-    // A run of 1,000 ms gets on by 4 % in 40 ms; these take five times as long. Whole percents over 80 ms tell a half to the double.
+    // A run of 1,000 ms advances by 4 % in 40 ms; these are five times slower. Whole percents over 80 ms measure half to twice the speed.
     for percent in [0, 1, 2, 2, 3, 4, 5, 6, 6, 7] {
-        bench.now += ms(40);
+        harness.now += ms(40);
         let rows: Vec<(u32, u8)> = runs.iter().map(|index| (*index, percent)).collect();
-        bench.list(&rows, &[]);
+        harness.list(&rows, &[]);
     }
 
-    let slowness = free_capacity(&bench).unwrap().slowness_permille;
+    let slowness = free_capacity(&harness).unwrap().slowness_permille;
     assert!((2_500..=10_000).contains(&slowness), "{slowness}");
 }
 
 #[test]
-fn one_run_that_takes_longer_than_its_estimate_makes_no_slow_target() {
-    let mut bench = Bench::with_progress();
+fn one_slow_run_does_not_make_the_target_slow() {
+    let mut harness = Harness::with_progress();
     for index in 1..=6 {
-        bench.start(index, 1_000);
+        harness.start(index, 1_000);
     }
 
     for step in 0..10_u8 {
-        bench.now += ms(40);
+        harness.now += ms(40);
         let row = |index: u32| (index, if index == 1 { step / 2 } else { step * 4 });
         let rows: Vec<(u32, u8)> = (1..=6).map(row).collect();
-        bench.list(&rows, &[]);
+        harness.list(&rows, &[]);
     }
 
-    let slowness = free_capacity(&bench).unwrap().slowness_permille;
+    let slowness = free_capacity(&harness).unwrap().slowness_permille;
     assert!((800..1_300).contains(&slowness), "{slowness}");
 }
 
-/// Returns the free processors that were last reported to the session.
-fn free(bench: &Bench) -> Option<i64> {
-    free_capacity(bench).map(|free_capacity| free_capacity.free.cpu_milli)
+/// Returns the free processors last reported to the session.
+fn free(harness: &Harness) -> Option<i64> {
+    free_capacity(harness).map(|free_capacity| free_capacity.free.cpu_milli)
 }
 
-/// Returns the free capacity that was last reported to the session.
-fn free_capacity(bench: &Bench) -> Option<FreeCapacity> {
-    let actions = bench.actions.iter().enumerate();
+/// Returns the free capacity last reported to the session.
+fn free_capacity(harness: &Harness) -> Option<FreeCapacity> {
+    let actions = harness.actions.iter().enumerate();
     let reports = actions.filter_map(|(order, action)| match action {
         RunnerAction::Send(
             _,
--- a/crates/leased/cloverfold_lease/tests/runner/target.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/target.rs
@@ -1,4 +1,4 @@
-//! The target: its incarnations, its lists, its silence.
+//! The target: incarnations, lists and unresponsiveness.
 
 use cloverfold_lease::{
     EndCause, RenewalAnswer, RunOutcome, Runner, RunnerAction, TargetRegistration,
@@ -6,12 +6,12 @@
 };
 
 use crate::fixture::{
-    SESSION, assign, at, echo, list, ready, registered, registration, renew, row, started,
+    SESSION, assign, at, echo, list, ready, registered, registration, renew, row, start_run,
     take_ends, take_starts, task,
 };
 
 #[test]
-fn nothing_is_assigned_to_a_target_before_it_is_known_to_run_nothing_else() {
+fn a_target_gets_no_work_until_its_list_contains_no_orphans() {
     let mut runner = registered(registration(1), at(90));
     let first = runner.plan_renewal(at(91)).unwrap();
     assert_eq!(
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn what_comes_late_from_an_earlier_incarnation_of_the_target_changes_nothing() {
+fn a_late_registration_of_an_earlier_incarnation_is_ignored() {
     let mut runner = ready();
     runner.register(registration(2), at(110));
     renew(&mut runner, at(112), list(50_005, vec![], &[]));
     runner.take_actions();
-    started(&mut runner, 1, at(120));
+    start_run(&mut runner, 1, at(120));
 
     runner.register(registration(1), at(130));
 
@@ -50,41 +50,44 @@
 }
 
 #[test]
-fn a_new_incarnation_of_the_target_ends_all_runs_of_the_last_once_it_has_answered() {
+fn a_new_incarnation_ends_all_earlier_runs_once_it_has_answered() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
 
     runner.register(registration(2), at(120));
     let before = take_ends(&mut runner);
     renew(&mut runner, at(121), list(10, vec![], &[]));
 
-    assert_eq!(before, [], "it may be a late registration of a dead one");
+    assert_eq!(
+        before,
+        [],
+        "the registration may be a late one of a dead incarnation"
+    );
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Lost)]);
     assert!(runner.has_ready_target());
 }
 
-/// A runner whose process knows `incarnation-2` alone, with a run under way there, when a registration of the crashed
-/// `incarnation-1` arrives late.
+/// Returns a runner that knows only `incarnation-2`, with a run there, after a late registration of the crashed `incarnation-1`.
 fn with_late_registration() -> Runner {
     let mut runner = registered(registration(2), at(90));
     renew(&mut runner, at(95), list(50_005, vec![], &[]));
     runner.open_session(SESSION, at(100));
     runner.take_actions();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
     runner.register(registration(1), at(120));
     runner
 }
 
 #[test]
-fn a_late_registration_of_an_incarnation_that_this_process_never_knew_changes_nothing() {
+fn a_late_registration_of_an_unknown_incarnation_is_probed_and_then_ignored() {
     let mut runner = with_late_registration();
 
-    let asked = runner.plan_renewal(at(121)).unwrap();
-    runner.receive_renewal_answer(&asked, RenewalAnswer::OtherIncarnation, at(122));
+    let probe = runner.plan_renewal(at(121)).unwrap();
+    runner.receive_renewal_answer(&probe, RenewalAnswer::OtherIncarnation, at(122));
     runner.register(registration(1), at(130));
 
-    assert_eq!(asked.incarnation.name, "incarnation-1");
-    assert_eq!(asked.deadline, None, "a question extends no lease");
+    assert_eq!(probe.incarnation.name, "incarnation-1");
+    assert_eq!(probe.deadline, None, "a probe must not extend a lease");
     assert_eq!(take_ends(&mut runner), [], "the run goes on");
     assert!(runner.has_ready_target());
     let next = runner.plan_renewal(at(131)).unwrap();
@@ -92,10 +95,10 @@
 }
 
 #[test]
-fn the_living_target_is_still_heard_after_a_late_registration() {
+fn registrations_of_the_live_target_are_accepted_after_a_late_one() {
     let mut runner = with_late_registration();
-    let asked = runner.plan_renewal(at(121)).unwrap();
-    runner.receive_renewal_answer(&asked, RenewalAnswer::OtherIncarnation, at(122));
+    let probe = runner.plan_renewal(at(121)).unwrap();
+    runner.receive_renewal_answer(&probe, RenewalAnswer::OtherIncarnation, at(122));
 
     let draining = TargetRegistration {
         is_draining: true,
@@ -111,7 +114,7 @@
 }
 
 #[test]
-fn an_unanswered_question_leaves_the_target_and_is_asked_again_for_a_while() {
+fn an_unanswered_probe_keeps_the_target_and_is_retried_for_a_while() {
     let mut runner = with_late_registration();
 
     let first = runner.plan_renewal(at(121)).unwrap();
@@ -123,7 +126,7 @@
     assert_eq!(first.incarnation.name, "incarnation-1");
     assert_eq!(
         between.incarnation.name, "incarnation-2",
-        "its lease is kept"
+        "the lease of the target is renewed between probes"
     );
     assert_eq!(again.incarnation.name, "incarnation-1");
     assert_eq!(much_later.incarnation.name, "incarnation-2");
@@ -131,7 +134,7 @@
 }
 
 #[test]
-fn a_restarted_process_that_hears_of_the_dead_incarnation_first_finds_the_living_one() {
+fn a_restarted_runner_finds_the_live_target_after_a_registration_of_a_dead_one() {
     let mut runner = registered(registration(1), at(90));
     let dead = runner.plan_renewal(at(91)).unwrap();
     runner.receive_renewal_answer(&dead, RenewalAnswer::OtherIncarnation, at(92));
@@ -146,7 +149,7 @@
 }
 
 #[test]
-fn an_incarnation_that_refuses_the_fencing_token_is_asked_with_a_higher_one() {
+fn a_candidate_that_refuses_the_fencing_token_is_probed_with_a_higher_one() {
     let mut runner = ready();
     runner.register(registration(2), at(110));
     let refused = runner.plan_renewal(at(111)).unwrap();
@@ -164,7 +167,7 @@
 #[test]
 fn ends_are_reported_once_and_acknowledged() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
     renew(
         &mut runner,
         at(130),
@@ -188,7 +191,7 @@
 #[test]
 fn a_run_that_is_no_longer_listed_is_lost() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
 
     renew(&mut runner, at(130), list(50_050, vec![], &[]));
 
@@ -196,9 +199,9 @@
 }
 
 #[test]
-fn an_unresponsive_target_gets_no_work_and_its_runs_are_lost_only_with_the_lease() {
+fn an_unresponsive_target_gets_no_work_and_its_runs_are_lost_only_when_the_lease_lapses() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
     let echo = |runner: &mut Runner, now_ms| {
         let now = at(now_ms);
         runner.receive(SESSION, echo(now), now);
@@ -208,7 +211,7 @@
         echo(&mut runner, at);
     }
     assert!(!runner.has_ready_target());
-    assert_eq!(take_ends(&mut runner), [], "the lease may still stand");
+    assert_eq!(take_ends(&mut runner), [], "the lease may still be valid");
 
     for at in (700..900).step_by(50) {
         echo(&mut runner, at);
@@ -217,8 +220,8 @@
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Lost)]);
 }
 
-/// Asks the target for a renewal every 40 ms, which it does not answer.
-fn renew_in_vain(runner: &mut Runner, from_ms: u64, until_ms: u64) {
+/// Sends a renewal every 40 ms that stays unanswered.
+fn renew_without_answers(runner: &mut Runner, from_ms: u64, until_ms: u64) {
     for now in (from_ms..until_ms).step_by(40) {
         runner.receive(SESSION, echo(at(now)), at(now));
         let order = runner.plan_renewal(at(now)).unwrap();
@@ -228,33 +231,33 @@
 }
 
 #[test]
-fn runs_of_a_dark_target_are_lost_although_it_is_asked_again_and_again() {
+fn runs_of_an_unresponsive_target_are_lost_despite_renewals() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
+    start_run(&mut runner, 1, at(110));
 
-    renew_in_vain(&mut runner, 120, 1_200);
+    renew_without_answers(&mut runner, 120, 1_200);
 
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Lost)]);
 }
 
 #[test]
-fn the_lease_of_a_target_that_answers_again_in_time_is_extended_again() {
+fn the_lease_of_a_target_that_answers_again_in_time_is_extended() {
     let mut runner = ready();
-    started(&mut runner, 1, at(110));
-    renew_in_vain(&mut runner, 120, 500);
-    let while_silent = runner.plan_renewal(at(500)).unwrap();
+    start_run(&mut runner, 1, at(110));
+    renew_without_answers(&mut runner, 120, 500);
+    let while_unresponsive = runner.plan_renewal(at(500)).unwrap();
 
     renew(&mut runner, at(510), list(50_420, vec![row(1, None)], &[]));
     runner.tick(at(515));
 
     let next = runner.plan_renewal(at(520)).unwrap();
-    assert_eq!(while_silent.deadline, None);
+    assert_eq!(while_unresponsive.deadline, None);
     assert_eq!(next.deadline, Some(50_420 + 9 + 650));
     assert_eq!(take_ends(&mut runner), []);
 }
 
 #[test]
-fn a_target_that_misses_three_renewals_gets_no_work_and_no_further_starts() {
+fn an_unresponsive_target_gets_no_work_and_no_start_retries() {
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(500)), at(110));
     take_starts(&mut runner);
--- a/crates/leased/cloverfold_lease/tests/runner/upkeep.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/upkeep.rs
@@ -1,4 +1,4 @@
-//! A target that is held for its upkeep: nothing starts, nothing is cut, and the hold ends by itself.
+//! A target that is held before upkeep: nothing starts, started runs are not interrupted, and the hold expires.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 };
 
 use crate::fixture::{
-    SESSION, assign, at, ends, list, ready, renew, row, started, stops, take_ends, take_starts,
+    SESSION, assign, at, ends, list, ready, renew, row, start_run, stops, take_ends, take_starts,
 };
 
-const GIVEN_BACK: RunOutcome = RunOutcome::NotStarted(RunRefusal::Draining);
-const SPAN: Duration = Duration::from_millis(50);
+const REFUSED: RunOutcome = RunOutcome::NotStarted(RunRefusal::Draining);
+const HOLD_DURATION: Duration = Duration::from_millis(50);
 
-/// Returns whether each message about the target to [`SESSION`] offers one.
+/// Returns for each message about the target to [`SESSION`] whether it offers one.
 fn offers(actions: &[RunnerAction]) -> Vec<bool> {
     let offers = actions.iter().filter_map(|action| match action {
         RunnerAction::Send(SESSION, RunnerMessage::Target(target)) => Some(target.is_some()),
@@ -29,30 +29,30 @@
 }
 
 #[test]
-fn a_held_target_is_offered_to_nobody_and_assignments_under_way_are_given_back() {
+fn a_held_target_is_not_offered_and_assignments_in_flight_are_refused() {
     let mut runner = ready();
 
-    hold(&mut runner, SPAN);
+    hold(&mut runner, HOLD_DURATION);
 
     assert_eq!(offers(&runner.take_actions()), [false]);
     let reason = runner.find_unavailable_reason();
     assert_eq!(reason, Some(UnavailableReason::Upkeep));
     runner.receive(SESSION, assign(1, at(400)), at(111));
-    assert_eq!(ends(&runner.take_actions()), [(1, GIVEN_BACK)]);
+    assert_eq!(ends(&runner.take_actions()), [(1, REFUSED)]);
     assert_eq!(take_starts(&mut runner), []);
 }
 
 #[test]
-fn what_waits_is_given_back_and_what_runs_ends_in_peace() {
+fn waiting_runs_are_refused_and_started_runs_finish_normally() {
     let mut runner = ready();
-    started(&mut runner, 1, at(101));
-    started(&mut runner, 2, at(101));
+    start_run(&mut runner, 1, at(101));
+    start_run(&mut runner, 2, at(101));
     runner.receive(SESSION, assign(3, at(400)), at(102));
     runner.take_actions();
 
-    hold(&mut runner, SPAN);
+    hold(&mut runner, HOLD_DURATION);
 
-    assert_eq!(take_ends(&mut runner), [(3, GIVEN_BACK)]);
+    assert_eq!(take_ends(&mut runner), [(3, REFUSED)]);
     let rows = vec![row(1, None), row(2, None)];
     renew(&mut runner, at(130), list(50_040, rows, &[]));
     assert_eq!(stops(&runner.take_actions()), []);
@@ -66,15 +66,15 @@
 }
 
 #[test]
-fn a_hold_ends_by_itself_and_is_prolonged_by_the_next_word() {
+fn a_hold_expires_and_is_extended_by_the_next_request() {
     let mut runner = ready();
-    hold(&mut runner, SPAN);
+    hold(&mut runner, HOLD_DURATION);
     runner.take_actions();
 
     runner.tick(at(159));
     assert!(runner.is_held());
     let name = runner.target_incarnation_id().unwrap().name.clone();
-    runner.hold_target(&name, SPAN, at(159));
+    runner.hold_target(&name, HOLD_DURATION, at(159));
     runner.tick(at(208));
     assert!(runner.is_held());
     runner.tick(at(209));
@@ -84,13 +84,13 @@
 }
 
 #[test]
-fn what_is_told_of_the_load_counts_runs_that_wait_and_all_that_the_target_has() {
+fn unreserved_capacity_is_the_whole_capacity_minus_all_runs() {
     let mut runner = ready();
     let capacity = runner.describe_target().unwrap().capacity;
     let empty = runner.unreserved_capacity(at(100)).unwrap();
-    started(&mut runner, 1, at(101));
+    start_run(&mut runner, 1, at(101));
 
-    hold(&mut runner, SPAN);
+    hold(&mut runner, HOLD_DURATION);
 
     assert_eq!(empty.free, capacity);
     let held = runner.unreserved_capacity(at(120)).unwrap();
@@ -104,9 +104,9 @@
 }
 
 #[test]
-fn a_word_of_no_span_ends_a_hold() {
+fn a_hold_of_zero_duration_ends_the_hold() {
     let mut runner = ready();
-    hold(&mut runner, SPAN);
+    hold(&mut runner, HOLD_DURATION);
     runner.take_actions();
 
     hold(&mut runner, Duration::ZERO);
@@ -116,10 +116,10 @@
 }
 
 #[test]
-fn a_word_for_another_incarnation_changes_nothing() {
+fn a_hold_for_another_incarnation_is_ignored() {
     let mut runner = ready();
 
-    runner.hold_target("another", SPAN, at(110));
+    runner.hold_target("another", HOLD_DURATION, at(110));
 
     assert!(!runner.is_held());
     assert_eq!(offers(&runner.take_actions()), [] as [bool; 0]);
@@ -130,12 +130,12 @@
     let mut runner = ready();
     runner.receive(SESSION, assign(1, at(600)), at(101));
     let start = take_starts(&mut runner).remove(0);
-    hold(&mut runner, SPAN);
+    hold(&mut runner, HOLD_DURATION);
     runner.take_actions();
 
     let answer = StartAnswer::Refused(StartRefusal::Late, Some(50_020));
     runner.receive_start_answer(&start, answer, at(115));
 
-    assert_eq!(take_ends(&mut runner), [(1, GIVEN_BACK)]);
+    assert_eq!(take_ends(&mut runner), [(1, REFUSED)]);
     assert_eq!(take_starts(&mut runner), []);
 }
--- a/crates/leased/cloverfold_lease/tests/runner/usual_speed.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/usual_speed.rs
@@ -1,4 +1,4 @@
-//! How fast a target usually is, as dispatchers are told.
+//! The usual speed of a target as reported to dispatchers.
 
 use cloverfold_base::Timestamp;
 use cloverfold_lease::{
@@ -10,27 +10,27 @@
     SESSION, assignment, echo, incarnation_id, ms, ready, registration, renew, take_starts, task,
 };
 
-/// A runner whose target runs one task after the other.
-struct Course {
+/// A runner whose target executes one task after the other.
+struct Simulation {
     runner: Runner,
     now: Timestamp,
     runs: u64,
-    /// What the session was told, oldest first.
-    told: Vec<UsualSpeed>,
+    /// Speeds reported to the session, oldest first.
+    reported: Vec<UsualSpeed>,
 }
 
-impl Course {
+impl Simulation {
     fn new() -> Self {
         Self {
             runner: ready(),
             now: Timestamp::from_start(ms(200)),
             runs: 0,
-            told: Vec::new(),
+            reported: Vec::new(),
         }
     }
 
-    /// Runs a task of an estimate of 100 ms that takes so long.
-    fn run(&mut self, took_ms: u64) {
+    /// Runs a task with an estimate of 100 ms and this duration.
+    fn run(&mut self, duration_ms: u64) {
         self.runs += 1;
         let number = self.runs;
         self.runner.receive(SESSION, echo(self.now), self.now);
@@ -45,7 +45,7 @@
         let clock = self.target_clock();
         self.runner
             .receive_start_answer(&order, StartAnswer::Started { clock }, self.now);
-        self.now += ms(took_ms);
+        self.now += ms(duration_ms);
         let ended = EndedRun {
             number,
             task: task(0),
@@ -60,13 +60,13 @@
         };
         renew(&mut self.runner, self.now, answer);
         self.runner.tick(self.now);
-        self.record_told();
+        self.record_reported();
     }
 
-    fn record_told(&mut self) {
+    fn record_reported(&mut self) {
         for action in self.runner.take_actions() {
             if let RunnerAction::Send(SESSION, RunnerMessage::UsualSpeed(speed)) = action {
-                self.told.push(speed);
+                self.reported.push(speed);
             }
         }
     }
@@ -79,95 +79,99 @@
                 .as_millis() as u64
     }
 
-    /// The target restarts and registers like this.
+    /// Restarts the target with this registration.
     fn restart(&mut self, registration: TargetRegistration) {
         self.runner
             .unregister(&incarnation_id("incarnation-1", None), self.now);
         self.runner.register(registration, self.now);
         self.runner.tick(self.now);
-        self.record_told();
+        self.record_reported();
     }
 
     fn newest_slowness(&self) -> Option<u32> {
-        self.told.last().map(|speed| speed.slowness_permille)
+        self.reported.last().map(|speed| speed.slowness_permille)
     }
 }
 
 #[test]
-fn dispatchers_learn_how_slow_a_target_is_by_nature() {
-    let mut course = Course::new();
+fn the_usual_slowness_is_reported() {
+    let mut simulation = Simulation::new();
 
     for _ in 0..40 {
-        course.run(180);
+        simulation.run(180);
     }
 
-    let slowness = course.newest_slowness().unwrap();
+    let slowness = simulation.newest_slowness().unwrap();
     assert!((1_790..=1_830).contains(&slowness), "{slowness}");
-    assert_eq!(course.told.len(), 1, "nothing has changed since");
+    assert_eq!(
+        simulation.reported.len(),
+        1,
+        "an unchanged speed is not reported again"
+    );
 }
 
 #[test]
-fn a_few_runs_tell_nothing() {
-    let mut course = Course::new();
+fn too_few_runs_report_nothing() {
+    let mut simulation = Simulation::new();
 
     for _ in 0..19 {
-        course.run(180);
+        simulation.run(180);
     }
 
-    assert!(course.told.is_empty());
+    assert!(simulation.reported.is_empty());
 }
 
 #[test]
-fn estimates_that_are_wrong_by_half_average_out() {
-    let mut course = Course::new();
+fn wrong_estimates_average_out() {
+    let mut simulation = Simulation::new();
 
     for round in 0..60 {
-        course.run(if round % 2 == 0 { 50 } else { 150 });
+        simulation.run(if round % 2 == 0 { 50 } else { 150 });
     }
 
-    let slowness = course.newest_slowness().unwrap();
+    let slowness = simulation.newest_slowness().unwrap();
     assert!((900..=1_100).contains(&slowness), "{slowness}");
 }
 
 #[test]
-fn trouble_does_not_change_what_is_usual() {
-    let mut course = Course::new();
+fn outliers_do_not_change_the_usual_speed() {
+    let mut simulation = Simulation::new();
     for _ in 0..40 {
-        course.run(80);
+        simulation.run(80);
     }
-    let before = course.newest_slowness();
+    let before = simulation.newest_slowness();
 
     for _ in 0..10 {
-        course.run(400);
+        simulation.run(400);
     }
 
-    assert_eq!(course.newest_slowness(), before);
+    assert_eq!(simulation.newest_slowness(), before);
 }
 
 #[test]
-fn a_target_that_restarts_as_the_same_keeps_its_usual_speed() {
-    let mut course = Course::new();
+fn a_restart_of_the_same_target_keeps_its_usual_speed() {
+    let mut simulation = Simulation::new();
     for _ in 0..40 {
-        course.run(180);
+        simulation.run(180);
     }
-    let before = course.newest_slowness();
+    let before = simulation.newest_slowness();
 
-    course.restart(registration(2));
+    simulation.restart(registration(2));
 
-    assert_eq!(course.newest_slowness(), before);
+    assert_eq!(simulation.newest_slowness(), before);
 }
 
 #[test]
-fn a_target_of_another_kind_begins_anew() {
-    let mut course = Course::new();
+fn a_target_with_other_labels_starts_a_new_estimate() {
+    let mut simulation = Simulation::new();
     for _ in 0..40 {
-        course.run(180);
+        simulation.run(180);
     }
 
-    course.restart(TargetRegistration {
+    simulation.restart(TargetRegistration {
         labels: vec!["fast".into()],
         ..registration(2)
     });
 
-    assert_eq!(course.told.last(), Some(&UsualSpeed::default()));
+    assert_eq!(simulation.reported.last(), Some(&UsualSpeed::default()));
 }
