--- a/crates/leased/cloverfold_lease/tests/world/clients.rs
+++ b/crates/leased/cloverfold_lease/tests/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they submit jobs, lose patience, and submit again what got no answer.
+//! Clients: they submit jobs, time out, and resend unanswered jobs.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 };
 use rand::RngExt;
 
-use super::{CLIENT_PATIENCE_MS, DISPATCHERS, RESEND_MS, World};
+use super::{CLIENT_TIMEOUT_MS, DISPATCHERS, RESEND_MS, World};
 
-/// Who waits for the answer to a job.
+/// A client that waits for the answer to a job.
 #[derive(Clone)]
 pub(super) struct Client {
     pub(super) id: String,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Sends a job to a dispatcher, which reads it at once or, if it is frozen, when it goes on.
+    /// Sends a job to a dispatcher, which reads it at once or, if frozen, when it continues.
     pub(super) fn submit(&mut self, id: String) {
         let index = self.rng.random_range(0..DISPATCHERS);
         let now = self.now;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Lets a dispatcher read what clients have sent to it.
+    /// Lets a dispatcher read the requests sent to it.
     pub(super) fn read_requests(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.dispatchers[index];
@@ -65,8 +65,8 @@
         }
     }
 
-    /// A client that hears nothing for long asks again elsewhere.
-    pub(super) fn lose_patience(&mut self) {
+    /// Times out clients without an answer; they resend their jobs later.
+    pub(super) fn time_out_clients(&mut self) {
         for index in 0..DISPATCHERS {
             let now = self.now;
             let node = &mut self.dispatchers[index];
@@ -74,7 +74,7 @@
             let late: Vec<JobNumber> = node
                 .clients
                 .iter()
-                .filter(|(_, client)| now > client.sent_at + CLIENT_PATIENCE_MS * 4)
+                .filter(|(_, client)| now > client.sent_at + CLIENT_TIMEOUT_MS * 4)
                 .map(|(number, _)| *number)
                 .collect();
             for number in late {
@@ -87,8 +87,8 @@
         }
     }
 
-    pub(super) fn answered(&mut self, index: usize, number: JobNumber, answer: JobAnswer) {
-        if self.finish_kept(index, number) {
+    pub(super) fn receive_answer(&mut self, index: usize, number: JobNumber, answer: JobAnswer) {
+        if self.finish_kept_job(index, number) {
             return;
         }
         let Some(client) = self.dispatchers[index].clients.remove(&number) else {
@@ -134,6 +134,6 @@
             stretch: 1.6,
             allowance: Duration::from_millis(60),
         },
-        caller_timeout: Some(Duration::from_millis(CLIENT_PATIENCE_MS * 4)),
+        caller_timeout: Some(Duration::from_millis(CLIENT_TIMEOUT_MS * 4)),
     }
 }
--- a/crates/leased/cloverfold_lease/tests/world/faults.rs
+++ b/crates/leased/cloverfold_lease/tests/world/faults.rs
@@ -1,14 +1,14 @@
-//! What fails: processes die and come back, freeze, and are cut off.
+//! Faults: processes die and restart, freeze, and lose connections.
 
 use rand::RngExt;
 
 use cloverfold_lease::Runner;
 
 use super::processes::new_dispatcher;
-use super::{CLIENT_PATIENCE_MS, DISPATCHERS, RESEND_MS, RUNNERS, World};
+use super::{CLIENT_TIMEOUT_MS, DISPATCHERS, RESEND_MS, RUNNERS, World};
 
 impl World {
-    pub(super) fn trouble(&mut self) {
+    pub(super) fn inject_faults(&mut self) {
         for index in 0..RUNNERS {
             if self.draw(0.0004) {
                 self.runners[index].runner = None;
@@ -19,16 +19,17 @@
                 self.runners[index].frozen_until = self.now + self.rng.random_range(200..4_000);
             }
             if self.draw(0.0003) {
-                let gap = self.rng.random_range(100..1_500);
+                let downtime = self.rng.random_range(100..1_500);
                 let keeps_name = self.rng.random_bool(0.5);
-                let arrives_at = self.now + gap + self.rng.random_range(0..3_000);
+                let arrives_at = self.now + downtime + self.rng.random_range(0..3_000);
                 let node = &mut self.runners[index];
                 let last = node.target.register(self.now);
                 node.late_registrations.push((arrives_at, last));
-                node.target.crash(self.now, gap, keeps_name);
+                node.target.crash(self.now, downtime, keeps_name);
             }
             if self.draw(0.0003) {
-                self.runners[index].target.cut_until = self.now + self.rng.random_range(200..3_000);
+                self.runners[index].target.disconnected_until =
+                    self.now + self.rng.random_range(200..3_000);
             }
         }
         for index in 0..DISPATCHERS {
@@ -41,15 +42,15 @@
         }
         let keys: Vec<_> = self.links.keys().copied().collect();
         for key in keys {
-            let is_cut = self.links[&key].is_cut;
-            if self.draw(if is_cut { 0.004 } else { 0.0004 }) {
-                self.links.get_mut(&key).unwrap().is_cut = !is_cut;
+            let is_partitioned = self.links[&key].is_partitioned;
+            if self.draw(if is_partitioned { 0.004 } else { 0.0004 }) {
+                self.links.get_mut(&key).unwrap().is_partitioned = !is_partitioned;
             }
         }
     }
 
     pub(super) fn kill_dispatcher(&mut self, index: usize) {
-        let is_silent = self.draw(0.4);
+        let is_unnoticed = self.draw(0.4);
         let node = &mut self.dispatchers[index];
         node.dispatcher = None;
         node.starts_at = self.now + self.rng.random_range(100..2_000);
@@ -57,18 +58,18 @@
         let unread = unread.map(|(client, _)| client);
         let clients = std::mem::take(&mut node.clients).into_values();
         for client in clients.chain(unread) {
-            let noticed = if is_silent {
-                client.sent_at + CLIENT_PATIENCE_MS
+            let noticed_at = if is_unnoticed {
+                client.sent_at + CLIENT_TIMEOUT_MS
             } else {
                 self.now
             };
             self.resends
-                .push((noticed.max(self.now) + RESEND_MS, client.id));
+                .push((noticed_at.max(self.now) + RESEND_MS, client.id));
         }
-        if is_silent {
+        if is_unnoticed {
             for (_, link) in self.links.iter_mut().filter(|(key, _)| key.0 == index) {
                 link.dispatcher_open = false;
-                link.is_cut = true;
+                link.is_partitioned = true;
             }
         } else {
             self.close_links(|key| key.0 == index);
@@ -83,7 +84,7 @@
                 node.registered_at = 0;
                 node.renewal_due_at = 0;
                 self.links.retain(|key, _| key.1 != index);
-                self.tell_restarted_runner(index);
+                self.notify_restarted_runner(index);
             }
         }
         for index in 0..DISPATCHERS {
--- a/crates/leased/cloverfold_lease/tests/world/kept.rs
+++ b/crates/leased/cloverfold_lease/tests/world/kept.rs
@@ -1,7 +1,7 @@
-//! Kept jobs in the simulated world: one group without replicas, drivers in the dispatchers, recorders in the runners.
+//! Kept jobs in the simulation: one job group without replicas, drivers in the dispatchers, and recorders in the runners.
 //!
-//! The group loses calls and replies, delays them, and is out of reach now and then. It hands a job on when the lease of its driver is over
-//! and the span that the runs of a driver need to end. A start after an end `Done` that the target was told to forget ends the world.
+//! The group loses and delays calls and replies and is sometimes unreachable. It reassigns a job once the lease of its driver is over and
+//! the driver's runs have had time to end. The simulation panics if a task starts after the target was told to forget its end `Done`.
 
 use std::collections::BTreeMap;
 
@@ -19,33 +19,33 @@
 
 const DRIVER_LEASE_MS: u64 = 1_500;
 
-/// How the group hands on jobs and whether ends are recorded.
+/// When the group reassigns jobs, and whether ends are recorded.
 #[derive(Clone, Copy)]
-pub struct KeptFaults {
-    /// How long after the lease of a driver its jobs are handed on, in milliseconds.
-    pub hands_on_after_ms: u64,
-    /// Whether runners are told at once that an end is recorded, and it is not.
-    pub loses_ends: bool,
+pub struct KeptJobFaults {
+    /// How long after the lease of a driver its jobs are reassigned, in milliseconds.
+    pub reassign_after_ms: u64,
+    /// Whether runners are told at once that an end is recorded although it is not.
+    pub drops_ends: bool,
 }
 
-impl KeptFaults {
-    /// As the product does it.
+impl KeptJobFaults {
+    /// Returns the behaviour of the real system.
     pub fn none() -> Self {
         Self {
-            hands_on_after_ms: 1_464,
-            loses_ends: false,
+            reassign_after_ms: 1_464,
+            drops_ends: false,
         }
     }
 }
 
-/// Who sent a call; replies to an earlier life are lost.
+/// Sender of a call, with its process generation; replies to an earlier generation are dropped.
 #[derive(Clone, Copy)]
 enum Sender {
     Dispatcher(usize, u64),
     Runner(usize, u64),
 }
 
-/// A driver as the group knows it.
+/// State of a driver in the group.
 struct KnownDriver {
     entry: String,
     seen_at: u64,
@@ -53,43 +53,43 @@
 }
 
 struct DriverNode {
-    life: u64,
+    generation: u64,
     driver: Option<Driver>,
     driven: BTreeMap<JobNumber, (JobId, Epoch)>,
 }
 
 struct RecorderNode {
-    life: u64,
+    generation: u64,
     recorder: Option<Recorder>,
 }
 
-/// The group, and what dispatchers and runners have of kept jobs.
-pub(super) struct KeptWorld {
-    faults: KeptFaults,
+/// The group, and the state of kept jobs in dispatchers and runners.
+pub(super) struct KeptJobWorld {
+    faults: KeptJobFaults,
     table: JobTable,
     known: BTreeMap<DriverId, KnownDriver>,
     drivers: Vec<DriverNode>,
     recorders: Vec<RecorderNode>,
     calls: Vec<(u64, Sender, JobCallMessage)>,
     replies: Vec<(u64, Sender, JobReplyMessage)>,
-    out_of_reach_until: u64,
-    /// Jobs that were given back, their epochs, and from when they may be handed on.
+    unreachable_until: u64,
+    /// Released jobs with their epochs, and the time from which they may be reassigned.
     released: Vec<(JobId, Epoch, u64)>,
     submitted: u64,
     last_starts: BTreeMap<TaskId, u64>,
-    noted: BTreeMap<TaskId, u64>,
-    pub(super) handed_on: u64,
+    acknowledged: BTreeMap<TaskId, u64>,
+    pub(super) reassigned: u64,
 }
 
-impl KeptWorld {
-    pub(super) fn new(faults: KeptFaults) -> Self {
+impl KeptJobWorld {
+    pub(super) fn new(faults: KeptJobFaults) -> Self {
         let drivers = (0..DISPATCHERS).map(|_| DriverNode {
-            life: 0,
+            generation: 0,
             driver: None,
             driven: BTreeMap::new(),
         });
         let recorders = (0..RUNNERS).map(|_| RecorderNode {
-            life: 0,
+            generation: 0,
             recorder: None,
         });
         Self {
@@ -100,44 +100,44 @@
             recorders: recorders.collect(),
             calls: Vec::new(),
             replies: Vec::new(),
-            out_of_reach_until: 0,
+            unreachable_until: 0,
             released: Vec::new(),
             submitted: 0,
             last_starts: BTreeMap::new(),
-            noted: BTreeMap::new(),
-            handed_on: 0,
+            acknowledged: BTreeMap::new(),
+            reassigned: 0,
         }
     }
 
-    /// Counts the jobs that have ended.
+    /// Returns the number of jobs that have ended.
     pub(super) fn ended(&self) -> usize {
         self.table.ended_count()
     }
 
-    /// Counts the jobs that were accepted and have not ended.
+    /// Returns the number of accepted jobs that have not ended.
     pub(super) fn open(&self) -> usize {
         self.table.open().len()
     }
 
-    /// Checks a start against the ends that targets were told to forget.
+    /// Records a start; panics if a target was already told to forget the end of its task.
     pub(super) fn record_start(&mut self, task: TaskId, now: u64) {
-        if let Some(ended_at) = self.noted.get(&task) {
-            panic!("at {now} ms {task:?} starts, done since {ended_at} ms");
+        if let Some(ended_at) = self.acknowledged.get(&task) {
+            panic!("at {now} ms {task:?} starts although it completed at {ended_at} ms");
         }
         self.last_starts.insert(task, now);
     }
 
-    /// Records that a target was told to forget an end `Done` without a lapse since.
-    pub(super) fn record_noted(&mut self, task: TaskId, ended_at: u64) {
+    /// Records that a target was told to forget an end `Done` without a lapse since; panics if its task has started again.
+    pub(super) fn record_acknowledged(&mut self, task: TaskId, ended_at: u64) {
         let started_at = self.last_starts.get(&task);
         if let Some(started_at) = started_at.filter(|at| **at > ended_at) {
-            panic!("{task:?} started at {started_at} ms, done since {ended_at} ms");
+            panic!("{task:?} started at {started_at} ms although it completed at {ended_at} ms");
         }
-        self.noted.insert(task, ended_at);
+        self.acknowledged.insert(task, ended_at);
     }
 
-    /// Returns whether a driver is over so that its jobs may be handed on.
-    fn is_over(&self, driver: DriverId, now: u64) -> bool {
+    /// Returns whether a driver is over, so that its jobs may be reassigned.
+    fn is_driver_over(&self, driver: DriverId, now: u64) -> bool {
         let Some(known) = self.known.get(&driver) else {
             return false;
         };
@@ -146,11 +146,11 @@
         } else {
             known.seen_at + DRIVER_LEASE_MS
         };
-        now >= until + self.faults.hands_on_after_ms
+        now >= until + self.faults.reassign_after_ms
     }
 
-    /// Hands on the jobs whose driver is over.
-    fn hand_on(&mut self, now: u64) {
+    /// Reassigns the jobs whose driver is over.
+    fn reassign_jobs(&mut self, now: u64) {
         let is_live =
             |known: &KnownDriver| !known.is_replaced && now < known.seen_at + DRIVER_LEASE_MS / 2;
         let live = self.known.iter().find(|(_, known)| is_live(known));
@@ -162,7 +162,8 @@
             let mut released = self.released.iter();
             released.any(|(of, epoch, due)| of == id && *epoch == job.epoch() && *due <= now)
         };
-        let over = open.filter(|(id, job)| self.is_over(job.driver(), now) || is_released(id, job));
+        let over =
+            open.filter(|(id, job)| self.is_driver_over(job.driver(), now) || is_released(id, job));
         let assignees: Vec<JobReassignment> = over
             .map(|(id, job)| JobReassignment {
                 job: id.clone(),
@@ -170,7 +171,7 @@
                 driver,
             })
             .collect();
-        self.handed_on += assignees.len() as u64;
+        self.reassigned += assignees.len() as u64;
         self.table.apply(JobCommand::Assign(assignees));
         self.released.retain(|(_, _, due)| now <= *due);
     }
@@ -191,7 +192,7 @@
                     let pause = if job.is_clean {
                         0
                     } else {
-                        self.faults.hands_on_after_ms
+                        self.faults.reassign_after_ms
                     };
                     self.released.push((job.job, job.epoch, now + pause));
                 }
@@ -220,13 +221,13 @@
         if !known.is_replaced {
             known.seen_at = now;
         }
-        let is_mine = |job: &OpenJob| job.driver() == renewal.driver;
-        let is_named = |id: &JobId, job: &OpenJob| {
-            let mut named = renewal.driving.iter();
-            named.any(|named| named.job == *id && named.epoch == job.epoch())
+        let is_own = |job: &OpenJob| job.driver() == renewal.driver;
+        let is_listed = |id: &JobId, job: &OpenJob| {
+            let mut listed = renewal.driving.iter();
+            listed.any(|listed| listed.job == *id && listed.epoch == job.epoch())
         };
         let open = self.table.open().iter();
-        let drive = open.filter(|(id, job)| is_mine(job) && !is_named(id, job));
+        let drive = open.filter(|(id, job)| is_own(job) && !is_listed(id, job));
         let drive = drive.map(|(id, job)| JobAssignment {
             job: id.clone(),
             epoch: job.epoch(),
@@ -237,37 +238,37 @@
                 .map(|(task, done)| (*task, *done))
                 .collect(),
         });
-        let is_still = |id: &JobId, epoch: Epoch| {
+        let is_still_driven = |id: &JobId, epoch: Epoch| {
             let job = self.table.open().get(id);
-            job.is_some_and(|job| is_mine(job) && job.epoch() == epoch)
+            job.is_some_and(|job| is_own(job) && job.epoch() == epoch)
         };
         let dropped = renewal.driving.iter();
-        let dropped = dropped.filter(|named| !is_still(&named.job, named.epoch));
+        let dropped = dropped.filter(|listed| !is_still_driven(&listed.job, listed.epoch));
         JobReply::Renewed(RenewalReply {
             driver: renewal.driver,
             drive: drive.collect(),
             drop: dropped
-                .map(|named| (named.job.clone(), named.epoch))
+                .map(|listed| (listed.job.clone(), listed.epoch))
                 .collect(),
         })
     }
 }
 
 impl World {
-    /// Plays the group, its calls and replies, and the drivers and recorders for a step.
-    pub(super) fn step_kept(&mut self) {
+    /// Advances the group, its calls and replies, and the drivers and recorders by one step.
+    pub(super) fn step_kept_jobs(&mut self) {
         let Some(mut kept) = self.kept.take() else {
             return;
         };
         let now = self.now;
-        if self.faults.is_troubled && self.rng.random_bool(0.0005) {
-            kept.out_of_reach_until = now + self.rng.random_range(200..3_000);
+        if self.faults.has_faults && self.rng.random_bool(0.0005) {
+            kept.unreachable_until = now + self.rng.random_range(200..3_000);
         }
-        self.follow_lives(&mut kept);
-        self.submit_kept(&mut kept);
-        self.carry_calls(&mut kept);
-        self.carry_replies(&mut kept);
-        kept.hand_on(now);
+        self.follow_restarts(&mut kept);
+        self.submit_kept_job(&mut kept);
+        self.deliver_calls(&mut kept);
+        self.deliver_replies(&mut kept);
+        kept.reassign_jobs(now);
         for index in 0..DISPATCHERS {
             self.step_driver(&mut kept, index);
         }
@@ -277,41 +278,41 @@
             {
                 recorder.tick(at(now));
             }
-            self.act_recorder(&mut kept, index);
+            self.execute_recorder_actions(&mut kept, index);
         }
         self.kept = Some(kept);
     }
 
-    /// Drivers and recorders live and die with their processes.
-    fn follow_lives(&mut self, kept: &mut KeptWorld) {
+    /// Starts and ends drivers and recorders with their processes.
+    fn follow_restarts(&mut self, kept: &mut KeptJobWorld) {
         for (index, node) in kept.drivers.iter_mut().enumerate() {
-            let lives = self.dispatchers[index].dispatcher.is_some();
-            if lives && node.driver.is_none() {
-                node.life += 1;
+            let is_alive = self.dispatchers[index].dispatcher.is_some();
+            if is_alive && node.driver.is_none() {
+                node.generation += 1;
                 let name = format!("entry-{index}");
                 let seed = self.rng.random();
                 let mut driver = Driver::new(&name, KeptJobTimings::default(), seed);
                 driver.set_group_count(1, at(self.now));
                 node.driver = Some(driver);
-            } else if !lives {
+            } else if !is_alive {
                 node.driver = None;
                 node.driven.clear();
             }
         }
         for (index, node) in kept.recorders.iter_mut().enumerate() {
-            let lives = self.runners[index].runner.is_some();
-            if lives && node.recorder.is_none() {
-                node.life += 1;
+            let is_alive = self.runners[index].runner.is_some();
+            if is_alive && node.recorder.is_none() {
+                node.generation += 1;
                 let mut recorder = Recorder::default();
                 recorder.set_group_count(1, at(self.now));
                 node.recorder = Some(recorder);
-            } else if !lives {
+            } else if !is_alive {
                 node.recorder = None;
             }
         }
     }
 
-    fn submit_kept(&mut self, kept: &mut KeptWorld) {
+    fn submit_kept_job(&mut self, kept: &mut KeptJobWorld) {
         if self.now >= self.jobs_until || !self.rng.random_bool(0.04) {
             return;
         }
@@ -337,15 +338,15 @@
         }
     }
 
-    fn carry_calls(&mut self, kept: &mut KeptWorld) {
+    fn deliver_calls(&mut self, kept: &mut KeptJobWorld) {
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut kept.calls)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
         kept.calls = later;
         for (_, sender, message) in due {
-            let is_lost = self.faults.is_troubled && self.rng.random_bool(0.03);
-            if is_lost || now < kept.out_of_reach_until {
+            let is_lost = self.faults.has_faults && self.rng.random_bool(0.03);
+            if is_lost || now < kept.unreachable_until {
                 continue;
             }
             let reply = JobReplyMessage {
@@ -355,13 +356,13 @@
                 reply: kept.answer(message.call, now),
             };
             let arrives_at = now + self.rng.random_range(1..60);
-            if !(self.faults.is_troubled && self.rng.random_bool(0.03)) {
+            if !(self.faults.has_faults && self.rng.random_bool(0.03)) {
                 kept.replies.push((arrives_at, sender, reply));
             }
         }
     }
 
-    fn carry_replies(&mut self, kept: &mut KeptWorld) {
+    fn deliver_replies(&mut self, kept: &mut KeptJobWorld) {
         let now = self.now;
         for (arrives_at, sender, reply) in std::mem::take(&mut kept.replies) {
             let frozen_until = match sender {
@@ -373,50 +374,54 @@
                 continue;
             }
             match sender {
-                Sender::Dispatcher(index, life) if kept.drivers[index].life == life => {
+                Sender::Dispatcher(index, generation)
+                    if kept.drivers[index].generation == generation =>
+                {
                     if let Some(driver) = &mut kept.drivers[index].driver {
                         driver.receive(reply, at(now));
                     }
-                    self.act_driver(kept, index);
+                    self.execute_driver_actions(kept, index);
                 }
-                Sender::Runner(index, life) if kept.recorders[index].life == life => {
+                Sender::Runner(index, generation)
+                    if kept.recorders[index].generation == generation =>
+                {
                     if let Some(recorder) = &mut kept.recorders[index].recorder {
                         recorder.receive(reply, at(now));
                     }
-                    self.act_recorder(kept, index);
+                    self.execute_recorder_actions(kept, index);
                 }
                 Sender::Dispatcher(..) | Sender::Runner(..) => {}
             }
         }
     }
 
-    fn step_driver(&mut self, kept: &mut KeptWorld, index: usize) {
+    fn step_driver(&mut self, kept: &mut KeptJobWorld, index: usize) {
         if self.now < self.dispatchers[index].frozen_until {
             return;
         }
         if let Some(driver) = &mut kept.drivers[index].driver {
             driver.tick(at(self.now));
         }
-        self.act_driver(kept, index);
-        self.act_dispatcher(index);
+        self.execute_driver_actions(kept, index);
+        self.execute_dispatcher_actions(index);
     }
 
-    /// Drives nothing whose lease has lapsed; called before a dispatcher does anything.
-    pub(super) fn expire_kept(&mut self, index: usize) {
+    /// Ends driving jobs whose lease has lapsed; must run before any other call of the dispatcher.
+    pub(super) fn expire_kept_leases(&mut self, index: usize) {
         let Some(mut kept) = self.kept.take() else {
             return;
         };
         if let Some(driver) = &mut kept.drivers[index].driver {
             driver.expire_leases(at(self.now));
         }
-        self.act_driver(&mut kept, index);
+        self.execute_driver_actions(&mut kept, index);
         self.kept = Some(kept);
     }
 
-    fn act_driver(&mut self, kept: &mut KeptWorld, index: usize) {
+    fn execute_driver_actions(&mut self, kept: &mut KeptJobWorld, index: usize) {
         let now = self.now;
         let node = &mut kept.drivers[index];
-        let sender = Sender::Dispatcher(index, node.life);
+        let sender = Sender::Dispatcher(index, node.generation);
         let (Some(driver), Some(dispatcher)) =
             (&mut node.driver, &mut self.dispatchers[index].dispatcher)
         else {
@@ -440,9 +445,9 @@
                     node.driven.insert(number, (order.job, order.epoch));
                 }
                 DriverAction::StopDriving { job, epoch, .. } => {
-                    let meant = (job, epoch);
+                    let wanted = (job, epoch);
                     let mut driven = node.driven.iter();
-                    let found = driven.find(|(_, driven)| **driven == meant);
+                    let found = driven.find(|(_, driven)| **driven == wanted);
                     if let Some(number) = found.map(|(number, _)| *number) {
                         node.driven.remove(&number);
                         dispatcher.stop_driving(number);
@@ -453,8 +458,8 @@
         }
     }
 
-    /// Records that a dispatcher has ended all of a kept job; returns whether it is one.
-    pub(super) fn finish_kept(&mut self, index: usize, number: JobNumber) -> bool {
+    /// Records that a dispatcher has finished a job; returns whether it is a kept one.
+    pub(super) fn finish_kept_job(&mut self, index: usize, number: JobNumber) -> bool {
         let now = at(self.now);
         let Some(kept) = &mut self.kept else {
             return false;
@@ -471,7 +476,7 @@
         true
     }
 
-    /// Tells the driver of the end of a kept run.
+    /// Passes the end of a kept run to the driver.
     pub(super) fn observe_end(
         &mut self,
         index: usize,
@@ -495,8 +500,8 @@
         }
     }
 
-    /// Gives a kept job back whose progress only the group knows.
-    pub(super) fn hand_back(&mut self, index: usize, number: JobNumber) {
+    /// Releases a kept job whose progress only the group knows.
+    pub(super) fn release_kept_job(&mut self, index: usize, number: JobNumber) {
         let now = at(self.now);
         let Some(kept) = &mut self.kept else {
             return;
@@ -509,13 +514,13 @@
         }
     }
 
-    /// Passes an end of a kept run to the recorder of its runner.
+    /// Passes the end of a kept run to the recorder of its runner.
     pub(super) fn record_end(&mut self, index: usize, end: TaskEnd) {
         let now = at(self.now);
         let Some(kept) = &mut self.kept else {
             return;
         };
-        if kept.faults.loses_ends {
+        if kept.faults.drops_ends {
             let runner = self.runners[index].runner.as_mut().unwrap();
             runner.receive_end_decision(&end, EndDecision::Recorded, now);
         } else if let Some(recorder) = &mut kept.recorders[index].recorder {
@@ -523,10 +528,10 @@
         }
     }
 
-    fn act_recorder(&mut self, kept: &mut KeptWorld, index: usize) {
+    fn execute_recorder_actions(&mut self, kept: &mut KeptJobWorld, index: usize) {
         let now = self.now;
         let node = &mut kept.recorders[index];
-        let sender = Sender::Runner(index, node.life);
+        let sender = Sender::Runner(index, node.generation);
         let Some(recorder) = &mut node.recorder else {
             return;
         };
@@ -545,28 +550,28 @@
         }
     }
 
-    /// Passes what targets started and were told to forget to the check.
+    /// Checks what the targets started and what they were told to forget.
     pub(super) fn check_kept_ends(&mut self) {
         let Some(kept) = &mut self.kept else {
             return;
         };
         let is_kept = |task: &TaskId| task.job.starts_with('k');
         for node in &mut self.runners {
-            let (started, noted) = node.target.take_history();
+            let (started, acknowledged) = node.target.take_history();
             for task in started.into_iter().filter(is_kept) {
                 kept.record_start(task, self.now);
             }
-            for (task, ended_at) in noted {
+            for (task, ended_at) in acknowledged {
                 if is_kept(&task) {
-                    kept.record_noted(task, ended_at);
+                    kept.record_acknowledged(task, ended_at);
                 }
             }
         }
     }
 
-    /// Returns how many kept jobs have ended, are open, and were handed on.
-    pub fn count_kept(&self) -> (usize, usize, u64) {
+    /// Returns the numbers of ended, open and reassigned kept jobs.
+    pub fn count_kept_jobs(&self) -> (usize, usize, u64) {
         let kept = self.kept.as_ref().unwrap();
-        (kept.ended(), kept.open(), kept.handed_on)
+        (kept.ended(), kept.open(), kept.reassigned)
     }
 }
--- a/crates/leased/cloverfold_lease/tests/world/links.rs
+++ b/crates/leased/cloverfold_lease/tests/world/links.rs
@@ -1,4 +1,4 @@
-//! The links between runners and dispatchers, and the messages under way.
+//! Links between runners and dispatchers, and the messages in flight.
 
 use std::collections::VecDeque;
 
@@ -7,8 +7,8 @@
 
 use super::{DISPATCHERS, RUNNERS, World};
 
-/// How long a retired session stays open at least.
-const RETIRED_SPAN_MS: u64 = 500;
+/// Minimum time for which a retired session stays open, in milliseconds.
+const MIN_RETIRED_MS: u64 = 500;
 
 /// A link between a dispatcher and a runner.
 #[derive(Default)]
@@ -18,8 +18,8 @@
     pub(super) runner_open: bool,
     pub(super) to_dispatcher: VecDeque<(u64, RunnerMessage)>,
     pub(super) to_runner: VecDeque<(u64, DispatcherMessage)>,
-    pub(super) is_cut: bool,
-    /// When the runner retired its session, to leave the dispatcher.
+    pub(super) is_partitioned: bool,
+    /// When the runner retired its session in order to leave the dispatcher.
     retired_at: Option<u64>,
 }
 
@@ -34,12 +34,12 @@
             .collect();
         for key in keys {
             let link = self.links.remove(&key).unwrap();
-            if link.is_cut {
-                // Nobody hears of it: the other side finds out by itself.
+            if link.is_partitioned {
+                // The other side is not notified and has to detect it by timeout.
                 self.links.insert(
                     key,
                     Link {
-                        is_cut: true,
+                        is_partitioned: true,
                         ..link
                     },
                 );
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Runners dial dispatchers; a link that one side has closed ends at the other when it is not cut.
-    pub(super) fn keep_links(&mut self) {
+    /// Connects runners to dispatchers; a link that one side has closed also closes at the other unless it is partitioned.
+    pub(super) fn maintain_links(&mut self) {
         for dispatcher in 0..DISPATCHERS {
             for runner in 0..RUNNERS {
                 let runner_now = self.runners[runner].clock.read(self.now);
@@ -69,8 +69,8 @@
                     && self.now >= self.dispatchers[dispatcher].frozen_until;
                 let link = self.links.get(&key);
                 let is_open = link.is_some_and(|link| link.dispatcher_open && link.runner_open);
-                let is_cut = link.is_some_and(|link| link.is_cut);
-                if is_open || is_cut || !is_alive {
+                let is_partitioned = link.is_some_and(|link| link.is_partitioned);
+                if is_open || is_partitioned || !is_alive {
                     continue;
                 }
                 if let Some(link) = self.links.remove(&key) {
@@ -98,13 +98,13 @@
         }
     }
 
-    /// A runner leaves a dispatcher now and then, as a guard that is given other entries: it offers it no target, lets its runs end, and
-    /// closes the link when assignments under way have arrived. It dials it again at once.
+    /// Lets runners leave a dispatcher at random, like a guard that is given other entries: the runner retires the session, lets its runs
+    /// end, closes the link after assignments in flight have arrived, and connects again at once.
     pub(super) fn leave_dispatchers(&mut self) {
         let now = self.now;
         let keys: Vec<_> = self.links.keys().copied().collect();
         for key in keys {
-            let begins = self.faults.is_troubled && self.draw(0.0005);
+            let is_departing = self.faults.has_faults && self.draw(0.0005);
             let link = self.links.get_mut(&key).unwrap();
             let node = &mut self.runners[key.1];
             let Some(runner) = &mut node.runner else {
@@ -114,13 +114,13 @@
                 continue;
             }
             match link.retired_at {
-                None if begins => {
+                None if is_departing => {
                     link.retired_at = Some(now);
                     runner.retire_session(link.id, true);
                 }
-                Some(at) if now >= at + RETIRED_SPAN_MS => {
+                Some(at) if now >= at + MIN_RETIRED_MS => {
                     if runner.count_session_runs(link.id) == 0 {
-                        self.left += 1;
+                        self.departures += 1;
                         self.close_links(|closed| *closed == key);
                     }
                 }
@@ -135,13 +135,17 @@
         for key in keys {
             let (dispatcher, runner) = key;
             if now >= self.dispatchers[dispatcher].frozen_until {
-                self.expire_kept(dispatcher);
+                self.expire_kept_leases(dispatcher);
             }
             loop {
                 let link = self.links.get_mut(&key).unwrap();
                 let is_due = link.to_dispatcher.front().is_some_and(|(at, _)| *at <= now);
                 let node = &mut self.dispatchers[dispatcher];
-                if !is_due || link.is_cut || !link.dispatcher_open || now < node.frozen_until {
+                if !is_due
+                    || link.is_partitioned
+                    || !link.dispatcher_open
+                    || now < node.frozen_until
+                {
                     break;
                 }
                 let (_, message) = link.to_dispatcher.pop_front().unwrap();
@@ -149,12 +153,12 @@
                 if let Some(dispatcher) = &mut node.dispatcher {
                     dispatcher.receive(id, message, node.clock.read(now));
                 }
-                self.act_dispatcher(dispatcher);
+                self.execute_dispatcher_actions(dispatcher);
             }
             while let Some(link) = self.links.get_mut(&key) {
                 let is_due = link.to_runner.front().is_some_and(|(at, _)| *at <= now);
                 let node = &mut self.runners[runner];
-                if !is_due || link.is_cut || !link.runner_open || now < node.frozen_until {
+                if !is_due || link.is_partitioned || !link.runner_open || now < node.frozen_until {
                     break;
                 }
                 let (_, message) = link.to_runner.pop_front().unwrap();
@@ -162,12 +166,17 @@
                 if let Some(runner) = &mut node.runner {
                     runner.receive(id, message, node.clock.read(now));
                 }
-                self.act_runner(runner);
+                self.execute_runner_actions(runner);
             }
         }
     }
 
-    pub(super) fn send_up(&mut self, index: usize, session: u64, message: RunnerMessage) {
+    pub(super) fn send_to_dispatcher(
+        &mut self,
+        index: usize,
+        session: u64,
+        message: RunnerMessage,
+    ) {
         let at = self.now + self.rng.random_range(1..12);
         let link = self
             .links
@@ -179,7 +188,7 @@
         }
     }
 
-    pub(super) fn close_side(&mut self, session: u64, is_dispatcher: bool) {
+    pub(super) fn close_endpoint(&mut self, session: u64, is_dispatcher: bool) {
         if let Some((_, link)) = self.links.iter_mut().find(|(_, link)| link.id == session) {
             if is_dispatcher {
                 link.dispatcher_open = false;
--- a/crates/leased/cloverfold_lease/tests/world/mod.rs
+++ b/crates/leased/cloverfold_lease/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! The simulated world: runners with targets, dispatchers and clients, in steps of a few milliseconds.
+//! A simulation of runners with targets, dispatchers and clients, in steps of a few milliseconds.
 //!
-//! This file holds its state and the check for overlaps; `faults`, `stalls` and `suspensions` have what fails, `links` what is under way,
-//! `processes` and `clients` what each does in a step.
+//! This file contains its state and the overlap check. `faults`, `stalls` and `suspensions` inject failures, `links` carries messages, and
+//! `processes` and `clients` advance each participant by one step.
 
 mod clients;
 mod evacuations;
@@ -25,8 +25,8 @@
 
 use clients::Client;
 use evacuations::Evacuations;
-pub use kept::KeptFaults;
-use kept::KeptWorld;
+pub use kept::KeptJobFaults;
+use kept::KeptJobWorld;
 use links::Link;
 use processes::new_dispatcher;
 use suspensions::BoxClock;
@@ -37,40 +37,40 @@
 const RUNNERS: usize = 4;
 const DISPATCHERS: usize = 2;
 const RESEND_MS: u64 = 1_300;
-const CLIENT_PATIENCE_MS: u64 = 1_500;
+const CLIENT_TIMEOUT_MS: u64 = 1_500;
 const RENEWAL_TIMEOUT_MS: u64 = 220;
-const QUIET_MS: u64 = 4_000;
+const SETTLE_MS: u64 = 4_000;
 
-/// Which faults come, and how long a session is valid.
+/// The faults of a simulation and the session timeout.
 #[derive(Clone, Copy)]
 pub struct WorldFaults {
-    /// Whether processes die, freeze and are cut off, and orders come late.
-    pub is_troubled: bool,
-    /// How long a session is valid after an echo, in milliseconds.
+    /// Whether processes die, freeze and lose connections, and orders are delayed.
+    pub has_faults: bool,
+    /// Session timeout after an echo, in milliseconds.
     pub session_ms: u64,
-    /// Whether operators evacuate data halls and take them back.
+    /// Whether operators evacuate data halls and end the evacuations.
     pub has_evacuations: bool,
-    /// How kept jobs are treated; `None` in a world without them.
-    pub kept: Option<KeptFaults>,
-    /// Whether all processes stand still at once now and then.
-    pub has_world_stalls: bool,
-    /// What the clocks of processes show while their box is suspended; `None` in a world in which none is.
+    /// Faults of kept jobs; `None` without kept jobs.
+    pub kept: Option<KeptJobFaults>,
+    /// Whether all processes sometimes stall at once.
+    pub has_global_stalls: bool,
+    /// Behaviour of the process clocks during a suspension of their box; `None` without suspensions.
     pub suspended: Option<SuspendedClocks>,
 }
 
 impl WorldFaults {
     pub fn all() -> Self {
         Self {
-            is_troubled: true,
+            has_faults: true,
             session_ms: 500,
             has_evacuations: false,
             kept: None,
-            has_world_stalls: false,
+            has_global_stalls: false,
             suspended: None,
         }
     }
 
-    pub fn with_kept_jobs(kept: KeptFaults) -> Self {
+    pub fn with_kept_jobs(kept: KeptJobFaults) -> Self {
         Self {
             kept: Some(kept),
             ..Self::all()
@@ -91,20 +91,20 @@
         }
     }
 
-    pub fn with_world_stalls() -> Self {
+    pub fn with_global_stalls() -> Self {
         Self {
-            has_world_stalls: true,
+            has_global_stalls: true,
             ..Self::none()
         }
     }
 
     pub fn none() -> Self {
         Self {
-            is_troubled: false,
+            has_faults: false,
             session_ms: 500,
             has_evacuations: false,
             kept: None,
-            has_world_stalls: false,
+            has_global_stalls: false,
             suspended: None,
         }
     }
@@ -126,7 +126,7 @@
     target: Target,
     renewal_due_at: u64,
     registered_at: u64,
-    /// Registrations of crashed incarnations that were held up on their way, and when they arrive.
+    /// Delayed registrations of crashed incarnations, with their times of arrival.
     late_registrations: Vec<(u64, TargetRegistration)>,
 }
 
@@ -137,10 +137,10 @@
     stalls: StallDetector,
     starts_at: u64,
     clients: BTreeMap<JobNumber, Client>,
-    /// Requests that it has not read, and who sent them.
+    /// Requests that it has not read yet, with their senders.
     unread: Vec<(Client, JobRequest)>,
-    /// When it did anything last, on its clock.
-    called_at: Timestamp,
+    /// When it was last active, on its clock.
+    last_active_at: Timestamp,
 }
 
 pub struct World {
@@ -155,19 +155,19 @@
     jobs_until: u64,
     resends: Vec<(u64, String)>,
     evacuations: Option<Evacuations>,
-    kept: Option<KeptWorld>,
+    kept: Option<KeptJobWorld>,
     pub completed: u64,
     pub tasks_completed: u64,
     pub starts: u64,
-    /// How often a runner has left a dispatcher.
-    pub left: u64,
-    /// How often a box was suspended.
+    /// Number of times a runner left a dispatcher.
+    pub departures: u64,
+    /// Number of suspensions of a box.
     pub suspensions: u64,
-    /// How often all processes stood still at once.
+    /// Number of stalls of all processes at once.
     pub stalls: u64,
 }
 
-/// The point in time `value` milliseconds after the start of the clock.
+/// Returns the point in time `value` milliseconds after the start of the clock.
 fn at(value: u64) -> Timestamp {
     Timestamp::from_start(Duration::from_millis(value))
 }
@@ -197,7 +197,7 @@
                 starts_at: 0,
                 clients: BTreeMap::new(),
                 unread: Vec::new(),
-                called_at: Timestamp::ZERO,
+                last_active_at: Timestamp::ZERO,
             })
             .collect();
         Self {
@@ -211,35 +211,35 @@
             next_job: 1,
             jobs_until: 0,
             resends: Vec::new(),
-            kept: faults.kept.map(KeptWorld::new),
+            kept: faults.kept.map(KeptJobWorld::new),
             evacuations: faults.has_evacuations.then(|| Evacuations::new(seed)),
             completed: 0,
             tasks_completed: 0,
             starts: 0,
-            left: 0,
+            departures: 0,
             suspensions: 0,
             stalls: 0,
         }
     }
 
-    /// Plays a span; jobs come until `QUIET_MS` before its end.
-    pub fn play(&mut self, span_ms: u64) {
-        self.jobs_until = span_ms - QUIET_MS;
+    /// Simulates `span_ms`; clients submit jobs until `SETTLE_MS` before the end.
+    pub fn simulate(&mut self, span_ms: u64) {
+        self.jobs_until = span_ms - SETTLE_MS;
         while self.now < span_ms {
             self.now += STEP_MS;
-            if self.faults.is_troubled {
-                self.trouble();
+            if self.faults.has_faults {
+                self.inject_faults();
             }
-            self.stall_world();
+            self.stall_all_processes();
             self.suspend_boxes();
-            self.notice_stalls();
+            self.detect_stalls();
             self.restart_processes();
             self.evacuate_halls();
-            self.keep_links();
+            self.maintain_links();
             self.leave_dispatchers();
             self.submit_jobs();
             self.deliver();
-            self.step_kept();
+            self.step_kept_jobs();
             self.run_targets();
             for index in 0..RUNNERS {
                 self.step_runner(index);
@@ -247,7 +247,7 @@
             for index in 0..DISPATCHERS {
                 self.step_dispatcher(index);
             }
-            self.lose_patience();
+            self.time_out_clients();
             self.check_overlaps();
             self.check_kept_ends();
         }
@@ -258,11 +258,14 @@
     }
 
     fn check_overlaps(&self) {
-        let mut at_work: BTreeMap<&TaskId, usize> = BTreeMap::new();
+        let mut running: BTreeMap<&TaskId, usize> = BTreeMap::new();
         for (index, node) in self.runners.iter().enumerate() {
             for task in node.target.running() {
-                if let Some(other) = at_work.insert(task, index) {
-                    panic!("at {} ms {task:?} runs at {other} and at {index}", self.now);
+                if let Some(other) = running.insert(task, index) {
+                    panic!(
+                        "at {} ms {task:?} runs at runners {other} and {index}",
+                        self.now
+                    );
                 }
             }
         }
--- a/crates/leased/cloverfold_lease/tests/world/processes.rs
+++ b/crates/leased/cloverfold_lease/tests/world/processes.rs
@@ -1,4 +1,4 @@
-//! What each runner, target and dispatcher does in a step of the world.
+//! One simulation step of each runner, target and dispatcher.
 
 use cloverfold_lease::{
     Dispatcher, DispatcherAction, HealthLimits, RenewalAnswer, RunnerAction, StartAnswer,
@@ -12,7 +12,7 @@
         for index in 0..RUNNERS {
             let starts = self.runners[index].target.step(self.now);
             self.starts += starts;
-            self.check_hall(index, starts);
+            self.check_evacuated_hall(index, starts);
         }
     }
 
@@ -40,8 +40,8 @@
         if now >= node.renewal_due_at {
             node.renewal_due_at = now + 15;
             if let Some(order) = runner.plan_renewal(clock.read(now)) {
-                let is_late = self.faults.is_troubled && self.rng.random_bool(0.03);
-                let answer = node.target.renew(&order, now, is_late);
+                let is_lost = self.faults.has_faults && self.rng.random_bool(0.03);
+                let answer = node.target.renew(&order, now, is_lost);
                 if answer == RenewalAnswer::Unanswered {
                     node.renewal_due_at = now + RENEWAL_TIMEOUT_MS;
                 }
@@ -49,10 +49,10 @@
             }
         }
         runner.tick(clock.read(now));
-        self.act_runner(index);
+        self.execute_runner_actions(index);
     }
 
-    pub(super) fn act_runner(&mut self, index: usize) {
+    pub(super) fn execute_runner_actions(&mut self, index: usize) {
         let now = self.now;
         loop {
             let Some(runner) = &mut self.runners[index].runner else {
@@ -64,22 +64,24 @@
             }
             for action in actions {
                 match action {
-                    RunnerAction::Send(session, message) => self.send_up(index, session, message),
-                    RunnerAction::CloseSession(session) => self.close_side(session, false),
+                    RunnerAction::Send(session, message) => {
+                        self.send_to_dispatcher(index, session, message);
+                    }
+                    RunnerAction::CloseSession(session) => self.close_endpoint(session, false),
                     RunnerAction::Start(order) => {
-                        let is_late = self.faults.is_troubled && self.rng.random_bool(0.05);
+                        let is_delayed = self.faults.has_faults && self.rng.random_bool(0.05);
                         let node = &mut self.runners[index];
-                        let answer = node.target.start(&order, now, is_late, &mut self.rng);
+                        let answer = node.target.start(&order, now, is_delayed, &mut self.rng);
                         if answer != StartAnswer::Unanswered {
                             let runner = node.runner.as_mut().unwrap();
                             runner.receive_start_answer(&order, answer, node.clock.read(now));
                         }
                     }
                     RunnerAction::Stop(order) => {
-                        let is_late = self.faults.is_troubled && self.rng.random_bool(0.05);
+                        let is_delayed = self.faults.has_faults && self.rng.random_bool(0.05);
                         self.runners[index]
                             .target
-                            .stop(&order, now, is_late, &mut self.rng);
+                            .stop(&order, now, is_delayed, &mut self.rng);
                     }
                     RunnerAction::RenewNow => self.runners[index].renewal_due_at = now,
                     RunnerAction::RecordEnd(end) => self.record_end(index, end),
@@ -93,15 +95,15 @@
         if self.now < self.dispatchers[index].frozen_until {
             return;
         }
-        self.expire_kept(index);
+        self.expire_kept_leases(index);
         let node = &mut self.dispatchers[index];
         if let Some(dispatcher) = &mut node.dispatcher {
             dispatcher.tick(node.clock.read(self.now));
         }
-        self.act_dispatcher(index);
+        self.execute_dispatcher_actions(index);
     }
 
-    pub(super) fn act_dispatcher(&mut self, index: usize) {
+    pub(super) fn execute_dispatcher_actions(&mut self, index: usize) {
         let Some(dispatcher) = &mut self.dispatchers[index].dispatcher else {
             return;
         };
@@ -116,7 +118,7 @@
                         link.to_runner.push_back((at.max(last), message));
                     }
                 }
-                DispatcherAction::CloseSession(session) => self.close_side(session, true),
+                DispatcherAction::CloseSession(session) => self.close_endpoint(session, true),
                 DispatcherAction::Report(_) => {}
                 DispatcherAction::ObserveEnd {
                     job,
@@ -124,8 +126,10 @@
                     run,
                     outcome,
                 } => self.observe_end(index, job, task, run, outcome),
-                DispatcherAction::HandBack(number) => self.hand_back(index, number),
-                DispatcherAction::Answer(number, answer) => self.answered(index, number, answer),
+                DispatcherAction::HandBack(number) => self.release_kept_job(index, number),
+                DispatcherAction::Answer(number, answer) => {
+                    self.receive_answer(index, number, answer);
+                }
             }
         }
     }
--- a/crates/leased/cloverfold_lease/tests/world/target.rs
+++ b/crates/leased/cloverfold_lease/tests/world/target.rs
@@ -1,4 +1,4 @@
-//! A target as the protocol tells it: runs under one lease, ends listed until they are noted, late orders.
+//! A simulated target: it executes runs under one lease, lists ends until they are acknowledged, and can execute orders late.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 
 const CAPACITY: i64 = 16_000;
 const DEMAND: i64 = 1_600;
-/// Longest lease that it grants, in milliseconds of its clock.
-const LONGEST_LEASE: u64 = 1_000;
+/// Longest lease that the target grants, in milliseconds of its clock.
+const MAX_LEASE: u64 = 1_000;
 
-enum Late {
+enum DelayedOrder {
     Start(StartOrder),
     Stop(StopOrder),
 }
@@ -22,12 +22,12 @@
 pub struct Target {
     index: usize,
     rate: f64,
-    /// Numbers the names that it has had; several lives may have the same one.
+    /// Number of its current name; several incarnations may share a name.
     name_number: u64,
-    /// Numbers its lives.
-    life: u64,
-    life_began: u64,
-    pub cut_until: u64,
+    /// Number of its current incarnation.
+    incarnation: u64,
+    started_at: u64,
+    pub disconnected_until: u64,
     lease: u64,
     fencing_token: u64,
     sequence: u64,
@@ -35,18 +35,18 @@
     ended: Vec<EndedRun>,
     last_end: u64,
     highest_run: BTreeMap<TaskId, u64>,
-    late: Vec<(u64, Late)>,
-    started: u64,
+    delayed: Vec<(u64, DelayedOrder)>,
+    new_starts: u64,
     done: BTreeMap<String, u64>,
-    /// How often the lease has lapsed.
+    /// Number of lapses of the lease.
     lapses: u64,
     has_lapsed: bool,
-    /// Ends `Done` with when they were and after how many lapses.
+    /// Ends `Done` by number, with their time and the number of lapses before them.
     done_ends: BTreeMap<u64, (u64, u64)>,
-    /// Starts since the last call of [`Target::take_history`].
-    begun: Vec<TaskId>,
-    /// Ends `Done` that were forgotten without a lapse since, as `begun`.
-    noted: Vec<(TaskId, u64)>,
+    /// Tasks started since the last call of [`Target::take_history`].
+    started_tasks: Vec<TaskId>,
+    /// Ends `Done` that were forgotten since that call without a lapse in between, with their times.
+    acknowledged: Vec<(TaskId, u64)>,
 }
 
 impl Target {
@@ -55,9 +55,9 @@
             index,
             rate,
             name_number: 1,
-            life: 1,
-            life_began: 0,
-            cut_until: 0,
+            incarnation: 1,
+            started_at: 0,
+            disconnected_until: 0,
             lease: 0,
             fencing_token: 0,
             sequence: 0,
@@ -65,23 +65,23 @@
             ended: Vec::new(),
             last_end: 0,
             highest_run: BTreeMap::new(),
-            late: Vec::new(),
-            started: 0,
+            delayed: Vec::new(),
+            new_starts: 0,
             done: BTreeMap::new(),
             lapses: 0,
             has_lapsed: false,
             done_ends: BTreeMap::new(),
-            begun: Vec::new(),
-            noted: Vec::new(),
+            started_tasks: Vec::new(),
+            acknowledged: Vec::new(),
         }
     }
 
     fn clock(&self, now: u64) -> u64 {
-        1_000 + (now.saturating_sub(self.life_began) as f64 * self.rate) as u64
+        1_000 + (now.saturating_sub(self.started_at) as f64 * self.rate) as u64
     }
 
     pub fn is_up(&self, now: u64) -> bool {
-        now >= self.life_began && now >= self.cut_until
+        now >= self.started_at && now >= self.disconnected_until
     }
 
     pub fn running(&self) -> impl Iterator<Item = &TaskId> {
@@ -92,16 +92,16 @@
         self.done.get(job).copied().unwrap_or(0)
     }
 
-    /// Ends this life; the next one begins after a gap, under the same name or another.
-    pub fn crash(&mut self, now: u64, gap: u64, keeps_name: bool) {
+    /// Ends this incarnation; the next one starts after `downtime`, under the same name or another.
+    pub fn crash(&mut self, now: u64, downtime: u64, keeps_name: bool) {
         self.name_number += u64::from(!keeps_name);
-        self.life += 1;
-        self.life_began = now + gap;
+        self.incarnation += 1;
+        self.started_at = now + downtime;
         self.sequence = 0;
         self.has_lapsed = false;
         self.running.clear();
         self.ended.clear();
-        self.late.clear();
+        self.delayed.clear();
         self.highest_run.clear();
         self.done_ends.clear();
         self.last_end = 0;
@@ -118,7 +118,7 @@
         TargetRegistration {
             incarnation: IncarnationId {
                 name: self.name(),
-                start_time: Some(self.life),
+                start_time: Some(self.incarnation),
             },
             service: "service".into(),
             address: "127.0.0.1:1".into(),
@@ -146,17 +146,18 @@
         }
     }
 
-    /// Ends what is done or has lapsed and carries out late orders; returns how many runs began since the last call.
+    /// Executes delayed orders and ends runs that are done or whose lease has lapsed; returns the number of runs started since the last
+    /// call.
     pub fn step(&mut self, now: u64) -> u64 {
-        let late = std::mem::take(&mut self.late);
-        for (at, order) in late {
+        let delayed = std::mem::take(&mut self.delayed);
+        for (at, order) in delayed {
             if at > now {
-                self.late.push((at, order));
+                self.delayed.push((at, order));
                 continue;
             }
             match order {
-                Late::Start(order) => drop(self.do_start(&order, now)),
-                Late::Stop(order) => self.do_stop(&order),
+                DelayedOrder::Start(order) => drop(self.execute_start(&order, now)),
+                DelayedOrder::Stop(order) => self.execute_stop(&order),
             }
         }
         let tasks: Vec<(TaskId, u64)> = self
@@ -174,43 +175,43 @@
                 self.end(&task, EndCause::Lapsed);
             }
         }
-        // What ended in this step ended before the lapse: a run that has lapsed is not done.
+        // Runs that completed in this step did so before the lapse, since a lapsed run is not done.
         self.lapses += u64::from(has_lapsed && !self.has_lapsed);
         self.has_lapsed = has_lapsed;
-        std::mem::take(&mut self.started)
+        std::mem::take(&mut self.new_starts)
     }
 
-    /// Takes the tasks that began, and the ends `Done` that were forgotten without a lapse since.
+    /// Takes the started tasks, and the ends `Done` that were forgotten without a lapse in between.
     pub fn take_history(&mut self) -> (Vec<TaskId>, Vec<(TaskId, u64)>) {
         (
-            std::mem::take(&mut self.begun),
-            std::mem::take(&mut self.noted),
+            std::mem::take(&mut self.started_tasks),
+            std::mem::take(&mut self.acknowledged),
         )
     }
 
-    fn is_reached(&self, life: &IncarnationId, now: u64) -> bool {
-        self.is_up(now) && life.name == self.name()
+    fn is_reached(&self, incarnation: &IncarnationId, now: u64) -> bool {
+        self.is_up(now) && incarnation.name == self.name()
     }
 
     pub fn start(
         &mut self,
         order: &StartOrder,
         now: u64,
-        is_late: bool,
+        is_delayed: bool,
         rng: &mut SmallRng,
     ) -> StartAnswer {
         if !self.is_reached(&order.incarnation, now) {
             return StartAnswer::Unanswered;
         }
-        if is_late {
+        if is_delayed {
             let at = now + rng.random_range(200..12_000);
-            self.late.push((at, Late::Start(order.clone())));
+            self.delayed.push((at, DelayedOrder::Start(order.clone())));
             return StartAnswer::Unanswered;
         }
-        self.do_start(order, now)
+        self.execute_start(order, now)
     }
 
-    fn do_start(&mut self, order: &StartOrder, now: u64) -> StartAnswer {
+    fn execute_start(&mut self, order: &StartOrder, now: u64) -> StartAnswer {
         let clock = self.clock(now);
         let refused = |refusal| StartAnswer::Refused(refusal, Some(clock));
         if order.fencing_token < self.fencing_token {
@@ -220,7 +221,7 @@
         if order.deadline <= clock {
             return refused(StartRefusal::Late);
         }
-        self.lease = self.lease.max(order.deadline.min(clock + LONGEST_LEASE));
+        self.lease = self.lease.max(order.deadline.min(clock + MAX_LEASE));
         if self
             .running
             .get(&order.task)
@@ -238,28 +239,28 @@
         if (self.running.len() as i64 + 1) * DEMAND > CAPACITY {
             return refused(StartRefusal::NoCapacity);
         }
-        self.begun.push(order.task.clone());
+        self.started_tasks.push(order.task.clone());
         let work: u64 = order.spec.parse().unwrap();
         self.highest_run.insert(order.task.clone(), order.run);
         self.running
             .insert(order.task.clone(), (order.run, now + work));
-        self.started += 1;
+        self.new_starts += 1;
         StartAnswer::Started { clock }
     }
 
-    pub fn stop(&mut self, order: &StopOrder, now: u64, is_late: bool, rng: &mut SmallRng) {
+    pub fn stop(&mut self, order: &StopOrder, now: u64, is_delayed: bool, rng: &mut SmallRng) {
         if !self.is_reached(&order.incarnation, now) {
             return;
         }
-        if is_late {
+        if is_delayed {
             let at = now + rng.random_range(200..12_000);
-            self.late.push((at, Late::Stop(order.clone())));
+            self.delayed.push((at, DelayedOrder::Stop(order.clone())));
             return;
         }
-        self.do_stop(order);
+        self.execute_stop(order);
     }
 
-    fn do_stop(&mut self, order: &StopOrder) {
+    fn execute_stop(&mut self, order: &StopOrder) {
         if order.fencing_token < self.fencing_token {
             return;
         }
@@ -272,8 +273,8 @@
         }
     }
 
-    pub fn renew(&mut self, order: &RenewalOrder, now: u64, is_late: bool) -> RenewalAnswer {
-        if !self.is_up(now) || is_late {
+    pub fn renew(&mut self, order: &RenewalOrder, now: u64, is_lost: bool) -> RenewalAnswer {
+        if !self.is_up(now) || is_lost {
             return RenewalAnswer::Unanswered;
         }
         if order.incarnation.name != self.name() {
@@ -288,19 +289,17 @@
                 && let Some((ended_at, lapses)) = self.done_ends.remove(&end.number)
                 && lapses == self.lapses
             {
-                self.noted.push((end.task.clone(), ended_at));
+                self.acknowledged.push((end.task.clone(), ended_at));
             }
         }
         self.ended
             .retain(|end| end.number > order.last_acknowledged_end);
         if let Some(deadline) = order.deadline {
-            self.lease = self
-                .lease
-                .max(deadline.min(self.clock(now) + LONGEST_LEASE));
+            self.lease = self.lease.max(deadline.min(self.clock(now) + MAX_LEASE));
         }
         let running = self.running.iter();
         RenewalAnswer::Listed {
-            start_time: Some(self.life),
+            start_time: Some(self.incarnation),
             clock: self.clock(now),
             running: running
                 .map(|(task, (run, _))| ListedRun {
