--- a/crates/leased/cloverfold_lease/src/dispatcher/precedence.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/precedence.rs
@@ -1,16 +1,15 @@
-//! Decision: in which order waiting jobs are served.
+//! Order in which waiting jobs are served.
 //!
-//! 1. A job whose grace is not over ([`Job::is_past_grace`]): few callers can still use the answer of another.
-//! 2. A job that has begun: what it already used is lost if it ends late.
-//! 3. A job that can still be in time, before one that came past its objective (`returned_callers`).
-//! 4. A job whose queue is within its share of the processors, before one whose queue is above it ([`shares`]).
-//! 5. Priority, 0 first.
-//! 6. Arrival.
+//! The first criterion that differs decides:
 //!
-//! Owns no state. Relies on [`QueueShares`].
+//! 1. Jobs whose grace period is not over ([`Job::is_past_grace`]) come first, since few callers can still use the answers of the others.
+//! 2. Jobs that have started come before others, since their work is wasted if they end late.
+//! 3. Jobs that can still be on time come before late resubmissions (`resubmissions`).
+//! 4. Jobs of a queue within its share of the processors come before jobs of a queue above it ([`shares`]).
+//! 5. Priority, 0 first.
+//! 6. Order of submission.
 //!
 //! [`shares`]: super::shares
-//! [`QueueShares`]: super::shares::QueueShares
 //! [`Job::is_past_grace`]: super::job::Job::is_past_grace
 
 use cloverfold_base::Timestamp;
@@ -18,18 +17,18 @@
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::job::QueuePosition;
 
-/// Place of a waiting job in one pass over the queue; the lowest is served first.
+/// Rank of a waiting job in one pass over the queue; the lowest is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Precedence {
     is_past_grace: bool,
-    is_not_begun: bool,
-    is_late: bool,
+    is_not_started: bool,
+    is_late_resubmission: bool,
     is_above_share: bool,
     position: QueuePosition,
 }
 
 impl Dispatcher {
-    /// Lists the jobs with waiting tasks in the order in which they are served now.
+    /// Returns the jobs with waiting tasks in the order in which they are served.
     pub(super) fn list_waiting(&self, now: Timestamp) -> Vec<QueuePosition> {
         let mut order: Vec<Precedence> = self
             .waiting
@@ -44,8 +43,8 @@
         let job = self.jobs.get(&position.job);
         Precedence {
             is_past_grace: job.is_some_and(|job| job.is_past_grace(now)),
-            is_not_begun: job.is_some_and(|job| !job.may_have_run()),
-            is_late: job.is_some_and(|job| job.is_late),
+            is_not_started: job.is_some_and(|job| !job.may_have_run()),
+            is_late_resubmission: job.is_some_and(|job| job.is_late_resubmission),
             is_above_share: job
                 .is_some_and(|job| self.shares.is_above_share(&job.request.queue, now)),
             position,
