--- a/crates/leased/cloverfold_control/src/disk.rs
+++ b/crates/leased/cloverfold_control/src/disk.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 
 /// Pause before a write that the disk has refused is tried again. Chosen, not measured.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Records to be written.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 
 /// Which log of the process a thread writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LogName {
+pub(crate) enum LogId {
     /// The log of configurations.
     Control,
     /// The log of a group that keeps jobs.
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub(crate) struct LogEvent {
     /// The log.
-    pub(crate) log: LogName,
+    pub(crate) log: LogId,
     /// What has happened.
     pub(crate) event: DiskEvent,
 }
@@ -50,22 +50,22 @@
     /// This batch and all before it are synced.
     Synced(BatchNumber),
     /// The disk refuses writes; they are tried again.
-    Refusing,
+    Failing,
 }
 
 /// Hands batches to the disk's thread.
 #[derive(Debug)]
-pub(crate) struct Disk {
+pub(crate) struct DiskWriter {
     tx: thread_mpsc::Sender<Batch>,
 }
 
-impl Disk {
+impl DiskWriter {
     /// Starts the thread for a store that is open.
     ///
     /// # Errors
     ///
     /// Returns the system's error if it gives no thread.
-    pub(crate) fn start(store: Store, events: DiskEvents) -> std::io::Result<Self> {
+    pub(crate) fn start(store: Store, events: DiskEventSender) -> std::io::Result<Self> {
         let (tx, rx) = thread_mpsc::channel();
         let builder = thread::Builder::new().name("disk".into());
         builder.spawn(move || write_batches(store, &rx, &events))?;
@@ -81,7 +81,7 @@
     pub(crate) fn open(
         folder: PathBuf,
         replica: ReplicaId,
-        events: DiskEvents,
+        events: DiskEventSender,
     ) -> std::io::Result<Self> {
         let (tx, rx) = thread_mpsc::channel();
         let builder = thread::Builder::new().name("disk".into());
@@ -105,14 +105,14 @@
 
 /// Where the thread of a log reports.
 #[derive(Clone, Debug)]
-pub(crate) struct DiskEvents {
-    log: LogName,
+pub(crate) struct DiskEventSender {
+    log: LogId,
     tx: mpsc::UnboundedSender<LogEvent>,
 }
 
-impl DiskEvents {
+impl DiskEventSender {
     /// Reports for this log.
-    pub(crate) fn new(log: LogName, tx: mpsc::UnboundedSender<LogEvent>) -> Self {
+    pub(crate) fn new(log: LogId, tx: mpsc::UnboundedSender<LogEvent>) -> Self {
         Self { log, tx }
     }
 
@@ -132,17 +132,17 @@
 fn open_store(
     folder: &Path,
     replica: ReplicaId,
-    events: &DiskEvents,
+    events: &DiskEventSender,
 ) -> Option<(Store, RecoveredState)> {
     loop {
-        let (store, recovered) = match open_own(folder, replica) {
+        let (store, recovered) = match try_open_store(folder, replica) {
             Ok(opened) => opened,
             Err(cause) => {
                 log::warn!("a store cannot be opened: {cause}");
-                if !events.send(DiskEvent::Refusing) {
+                if !events.send(DiskEvent::Failing) {
                     return None;
                 }
-                thread::sleep(RETRY_PAUSE);
+                thread::sleep(RETRY_DELAY);
                 continue;
             }
         };
@@ -157,7 +157,10 @@
 }
 
 /// Opens a store; a new one is marked as this replica's.
-fn open_own(folder: &Path, replica: ReplicaId) -> Result<(Store, RecoveredState), StoreError> {
+fn try_open_store(
+    folder: &Path,
+    replica: ReplicaId,
+) -> Result<(Store, RecoveredState), StoreError> {
     let (mut store, mut recovered) = Store::open(folder)?;
     if recovered.identity.is_none() {
         let (id, may_bootstrap) = (replica, false);
@@ -168,7 +171,7 @@
 }
 
 /// Writes batches until the process stops; all that wait at once share one sync.
-fn write_batches(mut store: Store, rx: &thread_mpsc::Receiver<Batch>, events: &DiskEvents) {
+fn write_batches(mut store: Store, rx: &thread_mpsc::Receiver<Batch>, events: &DiskEventSender) {
     while let Ok(mut batch) = rx.recv() {
         while let Ok(next) = rx.try_recv() {
             batch.number = next.number;
@@ -180,10 +183,10 @@
         }
         while let Err(cause) = store.append(&batch.records) {
             log::warn!("the disk refuses a write: {cause}");
-            if !events.send(DiskEvent::Refusing) {
+            if !events.send(DiskEvent::Failing) {
                 return;
             }
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
         if !events.send(DiskEvent::Synced(batch.number)) {
             return;
--- a/crates/leased/cloverfold_control/src/job_counts.rs
+++ b/crates/leased/cloverfold_control/src/job_counts.rs
@@ -16,10 +16,10 @@
     /// Counts what became of a command.
     pub(crate) fn record(&mut self, outcome: &CommandOutcome) {
         match outcome {
-            CommandOutcome::Submit(outcome) => self.count(name_submission(*outcome), 1),
+            CommandOutcome::Submit(outcome) => self.count(submit_outcome_name(*outcome), 1),
             CommandOutcome::Ends(decisions) => {
                 for decision in decisions {
-                    self.count(name_end(*decision), 1);
+                    self.count(end_decision_name(*decision), 1);
                 }
             }
             CommandOutcome::Cancel(CancelOutcome::Cancelled) => self.count("Cancelled", 1),
@@ -52,7 +52,7 @@
     }
 }
 
-fn name_submission(outcome: SubmitOutcome) -> &'static str {
+fn submit_outcome_name(outcome: SubmitOutcome) -> &'static str {
     match outcome {
         SubmitOutcome::Accepted(_) => "Accepted",
         SubmitOutcome::Known => "Known",
@@ -61,7 +61,7 @@
     }
 }
 
-fn name_end(decision: EndDecision) -> &'static str {
+fn end_decision_name(decision: EndDecision) -> &'static str {
     match decision {
         EndDecision::Recorded => "EndRecorded",
         EndDecision::JobOver => "EndOfJobThatIsOver",
--- a/crates/leased/cloverfold_control/src/job_groups/applying.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/apply.rs
@@ -14,10 +14,10 @@
 use super::{Caller, GroupEffect, GroupHost};
 
 /// Level of the lines that every job has: at 850 jobs a second they would crowd out the rarer ones, of which 100 a second are written.
-const USUAL_LEVEL: Level = Level::Debug;
+const ROUTINE_LEVEL: Level = Level::Debug;
 
 /// An open job before a command that may end it or give it on.
-struct OpenBefore {
+struct PriorAssignment {
     job: JobId,
     driver: DriverId,
     epoch: Epoch,
@@ -32,8 +32,8 @@
         entry: &[u8],
         now: Timestamp,
     ) {
-        let leading = self.leading.as_mut();
-        let callers = leading.map_or(Vec::new(), |l| l.batches.take_callers(index, term));
+        let leader_state = self.leader_state.as_mut();
+        let callers = leader_state.map_or(Vec::new(), |l| l.batches.take_callers(index, term));
         let commands = match decode_commands(entry) {
             Ok(commands) => commands,
             Err(cause) => {
@@ -48,14 +48,14 @@
     }
 
     fn apply_command(&mut self, command: JobCommand, caller: Option<Caller>, now: Timestamp) {
-        let before = self.list_touched(&command);
+        let before = self.list_affected(&command);
         let outcome = self.table.apply(command.clone());
         self.counts.record(&outcome);
-        if self.leading.is_none() {
+        if self.leader_state.is_none() {
             return;
         }
         for open in &before {
-            self.tell_if_ended(open);
+            self.notify_if_ended(open);
         }
         match (command, outcome) {
             (JobCommand::Submit(job), CommandOutcome::Submit(outcome)) => {
@@ -70,15 +70,15 @@
                         );
                     }
                 }
-                self.answer_if_awaited(caller, JobReply::EndsRecorded(decisions));
+                self.reply_if_awaited(caller, JobReply::EndsRecorded(decisions));
             }
             (JobCommand::Cancel(job), CommandOutcome::Cancel(outcome)) => {
                 log::info!(job = job.as_str(), outcome:? = outcome, group = self.id; "a kept job is to be cancelled");
-                self.answer_if_awaited(caller, JobReply::Cancelled(outcome));
+                self.reply_if_awaited(caller, JobReply::Cancelled(outcome));
             }
             (JobCommand::Assign(assignees), CommandOutcome::Assigned(jobs)) => {
                 self.log_assigned(&before, &jobs);
-                self.tell_assigned(&assignees, &jobs);
+                self.notify_assigned_drivers(&assignees, &jobs);
             }
             (JobCommand::Expire(up_to), CommandOutcome::Expired(count)) => {
                 log::info!(count, up_to, group = self.id; "ended kept jobs are forgotten");
@@ -88,7 +88,7 @@
     }
 
     /// Lists the open jobs that a command may end or give on.
-    fn list_touched(&self, command: &JobCommand) -> Vec<OpenBefore> {
+    fn list_affected(&self, command: &JobCommand) -> Vec<PriorAssignment> {
         let mut jobs: Vec<&JobId> = match command {
             JobCommand::RecordEnds(ends) => ends.iter().map(|end| &end.job).collect(),
             JobCommand::Cancel(job) => vec![job],
@@ -99,7 +99,7 @@
         jobs.dedup();
         let open = jobs.into_iter().filter_map(|job| {
             let open = self.table.open().get(job)?;
-            Some(OpenBefore {
+            Some(PriorAssignment {
                 job: job.clone(),
                 driver: open.driver(),
                 epoch: open.epoch(),
@@ -108,15 +108,15 @@
         open.collect()
     }
 
-    fn tell_if_ended(&mut self, open: &OpenBefore) {
+    fn notify_if_ended(&mut self, open: &PriorAssignment) {
         let Some(ended) = self.table.ended(&open.job) else {
             return;
         };
-        if let Some(leading) = &mut self.leading {
-            leading.open_since.remove(&open.job);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.open_since.remove(&open.job);
         }
         let level = match ended.how {
-            TerminalState::Completed => USUAL_LEVEL,
+            TerminalState::Completed => ROUTINE_LEVEL,
             TerminalState::Failed | TerminalState::Cancelled => Level::Info,
         };
         log::log!(
@@ -143,24 +143,26 @@
         now: Timestamp,
     ) {
         let level = match outcome {
-            SubmitOutcome::Accepted(_) | SubmitOutcome::Known => USUAL_LEVEL,
+            SubmitOutcome::Accepted(_) | SubmitOutcome::Known => ROUTINE_LEVEL,
             SubmitOutcome::Conflict | SubmitOutcome::Full => Level::Info,
         };
         log::log!(level, job, outcome:? = outcome, group = self.id; "a kept job was submitted");
-        if let (Some(leading), SubmitOutcome::Accepted(_)) = (&mut self.leading, outcome) {
-            leading.open_since.insert(job.to_owned(), now);
+        if let (Some(leader_state), SubmitOutcome::Accepted(_)) = (&mut self.leader_state, outcome)
+        {
+            leader_state.open_since.insert(job.to_owned(), now);
         }
-        let leading = self.leading.as_ref();
-        let is_alive = leading.is_some_and(|leading| leading.drivers.is_alive(driver, now));
+        let leader_state = self.leader_state.as_ref();
+        let is_alive =
+            leader_state.is_some_and(|leader_state| leader_state.drivers.is_alive(driver, now));
         let told = match outcome {
             SubmitOutcome::Accepted(_) if !is_alive => SubmitOutcome::Known,
             outcome => outcome,
         };
-        self.answer_if_awaited(caller, JobReply::Submitted(told));
+        self.reply_if_awaited(caller, JobReply::Submitted(told));
     }
 
-    fn log_assigned(&self, before: &[OpenBefore], assigned: &[JobId]) {
-        for OpenBefore { job, driver, epoch } in before {
+    fn log_assigned(&self, before: &[PriorAssignment], assigned: &[JobId]) {
+        for PriorAssignment { job, driver, epoch } in before {
             if !assigned.contains(job) {
                 continue;
             }
@@ -172,16 +174,16 @@
 
     /// Returns the name of a driver's entry; an empty text if it has not renewed with this leader.
     fn name_entry(&self, driver: Option<DriverId>) -> &str {
-        let leading = self.leading.as_ref();
-        let entry = leading.and_then(|leading| leading.drivers.entry_of(driver?));
+        let leader_state = self.leader_state.as_ref();
+        let entry = leader_state.and_then(|leader_state| leader_state.drivers.entry_of(driver?));
         entry.unwrap_or_default()
     }
 
     /// Tells drivers of the jobs that they were given. An entry that hears of one unasked renews at once, and drives it by the reply.
-    fn tell_assigned(&mut self, assignees: &[JobReassignment], assigned: &[JobId]) {
-        if let Some(leading) = &mut self.leading {
+    fn notify_assigned_drivers(&mut self, assignees: &[JobReassignment], assigned: &[JobId]) {
+        if let Some(leader_state) = &mut self.leader_state {
             let jobs = assignees.iter().map(|assignee| &assignee.job);
-            leading.drivers.complete_handover(jobs);
+            leader_state.drivers.complete_handover(jobs);
         }
         for JobReassignment { job, driver, .. } in assignees {
             if !assigned.contains(job) {
@@ -200,14 +202,15 @@
     }
 
     fn push_to_driver(&mut self, reply: RenewalReply) {
-        let leading = self.leading.as_ref();
-        let entry = leading.and_then(|leading| leading.drivers.entry_of(reply.driver));
+        let leader_state = self.leader_state.as_ref();
+        let entry =
+            leader_state.and_then(|leader_state| leader_state.drivers.entry_of(reply.driver));
         if let Some(entry) = entry.map(str::to_owned) {
             self.effects.push(GroupEffect::Push { entry, reply });
         }
     }
 
-    fn answer_if_awaited(&mut self, caller: Option<Caller>, reply: JobReply) {
+    fn reply_if_awaited(&mut self, caller: Option<Caller>, reply: JobReply) {
         if let Some(caller) = caller {
             self.answer(caller, reply);
         }
--- a/crates/leased/cloverfold_control/src/job_groups/batches.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/batches.rs
@@ -38,13 +38,13 @@
 
 /// Commands of a leader that wait or are under way.
 #[derive(Debug, Default)]
-pub(super) struct Batches {
+pub(super) struct CommandBatches {
     waiting: VecDeque<WaitingCommand>,
     waiting_bytes: usize,
     proposed: Option<ProposedEntry>,
 }
 
-impl Batches {
+impl CommandBatches {
     /// Queues a command; returns `false` if there is no room for it.
     pub(super) fn push(&mut self, command: &JobCommand, caller: Option<Caller>) -> bool {
         let Ok(bytes) = postcard::to_stdvec(command) else {
@@ -84,7 +84,7 @@
     }
 
     /// Records that an entry was appended.
-    pub(super) fn proposed(
+    pub(super) fn mark_proposed(
         &mut self,
         index: LogIndex,
         term: Term,
--- a/crates/leased/cloverfold_control/src/job_groups/calls.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/calls.rs
@@ -25,11 +25,11 @@
 use super::{Caller, GroupEffect, GroupHost};
 
 /// Age of an unsynced write, or of an entry that is not committed, from which on new jobs are refused. Chosen, not measured: fifty syncs of 9 ms.
-const STUCK_DISK: Duration = Duration::from_millis(500);
+const STUCK_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Without contact with the majority for this long no command is taken. Chosen, not measured: ten heartbeats, as for configurations.
-const QUORUM_CONTACT: Duration = Duration::from_millis(800);
+const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Calls that wait for a proof, at most. Chosen, not measured: a second's renewals of 1,000 entries.
-const MAX_READS: usize = 4_096;
+const MAX_PENDING_READS: usize = 4_096;
 /// Longest body of a job, in bytes; the rest of its command fits into the difference to an entry. Chosen, not measured.
 const MAX_BODY_BYTES: usize = MAX_ENTRY_BYTES / 2;
 
@@ -41,7 +41,7 @@
             JobCall::Cancel(job) => job.clone(),
             _ => String::new(),
         };
-        let taken = self.take_call(caller, call, now);
+        let taken = self.handle_call(caller, call, now);
         if let Err(refusal) = taken {
             if !job.is_empty() {
                 log::warn!(job = job.as_str(), cause = refusal.as_str(), group = self.id; "a call about a kept job is refused");
@@ -52,7 +52,7 @@
         self.advance(now);
     }
 
-    fn take_call(
+    fn handle_call(
         &mut self,
         caller: Caller,
         call: JobCall,
@@ -67,19 +67,19 @@
             JobCall::Show(job) => self.queue_read(caller, Read::Show(job)),
             JobCall::Renew(renewal) => {
                 let driver = renewal.driver;
-                let leading = self.leading.as_mut().ok_or(CallRefusal::NoLeader)?;
-                leading.drivers.renew(renewal, now);
+                let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
+                leader_state.drivers.renew(renewal, now);
                 self.queue_read(caller, Read::Renewal(driver))
             }
             JobCall::CountPending(queue) => {
-                let leading = self.leading.as_mut().ok_or(CallRefusal::NoLeader)?;
-                let pending = leading.count_pending(&self.table, &queue, now);
+                let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
+                let pending = leader_state.count_pending(&self.table, &queue, now);
                 self.answer(caller, JobReply::Pending(pending));
                 Ok(())
             }
             JobCall::Release { driver, jobs } => {
-                let leading = self.leading.as_mut().ok_or(CallRefusal::NoLeader)?;
-                leading.drivers.release(&self.table, driver, jobs, now);
+                let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
+                leader_state.drivers.release(&self.table, driver, jobs, now);
                 self.answer(caller, JobReply::Released);
                 Ok(())
             }
@@ -92,9 +92,10 @@
         submission: JobSubmission,
         now: Timestamp,
     ) -> Result<(), CallRefusal> {
-        let leading = self.leading.as_ref();
-        let is_commit_stuck = leading.is_some_and(|l| l.batches.is_stuck(STUCK_DISK, now));
-        if is_commit_stuck || self.host.is_disk_stuck(STUCK_DISK, now) {
+        let leader_state = self.leader_state.as_ref();
+        let is_commit_stuck =
+            leader_state.is_some_and(|l| l.batches.is_stuck(STUCK_WRITE_TIMEOUT, now));
+        if is_commit_stuck || self.host.is_disk_stuck(STUCK_WRITE_TIMEOUT, now) {
             return Err(CallRefusal::Disk);
         }
         if submission.body.len() > MAX_BODY_BYTES {
@@ -110,37 +111,40 @@
         command: &JobCommand,
         now: Timestamp,
     ) -> Result<(), CallRefusal> {
-        let is_in_touch = self.host.replica.has_quorum_contact(QUORUM_CONTACT, now);
-        let leading = self.leading.as_mut();
-        let leading = leading.filter(|_| is_in_touch);
-        let leading = leading.ok_or(CallRefusal::NoLeader)?;
-        let has_room = leading.batches.push(command, Some(caller));
+        let has_quorum = self
+            .host
+            .replica
+            .has_quorum_contact(QUORUM_CONTACT_TIMEOUT, now);
+        let leader_state = self.leader_state.as_mut();
+        let leader_state = leader_state.filter(|_| has_quorum);
+        let leader_state = leader_state.ok_or(CallRefusal::NoLeader)?;
+        let has_room = leader_state.batches.push(command, Some(caller));
         has_room.then_some(()).ok_or(CallRefusal::Busy)
     }
 
     fn queue_read(&mut self, caller: Caller, read: Read) -> Result<(), CallRefusal> {
-        let leading = self.leading.as_mut().ok_or(CallRefusal::NoLeader)?;
-        if leading.reads.len() + leading.watches.len() >= MAX_READS {
+        let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
+        if leader_state.reads.len() + leader_state.watches.len() >= MAX_PENDING_READS {
             return Err(CallRefusal::Busy);
         }
-        leading.reads.push(WaitingRead { caller, read });
+        leader_state.reads.push(WaitingRead { caller, read });
         Ok(())
     }
 
     /// Answers a call for which this replica has proved that it leads, or has failed to. One that asks for an open job waits a while
     /// for its end.
     pub(super) fn finish_read(&mut self, read: WaitingRead, is_proved: bool, now: Timestamp) {
-        let leading = self.leading.as_mut().filter(|_| is_proved);
-        let Some(leading) = leading else {
+        let leader_state = self.leader_state.as_mut().filter(|_| is_proved);
+        let Some(leader_state) = leader_state else {
             self.answer(read.caller, JobReply::Refused(CallRefusal::NoLeader));
             return;
         };
         let reply = match read.read {
             Read::Renewal(driver) => {
-                JobReply::Renewed(leading.drivers.renewal_reply(&self.table, driver))
+                JobReply::Renewed(leader_state.drivers.renewal_reply(&self.table, driver))
             }
             Read::Show(job) if self.table.open().contains_key(&job) => {
-                leading.watches.add(&job, read.caller, now);
+                leader_state.watches.add(&job, read.caller, now);
                 return;
             }
             Read::Show(job) => JobReply::Shown(self.show(&job)),
@@ -150,8 +154,9 @@
 
     /// Answers the calls that ask for a job which has just ended.
     pub(super) fn answer_watches(&mut self, job: &str) {
-        let leading = self.leading.as_mut();
-        let callers = leading.map_or(Vec::new(), |leading| leading.watches.take(job));
+        let leader_state = self.leader_state.as_mut();
+        let callers =
+            leader_state.map_or(Vec::new(), |leader_state| leader_state.watches.take(job));
         for caller in callers {
             self.answer(caller, JobReply::Shown(self.show(job)));
         }
@@ -159,8 +164,10 @@
 
     /// Answers the calls that have waited long enough for the end of a job.
     pub(super) fn answer_due_watches(&mut self, now: Timestamp) {
-        let leading = self.leading.as_mut();
-        let due = leading.map_or(Vec::new(), |leading| leading.watches.take_due(now));
+        let leader_state = self.leader_state.as_mut();
+        let due = leader_state.map_or(Vec::new(), |leader_state| {
+            leader_state.watches.take_due(now)
+        });
         for (job, callers) in due {
             for caller in callers {
                 self.answer(caller, JobReply::Shown(self.show(&job)));
@@ -171,8 +178,8 @@
     /// Returns how far a job is, as far as this replica knows; `None` if it knows none of this name.
     pub(crate) fn show(&self, job: &str) -> Option<JobPhase> {
         if let Some(open) = self.table.open().get(job) {
-            let leading = self.leading.as_ref();
-            let phase = leading.map(|leading| leading.drivers.phase(job, open));
+            let leader_state = self.leader_state.as_ref();
+            let phase = leader_state.map(|leader_state| leader_state.drivers.phase(job, open));
             return Some(phase.unwrap_or(JobPhase::Queued));
         }
         let ended = self.table.ended(job)?;
--- a/crates/leased/cloverfold_control/src/job_groups/group.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/group.rs
@@ -10,8 +10,8 @@
 use cloverfold_kept_jobs::{CallRefusal, GroupId, JobGroups, JobReply, JobTable};
 
 use super::GroupEffect;
-use super::leading::Leading;
-use crate::disk::{Disk, DiskEvent};
+use super::leader::LeaderState;
+use crate::disk::{DiskEvent, DiskWriter};
 use crate::job_counts::JobCounts;
 use crate::replica_host::ReplicaHost;
 
@@ -26,7 +26,7 @@
 
 /// Age of an unsynced write from which on a leader gives up its lead if the others' disks are faster. Chosen, not measured: twice the span
 /// after which it takes no new jobs.
-const HANGING_DISK: Duration = Duration::from_millis(1_000);
+const LEADER_DISK_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// How long the committed index waits to be written with the next entry. A write of its own takes the disk a sync, for which the next
 /// entry waits: with 9 ms a sync half of the jobs of a loaded site were accepted after some 50 ms instead of 20.
@@ -40,18 +40,18 @@
     /// How many voters a group should have.
     pub(crate) voters: usize,
     /// How long ended jobs are remembered.
-    pub(crate) status: Duration,
+    pub(crate) retention: Duration,
 }
 
 /// One replica of one group.
 pub(crate) struct GroupHost {
     pub(super) id: GroupId,
-    remember_for: Duration,
+    retention: Duration,
     pub(super) host: ReplicaHost,
     /// After all applied entries.
     pub(super) table: JobTable,
     /// `Some` while this replica leads.
-    pub(super) leading: Option<Leading>,
+    pub(super) leader_state: Option<LeaderState>,
     pub(super) effects: Vec<GroupEffect>,
     pub(super) counts: JobCounts,
 }
@@ -65,7 +65,7 @@
         id: GroupId,
         groups: &JobGroups,
         settings: &GroupSettings,
-        disk: Disk,
+        disk: DiskWriter,
         recovered: RecoveredState,
         now: Timestamp,
     ) -> Self {
@@ -78,17 +78,17 @@
             ..ReplicaConfig::default()
         };
         let mut replica = Replica::new(settings.replica, config, recovered, random_u64(), now);
-        let founders = list_founders(groups);
+        let founders = founding_members(groups);
         if founders.contains(settings.replica) && replica.status().last_index == 0 {
             log::info!(group = id, members = founders.voters.len(); "a group that keeps jobs begins");
             replica.bootstrap(founders, Vec::new());
         }
         let mut group = Self {
             id,
-            remember_for: settings.status,
+            retention: settings.retention,
             host: ReplicaHost::new(replica, disk),
             table: JobTable::default(),
-            leading: None,
+            leader_state: None,
             effects: Vec::new(),
             counts: JobCounts::default(),
         };
@@ -104,22 +104,22 @@
     /// Does the work that has fallen due.
     pub(crate) fn tick(&mut self, now: Timestamp) {
         self.host.replica.tick(now);
-        self.resign_if_disk_hangs(now);
+        self.step_down_if_disk_hangs(now);
         self.advance(now);
-        if let Some(leading) = &mut self.leading {
-            leading.tick(&self.table, self.remember_for, now);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.tick(&self.table, self.retention, now);
             self.advance(now);
         }
         self.answer_due_watches(now);
         self.host.log_slow(now);
     }
 
-    /// Decision: when a leader gives up its lead. Rule: once its disk has not synced a write for [`HANGING_DISK`] that the majority has
+    /// Decision: when a leader gives up its lead. Rule: once its disk has not synced a write for [`LEADER_DISK_TIMEOUT`] that the majority has
     /// synced. Inputs: the age of the oldest write, the committed and the synced index. Reason: a leader whose disk hangs takes no new
     /// jobs, while those of the others work. Where all disks are slow nobody is ahead, and the leader stays.
-    fn resign_if_disk_hangs(&mut self, now: Timestamp) {
-        let hangs = self.host.is_disk_stuck(HANGING_DISK, now);
-        if self.leading.is_some() && hangs && self.host.replica.is_disk_behind() {
+    fn step_down_if_disk_hangs(&mut self, now: Timestamp) {
+        let hangs = self.host.is_disk_stuck(LEADER_DISK_TIMEOUT, now);
+        if self.leader_state.is_some() && hangs && self.host.replica.is_disk_behind() {
             log::warn!(group = self.id; "the disk hangs: another process is to lead the group");
             self.host.replica.step_down(now);
         }
@@ -152,17 +152,17 @@
     /// Carries out what the replica wants, and appends what waits.
     pub(super) fn advance(&mut self, now: Timestamp) {
         loop {
-            self.carry_out(now);
-            if !self.append_waiting(now) {
+            self.process_ready(now);
+            if !self.propose_waiting(now) {
                 return;
             }
         }
     }
 
-    fn carry_out(&mut self, now: Timestamp) {
+    fn process_ready(&mut self, now: Timestamp) {
         let wanted = self.host.write_wanted(now);
         self.send(wanted.messages);
-        self.follow_role(now);
+        self.update_role(now);
         if let Some(snapshot) = wanted.restored {
             self.restore(&snapshot);
         }
@@ -170,8 +170,8 @@
             self.apply(entry, now);
         }
         for outcome in wanted.reads {
-            let leading = self.leading.as_mut();
-            let reads = leading.map_or(Vec::new(), |l| l.reads.finish(outcome.token));
+            let leader_state = self.leader_state.as_mut();
+            let reads = leader_state.map_or(Vec::new(), |l| l.reads.finish(outcome.token));
             for read in reads {
                 self.finish_read(read, outcome.index.is_some(), now);
             }
@@ -179,20 +179,22 @@
     }
 
     /// Appends the next commands and begins the next proof, if that is possible; returns whether anything changed.
-    fn append_waiting(&mut self, now: Timestamp) -> bool {
-        let Some(leading) = &mut self.leading else {
+    fn propose_waiting(&mut self, now: Timestamp) -> bool {
+        let Some(leader_state) = &mut self.leader_state else {
             return false;
         };
         let mut has_changed = false;
-        if let Some((entry, callers)) = leading.batches.take_next() {
+        if let Some((entry, callers)) = leader_state.batches.take_next() {
             let appended = self.host.replica.propose(entry, now);
-            // It was leading a moment ago; if not, `follow_role` ends this term.
+            // It was leading a moment ago; if not, `update_role` ends this term.
             if let Ok(index) = appended {
-                leading.batches.proposed(index, leading.term, callers, now);
+                leader_state
+                    .batches
+                    .mark_proposed(index, leader_state.term, callers, now);
             }
             has_changed = true;
         }
-        if let Some(token) = leading.reads.begin_next() {
+        if let Some(token) = leader_state.reads.start_next() {
             self.host.replica.begin_read(token, now);
             has_changed = true;
         }
@@ -206,24 +208,29 @@
     }
 
     /// Begins or ends to lead.
-    fn follow_role(&mut self, now: Timestamp) {
+    fn update_role(&mut self, now: Timestamp) {
         let status = self.host.replica.status();
         let term = (status.role == Role::Leader).then_some(status.term);
-        if self.leading.as_ref().map(|leading| leading.term) == term {
+        if self
+            .leader_state
+            .as_ref()
+            .map(|leader_state| leader_state.term)
+            == term
+        {
             return;
         }
-        if let Some(ended) = self.leading.take() {
+        if let Some(ended) = self.leader_state.take() {
             log::info!(group = self.id, term = ended.term; "this process no longer leads a group that keeps jobs");
-            self.refuse_waiting(ended);
+            self.reject_waiting(ended);
         }
         if let Some(term) = term {
             log::info!(group = self.id, term; "this process leads a group that keeps jobs");
-            self.leading = Some(Leading::new(term, &self.table, now));
+            self.leader_state = Some(LeaderState::new(term, &self.table, now));
         }
     }
 
     /// Refuses the calls that had no effect. Those whose commands were appended get no answer: they may be committed yet.
-    fn refuse_waiting(&mut self, mut ended: Leading) {
+    fn reject_waiting(&mut self, mut ended: LeaderState) {
         let refused = JobReply::Refused(CallRefusal::NoLeader);
         for caller in ended.batches.take_waiting_callers() {
             self.answer(caller, refused.clone());
@@ -263,7 +270,7 @@
 }
 
 /// Returns the members that a group begins with.
-fn list_founders(groups: &JobGroups) -> Members {
+fn founding_members(groups: &JobGroups) -> Members {
     let founders = groups.founders.iter();
     let mut voters: Vec<Member> = founders
         .map(|founder| Member {
--- a/crates/leased/cloverfold_control/src/job_groups/leading.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/leader.rs
@@ -7,42 +7,42 @@
 use cloverfold_consensus::Term;
 use cloverfold_kept_jobs::{DriverTable, JobCommand, JobId, JobTable, KeptJobTimings};
 
-use super::batches::Batches;
-use super::ended::EndTimes;
+use super::batches::CommandBatches;
 use super::reads::ReadRounds;
+use super::retention::JobRetention;
 use super::watches::JobWatches;
 
 /// How often jobs are looked through for a hand-over. Chosen, not measured: a fifteenth of the wait before one.
-const HANDOVER_INTERVAL: Duration = Duration::from_millis(100);
+const HANDOVER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How old the counts of pending jobs may be. Chosen, not measured: a quarter of the 2 s that a caller may be shown.
-const PENDING_INTERVAL: Duration = Duration::from_millis(500);
+const PENDING_COUNT_MAX_AGE: Duration = Duration::from_millis(500);
 
 /// The state of a leader in its term.
-pub(super) struct Leading {
+pub(super) struct LeaderState {
     pub(super) term: Term,
     pub(super) drivers: DriverTable,
-    pub(super) batches: Batches,
+    pub(super) batches: CommandBatches,
     pub(super) reads: ReadRounds,
     /// Since when this leader knows each open job.
     pub(super) open_since: HashMap<JobId, Timestamp>,
     pub(super) watches: JobWatches,
-    ends: EndTimes,
+    retention: JobRetention,
     handover_at: Timestamp,
     pending: BTreeMap<String, u64>,
     pending_at: Option<Timestamp>,
 }
 
-impl Leading {
+impl LeaderState {
     pub(super) fn new(term: Term, table: &JobTable, now: Timestamp) -> Self {
         let open = table.open().keys();
         Self {
             open_since: open.map(|job| (job.clone(), now)).collect(),
             term,
             drivers: DriverTable::new(KeptJobTimings::default(), now),
-            batches: Batches::default(),
+            batches: CommandBatches::default(),
             reads: ReadRounds::default(),
             watches: JobWatches::default(),
-            ends: EndTimes::default(),
+            retention: JobRetention::default(),
             handover_at: now,
             pending: BTreeMap::new(),
             pending_at: None,
@@ -50,13 +50,13 @@
     }
 
     /// Queues the commands that have fallen due.
-    pub(super) fn tick(&mut self, table: &JobTable, status: Duration, now: Timestamp) {
-        if now >= self.handover_at + HANDOVER_INTERVAL {
+    pub(super) fn tick(&mut self, table: &JobTable, retention: Duration, now: Timestamp) {
+        if now >= self.handover_at + HANDOVER_CHECK_INTERVAL {
             self.handover_at = now;
-            self.hand_on(table, now);
+            self.hand_over_jobs(table, now);
         }
-        self.ends.observe(table.last_end(), now);
-        if let Some(end) = self.ends.take_due(status, now)
+        self.retention.observe(table.last_end(), now);
+        if let Some(end) = self.retention.take_due(retention, now)
             && !self.batches.push(&JobCommand::Expire(end), None)
         {
             // What ended later takes these along.
@@ -64,7 +64,7 @@
         }
     }
 
-    fn hand_on(&mut self, table: &JobTable, now: Timestamp) {
+    fn hand_over_jobs(&mut self, table: &JobTable, now: Timestamp) {
         let assignees = self.drivers.plan_handover(table, now);
         if assignees.is_empty() {
             return;
@@ -78,7 +78,7 @@
 
     /// Returns how many jobs of a queue have not begun.
     pub(super) fn count_pending(&mut self, table: &JobTable, queue: &str, now: Timestamp) -> u64 {
-        let is_old = |at: Timestamp| now >= at + PENDING_INTERVAL;
+        let is_old = |at: Timestamp| now >= at + PENDING_COUNT_MAX_AGE;
         if self.pending_at.is_none_or(is_old) {
             self.pending = self.drivers.count_pending(table);
             self.pending_at = Some(now);
--- a/crates/leased/cloverfold_control/src/job_groups/mod.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/mod.rs
@@ -14,14 +14,14 @@
 //! | `view` | what a group shows |
 //! | `ended` | when ended jobs are forgotten |
 
-mod applying;
+mod apply;
 mod batches;
 mod calls;
-mod ended;
 mod group;
-mod leading;
+mod leader;
 mod reads;
-mod view;
+mod retention;
+mod status;
 mod watches;
 
 use std::net::SocketAddr;
--- a/crates/leased/cloverfold_control/src/job_groups/reads.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/reads.rs
@@ -30,28 +30,28 @@
 pub(super) struct ReadRounds {
     last_token: ReadToken,
     /// They wait for the next proof.
-    gathering: Vec<WaitingRead>,
+    queued: Vec<WaitingRead>,
     /// They wait for the proof that is under way.
-    proving: Vec<WaitingRead>,
+    in_flight: Vec<WaitingRead>,
 }
 
 impl ReadRounds {
     /// Returns how many calls wait.
     pub(super) fn len(&self) -> usize {
-        self.gathering.len() + self.proving.len()
+        self.queued.len() + self.in_flight.len()
     }
 
     /// Adds a call.
     pub(super) fn push(&mut self, read: WaitingRead) {
-        self.gathering.push(read);
+        self.queued.push(read);
     }
 
     /// Begins the next proof if there is none under way and a call waits; returns its token.
-    pub(super) fn begin_next(&mut self) -> Option<ReadToken> {
-        if !self.proving.is_empty() || self.gathering.is_empty() {
+    pub(super) fn start_next(&mut self) -> Option<ReadToken> {
+        if !self.in_flight.is_empty() || self.queued.is_empty() {
             return None;
         }
-        self.proving = std::mem::take(&mut self.gathering);
+        self.in_flight = std::mem::take(&mut self.queued);
         self.last_token += 1;
         Some(self.last_token)
     }
@@ -59,7 +59,7 @@
     /// Ends a proof; returns the calls that waited for it.
     pub(super) fn finish(&mut self, token: ReadToken) -> Vec<WaitingRead> {
         if token == self.last_token {
-            std::mem::take(&mut self.proving)
+            std::mem::take(&mut self.in_flight)
         } else {
             Vec::new()
         }
@@ -67,7 +67,7 @@
 
     /// Returns all calls that wait.
     pub(super) fn take_all(&mut self) -> impl Iterator<Item = WaitingRead> + use<> {
-        let proving = std::mem::take(&mut self.proving).into_iter();
-        proving.chain(std::mem::take(&mut self.gathering))
+        let in_flight = std::mem::take(&mut self.in_flight).into_iter();
+        in_flight.chain(std::mem::take(&mut self.queued))
     }
 }
--- a/crates/leased/cloverfold_control/src/job_groups/ended.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/retention.rs
@@ -15,13 +15,13 @@
 
 /// When the leader saw which ends.
 #[derive(Debug, Default)]
-pub(super) struct EndTimes {
+pub(super) struct JobRetention {
     /// All ends up to this number had come at this time; in order.
     seen: VecDeque<(EndSequence, Timestamp)>,
     newest: EndSequence,
 }
 
-impl EndTimes {
+impl JobRetention {
     /// Records the number of the newest end.
     pub(super) fn observe(&mut self, last_end: EndSequence, now: Timestamp) {
         let last = self.seen.back();
@@ -33,9 +33,9 @@
     }
 
     /// Takes the number up to which all ends are to be forgotten by now.
-    pub(super) fn take_due(&mut self, status: Duration, now: Timestamp) -> Option<EndSequence> {
+    pub(super) fn take_due(&mut self, retention: Duration, now: Timestamp) -> Option<EndSequence> {
         let mut due = None;
-        while let Some((end, _)) = self.seen.pop_front_if(|(_, at)| now >= *at + status) {
+        while let Some((end, _)) = self.seen.pop_front_if(|(_, at)| now >= *at + retention) {
             due = Some(end);
         }
         due
--- a/crates/leased/cloverfold_control/src/job_groups/view.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/status.rs
@@ -37,19 +37,20 @@
 
     /// Returns whether this replica leads.
     pub(crate) fn is_leading(&self) -> bool {
-        self.leading.is_some()
+        self.leader_state.is_some()
     }
 
     /// Returns for how long this leader has known its oldest open job; zero where this replica does not lead.
     pub(crate) fn oldest_open_age(&self, now: Timestamp) -> Duration {
-        let leading = self.leading.as_ref();
-        let since = leading.and_then(|leading| leading.open_since.values().min().copied());
+        let leader_state = self.leader_state.as_ref();
+        let since =
+            leader_state.and_then(|leader_state| leader_state.open_since.values().min().copied());
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
     /// Counts the open jobs whose driver is not alive; none where this replica does not lead.
     pub(crate) fn count_without_driver(&self, now: Timestamp) -> usize {
-        let leading = self.leading.as_ref();
-        leading.map_or(0, |l| l.drivers.count_without_driver(&self.table, now))
+        let leader_state = self.leader_state.as_ref();
+        leader_state.map_or(0, |l| l.drivers.count_without_driver(&self.table, now))
     }
 }
--- a/crates/leased/cloverfold_control/src/job_groups/watches.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/watches.rs
@@ -1,6 +1,6 @@
 //! Calls that ask for a job which has not ended.
 //!
-//! Decision: when such a call is answered. Rule: once the job has ended, or after [`SHOW_WAIT`] with how far it is then. Inputs: the end
+//! Decision: when such a call is answered. Rule: once the job has ended, or after [`MAX_SHOW_WAIT`] with how far it is then. Inputs: the end
 //! of the job, the time.
 //!
 //! Reason: callers ask right after the last task has ended, when the record of that end is still on its way to a majority's disks; an
@@ -17,7 +17,7 @@
 
 /// How long a call waits for the end of its job. Chosen, not measured: two syncs of 9 ms and the messages between target, guard and
 /// leader take some 30 ms.
-const SHOW_WAIT: Duration = Duration::from_millis(60);
+const MAX_SHOW_WAIT: Duration = Duration::from_millis(60);
 
 /// Calls that wait for the end of a job.
 #[derive(Debug, Default)]
@@ -31,7 +31,7 @@
     /// Adds a call.
     pub(super) fn add(&mut self, job: &JobId, caller: Caller, now: Timestamp) {
         self.by_job.entry(job.clone()).or_default().push(caller);
-        self.due.push_back((now + SHOW_WAIT, job.clone()));
+        self.due.push_back((now + MAX_SHOW_WAIT, job.clone()));
     }
 
     /// Returns the calls that wait for the end of a job.
--- a/crates/leased/cloverfold_control/src/operators/configurations.rs
+++ b/crates/leased/cloverfold_control/src/operators/configurations.rs
@@ -68,7 +68,7 @@
 
     /// Shows the configuration in force.
     pub(super) async fn get_configuration(&self) -> Response {
-        if !self.is_newest().await {
+        if !self.is_up_to_date().await {
             return answer_unavailable("the newest configuration is not known here at present\n");
         }
         match self.state.lock().current_text() {
--- a/crates/leased/cloverfold_control/src/operators/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/operators/evacuations.rs
@@ -43,7 +43,7 @@
 
     /// Shows the evacuations in force.
     pub(super) async fn get_evacuations(&self) -> Response {
-        if !self.is_newest().await {
+        if !self.is_up_to_date().await {
             return answer_unavailable("the newest evacuations are not known here at present\n");
         }
         let body = self.state.lock().describe_evacuations().to_string();
@@ -53,10 +53,10 @@
     /// Submits an order until it is decided, and makes it anew while it is outdated.
     async fn decide_order(&self, hall: &DataHall, change: HallChange) {
         loop {
-            let order = self.state.lock().make_order(hall, change);
+            let order = self.state.lock().create_order(hall, change);
             let submit = |state: &mut ControlState| state.submit_order(&order);
             let find_outcome = |state: &ControlState| state.order_outcome(order.id);
-            match self.decide(submit, find_outcome).await {
+            match self.submit_until_decided(submit, find_outcome).await {
                 OrderOutcome::Taken | OrderOutcome::Repeated => return,
                 OrderOutcome::Outdated => {}
             }
--- a/crates/leased/cloverfold_control/src/operators/mod.rs
+++ b/crates/leased/cloverfold_control/src/operators/mod.rs
@@ -14,11 +14,11 @@
 mod audit;
 mod calls;
 mod configurations;
-mod deciding;
 mod evacuations;
 mod jobs;
-mod newest;
+mod read_barrier;
 mod replies;
+mod submission;
 mod upkeep;
 
 use std::sync::Arc;
--- a/crates/leased/cloverfold_control/src/operators/newest.rs
+++ b/crates/leased/cloverfold_control/src/operators/read_barrier.rs
@@ -15,13 +15,13 @@
 
 impl Operators {
     /// Returns whether the state here is proved to be the newest in time; if not, no leader could prove that it still leads.
-    pub(super) async fn is_newest(&self) -> bool {
-        let newest = timeout(READ_TIMEOUT, self.wait_until_newest());
+    pub(super) async fn is_up_to_date(&self) -> bool {
+        let newest = timeout(READ_TIMEOUT, self.wait_until_up_to_date());
         newest.await.is_ok()
     }
 
     /// Waits until the state here is proved to be as new as any when the call came.
-    async fn wait_until_newest(&self) {
+    async fn wait_until_up_to_date(&self) {
         loop {
             let proof = self.state.lock().begin_read();
             // A read that is given up counts as failed.
--- a/crates/leased/cloverfold_control/src/operators/deciding.rs
+++ b/crates/leased/cloverfold_control/src/operators/submission.rs
@@ -13,7 +13,7 @@
 
 impl Operators {
     /// Submits an order until the state here, after each applied entry of the log, tells what became of it.
-    pub(super) async fn decide<T>(
+    pub(super) async fn submit_until_decided<T>(
         &self,
         submit: impl Fn(&mut ControlState),
         find_outcome: impl Fn(&ControlState) -> Option<T>,
--- a/crates/leased/cloverfold_control/src/operators/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/operators/upkeep.rs
@@ -1,7 +1,7 @@
 //! Operators' calls about waves of upkeep.
 //!
 //! Decision: when an order of a wave is acknowledged. Rule: any control process checks it. An order that cannot be read or carried out
-//! gets 400 with every fault; one for a box that is not in the platform's list, if that can be read in [`LIST_PATIENCE`], 404; one whose
+//! gets 400 with every fault; one for a box that is not in the platform's list, if that can be read in [`LIST_TIMEOUT`], 404; one whose
 //! number belongs to an order with other content, 409; any order where the settings name no interface of the platform, 404. Nothing of
 //! these is stored. A valid order is submitted to the leader every 250 ms and acknowledged once it is applied here; a number that is
 //! known with the same content is acknowledged at once. If nothing is decided within 2.5 s the answer is 503, and the order may still be
@@ -29,7 +29,7 @@
 
 /// How long an order waits for the list of boxes; without it, names are not checked. Chosen, not measured: operators go on to another
 /// process after a second.
-const LIST_PATIENCE: Duration = Duration::from_millis(400);
+const LIST_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// An order as the product's own interface takes it.
 #[derive(Debug, Deserialize)]
@@ -57,7 +57,7 @@
         if !faults.is_empty() {
             return refuse_wave(number, &faults);
         }
-        let order = self.state.lock().make_wave_order(wave);
+        let order = self.state.lock().create_wave_order(wave);
         if let Some(name) = self.find_unknown_box(&order).await {
             return refuse_wave(number, &[WaveRequestError::UnknownBox(name)]);
         }
@@ -106,12 +106,12 @@
         }
         let settings = self.upkeep.as_ref()?;
         let list = read_list(&*self.interface, settings);
-        let listed = timeout(LIST_PATIENCE, list).await.ok()?.ok()?;
+        let listed = timeout(LIST_TIMEOUT, list).await.ok()?.ok()?;
         let listed: BTreeSet<&str> = listed.iter().map(|listed| listed.name.as_str()).collect();
         let mut boxes = order.boxes.iter();
         let unknown = boxes.find(|name| !listed.contains(name.as_str()))?;
         // An order that was taken elsewhere is acknowledged again, also if the box has left since.
-        let is_new = self.is_newest().await && !is_known();
+        let is_new = self.is_up_to_date().await && !is_known();
         is_new.then(|| unknown.clone())
     }
 
@@ -119,7 +119,7 @@
     async fn decide_wave(&self, order: &WaveOrder) -> WaveOutcome {
         let submit = |state: &mut ControlState| state.submit_wave(order);
         let find_outcome = |state: &ControlState| state.upkeep().order_outcome(order);
-        self.decide(submit, find_outcome).await
+        self.submit_until_decided(submit, find_outcome).await
     }
 
     /// Answers whether a wave is completed.
@@ -134,7 +134,7 @@
             wave.is_some_and(Wave::is_completed)
         };
         // A wave that is completed stays so.
-        if !is_completed_here && !self.is_newest().await {
+        if !is_completed_here && !self.is_up_to_date().await {
             return answer_unavailable(
                 "the newest state of the wave is not known here at present\n",
             );
@@ -153,7 +153,7 @@
 
     /// Shows the waves.
     pub(super) async fn list_waves(&self) -> Response {
-        if !self.is_newest().await {
+        if !self.is_up_to_date().await {
             return answer_unavailable("the newest waves are not known here at present\n");
         }
         let state = self.state.lock();
--- a/crates/leased/cloverfold_control/src/pending_writes.rs
+++ b/crates/leased/cloverfold_control/src/pending_writes.rs
@@ -9,7 +9,7 @@
 use cloverfold_consensus::{BatchNumber, OutgoingMessage};
 
 /// Time after which a write that is not synced is logged as slow, and logged again after each further span. Chosen, not measured.
-const SLOW_WRITE: Duration = Duration::from_millis(250);
+const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
 struct PendingWrite {
@@ -62,7 +62,7 @@
     /// Logs the writes that are slow.
     pub(crate) fn log_slow(&mut self, now: Timestamp) {
         for (batch, write) in &mut self.writes {
-            if now > write.since + SLOW_WRITE {
+            if now > write.since + SLOW_WRITE_THRESHOLD {
                 let waited = now.saturating_duration_since(write.since);
                 log::warn!(batch, waited_ms = waited.as_millis() as u64; "the disk is slow");
                 write.since = now;
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -22,18 +22,18 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use crate::disk::{Disk, DiskEvents, LogEvent, LogName};
+use crate::disk::{DiskEventSender, DiskWriter, LogEvent, LogId};
 use crate::error::ControlError;
 use crate::job_groups::GroupSettings;
 use crate::metrics::ControlMetrics;
 use crate::operators::{OperatorInterface, Operators};
 use crate::peer_file::PeerFile;
 use crate::replica_host::ReplicaHost;
-use crate::state::{Bootstrap, ControlState, HostedJobs, JobsPlan, PeerMemory, format_id};
+use crate::state::{Bootstrap, ControlState, HostedJobs, JobGroupsConfig, PeerStore, format_id};
 use crate::upkeep_caller::UpkeepCaller;
 
 /// How often the process does the work that is due. Chosen, not measured: three times in a heartbeat of the log.
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 /// What a message needs beside a configuration, in bytes, at most: a snapshot also has the audit trail, 4,096 records of some 150
 /// bytes. Chosen, not measured.
 const MESSAGE_OVERHEAD_BYTES: usize = 1024 * 1024;
@@ -115,7 +115,7 @@
         None => create_identity(&mut store, settings.may_found)?,
     };
     let has_empty_log = recovered.entries.is_empty() && recovered.snapshot.index == 0;
-    let own = introduce(settings, identity.id, has_empty_log);
+    let own = create_hello(settings, identity.id, has_empty_log);
     let seeds = settings.peer.seed_addresses();
     let bootstrap = Bootstrap::plan(identity.may_bootstrap, has_empty_log, own.address, &seeds);
     log::info!(
@@ -129,42 +129,42 @@
     };
     let start = Timestamp::ZERO;
     let replica = Replica::new(identity.id, config, recovered, random_u64(), start);
-    let events = DiskEvents::new(LogName::Control, disk_events.clone());
-    let disk = Disk::start(store, events).map_err(ControlError::Thread)?;
-    let memory = open_memory(&settings.data_folder, start)?;
+    let events = DiskEventSender::new(LogId::Control, disk_events.clone());
+    let disk = DiskWriter::start(store, events).map_err(ControlError::Thread)?;
+    let peer_store = open_peer_store(&settings.data_folder, start)?;
     Ok(ControlState::new(
         own,
         ReplicaHost::new(replica, disk),
         port.dialed_peers(),
         bootstrap,
-        memory,
-        plan_jobs(settings, identity.id, disk_events),
+        peer_store,
+        configure_jobs(settings, identity.id, disk_events),
     ))
 }
 
 /// Returns how this process hosts the groups that keep jobs, once they are agreed on.
-fn plan_jobs(
+fn configure_jobs(
     settings: &ControlSettings,
     replica: ReplicaId,
     disk_events: mpsc::UnboundedSender<LogEvent>,
 ) -> HostedJobs {
-    let plan = JobsPlan {
+    let config = JobGroupsConfig {
         count: settings.job_groups,
         groups: GroupSettings {
             replica,
             voters: 2 * settings.tolerated_losses + 1,
-            status: settings.status_retention(),
+            retention: settings.status_retention(),
         },
         seeds: settings.peer.seed_addresses(),
         data_folder: settings.data_folder.clone(),
     };
-    HostedJobs::new(plan, disk_events)
+    HostedJobs::new(config, disk_events)
 }
 
 /// Reads who was connected before the last restart.
-fn open_memory(folder: &Path, start: Timestamp) -> Result<PeerMemory, ControlError> {
+fn open_peer_store(folder: &Path, start: Timestamp) -> Result<PeerStore, ControlError> {
     let (file, remembered) = PeerFile::open(folder).map_err(ControlError::Thread)?;
-    Ok(PeerMemory::new(file, remembered, start))
+    Ok(PeerStore::new(file, remembered, start))
 }
 
 /// Draws the identity of a new disk. It and the right to begin a group are synced before anything else, so that a process that dies
@@ -176,7 +176,7 @@
     Ok(DiskIdentity { id, may_bootstrap })
 }
 
-fn introduce(settings: &ControlSettings, replica: ReplicaId, has_empty_log: bool) -> Hello {
+fn create_hello(settings: &ControlSettings, replica: ReplicaId, has_empty_log: bool) -> Hello {
     Hello {
         name: settings.peer.name.clone(),
         role: PeerRole::Control {
@@ -239,7 +239,7 @@
     let state = state.clone();
     tasks.spawn(async move {
         state.lock().begin(&seeds);
-        let mut ticks = tick_interval(TICK);
+        let mut ticks = tick_interval(TICK_INTERVAL);
         loop {
             tokio::select! {
                 Some(event) = link_rx.recv() => state.lock().link_event(event),
--- a/crates/leased/cloverfold_control/src/replica_host.rs
+++ b/crates/leased/cloverfold_control/src/replica_host.rs
@@ -8,26 +8,26 @@
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::{OutgoingMessage, Ready, Replica, Role};
 
-use crate::disk::{Disk, DiskEvent};
+use crate::disk::{DiskEvent, DiskWriter};
 use crate::pending_writes::PendingWrites;
 
 /// A replica, its disk, and what waits for the disk.
 pub(crate) struct ReplicaHost {
     pub(crate) replica: Replica,
-    disk: Disk,
+    disk: DiskWriter,
     writes: PendingWrites,
     /// Whether the disk refused the last write.
-    is_refusing: bool,
+    is_failing: bool,
 }
 
 impl ReplicaHost {
     /// Joins a replica to the disk that has its records.
-    pub(crate) fn new(replica: Replica, disk: Disk) -> Self {
+    pub(crate) fn new(replica: Replica, disk: DiskWriter) -> Self {
         Self {
             replica,
             disk,
             writes: PendingWrites::default(),
-            is_refusing: false,
+            is_failing: false,
         }
     }
 
@@ -40,13 +40,13 @@
     pub(crate) fn disk_event(&mut self, event: &DiskEvent, now: Timestamp) -> Vec<OutgoingMessage> {
         match event {
             DiskEvent::Synced(batch) => {
-                self.is_refusing = false;
+                self.is_failing = false;
                 self.replica.mark_synced(*batch, now);
                 self.writes.finish(*batch).collect()
             }
-            DiskEvent::Refusing => {
+            DiskEvent::Failing => {
                 log::warn!("the disk refuses writes");
-                self.is_refusing = true;
+                self.is_failing = true;
                 Vec::new()
             }
             // The store is open before its replica begins.
@@ -70,7 +70,7 @@
     /// Returns whether the disk refuses writes, or has not synced one for longer than `limit`.
     pub(crate) fn is_disk_stuck(&self, limit: Duration, now: Timestamp) -> bool {
         let oldest = self.writes.oldest_begun_at();
-        self.is_refusing || oldest.is_some_and(|begun_at| now > begun_at + limit)
+        self.is_failing || oldest.is_some_and(|begun_at| now > begun_at + limit)
     }
 
     /// Logs the writes that are slow.
--- a/crates/leased/cloverfold_control/src/state/applying.rs
+++ b/crates/leased/cloverfold_control/src/state/apply.rs
@@ -11,7 +11,7 @@
 use super::ControlState;
 use super::replicated::{Command, ReplicatedState};
 use super::status::format_id;
-use crate::disk::{LogEvent, LogName};
+use crate::disk::{LogEvent, LogId};
 
 /// The term and leader as this replica sees them; logged when they change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,8 +35,8 @@
     /// Handles an event of the disk.
     pub(crate) fn disk_event(&mut self, event: LogEvent) {
         let event = match event.log {
-            LogName::Control => event.event,
-            LogName::Jobs(group) => return self.job_disk_event(group, event.event),
+            LogId::Control => event.event,
+            LogId::Jobs(group) => return self.job_disk_event(group, event.event),
         };
         for outgoing in self.host.disk_event(&event, self.clock.now()) {
             self.send_outgoing(outgoing);
@@ -59,9 +59,9 @@
         for outcome in wanted.reads {
             self.finish_read(outcome.token, outcome.index);
         }
-        self.tell_new_evacuations();
+        self.send_new_evacuations();
         self.announce_new_version();
-        self.open_agreed_groups();
+        self.host_agreed_groups();
         self.log_changed_view();
     }
 
--- a/crates/leased/cloverfold_control/src/state/bootstrap.rs
+++ b/crates/leased/cloverfold_control/src/state/bootstrap.rs
@@ -47,7 +47,7 @@
             self.bootstrap = None;
             return;
         }
-        let Some(mut voters) = self.find_first_voters(&bootstrap.seeds) else {
+        let Some(mut voters) = self.find_initial_voters(&bootstrap.seeds) else {
             return;
         };
         voters.sort_by_key(|member| member.id);
@@ -59,15 +59,15 @@
     }
 
     /// Returns the replicas at all seeds, or `None` unless each is known and new.
-    fn find_first_voters(&self, seeds: &[SocketAddr]) -> Option<Vec<Member>> {
+    fn find_initial_voters(&self, seeds: &[SocketAddr]) -> Option<Vec<Member>> {
         let voters = seeds.iter().map(|&address| {
-            let id = self.find_first_voter(address)?;
+            let id = self.find_initial_voter(address)?;
             Some(Member { id, address })
         });
         voters.collect()
     }
 
-    fn find_first_voter(&self, address: SocketAddr) -> Option<ReplicaId> {
+    fn find_initial_voter(&self, address: SocketAddr) -> Option<ReplicaId> {
         if address == self.own.address {
             return Some(self.replica_id);
         }
--- a/crates/leased/cloverfold_control/src/state/directories.rs
+++ b/crates/leased/cloverfold_control/src/state/directories.rs
@@ -29,7 +29,7 @@
 pub(super) struct SentDirectories {
     by_link: HashMap<LinkId, Directory>,
     /// Links that were sent none yet.
-    awaiting: HashSet<LinkId>,
+    pending: HashSet<LinkId>,
     /// Since when processes have come or gone that are not in all of them; `None` if there are none.
     outdated_since: Option<Timestamp>,
 }
@@ -41,15 +41,15 @@
     }
 
     /// Records a link that is to be sent a directory at the next tick.
-    pub(super) fn await_first(&mut self, link: LinkId) {
+    pub(super) fn mark_pending(&mut self, link: LinkId) {
         self.by_link.remove(&link);
-        self.awaiting.insert(link);
+        self.pending.insert(link);
     }
 
     /// Forgets a link that has closed.
-    pub(super) fn forget(&mut self, link: LinkId) {
+    pub(super) fn discard(&mut self, link: LinkId) {
         self.by_link.remove(&link);
-        self.awaiting.remove(&link);
+        self.pending.remove(&link);
     }
 
     fn is_update_due(&self, now: Timestamp) -> bool {
@@ -69,12 +69,12 @@
     /// Sends the directories that are due: to processes that have none, and after a change to those whose own has changed.
     pub(super) fn send_due_directories(&mut self, now: Timestamp) {
         let is_update_due = self.directories.is_update_due(now);
-        if !is_update_due && self.directories.awaiting.is_empty() {
+        if !is_update_due && self.directories.pending.is_empty() {
             return;
         }
-        let awaiting = std::mem::take(&mut self.directories.awaiting);
+        let pending = std::mem::take(&mut self.directories.pending);
         let mut receivers = self.list_attached();
-        receivers.retain(|peer| is_update_due || awaiting.contains(&peer.link));
+        receivers.retain(|peer| is_update_due || pending.contains(&peer.link));
         if is_update_due {
             self.directories.outdated_since = None;
         }
@@ -95,7 +95,7 @@
             return;
         }
         let known = KnownTarget::new(target);
-        self.upkeep_duty.targets.insert(hello.address, known);
+        self.upkeep_runtime.targets.insert(hello.address, known);
         let before = self.services.insert(hello.address, target.service.clone());
         if before.is_none_or(|before| before != target.service) {
             self.directories.mark_outdated(self.clock.now());
@@ -108,7 +108,7 @@
         let guards = self.guards.addresses();
         self.services.retain(|guard, _| guards.contains(guard));
         self.halls.retain(|guard, _| guards.contains(guard));
-        let targets = &mut self.upkeep_duty.targets;
+        let targets = &mut self.upkeep_runtime.targets;
         targets.retain(|guard, _| guards.contains(guard));
         let describe = |guard| GuardAttributes {
             service: self.services.get(&guard).cloned(),
@@ -138,7 +138,7 @@
         if self.links.send(link, &message) {
             self.directories.by_link.insert(link, directory);
         } else {
-            self.directories.await_first(link);
+            self.directories.mark_pending(link);
         }
     }
 
--- a/crates/leased/cloverfold_control/src/state/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/state/evacuations.rs
@@ -20,7 +20,7 @@
 
 impl ControlState {
     /// Makes an order of an operator's call, based on what is known here now.
-    pub(crate) fn make_order(&self, hall: &DataHall, change: HallChange) -> EvacuationOrder {
+    pub(crate) fn create_order(&self, hall: &DataHall, change: HallChange) -> EvacuationOrder {
         EvacuationOrder {
             id: random_u64(),
             hall: hall.clone(),
@@ -61,11 +61,11 @@
     fn append_order(&mut self, order: &EvacuationOrder) {
         let commit = self.host.replica.status().commit;
         if self.order_outcome(order.id).is_some()
-            || self.appended_orders.is_uncommitted(&order.id, commit)
+            || self.uncommitted_orders.is_uncommitted(&order.id, commit)
         {
             return;
         }
-        if let Some(name) = self.find_older_control(Hello::supports_evacuations) {
+        if let Some(name) = self.find_incompatible_control(Hello::supports_evacuations) {
             log::warn!(hall = order.hall.as_str(), process = name; "an evacuation is not possible: a control process is of an older build");
             return;
         }
@@ -74,16 +74,16 @@
             return;
         };
         if let Ok(index) = self.host.replica.propose(command, self.clock.now()) {
-            self.appended_orders.record(order.id, index, commit);
+            self.uncommitted_orders.record(order.id, index, commit);
         }
         self.advance();
     }
 
     /// Returns the name of a connected control process whose build does not know what is asked for.
-    pub(super) fn find_older_control(&self, knows: impl Fn(&Hello) -> bool) -> Option<&str> {
-        let is_older =
+    pub(super) fn find_incompatible_control(&self, knows: impl Fn(&Hello) -> bool) -> Option<&str> {
+        let is_incompatible =
             |peer: &&Hello| matches!(peer.role, PeerRole::Control { .. }) && !knows(peer);
-        let older = self.links.peers().find(is_older)?;
+        let older = self.links.peers().find(is_incompatible)?;
         Some(older.name.as_str())
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Sends the evacuated halls to the entries and guards that have not shown to know them.
-    pub(super) fn tell_evacuations(&self) {
+    pub(super) fn send_evacuations(&self) {
         if self.evacuations().revision() == 0 {
             return;
         }
@@ -119,7 +119,7 @@
     }
 
     /// Sends the evacuated halls to one entry or guard, if it has not shown to know them.
-    pub(super) fn tell_evacuations_to(&self, link: LinkId) {
+    pub(super) fn send_evacuations_to(&self, link: LinkId) {
         if self.evacuations().revision() > 0 {
             let halls = self.evacuations().halls();
             self.links.send_evacuations_to(link, &halls);
@@ -127,11 +127,11 @@
     }
 
     /// Tells at once of an order that was taken.
-    pub(super) fn tell_new_evacuations(&mut self) {
+    pub(super) fn send_new_evacuations(&mut self) {
         let revision = self.evacuations().revision();
-        if revision != self.told_evacuations {
-            self.told_evacuations = revision;
-            self.tell_evacuations();
+        if revision != self.sent_evacuations {
+            self.sent_evacuations = revision;
+            self.send_evacuations();
         }
     }
 }
--- a/crates/leased/cloverfold_control/src/state/founding.rs
+++ b/crates/leased/cloverfold_control/src/state/founding.rs
@@ -25,13 +25,13 @@
 
 impl ControlState {
     /// Agrees on the groups that keep jobs, if that is due.
-    pub(super) fn found_job_groups(&mut self) {
-        let count = self.jobs.plan.count;
+    pub(super) fn propose_job_groups(&mut self) {
+        let count = self.jobs.config.count;
         if count == 0 || self.state.job_groups.is_some() || !self.host.is_leader() {
             return;
         }
         let commit = self.host.replica.status().commit;
-        if self.jobs.appended.is_uncommitted(&(), commit) {
+        if self.jobs.uncommitted.is_uncommitted(&(), commit) {
             return;
         }
         let Some(founders) = self.find_founders() else {
@@ -44,22 +44,25 @@
             return;
         };
         if let Ok(index) = self.host.replica.propose(command, self.clock.now()) {
-            self.jobs.appended.record((), index, commit);
+            self.jobs.uncommitted.record((), index, commit);
         }
     }
 
     /// Returns the voters if they can begin the groups now.
     fn find_founders(&self) -> Option<Vec<Founder>> {
         let members = self.host.replica.committed_members()?;
-        let is_whole = members.voters.len() >= self.jobs.plan.groups.voters;
-        if !is_whole && !self.are_all_seeds(members) {
+        let is_complete = members.voters.len() >= self.jobs.config.groups.voters;
+        if !is_complete && !self.are_all_seeds(members) {
             return None;
         }
         let mut others = members.voters.iter().filter(|v| v.id != self.replica_id);
         if !others.all(|voter| self.is_ready_to_found(voter)) {
             return None;
         }
-        if self.find_older_control(Hello::supports_kept_jobs).is_some() {
+        if self
+            .find_incompatible_control(Hello::supports_kept_jobs)
+            .is_some()
+        {
             return None;
         }
         let founders = members.voters.iter().map(|voter| Founder {
@@ -71,7 +74,7 @@
 
     fn are_all_seeds(&self, members: &Members) -> bool {
         let voters: BTreeSet<_> = members.voters.iter().map(|v| v.address).collect();
-        let mut seeds = self.jobs.plan.seeds.iter();
+        let mut seeds = self.jobs.config.seeds.iter();
         seeds.all(|seed| voters.contains(seed))
     }
 
--- a/crates/leased/cloverfold_control/src/state/hosted_jobs.rs
+++ b/crates/leased/cloverfold_control/src/state/hosted_jobs.rs
@@ -10,14 +10,14 @@
 use cloverfold_link::LinkId;
 use tokio::sync::mpsc;
 
-use super::appended::AppendedEntries;
 use super::job_relays::JobRelays;
-use crate::disk::{Disk, DiskEvent, DiskEvents, LogEvent, LogName};
+use super::uncommitted::UncommittedEntries;
+use crate::disk::{DiskEvent, DiskEventSender, DiskWriter, LogEvent, LogId};
 use crate::job_groups::{GroupHost, GroupSettings};
 
 /// How this process takes part in keeping jobs.
 #[derive(Clone, Debug)]
-pub(crate) struct JobsPlan {
+pub(crate) struct JobGroupsConfig {
     /// The groups to agree on if there are none yet.
     pub(crate) count: u32,
     pub(crate) groups: GroupSettings,
@@ -29,30 +29,33 @@
 /// A group that is hosted here.
 enum HostedGroup {
     /// Its disk is being opened.
-    Opening(Option<Disk>),
+    Opening(Option<DiskWriter>),
     /// It takes part.
     Open(Box<GroupHost>),
 }
 
 /// The groups that are hosted here, and what waits for others.
 pub(crate) struct HostedJobs {
-    pub(super) plan: JobsPlan,
+    pub(super) config: JobGroupsConfig,
     disk_events: mpsc::UnboundedSender<LogEvent>,
     /// By number; empty until they are agreed on.
     groups: Vec<HostedGroup>,
     pub(super) relays: JobRelays,
-    pub(super) appended: AppendedEntries<()>,
+    pub(super) uncommitted: UncommittedEntries<()>,
 }
 
 impl HostedJobs {
     /// Hosts nothing yet.
-    pub(crate) fn new(plan: JobsPlan, disk_events: mpsc::UnboundedSender<LogEvent>) -> Self {
+    pub(crate) fn new(
+        config: JobGroupsConfig,
+        disk_events: mpsc::UnboundedSender<LogEvent>,
+    ) -> Self {
         Self {
-            plan,
+            config,
             disk_events,
             groups: Vec::new(),
             relays: JobRelays::default(),
-            appended: AppendedEntries::default(),
+            uncommitted: UncommittedEntries::default(),
         }
     }
 
@@ -62,8 +65,8 @@
     }
 
     /// Forgets what waits for a link that has closed.
-    pub(super) fn forget_link(&mut self, link: LinkId) {
-        self.relays.forget_link(link);
+    pub(super) fn discard_link(&mut self, link: LinkId) {
+        self.relays.discard_link(link);
     }
 
     /// Returns the groups that take part.
@@ -89,11 +92,11 @@
     }
 
     /// Begins to open the disks of all groups.
-    pub(super) fn begin_to_open(&mut self, groups: &JobGroups) {
+    pub(super) fn open_stores(&mut self, groups: &JobGroups) {
         for group in 0..groups.count {
-            let folder = self.plan.data_folder.join(format!("jobs-{group}"));
-            let events = DiskEvents::new(LogName::Jobs(group), self.disk_events.clone());
-            let disk = Disk::open(folder, self.plan.groups.replica, events);
+            let folder = self.config.data_folder.join(format!("jobs-{group}"));
+            let events = DiskEventSender::new(LogId::Jobs(group), self.disk_events.clone());
+            let disk = DiskWriter::open(folder, self.config.groups.replica, events);
             if let Err(cause) = &disk {
                 log::error!(group; "the disk's thread of a group cannot be started: {cause}");
             }
@@ -102,7 +105,7 @@
     }
 
     /// Makes a group take part whose disk is open.
-    pub(super) fn opened(
+    pub(super) fn finish_open(
         &mut self,
         group: GroupId,
         groups: &JobGroups,
@@ -118,7 +121,7 @@
         if let HostedGroup::Opening(disk) = hosted
             && let Some(disk) = disk.take()
         {
-            let settings = &self.plan.groups;
+            let settings = &self.config.groups;
             let host = GroupHost::open(group, groups, settings, disk, *recovered, now);
             *hosted = HostedGroup::Open(Box::new(host));
         }
--- a/crates/leased/cloverfold_control/src/state/job_calls.rs
+++ b/crates/leased/cloverfold_control/src/state/job_calls.rs
@@ -21,12 +21,12 @@
     /// Handles a call of an entry, a guard, or a control process that has passed it on.
     pub(super) fn receive_job_call(&mut self, link: LinkId, call: JobCallMessage) {
         let token = call.token;
-        let is_passed_on = self.replica_at(link).is_some();
+        let is_forwarded = self.replica_at(link).is_some();
         self.call_jobs(
             Caller::Peer { link, token },
             call.group,
             call.call,
-            is_passed_on,
+            is_forwarded,
         );
     }
 
@@ -41,27 +41,27 @@
         rx
     }
 
-    fn call_jobs(&mut self, caller: Caller, group: GroupId, call: JobCall, is_passed_on: bool) {
+    fn call_jobs(&mut self, caller: Caller, group: GroupId, call: JobCall, is_forwarded: bool) {
         let now = self.clock.now();
         let refusal = match self.jobs.find_mut(group) {
             Some(host) if host.leader() == Some(self.replica_id) => {
                 host.call(caller, call, now);
-                self.carry_out_jobs(group);
+                self.process_group_effects(group);
                 return;
             }
-            Some(host) if !is_passed_on => match host.leader() {
-                Some(leader) => self.pass_on(caller, leader, group, call, now),
+            Some(host) if !is_forwarded => match host.leader() {
+                Some(leader) => self.forward_call(caller, leader, group, call, now),
                 None => Some(CallRefusal::NoLeader),
             },
             Some(_) => Some(CallRefusal::NoLeader),
-            None => Some(self.judge_unknown_group(group)),
+            None => Some(self.refusal_for_missing_group(group)),
         };
         if let Some(refusal) = refusal {
             self.answer_job_call(caller, group, JobReply::Refused(refusal), None);
         }
     }
 
-    fn judge_unknown_group(&self, group: GroupId) -> CallRefusal {
+    fn refusal_for_missing_group(&self, group: GroupId) -> CallRefusal {
         let groups = self.state.job_groups.as_ref();
         if groups.is_some_and(|groups| group >= groups.count) {
             CallRefusal::UnknownGroup
@@ -72,7 +72,7 @@
     }
 
     /// Passes a call to the leader; returns why that is impossible.
-    fn pass_on(
+    fn forward_call(
         &mut self,
         caller: Caller,
         leader: ReplicaId,
@@ -90,7 +90,7 @@
         if self.links.send(link, &PeerMessage::JobCall(message)) {
             return None;
         }
-        self.jobs.relays.forget(token);
+        self.jobs.relays.cancel(token);
         Some(CallRefusal::Busy)
     }
 
--- a/crates/leased/cloverfold_control/src/state/job_relays.rs
+++ b/crates/leased/cloverfold_control/src/state/job_relays.rs
@@ -57,17 +57,17 @@
     }
 
     /// Forgets a call that was not passed on.
-    pub(super) fn forget(&mut self, token: CallToken) {
+    pub(super) fn cancel(&mut self, token: CallToken) {
         self.waiting.remove(&token);
     }
 
     /// Forgets what waits for a link that has closed.
-    pub(super) fn forget_link(&mut self, link: LinkId) {
+    pub(super) fn discard_link(&mut self, link: LinkId) {
         self.waiting.retain(|_, relay| relay.via != link);
     }
 
     /// Forgets what has waited for too long, and operators that gave up.
-    pub(super) fn forget_old(&mut self, now: Timestamp) {
+    pub(super) fn discard_expired(&mut self, now: Timestamp) {
         self.waiting
             .retain(|_, relay| now < relay.since + RELAY_TIMEOUT);
         self.operators.retain(|_, waiting| !waiting.is_closed());
--- a/crates/leased/cloverfold_control/src/state/jobs.rs
+++ b/crates/leased/cloverfold_control/src/state/jobs.rs
@@ -12,7 +12,7 @@
 
 impl ControlState {
     /// Hosts the groups that are agreed on, and tells entries and guards of them.
-    pub(super) fn open_agreed_groups(&mut self) {
+    pub(super) fn host_agreed_groups(&mut self) {
         if self.jobs.is_hosting() {
             return;
         }
@@ -20,15 +20,15 @@
             return;
         };
         log::info!(groups = groups.count, founders = groups.founders.len(); "the groups that keep jobs are agreed on");
-        self.jobs.begin_to_open(&groups);
+        self.jobs.open_stores(&groups);
         let links: Vec<LinkId> = self.links.identified().map(|(link, _)| link).collect();
         for link in links {
-            self.tell_job_groups(link);
+            self.send_job_groups(link);
         }
     }
 
     /// Tells an entry or guard which groups there are.
-    pub(super) fn tell_job_groups(&self, link: LinkId) {
+    pub(super) fn send_job_groups(&self, link: LinkId) {
         let Some(groups) = &self.state.job_groups else {
             return;
         };
@@ -49,10 +49,10 @@
         if let Some(host) = self.jobs.find_mut(group) {
             host.disk_event(&event, now);
         } else if let Some(groups) = self.state.job_groups.clone() {
-            self.jobs.opened(group, &groups, event, now);
+            self.jobs.finish_open(group, &groups, event, now);
             self.connect_replicas(group);
         }
-        self.carry_out_jobs(group);
+        self.process_group_effects(group);
     }
 
     /// Tells a group that has just opened which replicas are connected.
@@ -93,13 +93,13 @@
 
     /// Does the work of the groups that has fallen due.
     pub(super) fn tick_jobs(&mut self, now: Timestamp) {
-        self.jobs.relays.forget_old(now);
+        self.jobs.relays.discard_expired(now);
         let ids: Vec<GroupId> = self.jobs.open_groups().map(GroupHost::id).collect();
         for group in ids {
             if let Some(host) = self.jobs.find_mut(group) {
                 host.tick(now);
             }
-            self.carry_out_jobs(group);
+            self.process_group_effects(group);
         }
     }
 
@@ -111,7 +111,7 @@
             && let Some(host) = self.jobs.find_mut(group)
         {
             host.receive(from, message, now);
-            self.carry_out_jobs(group);
+            self.process_group_effects(group);
         }
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Carries out what a group wants done.
-    pub(super) fn carry_out_jobs(&mut self, group: GroupId) {
+    pub(super) fn process_group_effects(&mut self, group: GroupId) {
         let Some(host) = self.jobs.find_mut(group) else {
             return;
         };
--- a/crates/leased/cloverfold_control/src/state/known_peers.rs
+++ b/crates/leased/cloverfold_control/src/state/known_peers.rs
@@ -14,14 +14,14 @@
 use cloverfold_base::Timestamp;
 
 /// How long a process without a link still counts. Chosen, not measured.
-const PEER_MEMORY: Duration = Duration::from_secs(20);
+const PEER_EXPIRY: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Default)]
 struct KnownPeer {
     /// How many links to it are open.
     links: usize,
     /// When its last link closed; `None` while it has one.
-    gone_at: Option<Timestamp>,
+    disconnected_at: Option<Timestamp>,
 }
 
 /// The processes of one role that count, by the address at which they listen to peers.
@@ -36,14 +36,14 @@
         let is_new = !self.peers.contains_key(&address);
         let peer = self.peers.entry(address).or_default();
         peer.links += 1;
-        peer.gone_at = None;
+        peer.disconnected_at = None;
         is_new
     }
 
     /// Counts a process as there that was remembered over a restart, until it has had no link for too long.
-    pub(super) fn recall(&mut self, address: SocketAddr, now: Timestamp) {
+    pub(super) fn restore(&mut self, address: SocketAddr, now: Timestamp) {
         let peer = self.peers.entry(address).or_default();
-        peer.gone_at = Some(now);
+        peer.disconnected_at = Some(now);
     }
 
     /// Returns whether a process has a link.
@@ -58,15 +58,17 @@
         };
         peer.links = peer.links.saturating_sub(1);
         if peer.links == 0 {
-            peer.gone_at = Some(now);
+            peer.disconnected_at = Some(now);
         }
     }
 
     /// Forgets the processes that have had no link for too long; returns whether there were any.
-    pub(super) fn forget_gone(&mut self, now: Timestamp) -> bool {
+    pub(super) fn remove_expired(&mut self, now: Timestamp) -> bool {
         let known = self.peers.len();
-        self.peers
-            .retain(|_, peer| peer.gone_at.is_none_or(|at| now <= at + PEER_MEMORY));
+        self.peers.retain(|_, peer| {
+            peer.disconnected_at
+                .is_none_or(|at| now <= at + PEER_EXPIRY)
+        });
         self.peers.len() != known
     }
 
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -21,8 +21,7 @@
 //! | `job_calls`, `job_relays` | calls to groups |
 //! | `status` | what operators are shown |
 
-mod appended;
-mod applying;
+mod apply;
 mod bootstrap;
 mod directories;
 mod evacuations;
@@ -32,14 +31,15 @@
 mod job_relays;
 mod jobs;
 mod known_peers;
-mod memory;
 mod notices;
+mod peer_store;
 mod peers;
 mod pending_reads;
 mod proposals;
 mod reads;
 mod replicated;
 mod status;
+mod uncommitted;
 mod upkeep;
 mod upkeep_targets;
 
@@ -55,18 +55,18 @@
 use cloverfold_peer::{DialedPeers, Hello, PeerLinks, SentCounts, SharedMessage};
 use tokio::sync::watch;
 
-use self::appended::AppendedEntries;
-use self::applying::GroupView;
+use self::apply::GroupView;
 use self::directories::SentDirectories;
 use self::known_peers::KnownPeers;
 use self::notices::LastNotice;
 use self::pending_reads::PendingReads;
-use self::upkeep::UpkeepDuty;
+use self::uncommitted::UncommittedEntries;
+use self::upkeep::UpkeepRuntime;
 use crate::replica_host::ReplicaHost;
 
 pub(crate) use self::bootstrap::Bootstrap;
-pub(crate) use self::hosted_jobs::{HostedJobs, JobsPlan};
-pub(crate) use self::memory::PeerMemory;
+pub(crate) use self::hosted_jobs::{HostedJobs, JobGroupsConfig};
+pub(crate) use self::peer_store::PeerStore;
 pub use self::replicated::{Command, ReplicatedState};
 pub(crate) use self::status::format_id;
 
@@ -93,16 +93,16 @@
     /// The data halls of guards that tell theirs, by the guard's address.
     halls: HashMap<SocketAddr, DataHall>,
     directories: SentDirectories,
-    memory: PeerMemory,
+    peer_store: PeerStore,
     /// `None` once the group exists or if another process begins it.
     bootstrap: Option<Bootstrap>,
-    appended_versions: AppendedEntries<Version>,
-    appended_orders: AppendedEntries<OrderId>,
+    uncommitted_versions: UncommittedEntries<Version>,
+    uncommitted_orders: UncommittedEntries<OrderId>,
     /// The groups that keep jobs.
     jobs: HostedJobs,
     /// The revision that entries and guards were told of last.
-    told_evacuations: EvacuationRevision,
-    upkeep_duty: UpkeepDuty,
+    sent_evacuations: EvacuationRevision,
+    upkeep_runtime: UpkeepRuntime,
     reads: PendingReads,
     /// Index of the last applied entry.
     applied: watch::Sender<LogIndex>,
@@ -123,7 +123,7 @@
         host: ReplicaHost,
         dialed: DialedPeers,
         bootstrap: Option<Bootstrap>,
-        memory: PeerMemory,
+        peer_store: PeerStore,
         jobs: HostedJobs,
     ) -> Self {
         Self {
@@ -142,13 +142,13 @@
             services: HashMap::new(),
             halls: HashMap::new(),
             directories: SentDirectories::default(),
-            memory,
+            peer_store,
             bootstrap,
-            appended_versions: AppendedEntries::default(),
-            appended_orders: AppendedEntries::default(),
+            uncommitted_versions: UncommittedEntries::default(),
+            uncommitted_orders: UncommittedEntries::default(),
             jobs,
-            told_evacuations: 0,
-            upkeep_duty: UpkeepDuty::default(),
+            sent_evacuations: 0,
+            upkeep_runtime: UpkeepRuntime::default(),
             reads: PendingReads::default(),
             applied: watch::Sender::new(0),
             version: watch::Sender::new(0),
@@ -161,7 +161,7 @@
 
     /// Dials the seeds and applies what is known from disk to be committed.
     pub(crate) fn begin(&mut self, seeds: &[SocketAddr]) {
-        self.recall_peers(self.clock.now());
+        self.restore_peers(self.clock.now());
         self.dial_seeds(seeds);
         self.advance();
     }
@@ -181,15 +181,15 @@
         let now = self.clock.now();
         self.host.replica.tick(now);
         self.try_bootstrap();
-        self.found_job_groups();
+        self.propose_job_groups();
         self.advance();
         self.tick_jobs(now);
-        let has_gone = self.entries.forget_gone(now) | self.guards.forget_gone(now);
-        if has_gone {
+        let has_expired = self.entries.remove_expired(now) | self.guards.remove_expired(now);
+        if has_expired {
             self.directories.mark_outdated(now);
         }
-        self.invite_remembered(now);
-        self.remember_peers(now);
+        self.invite_stored_peers(now);
+        self.store_peers(now);
         self.send_due_directories(now);
         self.send_due_notice(now);
         self.host.log_slow(now);
--- a/crates/leased/cloverfold_control/src/state/notices.rs
+++ b/crates/leased/cloverfold_control/src/state/notices.rs
@@ -37,14 +37,14 @@
             had_quorum: self.has_quorum(),
         };
         self.send_to_attached(&self.notice());
-        self.tell_evacuations();
+        self.send_evacuations();
     }
 
     /// Sends an entry or guard that has just connected the evacuations and the groups that keep jobs, then the
     /// version in force: it begins work once it has a configuration, and knows the others by then.
-    pub(super) fn welcome(&self, link: LinkId) {
-        self.tell_evacuations_to(link);
-        self.tell_job_groups(link);
+    pub(super) fn send_initial_state(&self, link: LinkId) {
+        self.send_evacuations_to(link);
+        self.send_job_groups(link);
         // A link that closed meanwhile is dialed again by the process.
         self.links.send(link, &self.notice());
     }
--- a/crates/leased/cloverfold_control/src/state/memory.rs
+++ b/crates/leased/cloverfold_control/src/state/peer_store.rs
@@ -16,14 +16,14 @@
 
 /// What is remembered over a restart.
 #[derive(Debug)]
-pub(crate) struct PeerMemory {
+pub(crate) struct PeerStore {
     file: PeerFile,
     written: StoredPeers,
     checked_at: Timestamp,
     pub(super) invitations: Invitations,
 }
 
-impl PeerMemory {
+impl PeerStore {
     /// Goes on from what was remembered at the start.
     pub(crate) fn new(file: PeerFile, remembered: StoredPeers, now: Timestamp) -> Self {
         Self {
@@ -42,13 +42,13 @@
 
 impl ControlState {
     /// Counts the remembered entries and guards as there for a while: the first directories name them.
-    pub(super) fn recall_peers(&mut self, now: Timestamp) {
-        let remembered = self.memory.remembered().clone();
+    pub(super) fn restore_peers(&mut self, now: Timestamp) {
+        let remembered = self.peer_store.remembered().clone();
         for entry in remembered.entries {
-            self.entries.recall(entry, now);
+            self.entries.restore(entry, now);
         }
         for (guard, traits) in remembered.guards {
-            self.guards.recall(guard, now);
+            self.guards.restore(guard, now);
             if let Some(service) = traits.service {
                 self.services.insert(guard, service);
             }
@@ -59,26 +59,26 @@
     }
 
     /// Remembers the entries and guards that are there, if they have changed.
-    pub(super) fn remember_peers(&mut self, now: Timestamp) {
-        if now < self.memory.checked_at + WRITE_INTERVAL {
+    pub(super) fn store_peers(&mut self, now: Timestamp) {
+        if now < self.peer_store.checked_at + WRITE_INTERVAL {
             return;
         }
-        self.memory.checked_at = now;
+        self.peer_store.checked_at = now;
         let peers = StoredPeers {
             entries: self.entries.addresses(),
             guards: self.list_guards(),
         };
-        if peers != self.memory.written {
-            self.memory.file.write(peers.clone());
-            self.memory.written = peers;
+        if peers != self.peer_store.written {
+            self.peer_store.file.write(peers.clone());
+            self.peer_store.written = peers;
         }
     }
 
     /// Asks remembered processes that are not connected to dial this process and the voters.
-    pub(super) fn invite_remembered(&mut self, now: Timestamp) {
+    pub(super) fn invite_stored_peers(&mut self, now: Timestamp) {
         let (entries, guards) = (&self.entries, &self.guards);
         let is_connected = |address| entries.is_connected(address) || guards.is_connected(address);
-        let invited = self.memory.invitations.take_due(now, is_connected);
+        let invited = self.peer_store.invitations.take_due(now, is_connected);
         if invited.is_empty() {
             return;
         }
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -138,8 +138,8 @@
         if is_new {
             self.directories.mark_outdated(self.clock.now());
         }
-        self.directories.await_first(link);
-        self.welcome(link);
+        self.directories.mark_pending(link);
+        self.send_initial_state(link);
     }
 
     fn control_connected(&mut self, link: LinkId, member: Member) {
@@ -157,8 +157,8 @@
 
     fn link_closed(&mut self, link: LinkId) {
         let now = self.clock.now();
-        self.directories.forget(link);
-        self.jobs.forget_link(link);
+        self.directories.discard(link);
+        self.jobs.discard_link(link);
         let Some(hello) = self.links.close(link) else {
             return;
         };
--- a/crates/leased/cloverfold_control/src/state/proposals.rs
+++ b/crates/leased/cloverfold_control/src/state/proposals.rs
@@ -37,7 +37,7 @@
         let version = proposal.configuration.version;
         let commit = self.host.replica.status().commit;
         if version <= self.current_version()
-            || self.appended_versions.is_uncommitted(&version, commit)
+            || self.uncommitted_versions.is_uncommitted(&version, commit)
         {
             return;
         }
@@ -46,7 +46,7 @@
             return;
         };
         if let Ok(index) = self.host.replica.propose(command, self.clock.now()) {
-            self.appended_versions.record(version, index, commit);
+            self.uncommitted_versions.record(version, index, commit);
         }
         self.advance();
     }
--- a/crates/leased/cloverfold_control/src/state/replicated.rs
+++ b/crates/leased/cloverfold_control/src/state/replicated.rs
@@ -4,9 +4,9 @@
 //! trail, the waves of upkeep, and the groups that keep jobs. [`Command`] is what an entry holds. Both are stored so that older builds
 //! read what they know:
 //!
-//! - a proposal of a configuration is stored as it always was; any other command begins with [`COMMAND_MARK`], which no proposal
+//! - a proposal of a configuration is stored as it always was; any other command begins with [`COMMAND_MARKER`], which no proposal
 //!   begins with and no older build can decode;
-//! - a state is that of the configuration, followed by that of the evacuations once there was an order, and by [`LaterState`] once
+//! - a state is that of the configuration, followed by that of the evacuations once there was an order, and by [`StateExtension`] once
 //!   there is any of it. Builds before either pass over what follows what they know.
 
 use cloverfold_configuration::{ConfigurationState, Proposal};
@@ -18,7 +18,7 @@
 
 /// Begins every command but a proposal of a configuration. A proposal begins with its version as a variable-length integer, and ten
 /// bytes of ones are none.
-const COMMAND_MARK: [u8; 10] = [0xff; 10];
+const COMMAND_MARKER: [u8; 10] = [0xff; 10];
 
 /// What an entry of the log changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
             Self::Upkeep(command) => MarkedCommand::Upkeep(command),
             Self::JobGroups(groups) => MarkedCommand::JobGroups(groups),
         };
-        postcard::to_extend(&marked, COMMAND_MARK.to_vec())
+        postcard::to_extend(&marked, COMMAND_MARKER.to_vec())
     }
 
     /// Decodes a command.
@@ -63,7 +63,7 @@
     ///
     /// Returns the decoder's error if the bytes are no command.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
-        let Some(marked) = bytes.strip_prefix(&COMMAND_MARK) else {
+        let Some(marked) = bytes.strip_prefix(&COMMAND_MARKER) else {
             return postcard::from_bytes(bytes).map(Self::Configuration);
         };
         match postcard::from_bytes(marked)? {
@@ -76,7 +76,7 @@
 
 /// What builds before kept jobs and upkeep do not know of the state. The order of the fields is the format on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct LaterState {
+struct StateExtension {
     upkeep: UpkeepState,
     job_groups: Option<JobGroups>,
 }
@@ -106,7 +106,7 @@
         }
         let (configuration, rest) = postcard::take_from_bytes(bytes)?;
         let (evacuations, rest) = take_or_default(rest)?;
-        let (later, _): (LaterState, _) = take_or_default(rest)?;
+        let (later, _): (StateExtension, _) = take_or_default(rest)?;
         Ok(Self {
             configuration,
             evacuations,
@@ -122,11 +122,11 @@
     /// Never: every state can be encoded.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.configuration.encode();
-        let later = LaterState {
+        let later = StateExtension {
             upkeep: self.upkeep.clone(),
             job_groups: self.job_groups.clone(),
         };
-        if later == LaterState::default() {
+        if later == StateExtension::default() {
             bytes.extend(self.evacuations.encode());
             return bytes;
         }
--- a/crates/leased/cloverfold_control/src/state/appended.rs
+++ b/crates/leased/cloverfold_control/src/state/uncommitted.rs
@@ -10,11 +10,11 @@
 
 /// Where entries stand, by what they are recognised by.
 #[derive(Debug)]
-pub(super) struct AppendedEntries<K> {
+pub(super) struct UncommittedEntries<K> {
     indexes: HashMap<K, LogIndex>,
 }
 
-impl<K> Default for AppendedEntries<K> {
+impl<K> Default for UncommittedEntries<K> {
     fn default() -> Self {
         Self {
             indexes: HashMap::new(),
@@ -22,7 +22,7 @@
     }
 }
 
-impl<K: Eq + Hash> AppendedEntries<K> {
+impl<K: Eq + Hash> UncommittedEntries<K> {
     /// Returns whether an entry was appended and is not committed yet.
     pub(super) fn is_uncommitted(&self, key: &K, commit: LogIndex) -> bool {
         self.indexes.get(key).is_some_and(|&index| index > commit)
--- a/crates/leased/cloverfold_control/src/state/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep.rs
@@ -7,7 +7,7 @@
 //! Decision: who holds the upkeep. Rule: the leader of the log from a proof in its term on, until it sees another term or role; the
 //! term is the fencing token. Reason: every announced call of an earlier holder is applied by then, and no two leaders share a term.
 //!
-//! Owns, in [`UpkeepDuty`], the holder and what is counted for the metrics.
+//! Owns, in [`UpkeepRuntime`], the holder and what is counted for the metrics.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -23,14 +23,14 @@
 };
 
 use super::ControlState;
-use super::appended::AppendedEntries;
 use super::replicated::Command;
+use super::uncommitted::UncommittedEntries;
 use super::upkeep_targets::KnownTarget;
 
 /// What a process does for waves of upkeep.
 #[derive(Debug, Default)]
-pub(super) struct UpkeepDuty {
-    appended: AppendedEntries<WaveNumber>,
+pub(super) struct UpkeepRuntime {
+    uncommitted: UncommittedEntries<WaveNumber>,
     /// The holder, and the term that it holds in.
     holder: Option<(Term, UpkeepScheduler)>,
     /// The guards' targets, by the guard's address.
@@ -48,7 +48,7 @@
     }
 
     /// Makes an order of an operator's call.
-    pub(crate) fn make_wave_order(&self, request: WaveRequest) -> WaveOrder {
+    pub(crate) fn create_wave_order(&self, request: WaveRequest) -> WaveOrder {
         WaveOrder {
             wave: request.wave,
             boxes: request.boxes,
@@ -92,18 +92,20 @@
         let commit = self.host.replica.status().commit;
         if self.upkeep().order_outcome(order).is_some()
             || self
-                .upkeep_duty
-                .appended
+                .upkeep_runtime
+                .uncommitted
                 .is_uncommitted(&order.wave, commit)
         {
             return;
         }
-        if let Some(name) = self.find_older_control(Hello::supports_kept_jobs) {
+        if let Some(name) = self.find_incompatible_control(Hello::supports_kept_jobs) {
             log::warn!(wave = order.wave, process = name; "no wave is possible: a control process is of an older build");
             return;
         }
         if let Some(index) = self.append_upkeep(UpkeepCommand::Order(order.clone())) {
-            self.upkeep_duty.appended.record(order.wave, index, commit);
+            self.upkeep_runtime
+                .uncommitted
+                .record(order.wave, index, commit);
         }
         self.advance();
     }
@@ -125,7 +127,7 @@
             if is_change {
                 log::info!(wave, name, step, index; "the upkeep of a box goes on");
             }
-            if let Some((_, holder)) = &mut self.upkeep_duty.holder {
+            if let Some((_, holder)) = &mut self.upkeep_runtime.holder {
                 holder.record_applied(&key);
             }
         } else if let Some(record) = self.upkeep().audit().last() {
@@ -150,7 +152,7 @@
 
     /// Returns whether this process holds the upkeep in a term; a holder of another term ends.
     pub(crate) fn holds_upkeep(&mut self, term: Option<Term>) -> bool {
-        let holder = &mut self.upkeep_duty.holder;
+        let holder = &mut self.upkeep_runtime.holder;
         if let Some((ended, _)) = holder.take_if(|(held, _)| Some(*held) != term) {
             log::info!(term = ended; "this process holds the upkeep no longer");
         }
@@ -160,7 +162,7 @@
     /// Begins to hold the upkeep in a term.
     pub(crate) fn hold_upkeep(&mut self, term: Term, timings: SchedulerTimings) {
         let holder = UpkeepScheduler::new(timings, self.upkeep(), self.clock.now());
-        self.upkeep_duty.holder = Some((term, holder));
+        self.upkeep_runtime.holder = Some((term, holder));
         log::info!(term; "this process holds the upkeep");
     }
 
@@ -174,7 +176,7 @@
             evacuated: &evacuated,
             loads: &loads,
         };
-        let Some((_, holder)) = &mut self.upkeep_duty.holder else {
+        let Some((_, holder)) = &mut self.upkeep_runtime.holder else {
             return Vec::new();
         };
         let steps = holder.next_actions(&self.state.upkeep, &moment);
@@ -191,9 +193,9 @@
                     let _ = self.append_upkeep(command);
                 }
                 SchedulerAction::HoldTarget(target) => {
-                    self.tell_guard(&target, TARGET_HOLD_DURATION);
+                    self.send_hold(&target, TARGET_HOLD_DURATION);
                 }
-                SchedulerAction::QueryLoad(target) => self.tell_guard(&target, Duration::ZERO),
+                SchedulerAction::QueryLoad(target) => self.send_hold(&target, Duration::ZERO),
                 SchedulerAction::Call(_) | SchedulerAction::ReadList => calls.push(step),
             }
         }
@@ -207,7 +209,7 @@
         let (wave, name) = (key.0, key.1.as_str());
         log::info!(wave, name, outcome = outcome.as_str(), term; "a call for upkeep has ended");
         let now = self.clock.now();
-        if let Some((held, holder)) = &mut self.upkeep_duty.holder
+        if let Some((held, holder)) = &mut self.upkeep_runtime.holder
             && *held == term
         {
             holder.record_call_outcome(key, outcome, now, random_u64());
@@ -222,7 +224,7 @@
         began_at: cloverfold_base::Timestamp,
     ) {
         let now = self.clock.now();
-        let Some((held, holder)) = &mut self.upkeep_duty.holder else {
+        let Some((held, holder)) = &mut self.upkeep_runtime.holder else {
             return;
         };
         if *held != term {
@@ -236,28 +238,28 @@
 
     /// Counts an outcome of a call or reading.
     pub(crate) fn count_upkeep(&mut self, outcome: &'static str) {
-        *self.upkeep_duty.outcomes.entry(outcome).or_default() += 1;
+        *self.upkeep_runtime.outcomes.entry(outcome).or_default() += 1;
     }
 
     /// Returns how many calls and readings have ended how since the start.
     pub(crate) fn upkeep_outcomes(&self) -> &BTreeMap<&'static str, u64> {
-        &self.upkeep_duty.outcomes
+        &self.upkeep_runtime.outcomes
     }
 
     /// Returns how the holder sees an open wave; `None` if this process doesn't hold the upkeep.
     pub(crate) fn outlook(&self, wave: WaveNumber) -> Option<&WaveStatus> {
-        let (_, holder) = self.upkeep_duty.holder.as_ref()?;
+        let (_, holder) = self.upkeep_runtime.holder.as_ref()?;
         holder.wave_statuses().get(&wave)
     }
 
     /// Logs once of each wave that it is expected to miss its time.
     fn log_late_waves(&mut self) {
-        let Some((_, holder)) = &self.upkeep_duty.holder else {
+        let Some((_, holder)) = &self.upkeep_runtime.holder else {
             return;
         };
         for (wave, outlook) in holder.wave_statuses() {
             if let Some(late_by) = outlook.late_by.filter(|_| outlook.waiting > 0)
-                && self.upkeep_duty.late.insert(*wave)
+                && self.upkeep_runtime.late.insert(*wave)
             {
                 let late_ms = late_by.as_millis() as u64;
                 log::warn!(wave = *wave, late_ms, waiting = outlook.waiting; "a wave of upkeep will be late");
--- a/crates/leased/cloverfold_control/src/state/upkeep_targets.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep_targets.rs
@@ -37,7 +37,7 @@
         let Some(hello) = self.links.hello(link) else {
             return;
         };
-        if let Some(target) = self.upkeep_duty.targets.get_mut(&hello.address) {
+        if let Some(target) = self.upkeep_runtime.targets.get_mut(&hello.address) {
             target.load = Some(TargetLoad {
                 capacity_milli: target.capacity.cpu_milli,
                 free_milli: free.free.cpu_milli,
@@ -48,14 +48,14 @@
     }
 
     pub(super) fn list_loads(&self) -> TargetLoads {
-        let targets = self.upkeep_duty.targets.values();
+        let targets = self.upkeep_runtime.targets.values();
         let loads = targets.filter_map(|target| Some((target.incarnation.clone(), target.load?)));
         loads.collect()
     }
 
     /// Tells the guard of a target to offer it to nobody for a span, none at all ends that; it answers with what is free there.
-    pub(super) fn tell_guard(&self, incarnation: &str, span: Duration) {
-        let mut targets = self.upkeep_duty.targets.iter();
+    pub(super) fn send_hold(&self, incarnation: &str, span: Duration) {
+        let mut targets = self.upkeep_runtime.targets.iter();
         let guard = targets.find(|(_, target)| target.incarnation == incarnation);
         let Some((guard, _)) = guard else {
             return;
--- a/crates/leased/cloverfold_control/src/upkeep_caller.rs
+++ b/crates/leased/cloverfold_control/src/upkeep_caller.rs
@@ -1,9 +1,9 @@
 //! The calls to the platform while this process holds the upkeep.
 //!
-//! Decision: whether a call may go out. Rule: this process has proved just before, and not longer than [`MAX_PROOF_AGE`] ago, that it
+//! Decision: whether a call may go out. Rule: this process has proved just before, and not longer than [`MAX_CONFIRMATION_AGE`] ago, that it
 //! leads in the term whose holder wants the call. Inputs: a read proof of the log, the term, the clock of the process. Reason: a leader that
-//! was deposed, cut off or frozen must not call while its successor does; together with [`CALL_LIMIT`] the age bounds how long after an
-//! election the last call of an earlier leader can go out, and a new holder waits that long ([`find_timings`]).
+//! was deposed, cut off or frozen must not call while its successor does; together with [`CALL_TIMEOUT`] the age bounds how long after an
+//! election the last call of an earlier leader can go out, and a new holder waits that long ([`holder_timings`]).
 //!
 //! Without an open wave nothing here wakes up but for entries of the log, and nothing is called or read. Owns no state.
 
@@ -24,9 +24,9 @@
 /// How often the holder looks what is due while a wave is open. Chosen, not measured.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest age of a proof that a call rests on. Chosen, not measured.
-const MAX_PROOF_AGE: Duration = Duration::from_millis(500);
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(500);
 /// Longest wait for the answer to a call or a page, the time to connect included. Chosen, not measured.
-pub(crate) const CALL_LIMIT: Duration = Duration::from_millis(1_200);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Most pages of one reading. Guards against a list that never ends. Chosen, not measured.
 const MAX_PAGES: usize = 2_000;
 
@@ -75,8 +75,8 @@
             return;
         };
         if !is_holder {
-            if self.proves(term).await {
-                let timings = find_timings(&self.settings);
+            if self.confirm_leadership(term).await {
+                let timings = holder_timings(&self.settings);
                 self.state.lock().hold_upkeep(term, timings);
             }
             return;
@@ -101,20 +101,20 @@
     }
 
     /// Returns whether this process has just proved that it leads in a term, with all before it applied.
-    async fn proves(&self, term: Term) -> bool {
+    async fn confirm_leadership(&self, term: Term) -> bool {
         let began = self.state.lock().now();
         let proof = self.state.lock().begin_read();
-        let Ok(Ok(Some(index))) = timeout(MAX_PROOF_AGE, proof).await else {
+        let Ok(Ok(Some(index))) = timeout(MAX_CONFIRMATION_AGE, proof).await else {
             return false;
         };
         let mut applied = self.state.lock().follow_applied();
         let is_applied = applied.wait_for(|applied| *applied >= index);
-        if !matches!(timeout(MAX_PROOF_AGE, is_applied).await, Ok(Ok(_))) {
+        if !matches!(timeout(MAX_CONFIRMATION_AGE, is_applied).await, Ok(Ok(_))) {
             return false;
         }
         let state = self.state.lock();
         let age = state.now().saturating_duration_since(began);
-        state.leading_term() == Some(term) && age <= MAX_PROOF_AGE
+        state.leading_term() == Some(term) && age <= MAX_CONFIRMATION_AGE
     }
 
     async fn call(&self, term: Term, key: &WaveBox) {
@@ -124,9 +124,9 @@
             wave: key.0,
             holder: self.name.clone(),
             fencing_token: term,
-            timeout: CALL_LIMIT,
+            timeout: CALL_TIMEOUT,
         };
-        let outcome = if self.proves(term).await {
+        let outcome = if self.confirm_leadership(term).await {
             self.interface.call_upkeep(&call).await
         } else {
             CallOutcome::NotSent
@@ -138,7 +138,7 @@
         let began_at = self.state.lock().now();
         let boxes = read_list(&*self.interface, &self.settings).await;
         let mut state = self.state.lock();
-        state.count_upkeep(name_reading(&boxes));
+        state.count_upkeep(reading_outcome(&boxes));
         if let Err(cause) = &boxes {
             log::warn!(cause = cause.to_string().as_str(); "the list of boxes cannot be read");
         }
@@ -159,7 +159,7 @@
     let mut next: Option<String> = None;
     for _ in 0..MAX_PAGES {
         let page = interface
-            .read_boxes(settings.address, next.as_deref(), CALL_LIMIT)
+            .read_boxes(settings.address, next.as_deref(), CALL_TIMEOUT)
             .await?;
         boxes.extend(page.boxes);
         next = page.next;
@@ -172,17 +172,17 @@
 }
 
 /// Returns the spans that a holder keeps under these settings.
-fn find_timings(settings: &UpkeepSettings) -> SchedulerTimings {
+fn holder_timings(settings: &UpkeepSettings) -> SchedulerTimings {
     SchedulerTimings {
         maintenance: settings.maintenance_duration(),
-        takeover_delay: settings.takeover_delay() + MAX_PROOF_AGE + CALL_LIMIT,
+        takeover_delay: settings.takeover_delay() + MAX_CONFIRMATION_AGE + CALL_TIMEOUT,
         list_lag: settings.list_lag(),
         drain_time: settings.drain_duration(),
         call_spacing: settings.call_interval(),
     }
 }
 
-fn name_reading(outcome: &Result<Vec<ListedBox>, ListError>) -> &'static str {
+fn reading_outcome(outcome: &Result<Vec<ListedBox>, ListError>) -> &'static str {
     match outcome {
         Ok(_) => "ListRead",
         Err(ListError::TooMany) => "ListTooMany",
