--- a/crates/leased/cloverfold_configuration/src/configuration.rs
+++ b/crates/leased/cloverfold_configuration/src/configuration.rs
@@ -24,7 +24,7 @@
     pub priority: u32,
     /// Number of failed runs after which a task fails.
     pub max_attempts: u32,
-    /// Latency target as a multiple of the duration of the work: the response is due within `stretch` times that duration plus `allowance`.
+    /// Latency objective: a response is due within `stretch` times the duration of the work, plus `allowance`.
     pub stretch: f64,
 }
 
--- a/crates/leased/cloverfold_control/src/disk.rs
+++ b/crates/leased/cloverfold_control/src/disk.rs
@@ -1,7 +1,7 @@
-//! The thread that writes records and syncs them.
+//! The thread that writes and syncs records.
 //!
-//! It owns the [`Store`]. A sync may hang for seconds, and a disk may refuse writes for a while; on a thread of its own neither holds up
-//! the process. Batches are written in order.
+//! A dedicated thread per store keeps the process responsive while a sync blocks for seconds or writes fail and are retried. It writes
+//! batches in order.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc as thread_mpsc;
@@ -14,57 +14,56 @@
 use cloverfold_kept_jobs::GroupId;
 use tokio::sync::mpsc;
 
-/// Pause before a write that the disk has refused is tried again. Chosen, not measured.
+/// Delay before a failed operation is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Records to be written.
 #[derive(Debug)]
 struct Batch {
     number: BatchNumber,
     records: Vec<Record>,
 }
 
-/// Which log of the process a thread writes.
+/// Identifies a replicated log of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LogId {
-    /// The log of configurations.
+    /// The log of the control processes.
     Control,
     /// The log of a group that keeps jobs.
     Jobs(GroupId),
 }
 
-/// What the thread of a log reports.
+/// A disk event of one log.
 #[derive(Debug)]
 pub(crate) struct LogEvent {
     /// The log.
     pub(crate) log: LogId,
-    /// What has happened.
+    /// The event.
     pub(crate) event: DiskEvent,
 }
 
-/// What a disk's thread reports.
+/// An event reported by a disk thread.
 #[derive(Debug)]
 pub(crate) enum DiskEvent {
-    /// The store is open; this is what it has. Only from [`Disk::open`].
+    /// The store is open and holds this state. Only sent after [`DiskWriter::open`].
     Opened(Box<RecoveredState>),
-    /// This batch and all before it are synced.
+    /// This batch and all earlier ones are synced.
     Synced(BatchNumber),
-    /// The disk refuses writes; they are tried again.
+    /// Opening or writing failed and will be retried.
     Failing,
 }
 
-/// Hands batches to the disk's thread.
+/// Queues batches for a disk thread.
 #[derive(Debug)]
 pub(crate) struct DiskWriter {
     tx: thread_mpsc::Sender<Batch>,
 }
 
 impl DiskWriter {
-    /// Starts the thread for a store that is open.
+    /// Starts the thread for an open store.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it gives no thread.
+    /// Returns an error if the thread cannot be spawned.
     pub(crate) fn start(store: Store, events: DiskEventSender) -> std::io::Result<Self> {
         let (tx, rx) = thread_mpsc::channel();
         let builder = thread::Builder::new().name("disk".into());
@@ -72,12 +71,12 @@
         Ok(Self { tx })
     }
 
-    /// Starts the thread, which opens the store of a replica itself: a disk that hangs does not hold up the process. Reports
-    /// [`DiskEvent::Opened`], or nothing if the store is that of another replica.
+    /// Starts the thread, which opens the store of a replica itself so that a hanging disk does not block the process. Reports
+    /// [`DiskEvent::Opened`], or nothing if the store belongs to another replica.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it gives no thread.
+    /// Returns an error if the thread cannot be spawned.
     pub(crate) fn open(
         folder: PathBuf,
         replica: ReplicaId,
@@ -96,14 +95,14 @@
         Ok(Self { tx })
     }
 
-    /// Queues a batch; [`DiskEvent::Synced`] follows, however long that takes.
+    /// Queues a batch. [`DiskEvent::Synced`] follows once it is synced.
     pub(crate) fn write(&self, number: BatchNumber, records: Vec<Record>) {
-        // The thread ends only when the process stops, and then nothing waits for the batch.
+        // The thread ends only when the process stops; nothing waits for the batch then.
         let _ = self.tx.send(Batch { number, records });
     }
 }
 
-/// Where the thread of a log reports.
+/// Reports the events of one log.
 #[derive(Clone, Debug)]
 pub(crate) struct DiskEventSender {
     log: LogId,
@@ -111,24 +110,23 @@
 }
 
 impl DiskEventSender {
-    /// Reports for this log.
     pub(crate) fn new(log: LogId, tx: mpsc::UnboundedSender<LogEvent>) -> Self {
         Self { log, tx }
     }
 
-    /// Returns whether the process has stopped.
+    /// Returns whether the process has stopped receiving events.
     fn is_closed(&self) -> bool {
         self.tx.is_closed()
     }
 
-    /// Reports an event; returns `false` if the process stops.
+    /// Reports an event; returns `false` if the process no longer receives events.
     fn send(&self, event: DiskEvent) -> bool {
         let log = self.log;
         self.tx.send(LogEvent { log, event }).is_ok()
     }
 }
 
-/// Opens a store, however often that must be tried. Returns `None` if it is that of another replica or if the process stops.
+/// Opens a store, retrying until that succeeds. Returns `None` if the store belongs to another replica or the process stops.
 fn open_store(
     folder: &Path,
     replica: ReplicaId,
@@ -138,7 +136,7 @@
         let (store, recovered) = match try_open_store(folder, replica) {
             Ok(opened) => opened,
             Err(cause) => {
-                log::warn!("a store cannot be opened: {cause}");
+                log::warn!("cannot open the store, retrying: {cause}");
                 if !events.send(DiskEvent::Failing) {
                     return None;
                 }
@@ -148,15 +146,15 @@
         };
         let found = recovered.identity.map(|identity| identity.id);
         if found != Some(replica) {
-            // Its votes and log are those of a replica that the others know under another identity.
-            log::error!(folder = folder.display().to_string().as_str(); "a store is that of another replica and is not used");
+            // The votes and the log in it belong to a replica that the others know under another identity.
+            log::error!(folder = folder.display().to_string().as_str(); "the store belongs to another replica and is not used");
             return None;
         }
         return Some((store, recovered));
     }
 }
 
-/// Opens a store; a new one is marked as this replica's.
+/// Opens a store; writes the identity of this replica to a new one.
 fn try_open_store(
     folder: &Path,
     replica: ReplicaId,
@@ -170,7 +168,7 @@
     Ok((store, recovered))
 }
 
-/// Writes batches until the process stops; all that wait at once share one sync.
+/// Writes batches until the process stops. Batches that wait at the same time share one sync.
 fn write_batches(mut store: Store, rx: &thread_mpsc::Receiver<Batch>, events: &DiskEventSender) {
     while let Ok(mut batch) = rx.recv() {
         while let Ok(next) = rx.try_recv() {
@@ -178,11 +176,11 @@
             batch.records.extend(next.records);
         }
         if events.is_closed() {
-            // Nobody was or will be told that this batch is written; another life of the process may use the file by now.
+            // The batch was not acknowledged, and a restarted process may already be using the file.
             return;
         }
         while let Err(cause) = store.append(&batch.records) {
-            log::warn!("the disk refuses a write: {cause}");
+            log::warn!("cannot write to the disk, retrying: {cause}");
             if !events.send(DiskEvent::Failing) {
                 return;
             }
--- a/crates/leased/cloverfold_control/src/error.rs
+++ b/crates/leased/cloverfold_control/src/error.rs
@@ -1,21 +1,18 @@
-//! Errors of the start of a control process.
-//!
-//! For the program around it, which prints them to its operator and ends. Owns no state. Relies on the texts of the errors of the store and of
-//! the listeners.
+//! Errors at the start of a control process.
 
 use cloverfold_consensus::StoreError;
 use cloverfold_http::ListenError;
 
-/// Why a control process could not start.
+/// An error that prevents a control process from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
     /// The data folder cannot be used.
     #[error("data_folder: {0}")]
     Store(#[from] StoreError),
-    /// An address cannot be listened on.
+    /// A listener cannot be bound.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The thread that writes to the disk could not be started.
+    /// A thread that writes to the disk cannot be started.
     #[error("the disk's thread: {0}")]
     Thread(std::io::Error),
 }
--- a/crates/leased/cloverfold_control/src/job_counts.rs
+++ b/crates/leased/cloverfold_control/src/job_counts.rs
@@ -1,4 +1,4 @@
-//! What became of the commands of a group's log, and which calls were refused.
+//! Counters of command outcomes and refused calls of a job group.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
     CallRefusal, CancelOutcome, CommandOutcome, EndDecision, SubmitOutcome,
 };
 
-/// Counts since the start of the process, by what became of what.
+/// Counts since the start of the process, by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct JobCounts {
     counts: BTreeMap<&'static str, u64>,
 }
 
 impl JobCounts {
-    /// Counts what became of a command.
+    /// Counts the outcome of a command.
     pub(crate) fn record(&mut self, outcome: &CommandOutcome) {
         match outcome {
             CommandOutcome::Submit(outcome) => self.count(submit_outcome_name(*outcome), 1),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Counts a call that was refused.
+    /// Counts a refused call.
     pub(crate) fn record_refusal(&mut self, refusal: CallRefusal) {
         self.count(refusal.as_str(), 1);
     }
--- a/crates/leased/cloverfold_control/src/job_groups/apply.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/apply.rs
@@ -1,6 +1,6 @@
-//! What a committed command changes, and who is told: its caller, and the drivers that gain or lose a job.
+//! Application of committed commands.
 //!
-//! Only the leader answers and logs; the others only apply.
+//! Every replica applies the commands; only the leader logs them, replies to callers and notifies the drivers that gain or lose a job.
 
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::{LogIndex, Term};
@@ -13,10 +13,11 @@
 use super::batches::decode_commands;
 use super::{Caller, GroupEffect, GroupHost};
 
-/// Level of the lines that every job has: at 850 jobs a second they would crowd out the rarer ones, of which 100 a second are written.
+/// Log level of events that occur for every job. At a higher level, they would exceed the rate limit of 100 lines per second and displace
+/// rarer lines.
 const ROUTINE_LEVEL: Level = Level::Debug;
 
-/// An open job before a command that may end it or give it on.
+/// The driver of an open job before a command that may end or reassign the job.
 struct PriorAssignment {
     job: JobId,
     driver: DriverId,
@@ -24,7 +25,7 @@
 }
 
 impl GroupHost {
-    /// Applies the commands of an entry.
+    /// Applies the commands of a committed entry.
     pub(super) fn apply_commands(
         &mut self,
         index: LogIndex,
@@ -37,12 +38,12 @@
         let commands = match decode_commands(entry) {
             Ok(commands) => commands,
             Err(cause) => {
-                log::error!(group = self.id, index; "an entry cannot be read: {cause}");
+                log::error!(group = self.id, index; "cannot decode a log entry: {cause}");
                 return;
             }
         };
-        for (place, command) in commands.into_iter().enumerate() {
-            let caller = callers.get(place).copied().flatten();
+        for (position, command) in commands.into_iter().enumerate() {
+            let caller = callers.get(position).copied().flatten();
             self.apply_command(command, caller, now);
         }
     }
@@ -66,14 +67,14 @@
                     if *decision == EndDecision::Fenced {
                         log::warn!(
                             job = end.job.as_str(), task = end.task, run = end.run, epoch = end.epoch, group = self.id;
-                            "an end of an earlier driver does not count"
+                            "ignored a task end reported by an earlier driver"
                         );
                     }
                 }
                 self.reply_if_awaited(caller, JobReply::EndsRecorded(decisions));
             }
             (JobCommand::Cancel(job), CommandOutcome::Cancel(outcome)) => {
-                log::info!(job = job.as_str(), outcome:? = outcome, group = self.id; "a kept job is to be cancelled");
+                log::info!(job = job.as_str(), outcome:? = outcome, group = self.id; "processed the cancellation of a kept job");
                 self.reply_if_awaited(caller, JobReply::Cancelled(outcome));
             }
             (JobCommand::Assign(assignees), CommandOutcome::Assigned(jobs)) => {
@@ -81,13 +82,13 @@
                 self.notify_assigned_drivers(&assignees, &jobs);
             }
             (JobCommand::Expire(up_to), CommandOutcome::Expired(count)) => {
-                log::info!(count, up_to, group = self.id; "ended kept jobs are forgotten");
+                log::info!(count, up_to, group = self.id; "removed ended kept jobs");
             }
             _ => {}
         }
     }
 
-    /// Lists the open jobs that a command may end or give on.
+    /// Lists the open jobs that a command may end or reassign.
     fn list_affected(&self, command: &JobCommand) -> Vec<PriorAssignment> {
         let mut jobs: Vec<&JobId> = match command {
             JobCommand::RecordEnds(ends) => ends.iter().map(|end| &end.job).collect(),
@@ -121,7 +122,7 @@
         };
         log::log!(
             level, job = open.job.as_str(), how:? = ended.how, epoch = open.epoch, group = self.id;
-            "a kept job has ended"
+            "kept job ended"
         );
         let reply = RenewalReply {
             driver: open.driver,
@@ -132,8 +133,8 @@
         self.answer_watches(&open.job);
     }
 
-    /// Answers a submission. A driver without a lease of this leader is not told that it drives the job: the job may be given to
-    /// another as soon as it is committed. It learns of it with its next renewal.
+    /// Replies to a submission. A driver without a lease from this leader is not told that it drives the job, because the job may be
+    /// reassigned as soon as it is committed. The driver learns of the job with its next renewal.
     fn finish_submit(
         &mut self,
         job: &str,
@@ -146,7 +147,7 @@
             SubmitOutcome::Accepted(_) | SubmitOutcome::Known => ROUTINE_LEVEL,
             SubmitOutcome::Conflict | SubmitOutcome::Full => Level::Info,
         };
-        log::log!(level, job, outcome:? = outcome, group = self.id; "a kept job was submitted");
+        log::log!(level, job, outcome:? = outcome, group = self.id; "kept job submitted");
         if let (Some(leader_state), SubmitOutcome::Accepted(_)) = (&mut self.leader_state, outcome)
         {
             leader_state.open_since.insert(job.to_owned(), now);
@@ -154,11 +155,11 @@
         let leader_state = self.leader_state.as_ref();
         let is_alive =
             leader_state.is_some_and(|leader_state| leader_state.drivers.is_alive(driver, now));
-        let told = match outcome {
+        let reported = match outcome {
             SubmitOutcome::Accepted(_) if !is_alive => SubmitOutcome::Known,
             outcome => outcome,
         };
-        self.reply_if_awaited(caller, JobReply::Submitted(told));
+        self.reply_if_awaited(caller, JobReply::Submitted(reported));
     }
 
     fn log_assigned(&self, before: &[PriorAssignment], assigned: &[JobId]) {
@@ -168,18 +169,19 @@
             }
             let next = self.table.open().get(job).map(OpenJob::driver);
             let (from, to) = (self.name_entry(Some(*driver)), self.name_entry(next));
-            log::info!(job = job.as_str(), epoch = epoch + 1, from, to, group = self.id; "a kept job is handed on");
+            log::info!(job = job.as_str(), epoch = epoch + 1, from, to, group = self.id; "kept job reassigned");
         }
     }
 
-    /// Returns the name of a driver's entry; an empty text if it has not renewed with this leader.
+    /// Returns the name of a driver's entry, or an empty string if the driver has not renewed its lease with this leader.
     fn name_entry(&self, driver: Option<DriverId>) -> &str {
         let leader_state = self.leader_state.as_ref();
         let entry = leader_state.and_then(|leader_state| leader_state.drivers.entry_of(driver?));
         entry.unwrap_or_default()
     }
 
-    /// Tells drivers of the jobs that they were given. An entry that hears of one unasked renews at once, and drives it by the reply.
+    /// Notifies drivers of jobs assigned to them. An entry that receives such a notification renews its lease immediately and drives the
+    /// job according to the reply.
     fn notify_assigned_drivers(&mut self, assignees: &[JobReassignment], assigned: &[JobId]) {
         if let Some(leader_state) = &mut self.leader_state {
             let jobs = assignees.iter().map(|assignee| &assignee.job);
--- a/crates/leased/cloverfold_control/src/job_groups/batches.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/batches.rs
@@ -1,8 +1,7 @@
-//! Commands on their way into the log of a group (group commit).
+//! Group commit: batches the commands of a group into log entries.
 //!
-//! Decision: which commands become one entry of the log. Rule: one entry at a time is under way; what comes meanwhile becomes the next
-//! one, in order, up to [`MAX_ENTRY_BYTES`]. More than [`MAX_WAITING_BYTES`] do not wait. Inputs: the encoded commands. Reason: syncs a
-//! second do not grow with jobs, and neither memory nor a message grows without bound.
+//! At most one entry is in flight. Commands that arrive in the meantime form the next entry, in order and up to [`MAX_ENTRY_BYTES`], so
+//! that the rate of syncs does not grow with the rate of jobs. The queue is limited to [`MAX_WAITING_BYTES`] and [`MAX_WAITING`] commands.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,21 +12,21 @@
 
 use super::Caller;
 
-/// Bytes of the commands in one entry, at most. Chosen, not measured: eight entries fit into half a frame of a link.
+/// Maximum size of the commands in one entry. Eight entries fit into half a frame of a link.
 pub(crate) const MAX_ENTRY_BYTES: usize = 512 * 1024;
-/// Bytes of the commands that wait, at most. Chosen, not measured: four entries, some 40 ms of a disk that syncs in 9 ms.
+/// Maximum size of the queued commands, equal to four entries.
 const MAX_WAITING_BYTES: usize = 2 * 1024 * 1024;
-/// Commands that wait, at most. Chosen, not measured: five seconds' at 850 a second.
+/// Maximum number of queued commands.
 const MAX_WAITING: usize = 4_096;
 
-/// A command that waits for its entry.
+/// A queued command.
 #[derive(Debug)]
 struct WaitingCommand {
     bytes: Vec<u8>,
     caller: Option<Caller>,
 }
 
-/// The entry that is under way.
+/// The entry in flight.
 #[derive(Debug)]
 struct ProposedEntry {
     index: LogIndex,
@@ -36,7 +35,7 @@
     since: Timestamp,
 }
 
-/// Commands of a leader that wait or are under way.
+/// The queued commands of a leader and its entry in flight.
 #[derive(Debug, Default)]
 pub(super) struct CommandBatches {
     waiting: VecDeque<WaitingCommand>,
@@ -45,10 +44,10 @@
 }
 
 impl CommandBatches {
-    /// Queues a command; returns `false` if there is no room for it.
+    /// Queues a command; returns `false` if the queue is full or the command is too long.
     pub(super) fn push(&mut self, command: &JobCommand, caller: Option<Caller>) -> bool {
         let Ok(bytes) = postcard::to_stdvec(command) else {
-            log::error!("a command of kept jobs cannot be encoded");
+            log::error!("cannot encode a command of kept jobs");
             return false;
         };
         let has_room = self.waiting.len() < MAX_WAITING
@@ -61,7 +60,7 @@
         has_room
     }
 
-    /// Takes the commands of the next entry, if none is under way: its bytes, and who waits for each command.
+    /// Takes the next entry if none is in flight: its encoded commands and the caller of each.
     pub(super) fn take_next(&mut self) -> Option<(Vec<u8>, Vec<Option<Caller>>)> {
         if self.proposed.is_some() || self.waiting.is_empty() {
             return None;
@@ -77,13 +76,13 @@
             callers.push(next.caller);
             self.waiting.pop_front();
         }
-        // The bytes of a sequence are its length and its elements.
+        // Postcard encodes a sequence as its length followed by its elements.
         let mut entry = postcard::to_stdvec(&callers.len()).ok()?;
         entry.append(&mut commands);
         Some((entry, callers))
     }
 
-    /// Records that an entry was appended.
+    /// Records that an entry was appended to the log.
     pub(super) fn mark_proposed(
         &mut self,
         index: LogIndex,
@@ -99,20 +98,20 @@
         });
     }
 
-    /// Returns whether the entry under way has not been committed for longer than `limit`.
+    /// Returns whether the entry in flight has been uncommitted for longer than `limit`.
     pub(super) fn is_stuck(&self, limit: Duration, now: Timestamp) -> bool {
         let proposed = self.proposed.as_ref();
         proposed.is_some_and(|proposed| now > proposed.since + limit)
     }
 
-    /// Returns who waits for the commands of an entry that is committed; nobody if it is not the one under way.
+    /// Takes the callers of the commands in a committed entry; empty if the entry is not the one in flight.
     pub(super) fn take_callers(&mut self, index: LogIndex, term: Term) -> Vec<Option<Caller>> {
         let proposed = self.proposed.take_if(|p| p.index <= index);
         let is_same = |p: &ProposedEntry| p.index == index && p.term == term;
         proposed.filter(is_same).map_or(Vec::new(), |p| p.callers)
     }
 
-    /// Returns who waits for commands that were certainly not appended.
+    /// Discards the queued commands, which were not appended, and returns their callers.
     pub(super) fn take_waiting_callers(&mut self) -> impl Iterator<Item = Caller> + use<> {
         self.waiting_bytes = 0;
         let waiting = std::mem::take(&mut self.waiting);
@@ -120,7 +119,6 @@
     }
 }
 
-/// Decodes the commands of an entry.
 pub(super) fn decode_commands(entry: &[u8]) -> Result<Vec<JobCommand>, postcard::Error> {
     postcard::from_bytes(entry)
 }
--- a/crates/leased/cloverfold_control/src/job_groups/calls.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/calls.rs
@@ -1,17 +1,14 @@
-//! Decision: what becomes of a call that has reached the leader.
+//! Handling of calls on the leader of a group.
 //!
-//! | call | refused | answered |
+//! | call | refused if | replied to |
 //! |---|---|---|
-//! | `Submit` | no contact with a majority, its disk or those of the majority are stuck, too many wait | after the commit |
-//! | `RecordEnds`, `Cancel` | no contact with a majority, too many wait | after the commit |
-//! | `Show`, `Renew` | too many wait; the proof fails | with a proof that this replica leads |
-//! | `CountPending`, `Release` | never | at once |
+//! | `Submit` | no quorum contact, stuck disks here or on a majority, full queue | after commit |
+//! | `RecordEnds`, `Cancel` | no quorum contact, full queue | after commit |
+//! | `Show`, `Renew` | full queue, leadership not confirmed | after a read barrier |
+//! | `CountPending`, `Release` | never | immediately |
 //!
-//! Inputs: the call, the contact with the majority, the ages of the oldest write that is not synced and of the entry that is not
-//! committed, how many calls wait.
-//!
-//! Reason: a refusal says that a call had no effect and never will; whatever was appended may be committed later and is therefore
-//! never refused. A disk that hangs must not gather new jobs, while what is known of accepted ones is still recorded by the others.
+//! A refusal guarantees that a call has no effect, now or later. A command that was appended may still be committed and is therefore never
+//! refused. A leader with a hanging disk accepts no new jobs, but the other replicas still record the progress of accepted ones.
 
 use std::time::Duration;
 
@@ -24,27 +21,27 @@
 use super::reads::{Read, WaitingRead};
 use super::{Caller, GroupEffect, GroupHost};
 
-/// Age of an unsynced write, or of an entry that is not committed, from which on new jobs are refused. Chosen, not measured: fifty syncs of 9 ms.
+/// Age of an unsynced write or uncommitted entry from which on the leader refuses new jobs.
 const STUCK_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Without contact with the majority for this long no command is taken. Chosen, not measured: ten heartbeats, as for configurations.
+/// Time without quorum contact after which the leader refuses commands; ten heartbeats.
 const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Calls that wait for a proof, at most. Chosen, not measured: a second's renewals of 1,000 entries.
+/// Maximum number of pending reads.
 const MAX_PENDING_READS: usize = 4_096;
-/// Longest body of a job, in bytes; the rest of its command fits into the difference to an entry. Chosen, not measured.
+/// Maximum size of the body of a job; leaves room for the rest of its command in an entry.
 const MAX_BODY_BYTES: usize = MAX_ENTRY_BYTES / 2;
 
 impl GroupHost {
-    /// Handles a call. This process should lead; if it does not, the call is refused.
+    /// Handles a call. Refuses it if this replica does not lead.
     pub(crate) fn call(&mut self, caller: Caller, call: JobCall, now: Timestamp) {
         let job = match &call {
             JobCall::Submit(submission) => submission.id.clone(),
             JobCall::Cancel(job) => job.clone(),
             _ => String::new(),
         };
-        let taken = self.handle_call(caller, call, now);
-        if let Err(refusal) = taken {
+        let result = self.handle_call(caller, call, now);
+        if let Err(refusal) = result {
             if !job.is_empty() {
-                log::warn!(job = job.as_str(), cause = refusal.as_str(), group = self.id; "a call about a kept job is refused");
+                log::warn!(job = job.as_str(), cause = refusal.as_str(), group = self.id; "refused a call about a kept job");
             }
             self.counts.record_refusal(refusal);
             self.answer(caller, JobReply::Refused(refusal));
@@ -131,10 +128,10 @@
         Ok(())
     }
 
-    /// Answers a call for which this replica has proved that it leads, or has failed to. One that asks for an open job waits a while
-    /// for its end.
-    pub(super) fn finish_read(&mut self, read: WaitingRead, is_proved: bool, now: Timestamp) {
-        let leader_state = self.leader_state.as_mut().filter(|_| is_proved);
+    /// Completes a read once this replica has confirmed its leadership or failed to. A call that shows an open job then waits briefly for
+    /// the job to end.
+    pub(super) fn finish_read(&mut self, read: WaitingRead, is_confirmed: bool, now: Timestamp) {
+        let leader_state = self.leader_state.as_mut().filter(|_| is_confirmed);
         let Some(leader_state) = leader_state else {
             self.answer(read.caller, JobReply::Refused(CallRefusal::NoLeader));
             return;
@@ -152,7 +149,7 @@
         self.answer(read.caller, reply);
     }
 
-    /// Answers the calls that ask for a job which has just ended.
+    /// Replies to the calls that wait for a job which has just ended.
     pub(super) fn answer_watches(&mut self, job: &str) {
         let leader_state = self.leader_state.as_mut();
         let callers =
@@ -162,7 +159,7 @@
         }
     }
 
-    /// Answers the calls that have waited long enough for the end of a job.
+    /// Replies to the calls whose wait for the end of a job has timed out.
     pub(super) fn answer_due_watches(&mut self, now: Timestamp) {
         let leader_state = self.leader_state.as_mut();
         let due = leader_state.map_or(Vec::new(), |leader_state| {
@@ -175,7 +172,7 @@
         }
     }
 
-    /// Returns how far a job is, as far as this replica knows; `None` if it knows none of this name.
+    /// Returns the phase of a job as known to this replica; `None` if the job is unknown.
     pub(crate) fn show(&self, job: &str) -> Option<JobPhase> {
         if let Some(open) = self.table.open().get(job) {
             let leader_state = self.leader_state.as_ref();
--- a/crates/leased/cloverfold_control/src/job_groups/group.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/group.rs
@@ -15,31 +15,28 @@
 use crate::job_counts::JobCounts;
 use crate::replica_host::ReplicaHost;
 
-/// Entries after which the log of a group is compacted. Chosen, not measured: a table of some megabytes is written every 20 s at 50
-/// syncs a second.
+/// Number of log entries that triggers compaction.
 const COMPACTION_THRESHOLD: usize = 1_024;
-/// Entries in one message: with [`MAX_ENTRY_BYTES`](super::batches::MAX_ENTRY_BYTES) half of the longest frame.
+/// Maximum number of entries in one message; with [`MAX_ENTRY_BYTES`](super::batches::MAX_ENTRY_BYTES), half of the longest frame.
 const MAX_BATCH_ENTRIES: usize = 8;
 
-/// Bytes of a table in one message; a full table has some 50 MB. Chosen, not measured: an eighth of the longest frame.
+/// Maximum size of a snapshot's state in one message, an eighth of the longest frame. A full table has about 50 MB.
 const MAX_SNAPSHOT_BYTES: usize = 1024 * 1024;
 
-/// Age of an unsynced write from which on a leader gives up its lead if the others' disks are faster. Chosen, not measured: twice the span
-/// after which it takes no new jobs.
+/// Age of an unsynced write from which on a leader steps down if the other disks are faster. Twice the timeout for refusing new jobs.
 const LEADER_DISK_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long the committed index waits to be written with the next entry. A write of its own takes the disk a sync, for which the next
-/// entry waits: with 9 ms a sync half of the jobs of a loaded site were accepted after some 50 ms instead of 20.
+/// How long the commit index waits to be written together with the next entry. Writing it alone costs a sync, which delays the next entry.
 const COMMIT_DELAY: Duration = Duration::from_millis(100);
 
-/// What all groups of a process have in common.
+/// Settings shared by all groups of a process.
 #[derive(Clone, Debug)]
 pub(crate) struct GroupSettings {
-    /// The identity of this process's disk.
+    /// The replica identity of this process.
     pub(crate) replica: ReplicaId,
-    /// How many voters a group should have.
+    /// Target number of voters of a group.
     pub(crate) voters: usize,
-    /// How long ended jobs are remembered.
+    /// How long ended jobs are retained.
     pub(crate) retention: Duration,
 }
 
@@ -48,7 +45,7 @@
     pub(super) id: GroupId,
     retention: Duration,
     pub(super) host: ReplicaHost,
-    /// After all applied entries.
+    /// The jobs after all applied entries.
     pub(super) table: JobTable,
     /// `Some` while this replica leads.
     pub(super) leader_state: Option<LeaderState>,
@@ -57,10 +54,10 @@
 }
 
 impl GroupHost {
-    /// Goes on from what the disk has. A founder whose log is empty begins the group.
+    /// Opens a replica from the state recovered from disk. A founder with an empty log bootstraps the group.
     ///
-    /// All founders begin with the same members and state, so their logs agree. A disk that was lost has another identity and is no
-    /// founder: it never votes before the group has added it.
+    /// All founders bootstrap with the same members and state, so their logs agree. A replacement disk has a new identity and is not a
+    /// founder, so it does not vote before the group has added it.
     pub(crate) fn open(
         id: GroupId,
         groups: &JobGroups,
@@ -80,7 +77,7 @@
         let mut replica = Replica::new(settings.replica, config, recovered, random_u64(), now);
         let founders = founding_members(groups);
         if founders.contains(settings.replica) && replica.status().last_index == 0 {
-            log::info!(group = id, members = founders.voters.len(); "a group that keeps jobs begins");
+            log::info!(group = id, members = founders.voters.len(); "bootstrapping a group of kept jobs");
             replica.bootstrap(founders, Vec::new());
         }
         let mut group = Self {
@@ -96,12 +93,12 @@
         group
     }
 
-    /// Returns what is to be done and clears it.
+    /// Takes the pending effects.
     pub(crate) fn take_effects(&mut self) -> Vec<GroupEffect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Does the work that has fallen due.
+    /// Performs due work.
     pub(crate) fn tick(&mut self, now: Timestamp) {
         self.host.replica.tick(now);
         self.step_down_if_disk_hangs(now);
@@ -114,24 +111,23 @@
         self.host.log_slow(now);
     }
 
-    /// Decision: when a leader gives up its lead. Rule: once its disk has not synced a write for [`LEADER_DISK_TIMEOUT`] that the majority has
-    /// synced. Inputs: the age of the oldest write, the committed and the synced index. Reason: a leader whose disk hangs takes no new
-    /// jobs, while those of the others work. Where all disks are slow nobody is ahead, and the leader stays.
+    /// Steps down if this leader's disk has not synced a write for [`LEADER_DISK_TIMEOUT`] that a majority has synced: such a leader
+    /// accepts no new jobs, while the others could. If all disks are slow, no majority is ahead and the leader stays.
     fn step_down_if_disk_hangs(&mut self, now: Timestamp) {
-        let hangs = self.host.is_disk_stuck(LEADER_DISK_TIMEOUT, now);
-        if self.leader_state.is_some() && hangs && self.host.replica.is_disk_behind() {
-            log::warn!(group = self.id; "the disk hangs: another process is to lead the group");
+        let is_stuck = self.host.is_disk_stuck(LEADER_DISK_TIMEOUT, now);
+        if self.leader_state.is_some() && is_stuck && self.host.replica.is_disk_behind() {
+            log::warn!(group = self.id; "the disk hangs; stepping down as leader of the group");
             self.host.replica.step_down(now);
         }
     }
 
-    /// Handles a message of another replica.
+    /// Handles a message from another replica.
     pub(crate) fn receive(&mut self, from: ReplicaId, message: Message, now: Timestamp) {
         self.host.replica.receive(from, message, now);
         self.advance(now);
     }
 
-    /// Handles an event of the disk.
+    /// Handles a disk event.
     pub(crate) fn disk_event(&mut self, event: &DiskEvent, now: Timestamp) {
         let messages = self.host.disk_event(event, now);
         self.send(messages);
@@ -149,7 +145,7 @@
         self.host.replica.remove_learner(replica);
     }
 
-    /// Carries out what the replica wants, and appends what waits.
+    /// Processes the output of the replica and appends queued commands until there is nothing left to do.
     pub(super) fn advance(&mut self, now: Timestamp) {
         loop {
             self.process_ready(now);
@@ -160,16 +156,16 @@
     }
 
     fn process_ready(&mut self, now: Timestamp) {
-        let wanted = self.host.write_wanted(now);
-        self.send(wanted.messages);
+        let ready = self.host.write_ready(now);
+        self.send(ready.messages);
         self.update_role(now);
-        if let Some(snapshot) = wanted.restored {
+        if let Some(snapshot) = ready.restored {
             self.restore(&snapshot);
         }
-        for entry in wanted.committed {
+        for entry in ready.committed {
             self.apply(entry, now);
         }
-        for outcome in wanted.reads {
+        for outcome in ready.reads {
             let leader_state = self.leader_state.as_mut();
             let reads = leader_state.map_or(Vec::new(), |l| l.reads.finish(outcome.token));
             for read in reads {
@@ -178,7 +174,7 @@
         }
     }
 
-    /// Appends the next commands and begins the next proof, if that is possible; returns whether anything changed.
+    /// Appends the next entry and starts the next read if possible; returns whether anything changed.
     fn propose_waiting(&mut self, now: Timestamp) -> bool {
         let Some(leader_state) = &mut self.leader_state else {
             return false;
@@ -186,7 +182,7 @@
         let mut has_changed = false;
         if let Some((entry, callers)) = leader_state.batches.take_next() {
             let appended = self.host.replica.propose(entry, now);
-            // It was leading a moment ago; if not, `update_role` ends this term.
+            // Fails only if this replica has just lost its leadership, which `update_role` handles.
             if let Ok(index) = appended {
                 leader_state
                     .batches
@@ -207,7 +203,7 @@
         self.effects.extend(sends);
     }
 
-    /// Begins or ends to lead.
+    /// Creates or drops the leader state after a change of role or term.
     fn update_role(&mut self, now: Timestamp) {
         let status = self.host.replica.status();
         let term = (status.role == Role::Leader).then_some(status.term);
@@ -220,16 +216,16 @@
             return;
         }
         if let Some(ended) = self.leader_state.take() {
-            log::info!(group = self.id, term = ended.term; "this process no longer leads a group that keeps jobs");
+            log::info!(group = self.id, term = ended.term; "lost leadership of a group of kept jobs");
             self.reject_waiting(ended);
         }
         if let Some(term) = term {
-            log::info!(group = self.id, term; "this process leads a group that keeps jobs");
+            log::info!(group = self.id, term; "became leader of a group of kept jobs");
             self.leader_state = Some(LeaderState::new(term, &self.table, now));
         }
     }
 
-    /// Refuses the calls that had no effect. Those whose commands were appended get no answer: they may be committed yet.
+    /// Refuses the pending calls that had no effect. Calls whose commands were appended get no reply, because they may still be committed.
     fn reject_waiting(&mut self, mut ended: LeaderState) {
         let refused = JobReply::Refused(CallRefusal::NoLeader);
         for caller in ended.batches.take_waiting_callers() {
@@ -246,7 +242,7 @@
     fn restore(&mut self, snapshot: &Snapshot) {
         match JobTable::decode(&snapshot.state) {
             Ok(table) => self.table = table,
-            Err(cause) => log::error!(group = self.id; "a snapshot cannot be read: {cause}"),
+            Err(cause) => log::error!(group = self.id; "cannot decode a snapshot: {cause}"),
         }
     }
 
@@ -269,7 +265,7 @@
     }
 }
 
-/// Returns the members that a group begins with.
+/// Returns the initial members of a group.
 fn founding_members(groups: &JobGroups) -> Members {
     let founders = groups.founders.iter();
     let mut voters: Vec<Member> = founders
--- a/crates/leased/cloverfold_control/src/job_groups/leader.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/leader.rs
@@ -1,4 +1,4 @@
-//! What only the leader of a group has, and its regular work: handing on jobs, forgetting ended ones.
+//! The state that only the leader of a group has, and its periodic work: reassigning jobs and removing ended ones.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use super::retention::JobRetention;
 use super::watches::JobWatches;
 
-/// How often jobs are looked through for a hand-over. Chosen, not measured: a fifteenth of the wait before one.
+/// Interval at which the leader looks for jobs to hand over.
 const HANDOVER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How old the counts of pending jobs may be. Chosen, not measured: a quarter of the 2 s that a caller may be shown.
+/// Maximum age of the cached counts of pending jobs.
 const PENDING_COUNT_MAX_AGE: Duration = Duration::from_millis(500);
 
-/// The state of a leader in its term.
+/// The state of a leader during its term.
 pub(super) struct LeaderState {
     pub(super) term: Term,
     pub(super) drivers: DriverTable,
     pub(super) batches: CommandBatches,
     pub(super) reads: ReadRounds,
-    /// Since when this leader knows each open job.
+    /// When this leader learned of each open job.
     pub(super) open_since: HashMap<JobId, Timestamp>,
     pub(super) watches: JobWatches,
     retention: JobRetention,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Queues the commands that have fallen due.
+    /// Queues the commands that are due.
     pub(super) fn tick(&mut self, table: &JobTable, retention: Duration, now: Timestamp) {
         if now >= self.handover_at + HANDOVER_CHECK_INTERVAL {
             self.handover_at = now;
@@ -59,8 +59,8 @@
         if let Some(end) = self.retention.take_due(retention, now)
             && !self.batches.push(&JobCommand::Expire(end), None)
         {
-            // What ended later takes these along.
-            log::warn!(end; "no room to forget ended jobs");
+            // The next removal includes these jobs.
+            log::warn!(end; "the queue is full; ended jobs are removed later");
         }
     }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns how many jobs of a queue have not begun.
+    /// Returns the number of jobs of a queue that have not started.
     pub(super) fn count_pending(&mut self, table: &JobTable, queue: &str, now: Timestamp) -> u64 {
         let is_old = |at: Timestamp| now >= at + PENDING_COUNT_MAX_AGE;
         if self.pending_at.is_none_or(is_old) {
--- a/crates/leased/cloverfold_control/src/job_groups/mod.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/mod.rs
@@ -1,18 +1,18 @@
-//! The groups that keep jobs, as far as this process hosts them.
+//! The replicated groups of kept jobs that this process hosts.
 //!
-//! [`GroupHost`] owns one replica of one group: its log and disk, its table, and, while it leads, the drivers, the commands on their way
-//! and the calls that wait. It sends nothing itself: what is to be sent comes out as [`GroupEffect`]s. It relies on
-//! `cloverfold_kept_jobs` for every decision about jobs and drivers, and on `cloverfold_consensus` for the log.
+//! [`GroupHost`] is one replica of one group: its log and disk, its job table and, while it leads, the drivers, queued commands and pending
+//! calls. It performs no network I/O and returns [`GroupEffect`]s instead. `cloverfold_kept_jobs` implements the state machine of jobs and
+//! drivers, `cloverfold_consensus` the log.
 //!
-//! | file | duty |
+//! | module | responsibility |
 //! |---|---|
-//! | `group` | one replica: ticks, messages, the disk, what is committed |
-//! | `calls` | which calls are taken, refused, answered |
-//! | `applying` | what a committed command changes, and who is told |
-//! | `leading` | what only a leader has, and its regular work |
-//! | `batches`, `reads`, `watches` | commands and calls that wait |
-//! | `view` | what a group shows |
-//! | `ended` | when ended jobs are forgotten |
+//! | `group` | event handling of one replica |
+//! | `calls` | calls on the leader |
+//! | `apply` | application of committed commands |
+//! | `leader` | leader state and periodic work |
+//! | `batches`, `reads`, `watches` | queued commands, pending reads, calls that wait for the end of a job |
+//! | `status` | accessors for status and metrics |
+//! | `retention` | removal of ended jobs |
 
 mod apply;
 mod batches;
@@ -32,34 +32,34 @@
 
 pub(crate) use self::group::{GroupHost, GroupSettings};
 
-/// Who made a call.
+/// The origin of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Caller {
-    /// The process at the other end of a link, under its token.
+    /// Another process.
     Peer {
-        /// The link.
+        /// The link to the process.
         link: LinkId,
-        /// Its token.
+        /// The token that the process chose.
         token: CallToken,
     },
     /// An operator's call to this process.
     Operator(CallToken),
 }
 
-/// What a group wants done.
+/// An action that a group requests from its owner.
 #[derive(Debug)]
 pub(crate) enum GroupEffect {
-    /// Send a message to another replica.
+    /// Sends a message to another replica.
     Send(ReplicaId, Box<Message>),
-    /// Answer a call.
+    /// Replies to a call.
     Answer(Caller, JobReply),
-    /// Tell an entry unasked, if it is connected, what it has to drive or drop.
+    /// Sends an unsolicited renewal reply to an entry, if it is connected.
     Push {
         /// The name of the entry.
         entry: String,
-        /// What it is told.
+        /// The jobs to drive or drop.
         reply: RenewalReply,
     },
-    /// A voter of the group is at this address.
+    /// Dials a voter of the group.
     Dial(SocketAddr),
 }
--- a/crates/leased/cloverfold_control/src/job_groups/reads.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/reads.rs
@@ -1,52 +1,51 @@
-//! Calls that are answered once it is proved that this replica leads.
+//! Batching of linearizable reads.
 //!
-//! Decision: which calls share a proof. Rule: one proof is under way at a time and serves the calls that had come before it began; those
-//! that come meanwhile wait for the next. Inputs: none. Reason: a proof is a round of messages to the majority, and proves only what
-//! was true after it began.
+//! Each read requires a round of messages to a majority. At most one round is in flight; it serves the calls that arrived before it
+//! started, because it confirms leadership only for the time after its start. Later calls wait for the next round.
 
 use cloverfold_consensus::ReadToken;
 use cloverfold_kept_jobs::{DriverId, JobId};
 
 use super::Caller;
 
-/// A call that waits for a proof.
+/// A call that waits for a round.
 #[derive(Debug)]
 pub(super) struct WaitingRead {
     pub(super) caller: Caller,
     pub(super) read: Read,
 }
 
-/// What is answered with a proof.
+/// The content of a read.
 #[derive(Debug)]
 pub(super) enum Read {
-    /// How far a job is.
+    /// The phase of a job.
     Show(JobId),
-    /// The last renewal of a driver.
+    /// The reply to the last renewal of a driver.
     Renewal(DriverId),
 }
 
-/// The calls that wait for a proof.
+/// The pending reads.
 #[derive(Debug, Default)]
 pub(super) struct ReadRounds {
     last_token: ReadToken,
-    /// They wait for the next proof.
+    /// Reads that wait for the next round.
     queued: Vec<WaitingRead>,
-    /// They wait for the proof that is under way.
+    /// Reads served by the round in flight.
     in_flight: Vec<WaitingRead>,
 }
 
 impl ReadRounds {
-    /// Returns how many calls wait.
+    /// Returns the number of pending reads.
     pub(super) fn len(&self) -> usize {
         self.queued.len() + self.in_flight.len()
     }
 
-    /// Adds a call.
+    /// Queues a read.
     pub(super) fn push(&mut self, read: WaitingRead) {
         self.queued.push(read);
     }
 
-    /// Begins the next proof if there is none under way and a call waits; returns its token.
+    /// Starts the next round if none is in flight and reads are queued; returns its token.
     pub(super) fn start_next(&mut self) -> Option<ReadToken> {
         if !self.in_flight.is_empty() || self.queued.is_empty() {
             return None;
@@ -56,7 +55,7 @@
         Some(self.last_token)
     }
 
-    /// Ends a proof; returns the calls that waited for it.
+    /// Completes a round; returns the reads that it served.
     pub(super) fn finish(&mut self, token: ReadToken) -> Vec<WaitingRead> {
         if token == self.last_token {
             std::mem::take(&mut self.in_flight)
@@ -65,7 +64,7 @@
         }
     }
 
-    /// Returns all calls that wait.
+    /// Takes all pending reads.
     pub(super) fn take_all(&mut self) -> impl Iterator<Item = WaitingRead> + use<> {
         let in_flight = std::mem::take(&mut self.in_flight).into_iter();
         in_flight.chain(std::mem::take(&mut self.queued))
--- a/crates/leased/cloverfold_control/src/job_groups/status.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/status.rs
@@ -1,4 +1,4 @@
-//! What a replica of a group shows: to operators, in metrics, and to the process around it.
+//! Accessors for the status and metrics of a group.
 
 use std::time::Duration;
 
@@ -25,12 +25,12 @@
         self.host.replica.status()
     }
 
-    /// Returns the jobs after all entries that are applied here.
+    /// Returns the jobs after all applied entries.
     pub(crate) fn table(&self) -> &JobTable {
         &self.table
     }
 
-    /// Returns what became of commands and calls.
+    /// Returns the counters of commands and refused calls.
     pub(crate) fn counts(&self) -> &JobCounts {
         &self.counts
     }
@@ -40,7 +40,7 @@
         self.leader_state.is_some()
     }
 
-    /// Returns for how long this leader has known its oldest open job; zero where this replica does not lead.
+    /// Returns how long this leader has known its oldest open job; zero if this replica does not lead.
     pub(crate) fn oldest_open_age(&self, now: Timestamp) -> Duration {
         let leader_state = self.leader_state.as_ref();
         let since =
@@ -48,7 +48,7 @@
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// Counts the open jobs whose driver is not alive; none where this replica does not lead.
+    /// Counts the open jobs whose driver is not alive; zero if this replica does not lead.
     pub(crate) fn count_without_driver(&self, now: Timestamp) -> usize {
         let leader_state = self.leader_state.as_ref();
         leader_state.map_or(0, |l| l.drivers.count_without_driver(&self.table, now))
--- a/crates/leased/cloverfold_control/src/job_groups/watches.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/watches.rs
@@ -1,11 +1,8 @@
-//! Calls that ask for a job which has not ended.
+//! Long polling of open jobs.
 //!
-//! Decision: when such a call is answered. Rule: once the job has ended, or after [`MAX_SHOW_WAIT`] with how far it is then. Inputs: the end
-//! of the job, the time.
-//!
-//! Reason: callers ask right after the last task has ended, when the record of that end is still on its way to a majority's disks; an
-//! answer `Running` would tell them of the end only when they ask again: 0.312 -> 0.899 of the worth of a calm day of kept jobs on 11 boxes,
-//! one play each without processor time (docs/design/13-kept-jobs.md, "Measured").
+//! A call that shows an open job is answered once the job has ended, or with its current phase after [`MAX_SHOW_WAIT`]. Callers usually ask
+//! right after the last task has ended, while the record of that end is still being replicated; an immediate reply `Running` would delay
+//! the result until their next poll.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -15,15 +12,14 @@
 
 use super::Caller;
 
-/// How long a call waits for the end of its job. Chosen, not measured: two syncs of 9 ms and the messages between target, guard and
-/// leader take some 30 ms.
+/// How long a call waits for the end of its job; about twice the time to replicate the end of a task.
 const MAX_SHOW_WAIT: Duration = Duration::from_millis(60);
 
-/// Calls that wait for the end of a job.
+/// The calls that wait for the end of a job.
 #[derive(Debug, Default)]
 pub(super) struct JobWatches {
     by_job: HashMap<JobId, Vec<Caller>>,
-    /// When each call is answered at the latest, in order; those whose job has ended are answered already.
+    /// Deadlines of the calls, in order; includes calls already answered because their job ended.
     due: VecDeque<(Timestamp, JobId)>,
 }
 
@@ -34,12 +30,12 @@
         self.due.push_back((now + MAX_SHOW_WAIT, job.clone()));
     }
 
-    /// Returns the calls that wait for the end of a job.
+    /// Takes the calls that wait for the end of a job.
     pub(super) fn take(&mut self, job: &str) -> Vec<Caller> {
         self.by_job.remove(job).unwrap_or_default()
     }
 
-    /// Returns the jobs for which a call has waited long enough, with all calls that wait for them.
+    /// Takes the jobs with an expired call, each with all calls that wait for it.
     pub(super) fn take_due(&mut self, now: Timestamp) -> Vec<(JobId, Vec<Caller>)> {
         let mut due = Vec::new();
         while let Some((_, job)) = self.due.pop_front_if(|(at, _)| now >= *at) {
@@ -50,12 +46,12 @@
         due
     }
 
-    /// Returns how many jobs are watched.
+    /// Returns the number of deadlines not passed yet.
     pub(super) fn len(&self) -> usize {
         self.due.len()
     }
 
-    /// Returns all calls that wait.
+    /// Takes all waiting calls.
     pub(super) fn take_all(&mut self) -> impl Iterator<Item = Caller> + use<> {
         self.due.clear();
         let waiting = std::mem::take(&mut self.by_job);
--- a/crates/leased/cloverfold_control/src/job_metrics.rs
+++ b/crates/leased/cloverfold_control/src/job_metrics.rs
@@ -1,7 +1,7 @@
-//! What a control process counts of the kept jobs of its groups.
+//! Metrics of kept jobs.
 //!
-//! Owns the gauges; their values are read off the state when they are asked for. What a group has is the same at each of its replicas;
-//! what became of commands is counted where the log is applied, refusals, the oldest job and jobs without a driver only at its leader.
+//! Every replica of a group reports its number of jobs and the outcomes of applied commands; only the leader reports refused calls, the
+//! age of the oldest open job and the jobs without a driver.
 
 use std::time::Duration;
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Sets all gauges.
+    /// Updates all gauges from the state.
     pub(crate) fn set(&self, state: &ControlState) {
         let (mut hosted, mut led, mut open, mut ended, mut bytes) = (0, 0, 0, 0, 0);
         let mut without_driver = 0;
--- a/crates/leased/cloverfold_control/src/metrics.rs
+++ b/crates/leased/cloverfold_control/src/metrics.rs
@@ -1,6 +1,4 @@
-//! What a control process counts.
-//!
-//! Owns the gauges; their values are read off the state when they are asked for.
+//! Metrics of a control process, computed from the state on each scrape.
 
 use cloverfold_leased_process::{MetricsBuilder, ProcessMetrics};
 use cloverfold_telemetry::CauseGauges;
@@ -54,7 +52,7 @@
         }
     }
 
-    /// Writes all metrics as text.
+    /// Returns all metrics in text format.
     pub(crate) fn write(&self, state: &ControlState) -> String {
         self.version.set(state.current_version() as i64);
         self.term.set(state.term() as i64);
--- a/crates/leased/cloverfold_control/src/operators/audit.rs
+++ b/crates/leased/cloverfold_control/src/operators/audit.rs
@@ -1,6 +1,4 @@
-//! The audit trail as operators are shown it: decisions on configurations, on orders for data halls and of waves.
-//!
-//! Owns no state.
+//! The audit trail of configurations, evacuation orders and waves of upkeep, as shown to operators.
 
 use cloverfold_configuration::AuditRecord;
 use cloverfold_evacuation::EvacuationRecord;
@@ -12,13 +10,13 @@
 use super::Operators;
 
 impl Operators {
-    /// Shows all decisions that are still remembered.
+    /// Responds with all audit records that are kept.
     pub(super) fn show_audit(&self) -> Response {
         let state = self.state.lock();
         let records: Vec<Value> = state.audit().iter().map(describe_decision).collect();
         let mut body = json!({ "audit": records });
         let orders: Vec<Value> = state.evacuations().audit().map(describe_order).collect();
-        // Absent before the first order, as in the audit trail of builds that know none.
+        // Absent before the first order, as in older builds without evacuations.
         if !orders.is_empty() {
             body["evacuations"] = json!(orders);
         }
--- a/crates/leased/cloverfold_control/src/operators/calls.rs
+++ b/crates/leased/cloverfold_control/src/operators/calls.rs
@@ -1,6 +1,6 @@
-//! Which call of an operator a request is.
+//! The calls of the operator API and their paths.
 //!
-//! Owns no state. The product's own paths are known here, those of the platform to an [`OperatorInterface`].
+//! This module maps the product's own paths; an [`OperatorInterface`] maps those of a platform.
 
 use cloverfold_configuration::ConfigurationFormat;
 use cloverfold_evacuation::{DataHall, HallChange};
@@ -8,33 +8,33 @@
 use cloverfold_upkeep::{BoxInterface, WaveFormat};
 use http::Method;
 
-/// A call of an operator.
+/// A call of the operator API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
-    /// Bring the configuration in the body into force.
+    /// Puts the configuration in the body in force.
     PutConfiguration,
-    /// Show the configuration in force.
+    /// Returns the configuration in force.
     GetConfiguration,
-    /// Show the decisions on configurations.
+    /// Returns the audit trail.
     GetAudit,
-    /// Show the status of this process.
+    /// Returns the status of this process.
     GetStatus,
-    /// Evacuate a data hall or take it back; the name is not checked yet.
+    /// Evacuates a data hall or ends its evacuation. The name is not validated yet.
     ChangeHall(DataHall, HallChange),
-    /// Show the evacuations in force.
+    /// Returns the evacuations in force.
     GetEvacuations,
-    /// Show or cancel kept jobs.
+    /// Lists, shows or cancels kept jobs.
     Jobs(JobsCall),
-    /// Begin the wave of upkeep in the body.
+    /// Starts the wave of upkeep in the body.
     StartWave(CallFormat),
-    /// Show how far the wave with a number is; the number is not checked yet.
+    /// Returns the state of the wave with a number. The number is not validated yet.
     GetWave(CallFormat, String),
-    /// Show all waves.
+    /// Lists all waves.
     ListWaves,
 }
 
 impl OperatorCall {
-    /// Returns which call on a data hall this is, by its method: POST evacuates the hall, DELETE takes it back.
+    /// Returns the call on a data hall for a method: POST evacuates the hall, DELETE ends the evacuation.
     pub fn for_hall(method: &Method, hall: &str) -> Option<Self> {
         let change = match *method {
             Method::POST => HallChange::Evacuate,
@@ -44,41 +44,41 @@
         Some(Self::ChangeHall(hall.into(), change))
     }
 
-    /// Returns which call on a wave this is, by its method: GET shows how far it is.
+    /// Returns the call on a wave for a method: GET returns its state.
     pub fn for_wave(method: &Method, format: CallFormat, number: &str) -> Option<Self> {
         (method == Method::GET).then(|| Self::GetWave(format, number.into()))
     }
 }
 
-/// Further paths of operators' calls, beside the product's own (`/v1/configuration`, `/v1/evacuations`, `/v1/upkeep`, `/v1/jobs`,
-/// `/v1/audit`, `/v1/status`).
+/// The interface of a platform to the operator API: its formats, its list of boxes, and its paths in addition to the product's own
+/// (`/v1/configuration`, `/v1/evacuations`, `/v1/upkeep`, `/v1/jobs`, `/v1/audit`, `/v1/status`).
 pub trait OperatorInterface: ConfigurationFormat + WaveFormat + BoxInterface {
-    /// Returns which call a request is; `None` if it is unknown.
+    /// Returns the call for a request; `None` if the method or path is unknown.
     fn classify(&self, method: &Method, path: &str) -> Option<OperatorCall>;
 }
 
-/// In whose format a call about a wave is written.
+/// The format of a call about a wave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFormat {
-    /// The product's.
+    /// The product's own format.
     Product,
-    /// The platform's.
+    /// The platform's format.
     Platform,
 }
 
 /// A call about kept jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobsCall {
-    /// List the groups and their open jobs.
+    /// Lists the groups and their open jobs.
     List,
-    /// Show one job.
+    /// Shows one job.
     Show(JobId),
-    /// Cancel one job.
+    /// Cancels one job.
     Cancel(JobId),
 }
 
 impl JobsCall {
-    /// Returns which call a request is; `None` if it is about no kept jobs.
+    /// Returns the call for a request; `None` if the request does not concern kept jobs.
     fn classify(method: &Method, path: &str) -> Option<Self> {
         if path == "/v1/jobs" {
             return (method == Method::GET).then_some(Self::List);
@@ -94,7 +94,7 @@
     }
 }
 
-/// Returns which of the product's own calls a request is; `None` for any other.
+/// Returns the call for a request to one of the product's own paths; `None` for any other request.
 pub(super) fn classify_product_call(method: &Method, path: &str) -> Option<OperatorCall> {
     match (method, path) {
         (&Method::PUT, "/v1/configuration") => Some(OperatorCall::PutConfiguration),
--- a/crates/leased/cloverfold_control/src/operators/configurations.rs
+++ b/crates/leased/cloverfold_control/src/operators/configurations.rs
@@ -1,10 +1,9 @@
-//! Operators' calls about configurations.
+//! Operator calls about configurations.
 //!
-//! Decision: when an operator's configuration is acknowledged. Rule: any control process checks it and answers 400 with every fault that
-//! it has; a valid one it submits to the leader every 250 ms, and acknowledges it once a version as high is committed, also if that was
-//! another configuration: no call is refused for its version, and the audit trail shows which one came into force. If none is committed
-//! within 2.5 s the answer is 503, and the configuration may still come into force later. Reason: an acknowledged configuration is never
-//! lost, and an operator who calls again with the same configuration does no harm (docs/design/7-control.md, "Proposals").
+//! Any control process validates a configuration and responds with 400 and all errors if it is invalid. It submits a valid one to the
+//! leader every 250 ms and acknowledges it once that version or a higher one is committed, even if that was another configuration: no call
+//! is rejected for its version, and the audit trail shows which configuration came into force. After 2.5 s it responds with 503; the
+//! configuration may still come into force later. An acknowledged configuration is never lost, and repeated calls are idempotent.
 
 use cloverfold_base::unix_now;
 use cloverfold_configuration::{ConfigurationError, Proposal, StoredConfiguration};
@@ -17,18 +16,18 @@
 use super::replies::{PROPOSAL_RESEND_INTERVAL, PROPOSAL_TIMEOUT, answer_unavailable};
 
 impl Operators {
-    /// Brings a configuration into force, and answers once that is decided.
+    /// Puts a configuration in force and responds once the outcome is known.
     pub(super) async fn put_configuration(&self, request: &Request) -> Response {
         let text = &request.body;
         let configuration = match self.interface.decode(text) {
             Ok(configuration) => configuration,
-            // Its version is unknown, which is logged as 0.
-            Err(fault) => return refuse_configuration(0, &[fault]),
+            // The version is unknown and logged as 0.
+            Err(error) => return reject_configuration(0, &[error]),
         };
         let version = configuration.version;
-        let faults = configuration.validate();
-        if !faults.is_empty() {
-            return refuse_configuration(version, &faults);
+        let errors = configuration.validate();
+        if !errors.is_empty() {
+            return reject_configuration(version, &errors);
         }
         let proposal = Proposal {
             configuration: StoredConfiguration {
@@ -40,7 +39,7 @@
         };
         let committed = self.wait_until_committed(proposal);
         let is_taken = timeout(PROPOSAL_TIMEOUT, committed).await.is_ok();
-        log::info!(version, is_taken; "an operator's configuration");
+        log::info!(version, is_taken; "an operator submitted a configuration");
         if is_taken {
             json_response(StatusCode::OK, "{}")
         } else {
@@ -50,7 +49,7 @@
         }
     }
 
-    /// Submits the proposal to the leader again and again until a version as high is committed.
+    /// Submits the proposal to the leader repeatedly until that version or a higher one is committed.
     async fn wait_until_committed(&self, proposal: Proposal) {
         let mut committed = self.state.lock().follow_version();
         loop {
@@ -59,14 +58,14 @@
             }
             self.state.lock().submit_proposal(&proposal);
             let change = committed.wait_for(|current| *current >= proposal.configuration.version);
-            // The sender lives as long as the state, so an outcome in time is a version as high.
+            // The sender lives as long as the state, so completion in time means that the version was reached.
             if timeout(PROPOSAL_RESEND_INTERVAL, change).await.is_ok() {
                 return;
             }
         }
     }
 
-    /// Shows the configuration in force.
+    /// Responds with the configuration in force.
     pub(super) async fn get_configuration(&self) -> Response {
         if !self.is_up_to_date().await {
             return answer_unavailable("the newest configuration is not known here at present\n");
@@ -78,9 +77,9 @@
     }
 }
 
-fn refuse_configuration(version: u64, faults: &[ConfigurationError]) -> Response {
-    let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    log::warn!(version, faults = faults.join("; ").as_str(); "an invalid configuration is refused");
-    let body = json!({ "faults": faults }).to_string();
+fn reject_configuration(version: u64, errors: &[ConfigurationError]) -> Response {
+    let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
+    log::warn!(version, faults = errors.join("; ").as_str(); "rejected an invalid configuration");
+    let body = json!({ "faults": errors }).to_string();
     json_response(StatusCode::BAD_REQUEST, body)
 }
--- a/crates/leased/cloverfold_control/src/operators/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/operators/evacuations.rs
@@ -1,10 +1,10 @@
-//! Operators' calls to evacuate a data hall, to take it back, and to show what is evacuated.
+//! Operator calls about evacuations of data halls.
 //!
-//! Decision: when an order is acknowledged. Rule: any control process checks the name and answers 400 or 404 with its fault, 400 also to
-//! a call with a body; a valid order it submits to the leader every 250 ms, and acknowledges it once the order is applied here and was
-//! taken, or the hall was as wanted already. An order that turns out to be based on an outdated state is made anew. If nothing is
-//! decided within 2.5 s the answer is 503, and the order may still be taken later. Reason: every acknowledgement stands for a place in
-//! the log, so that a process that lags behind acknowledges nothing that has been undone since (docs/design/10-evacuations.md).
+//! Any control process validates the name of the hall and responds with 400 or 404 if it is invalid or unknown, and with 400 to a request
+//! with a body. It submits a valid order to the leader every 250 ms and acknowledges it once it has applied the order and the hall is in
+//! the requested state. It replaces an order that was based on an outdated state with a new one. After 2.5 s it responds with 503; the
+//! order may still take effect later. Every acknowledgement corresponds to a position in the log, so that a lagging process never
+//! acknowledges a state that was reverted since.
 
 use cloverfold_evacuation::{DataHall, HallChange, HallNameError, OrderOutcome};
 use cloverfold_http::{Request, Response, json_response};
@@ -17,23 +17,23 @@
 use crate::state::ControlState;
 
 impl Operators {
-    /// Evacuates a data hall or takes it back, and answers once that is decided.
+    /// Evacuates a data hall or ends its evacuation, and responds once the outcome is known.
     pub(super) async fn change_hall(
         &self,
         hall: &DataHall,
         change: HallChange,
         request: &Request,
     ) -> Response {
-        if let Err(fault) = self.halls.check(hall) {
-            return refuse_order(hall, find_status(&fault), &fault.to_string());
+        if let Err(error) = self.halls.check(hall) {
+            return reject_order(hall, error_status(&error), &error.to_string());
         }
         if !request.body.is_empty() {
-            let fault = "an order for a data hall has no body";
-            return refuse_order(hall, StatusCode::BAD_REQUEST, fault);
+            let error = "an order for a data hall has no body";
+            return reject_order(hall, StatusCode::BAD_REQUEST, error);
         }
         let decided = timeout(PROPOSAL_TIMEOUT, self.decide_order(hall, change)).await;
         let is_taken = decided.is_ok();
-        log::info!(hall = hall.as_str(), change = change.as_str(), is_taken; "an operator's order for a data hall");
+        log::info!(hall = hall.as_str(), change = change.as_str(), is_taken; "an operator submitted an evacuation order");
         if is_taken {
             json_response(StatusCode::OK, "{}")
         } else {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Shows the evacuations in force.
+    /// Responds with the evacuations in force.
     pub(super) async fn get_evacuations(&self) -> Response {
         if !self.is_up_to_date().await {
             return answer_unavailable("the newest evacuations are not known here at present\n");
@@ -50,7 +50,7 @@
         json_response(StatusCode::OK, body)
     }
 
-    /// Submits an order until it is decided, and makes it anew while it is outdated.
+    /// Submits an order until it is decided; replaces it with a new one if it was outdated.
     async fn decide_order(&self, hall: &DataHall, change: HallChange) {
         loop {
             let order = self.state.lock().create_order(hall, change);
@@ -64,15 +64,15 @@
     }
 }
 
-fn find_status(fault: &HallNameError) -> StatusCode {
-    match fault {
+fn error_status(error: &HallNameError) -> StatusCode {
+    match error {
         HallNameError::Malformed => StatusCode::BAD_REQUEST,
         HallNameError::Unknown { .. } => StatusCode::NOT_FOUND,
     }
 }
 
-fn refuse_order(hall: &str, status: StatusCode, fault: &str) -> Response {
-    log::warn!(hall, fault; "an order for a data hall is refused");
+fn reject_order(hall: &str, status: StatusCode, fault: &str) -> Response {
+    log::warn!(hall, fault; "rejected an evacuation order");
     let body = json!({ "faults": [fault] }).to_string();
     json_response(status, body)
 }
--- a/crates/leased/cloverfold_control/src/operators/jobs.rs
+++ b/crates/leased/cloverfold_control/src/operators/jobs.rs
@@ -1,9 +1,8 @@
-//! Operators' calls about kept jobs.
+//! Operator calls about kept jobs.
 //!
-//! Decision: when a call is answered. Rule: one job is shown or cancelled by the leader of its group, with the proof or after the commit
-//! that entries get too; a call that is refused or gets no reply is repeated every 250 ms, and answered 503 after 2.5 s. The list is
-//! what this process knows, and says so. Reason: an operator must not be told of a job what is no longer true, while a list of all
-//! groups must also be had where a group has no majority.
+//! The leader of a job's group shows or cancels the job, with the same guarantees as for entries: linearizable reads, and cancellation
+//! acknowledged after commit. A call that is refused or gets no reply is retried every 250 ms and answered with 503 after 2.5 s. The list
+//! shows only what this process knows, and says so, because it must also work while a group has no majority.
 
 use cloverfold_http::{Response, json_response, plain_response};
 use cloverfold_kept_jobs::{CancelOutcome, JobCall, JobPhase, JobReply, TerminalState, group_of};
@@ -18,19 +17,19 @@
 
 use crate::state::format_id;
 
-/// Open jobs of a group that a list names, at most. Chosen, not measured: some 100 kB.
+/// Maximum number of open jobs that a list shows per group, about 100 kB.
 const MAX_LISTED: usize = 1_000;
 
 impl Operators {
-    /// Answers a call about kept jobs.
+    /// Responds to a call about kept jobs.
     pub(super) async fn answer_jobs(&self, call: JobsCall) -> Response {
         match call {
             JobsCall::List => self.list_jobs(),
-            JobsCall::Show(job) => self.ask_group(&job, JobCall::Show(job.clone())).await,
+            JobsCall::Show(job) => self.call_group(&job, JobCall::Show(job.clone())).await,
             JobsCall::Cancel(job) => {
-                let answer = self.ask_group(&job, JobCall::Cancel(job.clone())).await;
+                let answer = self.call_group(&job, JobCall::Cancel(job.clone())).await;
                 let status = answer.status().as_u16();
-                log::info!(job = job.as_str(), status; "an operator cancels a kept job");
+                log::info!(job = job.as_str(), status; "an operator cancelled a kept job");
                 answer
             }
         }
@@ -43,8 +42,8 @@
         json_response(StatusCode::OK, body.to_string())
     }
 
-    /// Asks the group of a job until it answers.
-    async fn ask_group(&self, job: &str, call: JobCall) -> Response {
+    /// Calls the group of a job, with retries.
+    async fn call_group(&self, job: &str, call: JobCall) -> Response {
         let Some(count) = self.state.lock().job_group_count() else {
             return answer_unavailable("this installation keeps no jobs yet\n");
         };
@@ -70,8 +69,10 @@
 fn describe_reply(job: &str, group: u32, reply: &JobReply) -> Response {
     let state = match reply {
         JobReply::Shown(Some(phase)) => describe_phase(*phase),
-        JobReply::Cancelled(CancelOutcome::Cancelled) => describe_how(TerminalState::Cancelled),
-        JobReply::Cancelled(CancelOutcome::Ended(how)) => describe_how(*how),
+        JobReply::Cancelled(CancelOutcome::Cancelled) => {
+            describe_terminal_state(TerminalState::Cancelled)
+        }
+        JobReply::Cancelled(CancelOutcome::Ended(how)) => describe_terminal_state(*how),
         JobReply::Shown(None) | JobReply::Cancelled(CancelOutcome::Unknown) => {
             return plain_response(StatusCode::GONE, "no such job\n");
         }
@@ -85,11 +86,11 @@
     match phase {
         JobPhase::Queued => "queued",
         JobPhase::Running => "running",
-        JobPhase::Ended(how) => describe_how(how),
+        JobPhase::Ended(how) => describe_terminal_state(how),
     }
 }
 
-fn describe_how(how: TerminalState) -> &'static str {
+fn describe_terminal_state(how: TerminalState) -> &'static str {
     match how {
         TerminalState::Completed => "completed",
         TerminalState::Failed => "failed",
@@ -97,7 +98,7 @@
     }
 }
 
-/// Describes a group as this process knows it.
+/// Describes a group from the local replica.
 fn describe_group(group: &GroupHost) -> Value {
     let status = group.status();
     let table = group.table();
--- a/crates/leased/cloverfold_control/src/operators/mod.rs
+++ b/crates/leased/cloverfold_control/src/operators/mod.rs
@@ -1,15 +1,13 @@
-//! Operators' calls over HTTP.
+//! The HTTP API for operators.
 //!
-//! | file | duty |
+//! | module | responsibility |
 //! |---|---|
-//! | `calls` | which call a request is |
-//! | `configurations`, `evacuations`, `upkeep`, `jobs` | the calls about each of these, and when they are acknowledged |
-//! | `deciding` | how an order is submitted until it is decided |
-//! | `audit` | the decisions that operators are shown |
-//! | `newest` | the proof that what is shown is the newest |
-//! | `replies` | what the calls have in common |
-//!
-//! Owns no state; relies on [`ControlState`] for the answers.
+//! | `calls` | calls and their paths |
+//! | `configurations`, `evacuations`, `upkeep`, `jobs` | handlers of the calls |
+//! | `submission` | submission of orders with retries |
+//! | `audit` | the audit trail |
+//! | `read_barrier` | linearizable reads |
+//! | `replies` | shared timeouts and responses |
 
 mod audit;
 mod calls;
@@ -34,13 +32,13 @@
 
 pub use self::calls::{CallFormat, JobsCall, OperatorCall, OperatorInterface};
 
-/// Answers operators' calls.
+/// Handles operator calls.
 pub(crate) struct Operators {
     state: Shared<ControlState>,
     interface: Arc<dyn OperatorInterface>,
     name: String,
     halls: HallNames,
-    /// `None` if no wave of upkeep is served.
+    /// `None` if waves of upkeep are disabled.
     upkeep: Option<UpkeepSettings>,
 }
 
@@ -61,7 +59,7 @@
         }
     }
 
-    /// Answers one request.
+    /// Responds to a request.
     pub(crate) async fn answer(&self, request: Request) -> Response {
         let path = request.uri.path();
         let call = classify_product_call(&request.method, path);
--- a/crates/leased/cloverfold_control/src/operators/submission.rs
+++ b/crates/leased/cloverfold_control/src/operators/submission.rs
@@ -1,9 +1,7 @@
-//! How an order of an operator gets to its decision.
+//! Submission of operator orders with retries.
 //!
-//! Rule: it is submitted to the leader of the moment again and again, each [`PROPOSAL_RESEND_INTERVAL`], until its outcome is known here.
-//! What is submitted may be lost on its way, and the leader may change; an order that is in the log already is not appended again.
-//!
-//! Owns no state. Relies on the caller to bound the wait.
+//! A submission may be lost and the leader may change, so an order is resubmitted to the current leader every
+//! [`PROPOSAL_RESEND_INTERVAL`] until its outcome is known locally. The leader does not append an order that is already in its log.
 
 use tokio::time::timeout;
 
@@ -12,7 +10,7 @@
 use crate::state::ControlState;
 
 impl Operators {
-    /// Submits an order until the state here, after each applied entry of the log, tells what became of it.
+    /// Submits an order repeatedly until `find_outcome` returns its outcome. The caller must set a timeout.
     pub(super) async fn submit_until_decided<T>(
         &self,
         submit: impl Fn(&mut ControlState),
@@ -33,7 +31,7 @@
             if let Some(outcome) = find_outcome(&self.state.lock()) {
                 return outcome;
             }
-            // This fails only without a sender, and the state owns it.
+            // Fails only without a sender, which the state owns.
             let _ = applied.changed().await;
         }
     }
--- a/crates/leased/cloverfold_control/src/operators/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/operators/upkeep.rs
@@ -1,15 +1,18 @@
-//! Operators' calls about waves of upkeep.
+//! Operator calls about waves of upkeep.
 //!
-//! Decision: when an order of a wave is acknowledged. Rule: any control process checks it. An order that cannot be read or carried out
-//! gets 400 with every fault; one for a box that is not in the platform's list, if that can be read in [`LIST_TIMEOUT`], 404; one whose
-//! number belongs to an order with other content, 409; any order where the settings name no interface of the platform, 404. Nothing of
-//! these is stored. A valid order is submitted to the leader every 250 ms and acknowledged once it is applied here; a number that is
-//! known with the same content is acknowledged at once. If nothing is decided within 2.5 s the answer is 503, and the order may still be
-//! taken later. Reason: an acknowledged order stands in the log; an order that was taken is never refused, and one that cannot be
-//! carried out is never acknowledged (docs/design/14-upkeep.md).
+//! Any control process validates an order. The responses to an order that is not stored are:
 //!
-//! Decision: when a wave is said to be completed. Rule: when every box that stays has begun its upkeep as of the state here; anything
-//! else is answered only with the proof that the state here is the newest, otherwise 503.
+//! - 400 with all errors if the order is malformed or cannot be carried out;
+//! - 404 if it names a box that is not in the platform's list, provided that the list can be read within [`LIST_TIMEOUT`], or if the
+//!   settings name no platform interface;
+//! - 409 if its number belongs to an order with different content.
+//!
+//! The process submits a valid order to the leader every 250 ms and acknowledges it once it has applied the order; it acknowledges a known
+//! number with the same content immediately. After 2.5 s it responds with 503; the order may still take effect later. An accepted order is
+//! never rejected afterwards, and an order that cannot be carried out is never acknowledged.
+//!
+//! A wave is reported as completed once every box that stays has begun its upkeep according to the local state. Any other state is reported
+//! only after a read barrier, otherwise the response is 503.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -27,11 +30,11 @@
 use crate::state::ControlState;
 use crate::upkeep_caller::read_list;
 
-/// How long an order waits for the list of boxes; without it, names are not checked. Chosen, not measured: operators go on to another
-/// process after a second.
+/// How long an order waits for the list of boxes; without the list, names are not checked. Well below the second after which operators try
+/// another process.
 const LIST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// An order as the product's own interface takes it.
+/// The body of an order in the product's own format.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct WaveBody {
@@ -42,36 +45,36 @@
 }
 
 impl Operators {
-    /// Takes an order of a wave, and answers once that is decided.
+    /// Starts a wave and responds once the outcome is known.
     pub(super) async fn start_wave(&self, format: CallFormat, request: &Request) -> Response {
         let wave = match self.decode_wave(format, &request.body) {
             Ok(wave) => wave,
-            // Its number is unknown, which is logged as 0.
-            Err(fault) => return refuse_wave(0, &[fault]),
+            // The number is unknown and logged as 0.
+            Err(error) => return reject_wave(0, &[error]),
         };
         let number = wave.wave;
-        let mut faults = wave.validate();
-        if faults.is_empty() && self.upkeep.is_none() {
-            faults.push(WaveRequestError::NotServed);
+        let mut errors = wave.validate();
+        if errors.is_empty() && self.upkeep.is_none() {
+            errors.push(WaveRequestError::NotServed);
         }
-        if !faults.is_empty() {
-            return refuse_wave(number, &faults);
+        if !errors.is_empty() {
+            return reject_wave(number, &errors);
         }
         let order = self.state.lock().create_wave_order(wave);
         if let Some(name) = self.find_unknown_box(&order).await {
-            return refuse_wave(number, &[WaveRequestError::UnknownBox(name)]);
+            return reject_wave(number, &[WaveRequestError::UnknownBox(name)]);
         }
         let decided = timeout(PROPOSAL_TIMEOUT, self.decide_wave(&order)).await;
         match decided {
             Ok(WaveOutcome::Conflicting) => {
-                refuse_wave(number, &[WaveRequestError::Conflicting(number)])
+                reject_wave(number, &[WaveRequestError::Conflicting(number)])
             }
             Ok(WaveOutcome::Taken | WaveOutcome::Repeated) => {
-                log::info!(wave = number, is_taken = true; "an operator's order of a wave");
+                log::info!(wave = number, is_taken = true; "an operator ordered a wave of upkeep");
                 json_response(StatusCode::OK, "{}")
             }
             Err(_elapsed) => {
-                log::info!(wave = number, is_taken = false; "an operator's order of a wave");
+                log::info!(wave = number, is_taken = false; "an operator ordered a wave of upkeep");
                 answer_unavailable("it is not known whether the order is taken; send it again\n")
             }
         }
@@ -98,7 +101,7 @@
         })
     }
 
-    /// Returns a box of a new order that the platform does not list; `None` also if the list or the newest state is not known in time.
+    /// Returns a box of a new order that is missing from the platform's list; `None` also if the list or the read barrier times out.
     async fn find_unknown_box(&self, order: &WaveOrder) -> Option<String> {
         let is_known = || self.state.lock().upkeep().order_outcome(order).is_some();
         if is_known() {
@@ -110,30 +113,30 @@
         let listed: BTreeSet<&str> = listed.iter().map(|listed| listed.name.as_str()).collect();
         let mut boxes = order.boxes.iter();
         let unknown = boxes.find(|name| !listed.contains(name.as_str()))?;
-        // An order that was taken elsewhere is acknowledged again, also if the box has left since.
+        // An order that another process already accepted is acknowledged again, even if the box has been removed since.
         let is_new = self.is_up_to_date().await && !is_known();
         is_new.then(|| unknown.clone())
     }
 
-    /// Submits an order until its number is known here.
+    /// Submits an order repeatedly until its outcome is known.
     async fn decide_wave(&self, order: &WaveOrder) -> WaveOutcome {
         let submit = |state: &mut ControlState| state.submit_wave(order);
         let find_outcome = |state: &ControlState| state.upkeep().order_outcome(order);
         self.submit_until_decided(submit, find_outcome).await
     }
 
-    /// Answers whether a wave is completed.
+    /// Responds with the state of a wave.
     pub(super) async fn get_wave(&self, format: CallFormat, number: &str) -> Response {
         let Ok(number) = number.parse::<WaveNumber>() else {
-            let fault = json!({ "faults": ["the number of a wave has digits alone"] });
-            return json_response(StatusCode::BAD_REQUEST, fault.to_string());
+            let body = json!({ "faults": ["the number of a wave has digits alone"] });
+            return json_response(StatusCode::BAD_REQUEST, body.to_string());
         };
         let is_completed_here = {
             let state = self.state.lock();
             let wave = state.upkeep().waves().get(&number);
             wave.is_some_and(Wave::is_completed)
         };
-        // A wave that is completed stays so.
+        // A completed wave stays completed, so no read barrier is needed.
         if !is_completed_here && !self.is_up_to_date().await {
             return answer_unavailable(
                 "the newest state of the wave is not known here at present\n",
@@ -141,8 +144,8 @@
         }
         let state = self.state.lock();
         let Some(wave) = state.upkeep().waves().get(&number) else {
-            let fault = json!({ "faults": [format!("no wave {number}")] });
-            return json_response(StatusCode::NOT_FOUND, fault.to_string());
+            let body = json!({ "faults": [format!("no wave {number}")] });
+            return json_response(StatusCode::NOT_FOUND, body.to_string());
         };
         let body = match format {
             CallFormat::Product => describe_wave(&state, number, wave).to_string(),
@@ -151,7 +154,7 @@
         json_response(StatusCode::OK, body)
     }
 
-    /// Shows the waves.
+    /// Responds with all waves.
     pub(super) async fn list_waves(&self) -> Response {
         if !self.is_up_to_date().await {
             return answer_unavailable("the newest waves are not known here at present\n");
@@ -165,7 +168,8 @@
     }
 }
 
-/// Describes a wave: its order, how far its boxes are, and at the holder what is next and why it waits.
+/// Describes a wave: its order, the phases of its boxes and, on the process that runs the scheduler, the next box and the reason for
+/// waiting.
 fn describe_wave(state: &ControlState, number: WaveNumber, wave: &Wave) -> Value {
     let phases = wave.phases.iter();
     let phases: Vec<Value> = phases
@@ -182,30 +186,30 @@
         "unix_ms": wave.order.received_at.as_millis() as u64,
         "phases": phases,
     });
-    if let Some(outlook) = state.outlook(number) {
+    if let Some(status) = state.wave_status(number) {
         described["holder"] = json!({
-            "down": outlook.down,
-            "at_once": outlook.at_once,
-            "next": outlook.next,
-            "waits": outlook.waits.map(|reason| reason.as_str()),
-            "late_ms": outlook.late_by.map(|late| late.as_millis() as u64),
+            "down": status.down,
+            "at_once": status.at_once,
+            "next": status.next,
+            "waits": status.waits.map(|reason| reason.as_str()),
+            "late_ms": status.late_by.map(|late| late.as_millis() as u64),
         });
     }
     described
 }
 
-fn find_status(fault: &WaveRequestError) -> StatusCode {
-    match fault {
+fn error_status(error: &WaveRequestError) -> StatusCode {
+    match error {
         WaveRequestError::UnknownBox(_) | WaveRequestError::NotServed => StatusCode::NOT_FOUND,
         WaveRequestError::Conflicting(_) => StatusCode::CONFLICT,
         _ => StatusCode::BAD_REQUEST,
     }
 }
 
-fn refuse_wave(wave: WaveNumber, faults: &[WaveRequestError]) -> Response {
-    let status = faults.first().map_or(StatusCode::BAD_REQUEST, find_status);
-    let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    log::warn!(wave, faults = faults.join("; ").as_str(); "an order of a wave is refused");
-    let body = json!({ "faults": faults }).to_string();
+fn reject_wave(wave: WaveNumber, errors: &[WaveRequestError]) -> Response {
+    let status = errors.first().map_or(StatusCode::BAD_REQUEST, error_status);
+    let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
+    log::warn!(wave, faults = errors.join("; ").as_str(); "rejected an order of a wave");
+    let body = json!({ "faults": errors }).to_string();
     json_response(status, body)
 }
--- a/crates/leased/cloverfold_control/src/peer_file.rs
+++ b/crates/leased/cloverfold_control/src/peer_file.rs
@@ -1,8 +1,7 @@
-//! The file in which a control process remembers entries and guards.
+//! The file in which a control process stores the known entries and guards.
 //!
-//! Owns the file `peers` in the data folder and the thread that writes it: a sync may hang for seconds. The file is replaced as a whole:
-//! written beside, synced, renamed, and its folder synced. What is lost with it is only the speed of the next recovery, so that a file
-//! that cannot be read or written is logged and passed over.
+//! A dedicated thread replaces the file `peers` in the data folder atomically, since a sync can block for seconds. The file only speeds up
+//! the recovery after a restart, so read and write errors are logged and otherwise ignored.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -15,30 +14,30 @@
 const FILE_NAME: &str = "peers";
 const NEW_FILE_NAME: &str = "peers.new";
 
-/// Hands what is to be remembered to the thread that writes it.
+/// Queues peers for the thread that writes the file.
 #[derive(Debug)]
 pub(crate) struct PeerFile {
     tx: mpsc::Sender<StoredPeers>,
 }
 
 impl PeerFile {
-    /// Reads what was remembered in a data folder, nothing if there is none, and starts the thread.
+    /// Reads the stored peers from a data folder and starts the thread. A missing or unreadable file yields no peers.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if it gives no thread.
+    /// Returns an error if the thread cannot be spawned.
     pub(crate) fn open(folder: &Path) -> io::Result<(Self, StoredPeers)> {
-        let remembered = read_peers(folder);
+        let stored = read_peers(folder);
         let (tx, rx) = mpsc::channel();
         let folder = folder.to_owned();
         let builder = thread::Builder::new().name("peers".into());
         builder.spawn(move || write_newest(&folder, &rx))?;
-        Ok((Self { tx }, remembered))
+        Ok((Self { tx }, stored))
     }
 
-    /// Remembers these processes from now on.
+    /// Replaces the stored peers in the background.
     pub(crate) fn write(&self, peers: StoredPeers) {
-        // The thread ends only when the process stops, and then nothing needs to be remembered.
+        // The thread ends only when the process stops; nothing needs to be stored then.
         let _ = self.tx.send(peers);
     }
 }
@@ -48,24 +47,24 @@
         Ok(bytes) => bytes,
         Err(cause) if cause.kind() == io::ErrorKind::NotFound => return StoredPeers::default(),
         Err(cause) => {
-            log::warn!("the remembered processes cannot be read: {cause}");
+            log::warn!("cannot read the stored peers: {cause}");
             return StoredPeers::default();
         }
     };
     postcard::from_bytes(&bytes).unwrap_or_else(|cause| {
-        log::warn!("the remembered processes cannot be decoded: {cause}");
+        log::warn!("cannot decode the stored peers: {cause}");
         StoredPeers::default()
     })
 }
 
-/// Writes until the process stops; of all that wait at once only the newest.
+/// Writes until the process stops; skips all but the newest of the values that wait at the same time.
 fn write_newest(folder: &Path, rx: &mpsc::Receiver<StoredPeers>) {
     while let Ok(mut peers) = rx.recv() {
         while let Ok(newer) = rx.try_recv() {
             peers = newer;
         }
         if let Err(cause) = replace_file(folder, &peers) {
-            log::warn!("the connected processes are not remembered: {cause}");
+            log::warn!("cannot store the connected peers: {cause}");
         }
     }
 }
--- a/crates/leased/cloverfold_control/src/pending_writes.rs
+++ b/crates/leased/cloverfold_control/src/pending_writes.rs
@@ -1,6 +1,4 @@
-//! Batches that the disk has not synced yet, and the messages that wait for them.
-//!
-//! Owns the batches under way. Relies on the disk's thread, which syncs batches in order.
+//! Batches that are not synced yet and the messages that wait for them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +6,7 @@
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::{BatchNumber, OutgoingMessage};
 
-/// Time after which a write that is not synced is logged as slow, and logged again after each further span. Chosen, not measured.
+/// Time after which an unsynced write is logged as slow; repeated at the same interval.
 const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
@@ -17,18 +15,18 @@
     begun_at: Timestamp,
     /// When the write began or was last logged as slow.
     since: Timestamp,
-    /// Messages that may be sent once the batch is synced.
+    /// Messages to send once the batch is synced.
     messages: Vec<OutgoingMessage>,
 }
 
-/// The batches that are being written, by number.
+/// The batches in flight, by number.
 #[derive(Debug, Default)]
 pub(crate) struct PendingWrites {
     writes: BTreeMap<BatchNumber, PendingWrite>,
 }
 
 impl PendingWrites {
-    /// Adds a batch that is handed to the disk, with the messages that must wait for it.
+    /// Adds a batch that was queued for the disk, with the messages that must wait for it.
     pub(crate) fn begin(
         &mut self,
         batch: BatchNumber,
@@ -43,7 +41,7 @@
         self.writes.insert(batch, write);
     }
 
-    /// Removes a batch and all before it, which are synced; returns the messages that waited for them, in order.
+    /// Removes a synced batch and all earlier ones; returns the messages that waited for them, in order.
     pub(crate) fn finish(
         &mut self,
         batch: BatchNumber,
@@ -53,13 +51,13 @@
         synced.into_values().flat_map(|write| write.messages)
     }
 
-    /// Returns when the oldest batch that is not synced was handed to the disk; `None` if all are synced.
+    /// Returns when the oldest unsynced batch was queued; `None` if all are synced.
     pub(crate) fn oldest_begun_at(&self) -> Option<Timestamp> {
         let oldest = self.writes.values().next()?;
         Some(oldest.begun_at)
     }
 
-    /// Logs the writes that are slow.
+    /// Logs slow writes.
     pub(crate) fn log_slow(&mut self, now: Timestamp) {
         for (batch, write) in &mut self.writes {
             if now > write.since + SLOW_WRITE_THRESHOLD {
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -1,7 +1,4 @@
-//! The control process, put together.
-//!
-//! [`start_control`] opens the store, creates the state, binds the addresses and starts the tasks; [`ControlProcess`] owns them. Relies
-//! on `cloverfold_leased_process` for what all leased processes share.
+//! Start and shutdown of the control process.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -32,18 +29,18 @@
 use crate::state::{Bootstrap, ControlState, HostedJobs, JobGroupsConfig, PeerStore, format_id};
 use crate::upkeep_caller::UpkeepCaller;
 
-/// How often the process does the work that is due. Chosen, not measured: three times in a heartbeat of the log.
+/// Interval at which the process performs due work; a third of the heartbeat interval of the log.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// What a message needs beside a configuration, in bytes, at most: a snapshot also has the audit trail, 4,096 records of some 150
-/// bytes. Chosen, not measured.
+/// Maximum size of the parts of a message other than the configuration. A snapshot also holds the audit trail of 4,096 records, each of
+/// about 150 bytes.
 const MESSAGE_OVERHEAD_BYTES: usize = 1024 * 1024;
-/// Longest configuration that is accepted, in bytes. The other control processes must be able to get it over a link: one that fits no
-/// frame would be appended by the leader and hold up all later entries.
+/// Longest configuration that is accepted. A longer one would not fit into a frame, so the leader could append but never replicate it,
+/// which would block all later entries.
 const MAX_CONFIGURATION_BYTES: usize = MAX_FRAME_LEN - MESSAGE_OVERHEAD_BYTES;
-/// How long a stopping process waits for operators' calls to end. Chosen, not measured.
+/// How long shutdown waits for pending requests of operators.
 const STOP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A control process that runs.
+/// A running control process.
 pub struct ControlProcess {
     state: Shared<ControlState>,
     operators: ServerHandle,
@@ -53,31 +50,31 @@
 }
 
 impl ControlProcess {
-    /// Returns the address at which operators are served.
+    /// Returns the address of the operator API.
     pub fn operator_address(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Applies the settings that may change while the process runs: the seeds. All others hold until it ends.
+    /// Applies changed settings. Only new seeds take effect while the process runs.
     pub fn reload(&self, settings: &ControlSettings) {
         let seeds = settings.peer.seed_addresses();
         self.state.lock().dial_seeds(&seeds);
     }
 
-    /// Answers the calls under way and stops.
+    /// Completes pending requests and stops.
     pub async fn stop(self) {
         self.operators.advance(ShutdownPhase::Closing);
-        // A client that never ends its request is cut off.
+        // Disconnects clients whose requests do not complete in time.
         let _ = timeout(STOP_TIMEOUT, self.operators.wait_closed()).await;
         log::info!("stopped");
     }
 }
 
-/// Starts a control process; must be called within a runtime.
+/// Starts a control process. Must be called within a Tokio runtime.
 ///
 /// # Errors
 ///
-/// Returns which file or address cannot be used.
+/// Returns an error if the data folder or an address cannot be used, or a thread cannot be spawned.
 pub fn start_control(
     settings: &ControlSettings,
     interface: Arc<dyn OperatorInterface>,
@@ -103,7 +100,7 @@
     })
 }
 
-/// Opens the store and creates the state that goes on from it.
+/// Opens the store and creates the state from what it holds.
 fn create_state(
     settings: &ControlSettings,
     port: &PeerPort,
@@ -121,7 +118,7 @@
     log::info!(
         name = own.name.as_str(), replica = format_id(identity.id).as_str(),
         is_blank = has_empty_log, may_found = identity.may_bootstrap, is_founder = bootstrap.is_some();
-        "a control process starts"
+        "control process starting"
     );
     let config = ReplicaConfig {
         voters: 2 * settings.tolerated_losses + 1,
@@ -142,7 +139,7 @@
     ))
 }
 
-/// Returns how this process hosts the groups that keep jobs, once they are agreed on.
+/// Configures the groups that keep jobs; this process hosts them once the control processes have agreed on them.
 fn configure_jobs(
     settings: &ControlSettings,
     replica: ReplicaId,
@@ -161,14 +158,14 @@
     HostedJobs::new(config, disk_events)
 }
 
-/// Reads who was connected before the last restart.
+/// Opens the file with the peers that were connected before the last restart.
 fn open_peer_store(folder: &Path, start: Timestamp) -> Result<PeerStore, ControlError> {
-    let (file, remembered) = PeerFile::open(folder).map_err(ControlError::Thread)?;
-    Ok(PeerStore::new(file, remembered, start))
+    let (file, stored) = PeerFile::open(folder).map_err(ControlError::Thread)?;
+    Ok(PeerStore::new(file, stored, start))
 }
 
-/// Draws the identity of a new disk. It and the right to begin a group are synced before anything else, so that a process that dies
-/// while it begins a group goes on with that.
+/// Generates the identity of a new disk. It is synced together with the permission to bootstrap before anything else, so that a process
+/// that crashes during the bootstrap resumes it.
 fn create_identity(store: &mut Store, may_bootstrap: bool) -> Result<DiskIdentity, ControlError> {
     // An identity is never 0.
     let id = random_u64() | 1;
--- a/crates/leased/cloverfold_control/src/replica_host.rs
+++ b/crates/leased/cloverfold_control/src/replica_host.rs
@@ -1,7 +1,7 @@
-//! One replica of a log with its disk.
+//! A consensus replica together with its disk writer.
 //!
-//! [`ReplicaHost`] owns the replica, the thread that writes its records, and the messages that wait for them. It relies on
-//! `cloverfold_consensus` for every decision; whoever owns the host sends the messages and applies the entries.
+//! [`ReplicaHost`] persists the records of the replica and holds back the messages that wait for them. The owner of the host sends the
+//! messages and applies the entries.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 use crate::disk::{DiskEvent, DiskWriter};
 use crate::pending_writes::PendingWrites;
 
-/// A replica, its disk, and what waits for the disk.
+/// A replica, its disk writer and the unsynced batches.
 pub(crate) struct ReplicaHost {
     pub(crate) replica: Replica,
     disk: DiskWriter,
     writes: PendingWrites,
-    /// Whether the disk refused the last write.
+    /// Whether the last write failed.
     is_failing: bool,
 }
 
 impl ReplicaHost {
-    /// Joins a replica to the disk that has its records.
+    /// Combines a replica with the writer of its store.
     pub(crate) fn new(replica: Replica, disk: DiskWriter) -> Self {
         Self {
             replica,
@@ -36,7 +36,7 @@
         self.replica.status().role == Role::Leader
     }
 
-    /// Handles an event of the disk; returns the messages that waited for it.
+    /// Handles a disk event; returns the messages that waited for it.
     pub(crate) fn disk_event(&mut self, event: &DiskEvent, now: Timestamp) -> Vec<OutgoingMessage> {
         match event {
             DiskEvent::Synced(batch) => {
@@ -45,17 +45,18 @@
                 self.writes.finish(*batch).collect()
             }
             DiskEvent::Failing => {
-                log::warn!("the disk refuses writes");
+                log::warn!("the disk rejects writes");
                 self.is_failing = true;
                 Vec::new()
             }
-            // The store is open before its replica begins.
+            // The store was opened before the replica was created.
             DiskEvent::Opened(_) => Vec::new(),
         }
     }
 
-    /// Hands to the disk what the replica wants written. Returns what else it wants, without the messages that must wait for the disk.
-    pub(crate) fn write_wanted(&mut self, now: Timestamp) -> Ready {
+    /// Takes the ready batch of the replica and queues its records for the disk. Returns the rest of the batch, without the messages that
+    /// must wait for the sync.
+    pub(crate) fn write_ready(&mut self, now: Timestamp) -> Ready {
         let mut ready = self.replica.take_ready();
         if let Some(batch) = ready.batch {
             let messages = std::mem::take(&mut ready.messages);
@@ -67,13 +68,13 @@
         ready
     }
 
-    /// Returns whether the disk refuses writes, or has not synced one for longer than `limit`.
+    /// Returns whether writes fail, or one has been unsynced for longer than `limit`.
     pub(crate) fn is_disk_stuck(&self, limit: Duration, now: Timestamp) -> bool {
         let oldest = self.writes.oldest_begun_at();
         self.is_failing || oldest.is_some_and(|begun_at| now > begun_at + limit)
     }
 
-    /// Logs the writes that are slow.
+    /// Logs slow writes.
     pub(crate) fn log_slow(&mut self, now: Timestamp) {
         self.writes.log_slow(now);
     }
--- a/crates/leased/cloverfold_control/src/state/apply.rs
+++ b/crates/leased/cloverfold_control/src/state/apply.rs
@@ -1,6 +1,4 @@
-//! What the replica wants done, and what the group has decided.
-//!
-//! Owns what was last logged of the group. Relies on the replica for every decision, and on the disk and the links to carry them out.
+//! Processing of the replica's output and application of committed entries.
 
 use cloverfold_configuration::Proposal;
 use cloverfold_consensus::{
@@ -13,7 +11,7 @@
 use super::status::format_id;
 use crate::disk::{LogEvent, LogId};
 
-/// The term and leader as this replica sees them; logged when they change.
+/// The term, role and leader as seen by this replica; logged when they change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GroupView {
     term: Term,
@@ -32,7 +30,7 @@
 }
 
 impl ControlState {
-    /// Handles an event of the disk.
+    /// Handles a disk event.
     pub(crate) fn disk_event(&mut self, event: LogEvent) {
         let event = match event.log {
             LogId::Control => event.event,
@@ -44,19 +42,19 @@
         self.advance();
     }
 
-    /// Carries out what the replica wants: write, send, apply, answer reads.
+    /// Processes the output of the replica: writes, sends, applies and completes reads.
     pub(super) fn advance(&mut self) {
-        let wanted = self.host.write_wanted(self.clock.now());
-        for outgoing in wanted.messages {
+        let ready = self.host.write_ready(self.clock.now());
+        for outgoing in ready.messages {
             self.send_outgoing(outgoing);
         }
-        if let Some(snapshot) = wanted.restored {
+        if let Some(snapshot) = ready.restored {
             self.restore(&snapshot);
         }
-        for entry in wanted.committed {
+        for entry in ready.committed {
             self.apply(entry);
         }
-        for outcome in wanted.reads {
+        for outcome in ready.reads {
             self.finish_read(outcome.token, outcome.index);
         }
         self.send_new_evacuations();
@@ -66,14 +64,14 @@
     }
 
     fn send_outgoing(&self, outgoing: OutgoingMessage) {
-        // A message that is lost is sent again by the replica.
+        // The replica resends lost messages.
         self.send_to_replica(outgoing.to, &PeerMessage::Consensus(outgoing.message));
     }
 
     fn restore(&mut self, snapshot: &Snapshot) {
         match ReplicatedState::decode(&snapshot.state) {
             Ok(state) => self.state = state,
-            Err(cause) => log::error!("a snapshot cannot be read: {cause}"),
+            Err(cause) => log::error!("cannot decode a snapshot: {cause}"),
         }
         self.applied.send_replace(snapshot.index);
     }
@@ -98,7 +96,7 @@
             Ok(Command::JobGroups(groups)) => {
                 self.state.job_groups.get_or_insert(groups);
             }
-            Err(cause) => log::error!(index; "an entry cannot be read: {cause}"),
+            Err(cause) => log::error!(index; "cannot decode a log entry: {cause}"),
         }
     }
 
@@ -109,21 +107,21 @@
         let outcome = self.state.configuration.apply(proposal);
         log::info!(
             version, before, index, source = source.as_str(), outcome = outcome.as_str();
-            "a configuration is decided on"
+            "applied a proposed configuration"
         );
     }
 
     fn apply_members(&mut self, index: LogIndex, members: &Members) {
         let voters = members.voters.iter();
         let addresses: Vec<String> = voters.map(|member| member.address.to_string()).collect();
-        log::info!(index, voters = addresses.join(",").as_str(); "the voters have changed");
+        log::info!(index, voters = addresses.join(",").as_str(); "the voters of the group changed");
         for member in &members.voters {
             self.dialed.add(member.address);
         }
         self.directories.mark_outdated(self.clock.now());
     }
 
-    /// Announces a version that has come into force to the waiting calls of operators, and to entries and guards.
+    /// Announces a version that came into force to waiting operator calls, entries and guards.
     fn announce_new_version(&mut self) {
         let version = self.current_version();
         if version != *self.version.borrow() {
@@ -149,11 +147,11 @@
             return;
         }
         self.logged_view = view;
-        // A leader that is not known is logged as an empty text.
+        // An unknown leader is logged as an empty string.
         let leader = status.leader.map(format_id).unwrap_or_default();
         log::info!(
             term = status.term, role = status.role.as_str(), leader = leader.as_str(), commit = status.commit;
-            "the group has changed"
+            "the term, role or leader changed"
         );
     }
 }
--- a/crates/leased/cloverfold_control/src/state/bootstrap.rs
+++ b/crates/leased/cloverfold_control/src/state/bootstrap.rs
@@ -1,12 +1,11 @@
-//! Decision: when the group of an installation begins.
+//! Bootstrap of the group of control processes.
 //!
-//! Rule: only at the very first start of an installation (the setting `may_found` when the disk was first used), only by the first seed by address,
-//! and only once it has links to all other seeds and their logs are empty. The seeds become the voters.
+//! The group is bootstrapped only at the very first start of an installation (the setting `may_found`, stored on disk as
+//! `DiskIdentity::may_bootstrap` when the disk is first used), only by the seed with the lowest address, and only once that process has
+//! links to all other seeds and their logs are empty. The seeds become the voters.
 //!
-//! Inputs: the setting as stored on disk (`DiskIdentity::may_bootstrap`), the seeds of the settings, the introductions of the peers that this process dialed.
-//!
-//! Reason: two groups would each accept configurations. If a majority of the seeds could begin, two halves could do so when their
-//! settings differ (docs/design/7-control.md, "Bootstrap").
+//! Two groups would each accept configurations. Requiring all seeds rather than a majority prevents that even if the settings of the
+//! processes differ.
 
 use std::net::SocketAddr;
 
@@ -15,15 +14,15 @@
 
 use super::ControlState;
 
-/// A group that this process is to begin.
+/// A pending bootstrap by this process.
 #[derive(Clone, Debug)]
 pub(crate) struct Bootstrap {
-    /// The first members, this process included.
+    /// The addresses of the initial members, including this process.
     seeds: Vec<SocketAddr>,
 }
 
 impl Bootstrap {
-    /// Returns the group that this process is to begin, if it is the one to do so. `seeds` are in order.
+    /// Returns the bootstrap if this process is the one to perform it. `seeds` must be sorted.
     pub(crate) fn plan(
         may_bootstrap: bool,
         has_empty_log: bool,
@@ -38,7 +37,7 @@
 }
 
 impl ControlState {
-    /// Begins the group once all its first members can be reached.
+    /// Bootstraps the group once all initial members are connected.
     pub(super) fn try_bootstrap(&mut self) {
         let Some(bootstrap) = &self.bootstrap else {
             return;
@@ -51,14 +50,14 @@
             return;
         };
         voters.sort_by_key(|member| member.id);
-        log::info!(voters = voters.len(); "the group is founded");
+        log::info!(voters = voters.len(); "bootstrapping the group of control processes");
         self.bootstrap = None;
         let state = self.state.encode();
         self.host.replica.bootstrap(Members { voters }, state);
         self.advance();
     }
 
-    /// Returns the replicas at all seeds, or `None` unless each is known and new.
+    /// Returns the replicas at all seeds; `None` unless each is connected and has an empty log.
     fn find_initial_voters(&self, seeds: &[SocketAddr]) -> Option<Vec<Member>> {
         let voters = seeds.iter().map(|&address| {
             let id = self.find_initial_voter(address)?;
--- a/crates/leased/cloverfold_control/src/state/directories.rs
+++ b/crates/leased/cloverfold_control/src/state/directories.rs
@@ -1,11 +1,9 @@
-//! Which addresses each entry and guard is told, and when.
+//! Distribution of directories: the addresses that each entry and guard should connect to.
 //!
-//! A guard is told the entries that it works with ([`choose_entries`]) and the control processes, an entry only the control processes:
-//! each gets what it needs, so that a directory does not grow with the installation. A process that has just connected is told at the
-//! next tick. All others are told of changes at most each [`UPDATE_INTERVAL`], and only if their own directory has changed: while many
-//! processes start, each connection would else move links of the others.
-//!
-//! Owns what each link was sent last ([`SentDirectories`]). Relies on the links of the state.
+//! The directory of a guard holds the entries assigned to it ([`choose_entries`]) and the control processes, that of an entry only the
+//! control processes, so that directories do not grow with the installation. A newly connected process receives its directory at the next
+//! tick. Other processes receive an update at most every [`UPDATE_INTERVAL`], and only if their own directory changed; otherwise, every
+//! connection would rearrange the links of others while many processes start.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -21,32 +19,32 @@
 use super::ControlState;
 use super::upkeep_targets::KnownTarget;
 
-/// How long changes are gathered before processes that have a directory are sent a new one. Chosen, not measured.
+/// How long changes are collected before updated directories are sent.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the links to entries and guards were sent.
+/// The directories last sent to entries and guards.
 #[derive(Debug, Default)]
 pub(super) struct SentDirectories {
     by_link: HashMap<LinkId, Directory>,
-    /// Links that were sent none yet.
+    /// Links that have not received a directory yet.
     pending: HashSet<LinkId>,
-    /// Since when processes have come or gone that are not in all of them; `None` if there are none.
+    /// Time of the first change that the sent directories do not include; `None` if they are up to date.
     outdated_since: Option<Timestamp>,
 }
 
 impl SentDirectories {
-    /// Records that a process has come or gone.
+    /// Records that a process was added or removed.
     pub(super) fn mark_outdated(&mut self, now: Timestamp) {
         self.outdated_since.get_or_insert(now);
     }
 
-    /// Records a link that is to be sent a directory at the next tick.
+    /// Schedules a directory for a link at the next tick.
     pub(super) fn mark_pending(&mut self, link: LinkId) {
         self.by_link.remove(&link);
         self.pending.insert(link);
     }
 
-    /// Forgets a link that has closed.
+    /// Removes a closed link.
     pub(super) fn discard(&mut self, link: LinkId) {
         self.by_link.remove(&link);
         self.pending.remove(&link);
@@ -58,7 +56,7 @@
     }
 }
 
-/// A link to an entry or guard, and the address at which that listens to peers.
+/// A link to an entry or guard, and the peer address of that process.
 #[derive(Clone, Copy, Debug)]
 struct AttachedPeer {
     link: LinkId,
@@ -66,7 +64,7 @@
 }
 
 impl ControlState {
-    /// Sends the directories that are due: to processes that have none, and after a change to those whose own has changed.
+    /// Sends directories to processes that have none and, if an update is due, to those whose directory changed.
     pub(super) fn send_due_directories(&mut self, now: Timestamp) {
         let is_update_due = self.directories.is_update_due(now);
         if !is_update_due && self.directories.pending.is_empty() {
@@ -86,7 +84,7 @@
         }
     }
 
-    /// Records what a guard tells of its target. The service of a guard whose target is away is remembered: it most likely comes back.
+    /// Records the target that a guard reports. Keeps the service of a guard whose target is gone, because it most likely returns.
     pub(super) fn record_target(&mut self, link: LinkId, target: &TargetDescription) {
         let Some(hello) = self.links.hello(link) else {
             return;
@@ -102,8 +100,7 @@
         }
     }
 
-    /// Returns the guards that count, with the services of their targets and their halls, and forgets those of guards that no longer
-    /// count.
+    /// Returns the known guards with the services of their targets and their data halls, and drops data about other guards.
     pub(super) fn list_guards(&mut self) -> KnownGuards {
         let guards = self.guards.addresses();
         self.services.retain(|guard, _| guards.contains(guard));
@@ -134,7 +131,7 @@
             return;
         }
         let message = PeerMessage::Directory(directory.clone());
-        // One that does not fit into the queue of its link is sent at the next tick.
+        // Retries at the next tick if the queue of the link is full.
         if self.links.send(link, &message) {
             self.directories.by_link.insert(link, directory);
         } else {
@@ -142,7 +139,7 @@
         }
     }
 
-    /// Lists the voters first, then this process, then the other control processes that are connected.
+    /// Lists the control processes: first the voters, then this process, then other connected ones.
     pub(super) fn list_controls(&self) -> Vec<SocketAddr> {
         let voters = self.host.replica.members().voters.iter();
         let voters = voters.map(|member| member.address);
@@ -161,7 +158,7 @@
     }
 }
 
-/// Returns the directory of the process that listens at `receiver`.
+/// Returns the directory of the process with the peer address `receiver`.
 fn build_directory(
     entries_of_guards: &EntrySubsets,
     controls: &[SocketAddr],
--- a/crates/leased/cloverfold_control/src/state/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/state/evacuations.rs
@@ -1,12 +1,11 @@
-//! Orders to evacuate data halls on their way into the log, and what entries and guards are told.
+//! Evacuation orders for data halls: submission to the log and distribution of the evacuated halls.
 //!
-//! Decision: what becomes of an order before the log. Rule: a process that doesn't lead passes it to the leader. The leader appends it
-//! unless it stands in the log already, or a connected control process is of a build that cannot apply it: that one's state would
-//! differ for good. What an applied order changes is decided by `cloverfold_evacuation`. Inputs: the order, the applied decisions, the
-//! introductions of the connected control processes.
+//! A process that does not lead forwards an order to the leader. The leader appends it unless it is already in the log, or a connected
+//! control process runs an older build that cannot apply it, whose state would diverge permanently. `cloverfold_evacuation` implements the
+//! effect of an order.
 //!
-//! Entries and guards are told at once when an order is taken, when they connect, and with the regular notices as long as they have
-//! not shown that they know.
+//! Entries and guards receive the evacuated halls when an order takes effect, when they connect, and with the periodic notices until they
+//! have acknowledged them.
 
 use cloverfold_base::{random_u64, unix_now};
 use cloverfold_evacuation::{
@@ -19,7 +18,7 @@
 use super::replicated::Command;
 
 impl ControlState {
-    /// Makes an order of an operator's call, based on what is known here now.
+    /// Creates an order for an operator's call, based on the local state.
     pub(crate) fn create_order(&self, hall: &DataHall, change: HallChange) -> EvacuationOrder {
         EvacuationOrder {
             id: random_u64(),
@@ -31,8 +30,8 @@
         }
     }
 
-    /// Appends an order if this process leads, and passes it to the leader otherwise. Where neither is possible it is dropped; the
-    /// process that received it from the operator submits it again.
+    /// Appends an order if this process leads, otherwise forwards it to the leader. Drops it if neither is possible; the process that
+    /// received it from the operator resubmits it.
     pub(crate) fn submit_order(&mut self, order: &EvacuationOrder) {
         if self.host.is_leader() {
             self.append_order(order);
@@ -51,7 +50,7 @@
         }
     }
 
-    /// Appends an order that a peer passed on, if this process leads.
+    /// Appends an order forwarded by a peer, if this process leads.
     pub(super) fn receive_order(&mut self, order: &EvacuationOrder) {
         if self.host.is_leader() {
             self.append_order(order);
@@ -66,11 +65,11 @@
             return;
         }
         if let Some(name) = self.find_incompatible_control(Hello::supports_evacuations) {
-            log::warn!(hall = order.hall.as_str(), process = name; "an evacuation is not possible: a control process is of an older build");
+            log::warn!(hall = order.hall.as_str(), process = name; "cannot accept an evacuation: a control process runs an older build");
             return;
         }
         let Ok(command) = Command::Evacuation(order.clone()).encode() else {
-            log::error!(hall = order.hall.as_str(); "an order cannot be encoded");
+            log::error!(hall = order.hall.as_str(); "cannot encode an evacuation order");
             return;
         };
         if let Ok(index) = self.host.replica.propose(command, self.clock.now()) {
@@ -79,7 +78,7 @@
         self.advance();
     }
 
-    /// Returns the name of a connected control process whose build does not know what is asked for.
+    /// Returns the name of a connected control process whose build lacks a feature.
     pub(super) fn find_incompatible_control(&self, knows: impl Fn(&Hello) -> bool) -> Option<&str> {
         let is_incompatible =
             |peer: &&Hello| matches!(peer.role, PeerRole::Control { .. }) && !knows(peer);
@@ -87,28 +86,28 @@
         Some(older.name.as_str())
     }
 
-    /// Applies an order that is committed.
+    /// Applies a committed order.
     pub(super) fn apply_order(&mut self, order: EvacuationOrder, index: u64) {
         let (hall, source, change) = (order.hall.clone(), order.source.clone(), order.change);
         let outcome = self.state.evacuations.apply(order, index);
         log::info!(
             hall = hall.as_str(), change = change.as_str(), outcome = outcome.as_str(), index,
             revision = self.evacuations().revision(), source = source.as_str();
-            "an evacuation is decided on"
+            "applied an evacuation order"
         );
     }
 
-    /// Returns the evacuations in force here.
+    /// Returns the evacuations in force locally.
     pub(crate) fn evacuations(&self) -> &EvacuationState {
         &self.state.evacuations
     }
 
-    /// Returns what became of an order; `None` while it is not applied here.
+    /// Returns the outcome of an order; `None` until it is applied locally.
     pub(crate) fn order_outcome(&self, order: OrderId) -> Option<OrderOutcome> {
         self.evacuations().find_outcome(order)
     }
 
-    /// Sends the evacuated halls to the entries and guards that have not shown to know them.
+    /// Sends the evacuated halls to the entries and guards that have not acknowledged them.
     pub(super) fn send_evacuations(&self) {
         if self.evacuations().revision() == 0 {
             return;
@@ -118,7 +117,7 @@
         self.links.send_evacuations(&halls, is_attached);
     }
 
-    /// Sends the evacuated halls to one entry or guard, if it has not shown to know them.
+    /// Sends the evacuated halls to one entry or guard, unless it has acknowledged them.
     pub(super) fn send_evacuations_to(&self, link: LinkId) {
         if self.evacuations().revision() > 0 {
             let halls = self.evacuations().halls();
@@ -126,7 +125,7 @@
         }
     }
 
-    /// Tells at once of an order that was taken.
+    /// Sends the evacuated halls if an order has changed them.
     pub(super) fn send_new_evacuations(&mut self) {
         let revision = self.evacuations().revision();
         if revision != self.sent_evacuations {
--- a/crates/leased/cloverfold_control/src/state/founding.rs
+++ b/crates/leased/cloverfold_control/src/state/founding.rs
@@ -1,18 +1,14 @@
-//! Decision: when the groups that keep jobs are agreed on, and who begins them.
+//! Creation of the groups that keep jobs.
 //!
-//! Rule: the leader of control's log appends the groups once, when
+//! The leader of the control log appends an entry that defines the groups, once
 //!
-//! 1. the settings ask for any, and none are agreed on;
-//! 2. the newest voters are committed, and are as many as there should be or all seeds;
-//! 3. every other voter is connected, and no connected control process is of a build that knows no kept jobs.
+//! 1. the settings ask for groups and none are defined yet;
+//! 2. the newest voters are committed, and they have the configured number or include all seeds;
+//! 3. every other voter is connected, and no connected control process runs a build without kept jobs.
 //!
-//! The voters of that moment are the founders, with the addresses under which control's log names them. Only the first entry counts.
-//!
-//! Inputs: the settings, the state and the newest voters of control's log, the introductions of the connected control processes.
-//!
-//! Reason: what stands in the entry is the same for every process that applies it, now or after a restart, so that all founders begin with
-//! the same members. A voter of an older build would pass over the entry for good; one that is not connected could be of one. A group
-//! of fewer founders than it should have would not survive the losses that it is to tolerate.
+//! The voters at that time become the founders. Only the first such entry counts. Because the entry names the founders, all of them
+//! bootstrap the groups with the same members, also after a restart. A voter with an older build would skip the entry permanently, and a
+//! voter that is not connected might run one. A group with too few founders would not survive the losses that it should tolerate.
 
 use std::collections::BTreeSet;
 
@@ -24,7 +20,7 @@
 use super::replicated::Command;
 
 impl ControlState {
-    /// Agrees on the groups that keep jobs, if that is due.
+    /// Proposes the groups that keep jobs, if the conditions are met.
     pub(super) fn propose_job_groups(&mut self) {
         let count = self.jobs.config.count;
         if count == 0 || self.state.job_groups.is_some() || !self.host.is_leader() {
@@ -37,10 +33,10 @@
         let Some(founders) = self.find_founders() else {
             return;
         };
-        log::info!(groups = count, founders = founders.len(); "the groups that keep jobs are proposed");
+        log::info!(groups = count, founders = founders.len(); "proposing the groups of kept jobs");
         let command = Command::JobGroups(JobGroups { count, founders });
         let Ok(command) = command.encode() else {
-            log::error!("the groups that keep jobs cannot be encoded");
+            log::error!("cannot encode the groups of kept jobs");
             return;
         };
         if let Ok(index) = self.host.replica.propose(command, self.clock.now()) {
@@ -48,7 +44,7 @@
         }
     }
 
-    /// Returns the voters if they can begin the groups now.
+    /// Returns the voters as founders, if they can bootstrap the groups now.
     fn find_founders(&self) -> Option<Vec<Founder>> {
         let members = self.host.replica.committed_members()?;
         let is_complete = members.voters.len() >= self.jobs.config.groups.voters;
--- a/crates/leased/cloverfold_control/src/state/hosted_jobs.rs
+++ b/crates/leased/cloverfold_control/src/state/hosted_jobs.rs
@@ -1,6 +1,4 @@
-//! The groups that keep jobs and are hosted here, and what waits for other processes.
-//!
-//! Owns the groups and the calls that were passed on. Relies on [`GroupHost`] for what a group does.
+//! The groups of kept jobs hosted by this process, and the calls forwarded to other processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,37 +13,37 @@
 use crate::disk::{DiskEvent, DiskEventSender, DiskWriter, LogEvent, LogId};
 use crate::job_groups::{GroupHost, GroupSettings};
 
-/// How this process takes part in keeping jobs.
+/// Configuration of the groups that keep jobs.
 #[derive(Clone, Debug)]
 pub(crate) struct JobGroupsConfig {
-    /// The groups to agree on if there are none yet.
+    /// Number of groups to create if there are none yet.
     pub(crate) count: u32,
     pub(crate) groups: GroupSettings,
     pub(crate) seeds: Vec<SocketAddr>,
-    /// The folder in which each group has one of its own.
+    /// The parent of the data folders of the groups.
     pub(crate) data_folder: PathBuf,
 }
 
-/// A group that is hosted here.
+/// A group hosted by this process.
 enum HostedGroup {
-    /// Its disk is being opened.
+    /// The store is being opened; `None` if its disk thread could not be started.
     Opening(Option<DiskWriter>),
-    /// It takes part.
+    /// The replica is running.
     Open(Box<GroupHost>),
 }
 
-/// The groups that are hosted here, and what waits for others.
+/// The hosted groups and the forwarded calls.
 pub(crate) struct HostedJobs {
     pub(super) config: JobGroupsConfig,
     disk_events: mpsc::UnboundedSender<LogEvent>,
-    /// By number; empty until they are agreed on.
+    /// The groups by number; empty until the control processes have agreed on them.
     groups: Vec<HostedGroup>,
     pub(super) relays: JobRelays,
     pub(super) uncommitted: UncommittedEntries<()>,
 }
 
 impl HostedJobs {
-    /// Hosts nothing yet.
+    /// Creates the state without any group.
     pub(crate) fn new(
         config: JobGroupsConfig,
         disk_events: mpsc::UnboundedSender<LogEvent>,
@@ -59,17 +57,17 @@
         }
     }
 
-    /// Returns whether the groups are agreed on and hosted here.
+    /// Returns whether this process hosts the groups.
     pub(super) fn is_hosting(&self) -> bool {
         !self.groups.is_empty()
     }
 
-    /// Forgets what waits for a link that has closed.
+    /// Drops the calls forwarded over a closed link.
     pub(super) fn discard_link(&mut self, link: LinkId) {
         self.relays.discard_link(link);
     }
 
-    /// Returns the groups that take part.
+    /// Returns the groups whose replica is running.
     pub(super) fn open_groups(&self) -> impl Iterator<Item = &GroupHost> {
         self.groups.iter().filter_map(|group| match group {
             HostedGroup::Open(group) => Some(group.as_ref()),
@@ -91,20 +89,20 @@
         }
     }
 
-    /// Begins to open the disks of all groups.
+    /// Starts to open the stores of all groups.
     pub(super) fn open_stores(&mut self, groups: &JobGroups) {
         for group in 0..groups.count {
             let folder = self.config.data_folder.join(format!("jobs-{group}"));
             let events = DiskEventSender::new(LogId::Jobs(group), self.disk_events.clone());
             let disk = DiskWriter::open(folder, self.config.groups.replica, events);
             if let Err(cause) = &disk {
-                log::error!(group; "the disk's thread of a group cannot be started: {cause}");
+                log::error!(group; "cannot start the disk thread of a group: {cause}");
             }
             self.groups.push(HostedGroup::Opening(disk.ok()));
         }
     }
 
-    /// Makes a group take part whose disk is open.
+    /// Starts the replica of a group whose store is open.
     pub(super) fn finish_open(
         &mut self,
         group: GroupId,
--- a/crates/leased/cloverfold_control/src/state/job_calls.rs
+++ b/crates/leased/cloverfold_control/src/state/job_calls.rs
@@ -1,9 +1,7 @@
-//! Calls to the groups that keep jobs.
+//! Routing of calls to the groups that keep jobs.
 //!
-//! Decision: which way a call goes. Rule: the process that leads the group handles it. Any other passes a call of an entry or guard to
-//! the leader, if it knows one and is connected to it, and refuses it otherwise; a call that another control process has passed on is
-//! not passed on again. Inputs: the leader as this process sees it, the links. Reason: entries and guards need not know the leader, and a
-//! call cannot travel in a circle.
+//! The process that leads the group handles a call. Any other process forwards it to the leader, so that entries and guards need not know
+//! the leader, or refuses it if no leader is known and connected. A forwarded call is never forwarded again, which rules out loops.
 
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::ReplicaId;
@@ -18,7 +16,7 @@
 use crate::job_groups::Caller;
 
 impl ControlState {
-    /// Handles a call of an entry, a guard, or a control process that has passed it on.
+    /// Handles a call from an entry or a guard, or one forwarded by another control process.
     pub(super) fn receive_job_call(&mut self, link: LinkId, call: JobCallMessage) {
         let token = call.token;
         let is_forwarded = self.replica_at(link).is_some();
@@ -30,7 +28,7 @@
         );
     }
 
-    /// Makes an operator's call to a group; no reply comes if it is not known what became of it.
+    /// Makes an operator's call to a group. The receiver gets no reply if the outcome is unknown.
     pub(crate) fn call_as_operator(
         &mut self,
         group: GroupId,
@@ -66,12 +64,12 @@
         if groups.is_some_and(|groups| group >= groups.count) {
             CallRefusal::UnknownGroup
         } else {
-            // It is not agreed on yet, or not open here.
+            // The group does not exist yet, or its store is not open yet.
             CallRefusal::NoLeader
         }
     }
 
-    /// Passes a call to the leader; returns why that is impossible.
+    /// Forwards a call to the leader; returns the refusal if that is impossible.
     fn forward_call(
         &mut self,
         caller: Caller,
@@ -94,7 +92,7 @@
         Some(CallRefusal::Busy)
     }
 
-    /// Passes the reply of another control process to the caller.
+    /// Forwards the reply of another control process to the caller.
     pub(super) fn receive_job_reply(&mut self, link: LinkId, reply: JobReplyMessage) {
         if let Some(caller) = self.jobs.relays.take(reply.token, link) {
             self.answer_job_call(caller, reply.group, reply.reply, reply.leader);
@@ -117,13 +115,13 @@
                     leader,
                     reply,
                 };
-                // A caller whose link is closed repeats the call.
+                // A caller whose link is closed retries the call.
                 self.links.send(link, &PeerMessage::JobReply(message));
             }
         }
     }
 
-    /// Tells an entry unasked what it has to drive or drop; one that is not connected is told with its next renewal.
+    /// Sends an unsolicited renewal reply to an entry. An entry that is not connected gets the same information with its next renewal.
     pub(super) fn push_to_entry(&self, group: GroupId, entry: &str, reply: RenewalReply) {
         let mut peers = self.links.identified();
         let is_meant = |hello: &Hello| hello.role == PeerRole::Entry && hello.name == entry;
--- a/crates/leased/cloverfold_control/src/state/job_relays.rs
+++ b/crates/leased/cloverfold_control/src/state/job_relays.rs
@@ -1,7 +1,6 @@
-//! Calls to groups that wait for the reply of another control process, and operators' calls that wait for any.
+//! Pending calls to groups: calls forwarded to other control processes, and calls of operators.
 //!
-//! Owns who waits under which token. What waits for longer than [`RELAY_TIMEOUT`] or over a link that has closed is forgotten: its caller
-//! repeats the call.
+//! Forwarded calls are dropped after [`RELAY_TIMEOUT`] or when their link closes; the caller then retries.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,21 +12,21 @@
 
 use crate::job_groups::Caller;
 
-/// How long the reply to a call is waited for. Chosen, not measured: longer than an entry waits.
+/// How long to wait for the reply to a forwarded call; longer than the timeout of an entry.
 const RELAY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Calls that wait for other processes, at most. Chosen, not measured: 850 jobs a second for the time-out, four times over.
+/// Maximum number of forwarded calls.
 const MAX_RELAYS: usize = 16_384;
 
-/// A call that was passed to another process.
+/// A forwarded call.
 #[derive(Clone, Copy, Debug)]
 struct Relay {
     caller: Caller,
-    /// The link over which it was passed on.
+    /// The link over which the call was forwarded.
     via: LinkId,
     since: Timestamp,
 }
 
-/// The calls that wait for other processes.
+/// The pending calls, by token.
 #[derive(Debug, Default)]
 pub(super) struct JobRelays {
     last_token: CallToken,
@@ -36,7 +35,7 @@
 }
 
 impl JobRelays {
-    /// Records a call that is passed on over a link; returns the token for it, or `None` if too many wait.
+    /// Records a call to be forwarded over a link; returns its token, or `None` if too many calls are pending.
     pub(super) fn add(&mut self, caller: Caller, via: LinkId, now: Timestamp) -> Option<CallToken> {
         if self.waiting.len() >= MAX_RELAYS {
             return None;
@@ -47,7 +46,7 @@
         Some(token)
     }
 
-    /// Returns who waits for a reply that came over a link.
+    /// Takes the caller that waits for a reply received over a link.
     pub(super) fn take(&mut self, token: CallToken, via: LinkId) -> Option<Caller> {
         let relay = self.waiting.get(&token)?;
         if relay.via != via {
@@ -56,24 +55,24 @@
         self.waiting.remove(&token).map(|relay| relay.caller)
     }
 
-    /// Forgets a call that was not passed on.
+    /// Removes a call that could not be forwarded.
     pub(super) fn cancel(&mut self, token: CallToken) {
         self.waiting.remove(&token);
     }
 
-    /// Forgets what waits for a link that has closed.
+    /// Drops the calls forwarded over a closed link.
     pub(super) fn discard_link(&mut self, link: LinkId) {
         self.waiting.retain(|_, relay| relay.via != link);
     }
 
-    /// Forgets what has waited for too long, and operators that gave up.
+    /// Drops the calls that timed out, and the operator calls whose receiver was dropped.
     pub(super) fn discard_expired(&mut self, now: Timestamp) {
         self.waiting
             .retain(|_, relay| now < relay.since + RELAY_TIMEOUT);
         self.operators.retain(|_, waiting| !waiting.is_closed());
     }
 
-    /// Adds an operator's call.
+    /// Adds an operator's call; returns the receiver of its reply.
     pub(super) fn add_operator(&mut self) -> (Caller, oneshot::Receiver<JobReply>) {
         let (tx, rx) = oneshot::channel();
         let token = self.next_token();
@@ -81,10 +80,10 @@
         (Caller::Operator(token), rx)
     }
 
-    /// Passes a reply to the operator's call that waits for it.
+    /// Delivers a reply to an operator's call.
     pub(super) fn answer_operator(&mut self, token: CallToken, reply: JobReply) {
         if let Some(waiting) = self.operators.remove(&token) {
-            // An operator that gave up waiting needs no reply.
+            // The call may have timed out and dropped the receiver.
             let _ = waiting.send(reply);
         }
     }
--- a/crates/leased/cloverfold_control/src/state/jobs.rs
+++ b/crates/leased/cloverfold_control/src/state/jobs.rs
@@ -1,4 +1,4 @@
-//! The groups that keep jobs, in the state of a control process: which are hosted, who is connected, what they want done.
+//! Integration of the hosted job groups into the state of the control process.
 
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::{Member, Message, ReplicaId};
@@ -11,7 +11,7 @@
 use crate::job_groups::{GroupEffect, GroupHost};
 
 impl ControlState {
-    /// Hosts the groups that are agreed on, and tells entries and guards of them.
+    /// Starts to host the groups once they are agreed on, and announces them to entries and guards.
     pub(super) fn host_agreed_groups(&mut self) {
         if self.jobs.is_hosting() {
             return;
@@ -19,7 +19,7 @@
         let Some(groups) = self.state.job_groups.clone() else {
             return;
         };
-        log::info!(groups = groups.count, founders = groups.founders.len(); "the groups that keep jobs are agreed on");
+        log::info!(groups = groups.count, founders = groups.founders.len(); "hosting the agreed groups of kept jobs");
         self.jobs.open_stores(&groups);
         let links: Vec<LinkId> = self.links.identified().map(|(link, _)| link).collect();
         for link in links {
@@ -27,23 +27,23 @@
         }
     }
 
-    /// Tells an entry or guard which groups there are.
+    /// Sends the groups to an entry or guard.
     pub(super) fn send_job_groups(&self, link: LinkId) {
         let Some(groups) = &self.state.job_groups else {
             return;
         };
         let hello = self.links.hello(link);
-        let is_told = |hello: &Hello| {
+        let is_receiver = |hello: &Hello| {
             matches!(hello.role, PeerRole::Entry | PeerRole::Guard) && hello.supports_kept_jobs()
         };
-        if hello.is_some_and(is_told) {
-            // One whose queue is full is told when it connects again.
+        if hello.is_some_and(is_receiver) {
+            // If the queue of the link is full, the process receives the groups when it reconnects.
             self.links
                 .send(link, &PeerMessage::JobGroups(groups.clone()));
         }
     }
 
-    /// Handles an event of the disk of a group.
+    /// Handles a disk event of a group.
     pub(super) fn job_disk_event(&mut self, group: GroupId, event: DiskEvent) {
         let now = self.clock.now();
         if let Some(host) = self.jobs.find_mut(group) {
@@ -55,7 +55,7 @@
         self.process_group_effects(group);
     }
 
-    /// Tells a group that has just opened which replicas are connected.
+    /// Announces the connected replicas to a group that has just opened.
     fn connect_replicas(&mut self, group: GroupId) {
         let links = self.replica_links.iter();
         let members = links.filter_map(|(&id, &link)| {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Does the work of the groups that has fallen due.
+    /// Performs the due work of the groups.
     pub(super) fn tick_jobs(&mut self, now: Timestamp) {
         self.jobs.relays.discard_expired(now);
         let ids: Vec<GroupId> = self.jobs.open_groups().map(GroupHost::id).collect();
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Handles a message of a group's log.
+    /// Handles a consensus message of a group.
     pub(super) fn receive_job_consensus(&mut self, link: LinkId, group: GroupId, message: Message) {
         let now = self.clock.now();
         let from = self.replica_at(link);
@@ -115,23 +115,23 @@
         }
     }
 
-    /// Returns the groups that are hosted here and take part.
+    /// Returns the hosted groups whose replica is running.
     pub(crate) fn open_groups(&self) -> impl Iterator<Item = &GroupHost> {
         self.jobs.open_groups()
     }
 
-    /// Returns how many groups keep jobs; `None` until that is agreed on.
+    /// Returns the number of groups that keep jobs; `None` if there are none yet.
     pub(crate) fn job_group_count(&self) -> Option<u32> {
         let groups = self.state.job_groups.as_ref()?;
         (groups.count > 0).then_some(groups.count)
     }
 
-    /// Returns the present point in time.
+    /// Returns the current time of the process clock.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Carries out what a group wants done.
+    /// Performs the actions that a group requests.
     pub(super) fn process_group_effects(&mut self, group: GroupId) {
         let Some(host) = self.jobs.find_mut(group) else {
             return;
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Sends a message of a group's log, unless the other process is of a build that cannot read it.
+    /// Sends a consensus message of a group, unless the receiver runs a build that cannot read it.
     fn send_to_group_replica(&self, to: ReplicaId, message: &PeerMessage) {
         let link = self.replica_links.get(&to);
         if let Some(&link) = link
@@ -161,7 +161,7 @@
                 .hello(link)
                 .is_some_and(Hello::supports_kept_jobs)
         {
-            // A message that is lost is sent again by the replica.
+            // The replica resends lost messages.
             self.links.send(link, message);
         }
     }
--- a/crates/leased/cloverfold_control/src/state/known_peers.rs
+++ b/crates/leased/cloverfold_control/src/state/known_peers.rs
@@ -1,11 +1,8 @@
-//! Decision: which entries and guards count as there.
+//! The set of known entries and guards.
 //!
-//! Rule: a process counts from its first link on until it has had none for 20 s.
-//!
-//! Inputs: how many links a process has, since when it has none.
-//!
-//! Reason: guards dial the entries that are named to them, and which these are follows from all entries and guards. A process that
-//! restarts or is cut off for a moment must not move links of others; one that was removed must not be counted or dialed for ever.
+//! A process is known from its first link on until it has had no link for [`PEER_EXPIRY`]. The assignment of guards to entries depends on
+//! this set, so a short restart or partition of one process must not rearrange the links of others, while a removed process must
+//! eventually disappear.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,25 +10,25 @@
 
 use cloverfold_base::Timestamp;
 
-/// How long a process without a link still counts. Chosen, not measured.
+/// How long a process without a link stays known.
 const PEER_EXPIRY: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Default)]
 struct KnownPeer {
-    /// How many links to it are open.
+    /// Number of open links.
     links: usize,
-    /// When its last link closed; `None` while it has one.
+    /// When the last link closed; `None` while one is open.
     disconnected_at: Option<Timestamp>,
 }
 
-/// The processes of one role that count, by the address at which they listen to peers.
+/// The known processes of one role, by peer address.
 #[derive(Debug, Default)]
 pub(super) struct KnownPeers {
     peers: BTreeMap<SocketAddr, KnownPeer>,
 }
 
 impl KnownPeers {
-    /// Records a new link to a process; returns whether it did not count before.
+    /// Records a new link to a process; returns whether the process was unknown before.
     pub(super) fn connected(&mut self, address: SocketAddr) -> bool {
         let is_new = !self.peers.contains_key(&address);
         let peer = self.peers.entry(address).or_default();
@@ -40,7 +37,7 @@
         is_new
     }
 
-    /// Counts a process as there that was remembered over a restart, until it has had no link for too long.
+    /// Adds a process that was stored before a restart and has no link yet.
     pub(super) fn restore(&mut self, address: SocketAddr, now: Timestamp) {
         let peer = self.peers.entry(address).or_default();
         peer.disconnected_at = Some(now);
@@ -62,7 +59,7 @@
         }
     }
 
-    /// Forgets the processes that have had no link for too long; returns whether there were any.
+    /// Removes the processes that have had no link for too long; returns whether there were any.
     pub(super) fn remove_expired(&mut self, now: Timestamp) -> bool {
         let known = self.peers.len();
         self.peers.retain(|_, peer| {
@@ -72,7 +69,7 @@
         self.peers.len() != known
     }
 
-    /// Returns the addresses.
+    /// Returns the peer addresses of the known processes.
     pub(super) fn addresses(&self) -> BTreeSet<SocketAddr> {
         self.peers.keys().copied().collect()
     }
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -1,25 +1,24 @@
 //! The state of a control process.
 //!
-//! [`ControlState`] reacts to links, ticks, the disk and operators. It owns the replica of the log, the configuration and audit trail that
-//! the log yields, the links to all peers, and what waits for a proof. It relies on `cloverfold_consensus` for every decision about the
-//! log, on [`ReplicaHost`] for writing, and on `cloverfold_peer` for links.
+//! [`ControlState`] handles events from links, ticks, the disk and operators. It owns the replica of the control log, the replicated state,
+//! the links to all peers and the pending reads.
 //!
-//! | file | duty |
+//! | module | responsibility |
 //! |---|---|
-//! | `applying` | what the replica wants done, and what the group has decided |
-//! | `bootstrap` | when the group begins |
-//! | `replicated` | what the log yields, and the commands in it |
-//! | `proposals`, `evacuations`, `appended`, `reads`, `pending_reads` | calls of operators, here and at the leader |
-//! | `upkeep` | waves of upkeep: their orders, and the holder at the leader |
-//! | `upkeep_targets` | what guards are told before an upkeep, and tell of their load |
-//! | `peers` | links to the other processes |
-//! | `notices` | when entries and guards are told the version in force |
-//! | `directories`, `known_peers` | which addresses entries and guards are told |
-//! | `memory` | which entries and guards are remembered over a restart, and invited after it |
-//! | `founding` | when the groups that keep jobs are agreed on |
-//! | `hosted_jobs`, `jobs` | the groups that are hosted here |
+//! | `apply` | output of the replica and application of committed entries |
+//! | `bootstrap` | bootstrap of the group |
+//! | `replicated` | the replicated state and its commands |
+//! | `proposals`, `evacuations`, `uncommitted` | submission of operator orders to the log |
+//! | `reads`, `pending_reads` | linearizable reads |
+//! | `upkeep`, `upkeep_targets` | waves of upkeep and the scheduler on the leader |
+//! | `peers` | links and messages |
+//! | `notices` | announcement of the version in force |
+//! | `directories`, `known_peers` | addresses distributed to entries and guards |
+//! | `peer_store` | entries and guards stored across restarts |
+//! | `founding` | creation of the groups that keep jobs |
+//! | `hosted_jobs`, `jobs` | hosted groups |
 //! | `job_calls`, `job_relays` | calls to groups |
-//! | `status` | what operators are shown |
+//! | `status` | status for operators |
 
 mod apply;
 mod bootstrap;
@@ -74,33 +73,32 @@
 pub(crate) struct ControlState {
     clock: ProcessClock,
     suspensions: SuspensionMonitor,
-    /// How this process introduces itself.
+    /// The hello message of this process.
     own: Hello,
     replica_id: ReplicaId,
     host: ReplicaHost,
-    /// After all applied entries.
+    /// The state after all applied entries.
     state: ReplicatedState,
     dialed: DialedPeers,
     links: PeerLinks,
-    /// The dialed link to each other replica; messages of the log go over these only.
+    /// The dialed link to each other replica; consensus messages use only these links.
     replica_links: HashMap<ReplicaId, LinkId>,
     /// Addresses of control processes: the seeds and all that have connected.
     known_controls: BTreeSet<SocketAddr>,
     entries: KnownPeers,
     guards: KnownPeers,
-    /// What the targets of guards run, by the guard's address.
+    /// The services of the guards' targets, by the guard's address.
     services: HashMap<SocketAddr, String>,
-    /// The data halls of guards that tell theirs, by the guard's address.
+    /// The data halls reported by guards, by the guard's address.
     halls: HashMap<SocketAddr, DataHall>,
     directories: SentDirectories,
     peer_store: PeerStore,
-    /// `None` once the group exists or if another process begins it.
+    /// `None` once the group exists, or if another process bootstraps it.
     bootstrap: Option<Bootstrap>,
     uncommitted_versions: UncommittedEntries<Version>,
     uncommitted_orders: UncommittedEntries<OrderId>,
-    /// The groups that keep jobs.
     jobs: HostedJobs,
-    /// The revision that entries and guards were told of last.
+    /// The revision that was last sent to entries and guards.
     sent_evacuations: EvacuationRevision,
     upkeep_runtime: UpkeepRuntime,
     reads: PendingReads,
@@ -109,15 +107,15 @@
     /// The version in force.
     version: watch::Sender<Version>,
     recent_configurations: RecentConfigurations,
-    /// The configuration in force as it is sent whole: many processes that start together fetch it together.
+    /// The encoded configuration in force, shared because many processes that start together fetch it together.
     shared_configuration: Option<SharedMessage>,
     last_notice: LastNotice,
-    /// What was last logged about the group.
+    /// The last logged view of the group.
     logged_view: GroupView,
 }
 
 impl ControlState {
-    /// Creates a state; nothing is dialed or applied before [`ControlState::begin`].
+    /// Creates a state. It dials and applies nothing before [`ControlState::begin`].
     pub(crate) fn new(
         own: Hello,
         host: ReplicaHost,
@@ -159,14 +157,14 @@
         }
     }
 
-    /// Dials the seeds and applies what is known from disk to be committed.
+    /// Dials the seeds and applies the entries that are recorded as committed.
     pub(crate) fn begin(&mut self, seeds: &[SocketAddr]) {
         self.restore_peers(self.clock.now());
         self.dial_seeds(seeds);
         self.advance();
     }
 
-    /// Dials further seeds; those of earlier settings stay dialed.
+    /// Dials additional seeds. Those of earlier settings stay dialed.
     pub(crate) fn dial_seeds(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
             self.known_controls.insert(*seed);
@@ -174,9 +172,9 @@
         }
     }
 
-    /// Does the work that is due by now.
+    /// Performs due work.
     pub(crate) fn tick(&mut self) {
-        // Logged and counted here; what follows from it, follows from the gap in time.
+        // Only logs and counts a suspension; its effects follow from the jump of the clock.
         self.suspensions.poll();
         let now = self.clock.now();
         self.host.replica.tick(now);
@@ -195,17 +193,17 @@
         self.host.log_slow(now);
     }
 
-    /// Returns the version in force, and each later one as it comes into force.
+    /// Returns a receiver of the version in force.
     pub(crate) fn follow_version(&self) -> watch::Receiver<Version> {
         self.version.subscribe()
     }
 
-    /// Returns the index of the last applied entry, and each later one.
+    /// Returns a receiver of the index of the last applied entry.
     pub(crate) fn follow_applied(&self) -> watch::Receiver<LogIndex> {
         self.applied.subscribe()
     }
 
-    /// Returns the text of the configuration in force, as the operator sent it.
+    /// Returns the text of the configuration in force, as submitted by the operator.
     pub(crate) fn current_text(&self) -> Option<Vec<u8>> {
         self.state
             .configuration
@@ -213,22 +211,22 @@
             .map(|current| current.text.to_vec())
     }
 
-    /// Returns the decisions on configurations, oldest first.
+    /// Returns the audit trail of configurations, oldest record first.
     pub(crate) fn audit(&self) -> Vec<AuditRecord> {
         self.state.configuration.audit().cloned().collect()
     }
 
-    /// Returns the version in force here; 0 before the first.
+    /// Returns the version in force locally; 0 if there is none.
     pub(crate) fn current_version(&self) -> Version {
         self.state.configuration.version()
     }
 
-    /// Returns what was sent to other processes since the start.
+    /// Returns the counts of messages sent to other processes since the start.
     pub(crate) fn sent(&self) -> &SentCounts {
         self.links.sent()
     }
 
-    /// Returns the suspensions of the box that were noticed.
+    /// Returns the detected suspensions of the box.
     pub(crate) fn suspensions(&self) -> &SuspensionMonitor {
         &self.suspensions
     }
--- a/crates/leased/cloverfold_control/src/state/notices.rs
+++ b/crates/leased/cloverfold_control/src/state/notices.rs
@@ -1,6 +1,4 @@
-//! Notices to entries and guards of the version in force.
-//!
-//! Owns when the last notice was sent. Relies on the links of the state; a notice that is lost is followed by the next.
+//! Periodic notices of the version in force to entries and guards.
 
 use std::time::Duration;
 
@@ -10,11 +8,11 @@
 
 use super::ControlState;
 
-/// How often entries and guards are sent the version in force, also when nothing has changed: a notice may be lost. Chosen, not
-/// measured; four of them fit into the 2 s in which a configuration must be in force everywhere (docs/design/7-control.md).
+/// Interval at which the version in force is sent even without a change, because a notice may be lost. Four notices fit into the 2 s within
+/// which a configuration must be in force everywhere.
 const NOTICE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The notice that was sent last.
+/// The last notice sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LastNotice {
     sent_at: Timestamp,
@@ -22,7 +20,7 @@
 }
 
 impl ControlState {
-    /// Sends notices if they are due or if contact with the majority was lost or restored.
+    /// Sends a notice if it is due, or if quorum contact was lost or restored.
     pub(super) fn send_due_notice(&mut self, now: Timestamp) {
         let is_due = now >= self.last_notice.sent_at + NOTICE_INTERVAL;
         if is_due || self.has_quorum() != self.last_notice.had_quorum {
@@ -30,7 +28,7 @@
         }
     }
 
-    /// Sends every entry and guard the version in force here.
+    /// Sends the version in force locally to every entry and guard.
     pub(super) fn send_notice(&mut self) {
         self.last_notice = LastNotice {
             sent_at: self.clock.now(),
@@ -40,12 +38,12 @@
         self.send_evacuations();
     }
 
-    /// Sends an entry or guard that has just connected the evacuations and the groups that keep jobs, then the
-    /// version in force: it begins work once it has a configuration, and knows the others by then.
+    /// Sends the current state to an entry or guard that has just connected. The version in force comes last: the process starts work once
+    /// it has a configuration, and must know the evacuations and the groups of kept jobs by then.
     pub(super) fn send_initial_state(&self, link: LinkId) {
         self.send_evacuations_to(link);
         self.send_job_groups(link);
-        // A link that closed meanwhile is dialed again by the process.
+        // If the link has closed in the meantime, the process dials again.
         self.links.send(link, &self.notice());
     }
 
--- a/crates/leased/cloverfold_control/src/state/peer_store.rs
+++ b/crates/leased/cloverfold_control/src/state/peer_store.rs
@@ -1,6 +1,4 @@
-//! What this process remembers of entries and guards, and their invitations after a restart.
-//!
-//! Owns what was written last. Relies on `cloverfold_peer` for whom to invite, and on [`PeerFile`](crate::peer_file::PeerFile) to write.
+//! Persistence of the known entries and guards, and their invitations after a restart.
 
 use std::time::Duration;
 
@@ -11,10 +9,10 @@
 use super::ControlState;
 use crate::peer_file::PeerFile;
 
-/// How often what is remembered is compared with who is there, and written if it differs. Chosen, not measured.
+/// Interval at which changed peers are written to the file.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is remembered over a restart.
+/// The peers stored across restarts.
 #[derive(Debug)]
 pub(crate) struct PeerStore {
     file: PeerFile,
@@ -24,30 +22,30 @@
 }
 
 impl PeerStore {
-    /// Goes on from what was remembered at the start.
-    pub(crate) fn new(file: PeerFile, remembered: StoredPeers, now: Timestamp) -> Self {
+    /// Creates the store from the peers read at the start.
+    pub(crate) fn new(file: PeerFile, stored: StoredPeers, now: Timestamp) -> Self {
         Self {
             file,
-            invitations: Invitations::new(&remembered, now),
-            written: remembered,
+            invitations: Invitations::new(&stored, now),
+            written: stored,
             checked_at: now,
         }
     }
 
-    /// Returns what was remembered last.
-    pub(super) fn remembered(&self) -> &StoredPeers {
+    /// Returns the peers written last.
+    pub(super) fn stored(&self) -> &StoredPeers {
         &self.written
     }
 }
 
 impl ControlState {
-    /// Counts the remembered entries and guards as there for a while: the first directories name them.
+    /// Restores the stored entries and guards, so that the first directories include them.
     pub(super) fn restore_peers(&mut self, now: Timestamp) {
-        let remembered = self.peer_store.remembered().clone();
-        for entry in remembered.entries {
+        let stored = self.peer_store.stored().clone();
+        for entry in stored.entries {
             self.entries.restore(entry, now);
         }
-        for (guard, traits) in remembered.guards {
+        for (guard, traits) in stored.guards {
             self.guards.restore(guard, now);
             if let Some(service) = traits.service {
                 self.services.insert(guard, service);
@@ -58,7 +56,7 @@
         }
     }
 
-    /// Remembers the entries and guards that are there, if they have changed.
+    /// Writes the known entries and guards to the file, if they changed.
     pub(super) fn store_peers(&mut self, now: Timestamp) {
         if now < self.peer_store.checked_at + WRITE_INTERVAL {
             return;
@@ -74,7 +72,7 @@
         }
     }
 
-    /// Asks remembered processes that are not connected to dial this process and the voters.
+    /// Asks stored processes that are not connected to dial this process and the voters.
     pub(super) fn invite_stored_peers(&mut self, now: Timestamp) {
         let (entries, guards) = (&self.entries, &self.guards);
         let is_connected = |address| entries.is_connected(address) || guards.is_connected(address);
@@ -88,7 +86,7 @@
         for address in invited {
             let message = PeerMessage::DialControls(controls.clone());
             tokio::spawn(async move {
-                // Harmless if it fails: the process is invited again as long as it isn't connected.
+                // A failure is harmless, because the process is invited again until it is connected.
                 let _ = send_once(address, &message).await;
             });
         }
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -1,6 +1,4 @@
-//! Links to the other processes of the installation, and the messages that they bring.
-//!
-//! Relies on `PeerLinks` for who is at the other end of each link.
+//! Links to the other processes and dispatch of their messages.
 
 use cloverfold_configuration::Version;
 use cloverfold_consensus::{Member, ReplicaId};
@@ -11,7 +9,7 @@
 use super::ControlState;
 
 impl ControlState {
-    /// Handles an event of a link.
+    /// Handles a link event.
     pub(crate) fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
         match event {
             LinkEvent::Opened {
@@ -67,7 +65,7 @@
             PeerMessage::ToDispatcher(RunnerMessage::FreeCapacity(free)) => {
                 self.record_load(link, &free);
             }
-            // These are meant for entries and guards.
+            // These messages are addressed to entries and guards.
             PeerMessage::ToRunner(_)
             | PeerMessage::ToDispatcher(_)
             | PeerMessage::Configuration(_)
@@ -84,12 +82,12 @@
 
     fn send_configuration(&self, link: LinkId) {
         if let Some(message) = &self.shared_configuration {
-            // A process whose link is closed fetches from another one.
+            // A process whose link is closed fetches from another control process.
             self.links.send_shared(link, message);
         }
     }
 
-    /// Sends what has changed since the version that a process has, or the whole configuration.
+    /// Sends the delta from the version that a process has, or the whole configuration.
     fn send_change(&mut self, link: LinkId, known: Version) {
         match self.recent_configurations.delta_since(known) {
             Some(change) => {
@@ -133,7 +131,7 @@
         }
     }
 
-    /// Welcomes an entry or guard; one that did not count before changes the directories of others.
+    /// Initializes a newly connected entry or guard. One that was unknown before changes the directories of others.
     fn attached_connected(&mut self, link: LinkId, is_new: bool) {
         if is_new {
             self.directories.mark_outdated(self.clock.now());
@@ -164,7 +162,7 @@
         };
         match hello.role {
             PeerRole::Control { replica, .. } => {
-                // A newer link to the same replica may have taken its place.
+                // A newer link to the same replica may have replaced this one.
                 if self.replica_links.get(&replica) == Some(&link) {
                     self.replica_links.remove(&replica);
                     self.host.replica.remove_learner(replica);
@@ -182,7 +180,7 @@
         leader.filter(|&id| id != self.replica_id)
     }
 
-    /// Queues a message to another replica. Returns `false` if it isn't connected or its queue is full.
+    /// Queues a message to another replica. Returns `false` if the replica is not connected or its queue is full.
     pub(super) fn send_to_replica(&self, replica: ReplicaId, message: &PeerMessage) -> bool {
         let link = self.replica_links.get(&replica);
         link.is_some_and(|link| self.links.send(*link, message))
--- a/crates/leased/cloverfold_control/src/state/pending_reads.rs
+++ b/crates/leased/cloverfold_control/src/state/pending_reads.rs
@@ -1,6 +1,4 @@
-//! Reads that wait for the proof that they are the newest.
-//!
-//! Owns, for each read under way in this process, what waits for it: an operator's call here or another control process.
+//! Pending linearizable reads, for local operator calls and for other control processes.
 
 use std::collections::HashMap;
 
@@ -11,13 +9,13 @@
 /// A read for another control process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerRead {
-    /// The link to it.
+    /// The link to that process.
     pub(super) link: LinkId,
-    /// The token that it chose.
+    /// The token chosen by that process.
     pub(super) token: ReadToken,
 }
 
-/// The reads under way, by the token that this process chose.
+/// The pending reads, by the token chosen by this process.
 #[derive(Debug, Default)]
 pub(super) struct PendingReads {
     last_token: ReadToken,
@@ -26,7 +24,7 @@
 }
 
 impl PendingReads {
-    /// Adds a read of this process. The outcome is the index that must be applied before the answer, or `None` if the read failed.
+    /// Adds a local read. Its outcome is the index that must be applied before responding, or `None` if the read failed.
     pub(super) fn add_own(&mut self) -> (ReadToken, oneshot::Receiver<Option<LogIndex>>) {
         let (tx, rx) = oneshot::channel();
         let token = self.next_token();
@@ -41,16 +39,16 @@
         token
     }
 
-    /// Ends a read: passes its outcome to the waiting call of this process, or returns the control process that waits for it.
+    /// Completes a read: delivers its outcome to the local call, or returns the read of the other control process.
     pub(super) fn finish(&mut self, token: ReadToken, index: Option<LogIndex>) -> Option<PeerRead> {
         if let Some(waiting) = self.own.remove(&token) {
-            // An operator that gave up waiting needs no outcome.
+            // The call may have timed out and dropped the receiver.
             let _ = waiting.send(index);
         }
         self.for_peers.remove(&token)
     }
 
-    /// Draws a token, and forgets the reads whose operator gave up waiting.
+    /// Returns a new token, and drops the reads whose call has timed out.
     fn next_token(&mut self) -> ReadToken {
         self.last_token += 1;
         self.own.retain(|_, waiting| !waiting.is_closed());
--- a/crates/leased/cloverfold_control/src/state/proposals.rs
+++ b/crates/leased/cloverfold_control/src/state/proposals.rs
@@ -1,13 +1,8 @@
-//! Decision: what becomes of a proposed configuration on its way into the log.
+//! Submission of proposed configurations to the log.
 //!
-//! Rule: a process that doesn't lead passes a proposal to the leader. The leader appends it unless its version is not above the one in
-//! force, or the same version was appended and is not committed yet. Which version is then in force is decided where the entry is applied
-//! (`cloverfold_configuration::ProposalOutcome`).
-//!
-//! Inputs: the version proposed, the version in force here, the index at which the same version was appended, the committed index.
-//!
-//! Reason: the process that received a proposal submits it again every 250 ms until a version as high is committed; without the check each
-//! repetition would become an entry.
+//! A process that does not lead forwards a proposal to the leader. The leader appends it only if its version is above the one in force and
+//! not already appended and uncommitted, so that the retries every 250 ms do not become further entries. Applying the entry decides whether
+//! the proposal comes into force (`cloverfold_configuration::ProposalOutcome`).
 
 use cloverfold_configuration::Proposal;
 use cloverfold_peer::PeerMessage;
@@ -16,8 +11,8 @@
 use super::replicated::Command;
 
 impl ControlState {
-    /// Appends a proposal if this process leads, and passes it to the leader otherwise. Where neither is possible it is dropped;
-    /// the process that received it from the operator submits it again.
+    /// Appends a proposal if this process leads, otherwise forwards it to the leader. Drops it if neither is possible; the process that
+    /// received it from the operator resubmits it.
     pub(crate) fn submit_proposal(&mut self, proposal: &Proposal) {
         if self.host.is_leader() {
             self.append_proposal(proposal);
@@ -26,7 +21,7 @@
         }
     }
 
-    /// Appends a proposal that a peer passed on, if this process leads.
+    /// Appends a proposal forwarded by a peer, if this process leads.
     pub(super) fn receive_proposal(&mut self, proposal: &Proposal) {
         if self.host.is_leader() {
             self.append_proposal(proposal);
@@ -42,7 +37,7 @@
             return;
         }
         let Ok(command) = Command::Configuration(proposal.clone()).encode() else {
-            log::error!(version; "a proposal cannot be encoded");
+            log::error!(version; "cannot encode a proposal");
             return;
         };
         if let Ok(index) = self.host.replica.propose(command, self.clock.now()) {
--- a/crates/leased/cloverfold_control/src/state/reads.rs
+++ b/crates/leased/cloverfold_control/src/state/reads.rs
@@ -1,6 +1,6 @@
-//! Reads that prove that they are the newest, here or at the leader.
+//! Linearizable reads, performed locally or by the leader.
 //!
-//! The rule of the proof stands in `cloverfold_consensus`; this process only passes a read to the leader and waits.
+//! `cloverfold_consensus` implements the reads; a process that does not lead forwards them to the leader.
 
 use cloverfold_consensus::{LogIndex, ReadToken};
 use cloverfold_link::LinkId;
@@ -11,8 +11,7 @@
 use super::pending_reads::PeerRead;
 
 impl ControlState {
-    /// Begins to prove which entries are committed. The outcome is the index that must be applied before the answer, or `None` if the
-    /// proof failed and should be tried again.
+    /// Starts a read. Its outcome is the index that must be applied before responding, or `None` if the read failed and should be retried.
     pub(crate) fn begin_read(&mut self) -> oneshot::Receiver<Option<LogIndex>> {
         let (token, rx) = self.reads.add_own();
         match self.find_other_leader() {
@@ -29,16 +28,16 @@
         rx
     }
 
-    /// Begins a read for another control process.
+    /// Starts a read for another control process.
     pub(super) fn begin_peer_read(&mut self, link: LinkId, token: ReadToken) {
         let own = self.reads.add_for_peer(PeerRead { link, token });
         self.host.replica.begin_read(own, self.clock.now());
     }
 
-    /// Passes the outcome of a read to the call or the control process that waits for it.
+    /// Delivers the outcome of a read to the local call or the control process that waits for it.
     pub(super) fn finish_read(&mut self, token: ReadToken, index: Option<LogIndex>) {
         if let Some(PeerRead { link, token }) = self.reads.finish(token, index) {
-            // A peer whose link is closed asks again.
+            // A peer whose link is closed retries the read.
             self.links
                 .send(link, &PeerMessage::ReadReply { token, index });
         }
--- a/crates/leased/cloverfold_control/src/state/replicated.rs
+++ b/crates/leased/cloverfold_control/src/state/replicated.rs
@@ -1,13 +1,12 @@
-//! What the control processes replicate, and the commands that change it.
+//! The replicated state of the control processes and the commands that change it.
 //!
-//! [`ReplicatedState`] is the state after all applied entries of the log: the configuration and the evacuations, each with its audit
-//! trail, the waves of upkeep, and the groups that keep jobs. [`Command`] is what an entry holds. Both are stored so that older builds
-//! read what they know:
+//! [`ReplicatedState`] is the state after all applied log entries, and [`Command`] is the content of an entry. Both encodings stay
+//! compatible with older builds:
 //!
-//! - a proposal of a configuration is stored as it always was; any other command begins with [`COMMAND_MARKER`], which no proposal
-//!   begins with and no older build can decode;
-//! - a state is that of the configuration, followed by that of the evacuations once there was an order, and by [`StateExtension`] once
-//!   there is any of it. Builds before either pass over what follows what they know.
+//! - A proposed configuration keeps its original encoding. Any other command starts with [`COMMAND_MARKER`], which no proposal starts with
+//!   and no older build can decode.
+//! - The state consists of the configuration, followed by the evacuations once there was an order, and by a [`StateExtension`] unless that
+//!   is empty. Older builds ignore trailing bytes.
 
 use cloverfold_configuration::{ConfigurationState, Proposal};
 use cloverfold_evacuation::{EvacuationOrder, EvacuationState};
@@ -16,24 +15,24 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Begins every command but a proposal of a configuration. A proposal begins with its version as a variable-length integer, and ten
-/// bytes of ones are none.
+/// Prefix of every command except a proposed configuration. A proposal starts with its version as a variable-length integer, which cannot
+/// consist of ten `0xff` bytes.
 const COMMAND_MARKER: [u8; 10] = [0xff; 10];
 
-/// What an entry of the log changes.
+/// A command in a log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// A configuration.
+    /// Proposes a configuration.
     Configuration(Proposal),
-    /// The evacuation of a data hall, or its end.
+    /// Starts or ends the evacuation of a data hall.
     Evacuation(EvacuationOrder),
-    /// A change of the waves of upkeep.
+    /// Changes the waves of upkeep.
     Upkeep(UpkeepCommand),
-    /// The groups that keep jobs; only the first one counts.
+    /// Defines the groups that keep jobs; only the first such command counts.
     JobGroups(JobGroups),
 }
 
-/// The commands behind the mark. The order of the variants is the format on disk.
+/// The commands that follow the marker. The order of the variants is the format on disk.
 #[derive(Serialize, Deserialize)]
 enum MarkedCommand {
     Evacuation(EvacuationOrder),
@@ -61,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the decoder's error if the bytes are no command.
+    /// Returns the decoder's error if the bytes are not a valid command.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         let Some(marked) = bytes.strip_prefix(&COMMAND_MARKER) else {
             return postcard::from_bytes(bytes).map(Self::Configuration);
@@ -74,7 +73,7 @@
     }
 }
 
-/// What builds before kept jobs and upkeep do not know of the state. The order of the fields is the format on disk.
+/// The part of the state that was added with upkeep and kept jobs. The order of the fields is the format on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct StateExtension {
     upkeep: UpkeepState,
@@ -90,16 +89,16 @@
     pub evacuations: EvacuationState,
     /// The waves of upkeep.
     pub upkeep: UpkeepState,
-    /// The groups that keep jobs; `None` until they are agreed on.
+    /// The groups that keep jobs; `None` until they are defined.
     pub job_groups: Option<JobGroups>,
 }
 
 impl ReplicatedState {
-    /// Decodes a state; no bytes at all are the state of a new installation.
+    /// Decodes a state. Empty input yields the state of a new installation.
     ///
     /// # Errors
     ///
-    /// Returns the decoder's error if the bytes are no state.
+    /// Returns the decoder's error if the bytes are not a valid state.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         if bytes.is_empty() {
             return Ok(Self::default());
@@ -119,7 +118,7 @@
     ///
     /// # Panics
     ///
-    /// Never: every state can be encoded.
+    /// Does not panic in practice, since every state can be encoded.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.configuration.encode();
         let later = StateExtension {
@@ -130,13 +129,13 @@
             bytes.extend(self.evacuations.encode());
             return bytes;
         }
-        // What follows them can be found only if the evacuations take bytes, also before the first order.
+        // The extension can be located only if the evacuations are encoded, even before the first order.
         let state = (&self.evacuations, later);
         postcard::to_extend(&state, bytes).expect("a state in memory can be encoded")
     }
 }
 
-/// Takes a part of a state off its bytes; no bytes are a part that there is nothing of yet.
+/// Decodes the next part of a state and returns the remaining bytes. Empty input yields the default value.
 fn take_or_default<T: Default + DeserializeOwned>(
     bytes: &[u8],
 ) -> Result<(T, &[u8]), postcard::Error> {
--- a/crates/leased/cloverfold_control/src/state/status.rs
+++ b/crates/leased/cloverfold_control/src/state/status.rs
@@ -1,7 +1,4 @@
-//! The status of a control process for operators, and whether it is in contact with a majority.
-//!
-//! Owns no state: everything is read off [`ControlState`] when it is asked for. Relies on the replica for the group and its members, on the
-//! links for the connected processes and the versions that they have announced.
+//! The status of a control process for operators.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,19 +10,19 @@
 
 use super::ControlState;
 
-/// Without contact with its group for this long, a process may not know the newest version. Chosen, not measured: ten heartbeats of a
-/// leader, and more than the longest election timeout.
-const QUORUM_CONTACT_SPAN: Duration = Duration::from_millis(800);
+/// Time without quorum contact after which a process may not know the newest version: ten heartbeats of a leader, and more than the longest
+/// election timeout.
+const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl ControlState {
-    /// Returns whether this process is in contact with a majority of its group, so that it learns of every new version at once.
+    /// Returns whether this process has quorum contact, so that it learns of every new version without delay.
     pub(crate) fn has_quorum(&self) -> bool {
         self.host
             .replica
-            .has_quorum_contact(QUORUM_CONTACT_SPAN, self.clock.now())
+            .has_quorum_contact(QUORUM_CONTACT_TIMEOUT, self.clock.now())
     }
 
-    /// Describes the replica, the group and the connected processes. The keys never change; `is_fresh` stands for contact with a majority.
+    /// Describes the replica, the group and the connected processes. The keys are stable; `is_fresh` reports quorum contact.
     pub(crate) fn describe(&self) -> Value {
         let status = self.host.replica.status();
         let voters = status.members.voters.iter();
@@ -45,14 +42,14 @@
             "version": self.current_version(),
             "processes": self.describe_processes(),
         });
-        // Absent before the first order, as in the status of builds that know none.
+        // Absent before the first order, as in older builds without evacuations.
         if self.evacuations().revision() > 0 {
             described["evacuations"] = self.describe_evacuations();
         }
         described
     }
 
-    /// Describes the evacuations in force: the data hall, who received the order, when, and where it stands in the log.
+    /// Describes the evacuations in force: the data hall, the process that received the order, the time, and the log index.
     pub(crate) fn describe_evacuations(&self) -> Value {
         let in_force = self.evacuations().in_force().iter();
         let halls: Vec<_> = in_force
@@ -68,7 +65,7 @@
         json!({ "revision": self.evacuations().revision(), "halls": halls })
     }
 
-    /// Describes the connected processes, each once, with the version in force there.
+    /// Describes each connected process once, with the version in force there.
     fn describe_processes(&self) -> Vec<Value> {
         let peers = self.links.identified();
         let by_name: BTreeMap<&str, (LinkId, &Hello)> = peers
@@ -80,7 +77,7 @@
             .collect()
     }
 
-    /// Describes a process; an entry or guard also by the revision of the evacuations that it knows, once there was an order.
+    /// Describes a process. For an entry or guard, includes the known revision of the evacuations once there was an order.
     fn describe_process(&self, link: LinkId, hello: &Hello) -> Value {
         let mut described = describe_hello(hello);
         let is_attached = matches!(hello.role, PeerRole::Entry | PeerRole::Guard);
@@ -105,7 +102,7 @@
     })
 }
 
-/// Writes the identity of a replica as log lines and answers show it.
+/// Formats the identity of a replica for log lines and responses.
 pub(crate) fn format_id(id: ReplicaId) -> String {
     format!("{id:016x}")
 }
