--- a/crates/leased/cloverfold_control/src/state/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep.rs
@@ -1,13 +1,11 @@
-//! Waves of upkeep: their orders on the way into the log, and the holder while this process leads.
+//! Waves of upkeep: submission of orders to the log, and the scheduler while this process leads.
 //!
-//! Decision: what becomes of an order before the log. Rule: a process that doesn't lead passes it to the leader. The leader appends it
-//! unless its number is known or stands in the log already, or a connected control process is of a build that cannot apply it: that
-//! one's state would differ for good. What an applied order changes is decided by `cloverfold_upkeep`.
+//! A process that does not lead forwards an order to the leader. The leader appends it unless its number is known or already in the log, or
+//! a connected control process runs an older build that cannot apply it, whose state would diverge permanently. `cloverfold_upkeep`
+//! implements the effect of an order.
 //!
-//! Decision: who holds the upkeep. Rule: the leader of the log from a proof in its term on, until it sees another term or role; the
-//! term is the fencing token. Reason: every announced call of an earlier holder is applied by then, and no two leaders share a term.
-//!
-//! Owns, in [`UpkeepRuntime`], the holder and what is counted for the metrics.
+//! The leader runs the scheduler from a read barrier in its term on until its term or role changes. By then it has applied every call that
+//! an earlier leader announced. The term is the fencing token, since no two leaders share one.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -27,27 +25,27 @@
 use super::uncommitted::UncommittedEntries;
 use super::upkeep_targets::KnownTarget;
 
-/// What a process does for waves of upkeep.
+/// The state for waves of upkeep that is not replicated.
 #[derive(Debug, Default)]
 pub(super) struct UpkeepRuntime {
     uncommitted: UncommittedEntries<WaveNumber>,
-    /// The holder, and the term that it holds in.
-    holder: Option<(Term, UpkeepScheduler)>,
-    /// The guards' targets, by the guard's address.
+    /// The running scheduler and its term.
+    scheduler: Option<(Term, UpkeepScheduler)>,
+    /// The targets of guards, by the guard's address.
     pub(super) targets: HashMap<SocketAddr, KnownTarget>,
     /// The waves that were logged as late.
     late: BTreeSet<WaveNumber>,
-    /// How many calls and readings have ended how, by the name of the outcome.
+    /// Number of calls and list readings, by outcome.
     outcomes: BTreeMap<&'static str, u64>,
 }
 
 impl ControlState {
-    /// Returns the waves as they are known here.
+    /// Returns the waves as known locally.
     pub(crate) fn upkeep(&self) -> &UpkeepState {
         &self.state.upkeep
     }
 
-    /// Makes an order of an operator's call.
+    /// Creates an order for an operator's call.
     pub(crate) fn create_wave_order(&self, request: WaveRequest) -> WaveOrder {
         WaveOrder {
             wave: request.wave,
@@ -59,8 +57,8 @@
         }
     }
 
-    /// Appends an order of a wave if this process leads, and passes it to the leader otherwise. Where neither is possible it is dropped;
-    /// the process that received it submits it again.
+    /// Appends an order of a wave if this process leads, otherwise forwards it to the leader. Drops it if neither is possible; the process
+    /// that received it resubmits it.
     pub(crate) fn submit_wave(&mut self, order: &WaveOrder) {
         if self.host.replica.status().role == Role::Leader {
             self.append_wave(order);
@@ -79,7 +77,7 @@
         }
     }
 
-    /// Appends an order that a peer passed on, if this process leads. Other commands come from the holder alone.
+    /// Appends an order forwarded by a peer, if this process leads. Other commands come only from the scheduler.
     pub(super) fn receive_upkeep_command(&mut self, command: &UpkeepCommand) {
         if let UpkeepCommand::Order(order) = command
             && self.host.replica.status().role == Role::Leader
@@ -99,7 +97,7 @@
             return;
         }
         if let Some(name) = self.find_incompatible_control(Hello::supports_kept_jobs) {
-            log::warn!(wave = order.wave, process = name; "no wave is possible: a control process is of an older build");
+            log::warn!(wave = order.wave, process = name; "cannot accept a wave of upkeep: a control process runs an older build");
             return;
         }
         if let Some(index) = self.append_upkeep(UpkeepCommand::Order(order.clone())) {
@@ -112,62 +110,62 @@
 
     fn append_upkeep(&mut self, command: UpkeepCommand) -> Option<LogIndex> {
         let Ok(command) = Command::Upkeep(command).encode() else {
-            log::error!("a command of upkeep cannot be encoded");
+            log::error!("cannot encode an upkeep command");
             return None;
         };
         self.host.replica.propose(command, self.clock.now()).ok()
     }
 
-    /// Applies a command that is committed.
+    /// Applies a committed command.
     pub(super) fn apply_upkeep(&mut self, command: UpkeepCommand, index: LogIndex) {
         let described = describe_command(&command);
         let is_change = self.state.upkeep.apply(command, index);
         if let Some((key, step)) = described {
             let (wave, name) = (key.0, key.1.as_str());
             if is_change {
-                log::info!(wave, name, step, index; "the upkeep of a box goes on");
+                log::info!(wave, name, step, index; "the upkeep of a box changed its phase");
             }
-            if let Some((_, holder)) = &mut self.upkeep_runtime.holder {
-                holder.record_applied(&key);
+            if let Some((_, scheduler)) = &mut self.upkeep_runtime.scheduler {
+                scheduler.record_applied(&key);
             }
         } else if let Some(record) = self.upkeep().audit().last() {
             log::info!(
                 wave = record.wave, outcome = record.outcome.as_str(), boxes = record.boxes, index,
                 source = record.source.as_str();
-                "a wave of upkeep is decided on"
+                "applied an order of a wave of upkeep"
             );
         }
     }
 
-    /// Returns the term that this process leads in; `None` if it doesn't lead.
+    /// Returns the term in which this process leads; `None` if it does not lead.
     pub(crate) fn leading_term(&self) -> Option<Term> {
         let status = self.host.replica.status();
         (status.role == Role::Leader).then_some(status.term)
     }
 
-    /// Returns whether any wave is not over here.
+    /// Returns whether any wave is open according to the local state.
     pub(crate) fn has_open_wave(&self) -> bool {
         self.upkeep().open_waves().next().is_some()
     }
 
-    /// Returns whether this process holds the upkeep in a term; a holder of another term ends.
-    pub(crate) fn holds_upkeep(&mut self, term: Option<Term>) -> bool {
-        let holder = &mut self.upkeep_runtime.holder;
-        if let Some((ended, _)) = holder.take_if(|(held, _)| Some(*held) != term) {
-            log::info!(term = ended; "this process holds the upkeep no longer");
+    /// Stops a scheduler of any other term; returns whether a scheduler of this term is running.
+    pub(crate) fn runs_upkeep_scheduler(&mut self, term: Option<Term>) -> bool {
+        let scheduler = &mut self.upkeep_runtime.scheduler;
+        if let Some((ended, _)) = scheduler.take_if(|(running, _)| Some(*running) != term) {
+            log::info!(term = ended; "stopped the upkeep scheduler");
         }
-        holder.is_some()
+        scheduler.is_some()
     }
 
-    /// Begins to hold the upkeep in a term.
-    pub(crate) fn hold_upkeep(&mut self, term: Term, timings: SchedulerTimings) {
-        let holder = UpkeepScheduler::new(timings, self.upkeep(), self.clock.now());
-        self.upkeep_runtime.holder = Some((term, holder));
-        log::info!(term; "this process holds the upkeep");
+    /// Starts the scheduler for a term.
+    pub(crate) fn start_upkeep_scheduler(&mut self, term: Term, timings: SchedulerTimings) {
+        let scheduler = UpkeepScheduler::new(timings, self.upkeep(), self.clock.now());
+        self.upkeep_runtime.scheduler = Some((term, scheduler));
+        log::info!(term; "started the upkeep scheduler");
     }
 
-    /// Carries out what the holder wants of the log and of guards; returns what it wants of the platform.
-    pub(crate) fn take_upkeep_steps(&mut self) -> Vec<SchedulerAction> {
+    /// Performs the scheduler's actions on the log and on guards; returns those on the platform.
+    pub(crate) fn take_upkeep_actions(&mut self) -> Vec<SchedulerAction> {
         let evacuated = self.evacuations().halls().halls;
         let loads = self.list_loads();
         let moment = SchedulerInput {
@@ -176,47 +174,47 @@
             evacuated: &evacuated,
             loads: &loads,
         };
-        let Some((_, holder)) = &mut self.upkeep_runtime.holder else {
+        let Some((_, scheduler)) = &mut self.upkeep_runtime.scheduler else {
             return Vec::new();
         };
-        let steps = holder.next_actions(&self.state.upkeep, &moment);
+        let actions = scheduler.next_actions(&self.state.upkeep, &moment);
         self.log_late_waves();
         let mut calls = Vec::new();
-        for step in steps {
-            match step {
+        for action in actions {
+            match action {
                 SchedulerAction::BoxChosen((wave, name)) => {
-                    log::info!(wave, name = name.as_str(); "a box is next and is emptied");
+                    log::info!(wave, name = name.as_str(); "selected the next box for upkeep; emptying it");
                 }
                 SchedulerAction::Propose(command) => {
                     log_emptied(&command);
-                    // One that is not appended is proposed again.
+                    // The scheduler proposes the command again if it was not appended.
                     let _ = self.append_upkeep(command);
                 }
                 SchedulerAction::HoldTarget(target) => {
                     self.send_hold(&target, TARGET_HOLD_DURATION);
                 }
                 SchedulerAction::QueryLoad(target) => self.send_hold(&target, Duration::ZERO),
-                SchedulerAction::Call(_) | SchedulerAction::ReadList => calls.push(step),
+                SchedulerAction::Call(_) | SchedulerAction::ReadList => calls.push(action),
             }
         }
         self.advance();
         calls
     }
 
-    /// Records the outcome of a call for the upkeep of a box.
+    /// Records the outcome of an upkeep call for a box.
     pub(crate) fn upkeep_call_ended(&mut self, term: Term, key: &WaveBox, outcome: CallOutcome) {
         self.count_upkeep(outcome.as_str());
         let (wave, name) = (key.0, key.1.as_str());
-        log::info!(wave, name, outcome = outcome.as_str(), term; "a call for upkeep has ended");
+        log::info!(wave, name, outcome = outcome.as_str(), term; "upkeep call ended");
         let now = self.clock.now();
-        if let Some((held, holder)) = &mut self.upkeep_runtime.holder
+        if let Some((held, scheduler)) = &mut self.upkeep_runtime.scheduler
             && *held == term
         {
-            holder.record_call_outcome(key, outcome, now, random_u64());
+            scheduler.record_call_outcome(key, outcome, now, random_u64());
         }
     }
 
-    /// Records a complete reading of the list that began at a time, or that it failed.
+    /// Records a complete list of boxes whose reading started at `began_at`, or `None` if the reading failed.
     pub(crate) fn boxes_read(
         &mut self,
         term: Term,
@@ -224,58 +222,58 @@
         began_at: cloverfold_base::Timestamp,
     ) {
         let now = self.clock.now();
-        let Some((held, holder)) = &mut self.upkeep_runtime.holder else {
+        let Some((held, scheduler)) = &mut self.upkeep_runtime.scheduler else {
             return;
         };
         if *held != term {
             return;
         }
         match boxes {
-            Some(boxes) => holder.record_list(&self.state.upkeep, boxes, began_at),
-            None => holder.record_list_failure(now, random_u64()),
+            Some(boxes) => scheduler.record_list(&self.state.upkeep, boxes, began_at),
+            None => scheduler.record_list_failure(now, random_u64()),
         }
     }
 
-    /// Counts an outcome of a call or reading.
+    /// Counts the outcome of a call or list reading.
     pub(crate) fn count_upkeep(&mut self, outcome: &'static str) {
         *self.upkeep_runtime.outcomes.entry(outcome).or_default() += 1;
     }
 
-    /// Returns how many calls and readings have ended how since the start.
+    /// Returns the number of calls and list readings since the start, by outcome.
     pub(crate) fn upkeep_outcomes(&self) -> &BTreeMap<&'static str, u64> {
         &self.upkeep_runtime.outcomes
     }
 
-    /// Returns how the holder sees an open wave; `None` if this process doesn't hold the upkeep.
-    pub(crate) fn outlook(&self, wave: WaveNumber) -> Option<&WaveStatus> {
-        let (_, holder) = self.upkeep_runtime.holder.as_ref()?;
-        holder.wave_statuses().get(&wave)
+    /// Returns the scheduler's status of an open wave; `None` if this process does not run the scheduler.
+    pub(crate) fn wave_status(&self, wave: WaveNumber) -> Option<&WaveStatus> {
+        let (_, scheduler) = self.upkeep_runtime.scheduler.as_ref()?;
+        scheduler.wave_statuses().get(&wave)
     }
 
-    /// Logs once of each wave that it is expected to miss its time.
+    /// Logs each wave once that is expected to miss its deadline.
     fn log_late_waves(&mut self) {
-        let Some((_, holder)) = &self.upkeep_runtime.holder else {
+        let Some((_, scheduler)) = &self.upkeep_runtime.scheduler else {
             return;
         };
-        for (wave, outlook) in holder.wave_statuses() {
-            if let Some(late_by) = outlook.late_by.filter(|_| outlook.waiting > 0)
+        for (wave, status) in scheduler.wave_statuses() {
+            if let Some(late_by) = status.late_by.filter(|_| status.waiting > 0)
                 && self.upkeep_runtime.late.insert(*wave)
             {
                 let late_ms = late_by.as_millis() as u64;
-                log::warn!(wave = *wave, late_ms, waiting = outlook.waiting; "a wave of upkeep will be late");
+                log::warn!(wave = *wave, late_ms, waiting = status.waiting; "a wave of upkeep is expected to miss its deadline");
             }
         }
     }
 }
 
-/// Logs that a box is empty, or was held for long enough, when its call is about to be announced.
+/// Logs that a box is empty, or was held for long enough, before its call is announced.
 fn log_emptied(command: &UpkeepCommand) {
     if let UpkeepCommand::Call { wave, name } = command {
-        log::info!(wave = *wave, name = name.as_str(); "a box is emptied");
+        log::info!(wave = *wave, name = name.as_str(); "finished emptying a box");
     }
 }
 
-/// Returns the box that a command is about, and the name of what it changes; `None` of an order.
+/// Returns the box that a command concerns and the name of its new phase; `None` for an order.
 fn describe_command(command: &UpkeepCommand) -> Option<(WaveBox, &'static str)> {
     match command {
         UpkeepCommand::Order(_) => None,
--- a/crates/leased/cloverfold_control/src/state/upkeep_targets.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep_targets.rs
@@ -1,6 +1,6 @@
-//! The guards' targets: what the holder of the upkeep tells their guards, and what they tell of the load.
+//! The targets of guards as the upkeep scheduler sees them: their load, and holds sent to their guards.
 //!
-//! Relies on the links of the state, and on guards to answer each word with what is free at their targets.
+//! A guard replies to every hold message with the free capacity of its target.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 
 use super::ControlState;
 
-/// A guard's target as this process knows it.
+/// A guard's target as known to this process.
 #[derive(Debug)]
 pub(super) struct KnownTarget {
     incarnation: String,
     capacity: Resources,
-    /// What was free there when its guard told it last.
+    /// The last reported load.
     load: Option<TargetLoad>,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl ControlState {
-    /// Records what is free at a guard's target.
+    /// Records the free capacity of a guard's target.
     pub(super) fn record_load(&mut self, link: LinkId, free: &FreeCapacity) {
         let at = self.clock.now();
         let Some(hello) = self.links.hello(link) else {
@@ -53,7 +53,8 @@
         loads.collect()
     }
 
-    /// Tells the guard of a target to offer it to nobody for a span, none at all ends that; it answers with what is free there.
+    /// Asks the guard of a target to withhold it from entries for `span`; a zero `span` ends the hold. The guard replies with the free
+    /// capacity of the target.
     pub(super) fn send_hold(&self, incarnation: &str, span: Duration) {
         let mut targets = self.upkeep_runtime.targets.iter();
         let guard = targets.find(|(_, target)| target.incarnation == incarnation);
--- a/crates/leased/cloverfold_control/src/upkeep_caller.rs
+++ b/crates/leased/cloverfold_control/src/upkeep_caller.rs
@@ -1,11 +1,11 @@
-//! The calls to the platform while this process holds the upkeep.
+//! Calls to the platform while this process runs the upkeep scheduler.
 //!
-//! Decision: whether a call may go out. Rule: this process has proved just before, and not longer than [`MAX_CONFIRMATION_AGE`] ago, that it
-//! leads in the term whose holder wants the call. Inputs: a read proof of the log, the term, the clock of the process. Reason: a leader that
-//! was deposed, cut off or frozen must not call while its successor does; together with [`CALL_TIMEOUT`] the age bounds how long after an
-//! election the last call of an earlier leader can go out, and a new holder waits that long ([`holder_timings`]).
+//! Before every call, this process confirms with a linearizable read that it still leads in the scheduler's term, and makes the call only
+//! if the read took at most [`MAX_CONFIRMATION_AGE`]. A leader that was deposed, partitioned or suspended must not make calls while its
+//! successor does. Together with [`CALL_TIMEOUT`] this bounds how long after an election a call of an earlier leader can still be in
+//! flight; a new scheduler waits that long ([`scheduler_timings`]).
 //!
-//! Without an open wave nothing here wakes up but for entries of the log, and nothing is called or read. Owns no state.
+//! Without an open wave the task wakes up only for new log entries and makes no calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 use crate::operators::OperatorInterface;
 use crate::state::ControlState;
 
-/// How often the holder looks what is due while a wave is open. Chosen, not measured.
-const STEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest age of a proof that a call rests on. Chosen, not measured.
+/// Interval at which the scheduler runs while a wave is open.
+const SCHEDULER_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum age of the leadership confirmation before a call.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(500);
-/// Longest wait for the answer to a call or a page, the time to connect included. Chosen, not measured.
+/// Timeout of a call or of reading a page, including the time to connect.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Most pages of one reading. Guards against a list that never ends. Chosen, not measured.
+/// Maximum number of pages in one reading; guards against a list that never ends.
 const MAX_PAGES: usize = 2_000;
 
-/// Makes the calls of the holder.
+/// Makes the scheduler's calls to the platform.
 pub(crate) struct UpkeepCaller {
     state: Shared<ControlState>,
     interface: Arc<dyn OperatorInterface>,
@@ -53,45 +53,45 @@
         }
     }
 
-    /// Does what the holder wants for as long as the process runs.
+    /// Runs the scheduler while a wave is open, as long as the process runs.
     pub(crate) async fn run(self) {
         let caller = Arc::new(self);
         let mut applied = caller.state.lock().follow_applied();
         loop {
             if caller.state.lock().has_open_wave() {
-                caller.take_steps().await;
-                sleep(STEP_INTERVAL).await;
+                caller.run_scheduler().await;
+                sleep(SCHEDULER_INTERVAL).await;
             } else {
-                // This fails only without a sender, and the state owns it.
+                // Fails only without a sender, which the state owns.
                 let _ = applied.changed().await;
             }
         }
     }
 
-    async fn take_steps(self: &Arc<Self>) {
+    async fn run_scheduler(self: &Arc<Self>) {
         let term = self.state.lock().leading_term();
-        let is_holder = self.state.lock().holds_upkeep(term);
+        let is_scheduling = self.state.lock().runs_upkeep_scheduler(term);
         let Some(term) = term else {
             return;
         };
-        if !is_holder {
+        if !is_scheduling {
             if self.confirm_leadership(term).await {
-                let timings = holder_timings(&self.settings);
-                self.state.lock().hold_upkeep(term, timings);
+                let timings = scheduler_timings(&self.settings);
+                self.state.lock().start_upkeep_scheduler(term, timings);
             }
             return;
         }
-        let steps = self.state.lock().take_upkeep_steps();
-        for step in steps {
+        let actions = self.state.lock().take_upkeep_actions();
+        for action in actions {
             let caller = self.clone();
-            match step {
+            match action {
                 SchedulerAction::Call(key) => {
                     tokio::spawn(async move { caller.call(term, &key).await });
                 }
                 SchedulerAction::ReadList => {
                     tokio::spawn(async move { caller.read_boxes(term).await });
                 }
-                // The state has carried these out.
+                // The state has already performed these.
                 SchedulerAction::Propose(_)
                 | SchedulerAction::HoldTarget(_)
                 | SchedulerAction::QueryLoad(_)
@@ -100,11 +100,11 @@
         }
     }
 
-    /// Returns whether this process has just proved that it leads in a term, with all before it applied.
+    /// Confirms with a linearizable read that this process leads in a term and has applied all entries committed before.
     async fn confirm_leadership(&self, term: Term) -> bool {
         let began = self.state.lock().now();
-        let proof = self.state.lock().begin_read();
-        let Ok(Ok(Some(index))) = timeout(MAX_CONFIRMATION_AGE, proof).await else {
+        let read = self.state.lock().begin_read();
+        let Ok(Ok(Some(index))) = timeout(MAX_CONFIRMATION_AGE, read).await else {
             return false;
         };
         let mut applied = self.state.lock().follow_applied();
@@ -140,17 +140,17 @@
         let mut state = self.state.lock();
         state.count_upkeep(reading_outcome(&boxes));
         if let Err(cause) = &boxes {
-            log::warn!(cause = cause.to_string().as_str(); "the list of boxes cannot be read");
+            log::warn!(cause = cause.to_string().as_str(); "cannot read the list of boxes");
         }
         state.boxes_read(term, boxes.ok(), began_at);
     }
 }
 
-/// Reads the whole list, page after page, at half of the platform's rate.
+/// Reads all pages of the list at half of the platform's rate limit.
 ///
 /// # Errors
 ///
-/// Returns why a page cannot be read, also if there are too many.
+/// Returns an error if a page cannot be read or there are too many pages.
 pub(crate) async fn read_list(
     interface: &dyn OperatorInterface,
     settings: &UpkeepSettings,
@@ -171,8 +171,8 @@
     Err(ListError::Failed("the list does not end".into()))
 }
 
-/// Returns the spans that a holder keeps under these settings.
-fn holder_timings(settings: &UpkeepSettings) -> SchedulerTimings {
+/// Derives the scheduler's timings from the settings.
+fn scheduler_timings(settings: &UpkeepSettings) -> SchedulerTimings {
     SchedulerTimings {
         maintenance: settings.maintenance_duration(),
         takeover_delay: settings.takeover_delay() + MAX_CONFIRMATION_AGE + CALL_TIMEOUT,
