--- a/crates/leased/cloverfold_lease/tests/timings.rs
+++ b/crates/leased/cloverfold_lease/tests/timings.rs
@@ -1,4 +1,4 @@
-//! The inequality that keeps two runs of a task apart.
+//! The inequality that prevents overlapping runs of a task.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn runs_are_over_before_a_caller_sends_again_by_default() {
+fn by_default_runs_end_before_a_caller_resubmits() {
     let timings = Timings::default();
 
     assert_eq!(timings.run_end_bound().as_millis(), 1_213);
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_session_that_is_too_long_breaks_the_inequality() {
-    // 586 ms + 650 ms / 0.98 + 50 ms is 1,299.3 ms; one more is too long.
+    // 586 ms + 650 ms / 0.98 + 50 ms = 1,299.3 ms, just below the resend interval.
     let longest = Duration::from_millis(586);
     let longer = Duration::from_millis(587);
 
@@ -29,9 +29,9 @@
     assert!(!longer.is_resend_safe(DEFAULT_RESEND_INTERVAL));
 }
 
-// Requests that had waited for 300 ms were refused although jobs as old went on.
+// Guards against refusing requests that are no older than jobs that continue.
 #[test]
-fn a_request_outlives_the_stalls_that_open_jobs_outlive() {
+fn requests_and_open_jobs_survive_the_same_stalls() {
     let last_tick_at = Timestamp::from_start(Duration::from_secs(1));
     let longest = last_tick_at + JOB_STALL_LIMIT;
 
@@ -42,6 +42,6 @@
     ));
     assert!(
         JOB_STALL_LIMIT < DEFAULT_RESEND_INTERVAL,
-        "callers ask elsewhere later"
+        "callers resubmit after the limit"
     );
 }
