--- a/crates/leased/cloverfold_control/src/job_counts.rs
+++ b/crates/leased/cloverfold_control/src/job_counts.rs
@@ -1,4 +1,4 @@
-//! What became of the commands of a group's log, and which calls were refused.
+//! Counters of command outcomes and refused calls of a job group.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
     CallRefusal, CancelOutcome, CommandOutcome, EndDecision, SubmitOutcome,
 };
 
-/// Counts since the start of the process, by what became of what.
+/// Counts since the start of the process, by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct JobCounts {
     counts: BTreeMap<&'static str, u64>,
 }
 
 impl JobCounts {
-    /// Counts what became of a command.
+    /// Counts the outcome of a command.
     pub(crate) fn record(&mut self, outcome: &CommandOutcome) {
         match outcome {
-            CommandOutcome::Submit(outcome) => self.count(name_submission(*outcome), 1),
+            CommandOutcome::Submit(outcome) => self.count(submit_outcome_name(*outcome), 1),
             CommandOutcome::Ends(decisions) => {
                 for decision in decisions {
-                    self.count(name_end(*decision), 1);
+                    self.count(end_decision_name(*decision), 1);
                 }
             }
             CommandOutcome::Cancel(CancelOutcome::Cancelled) => self.count("Cancelled", 1),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Counts a call that was refused.
+    /// Counts a refused call.
     pub(crate) fn record_refusal(&mut self, refusal: CallRefusal) {
         self.count(refusal.as_str(), 1);
     }
@@ -52,7 +52,7 @@
     }
 }
 
-fn name_submission(outcome: SubmitOutcome) -> &'static str {
+fn submit_outcome_name(outcome: SubmitOutcome) -> &'static str {
     match outcome {
         SubmitOutcome::Accepted(_) => "Accepted",
         SubmitOutcome::Known => "Known",
@@ -61,7 +61,7 @@
     }
 }
 
-fn name_end(decision: EndDecision) -> &'static str {
+fn end_decision_name(decision: EndDecision) -> &'static str {
     match decision {
         EndDecision::Recorded => "EndRecorded",
         EndDecision::JobOver => "EndOfJobThatIsOver",
--- a/crates/leased/cloverfold_control/src/job_groups/calls.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/calls.rs
@@ -1,17 +1,14 @@
-//! Decision: what becomes of a call that has reached the leader.
+//! Handling of calls on the leader of a group.
 //!
-//! | call | refused | answered |
+//! | call | refused if | replied to |
 //! |---|---|---|
-//! | `Submit` | no contact with a majority, its disk or those of the majority are stuck, too many wait | after the commit |
-//! | `RecordEnds`, `Cancel` | no contact with a majority, too many wait | after the commit |
-//! | `Show`, `Renew` | too many wait; the proof fails | with a proof that this replica leads |
-//! | `CountPending`, `Release` | never | at once |
+//! | `Submit` | no quorum contact, stuck disks here or on a majority, full queue | after commit |
+//! | `RecordEnds`, `Cancel` | no quorum contact, full queue | after commit |
+//! | `Show`, `Renew` | full queue, leadership not confirmed | after a read barrier |
+//! | `CountPending`, `Release` | never | immediately |
 //!
-//! Inputs: the call, the contact with the majority, the ages of the oldest write that is not synced and of the entry that is not
-//! committed, how many calls wait.
-//!
-//! Reason: a refusal says that a call had no effect and never will; whatever was appended may be committed later and is therefore
-//! never refused. A disk that hangs must not gather new jobs, while what is known of accepted ones is still recorded by the others.
+//! A refusal guarantees that a call has no effect, now or later. A command that was appended may still be committed and is therefore never
+//! refused. A leader with a hanging disk accepts no new jobs, but the other replicas still record the progress of accepted ones.
 
 use std::time::Duration;
 
@@ -24,27 +21,27 @@
 use super::reads::{Read, WaitingRead};
 use super::{Caller, GroupEffect, GroupHost};
 
-/// Age of an unsynced write, or of an entry that is not committed, from which on new jobs are refused. Chosen, not measured: fifty syncs of 9 ms.
-const STUCK_DISK: Duration = Duration::from_millis(500);
-/// Without contact with the majority for this long no command is taken. Chosen, not measured: ten heartbeats, as for configurations.
-const QUORUM_CONTACT: Duration = Duration::from_millis(800);
-/// Calls that wait for a proof, at most. Chosen, not measured: a second's renewals of 1,000 entries.
-const MAX_READS: usize = 4_096;
-/// Longest body of a job, in bytes; the rest of its command fits into the difference to an entry. Chosen, not measured.
+/// Age of an unsynced write or uncommitted entry from which on the leader refuses new jobs.
+const STUCK_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time without quorum contact after which the leader refuses commands; ten heartbeats.
+const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum number of pending reads.
+const MAX_PENDING_READS: usize = 4_096;
+/// Maximum size of the body of a job; leaves room for the rest of its command in an entry.
 const MAX_BODY_BYTES: usize = MAX_ENTRY_BYTES / 2;
 
 impl GroupHost {
-    /// Handles a call. This process should lead; if it does not, the call is refused.
+    /// Handles a call. Refuses it if this replica does not lead.
     pub(crate) fn call(&mut self, caller: Caller, call: JobCall, now: Timestamp) {
         let job = match &call {
             JobCall::Submit(submission) => submission.id.clone(),
             JobCall::Cancel(job) => job.clone(),
             _ => String::new(),
         };
-        let taken = self.take_call(caller, call, now);
-        if let Err(refusal) = taken {
+        let result = self.handle_call(caller, call, now);
+        if let Err(refusal) = result {
             if !job.is_empty() {
-                log::warn!(job = job.as_str(), cause = refusal.as_str(), group = self.id; "a call about a kept job is refused");
+                log::warn!(job = job.as_str(), cause = refusal.as_str(), group = self.id; "refused a call about a kept job");
             }
             self.counts.record_refusal(refusal);
             self.answer(caller, JobReply::Refused(refusal));
@@ -52,7 +49,7 @@
         self.advance(now);
     }
 
-    fn take_call(
+    fn handle_call(
         &mut self,
         caller: Caller,
         call: JobCall,
@@ -67,19 +64,19 @@
             JobCall::Show(job) => self.queue_read(caller, Read::Show(job)),
             JobCall::Renew(renewal) => {
                 let driver = renewal.driver;
-                let leading = self.leading.as_mut().ok_or(CallRefusal::NoLeader)?;
-                leading.drivers.renew(renewal, now);
+                let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
+                leader_state.drivers.renew(renewal, now);
                 self.queue_read(caller, Read::Renewal(driver))
             }
             JobCall::CountPending(queue) => {
-                let leading = self.leading.as_mut().ok_or(CallRefusal::NoLeader)?;
-                let pending = leading.count_pending(&self.table, &queue, now);
+                let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
+                let pending = leader_state.count_pending(&self.table, &queue, now);
                 self.answer(caller, JobReply::Pending(pending));
                 Ok(())
             }
             JobCall::Release { driver, jobs } => {
-                let leading = self.leading.as_mut().ok_or(CallRefusal::NoLeader)?;
-                leading.drivers.release(&self.table, driver, jobs, now);
+                let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
+                leader_state.drivers.release(&self.table, driver, jobs, now);
                 self.answer(caller, JobReply::Released);
                 Ok(())
             }
@@ -92,9 +89,10 @@
         submission: JobSubmission,
         now: Timestamp,
     ) -> Result<(), CallRefusal> {
-        let leading = self.leading.as_ref();
-        let is_commit_stuck = leading.is_some_and(|l| l.batches.is_stuck(STUCK_DISK, now));
-        if is_commit_stuck || self.host.is_disk_stuck(STUCK_DISK, now) {
+        let leader_state = self.leader_state.as_ref();
+        let is_commit_stuck =
+            leader_state.is_some_and(|l| l.batches.is_stuck(STUCK_WRITE_TIMEOUT, now));
+        if is_commit_stuck || self.host.is_disk_stuck(STUCK_WRITE_TIMEOUT, now) {
             return Err(CallRefusal::Disk);
         }
         if submission.body.len() > MAX_BODY_BYTES {
@@ -110,37 +108,40 @@
         command: &JobCommand,
         now: Timestamp,
     ) -> Result<(), CallRefusal> {
-        let is_in_touch = self.host.replica.has_quorum_contact(QUORUM_CONTACT, now);
-        let leading = self.leading.as_mut();
-        let leading = leading.filter(|_| is_in_touch);
-        let leading = leading.ok_or(CallRefusal::NoLeader)?;
-        let has_room = leading.batches.push(command, Some(caller));
+        let has_quorum = self
+            .host
+            .replica
+            .has_quorum_contact(QUORUM_CONTACT_TIMEOUT, now);
+        let leader_state = self.leader_state.as_mut();
+        let leader_state = leader_state.filter(|_| has_quorum);
+        let leader_state = leader_state.ok_or(CallRefusal::NoLeader)?;
+        let has_room = leader_state.batches.push(command, Some(caller));
         has_room.then_some(()).ok_or(CallRefusal::Busy)
     }
 
     fn queue_read(&mut self, caller: Caller, read: Read) -> Result<(), CallRefusal> {
-        let leading = self.leading.as_mut().ok_or(CallRefusal::NoLeader)?;
-        if leading.reads.len() + leading.watches.len() >= MAX_READS {
+        let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
+        if leader_state.reads.len() + leader_state.watches.len() >= MAX_PENDING_READS {
             return Err(CallRefusal::Busy);
         }
-        leading.reads.push(WaitingRead { caller, read });
+        leader_state.reads.push(WaitingRead { caller, read });
         Ok(())
     }
 
-    /// Answers a call for which this replica has proved that it leads, or has failed to. One that asks for an open job waits a while
-    /// for its end.
-    pub(super) fn finish_read(&mut self, read: WaitingRead, is_proved: bool, now: Timestamp) {
-        let leading = self.leading.as_mut().filter(|_| is_proved);
-        let Some(leading) = leading else {
+    /// Completes a read once this replica has confirmed its leadership or failed to. A call that shows an open job then waits briefly for
+    /// the job to end.
+    pub(super) fn finish_read(&mut self, read: WaitingRead, is_confirmed: bool, now: Timestamp) {
+        let leader_state = self.leader_state.as_mut().filter(|_| is_confirmed);
+        let Some(leader_state) = leader_state else {
             self.answer(read.caller, JobReply::Refused(CallRefusal::NoLeader));
             return;
         };
         let reply = match read.read {
             Read::Renewal(driver) => {
-                JobReply::Renewed(leading.drivers.renewal_reply(&self.table, driver))
+                JobReply::Renewed(leader_state.drivers.renewal_reply(&self.table, driver))
             }
             Read::Show(job) if self.table.open().contains_key(&job) => {
-                leading.watches.add(&job, read.caller, now);
+                leader_state.watches.add(&job, read.caller, now);
                 return;
             }
             Read::Show(job) => JobReply::Shown(self.show(&job)),
@@ -148,19 +149,22 @@
         self.answer(read.caller, reply);
     }
 
-    /// Answers the calls that ask for a job which has just ended.
+    /// Replies to the calls that wait for a job which has just ended.
     pub(super) fn answer_watches(&mut self, job: &str) {
-        let leading = self.leading.as_mut();
-        let callers = leading.map_or(Vec::new(), |leading| leading.watches.take(job));
+        let leader_state = self.leader_state.as_mut();
+        let callers =
+            leader_state.map_or(Vec::new(), |leader_state| leader_state.watches.take(job));
         for caller in callers {
             self.answer(caller, JobReply::Shown(self.show(job)));
         }
     }
 
-    /// Answers the calls that have waited long enough for the end of a job.
+    /// Replies to the calls whose wait for the end of a job has timed out.
     pub(super) fn answer_due_watches(&mut self, now: Timestamp) {
-        let leading = self.leading.as_mut();
-        let due = leading.map_or(Vec::new(), |leading| leading.watches.take_due(now));
+        let leader_state = self.leader_state.as_mut();
+        let due = leader_state.map_or(Vec::new(), |leader_state| {
+            leader_state.watches.take_due(now)
+        });
         for (job, callers) in due {
             for caller in callers {
                 self.answer(caller, JobReply::Shown(self.show(&job)));
@@ -168,11 +172,11 @@
         }
     }
 
-    /// Returns how far a job is, as far as this replica knows; `None` if it knows none of this name.
+    /// Returns the phase of a job as known to this replica; `None` if the job is unknown.
     pub(crate) fn show(&self, job: &str) -> Option<JobPhase> {
         if let Some(open) = self.table.open().get(job) {
-            let leading = self.leading.as_ref();
-            let phase = leading.map(|leading| leading.drivers.phase(job, open));
+            let leader_state = self.leader_state.as_ref();
+            let phase = leader_state.map(|leader_state| leader_state.drivers.phase(job, open));
             return Some(phase.unwrap_or(JobPhase::Queued));
         }
         let ended = self.table.ended(job)?;
