--- a/crates/cloverfold/tests/leased_processes.rs
+++ b/crates/cloverfold/tests/leased_processes.rs
@@ -98,7 +98,7 @@
         answer.status.success().then_some(())
     });
     entry.wait_for_line("configuration in force");
-    guard.wait_for_line("a configuration is kept");
+    guard.wait_for_line("configuration copy updated");
 
     let status = wait_until("the version at each process", || {
         let answer = ask(&["status"]);
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -133,8 +133,8 @@
     log::info!(name = settings.peer.name.as_str(); "starting entry");
 
     let port = port.listen()?;
-    let clients = start_clients(settings.client_address, &callers)?;
-    let readiness = start_readiness(settings.ready_address, &callers)?;
+    let clients = serve_clients(settings.client_address, &callers)?;
+    let readiness = serve_readiness(settings.ready_address, &callers)?;
     let metrics = callers.metrics.clone();
     let operations = serve_state_operations(
         settings.peer.metrics_address(),
@@ -173,7 +173,7 @@
     EntryState::new(own, protocol, dispatcher, controls)
 }
 
-fn start_clients(address: SocketAddr, callers: &Arc<Callers>) -> Result<ServerHandle, ListenError> {
+fn serve_clients(address: SocketAddr, callers: &Arc<Callers>) -> Result<ServerHandle, ListenError> {
     let limits = {
         let callers = callers.clone();
         move || read_limits(&callers)
@@ -201,7 +201,7 @@
     }
 }
 
-fn start_readiness(
+fn serve_readiness(
     address: SocketAddr,
     callers: &Arc<Callers>,
 ) -> Result<ServerHandle, ListenError> {
--- a/crates/leased/cloverfold_leased_entry/src/state/kept.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/kept.rs
@@ -130,7 +130,7 @@
     /// Stops driving jobs whose lease has expired; must be called before anything that may start a run.
     pub(super) fn expire_driver_leases(&mut self, now: Timestamp) {
         self.driver.expire_leases(now);
-        self.carry_out_driver();
+        self.execute_driver_actions();
     }
 
     /// Reports started jobs to the driver and runs its due work.
@@ -146,7 +146,7 @@
     }
 
     /// Executes the pending actions of the driver; returns whether there were any.
-    pub(super) fn carry_out_driver(&mut self) -> bool {
+    pub(super) fn execute_driver_actions(&mut self) -> bool {
         let actions = self.driver.take_actions();
         let has_any = !actions.is_empty();
         for action in actions {
--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -33,10 +33,10 @@
             PeerMessage::VersionNotice { version, .. } => self.fetch_if_newer(link, version),
             PeerMessage::Fetch | PeerMessage::FetchSince { .. } => self.send_configuration(link),
             PeerMessage::Configuration(stored) => self.receive_configuration(stored),
-            PeerMessage::ConfigurationChange(change) => self.receive_change(link, &change),
+            PeerMessage::ConfigurationChange(delta) => self.receive_delta(link, &delta),
             PeerMessage::Directory(directory) => self.controls.set_controls(directory.controls),
             PeerMessage::DialControls(controls) => self.controls.accept_invitation(controls),
-            PeerMessage::Evacuations(told) => self.receive_evacuations(link, told),
+            PeerMessage::Evacuations(halls) => self.receive_evacuations(link, halls),
             PeerMessage::Goodbye => self.release_guard(link),
             // These messages are never sent to an entry.
             PeerMessage::ToRunner(_)
@@ -119,16 +119,16 @@
     }
 
     /// Puts a configuration in force that was sent as a delta.
-    fn receive_change(&mut self, link: LinkId, change: &ConfigurationDelta) {
+    fn receive_delta(&mut self, link: LinkId, delta: &ConfigurationDelta) {
         let base = self.configuration.stored();
-        if let Some(stored) = self.links.apply_delta(link, change, base) {
+        if let Some(stored) = self.links.apply_delta(link, delta, base) {
             self.receive_configuration(stored);
         }
     }
 
     /// Adopts newer evacuated halls from a peer, so that the dispatcher assigns no work there.
-    fn receive_evacuations(&mut self, link: LinkId, told: EvacuatedHalls) {
-        if self.evacuations.receive(told, link, &mut self.links) {
+    fn receive_evacuations(&mut self, link: LinkId, halls: EvacuatedHalls) {
+        if self.evacuations.receive(halls, link, &mut self.links) {
             let halls = &self.evacuations.halls().halls;
             self.dispatcher.set_evacuated_halls(halls);
         }
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -258,16 +258,16 @@
             let actions = self.dispatcher.take_actions();
             let has_any = !actions.is_empty();
             for action in actions {
-                self.carry_out(action);
+                self.execute(action);
             }
-            if !self.carry_out_driver() && !has_any {
+            if !self.execute_driver_actions() && !has_any {
                 return;
             }
         }
     }
 
     /// Executes one action of the dispatcher.
-    fn carry_out(&mut self, action: DispatcherAction) {
+    fn execute(&mut self, action: DispatcherAction) {
         match action {
             DispatcherAction::Send(session, message) => {
                 // The message is lost if the link has closed, which also ends its session, or if its queue is full, which is logged.
--- a/crates/leased/cloverfold_leased_guard/src/configuration.rs
+++ b/crates/leased/cloverfold_leased_guard/src/configuration.rs
@@ -1,7 +1,6 @@
-//! The copy of the configuration that a guard keeps, and when it fetches a newer one.
+//! The copy of the configuration at a guard, and the schedule for fetching a newer one.
 //!
-//! A guard doesn't use the configuration; it passes it on to entries that restart while no control process can be reached. Owns the copy,
-//! whose version only ever rises, and the fetch that is planned next.
+//! A guard does not use the configuration; it serves the copy to entries that restart while no control process is reachable.
 
 use std::time::Duration;
 
@@ -9,58 +8,58 @@
 use cloverfold_configuration::{StoredConfiguration, Version};
 use cloverfold_link::LinkId;
 
-/// How long a guard waits before it fetches a newer configuration, so that a burst of changes is fetched once.
+/// Delay before a guard fetches a newer configuration, so that a burst of changes causes one fetch.
 const FETCH_DELAY: Duration = Duration::from_millis(1_000);
 
-/// A fetch that is not sent yet.
+/// A fetch that is scheduled.
 #[derive(Clone, Copy)]
-struct PlannedFetch {
+struct ScheduledFetch {
     link: LinkId,
     due_at: Timestamp,
 }
 
-/// The newest configuration that this guard has received; none at first.
+/// The newest configuration that this guard has received; its version never decreases.
 #[derive(Default)]
 pub(crate) struct ConfigurationCopy {
     newest: Option<StoredConfiguration>,
-    planned_fetch: Option<PlannedFetch>,
+    scheduled_fetch: Option<ScheduledFetch>,
 }
 
 impl ConfigurationCopy {
-    /// Returns the version of the copy; 0 before the first.
+    /// Returns the version of the copy; 0 if there is none.
     pub(crate) fn version(&self) -> Version {
         self.newest.as_ref().map_or(0, |newest| newest.version)
     }
 
-    /// Returns the copy as it was received.
+    /// Returns the copy.
     pub(crate) fn stored(&self) -> Option<&StoredConfiguration> {
         self.newest.as_ref()
     }
 
-    /// Keeps a configuration if it is newer; returns whether it was.
+    /// Replaces the copy if the configuration is newer; returns whether it was.
     pub(crate) fn replace(&mut self, stored: StoredConfiguration) -> bool {
         let before = self.version();
         if stored.version <= before {
             return false;
         }
-        log::info!(version = stored.version, before; "a configuration is kept");
+        log::info!(version = stored.version, before; "configuration copy updated");
         self.newest = Some(stored);
         true
     }
 
-    /// Plans to fetch from a peer whose version is newer, unless a fetch is planned already.
-    pub(crate) fn plan_fetch(&mut self, link: LinkId, version: Version, now: Timestamp) {
-        if version > self.version() && self.planned_fetch.is_none() {
+    /// Schedules a fetch from a peer whose version is newer, unless a fetch is scheduled already.
+    pub(crate) fn schedule_fetch(&mut self, link: LinkId, version: Version, now: Timestamp) {
+        if version > self.version() && self.scheduled_fetch.is_none() {
             let due_at = now + FETCH_DELAY;
-            self.planned_fetch = Some(PlannedFetch { link, due_at });
+            self.scheduled_fetch = Some(ScheduledFetch { link, due_at });
         }
     }
 
-    /// Returns the link to fetch from if the planned fetch is due, and drops the plan.
+    /// Returns the link of the scheduled fetch if it is due, and removes the fetch.
     pub(crate) fn take_due_fetch(&mut self, now: Timestamp) -> Option<LinkId> {
         let due = self
-            .planned_fetch
-            .take_if(|planned| now >= planned.due_at)?;
+            .scheduled_fetch
+            .take_if(|scheduled| now >= scheduled.due_at)?;
         Some(due.link)
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_guard/src/event_log.rs
@@ -1,7 +1,6 @@
-//! Log lines for starts that were not acknowledged, stops, and runs that ended without success.
+//! Log lines for unacknowledged starts, stops, ends of runs and registrations.
 //!
-//! Operators read these lines at night; docs/OPERATIONS.md explains them by their texts and keys, so that keys never change. Owns
-//! nothing.
+//! The operations manual documents the keys of these lines, so they must not change.
 
 use cloverfold_kept_jobs::{EndDecision, TaskEnd};
 use cloverfold_lease::{
@@ -18,19 +17,19 @@
     log::info!(
         job = order.task.job.as_str(), index = order.task.index, run = order.run,
         attempt = order.attempt, target = order.incarnation.name.as_str(), answer = answer.as_str();
-        "a start is not acknowledged"
+        "start not acknowledged by the target"
     );
 }
 
-/// Logs that a run is being stopped.
+/// Logs that a run is about to be stopped.
 pub(crate) fn log_stop(order: &StopOrder) {
     log::info!(
         job = order.task.job.as_str(), index = order.task.index, run = order.run;
-        "a run is stopped"
+        "stopping run"
     );
 }
 
-/// Logs each end of a run that is not a success, as it is reported to the entry.
+/// Logs the end of a run that did not succeed, as reported to the entry.
 pub(crate) fn log_end(message: &RunnerMessage) {
     if let RunnerMessage::Ended {
         task,
@@ -45,27 +44,27 @@
         log::info!(
             job = task.job.as_str(), step = task.step, index = task.index, run, ran_ms,
             outcome = outcome.as_str();
-            "a run is over"
+            "run ended without success"
         );
     }
 }
 
-/// Logs that a group has decided on the end of a kept run in another way than by recording it.
+/// Logs the decision of a group on the end of a kept run, unless the group has recorded the end.
 pub(crate) fn log_decision(end: &TaskEnd, decision: EndDecision) {
     let (job, task, run, epoch) = (end.job.as_str(), end.task, end.run, end.epoch);
     match decision {
         EndDecision::Recorded => {}
         EndDecision::JobOver => {
-            log::debug!(job, task, run, epoch; "an end is not recorded, its job is over");
+            log::debug!(job, task, run, epoch; "run end not recorded; its job has ended");
         }
         EndDecision::Fenced => log::warn!(
             job, task, run, epoch;
-            "an end came after its job was handed on; the target's lease is left to lapse"
+            "run end fenced, as its job was reassigned; letting the lease of the target expire"
         ),
     }
 }
 
-/// Logs a registration that changes nothing by itself; a target registers every few seconds at the most.
+/// Logs a registration that is not accepted at once. Targets register at most every few seconds, which bounds these lines.
 pub(crate) fn log_registration(registration: &TargetRegistration, verdict: RegistrationVerdict) {
     if verdict == RegistrationVerdict::Accepted {
         return;
@@ -74,32 +73,32 @@
         target = registration.incarnation.name.as_str(), born = registration.incarnation.start_time.unwrap_or_default(),
         sequence = registration.sequence,
         draining = registration.is_draining, verdict = verdict.as_str();
-        "a registration is not taken at once"
+        "registration not accepted at once"
     );
 }
 
-/// Logs that a target reports its end, and whether that is believed; a start that it leaves out is written as 0.
-pub(crate) fn log_departure(incarnation: &IncarnationId, is_taken: bool) {
+/// Logs that the target deregisters, and whether the guard accepts that; a missing start time is logged as 0.
+pub(crate) fn log_deregistration(incarnation: &IncarnationId, is_accepted: bool) {
     let (target, born) = (
         incarnation.name.as_str(),
         incarnation.start_time.unwrap_or_default(),
     );
-    if is_taken {
-        log::info!(target, born; "the target has left");
+    if is_accepted {
+        log::info!(target, born; "target deregistered");
     } else {
-        log::info!(target, born; "the end of another incarnation of the target changes nothing");
+        log::info!(target, born; "ignoring deregistration of another incarnation of the target");
     }
 }
 
-/// Logs what became of an incarnation that was not the target's known one; a start that it leaves out is written as 0.
+/// Logs whether a new incarnation of the target is alive; a missing start time is logged as 0.
 pub(crate) fn log_incarnation(incarnation: &IncarnationId, is_alive: bool) {
     let (target, born) = (
         incarnation.name.as_str(),
         incarnation.start_time.unwrap_or_default(),
     );
     if is_alive {
-        log::info!(target, born; "a new incarnation has replaced the target");
+        log::info!(target, born; "target replaced by a new incarnation");
     } else {
-        log::info!(target, born; "a late registration of a dead incarnation is ignored");
+        log::info!(target, born; "ignoring late registration of a dead incarnation");
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/interface.rs
+++ b/crates/leased/cloverfold_leased_guard/src/interface.rs
@@ -1,6 +1,4 @@
-//! How a target is called, and how it registers.
-//!
-//! The boundary to the platform's forms: `platform/` implements [`TargetInterface`], and nothing else here knows them. Owns nothing.
+//! Interface to the platform's wire format for targets, which `platform/` implements.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -11,49 +9,49 @@
     TargetRegistration,
 };
 
-/// The answer to a call that was sent.
+/// The pending answer to a call to the target.
 pub type CallFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// A call of a target at the registration address.
+/// A call from a target to the registration address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistrationCall {
-    /// The target is up, in this state; repeated as a heartbeat.
+    /// The target is up, in this state; repeated as a heartbeat by the target.
     Register(TargetRegistration),
     /// This incarnation of the target has ended.
     Deregister {
-        /// The incarnation; the word may leave out when it started.
+        /// The incarnation; the call may omit its start time.
         incarnation: IncarnationId,
     },
 }
 
-/// Why a call at the registration address is refused.
+/// Why a call to the registration address is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistrationRefusal {
-    /// It is no call of a target.
+    /// The request is not a registration call.
     Unknown,
-    /// It cannot be read; the text names the field.
+    /// The call cannot be parsed; the text names the field.
     Malformed(String),
 }
 
-/// How a target is called.
+/// Wire format of calls to and from a target.
 pub trait TargetInterface: Send + Sync {
-    /// Reads a call of the target.
+    /// Parses a call from the target.
     ///
     /// # Errors
     ///
-    /// Returns [`RegistrationRefusal`] if the request is no call of a target or can't be read.
+    /// Returns [`RegistrationRefusal`] if the request is not a registration call or cannot be parsed.
     fn read_registration(&self, request: &Request)
     -> Result<RegistrationCall, RegistrationRefusal>;
 
-    /// Writes the acknowledgement of such a call.
+    /// Serializes the acknowledgement of a registration call.
     fn write_acknowledgement(&self) -> Vec<u8>;
 
-    /// Starts a run. An order whose answer is lost may still be carried out.
+    /// Starts a run. The target may execute an order even if the answer is lost.
     fn start(&self, order: StartOrder) -> CallFuture<StartAnswer>;
 
-    /// Stops a run; whether it has ended is seen from a later renewal.
+    /// Stops a run; a later renewal reports whether it has ended.
     fn stop(&self, order: StopOrder) -> CallFuture<()>;
 
-    /// Renews the lease, and asks what runs and what has ended.
+    /// Renews the lease, and requests the current runs and the ends of runs.
     fn renew(&self, order: RenewalOrder) -> CallFuture<RenewalAnswer>;
 }
--- a/crates/leased/cloverfold_leased_guard/src/lib.rs
+++ b/crates/leased/cloverfold_leased_guard/src/lib.rs
@@ -1,11 +1,10 @@
-//! The guard of a leased installation: it stands beside one target and runs what entries assign to it.
+//! The guard process of a leased installation, which runs assigned tasks on one target beside it.
 //!
-//! It dials every entry that it learns of, starts and stops runs at its target, and renews the target's lease for as long as it is alive
-//! itself. How the target is called is decided by a [`TargetInterface`].
+//! It dials its entries, starts and stops runs on the target, and renews the lease of the target while it is alive itself. A
+//! [`TargetInterface`] defines how the target is called.
 //!
-//! Owns what is known of the target and of its runs, and a copy of the configuration for entries that can't reach a control process.
-//! Keeps nothing on disk. Relies on `cloverfold_lease` for every decision (the runner), on `cloverfold_leased_process` to start and run,
-//! and on `cloverfold_peer` for entries and control processes.
+//! The guard stores nothing on disk. It keeps a copy of the configuration for entries that cannot reach a control process. The runner of
+//! `cloverfold_lease` makes all decisions.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_leased_guard/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_guard/src/metrics.rs
@@ -1,7 +1,4 @@
-//! The metrics of a guard.
-//!
-//! Owns nothing but the gauges: the numbers are read off [`GuardState`] when they are asked for. Relies on [`ProcessMetrics`] for what every
-//! leased process counts.
+//! Metrics of a guard.
 
 use cloverfold_lease::{ProcessorUse, RegistrationVerdict, RunnerCounts};
 use cloverfold_leased_process::{MetricsBuilder, ProcessMetrics};
@@ -10,7 +7,7 @@
 
 use crate::state::GuardState;
 
-/// Gauges that are read off the state when they are asked for.
+/// Gauges that are set from [`GuardState`] when the metrics are written.
 pub(crate) struct GuardMetrics {
     metrics: ProcessMetrics,
     runs: CauseGauges,
@@ -83,7 +80,7 @@
         self.waiting.set(processors.waiting);
     }
 
-    /// Sets what was heard of the target and what it was asked.
+    /// Sets the counts of registrations from the target and of calls to it.
     fn set_target_counts(&self, counts: RunnerCounts, unreadable: u64) {
         let registrations = counts.registrations;
         self.registrations.set(&[
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -1,7 +1,4 @@
-//! The guard process: how it starts, what changes while it runs, and how it stops.
-//!
-//! Owns the addresses that it serves and its tasks. Relies on `cloverfold_leased_process` for links, ticks and the pages for operators, and
-//! on `cloverfold_http` to serve the target's registrations.
+//! Start, settings reload and graceful shutdown of the guard process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,20 +20,20 @@
 
 use crate::interface::{RegistrationRefusal, TargetInterface};
 use crate::metrics::GuardMetrics;
-use crate::renewals::keep_renewing;
+use crate::renewals::renew_lease;
 use crate::state::GuardState;
 use crate::target_orders::{TargetOrder, send_orders};
 
-/// How often the guard does what has fallen due.
+/// Interval between ticks of the state.
 const TICK: Duration = Duration::from_millis(20);
-/// How often a guard that drains checks whether its runs have ended.
+/// Interval between checks whether a draining guard has runs left.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running guard; dropping it stops it at once.
+/// A running guard; dropping it stops the process without draining.
 pub struct LeasedGuard {
     state: Shared<GuardState>,
     registrations: ServerHandle,
-    /// Serves until it is dropped.
+    /// Serves until dropped.
     _operations: Option<ServerHandle>,
     drain_timeout: Duration,
     /// Aborted on drop.
@@ -44,19 +41,19 @@
 }
 
 impl LeasedGuard {
-    /// Returns the address at which the target registers.
+    /// Returns the address on which the target registers.
     pub fn registration_address(&self) -> SocketAddr {
         self.registrations.address()
     }
 
-    /// Applies what may change while the guard runs: the seeds. The rest stays until the next start.
+    /// Applies the settings that can change at run time: the seeds. Other changes apply at the next start.
     pub fn reload(&self, settings: &LeasedGuardSettings) {
         let seeds = settings.peer.seed_addresses();
         self.state.lock().set_seeds(seeds);
     }
 
-    /// Stops as planned: accepts no new run, and waits until those that it has have ended and those of kept jobs are recorded, at most for
-    /// the drain time.
+    /// Stops gracefully: accepts no new runs, and waits until all runs have ended and the ends of kept runs are recorded, at most for the
+    /// drain timeout.
     pub async fn stop(self) {
         log::info!("draining");
         self.state.lock().begin_draining();
@@ -64,7 +61,7 @@
         log::info!(is_drained; "stopped");
     }
 
-    /// Returns whether all runs have ended in time.
+    /// Waits until the guard is drained; returns whether that was before the drain timeout.
     async fn wait_until_drained(&self) -> bool {
         let drained = async {
             while !self.state.lock().is_drained() {
@@ -93,10 +90,10 @@
     let renew_now = Arc::new(Notify::new());
     let state = build_state(settings, &port, orders_tx, renew_now.clone());
     let state = Shared::new(state);
-    log::info!(name = settings.peer.name.as_str(); "a guard starts");
+    log::info!(name = settings.peer.name.as_str(); "starting guard");
 
     let port = port.listen()?;
-    let registrations = start_registrations(settings.registration_address, &state, &interface)?;
+    let registrations = serve_registrations(settings.registration_address, &state, &interface)?;
     let metrics = GuardMetrics::new();
     let operations = serve_state_operations(
         settings.peer.metrics_address(),
@@ -106,7 +103,7 @@
     )?;
     let mut tasks = JoinSet::new();
     tasks.spawn(send_orders(state.clone(), orders_rx, interface.clone()));
-    tasks.spawn(keep_renewing(state.clone(), interface, renew_now));
+    tasks.spawn(renew_lease(state.clone(), interface, renew_now));
     port.run(state.clone(), TICK, &mut tasks);
     Ok(LeasedGuard {
         state,
@@ -131,7 +128,7 @@
         details: Trailing(Some(PeerDetails::new(&settings.peer.data_hall))),
     };
     let timings = settings.lease.timings();
-    // A restarted guard begins with a higher fencing token; should the clock have gone back, the target's refusals raise it.
+    // A restarted guard starts with a higher fencing token. If the clock has gone back, refusals by the target raise the token.
     let fencing_token = unix_now().as_millis() as u64;
     let runner = Runner::new(timings, fencing_token);
     let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dialed_peers());
@@ -145,7 +142,7 @@
     )
 }
 
-fn start_registrations(
+fn serve_registrations(
     address: SocketAddr,
     state: &Shared<GuardState>,
     interface: &Arc<dyn TargetInterface>,
@@ -153,14 +150,14 @@
     let state = state.clone();
     let interface = interface.clone();
     let answer = move |request: Request| {
-        let response = answer_registration(&state, interface.as_ref(), &request);
+        let response = handle_registration(&state, interface.as_ref(), &request);
         async move { response }
     };
     serve_at("registration_address", address, HttpLimits::default, answer)
 }
 
-/// Passes a call of the target to the state and acknowledges it.
-fn answer_registration(
+/// Passes a registration call to the state and acknowledges it.
+fn handle_registration(
     state: &Shared<GuardState>,
     interface: &dyn TargetInterface,
     request: &Request,
@@ -175,7 +172,7 @@
         }
         Err(RegistrationRefusal::Malformed(fault)) => {
             state.lock().count_unreadable_registration();
-            log::warn!("a registration cannot be read: {fault}");
+            log::warn!("cannot parse registration: {fault}");
             plain_response(StatusCode::BAD_REQUEST, format!("{fault}\n"))
         }
     }
--- a/crates/leased/cloverfold_leased_guard/src/renewals.rs
+++ b/crates/leased/cloverfold_leased_guard/src/renewals.rs
@@ -1,7 +1,6 @@
-//! The renewals of the target's lease: one call at a time, again and again.
+//! Lease renewals: a loop that sends one call at a time to the target.
 //!
-//! Each answer lists what runs and what has ended, so that an end is noticed as fast as the calls follow one another. Owns the pauses
-//! between calls, as the runner decides them. Relies on the state to plan each renewal and on a [`TargetInterface`] to send it.
+//! Each answer lists the current runs and the ends of runs, so the interval between renewals bounds how soon the guard learns of an end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,11 +13,11 @@
 use crate::interface::TargetInterface;
 use crate::state::GuardState;
 
-/// How long to wait before looking again whether there is a target, unless the state notifies earlier.
+/// Interval between checks for a target while there is none, unless the state sends a notification earlier.
 const NO_TARGET_PAUSE: Duration = Duration::from_millis(200);
 
-/// Renews the lease for as long as the future is polled; `renew_now` ends the wait for a target and the longer pauses.
-pub(crate) async fn keep_renewing(
+/// Renews the lease for as long as the future is polled; `renew_now` ends the wait for a target and pauses beyond their minimum.
+pub(crate) async fn renew_lease(
     state: Shared<GuardState>,
     interface: Arc<dyn TargetInterface>,
     renew_now: Arc<Notify>,
@@ -26,7 +25,7 @@
     loop {
         let order = state.lock().plan_renewal();
         let Some(order) = order else {
-            // Harmless: whether it is notified or the wait is over, it looks again.
+            // The result is ignored: both a notification and a timeout lead to the next check.
             let _ = timeout(NO_TARGET_PAUSE, renew_now.notified()).await;
             continue;
         };
@@ -44,7 +43,7 @@
     sleep(pause.shortest).await;
     let rest = pause.longest.saturating_sub(pause.shortest);
     if !rest.is_zero() {
-        // Harmless: whether it is notified or the wait is over, the next renewal goes out.
+        // The result is ignored: both a notification and a timeout lead to the next renewal.
         let _ = timeout(rest, renew_now.notified()).await;
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -1,7 +1,5 @@
-//! The guard's peers: who is connected, what they announce, and whom the guard dials.
-//!
-//! Handles the events of links: passes entries' messages to the runner, and plans fetches of newer configurations. Changes the links, sessions
-//! and addresses of [`GuardState`] and owns no state besides. Relies on `cloverfold_link` for links and on control processes for the directory.
+//! Link events of a guard: passes messages from entries to the runner, schedules fetches of newer configurations, and selects which
+//! entries to dial.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -38,16 +36,16 @@
         match message {
             PeerMessage::Hello(hello) => self.receive_hello(link, hello),
             PeerMessage::ToRunner(message) => self.runner.receive(link, message, now),
-            PeerMessage::VersionNotice { version, .. } => self.plan_fetch(link, version),
+            PeerMessage::VersionNotice { version, .. } => self.schedule_fetch(link, version),
             PeerMessage::Fetch | PeerMessage::FetchSince { .. } => self.send_configuration(link),
             PeerMessage::Configuration(stored) => self.receive_configuration(stored),
-            PeerMessage::ConfigurationChange(change) => self.receive_change(link, &change),
+            PeerMessage::ConfigurationChange(delta) => self.receive_delta(link, &delta),
             PeerMessage::Directory(directory) => self.receive_directory(link, directory),
             PeerMessage::DialControls(controls) => self.controls.accept_invitation(controls),
-            PeerMessage::Evacuations(told) => self.receive_evacuations(link, told),
+            PeerMessage::Evacuations(halls) => self.receive_evacuations(link, halls),
             PeerMessage::Invite { entry } => self.receive_invitation(entry),
             PeerMessage::HoldTarget(held) => self.receive_hold(link, &held, now),
-            // Never sent to a guard.
+            // These messages are never sent to a guard.
             PeerMessage::Goodbye
             | PeerMessage::ToDispatcher(_)
             | PeerMessage::Consensus(_)
@@ -60,18 +58,19 @@
             | PeerMessage::UpkeepCommand(_) => {}
             PeerMessage::JobGroups(groups) => self.recorder.set_group_count(groups.count, now),
             PeerMessage::JobReply(reply) => self.recorder.receive(reply, now),
-            // Not used yet.
+            // Ignored: guards do not use it yet.
             PeerMessage::RememberedSpeed(_) => {}
         }
     }
 
-    /// Holds the target, and tells the control process what is free there.
+    /// Drains the target for upkeep, and reports its free capacity to the control process.
     fn receive_hold(&mut self, link: LinkId, held: &HeldTarget, now: Timestamp) {
         let span = Duration::from_millis(held.for_ms.into());
         self.runner.hold_target(&held.incarnation, span, now);
         let incarnation = self.runner.target_incarnation_id();
-        let is_meant = incarnation.is_some_and(|incarnation| incarnation.name == held.incarnation);
-        if let Some(free) = self.runner.unreserved_capacity(now).filter(|_| is_meant) {
+        let is_current =
+            incarnation.is_some_and(|incarnation| incarnation.name == held.incarnation);
+        if let Some(free) = self.runner.unreserved_capacity(now).filter(|_| is_current) {
             let message = PeerMessage::ToDispatcher(RunnerMessage::FreeCapacity(free));
             self.links.send(link, &message);
         }
@@ -86,30 +85,30 @@
         self.evacuations.announce(&self.links);
         match role {
             PeerRole::Entry => self.runner.open_session(link, now),
-            PeerRole::Control { .. } => self.tell_of_target(link),
+            PeerRole::Control { .. } => self.announce_target_to(link),
             PeerRole::Guard => {}
         }
-        self.plan_fetch(link, version);
+        self.schedule_fetch(link, version);
     }
 
-    /// Tells a control process of the target: the choice of this guard's entries depends on its service.
-    fn tell_of_target(&self, link: LinkId) {
+    /// Sends the description of the target to a control process, which assigns the entries of this guard by its service.
+    fn announce_target_to(&self, link: LinkId) {
         if let Some(target) = self.runner.describe_target() {
             self.links.send(link, &target_message(target));
         }
     }
 
-    /// Tells all control processes of the target when it is in another incarnation than they know, or of another service.
-    pub(super) fn tell_new_target(&mut self) {
+    /// Sends the description of the target to all control processes if its incarnation or service differs from the last announcement.
+    pub(super) fn announce_target_change(&mut self) {
         let service = self.runner.service();
         let incarnation = self.runner.target_incarnation_id();
-        let is_known = service == self.told_service.as_deref()
-            && incarnation == self.told_incarnation.as_ref();
+        let is_known = service == self.announced_service.as_deref()
+            && incarnation == self.announced_incarnation.as_ref();
         if service.is_none() || is_known {
             return;
         }
-        self.told_service = service.map(Into::into);
-        self.told_incarnation = incarnation.cloned();
+        self.announced_service = service.map(Into::into);
+        self.announced_incarnation = incarnation.cloned();
         if let Some(target) = self.runner.describe_target() {
             let is_control = |role| matches!(role, PeerRole::Control { .. });
             self.links
@@ -117,10 +116,10 @@
         }
     }
 
-    /// Removes a link that has closed or is to be closed, and with it an entry's session.
+    /// Removes a link, which closes it if it is still open, and ends the session of an entry.
     pub(super) fn close_link(&mut self, link: LinkId) {
         let now = self.now();
-        self.departures.forget(link);
+        self.link_drains.forget(link);
         let Some(hello) = self.links.close(link) else {
             return;
         };
@@ -131,9 +130,9 @@
         }
     }
 
-    fn plan_fetch(&mut self, link: LinkId, version: Version) {
+    fn schedule_fetch(&mut self, link: LinkId, version: Version) {
         let now = self.now();
-        self.configuration.plan_fetch(link, version, now);
+        self.configuration.schedule_fetch(link, version, now);
     }
 
     fn send_configuration(&self, link: LinkId) {
@@ -142,10 +141,10 @@
         }
     }
 
-    /// Keeps a configuration that was sent as a change.
-    fn receive_change(&mut self, link: LinkId, change: &ConfigurationDelta) {
+    /// Applies a configuration that was sent as a delta.
+    fn receive_delta(&mut self, link: LinkId, delta: &ConfigurationDelta) {
         let base = self.configuration.stored();
-        if let Some(stored) = self.links.apply_delta(link, change, base) {
+        if let Some(stored) = self.links.apply_delta(link, delta, base) {
             self.receive_configuration(stored);
         }
     }
@@ -156,9 +155,9 @@
         }
     }
 
-    /// Starts nothing more while this guard's data hall is among the evacuated ones that a peer tells of, if it knows more.
-    fn receive_evacuations(&mut self, link: LinkId, told: EvacuatedHalls) {
-        if !self.evacuations.receive(told, link, &mut self.links) {
+    /// Adopts newer evacuated halls from a peer; the runner starts nothing while the data hall of this guard is evacuated.
+    fn receive_evacuations(&mut self, link: LinkId, halls: EvacuatedHalls) {
+        if !self.evacuations.receive(halls, link, &mut self.links) {
             return;
         }
         let own_hall = self.own.data_hall();
@@ -174,7 +173,7 @@
         });
     }
 
-    /// Dials the entries that a control process names, and the control processes.
+    /// Dials the entries that a control process assigns, and the control processes.
     fn receive_directory(&mut self, link: LinkId, directory: Directory) {
         self.chosen.set_entries(link, directory.entries);
         for entry in self.chosen.assigned() {
@@ -189,44 +188,44 @@
         }
     }
 
-    /// Leaves the entries that no control process names any more, step by step.
-    pub(super) fn leave_unnamed_entries(&mut self, now: Timestamp) {
+    /// Drains and closes the links to entries that no control process assigns any more.
+    pub(super) fn drain_unassigned_entries(&mut self, now: Timestamp) {
         let dialed: Vec<SocketAddr> = self.entries.addresses().collect();
         let entries = self.links.dialed_peers();
         let entries = entries.filter(|peer| peer.role == PeerRole::Entry);
         let connected = entries.map(|peer| peer.address).collect();
-        let left = self
+        let dropped = self
             .chosen
             .list_unneeded(dialed.iter().copied(), &connected, now);
-        if left.is_empty() && self.departures.is_empty() {
+        if dropped.is_empty() && self.link_drains.is_empty() {
             return;
         }
         for entry in dialed {
-            let is_left = left.contains(&entry);
+            let is_dropped = dropped.contains(&entry);
             match self.links.find_dialed(entry) {
-                Some(link) => self.advance_departure(entry, link, is_left, now),
-                None if is_left => self.entries.remove(entry),
+                Some(link) => self.advance_link_drain(entry, link, is_dropped, now),
+                None if is_dropped => self.entries.remove(entry),
                 None => {}
             }
         }
     }
 
-    /// Takes the next step of leaving an entry, if it is left.
-    fn advance_departure(
+    /// Takes the next step of draining the link to an entry.
+    fn advance_link_drain(
         &mut self,
         entry: SocketAddr,
         link: LinkId,
-        is_left: bool,
+        is_dropped: bool,
         now: Timestamp,
     ) {
         let has_runs = self.runner.count_session_runs(link) > 0;
-        match self.departures.advance(link, is_left, has_runs, now) {
+        match self.link_drains.advance(link, is_dropped, has_runs, now) {
             LinkDrainStep::NoChange => {}
             LinkDrainStep::StopOffering => self.runner.retire_session(link, true),
             LinkDrainStep::ResumeOffering => self.runner.retire_session(link, false),
             LinkDrainStep::SendGoodbye => {
-                log::info!(entry = entry.to_string().as_str(), link; "an entry is left");
-                // One that misses it invites this guard for a while, which changes nothing.
+                log::info!(entry = entry.to_string().as_str(), link; "leaving unassigned entry");
+                // An entry that misses the message keeps inviting this guard for a while, which is harmless.
                 self.links.send(link, &PeerMessage::Goodbye);
             }
             LinkDrainStep::Close => self.entries.remove(entry),
@@ -234,7 +233,7 @@
     }
 }
 
-/// The message that tells an entry of the target tells control processes as well.
+/// Returns the message that describes the target, to an entry or a control process.
 fn target_message(target: TargetDescription) -> PeerMessage {
     PeerMessage::ToDispatcher(RunnerMessage::Target(Some(target)))
 }
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -1,7 +1,6 @@
-//! The state of a guard: the runner and what surrounds it.
+//! The state of a guard: its runner, its target and its peers.
 //!
-//! Translates between the outside (the target, links, time) and the runner, which takes every decision. Owns the runs and the guard's view
-//! of its target and peers. Relies on `cloverfold_lease` for the runner and on being locked by one task at a time.
+//! Translates between I/O (the target, links, time) and the runner, which makes all decisions. One task at a time locks the state.
 
 mod links;
 
@@ -25,7 +24,7 @@
 
 use crate::configuration::ConfigurationCopy;
 use crate::event_log::{
-    log_decision, log_departure, log_end, log_incarnation, log_registration,
+    log_decision, log_deregistration, log_end, log_incarnation, log_registration,
     log_unacknowledged_start,
 };
 use crate::interface::RegistrationCall;
@@ -44,18 +43,18 @@
     controls: ControlLinks,
     entries: DialedPeers,
     chosen: ChosenEntries,
-    departures: LinkDrains,
+    link_drains: LinkDrains,
     recorder: Recorder,
     orders: mpsc::UnboundedSender<TargetOrder>,
-    /// Notified when the lease is to be renewed without waiting.
+    /// Notified to renew the lease without delay.
     renew_now: Arc<Notify>,
-    /// The service of the target, as control processes were told last.
-    told_service: Option<String>,
-    /// The incarnation of the target that control processes were told last: they hold it by its name before its upkeep.
-    told_incarnation: Option<IncarnationId>,
-    /// Registrations that could not be read.
+    /// Service of the target in the last announcement to control processes.
+    announced_service: Option<String>,
+    /// Incarnation of the target in the last announcement to control processes, which use its name to drain it before upkeep.
+    announced_incarnation: Option<IncarnationId>,
+    /// Number of registrations that could not be parsed.
     unreadable_registrations: u64,
-    /// Why the target accepts no work, as logged last.
+    /// Last logged reason why the target accepts no work.
     logged_reason: Option<UnavailableReason>,
 }
 
@@ -77,7 +76,7 @@
             let known = self.configuration.version();
             self.links.fetch_configuration(link, known);
         }
-        self.leave_unnamed_entries(now);
+        self.drain_unassigned_entries(now);
         self.advance();
     }
 }
@@ -103,18 +102,18 @@
             controls,
             entries,
             chosen: ChosenEntries::default(),
-            departures: LinkDrains::default(),
+            link_drains: LinkDrains::default(),
             recorder: Recorder::default(),
             orders,
             renew_now,
-            told_service: None,
-            told_incarnation: None,
+            announced_service: None,
+            announced_incarnation: None,
             unreadable_registrations: 0,
             logged_reason: Some(UnavailableReason::NoTarget),
         }
     }
 
-    /// Replaces the seeds; links to control processes that are still wanted stay open.
+    /// Replaces the seeds; links to control processes that remain selected stay open.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.controls.set_seeds(seeds);
     }
@@ -123,18 +122,18 @@
         self.runner.counts()
     }
 
-    /// Returns what was sent to other processes since the start.
+    /// Returns the counters of messages sent to peers since the start.
     pub(crate) fn sent(&self) -> &SentCounts {
         self.links.sent()
     }
 
-    /// Returns the suspensions of the box that were noticed.
+    /// Returns the monitor of box suspensions.
     pub(crate) fn suspensions(&self) -> &SuspensionMonitor {
         &self.suspensions
     }
 
-    /// Returns the present point in time, after the runner has heard of a suspension of the box, in which its target may have been
-    /// suspended too, or else of a stall of this process.
+    /// Returns the current time, after reporting a suspension of the box, which may have suspended the target too, or else a stall of
+    /// this process to the runner.
     fn now(&mut self) -> Timestamp {
         let suspension = self.suspensions.poll();
         let now = self.clock.now();
@@ -147,32 +146,32 @@
         now
     }
 
-    /// Returns how many runs the guard has, also those that wait to be started.
+    /// Returns the number of runs at this guard, including those that wait for their start.
     pub(crate) fn run_count(&self) -> usize {
         self.runner.run_count()
     }
 
-    /// Returns whether no run is left and every end of a kept one is recorded.
+    /// Returns whether no run is left and the ends of all kept runs are recorded.
     pub(crate) fn is_drained(&self) -> bool {
         self.run_count() == 0 && self.unrecorded_end_count() == 0
     }
 
-    /// Returns how many ends the target must not forget yet.
+    /// Returns the number of run ends that the target must still retain.
     pub(crate) fn held_end_count(&self) -> usize {
         self.runner.held_end_count()
     }
 
-    /// Returns how many ends of kept runs their groups have not decided on.
+    /// Returns the number of kept runs whose end no group has decided on.
     pub(crate) fn unrecorded_end_count(&self) -> usize {
         self.recorder.waiting_count()
     }
 
-    /// Returns how many ends gave way to newer ones without a decision.
+    /// Returns the number of run ends that were dropped without a decision to make room for newer ones.
     pub(crate) fn dropped_end_count(&self) -> u64 {
         self.recorder.dropped_count()
     }
 
-    /// Returns how the target's processors are used at present.
+    /// Returns the current use of the target's processors.
     pub(crate) fn processor_use(&self) -> ProcessorUse {
         self.runner.processor_use()
     }
@@ -182,7 +181,7 @@
         self.runner.usual_speed()
     }
 
-    /// Returns the evacuated data halls as this guard knows them.
+    /// Returns the evacuated data halls known to this guard.
     pub(crate) fn evacuated_halls(&self) -> &EvacuatedHalls {
         self.evacuations.halls()
     }
@@ -191,14 +190,14 @@
         self.runner.has_ready_target()
     }
 
-    /// Begins the planned stop: no further run is accepted, and those that it already has may finish.
+    /// Starts to drain: the guard accepts no new runs, and current ones may finish.
     pub(crate) fn begin_draining(&mut self) {
         let now = self.now();
         self.runner.begin_draining(now);
         self.advance();
     }
 
-    /// Handles a call of the target; it is acknowledged afterwards.
+    /// Handles a registration call of the target, before it is acknowledged.
     pub(crate) fn receive_registration(&mut self, call: RegistrationCall) {
         let now = self.now();
         match call {
@@ -207,30 +206,30 @@
                 log_registration(&registration, verdict);
             }
             RegistrationCall::Deregister { incarnation } => {
-                let is_taken = self.runner.unregister(&incarnation, now);
-                log_departure(&incarnation, is_taken);
+                let is_accepted = self.runner.unregister(&incarnation, now);
+                log_deregistration(&incarnation, is_accepted);
             }
         }
         self.advance();
     }
 
-    /// Counts a registration that another writer has sent, or that is broken: it changes nothing.
+    /// Counts a registration that cannot be parsed; it has no other effect.
     pub(crate) fn count_unreadable_registration(&mut self) {
         self.unreadable_registrations += 1;
     }
 
-    /// Returns how many registrations could not be read.
+    /// Returns the number of registrations that could not be parsed.
     pub(crate) fn unreadable_registration_count(&self) -> u64 {
         self.unreadable_registrations
     }
 
-    /// Returns the next renewal; `None` while there is no target to renew the lease of.
+    /// Returns the next renewal; `None` while there is no target.
     pub(crate) fn plan_renewal(&mut self) -> Option<RenewalOrder> {
         let now = self.now();
         self.runner.plan_renewal(now)
     }
 
-    /// Handles the answer to a renewal that [`Self::plan_renewal`] planned; returns how long to wait before the next one.
+    /// Handles the answer to a renewal from [`Self::plan_renewal`]; returns how long to wait before the next one.
     pub(crate) fn receive_renewal_answer(
         &mut self,
         order: &RenewalOrder,
@@ -242,7 +241,7 @@
         pause
     }
 
-    /// Handles the answer to a start, which is logged if the target did not acknowledge it.
+    /// Handles the answer to a start, and logs it if the target did not acknowledge the start.
     pub(crate) fn receive_start_answer(&mut self, order: &StartOrder, answer: StartAnswer) {
         let now = self.now();
         log_unacknowledged_start(order, &answer);
@@ -250,7 +249,7 @@
         self.advance();
     }
 
-    /// Carries out the actions that the runner and the recorder have decided on.
+    /// Executes the pending actions of the runner and the recorder.
     fn advance(&mut self) {
         loop {
             let actions = self.runner.take_actions();
@@ -259,21 +258,21 @@
                 break;
             }
             for action in actions {
-                self.carry_out(action);
+                self.execute(action);
             }
             for action in recorded {
-                self.carry_out_recording(action);
+                self.execute_recorder_action(action);
             }
         }
-        self.tell_new_target();
+        self.announce_target_change();
         self.log_readiness();
     }
 
-    /// Carries out one action of the recorder.
-    fn carry_out_recording(&mut self, action: RecorderAction) {
+    /// Executes one action of the recorder.
+    fn execute_recorder_action(&mut self, action: RecorderAction) {
         match action {
             RecorderAction::Send(route, call) => {
-                // Repeated until the group has decided.
+                // The result is ignored: the recorder resends the call until the group has decided.
                 send_group_call(&self.links, &route, call);
             }
             RecorderAction::Decided(end, decision) => {
@@ -284,21 +283,21 @@
         }
     }
 
-    /// Carries out one action of the runner.
-    fn carry_out(&mut self, action: RunnerAction) {
+    /// Executes one action of the runner.
+    fn execute(&mut self, action: RunnerAction) {
         match action {
             RunnerAction::Send(session, message) => {
-                if !self.can_read(session, &message) {
+                if !self.is_supported(session, &message) {
                     return;
                 }
                 log_end(&message);
-                // Lost if the link has closed, which ends its session as well, or if its queue is full, which is logged.
-                let message = self.make_readable(session, message);
+                // The message is lost if the link has closed, which also ends its session, or if its queue is full, which is logged.
+                let message = self.adapt_to_build(session, message);
                 self.links
                     .send(session, &PeerMessage::ToDispatcher(message));
             }
             RunnerAction::CloseSession(session) => {
-                log::warn!(link = session; "an entry is silent; its runs are stopped");
+                log::warn!(link = session; "entry session timed out; stopping its runs");
                 self.close_link(session);
             }
             RunnerAction::Start(order) => self.order(TargetOrder::Start(order)),
@@ -315,16 +314,16 @@
         }
     }
 
-    /// Returns whether the entry at the other end can read a message; a usual speed is a hint that an older build does without.
-    fn can_read(&self, session: SessionId, message: &RunnerMessage) -> bool {
+    /// Returns whether the entry supports a message. Only the target speed, which is a hint, is unsupported by older builds.
+    fn is_supported(&self, session: SessionId, message: &RunnerMessage) -> bool {
         let is_hint = matches!(message, RunnerMessage::UsualSpeed(_));
         let entry = self.links.hello(session);
         !is_hint || entry.is_some_and(Hello::supports_kept_jobs)
     }
 
-    /// Returns a message as the entry at the other end can read it: a build that does not know of evacuations is told that the target
-    /// drains, which it handles alike.
-    fn make_readable(&self, session: SessionId, message: RunnerMessage) -> RunnerMessage {
+    /// Returns a message in a form that the entry supports: for a build without support for evacuations the target is draining instead of
+    /// evacuated, which has the same effect there.
+    fn adapt_to_build(&self, session: SessionId, message: RunnerMessage) -> RunnerMessage {
         let entry = self.links.hello(session);
         if entry.is_some_and(Hello::supports_evacuations) {
             return message;
@@ -332,25 +331,27 @@
         message.without_evacuated()
     }
 
-    /// Queues an order to the target.
+    /// Queues an order for the target.
     fn order(&self, order: TargetOrder) {
-        // Can't fail: the receiver lives as long as the process.
+        // Cannot fail: the receiver lives as long as the process.
         let _ = self.orders.send(order);
     }
 
-    /// Logs a change of why the target accepts no work.
+    /// Logs a change of the reason why the target accepts no work.
     fn log_readiness(&mut self) {
-        let unready = self.runner.find_unavailable_reason();
-        if unready == self.logged_reason {
+        let unavailable = self.runner.find_unavailable_reason();
+        if unavailable == self.logged_reason {
             return;
         }
-        self.logged_reason = unready;
-        // A target that accepts work has no reason not to: the key is empty then.
-        let reason = unready.map(UnavailableReason::as_str).unwrap_or_default();
+        self.logged_reason = unavailable;
+        // The key is empty if the target accepts work.
+        let reason = unavailable
+            .map(UnavailableReason::as_str)
+            .unwrap_or_default();
         log::info!(
-            ready = unready.is_none(), reason, stuck_runs = self.runner.counts().stuck,
+            ready = unavailable.is_none(), reason, stuck_runs = self.runner.counts().stuck,
             held_runs = self.runner.run_count();
-            "the target's readiness has changed"
+            "target readiness changed"
         );
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/target_orders.rs
+++ b/crates/leased/cloverfold_leased_guard/src/target_orders.rs
@@ -1,6 +1,4 @@
-//! The orders to the target: starts and stops of runs.
-//!
-//! Owns the calls that are not answered yet. Relies on the state to decide on orders and on a [`TargetInterface`] to send them.
+//! Sends start and stop orders to the target.
 
 use std::sync::Arc;
 
@@ -12,7 +10,7 @@
 use crate::interface::TargetInterface;
 use crate::state::GuardState;
 
-/// An order to the target.
+/// An order for the target.
 #[derive(Debug)]
 pub(crate) enum TargetOrder {
     /// Start a run.
@@ -21,7 +19,7 @@
     Stop(StopOrder),
 }
 
-/// Sends each order to the target in a task of its own: none waits for the answer to another.
+/// Sends each order to the target in its own task, so that no order waits for the answer to another.
 pub(crate) async fn send_orders(
     state: Shared<GuardState>,
     mut orders: mpsc::UnboundedReceiver<TargetOrder>,
@@ -38,7 +36,7 @@
     }
 }
 
-/// Sends a start; its answer goes to the state when it arrives.
+/// Sends a start and passes its answer to the state.
 fn send_start(state: &Shared<GuardState>, interface: &Arc<dyn TargetInterface>, order: StartOrder) {
     let answer = interface.start(order.clone());
     let state = state.clone();
--- a/crates/leased/cloverfold_peer/src/known_evacuations.rs
+++ b/crates/leased/cloverfold_peer/src/known_evacuations.rs
@@ -23,9 +23,14 @@
 
     /// Adopts evacuated halls from a peer if they are newer, and propagates them; returns whether they were newer. A control process
     /// always gets a reply, because it resends them until it has an acknowledgement.
-    pub fn receive(&mut self, told: EvacuatedHalls, from: LinkId, links: &mut PeerLinks) -> bool {
-        links.record_evacuations(from, told.revision);
-        let is_newer = self.newest.update(told);
+    pub fn receive(
+        &mut self,
+        received: EvacuatedHalls,
+        from: LinkId,
+        links: &mut PeerLinks,
+    ) -> bool {
+        links.record_evacuations(from, received.revision);
+        let is_newer = self.newest.update(received);
         if is_newer {
             self.log_halls();
             self.announce(links);
