--- a/crates/cloverfold/tests/leased_processes.rs
+++ b/crates/cloverfold/tests/leased_processes.rs
@@ -128,7 +128,7 @@
         installation.entry_settings().replace("entry-1", ""),
     )
     .unwrap();
-    let fault = entry.wait_for_line("changed settings are not taken");
+    let fault = entry.wait_for_line("changed settings rejected");
     assert!(
         fault["message"]
             .as_str()
@@ -137,7 +137,7 @@
     );
     std::fs::write(&entry_file, installation.entry_settings()).unwrap();
     entry.signal(Signal::HUP);
-    entry.wait_for_line("settings are read anew");
+    entry.wait_for_line("settings reloaded");
 
     assert_eq!(entry.stop(), Some(0));
     assert_eq!(guard.stop(), Some(0));
--- a/crates/leased/cloverfold_leased_process/src/lib.rs
+++ b/crates/leased/cloverfold_leased_process/src/lib.rs
@@ -1,9 +1,5 @@
-//! What the processes of a leased installation share when they start and run: their runtime, their signals, settings that change
-//! under way, the state that their tasks share, its links and ticks, suspensions of their box, their metrics and pages for operators.
-//!
-//! Owns the watch on the settings file and the channel on which the links of a process report. Relies on `cloverfold_settings` to read
-//! the file, on `cloverfold_link` and `cloverfold_peer` for links, on `cloverfold_http` for pages and on
-//! `cloverfold_telemetry` for metrics.
+//! Common infrastructure of the processes of a leased installation: runtime, signals, settings reload, shared state, the peer port with
+//! its event loop, detection of stalls and suspensions, metrics, and HTTP endpoints for operators.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_leased_process/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_process/src/metrics.rs
@@ -1,7 +1,4 @@
-//! The metrics that every leased process has, and how they are written.
-//!
-//! Owns the registry of one process. Relies on each process to declare its metrics once and to set them before they are written, and on
-//! `cloverfold_telemetry` for the text and the count of dropped log lines.
+//! Metrics registry of a process, with the metrics that all leased processes have.
 
 use cloverfold_peer::SentCounts;
 use cloverfold_telemetry::{CauseGauges, dropped_line_count, write_metrics};
@@ -10,37 +7,37 @@
 
 use crate::suspensions::SuspensionMonitor;
 
-/// Metrics that are being declared; they are written in the order of their declaration.
+/// Builder of the metrics of a process; they are written in the order of registration.
 #[derive(Debug)]
 pub struct MetricsBuilder {
     registry: Registry,
 }
 
 impl MetricsBuilder {
-    /// Declares metrics whose names begin with `prefix`.
+    /// Creates a builder for metrics whose names start with `prefix`.
     pub fn new(prefix: &str) -> Self {
         Self {
             registry: Registry::with_prefix(prefix),
         }
     }
 
-    /// Declares a metric of any kind; returns it to count with.
+    /// Registers a metric of any type and returns it.
     pub fn add<M: Metric + Clone>(&mut self, name: &str, help: &str, metric: M) -> M {
         self.registry.register(name, help, metric.clone());
         metric
     }
 
-    /// Declares a gauge.
+    /// Registers a gauge.
     pub fn add_gauge(&mut self, name: &str, help: &str) -> Gauge {
         self.add(name, help, Gauge::default())
     }
 
-    /// Declares a gauge for each cause.
+    /// Registers a family of gauges, one for each cause.
     pub fn add_cause_gauges(&mut self, name: &str, help: &str) -> CauseGauges {
         CauseGauges::register(&mut self.registry, name, help)
     }
 
-    /// Adds the metrics that every process has and ends the declaration.
+    /// Registers the metrics that all processes have, and finishes the registration.
     pub fn finish(mut self) -> ProcessMetrics {
         let help = "Log lines dropped since the start";
         let dropped_lines = self.add_gauge("dropped_log_lines", help);
@@ -71,7 +68,7 @@
 }
 
 impl ProcessMetrics {
-    /// Writes all metrics as text, in the format of Prometheus; `sent` is what the process has sent to others.
+    /// Encodes all metrics in the Prometheus text format, after updating the ones that all processes have.
     pub fn write(&self, sent: &SentCounts, suspensions: &SuspensionMonitor) -> String {
         self.box_suspensions
             .set(suspensions.detected_count() as i64);
--- a/crates/leased/cloverfold_leased_process/src/operations.rs
+++ b/crates/leased/cloverfold_leased_process/src/operations.rs
@@ -1,7 +1,4 @@
-//! The HTTP pages for operators, read off the state of the process.
-//!
-//! Gives every leased process the same pages. Owns nothing: the caller keeps the [`ServerHandle`]. Relies on `cloverfold_http` to serve, and on the
-//! two functions of the caller to be quick, since the state is locked while they run.
+//! HTTP endpoints for operators: health, readiness and metrics of a process.
 
 use std::net::SocketAddr;
 
@@ -9,8 +6,8 @@
 
 use crate::shared::Shared;
 
-/// Serves `/healthz`, `/readyz` and `/metrics` of a state where the settings name an address for them. Both functions run with the
-/// state locked; `find_unreadiness` returns why the process is not ready.
+/// Serves `/healthz`, `/readyz` and `/metrics` if the settings contain an address for them. `not_ready_reason` returns why the process
+/// is not ready. Both functions run with the state locked, so they must be fast.
 ///
 /// # Errors
 ///
@@ -19,7 +16,7 @@
     address: Option<SocketAddr>,
     state: &Shared<S>,
     write_metrics: W,
-    find_unreadiness: R,
+    not_ready_reason: R,
 ) -> Result<Option<ServerHandle>, ListenError>
 where
     S: Send + 'static,
@@ -31,6 +28,6 @@
     serve_operations(
         address,
         move || write_metrics(&metrics_state.lock()),
-        move || find_unreadiness(&readiness_state.lock()),
+        move || not_ready_reason(&readiness_state.lock()),
     )
 }
--- a/crates/leased/cloverfold_leased_process/src/peer_port.rs
+++ b/crates/leased/cloverfold_leased_process/src/peer_port.rs
@@ -1,8 +1,7 @@
-//! How a leased process takes part in the traffic between processes, from its start on.
+//! The peer address of a process, and the event loop that drives its state.
 //!
-//! A [`PeerPort`] is created first, so that the state can be built with the [`DialedPeers`] that it dials with. [`PeerPort::listen`]
-//! binds the address, and [`ListeningPeerPort::run`] serves the links and drives the state. Owns the one channel on which all links of
-//! the process report. Relies on `cloverfold_link` for the links.
+//! Create a [`PeerPort`] first, because the state needs the [`DialedPeers`] from it. [`PeerPort::listen`] binds the address, and
+//! [`ListeningPeerPort::run`] serves the links and drives the state. All links of the process report to one channel.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,25 +16,25 @@
 
 use crate::shared::Shared;
 
-/// Events that may wait for the state; links read no further while the channel is full.
-const LINK_EVENTS: usize = 1_024;
+/// Capacity of the channel for link events; links stop reading while it is full.
+const LINK_EVENT_CAPACITY: usize = 1_024;
 
-/// A state that is driven by its links and by time.
+/// A process state that is driven by link events and ticks.
 pub trait LeasedState: Send + 'static {
-    /// Begins to dial; called once, within the runtime, before anything else.
+    /// Starts to dial; called once, within the runtime, before any other function.
     fn on_start(&mut self);
 
-    /// Handles an event of a link.
+    /// Handles a link event.
     fn on_link_event(&mut self, event: LinkEvent<PeerMessage>);
 
-    /// Does what has fallen due.
+    /// Runs the work that is due.
     fn tick(&mut self);
 }
 
-/// The peer address of a process that does not listen yet.
+/// The peer address of a process, before it listens.
 #[derive(Debug)]
 pub struct PeerPort {
-    /// Where the others reach this process; it never dials this address.
+    /// Address by which peers reach this process; the process never dials it.
     address: SocketAddr,
     listen_address: SocketAddr,
     events_tx: mpsc::Sender<LinkEvent<PeerMessage>>,
@@ -43,9 +42,9 @@
 }
 
 impl PeerPort {
-    /// Prepares to listen on one address while others dial `address`, which is the same unless a relay stands between.
+    /// Creates the port. Peers dial `address`, which differs from `listen_address` if a relay forwards their connections.
     pub fn new(address: SocketAddr, listen_address: SocketAddr) -> Self {
-        let (events_tx, events_rx) = mpsc::channel(LINK_EVENTS);
+        let (events_tx, events_rx) = mpsc::channel(LINK_EVENT_CAPACITY);
         Self {
             address,
             listen_address,
@@ -54,7 +53,7 @@
         }
     }
 
-    /// Returns a set of dialed peers, empty at first, whose links report here.
+    /// Returns an empty set of dialed peers whose links report to this port.
     pub fn dialed_peers(&self) -> DialedPeers {
         DialedPeers::new(self.address, self.events_tx.clone())
     }
@@ -74,7 +73,7 @@
     }
 }
 
-/// The peer address of a process, bound; links are accepted from [`ListeningPeerPort::run`] on.
+/// The bound peer address of a process; it accepts no links before [`ListeningPeerPort::run`].
 #[derive(Debug)]
 pub struct ListeningPeerPort {
     listener: TcpListener,
@@ -83,21 +82,21 @@
 }
 
 impl ListeningPeerPort {
-    /// Accepts links, and drives the state by their events and every `tick`. The tasks end when `tasks` is dropped.
+    /// Accepts links, and drives the state with their events and a tick at each interval of `tick`. The tasks end when `tasks` is dropped.
     pub fn run<S: LeasedState>(self, state: Shared<S>, tick: Duration, tasks: &mut JoinSet<()>) {
         let events_rx = self.accept(tasks);
         tasks.spawn(drive_state(state, tick, events_rx));
     }
 
-    /// Accepts links and returns where all links report, for a process that drives its state by other events as well.
+    /// Accepts links and returns the channel of their events, for a process whose state also handles other events.
     pub fn accept(self, tasks: &mut JoinSet<()>) -> mpsc::Receiver<LinkEvent<PeerMessage>> {
         tasks.spawn(accept_links(self.listener, self.events_tx));
         self.events_rx
     }
 }
 
-/// Returns the ticks of a process. After a delay the next tick comes a whole interval later: a process that stood still has no missed
-/// ticks to catch up with.
+/// Returns the tick interval of a process. After a delayed tick the next one follows a whole interval later, so a stalled process does not
+/// catch up on missed ticks.
 pub fn tick_interval(tick: Duration) -> Interval {
     let mut ticks = interval(tick);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/leased/cloverfold_leased_process/src/settings_watch.rs
+++ b/crates/leased/cloverfold_leased_process/src/settings_watch.rs
@@ -1,7 +1,4 @@
-//! The signals of a process, and settings that change while it runs.
-//!
-//! Owns the signal handlers and what is known of the settings file. Relies on `cloverfold_settings` to read the settings and on the
-//! caller to apply them.
+//! Signals of a process, and reload of its settings file.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
@@ -11,10 +8,10 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::{Interval, MissedTickBehavior, interval};
 
-/// How often the settings file is checked: it may change without a signal.
+/// Interval between checks of the settings file, which may change without a signal.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When a file was last modified, and its length in bytes: tells one content from another without reading the file.
+/// Modification time and length in bytes of a file, to detect a change without reading the file.
 type FileStamp = (SystemTime, u64);
 
 /// Watches a settings file and the signals of the process.
@@ -28,7 +25,7 @@
 }
 
 impl SettingsWatch {
-    /// Starts to watch.
+    /// Installs the signal handlers and starts to watch the file.
     ///
     /// # Errors
     ///
@@ -50,8 +47,8 @@
         })
     }
 
-    /// Waits for SIGTERM or SIGINT. On SIGHUP and when the file has changed, reads the file again and passes valid settings to
-    /// `apply`; invalid ones are logged with file, line and field, and change nothing.
+    /// Runs until SIGTERM or SIGINT. On SIGHUP, or when the file has changed, reads the file again and passes valid settings to `apply`.
+    /// Logs invalid settings with file, line and field, and ignores them.
     pub async fn run_until_stop<T: DeserializeOwned + Validate>(mut self, apply: impl Fn(T)) {
         loop {
             tokio::select! {
@@ -73,15 +70,15 @@
         match read_settings(&self.file) {
             Ok(settings) => {
                 let file = self.file.display().to_string();
-                log::info!(file = file.as_str(); "settings are read anew");
+                log::info!(file = file.as_str(); "settings reloaded");
                 apply(settings);
             }
-            Err(fault) => log::error!("changed settings are not taken: {fault}"),
+            Err(fault) => log::error!("changed settings rejected: {fault}"),
         }
     }
 }
 
-/// Returns the stamp of a file; `None` if the file is missing or can't be looked at, which reading it then reports.
+/// Returns the stamp of a file; `None` if the file is missing or inaccessible, which the subsequent read reports.
 fn read_stamp(file: &Path) -> Option<FileStamp> {
     let metadata = std::fs::metadata(file).ok()?;
     Some((metadata.modified().ok()?, metadata.len()))
--- a/crates/leased/cloverfold_leased_process/src/shared.rs
+++ b/crates/leased/cloverfold_leased_process/src/shared.rs
@@ -1,11 +1,8 @@
-//! State that the tasks of one process share.
-//!
-//! [`Shared`] owns the state of a process behind one lock, so that each event sees what the one before has left. Relies on its users to hold
-//! the lock briefly.
+//! State shared by the tasks of a process, behind a single lock.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The state of a process, shared by its tasks. A copy refers to the same state.
+/// The state of a process, shared by its tasks. A clone refers to the same state.
 #[derive(Debug)]
 pub struct Shared<S> {
     state: Arc<Mutex<S>>,
@@ -20,15 +17,15 @@
 }
 
 impl<S> Shared<S> {
-    /// Shares a state.
+    /// Wraps a state.
     pub fn new(state: S) -> Self {
         Self {
             state: Arc::new(Mutex::new(state)),
         }
     }
 
-    /// Locks the state; never hold the guard over an `await`. A lock whose holder panicked is taken all the same: the process serves
-    /// many jobs, and one that panics must not end the others.
+    /// Locks the state; hold the guard briefly and never across an `await`. Ignores poisoning, because a panic while handling one job must
+    /// not stop the others.
     pub fn lock(&self) -> MutexGuard<'_, S> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/leased/cloverfold_leased_process/src/stalls.rs
+++ b/crates/leased/cloverfold_leased_process/src/stalls.rs
@@ -1,22 +1,20 @@
-//! What a process does when it was stalled: it logs that.
-//!
-//! Owns the watch on the calls of the state. Relies on the state to look before it decides by time.
+//! Detection and logging of process stalls.
 
 use std::time::Duration;
 
 use cloverfold_base::{StallDetector, Timestamp};
 
-/// Notices and logs the stalls of a process.
+/// Detects and logs stalls of the process. Poll it before making decisions that depend on time.
 #[derive(Debug, Default)]
 pub struct StallMonitor {
-    watch: StallDetector,
+    detector: StallDetector,
 }
 
 impl StallMonitor {
-    /// Returns for how long the process was stalled since the last call; `None` if it was not.
+    /// Returns the duration of a stall since the last call; `None` if there was none.
     pub fn poll(&mut self, now: Timestamp) -> Option<Duration> {
-        let stall = self.watch.record_call(now)?;
-        log::warn!(gap_ms = stall.as_millis() as u64; "the process stood still");
+        let stall = self.detector.record_call(now)?;
+        log::warn!(gap_ms = stall.as_millis() as u64; "process was stalled");
         Some(stall)
     }
 }
--- a/crates/leased/cloverfold_leased_settings/src/control.rs
+++ b/crates/leased/cloverfold_leased_settings/src/control.rs
@@ -1,6 +1,4 @@
 //! Settings of a control process.
-//!
-//! Owns the checks of [`ControlSettings`]. Relies on the settings that it shares with the other processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,40 +12,41 @@
 use crate::peer::PeerSettings;
 use crate::upkeep::UpkeepSettings;
 
-/// Most control processes that may be lost at once: nine would keep the configuration. Chosen, not measured.
+/// Maximum of [`ControlSettings::tolerated_losses`], for which nine control processes replicate the configuration.
 const MAX_TOLERATED_LOSSES: usize = 4;
 
-/// [`ControlSettings::job_groups`] unless it is set. Chosen, not measured.
+/// Default of [`ControlSettings::job_groups`].
 const DEFAULT_JOB_GROUPS: u32 = 1;
-/// [`ControlSettings::status_s`] unless it is set. Chosen, not measured.
+/// Default of [`ControlSettings::status_s`].
 const DEFAULT_STATUS_S: u64 = 150;
 
 /// Settings of one `cloverfold control`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// What all processes are told.
+    /// Settings that all processes have.
     pub peer: PeerSettings,
-    /// TCP address to serve operators on.
+    /// TCP address that serves operators.
     pub operator_address: SocketAddr,
-    /// Folder of this process's own state; nobody else writes there.
+    /// Folder of this process's state; no other process may write there.
     pub data_folder: PathBuf,
-    /// Whether the whole installation starts for the first time: the seeds then found its group.
+    /// Whether the installation starts for the first time, in which case the seeds bootstrap its group.
     pub may_found: bool,
-    /// How many control processes may be lost at once; twice as many and one more keep the configuration.
+    /// Number of control processes that may fail at once; twice as many plus one replicate the configuration.
     pub tolerated_losses: usize,
-    /// How many groups keep jobs, agreed on once when the installation begins or is upgraded; 0 keeps none.
+    /// Number of groups that replicate kept jobs, fixed when the installation starts for the first time or is upgraded; 0 disables kept
+    /// jobs.
     #[serde(default = "default_job_groups")]
     pub job_groups: u32,
-    /// How long a kept job is remembered after its end, in seconds.
+    /// How long the state of a kept job is retained after its end, in seconds.
     #[serde(default = "default_status_s")]
     pub status_s: u64,
-    /// The data halls of the installation; an order for any other is refused. Where none is named, every name is accepted.
+    /// Data halls of the installation; orders for other halls are refused. If empty, every valid name is accepted.
     #[serde(default)]
     pub halls: Vec<DataHall>,
-    /// Planned upkeep of boxes; without it, no order of a wave is taken.
+    /// Planned upkeep of boxes; without it, orders for upkeep waves are refused.
     pub upkeep: Option<UpkeepSettings>,
-    /// Where log lines go.
+    /// Destination of log lines.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -86,20 +85,21 @@
 }
 
 impl ControlSettings {
-    /// Returns how long a kept job is remembered after its end.
+    /// Returns how long the state of a kept job is retained after its end.
     pub fn status_retention(&self) -> Duration {
         Duration::from_secs(self.status_s)
     }
 
     fn check_halls(&self, errors: &mut ValidationErrors) {
-        let any_name = HallNames::default();
-        let is_malformed = |hall: &DataHall| any_name.check(hall).is_err();
+        let unrestricted = HallNames::default();
+        let is_malformed = |hall: &DataHall| unrestricted.check(hall).is_err();
         errors.add_if(
             self.halls.iter().any(is_malformed),
             "halls",
             "each must have 1 to 128 letters, digits, dots, hyphens or underscores",
         );
-        let is_own_missing = !self.halls.is_empty() && !self.halls.contains(&self.peer.data_hall);
-        errors.add_if(is_own_missing, "halls", "must name peer.hall");
+        let is_own_hall_missing =
+            !self.halls.is_empty() && !self.halls.contains(&self.peer.data_hall);
+        errors.add_if(is_own_hall_missing, "halls", "must name peer.hall");
     }
 }
--- a/crates/leased/cloverfold_leased_settings/src/entry.rs
+++ b/crates/leased/cloverfold_leased_settings/src/entry.rs
@@ -1,6 +1,4 @@
 //! Settings of a leased entry.
-//!
-//! Owns the checks of [`LeasedEntrySettings`]. Relies on the settings that it shares with the other processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,28 +9,28 @@
 use crate::lease::LeaseSettings;
 use crate::peer::PeerSettings;
 
-/// How long a stopping entry takes new requests unless the settings say otherwise, in milliseconds. Chosen, not measured.
+/// Default of [`LeasedEntrySettings::linger_ms`].
 const DEFAULT_LINGER_MS: u64 = 2_200;
 
 /// Settings of one `cloverfold leased-entry`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeasedEntrySettings {
-    /// What all processes are told.
+    /// Settings that all processes have.
     pub peer: PeerSettings,
-    /// Bounds of leases.
+    /// Timing bounds of leases.
     #[serde(default)]
     pub lease: LeaseSettings,
-    /// TCP address to serve callers on.
+    /// TCP address that serves callers.
     pub client_address: SocketAddr,
-    /// TCP address at which the balancer asks whether this entry is ready.
+    /// TCP address of the readiness check for the load balancer.
     pub ready_address: SocketAddr,
-    /// How long a planned stop may take before what is left is given up, in milliseconds.
+    /// Timeout of a graceful shutdown, after which remaining work is abandoned, in milliseconds.
     pub drain_ms: u64,
-    /// How long a stopping entry takes new requests, so that the balancer can notice, in milliseconds.
+    /// How long a stopping entry still accepts requests, so that the load balancer can detect that it is not ready, in milliseconds.
     #[serde(default = "default_linger_ms")]
     pub linger_ms: u64,
-    /// Where log lines go.
+    /// Destination of log lines.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -42,12 +40,12 @@
 }
 
 impl LeasedEntrySettings {
-    /// Returns how long a planned stop may take.
+    /// Returns the timeout of a graceful shutdown.
     pub fn drain_timeout(&self) -> Duration {
         Duration::from_millis(self.drain_ms)
     }
 
-    /// Returns how long a stopping entry takes new requests.
+    /// Returns how long a stopping entry still accepts requests.
     pub fn linger(&self) -> Duration {
         Duration::from_millis(self.linger_ms)
     }
--- a/crates/leased/cloverfold_leased_settings/src/guard.rs
+++ b/crates/leased/cloverfold_leased_settings/src/guard.rs
@@ -1,6 +1,4 @@
 //! Settings of a leased guard.
-//!
-//! Owns the checks of [`LeasedGuardSettings`]. Relies on the settings that it shares with the other processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,26 +9,26 @@
 use crate::lease::LeaseSettings;
 use crate::peer::PeerSettings;
 
-/// Settings of one `cloverfold-guard` that leases its target's runs.
+/// Settings of one `cloverfold-guard` with leases on its target's runs.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeasedGuardSettings {
-    /// What all processes are told.
+    /// Settings that all processes have.
     pub peer: PeerSettings,
-    /// Bounds of leases.
+    /// Timing bounds of leases.
     #[serde(default)]
     pub lease: LeaseSettings,
-    /// TCP address at which the target beside this guard registers.
+    /// TCP address on which the target of this guard registers.
     pub registration_address: SocketAddr,
-    /// How long a planned stop may take before what is left is given up, in milliseconds.
+    /// Timeout of a graceful shutdown, after which remaining work is abandoned, in milliseconds.
     pub drain_ms: u64,
-    /// Where log lines go.
+    /// Destination of log lines.
     #[serde(default)]
     pub log: LogSettings,
 }
 
 impl LeasedGuardSettings {
-    /// Returns how long a planned stop may take.
+    /// Returns the timeout of a graceful shutdown.
     pub fn drain_timeout(&self) -> Duration {
         Duration::from_millis(self.drain_ms)
     }
--- a/crates/leased/cloverfold_leased_settings/src/lease.rs
+++ b/crates/leased/cloverfold_leased_settings/src/lease.rs
@@ -1,6 +1,4 @@
-//! The bounds that leases rest on.
-//!
-//! Owns the check that they are safe together. Relies on `cloverfold_lease` for the inequality and the defaults.
+//! Timing bounds of leases, with the validation that they are safe in combination.
 
 use std::time::Duration;
 
@@ -11,22 +9,22 @@
 use cloverfold_settings::ValidationErrors;
 use serde::Deserialize;
 
-/// Shortest lease that leaves time for a lost renewal, in milliseconds. Chosen, not measured.
+/// Minimum lease duration, in milliseconds; leaves time to retry a lost renewal.
 const MIN_LEASE_MS: u64 = 200;
 
-/// Bounds that leases rest on; the same at every process.
+/// Timing bounds of leases; they must be the same for all processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseSettings {
-    /// How long a target may run on when its guard is silent, in milliseconds.
+    /// Lease duration: how long a target may continue its runs without a renewal from its guard, in milliseconds.
     pub lease_ms: u64,
-    /// The longest lease that a target grants, whatever it is told, in milliseconds.
+    /// Maximum lease duration that a target grants, regardless of the requested one, in milliseconds.
     pub longest_lease_ms: u64,
-    /// How long a guard works on for an entry that is silent, in milliseconds.
+    /// Session timeout: how long a guard continues the runs of an entry without a message from it, in milliseconds.
     pub session_ms: u64,
-    /// How long a target may take to end a stopped run, in milliseconds.
+    /// Stop timeout: how long a target may take to end a stopped run, in milliseconds.
     pub stop_ms: u64,
-    /// After this a caller may send again what got no answer, in milliseconds.
+    /// Resend interval: how long after a request without an answer a caller may resend it, in milliseconds.
     pub resend_ms: u64,
 }
 
@@ -43,7 +41,7 @@
 }
 
 impl LeaseSettings {
-    /// Returns the timings of dispatchers and runners under these bounds.
+    /// Returns the timings of dispatchers and runners for these bounds.
     pub fn timings(&self) -> Timings {
         Timings::with_bounds(
             Duration::from_millis(self.session_ms),
--- a/crates/leased/cloverfold_leased_settings/src/lib.rs
+++ b/crates/leased/cloverfold_leased_settings/src/lib.rs
@@ -1,8 +1,7 @@
 //! Settings of the processes of a leased installation: entry, guard and control process.
 //!
-//! Each process has a type here that [`cloverfold_settings::read_settings`] reads from one file; [`PeerSettings`] and
-//! [`LeaseSettings`] stand in several of them. Owns the checks of single values and of values against each other. Relies on
-//! `cloverfold_settings` for reading files and placing errors.
+//! Each process has a settings type that [`cloverfold_settings::read_settings`] reads from one file and validates; several of them
+//! contain [`PeerSettings`] and [`LeaseSettings`].
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_leased_settings/src/peer.rs
+++ b/crates/leased/cloverfold_leased_settings/src/peer.rs
@@ -1,47 +1,44 @@
-//! What every process of a leased installation is told: its name, its address and the seeds.
-//!
-//! Owns the checks of [`PeerSettings`]; relies on nothing else.
+//! Settings that all processes of a leased installation have: name, addresses and seeds.
 
 use std::net::{IpAddr, SocketAddr};
 
 use cloverfold_settings::ValidationErrors;
 use serde::Deserialize;
 
-/// What all processes of a leased installation are told.
+/// Settings that all processes of a leased installation have.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Name of this process; no other has it.
+    /// Unique name of this process.
     pub name: String,
-    /// The data hall it stands in: an order to evacuate it is carried out by this name.
+    /// Data hall of this process; evacuation orders refer to it by this name.
     #[serde(rename = "hall")]
     pub data_hall: String,
-    /// Address of this box, by which the other processes reach it.
+    /// IP address by which other processes reach this one.
     pub ip: IpAddr,
-    /// Address on which it listens to the others, if that is not `ip`: where a relay or a translation of addresses stands before the
-    /// box.
+    /// IP address to listen on, if it differs from `ip` because of a relay or address translation in front of the box.
     #[serde(default)]
     pub listen_ip: Option<IpAddr>,
-    /// TCP port at which every process of the installation listens to the others.
+    /// TCP port on which every process of the installation accepts links.
     pub port: u16,
-    /// Control processes at the start, by any address of theirs; only the IP address counts.
+    /// Addresses of initial control processes; only the IP address counts.
     pub seeds: Vec<SocketAddr>,
-    /// TCP port of `/healthz`, `/readyz` and `/metrics`; none are served without.
+    /// TCP port of `/healthz`, `/readyz` and `/metrics`, which are not served without it.
     pub metrics_port: Option<u16>,
 }
 
 impl PeerSettings {
-    /// Returns where the other processes reach this one.
+    /// Returns the address by which other processes reach this one.
     pub fn address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.port)
     }
 
-    /// Returns where this process listens to the others.
+    /// Returns the address on which this process accepts links.
     pub fn listen_address(&self) -> SocketAddr {
         SocketAddr::new(self.listen_ip.unwrap_or(self.ip), self.port)
     }
 
-    /// Returns where the seeds listen to other processes, in order.
+    /// Returns the addresses on which the seeds accept links, sorted and without duplicates.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter();
         let mut addresses: Vec<_> = seeds
@@ -52,7 +49,7 @@
         addresses
     }
 
-    /// Returns where the metrics are served.
+    /// Returns the address that serves the metrics.
     pub fn metrics_address(&self) -> Option<SocketAddr> {
         self.metrics_port.map(|port| SocketAddr::new(self.ip, port))
     }
--- a/crates/leased/cloverfold_leased_settings/src/upkeep.rs
+++ b/crates/leased/cloverfold_leased_settings/src/upkeep.rs
@@ -1,6 +1,4 @@
-//! Settings of planned upkeep: where the platform's interface for boxes is, and the bounds that it keeps.
-//!
-//! Owns the checks of [`UpkeepSettings`].
+//! Settings of planned upkeep: the address of the platform's interface for boxes, and its limits.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,92 +6,92 @@
 use cloverfold_settings::ValidationErrors;
 use serde::Deserialize;
 
-/// How control processes call for the upkeep of boxes; without these settings they take no order of a wave.
+/// How control processes request the upkeep of boxes; without these settings they refuse orders for upkeep waves.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpkeepSettings {
-    /// Where the platform serves its list of boxes and takes calls.
+    /// Address at which the platform serves its list of boxes and accepts calls.
     pub address: SocketAddr,
-    /// How many calls a second the platform takes from all processes together.
+    /// Rate limit of the platform for calls from all processes together, per second.
     #[serde(default = "default_rate")]
     pub calls_per_second: f64,
-    /// How many readings of a page of its list a second it takes from all processes together.
+    /// Rate limit of the platform for reads of a page of its list from all processes together, per second.
     #[serde(default = "default_rate")]
     pub readings_per_second: f64,
-    /// How long a box is away for its upkeep, in seconds.
+    /// How long a box is down for its upkeep, in seconds.
     #[serde(default = "default_maintenance_s")]
     pub maintenance_s: f64,
-    /// How long after the last call of one process another may call for the same box, in milliseconds.
+    /// How long after the last call of one process another process may call for the same box, in milliseconds.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// How long a process that was frozen may take to find out, in milliseconds.
+    /// How long a process may take to detect that it was stalled, in milliseconds.
     #[serde(default = "default_thaw_ms")]
     pub thaw_ms: u64,
-    /// How old the list may be, in seconds.
+    /// Maximum age of the list of boxes, in seconds.
     #[serde(default = "default_list_lag_s")]
     pub list_lag_s: f64,
-    /// How long a box gets no new work before it is called, in milliseconds.
+    /// How long a box is drained before the call for its upkeep, in milliseconds.
     #[serde(default = "default_empty_ms")]
     pub empty_ms: u64,
 }
 
-/// A rate that any platform takes. Chosen, not measured.
+/// Default of both rate limits, low enough for any platform.
 fn default_rate() -> f64 {
     10.0
 }
 
-/// Chosen, not measured.
+/// Default of [`UpkeepSettings::maintenance_s`].
 fn default_maintenance_s() -> f64 {
     2.0
 }
 
-/// Chosen, not measured.
+/// Default of [`UpkeepSettings::lease_ms`].
 fn default_lease_ms() -> u64 {
     3_000
 }
 
-/// Chosen, not measured.
+/// Default of [`UpkeepSettings::thaw_ms`].
 fn default_thaw_ms() -> u64 {
     300
 }
 
-/// Chosen, not measured.
+/// Default of [`UpkeepSettings::list_lag_s`].
 fn default_list_lag_s() -> f64 {
     3.0
 }
 
-/// Chosen, not measured: most tasks take less than a second.
+/// Default of [`UpkeepSettings::empty_ms`]; most tasks take less than a second.
 fn default_empty_ms() -> u64 {
     1_000
 }
 
 impl UpkeepSettings {
-    /// Returns how long a box is away for its upkeep.
+    /// Returns how long a box is down for its upkeep.
     pub fn maintenance_duration(&self) -> Duration {
         Duration::from_secs_f64(self.maintenance_s)
     }
 
-    /// Returns how old the list may be.
+    /// Returns the maximum age of the list of boxes.
     pub fn list_lag(&self) -> Duration {
         Duration::from_secs_f64(self.list_lag_s)
     }
 
-    /// Returns how long a process leaves a box alone that another may have called.
+    /// Returns how long a process waits before it calls for a box that another process may have called for.
     pub fn takeover_delay(&self) -> Duration {
         Duration::from_millis(self.lease_ms + self.thaw_ms)
     }
 
-    /// Returns how long a box gets no new work before it is called.
+    /// Returns how long a box is drained before the call for its upkeep.
     pub fn drain_duration(&self) -> Duration {
         Duration::from_millis(self.empty_ms)
     }
 
-    /// Returns the span between two calls that keeps to half of the platform's rate: a process that is being replaced may still call.
+    /// Returns the interval between calls. It uses half of the rate limit, because a process that is being replaced may still make calls.
     pub fn call_interval(&self) -> Duration {
         Duration::from_secs_f64(2.0 / self.calls_per_second)
     }
 
-    /// Returns the span between two readings that keeps to half of the platform's rate.
+    /// Returns the interval between reads of the list, which uses half of the rate limit.
     pub fn reading_interval(&self) -> Duration {
         Duration::from_secs_f64(2.0 / self.readings_per_second)
     }
--- a/crates/leased/cloverfold_leased_settings/tests/peer.rs
+++ b/crates/leased/cloverfold_leased_settings/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Where a process listens, and where the others reach it.
+//! The address on which a process listens, and the one by which others reach it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 use cloverfold_leased_settings::LeasedGuardSettings;
 use cloverfold_settings::parse_settings;
 
-/// Reads the settings of a guard whose `peer` has one more setting.
+/// Parses settings of a guard with an additional setting in `peer`.
 fn guard_with(peer_setting: &str) -> LeasedGuardSettings {
     let text = format!(
         r#"{{ "peer": {{ "name": "guard-1", "hall": "a", "ip": "127.0.0.21", "port": 7400, {peer_setting}
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn a_process_listens_where_the_others_reach_it() {
+fn a_process_listens_on_its_own_address_by_default() {
     let settings = guard_with("");
 
     assert_eq!(settings.peer.listen_address(), settings.peer.address());
 }
 
 #[test]
-fn a_process_behind_a_relay_listens_elsewhere_and_is_reached_as_before() {
+fn a_process_behind_a_relay_listens_on_a_different_address() {
     let settings = guard_with(r#""listen_ip": "127.0.1.21","#);
 
     assert_eq!(
