--- a/crates/tools/cloverfold_soak/src/run/callers.rs
+++ b/crates/tools/cloverfold_soak/src/run/callers.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use cloverfold_stand_ins::{
-    CALLER_HOST, DEADLINE_HEADER, JobShape, MAX_FAILURES, QUEUE_PREFIX, is_state, write_job,
+    CALLER_HOST, DEADLINE_HEADER, JobShape, MAX_ATTEMPTS, QUEUE_PREFIX, is_job_state, write_job,
 };
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
@@ -61,7 +61,7 @@
     let number = recorder.begin_attempt(Attempt {
         job: job.to_owned(),
         tasks: planned.tasks,
-        max_failures: MAX_FAILURES,
+        max_failures: MAX_ATTEMPTS,
         entry,
         sent_at: recorder.now(),
         outcome: None,
@@ -99,8 +99,8 @@
 
 fn read_answer(status: StatusCode, body: &str) -> Outcome {
     match status {
-        StatusCode::OK if is_state(body, "completed") => Outcome::Completed,
-        StatusCode::OK if is_state(body, "failed") => Outcome::Failed,
+        StatusCode::OK if is_job_state(body, "completed") => Outcome::Completed,
+        StatusCode::OK if is_job_state(body, "failed") => Outcome::Failed,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Outcome::Refused,
         StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => Outcome::GivenUp,
         _ => Outcome::Garbled,
--- a/crates/tools/cloverfold_soak/src/run/installation.rs
+++ b/crates/tools/cloverfold_soak/src/run/installation.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cloverfold_stand_ins::READINESS_PATH;
-use cloverfold_stand_ins::target::{StandInTarget, TargetPlace};
+use cloverfold_stand_ins::target::{FakeTarget, TargetConfig};
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
@@ -44,7 +44,7 @@
     pub(crate) layout: Layout,
     pub(crate) links: Links,
     pub(crate) slots: Vec<Slot>,
-    pub(crate) targets: Vec<Arc<StandInTarget>>,
+    pub(crate) targets: Vec<Arc<FakeTarget>>,
     /// Locked by the one fault that a target has.
     pub(crate) target_care: Vec<tokio::sync::Mutex<()>>,
     pub(crate) recorder: Recorder,
@@ -79,7 +79,7 @@
         programs: &Programs,
         layout: Layout,
         links: Links,
-        targets: Vec<Arc<StandInTarget>>,
+        targets: Vec<Arc<FakeTarget>>,
     ) -> Self {
         let slot = |process| Slot {
             process,
@@ -241,15 +241,15 @@
     Recorder::new(halls.collect())
 }
 
-fn start_targets(layout: &Layout) -> io::Result<Vec<Arc<StandInTarget>>> {
+fn start_targets(layout: &Layout) -> io::Result<Vec<Arc<FakeTarget>>> {
     let start = |index: usize| {
         let guard = Process::Guard(index);
-        StandInTarget::start(TargetPlace {
+        FakeTarget::start(TargetConfig {
             name: format!("target-{index}"),
             hall: layout.hall(guard).to_owned(),
             address: layout.target(index, Side::Inner),
-            registered_address: layout.target(index, Side::Outer),
-            registration: layout.interface(guard, Side::Outer),
+            advertised_address: layout.target(index, Side::Outer),
+            registration_address: layout.interface(guard, Side::Outer),
         })
     };
     (0..GUARDS).map(start).collect()
--- a/crates/tools/cloverfold_soak/src/run/operators.rs
+++ b/crates/tools/cloverfold_soak/src/run/operators.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cloverfold_stand_ins::{configuration, unreadable_configuration, unsound_configuration};
+use cloverfold_stand_ins::{configuration, invalid_configuration, malformed_configuration};
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
 use tokio::time::{sleep, timeout};
@@ -35,11 +35,11 @@
         }
         Order::Repeat => repeat(installation, control).await,
         Order::Unsound => {
-            let text = unsound_configuration;
+            let text = invalid_configuration;
             send_invalid(installation, control, text).await;
         }
         Order::Unreadable => {
-            let text = unreadable_configuration;
+            let text = malformed_configuration;
             send_invalid(installation, control, text).await;
         }
         Order::Evacuate { hall, lasts } => {
--- a/crates/tools/cloverfold_soak/src/run/snapshot.rs
+++ b/crates/tools/cloverfold_soak/src/run/snapshot.rs
@@ -1,6 +1,6 @@
 //! All that was seen up to now, with the runs that targets keep, and how long the logs are.
 
-use cloverfold_stand_ins::target::SeenEnd;
+use cloverfold_stand_ins::target::RunEndCause;
 
 use super::LogMark;
 use super::installation::Installation;
@@ -42,12 +42,12 @@
     }
 }
 
-fn read_end(end: SeenEnd) -> RunEnd {
+fn read_end(end: RunEndCause) -> RunEnd {
     match end {
-        SeenEnd::Done => RunEnd::Done,
-        SeenEnd::Failed => RunEnd::Failed,
-        SeenEnd::Stopped => RunEnd::Stopped,
-        SeenEnd::Lapsed => RunEnd::Lapsed,
-        SeenEnd::Died => RunEnd::Died,
+        RunEndCause::Done => RunEnd::Done,
+        RunEndCause::Failed => RunEnd::Failed,
+        RunEndCause::Stopped => RunEnd::Stopped,
+        RunEndCause::Lapsed => RunEnd::Lapsed,
+        RunEndCause::Died => RunEnd::Died,
     }
 }
--- a/crates/tools/cloverfold_soak/src/run/target_faults.rs
+++ b/crates/tools/cloverfold_soak/src/run/target_faults.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverfold_stand_ins::target::{StandInTarget, TargetFaults};
+use cloverfold_stand_ins::target::{FakeTarget, TargetFaults};
 use tokio::time::{Instant, sleep};
 
 use super::installation::Installation;
@@ -22,7 +22,7 @@
 const BETWEEN_LIVES: Duration = Duration::from_millis(200);
 
 /// Sends heartbeats for good.
-pub(crate) async fn send_heartbeats(target: Arc<StandInTarget>) {
+pub(crate) async fn send_heartbeats(target: Arc<FakeTarget>) {
     loop {
         if let Some(heartbeat) = target.next_heartbeat() {
             // One that is lost is followed by the next.
@@ -65,10 +65,10 @@
 fn list_faults(fault: TargetFault) -> TargetFaults {
     let mut faults = TargetFaults::default();
     match fault {
-        TargetFault::Hang => faults.is_hanging = true,
-        TargetFault::Fail => faults.is_failing = true,
-        TargetFault::Late { by } => faults.late_by = Some(Duration::from_millis(by)),
-        TargetFault::Unanswering => faults.is_unanswering = true,
+        TargetFault::Hang => faults.hangs_runs = true,
+        TargetFault::Fail => faults.fails_runs = true,
+        TargetFault::Late { by } => faults.start_delay = Some(Duration::from_millis(by)),
+        TargetFault::Unanswering => faults.drops_answers = true,
         TargetFault::Unhealthy => faults.is_unhealthy = true,
         TargetFault::Crash { .. } | TargetFault::Leave => {}
     }
@@ -86,7 +86,7 @@
     let last_words = target.next_heartbeat();
     target.crash();
     sleep(lasts.min(LONGEST_AWAY)).await;
-    target.come_up();
+    target.restart();
     if let (Some(after), Some(last_words)) = (late_registration, last_words) {
         sleep(Duration::from_millis(after)).await;
         target.send_heartbeat(&last_words).await;
@@ -110,7 +110,7 @@
     }
     target.crash();
     sleep(BETWEEN_LIVES).await;
-    target.come_up();
+    target.restart();
     installation.recorder.end_disturbance(number);
 }
 
