--- a/crates/cloverfold/tests/upkeep_processes.rs
+++ b/crates/cloverfold/tests/upkeep_processes.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use boxes::{SeenCall, StandInBoxes};
+use boxes::{FakeBoxApi, RecordedCall};
 use programs::{Addresses, CLOVERFOLD, Program, run, wait_until};
 use rustix::process::Signal;
 use serde_json::Value;
@@ -29,7 +29,7 @@
 }
 
 impl Group {
-    fn start(folder: &Path, boxes: &StandInBoxes) -> Self {
+    fn start(folder: &Path, boxes: &FakeBoxApi) -> Self {
         let addresses = Addresses::choose(BLOCK);
         let start = |index| {
             let name = format!("control-{index}");
@@ -75,14 +75,14 @@
     }
 }
 
-fn first_call(boxes: &StandInBoxes) -> SeenCall {
+fn first_call(boxes: &FakeBoxApi) -> RecordedCall {
     wait_until("the first call", || boxes.state().calls.first().cloned())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_holder_that_is_stopped_between_two_calls_and_woken_calls_no_more() {
     let names: Vec<String> = (0..4).map(|index| format!("box-{index}")).collect();
-    let boxes = StandInBoxes::start(&names, MAINTENANCE, Duration::from_millis(200)).await;
+    let boxes = FakeBoxApi::start(&names, MAINTENANCE, Duration::from_millis(200)).await;
     let folder = tempfile::tempdir().unwrap();
     let group = Group::start(folder.path(), &boxes);
     let mut order = vec!["start", "7", "--most-down", "1", "--span-s", "5"];
@@ -109,7 +109,7 @@
     });
     assert_eq!(boxes.count_begun(7), 4);
     assert_eq!(boxes.state().most_down[&7], 1);
-    boxes.assert_in_order(LEASE);
+    boxes.assert_no_conflicting_calls(LEASE);
     // The same order again is acknowledged, and changes nothing.
     group.upkeep(&order);
     assert_eq!(boxes.count_begun(7), 4);
--- a/crates/tools/cloverfold_leased_solo/src/system.rs
+++ b/crates/tools/cloverfold_leased_solo/src/system.rs
@@ -234,7 +234,7 @@
     async fn wait_ready(&self) -> Result<(), LeasedSoloError> {
         for entry in &self.entries {
             let address = entry.ready_address();
-            let path = self.queue.ready_path();
+            let path = self.queue.readiness_path();
             wait_for("an entry", || async {
                 call(address, Method::GET, path, Bytes::new()).await
             })
