--- a/crates/leased/cloverfold_lease/src/runner/counts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/counts.rs
@@ -13,7 +13,7 @@
     pub lost: u64,
     /// Runs that the runner ordered to stop.
     pub stopped: u64,
-    /// Assignments that were returned to the dispatcher without a run.
+    /// Assignments reported back as not started.
     pub refused: u64,
     /// Sessions that expired because the dispatcher sent no echo in time.
     pub expired_sessions: u64,
--- a/crates/leased/cloverfold_lease/src/runner/held_ends.rs
+++ b/crates/leased/cloverfold_lease/src/runner/held_ends.rs
@@ -1,6 +1,6 @@
 //! Ends of runs that the target must keep listing.
 //!
-//! A target is told to forget ends up to the first held one.
+//! The runner lets the target forget only the ends before the first held one.
 //!
 //! | end | held |
 //! |---|---|
--- a/crates/leased/cloverfold_lease/src/runner/listing.rs
+++ b/crates/leased/cloverfold_lease/src/runner/listing.rs
@@ -62,13 +62,13 @@
     pub(super) fn reconcile_runs(
         &mut self,
         running: &[ListedRun],
-        times: ListContext,
+        context: ListContext,
         now: Timestamp,
     ) {
         for row in running {
             self.record_listed_run(row, now);
         }
-        self.end_unlisted_runs(running, times, now);
+        self.end_unlisted_runs(running, context, now);
         self.stop_orphans(running);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Ends the runs that the list leaves out, if that makes their end certain.
-    fn end_unlisted_runs(&mut self, running: &[ListedRun], times: ListContext, now: Timestamp) {
+    fn end_unlisted_runs(&mut self, running: &[ListedRun], context: ListContext, now: Timestamp) {
         let is_listed = |task: &TaskId, run: &Run| {
             let is_same = |row: &ListedRun| row.run == run.number && row.task == *task;
             running.iter().any(is_same)
@@ -104,7 +104,7 @@
             .iter()
             .filter(|(task, run)| !is_listed(task, run))
             .filter_map(|(task, run)| {
-                let outcome = outcome_of_unlisted_run(&run.state, times)?;
+                let outcome = outcome_of_unlisted_run(&run.state, context)?;
                 Some((task.clone(), outcome))
             })
             .collect();
--- a/crates/leased/cloverfold_lease/src/runner/own_stall.rs
+++ b/crates/leased/cloverfold_lease/src/runner/own_stall.rs
@@ -2,12 +2,12 @@
 //!
 //! Answers of the target and echoes that arrived during the stall are still unread, so after a stall
 //!
-//! - the target's silence during the stall does not count;
+//! - missing answers of the target during the stall do not count;
 //! - a session that has expired meanwhile is *in doubt* during the [`CatchUp`](crate::stall::CatchUp): its runs go on, but nothing starts
 //!   and the target's lease is not extended. An echo of a clock reading from after the stall makes the session valid again; otherwise it
 //!   ends with the catch-up.
 //!
-//! By the clock alone a healthy target would get no work, and runs would be stopped that their dispatcher waits for.
+//! Otherwise a healthy target would get no work, and the runner would stop runs that their dispatcher still waits for.
 //!
 //! This cannot make two runs of a task overlap. A dispatcher starts a task again no earlier than
 //! [`Timings::run_end_bound`](crate::Timings::run_end_bound) after its last echo. That span already allows for a runner that freezes
@@ -15,7 +15,7 @@
 //! reading from after the stall still has the session.
 //!
 //! The process must call [`Runner::allow_for_stall`] before anything else after a stall, but not after a suspension of the box: then the
-//! target's clock may have stood still too, and its lease may outlive the session by the length of the suspension.
+//! target's clock may have stopped too, and its lease may outlive the session by the length of the suspension.
 
 use std::time::Duration;
 
--- a/crates/leased/cloverfold_lease/src/runner/performance.rs
+++ b/crates/leased/cloverfold_lease/src/runner/performance.rs
@@ -15,9 +15,9 @@
 use crate::health::{HealthLimits, TargetHealth};
 use crate::resources::Resources;
 
-/// Maximum probation after a pause; then the whole capacity is offered again.
+/// Maximum length of the probation after a pause.
 const PROBATION: Duration = Duration::from_secs(2);
-/// Divisor of the processors that are offered during probation.
+/// Divisor of the processors offered during probation.
 const PROBATION_DIVISOR: i64 = 6;
 
 /// Number of newest runs whose speeds are kept. The median over many runs tolerates estimates that are wrong by half.
@@ -55,7 +55,7 @@
 
 impl MeasuredSpeed {
     /// Returns whether the measurement is recent enough to count.
-    fn counts(&self, now: Timestamp) -> bool {
+    fn is_recent(&self, now: Timestamp) -> bool {
         now < self.measured_at + SPEED_MAX_AGE
     }
 }
@@ -84,7 +84,7 @@
     /// Records the speed of a run, where 1 is as fast as estimated; replaces its previous measurement.
     pub(super) fn record_speed(&mut self, sequence: u64, speed: f64, now: Timestamp) {
         self.speeds
-            .retain(|kept| kept.sequence != sequence && kept.counts(now));
+            .retain(|measured| measured.sequence != sequence && measured.is_recent(now));
         if self.speeds.len() == MEASURED_RUNS {
             self.speeds.pop_front();
         }
@@ -97,8 +97,11 @@
 
     /// Returns the median run time of the newest runs in thousandths of the estimate; 0 with fewer than [`MIN_MEASURED_RUNS`] measurements.
     pub(super) fn slowness_permille(&self, now: Timestamp) -> u32 {
-        let newest = self.speeds.iter().filter(|kept| kept.counts(now));
-        let mut speeds: Vec<f64> = newest.map(|kept| kept.speed).collect();
+        let newest = self
+            .speeds
+            .iter()
+            .filter(|measured| measured.is_recent(now));
+        let mut speeds: Vec<f64> = newest.map(|measured| measured.speed).collect();
         if speeds.len() < MIN_MEASURED_RUNS {
             return 0;
         }
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -31,8 +31,8 @@
     ///
     /// The lease of an unresponsive target is not extended either: it may be gone, and its runs count as lost once the lease has lapsed.
     pub fn plan_renewal(&mut self, now: Timestamp) -> Option<RenewalOrder> {
-        if let Some(question) = self.plan_probe(now) {
-            return Some(question);
+        if let Some(probe) = self.plan_probe(now) {
+            return Some(probe);
         }
         let is_in_doubt = self.has_session_in_doubt(now);
         let target = self.target.as_ref()?;
@@ -91,7 +91,7 @@
         self.expire_sessions(now);
         let is_listed = matches!(answer, RenewalAnswer::Listed { .. });
         let has_new_end = self.lists_new_end(&answer);
-        self.take_renewal_answer(order, answer, now);
+        self.apply_renewal_answer(order, answer, now);
         if is_listed {
             let pause = self.renewal_pace.pause_after_list(order, has_new_end, now);
             self.counts.calls.answered_early += u64::from(pause.is_for_early_list());
@@ -111,7 +111,12 @@
         ended.iter().any(|end| end.number > known)
     }
 
-    fn take_renewal_answer(&mut self, order: &RenewalOrder, answer: RenewalAnswer, now: Timestamp) {
+    fn apply_renewal_answer(
+        &mut self,
+        order: &RenewalOrder,
+        answer: RenewalAnswer,
+        now: Timestamp,
+    ) {
         match answer {
             RenewalAnswer::Listed {
                 start_time,
@@ -211,14 +216,14 @@
         target.is_renewal_unanswered = false;
         target.record_fencing_token(order.fencing_token, now);
         target.record_clock(list.clock, now);
-        let times = ListContext {
-            asked_at: order.sent_at,
+        let context = ListContext {
+            requested_at: order.sent_at,
             clock: list.clock,
             fencing_token: order.fencing_token,
         };
         self.record_ends(list.ended, now);
         self.check_withheld_lease(now);
-        self.reconcile_runs(&list.running, times, now);
+        self.reconcile_runs(&list.running, context, now);
         self.stop_stuck_runs(now);
         self.start_waiting(now);
         self.announce_target();
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -104,7 +104,7 @@
             if session.announced == announcement {
                 continue;
             }
-            let is_first_offer = announcement.names_target() && !session.announced.names_target();
+            let is_first_offer = announcement.has_target() && !session.announced.has_target();
             if is_first_offer && has_leftovers {
                 continue;
             }
--- a/crates/leased/cloverfold_lease/src/runner/session.rs
+++ b/crates/leased/cloverfold_lease/src/runner/session.rs
@@ -17,8 +17,8 @@
 }
 
 impl Announcement {
-    /// Returns whether a target was announced.
-    pub(super) fn names_target(self) -> bool {
+    /// Returns whether it announced a target.
+    pub(super) fn has_target(self) -> bool {
         matches!(self, Self::Target(_))
     }
 }
@@ -55,7 +55,7 @@
     }
 
     /// Extends the session; never moves its expiry to an earlier time.
-    pub(super) fn prolong(&mut self, valid_until: Timestamp) {
+    pub(super) fn extend_until(&mut self, valid_until: Timestamp) {
         self.valid_until = self.valid_until.max(valid_until);
     }
 
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -46,7 +46,7 @@
     pub(super) fn receive_echo(&mut self, session: SessionId, clock: Timestamp, now: Timestamp) {
         let span = self.timings.session_timeout;
         if let Some(session) = self.sessions.get_mut(&session) {
-            session.prolong(clock.min(now) + span);
+            session.extend_until(clock.min(now) + span);
         }
     }
 
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -57,7 +57,7 @@
         now: Timestamp,
     ) {
         self.expire_sessions(now);
-        if !self.learn_from_start_answer(order, answer, now) {
+        if !self.update_from_start_answer(order, answer, now) {
             return;
         }
         let run = self.runs.get_mut(&order.task);
@@ -80,7 +80,7 @@
     }
 
     /// Updates the target's clock and fencing token from an answer; returns whether it concerns the current incarnation.
-    fn learn_from_start_answer(
+    fn update_from_start_answer(
         &mut self,
         order: &StartOrder,
         answer: StartAnswer,
@@ -152,7 +152,7 @@
 
     /// Retries starts without an answer for [`Timings::start_timeout`](crate::Timings::start_timeout).
     ///
-    /// An unresponsive target gets no retries.
+    /// Skips an unresponsive target, which would not answer a retry either.
     pub(super) fn retry_unanswered_starts(&mut self, now: Timestamp) {
         let target = self.target.as_ref();
         if target.is_some_and(|target| target.is_unresponsive) {
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -29,7 +29,7 @@
     Unresponsive,
     /// Its runs made no progress. Written `RunsStandStill`.
     StuckRuns,
-    /// It executes runs that this runner did not start. Written `OtherRuns`.
+    /// It executes runs that this runner did not start, or may do so before its first list. Written `OtherRuns`.
     OrphanRuns,
     /// Its clock is unknown, so no deadline can be set.
     NoClock,
@@ -167,14 +167,14 @@
 
     /// Records that the target answered a renewal with this fencing token.
     pub(super) fn record_fencing_token(&mut self, fencing_token: u64, now: Timestamp) {
-        let Some(before) = &mut self.predecessor_orders else {
+        let Some(orders) = &mut self.predecessor_orders else {
             return;
         };
-        let is_first = before
+        let is_first = orders
             .awaited_token
             .take_if(|token| fencing_token >= *token);
         if is_first.is_some() {
-            before.refused_at = now;
+            orders.refused_at = now;
         }
     }
 
@@ -272,8 +272,8 @@
     /// an earlier incarnation under the same name to the longest lease that it grants.
     pub(super) fn has_lease_lapsed(&self, timings: &Timings, now: Timestamp) -> bool {
         let longest = timings.lease_end_bound(timings.max_lease);
-        let before = self.predecessor_orders;
-        if before.is_some_and(|before| now <= before.refused_at + longest) {
+        let orders = self.predecessor_orders;
+        if orders.is_some_and(|orders| now <= orders.refused_at + longest) {
             return false;
         }
         let Some(reading) = self.clock else {
@@ -286,13 +286,13 @@
         now > reading.received_at + timings.lease_end_bound(Duration::from_millis(left))
     }
 
-    /// Assumes that the target's clock stood still for this long since its last reading.
+    /// Assumes that the target's clock stopped for this long since its last reading.
     pub(super) fn allow_for_suspension(&mut self, span: Duration) {
         if let Some(reading) = &mut self.clock {
             reading.received_at += span;
         }
-        if let Some(before) = &mut self.predecessor_orders {
-            before.refused_at += span;
+        if let Some(orders) = &mut self.predecessor_orders {
+            orders.refused_at += span;
         }
     }
 
--- a/crates/leased/cloverfold_lease/src/runner/target_restart.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_restart.rs
@@ -8,7 +8,7 @@
 //! | waiting runs | refused |
 //! | started runs | stopped; over once a list that was requested with a higher fencing token leaves them out |
 //! | its lease | over at most one longest lease and a stop after the new incarnation has answered with the higher token |
-//! | registration and end numbers, clock, draining, silence, pauses, speeds, a hold for upkeep | discarded |
+//! | registration and end numbers, clock, draining, responsiveness, pauses, speeds, a hold for upkeep | discarded |
 //!
 //! From the higher token on, the new incarnation refuses orders to the previous one. The bound on the lease is
 //! [`Timings::max_lease`](crate::Timings::max_lease) on a slow clock plus [`Timings::stop_timeout`](crate::Timings::stop_timeout).
--- a/crates/leased/cloverfold_lease/src/runner/unlisted.rs
+++ b/crates/leased/cloverfold_lease/src/runner/unlisted.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListContext {
     /// When the list was requested, on the runner's clock; the list is at least as new.
-    pub(super) asked_at: Timestamp,
+    pub(super) requested_at: Timestamp,
     /// The target's clock in its answer.
     pub(super) clock: TargetTime,
     /// The fencing token of the request; from then on the target refuses lower ones.
@@ -34,7 +34,7 @@
             (list.clock > start.deadline).then_some(never_ran)
         }
         RunState::Running { confirmed_at } => {
-            (list.asked_at > *confirmed_at).then_some(RunOutcome::Lost)
+            (list.requested_at > *confirmed_at).then_some(RunOutcome::Lost)
         }
         RunState::Stopping(stop) => outcome_of_unlisted_stop(stop, list),
     }
@@ -51,7 +51,7 @@
             (list.clock > deadline).then_some(stop.outcome_if_never_started)
         }
         EndProof::ListedAfterStop => {
-            (list.asked_at > stop.first_sent_at).then_some(RunOutcome::Stopped)
+            (list.requested_at > stop.first_sent_at).then_some(RunOutcome::Stopped)
         }
         EndProof::IncarnationFenced(token) => {
             (list.fencing_token >= token).then_some(stop.outcome_if_never_started)
