--- a/crates/leased/cloverfold_consensus/src/replica/replication.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/replication.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns whether to send more entries right after a reply: everything sent is acknowledged or rejected, and the log has more.
-    fn wants_entries(&self, reply: &AppendReply, last: LogIndex) -> bool {
+    fn should_send_entries(&self, reply: &AppendReply, last: LogIndex) -> bool {
         let is_all_acknowledged = self.match_index + 1 == self.next_index;
         self.next_index <= last && (!reply.is_matching || is_all_acknowledged)
     }
@@ -217,7 +217,7 @@
             return;
         };
         progress.record_reply(reply, last, now);
-        if progress.wants_entries(reply, last) {
+        if progress.should_send_entries(reply, last) {
             self.send_entries(from, now);
         }
         self.advance_commit(now);
--- a/crates/leased/cloverfold_control/src/job_groups/apply.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/apply.rs
@@ -168,13 +168,13 @@
                 continue;
             }
             let next = self.table.open().get(job).map(OpenJob::driver);
-            let (from, to) = (self.name_entry(Some(*driver)), self.name_entry(next));
+            let (from, to) = (self.entry_name(Some(*driver)), self.entry_name(next));
             log::info!(job = job.as_str(), epoch = epoch + 1, from, to, group = self.id; "kept job reassigned");
         }
     }
 
     /// Returns the name of a driver's entry, or an empty string if the driver has not renewed its lease with this leader.
-    fn name_entry(&self, driver: Option<DriverId>) -> &str {
+    fn entry_name(&self, driver: Option<DriverId>) -> &str {
         let leader_state = self.leader_state.as_ref();
         let entry = leader_state.and_then(|leader_state| leader_state.drivers.entry_of(driver?));
         entry.unwrap_or_default()
--- a/crates/leased/cloverfold_control/src/job_groups/batches.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/batches.rs
@@ -1,7 +1,8 @@
 //! Group commit: batches the commands of a group into log entries.
 //!
 //! At most one entry is in flight. Commands that arrive in the meantime form the next entry, in order and up to [`MAX_ENTRY_BYTES`], so
-//! that the rate of syncs does not grow with the rate of jobs. The queue is limited to [`MAX_WAITING_BYTES`] and [`MAX_WAITING`] commands.
+//! that the rate of syncs does not grow with the rate of jobs. The queue is limited to [`MAX_WAITING_BYTES`] and [`MAX_WAITING_COMMANDS`]
+//! commands.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -17,7 +18,7 @@
 /// Maximum size of the queued commands, equal to four entries.
 const MAX_WAITING_BYTES: usize = 2 * 1024 * 1024;
 /// Maximum number of queued commands.
-const MAX_WAITING: usize = 4_096;
+const MAX_WAITING_COMMANDS: usize = 4_096;
 
 /// A queued command.
 #[derive(Debug)]
@@ -50,7 +51,7 @@
             log::error!("cannot encode a command of kept jobs");
             return false;
         };
-        let has_room = self.waiting.len() < MAX_WAITING
+        let has_room = self.waiting.len() < MAX_WAITING_COMMANDS
             && self.waiting_bytes + bytes.len() <= MAX_WAITING_BYTES
             && bytes.len() <= MAX_ENTRY_BYTES;
         if has_room {
--- a/crates/leased/cloverfold_control/src/job_groups/calls.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/calls.rs
@@ -18,7 +18,7 @@
 };
 
 use super::batches::MAX_ENTRY_BYTES;
-use super::reads::{Read, WaitingRead};
+use super::reads::{ReadRequest, WaitingRead};
 use super::{Caller, GroupEffect, GroupHost};
 
 /// Age of an unsynced write or uncommitted entry from which on the leader refuses new jobs.
@@ -32,13 +32,13 @@
 
 impl GroupHost {
     /// Handles a call. Refuses it if this replica does not lead.
-    pub(crate) fn call(&mut self, caller: Caller, call: JobCall, now: Timestamp) {
+    pub(crate) fn handle_call(&mut self, caller: Caller, call: JobCall, now: Timestamp) {
         let job = match &call {
             JobCall::Submit(submission) => submission.id.clone(),
             JobCall::Cancel(job) => job.clone(),
             _ => String::new(),
         };
-        let result = self.handle_call(caller, call, now);
+        let result = self.try_handle_call(caller, call, now);
         if let Err(refusal) = result {
             if !job.is_empty() {
                 log::warn!(job = job.as_str(), cause = refusal.as_str(), group = self.id; "refused a call about a kept job");
@@ -49,7 +49,7 @@
         self.advance(now);
     }
 
-    fn handle_call(
+    fn try_handle_call(
         &mut self,
         caller: Caller,
         call: JobCall,
@@ -61,12 +61,12 @@
                 self.queue_command(caller, &JobCommand::RecordEnds(ends), now)
             }
             JobCall::Cancel(job) => self.queue_command(caller, &JobCommand::Cancel(job), now),
-            JobCall::Show(job) => self.queue_read(caller, Read::Show(job)),
+            JobCall::Show(job) => self.queue_read(caller, ReadRequest::Show(job)),
             JobCall::Renew(renewal) => {
                 let driver = renewal.driver;
                 let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
                 leader_state.drivers.renew(renewal, now);
-                self.queue_read(caller, Read::Renewal(driver))
+                self.queue_read(caller, ReadRequest::Renewal(driver))
             }
             JobCall::CountPending(queue) => {
                 let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
@@ -119,7 +119,7 @@
         has_room.then_some(()).ok_or(CallRefusal::Busy)
     }
 
-    fn queue_read(&mut self, caller: Caller, read: Read) -> Result<(), CallRefusal> {
+    fn queue_read(&mut self, caller: Caller, read: ReadRequest) -> Result<(), CallRefusal> {
         let leader_state = self.leader_state.as_mut().ok_or(CallRefusal::NoLeader)?;
         if leader_state.reads.len() + leader_state.watches.len() >= MAX_PENDING_READS {
             return Err(CallRefusal::Busy);
@@ -137,14 +137,14 @@
             return;
         };
         let reply = match read.read {
-            Read::Renewal(driver) => {
+            ReadRequest::Renewal(driver) => {
                 JobReply::Renewed(leader_state.drivers.renewal_reply(&self.table, driver))
             }
-            Read::Show(job) if self.table.open().contains_key(&job) => {
+            ReadRequest::Show(job) if self.table.open().contains_key(&job) => {
                 leader_state.watches.add(&job, read.caller, now);
                 return;
             }
-            Read::Show(job) => JobReply::Shown(self.show(&job)),
+            ReadRequest::Show(job) => JobReply::Shown(self.show(&job)),
         };
         self.answer(read.caller, reply);
     }
--- a/crates/leased/cloverfold_control/src/job_groups/group.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/group.rs
@@ -128,8 +128,8 @@
     }
 
     /// Handles a disk event.
-    pub(crate) fn disk_event(&mut self, event: &DiskEvent, now: Timestamp) {
-        let messages = self.host.disk_event(event, now);
+    pub(crate) fn handle_disk_event(&mut self, event: &DiskEvent, now: Timestamp) {
+        let messages = self.host.handle_disk_event(event, now);
         self.send(messages);
         self.advance(now);
     }
--- a/crates/leased/cloverfold_control/src/job_groups/reads.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/reads.rs
@@ -12,12 +12,12 @@
 #[derive(Debug)]
 pub(super) struct WaitingRead {
     pub(super) caller: Caller,
-    pub(super) read: Read,
+    pub(super) read: ReadRequest,
 }
 
 /// The content of a read.
 #[derive(Debug)]
-pub(super) enum Read {
+pub(super) enum ReadRequest {
     /// The phase of a job.
     Show(JobId),
     /// The reply to the last renewal of a driver.
--- a/crates/leased/cloverfold_control/src/job_groups/retention.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/retention.rs
@@ -11,7 +11,7 @@
 use cloverfold_kept_jobs::EndSequence;
 
 /// Resolution of the recorded times; limits removal to one command per second.
-const RESOLUTION: Duration = Duration::from_secs(1);
+const TIME_RESOLUTION: Duration = Duration::from_secs(1);
 
 /// The times at which the leader learned of ended jobs.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
     /// Records the sequence number of the newest end.
     pub(super) fn observe(&mut self, last_end: EndSequence, now: Timestamp) {
         let last = self.seen.back();
-        let is_due = last.is_none_or(|(_, at)| now >= *at + RESOLUTION);
+        let is_due = last.is_none_or(|(_, at)| now >= *at + TIME_RESOLUTION);
         if last_end > self.newest && is_due {
             self.newest = last_end;
             self.seen.push_back((last_end, now));
--- a/crates/leased/cloverfold_control/src/operators/configurations.rs
+++ b/crates/leased/cloverfold_control/src/operators/configurations.rs
@@ -51,7 +51,7 @@
 
     /// Submits the proposal to the leader repeatedly until that version or a higher one is committed.
     async fn wait_until_committed(&self, proposal: Proposal) {
-        let mut committed = self.state.lock().follow_version();
+        let mut committed = self.state.lock().subscribe_version();
         loop {
             if *committed.borrow_and_update() >= proposal.configuration.version {
                 return;
--- a/crates/leased/cloverfold_control/src/operators/jobs.rs
+++ b/crates/leased/cloverfold_control/src/operators/jobs.rs
@@ -18,7 +18,7 @@
 use crate::state::format_id;
 
 /// Maximum number of open jobs that a list shows per group, about 100 kB.
-const MAX_LISTED: usize = 1_000;
+const MAX_LISTED_JOBS: usize = 1_000;
 
 impl Operators {
     /// Responds to a call about kept jobs.
@@ -105,7 +105,7 @@
     let voters = status.members.voters.iter();
     let voters =
         voters.map(|voter| json!({ "replica": format_id(voter.id), "address": voter.address }));
-    let jobs = table.open().iter().take(MAX_LISTED).map(|(id, open)| {
+    let jobs = table.open().iter().take(MAX_LISTED_JOBS).map(|(id, open)| {
         json!({
             "id": id,
             "queue": open.submission().queue,
--- a/crates/leased/cloverfold_control/src/operators/read_barrier.rs
+++ b/crates/leased/cloverfold_control/src/operators/read_barrier.rs
@@ -25,7 +25,7 @@
             let read = self.state.lock().begin_read();
             // A dropped read counts as failed.
             if let Ok(Some(index)) = read.await {
-                let mut applied = self.state.lock().follow_applied();
+                let mut applied = self.state.lock().subscribe_applied();
                 // Fails only without a sender, which the state owns.
                 let _ = applied.wait_for(|applied| *applied >= index).await;
                 return;
--- a/crates/leased/cloverfold_control/src/operators/submission.rs
+++ b/crates/leased/cloverfold_control/src/operators/submission.rs
@@ -26,7 +26,7 @@
     }
 
     async fn wait_for_outcome<T>(&self, find_outcome: impl Fn(&ControlState) -> Option<T>) -> T {
-        let mut applied = self.state.lock().follow_applied();
+        let mut applied = self.state.lock().subscribe_applied();
         loop {
             if let Some(outcome) = find_outcome(&self.state.lock()) {
                 return outcome;
--- a/crates/leased/cloverfold_control/src/pending_writes.rs
+++ b/crates/leased/cloverfold_control/src/pending_writes.rs
@@ -27,7 +27,7 @@
 
 impl PendingWrites {
     /// Adds a batch that was queued for the disk, with the messages that must wait for it.
-    pub(crate) fn begin(
+    pub(crate) fn add(
         &mut self,
         batch: BatchNumber,
         messages: Vec<OutgoingMessage>,
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -235,12 +235,12 @@
     let mut link_rx = port.accept(&mut tasks);
     let state = state.clone();
     tasks.spawn(async move {
-        state.lock().begin(&seeds);
+        state.lock().start(&seeds);
         let mut ticks = tick_interval(TICK_INTERVAL);
         loop {
             tokio::select! {
-                Some(event) = link_rx.recv() => state.lock().link_event(event),
-                Some(event) = disk_rx.recv() => state.lock().disk_event(event),
+                Some(event) = link_rx.recv() => state.lock().handle_link_event(event),
+                Some(event) = disk_rx.recv() => state.lock().handle_disk_event(event),
                 _ = ticks.tick() => state.lock().tick(),
             }
         }
--- a/crates/leased/cloverfold_control/src/replica_host.rs
+++ b/crates/leased/cloverfold_control/src/replica_host.rs
@@ -37,7 +37,11 @@
     }
 
     /// Handles a disk event; returns the messages that waited for it.
-    pub(crate) fn disk_event(&mut self, event: &DiskEvent, now: Timestamp) -> Vec<OutgoingMessage> {
+    pub(crate) fn handle_disk_event(
+        &mut self,
+        event: &DiskEvent,
+        now: Timestamp,
+    ) -> Vec<OutgoingMessage> {
         match event {
             DiskEvent::Synced(batch) => {
                 self.is_failing = false;
@@ -62,7 +66,7 @@
             let messages = std::mem::take(&mut ready.messages);
             let (waiting, free) = messages.into_iter().partition(|m| m.after_sync);
             ready.messages = free;
-            self.writes.begin(batch, waiting, now);
+            self.writes.add(batch, waiting, now);
             self.disk.write(batch, std::mem::take(&mut ready.records));
         }
         ready
--- a/crates/leased/cloverfold_control/src/state/apply.rs
+++ b/crates/leased/cloverfold_control/src/state/apply.rs
@@ -31,12 +31,12 @@
 
 impl ControlState {
     /// Handles a disk event.
-    pub(crate) fn disk_event(&mut self, event: LogEvent) {
+    pub(crate) fn handle_disk_event(&mut self, event: LogEvent) {
         let event = match event.log {
             LogId::Control => event.event,
-            LogId::Jobs(group) => return self.job_disk_event(group, event.event),
+            LogId::Jobs(group) => return self.handle_job_disk_event(group, event.event),
         };
-        for outgoing in self.host.disk_event(&event, self.clock.now()) {
+        for outgoing in self.host.handle_disk_event(&event, self.clock.now()) {
             self.send_outgoing(outgoing);
         }
         self.advance();
--- a/crates/leased/cloverfold_control/src/state/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/state/evacuations.rs
@@ -51,7 +51,7 @@
     }
 
     /// Appends an order forwarded by a peer, if this process leads.
-    pub(super) fn receive_order(&mut self, order: &EvacuationOrder) {
+    pub(super) fn handle_order(&mut self, order: &EvacuationOrder) {
         if self.host.is_leader() {
             self.append_order(order);
         }
--- a/crates/leased/cloverfold_control/src/state/hosted_jobs.rs
+++ b/crates/leased/cloverfold_control/src/state/hosted_jobs.rs
@@ -82,7 +82,7 @@
         })
     }
 
-    pub(super) fn find_mut(&mut self, group: GroupId) -> Option<&mut GroupHost> {
+    pub(super) fn open_group_mut(&mut self, group: GroupId) -> Option<&mut GroupHost> {
         match self.groups.get_mut(group as usize)? {
             HostedGroup::Open(group) => Some(group),
             HostedGroup::Opening(_) => None,
--- a/crates/leased/cloverfold_control/src/state/job_calls.rs
+++ b/crates/leased/cloverfold_control/src/state/job_calls.rs
@@ -17,7 +17,7 @@
 
 impl ControlState {
     /// Handles a call from an entry or a guard, or one forwarded by another control process.
-    pub(super) fn receive_job_call(&mut self, link: LinkId, call: JobCallMessage) {
+    pub(super) fn handle_job_call(&mut self, link: LinkId, call: JobCallMessage) {
         let token = call.token;
         let is_forwarded = self.replica_at(link).is_some();
         self.call_jobs(
@@ -41,9 +41,9 @@
 
     fn call_jobs(&mut self, caller: Caller, group: GroupId, call: JobCall, is_forwarded: bool) {
         let now = self.clock.now();
-        let refusal = match self.jobs.find_mut(group) {
+        let refusal = match self.jobs.open_group_mut(group) {
             Some(host) if host.leader() == Some(self.replica_id) => {
-                host.call(caller, call, now);
+                host.handle_call(caller, call, now);
                 self.process_group_effects(group);
                 return;
             }
@@ -93,7 +93,7 @@
     }
 
     /// Forwards the reply of another control process to the caller.
-    pub(super) fn receive_job_reply(&mut self, link: LinkId, reply: JobReplyMessage) {
+    pub(super) fn handle_job_reply(&mut self, link: LinkId, reply: JobReplyMessage) {
         if let Some(caller) = self.jobs.relays.take(reply.token, link) {
             self.answer_job_call(caller, reply.group, reply.reply, reply.leader);
         }
@@ -124,8 +124,8 @@
     /// Sends an unsolicited renewal reply to an entry. An entry that is not connected gets the same information with its next renewal.
     pub(super) fn push_to_entry(&self, group: GroupId, entry: &str, reply: RenewalReply) {
         let mut peers = self.links.identified();
-        let is_meant = |hello: &Hello| hello.role == PeerRole::Entry && hello.name == entry;
-        let Some((link, _)) = peers.find(|(_, hello)| is_meant(hello)) else {
+        let is_receiver = |hello: &Hello| hello.role == PeerRole::Entry && hello.name == entry;
+        let Some((link, _)) = peers.find(|(_, hello)| is_receiver(hello)) else {
             return;
         };
         let message = JobReplyMessage {
--- a/crates/leased/cloverfold_control/src/state/jobs.rs
+++ b/crates/leased/cloverfold_control/src/state/jobs.rs
@@ -44,10 +44,10 @@
     }
 
     /// Handles a disk event of a group.
-    pub(super) fn job_disk_event(&mut self, group: GroupId, event: DiskEvent) {
+    pub(super) fn handle_job_disk_event(&mut self, group: GroupId, event: DiskEvent) {
         let now = self.clock.now();
-        if let Some(host) = self.jobs.find_mut(group) {
-            host.disk_event(&event, now);
+        if let Some(host) = self.jobs.open_group_mut(group) {
+            host.handle_disk_event(&event, now);
         } else if let Some(groups) = self.state.job_groups.clone() {
             self.jobs.finish_open(group, &groups, event, now);
             self.connect_replicas(group);
@@ -64,7 +64,7 @@
             hello.supports_kept_jobs().then_some(Member { id, address })
         });
         let members: Vec<Member> = members.collect();
-        if let Some(host) = self.jobs.find_mut(group) {
+        if let Some(host) = self.jobs.open_group_mut(group) {
             members
                 .into_iter()
                 .for_each(|member| host.connected(member));
@@ -96,7 +96,7 @@
         self.jobs.relays.discard_expired(now);
         let ids: Vec<GroupId> = self.jobs.open_groups().map(GroupHost::id).collect();
         for group in ids {
-            if let Some(host) = self.jobs.find_mut(group) {
+            if let Some(host) = self.jobs.open_group_mut(group) {
                 host.tick(now);
             }
             self.process_group_effects(group);
@@ -104,11 +104,11 @@
     }
 
     /// Handles a consensus message of a group.
-    pub(super) fn receive_job_consensus(&mut self, link: LinkId, group: GroupId, message: Message) {
+    pub(super) fn handle_job_consensus(&mut self, link: LinkId, group: GroupId, message: Message) {
         let now = self.clock.now();
         let from = self.replica_at(link);
         if let Some(from) = from
-            && let Some(host) = self.jobs.find_mut(group)
+            && let Some(host) = self.jobs.open_group_mut(group)
         {
             host.receive(from, message, now);
             self.process_group_effects(group);
@@ -133,7 +133,7 @@
 
     /// Performs the actions that a group requests.
     pub(super) fn process_group_effects(&mut self, group: GroupId) {
-        let Some(host) = self.jobs.find_mut(group) else {
+        let Some(host) = self.jobs.open_group_mut(group) else {
             return;
         };
         for effect in host.take_effects() {
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -115,7 +115,7 @@
 }
 
 impl ControlState {
-    /// Creates a state. It dials and applies nothing before [`ControlState::begin`].
+    /// Creates a state. It dials and applies nothing before [`ControlState::start`].
     pub(crate) fn new(
         own: Hello,
         host: ReplicaHost,
@@ -158,7 +158,7 @@
     }
 
     /// Dials the seeds and applies the entries that are recorded as committed.
-    pub(crate) fn begin(&mut self, seeds: &[SocketAddr]) {
+    pub(crate) fn start(&mut self, seeds: &[SocketAddr]) {
         self.restore_peers(self.clock.now());
         self.dial_seeds(seeds);
         self.advance();
@@ -194,12 +194,12 @@
     }
 
     /// Returns a receiver of the version in force.
-    pub(crate) fn follow_version(&self) -> watch::Receiver<Version> {
+    pub(crate) fn subscribe_version(&self) -> watch::Receiver<Version> {
         self.version.subscribe()
     }
 
     /// Returns a receiver of the index of the last applied entry.
-    pub(crate) fn follow_applied(&self) -> watch::Receiver<LogIndex> {
+    pub(crate) fn subscribe_applied(&self) -> watch::Receiver<LogIndex> {
         self.applied.subscribe()
     }
 
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -10,7 +10,7 @@
 
 impl ControlState {
     /// Handles a link event.
-    pub(crate) fn link_event(&mut self, event: LinkEvent<PeerMessage>) {
+    pub(crate) fn handle_link_event(&mut self, event: LinkEvent<PeerMessage>) {
         match event {
             LinkEvent::Opened {
                 link,
@@ -21,8 +21,8 @@
                 self.update_own_hello();
                 self.links.open(link, dialed, sender, &self.own);
             }
-            LinkEvent::Received { link, message } => self.receive(link, message),
-            LinkEvent::Closed { link } => self.link_closed(link),
+            LinkEvent::Received { link, message } => self.handle_message(link, message),
+            LinkEvent::Closed { link } => self.handle_link_closed(link),
         }
         self.advance();
     }
@@ -35,30 +35,30 @@
         };
     }
 
-    fn receive(&mut self, link: LinkId, message: PeerMessage) {
+    fn handle_message(&mut self, link: LinkId, message: PeerMessage) {
         match message {
             PeerMessage::Hello(hello) => self.peer_connected(link, hello),
             PeerMessage::Fetch => self.send_configuration(link),
-            PeerMessage::FetchSince { known } => self.send_change(link, known),
+            PeerMessage::FetchSince { known } => self.send_delta(link, known),
             PeerMessage::Consensus(message) => {
                 if let Some(from) = self.replica_at(link) {
                     self.host.replica.receive(from, message, self.clock.now());
                 }
             }
-            PeerMessage::Proposal(proposal) => self.receive_proposal(&proposal),
-            PeerMessage::Read { token } => self.begin_peer_read(link, token),
+            PeerMessage::Proposal(proposal) => self.handle_proposal(&proposal),
+            PeerMessage::Read { token } => self.start_peer_read(link, token),
             PeerMessage::ReadReply { token, index } => self.finish_read(token, index),
             PeerMessage::VersionNotice { version, .. } => self.links.record_version(link, version),
-            PeerMessage::EvacuationOrder(order) => self.receive_order(&order),
+            PeerMessage::EvacuationOrder(order) => self.handle_order(&order),
             PeerMessage::Evacuations(known) => {
                 self.links.record_evacuations(link, known.revision);
             }
-            PeerMessage::JobCall(call) => self.receive_job_call(link, call),
-            PeerMessage::JobReply(reply) => self.receive_job_reply(link, reply),
+            PeerMessage::JobCall(call) => self.handle_job_call(link, call),
+            PeerMessage::JobReply(reply) => self.handle_job_reply(link, reply),
             PeerMessage::JobConsensus { group, message } => {
-                self.receive_job_consensus(link, group, message);
+                self.handle_job_consensus(link, group, message);
             }
-            PeerMessage::UpkeepCommand(command) => self.receive_upkeep_command(&command),
+            PeerMessage::UpkeepCommand(command) => self.handle_upkeep_command(&command),
             PeerMessage::ToDispatcher(RunnerMessage::Target(Some(target))) => {
                 self.record_target(link, &target);
             }
@@ -88,7 +88,7 @@
     }
 
     /// Sends the delta from the version that a process has, or the whole configuration.
-    fn send_change(&mut self, link: LinkId, known: Version) {
+    fn send_delta(&mut self, link: LinkId, known: Version) {
         match self.recent_configurations.delta_since(known) {
             Some(change) => {
                 let message = PeerMessage::ConfigurationChange(change.clone());
@@ -153,7 +153,7 @@
         }
     }
 
-    fn link_closed(&mut self, link: LinkId) {
+    fn handle_link_closed(&mut self, link: LinkId) {
         let now = self.clock.now();
         self.directories.discard(link);
         self.jobs.discard_link(link);
--- a/crates/leased/cloverfold_control/src/state/proposals.rs
+++ b/crates/leased/cloverfold_control/src/state/proposals.rs
@@ -22,7 +22,7 @@
     }
 
     /// Appends a proposal forwarded by a peer, if this process leads.
-    pub(super) fn receive_proposal(&mut self, proposal: &Proposal) {
+    pub(super) fn handle_proposal(&mut self, proposal: &Proposal) {
         if self.host.is_leader() {
             self.append_proposal(proposal);
         }
--- a/crates/leased/cloverfold_control/src/state/reads.rs
+++ b/crates/leased/cloverfold_control/src/state/reads.rs
@@ -29,7 +29,7 @@
     }
 
     /// Starts a read for another control process.
-    pub(super) fn begin_peer_read(&mut self, link: LinkId, token: ReadToken) {
+    pub(super) fn start_peer_read(&mut self, link: LinkId, token: ReadToken) {
         let own = self.reads.add_for_peer(PeerRead { link, token });
         self.host.replica.begin_read(own, self.clock.now());
     }
--- a/crates/leased/cloverfold_control/src/state/replicated.rs
+++ b/crates/leased/cloverfold_control/src/state/replicated.rs
@@ -104,13 +104,13 @@
             return Ok(Self::default());
         }
         let (configuration, rest) = postcard::take_from_bytes(bytes)?;
-        let (evacuations, rest) = take_or_default(rest)?;
-        let (later, _): (StateExtension, _) = take_or_default(rest)?;
+        let (evacuations, rest) = decode_or_default(rest)?;
+        let (extension, _): (StateExtension, _) = decode_or_default(rest)?;
         Ok(Self {
             configuration,
             evacuations,
-            upkeep: later.upkeep,
-            job_groups: later.job_groups,
+            upkeep: extension.upkeep,
+            job_groups: extension.job_groups,
         })
     }
 
@@ -121,22 +121,22 @@
     /// Does not panic in practice, since every state can be encoded.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.configuration.encode();
-        let later = StateExtension {
+        let extension = StateExtension {
             upkeep: self.upkeep.clone(),
             job_groups: self.job_groups.clone(),
         };
-        if later == StateExtension::default() {
+        if extension == StateExtension::default() {
             bytes.extend(self.evacuations.encode());
             return bytes;
         }
         // The extension can be located only if the evacuations are encoded, even before the first order.
-        let state = (&self.evacuations, later);
+        let state = (&self.evacuations, extension);
         postcard::to_extend(&state, bytes).expect("a state in memory can be encoded")
     }
 }
 
 /// Decodes the next part of a state and returns the remaining bytes. Empty input yields the default value.
-fn take_or_default<T: Default + DeserializeOwned>(
+fn decode_or_default<T: Default + DeserializeOwned>(
     bytes: &[u8],
 ) -> Result<(T, &[u8]), postcard::Error> {
     if bytes.is_empty() {
--- a/crates/leased/cloverfold_control/src/state/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep.rs
@@ -78,7 +78,7 @@
     }
 
     /// Appends an order forwarded by a peer, if this process leads. Other commands come only from the scheduler.
-    pub(super) fn receive_upkeep_command(&mut self, command: &UpkeepCommand) {
+    pub(super) fn handle_upkeep_command(&mut self, command: &UpkeepCommand) {
         if let UpkeepCommand::Order(order) = command
             && self.host.replica.status().role == Role::Leader
         {
@@ -119,10 +119,10 @@
     /// Applies a committed command.
     pub(super) fn apply_upkeep(&mut self, command: UpkeepCommand, index: LogIndex) {
         let described = describe_command(&command);
-        let is_change = self.state.upkeep.apply(command, index);
+        let has_changed = self.state.upkeep.apply(command, index);
         if let Some((key, step)) = described {
             let (wave, name) = (key.0, key.1.as_str());
-            if is_change {
+            if has_changed {
                 log::info!(wave, name, step, index; "the upkeep of a box changed its phase");
             }
             if let Some((_, scheduler)) = &mut self.upkeep_runtime.scheduler {
@@ -202,7 +202,7 @@
     }
 
     /// Records the outcome of an upkeep call for a box.
-    pub(crate) fn upkeep_call_ended(&mut self, term: Term, key: &WaveBox, outcome: CallOutcome) {
+    pub(crate) fn record_upkeep_call(&mut self, term: Term, key: &WaveBox, outcome: CallOutcome) {
         self.count_upkeep(outcome.as_str());
         let (wave, name) = (key.0, key.1.as_str());
         log::info!(wave, name, outcome = outcome.as_str(), term; "upkeep call ended");
@@ -215,7 +215,7 @@
     }
 
     /// Records a complete list of boxes whose reading started at `began_at`, or `None` if the reading failed.
-    pub(crate) fn boxes_read(
+    pub(crate) fn record_box_list(
         &mut self,
         term: Term,
         boxes: Option<Vec<ListedBox>>,
--- a/crates/leased/cloverfold_control/src/upkeep_caller.rs
+++ b/crates/leased/cloverfold_control/src/upkeep_caller.rs
@@ -56,7 +56,7 @@
     /// Runs the scheduler while a wave is open, as long as the process runs.
     pub(crate) async fn run(self) {
         let caller = Arc::new(self);
-        let mut applied = caller.state.lock().follow_applied();
+        let mut applied = caller.state.lock().subscribe_applied();
         loop {
             if caller.state.lock().has_open_wave() {
                 caller.run_scheduler().await;
@@ -107,7 +107,7 @@
         let Ok(Ok(Some(index))) = timeout(MAX_CONFIRMATION_AGE, read).await else {
             return false;
         };
-        let mut applied = self.state.lock().follow_applied();
+        let mut applied = self.state.lock().subscribe_applied();
         let is_applied = applied.wait_for(|applied| *applied >= index);
         if !matches!(timeout(MAX_CONFIRMATION_AGE, is_applied).await, Ok(Ok(_))) {
             return false;
@@ -131,7 +131,7 @@
         } else {
             CallOutcome::NotSent
         };
-        self.state.lock().upkeep_call_ended(term, key, outcome);
+        self.state.lock().record_upkeep_call(term, key, outcome);
     }
 
     async fn read_boxes(&self, term: Term) {
@@ -142,7 +142,7 @@
         if let Err(cause) = &boxes {
             log::warn!(cause = cause.to_string().as_str(); "cannot read the list of boxes");
         }
-        state.boxes_read(term, boxes.ok(), began_at);
+        state.record_box_list(term, boxes.ok(), began_at);
     }
 }
 
