--- a/crates/leased/cloverfold_consensus/src/replica/replication.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/replication.rs
@@ -132,7 +132,6 @@
         index
     }
 
-    /// Performs the due work of a leader.
     pub(super) fn tick_leader(&mut self, now: Timestamp) {
         if self.has_lost_quorum(now) {
             self.become_follower(self.term, None, now);
--- a/crates/leased/cloverfold_consensus/src/replica/sync_progress.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/sync_progress.rs
@@ -34,7 +34,6 @@
         }
     }
 
-    /// Returns the index of the last synced entry.
     pub(super) fn synced(&self) -> LogIndex {
         self.synced
     }
--- a/crates/leased/cloverfold_control/src/job_counts.rs
+++ b/crates/leased/cloverfold_control/src/job_counts.rs
@@ -29,7 +29,6 @@
         }
     }
 
-    /// Counts a refused call.
     pub(crate) fn record_refusal(&mut self, refusal: CallRefusal) {
         self.count(refusal.as_str(), 1);
     }
--- a/crates/leased/cloverfold_control/src/job_groups/apply.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/apply.rs
@@ -25,7 +25,6 @@
 }
 
 impl GroupHost {
-    /// Applies the commands of a committed entry.
     pub(super) fn apply_commands(
         &mut self,
         index: LogIndex,
--- a/crates/leased/cloverfold_control/src/job_groups/group.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/group.rs
@@ -93,12 +93,10 @@
         group
     }
 
-    /// Takes the pending effects.
     pub(crate) fn take_effects(&mut self) -> Vec<GroupEffect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Performs due work.
     pub(crate) fn tick(&mut self, now: Timestamp) {
         self.host.replica.tick(now);
         self.step_down_if_disk_hangs(now);
@@ -121,13 +119,11 @@
         }
     }
 
-    /// Handles a message from another replica.
     pub(crate) fn receive(&mut self, from: ReplicaId, message: Message, now: Timestamp) {
         self.host.replica.receive(from, message, now);
         self.advance(now);
     }
 
-    /// Handles a disk event.
     pub(crate) fn handle_disk_event(&mut self, event: &DiskEvent, now: Timestamp) {
         let messages = self.host.handle_disk_event(event, now);
         self.send(messages);
@@ -265,7 +261,6 @@
     }
 }
 
-/// Returns the initial members of a group.
 fn founding_members(groups: &JobGroups) -> Members {
     let founders = groups.founders.iter();
     let mut voters: Vec<Member> = founders
--- a/crates/leased/cloverfold_control/src/job_groups/reads.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/reads.rs
@@ -64,7 +64,6 @@
         }
     }
 
-    /// Takes all pending reads.
     pub(super) fn take_all(&mut self) -> impl Iterator<Item = WaitingRead> + use<> {
         let in_flight = std::mem::take(&mut self.in_flight).into_iter();
         in_flight.chain(std::mem::take(&mut self.queued))
--- a/crates/leased/cloverfold_control/src/job_groups/status.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/status.rs
@@ -10,17 +10,14 @@
 use crate::job_counts::JobCounts;
 
 impl GroupHost {
-    /// Returns the leader of the group, if it is known.
     pub(crate) fn leader(&self) -> Option<ReplicaId> {
         self.host.replica.status().leader
     }
 
-    /// Returns the number of the group.
     pub(crate) fn id(&self) -> GroupId {
         self.id
     }
 
-    /// Returns the status of the replica.
     pub(crate) fn status(&self) -> ReplicaStatus {
         self.host.replica.status()
     }
@@ -35,7 +32,6 @@
         &self.counts
     }
 
-    /// Returns whether this replica leads.
     pub(crate) fn is_leading(&self) -> bool {
         self.leader_state.is_some()
     }
--- a/crates/leased/cloverfold_control/src/job_groups/watches.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/watches.rs
@@ -24,7 +24,6 @@
 }
 
 impl JobWatches {
-    /// Adds a call.
     pub(super) fn add(&mut self, job: &JobId, caller: Caller, now: Timestamp) {
         self.by_job.entry(job.clone()).or_default().push(caller);
         self.due.push_back((now + MAX_SHOW_WAIT, job.clone()));
@@ -51,7 +50,6 @@
         self.due.len()
     }
 
-    /// Takes all waiting calls.
     pub(super) fn take_all(&mut self) -> impl Iterator<Item = Caller> + use<> {
         self.due.clear();
         let waiting = std::mem::take(&mut self.by_job);
--- a/crates/leased/cloverfold_control/src/job_metrics.rs
+++ b/crates/leased/cloverfold_control/src/job_metrics.rs
@@ -12,7 +12,6 @@
 use crate::job_counts::JobCounts;
 use crate::state::ControlState;
 
-/// The metrics of kept jobs.
 pub(crate) struct JobMetrics {
     groups: Gauge,
     led: Gauge,
--- a/crates/leased/cloverfold_control/src/metrics.rs
+++ b/crates/leased/cloverfold_control/src/metrics.rs
@@ -7,7 +7,6 @@
 use crate::job_metrics::JobMetrics;
 use crate::state::ControlState;
 
-/// The metrics of a control process.
 pub(crate) struct ControlMetrics {
     process: ProcessMetrics,
     version: Gauge,
--- a/crates/leased/cloverfold_control/src/operators/audit.rs
+++ b/crates/leased/cloverfold_control/src/operators/audit.rs
@@ -10,7 +10,6 @@
 use super::Operators;
 
 impl Operators {
-    /// Responds with all audit records that are kept.
     pub(super) fn show_audit(&self) -> Response {
         let state = self.state.lock();
         let records: Vec<Value> = state.audit().iter().map(describe_decision).collect();
--- a/crates/leased/cloverfold_control/src/operators/configurations.rs
+++ b/crates/leased/cloverfold_control/src/operators/configurations.rs
@@ -65,7 +65,6 @@
         }
     }
 
-    /// Responds with the configuration in force.
     pub(super) async fn get_configuration(&self) -> Response {
         if !self.is_up_to_date().await {
             return answer_unavailable("the newest configuration is not known here at present\n");
--- a/crates/leased/cloverfold_control/src/operators/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/operators/evacuations.rs
@@ -41,7 +41,6 @@
         }
     }
 
-    /// Responds with the evacuations in force.
     pub(super) async fn get_evacuations(&self) -> Response {
         if !self.is_up_to_date().await {
             return answer_unavailable("the newest evacuations are not known here at present\n");
--- a/crates/leased/cloverfold_control/src/operators/jobs.rs
+++ b/crates/leased/cloverfold_control/src/operators/jobs.rs
@@ -21,7 +21,6 @@
 const MAX_LISTED_JOBS: usize = 1_000;
 
 impl Operators {
-    /// Responds to a call about kept jobs.
     pub(super) async fn answer_jobs(&self, call: JobsCall) -> Response {
         match call {
             JobsCall::List => self.list_jobs(),
--- a/crates/leased/cloverfold_control/src/operators/mod.rs
+++ b/crates/leased/cloverfold_control/src/operators/mod.rs
@@ -32,7 +32,6 @@
 
 pub use self::calls::{CallFormat, JobsCall, OperatorCall, OperatorInterface};
 
-/// Handles operator calls.
 pub(crate) struct Operators {
     state: Shared<ControlState>,
     interface: Arc<dyn OperatorInterface>,
@@ -59,7 +58,6 @@
         }
     }
 
-    /// Responds to a request.
     pub(crate) async fn answer(&self, request: Request) -> Response {
         let path = request.uri.path();
         let call = classify_product_call(&request.method, path);
--- a/crates/leased/cloverfold_control/src/operators/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/operators/upkeep.rs
@@ -154,7 +154,6 @@
         json_response(StatusCode::OK, body)
     }
 
-    /// Responds with all waves.
     pub(super) async fn list_waves(&self) -> Response {
         if !self.is_up_to_date().await {
             return answer_unavailable("the newest waves are not known here at present\n");
--- a/crates/leased/cloverfold_control/src/pending_writes.rs
+++ b/crates/leased/cloverfold_control/src/pending_writes.rs
@@ -57,7 +57,6 @@
         Some(oldest.begun_at)
     }
 
-    /// Logs slow writes.
     pub(crate) fn log_slow(&mut self, now: Timestamp) {
         for (batch, write) in &mut self.writes {
             if now > write.since + SLOW_WRITE_THRESHOLD {
--- a/crates/leased/cloverfold_control/src/replica_host.rs
+++ b/crates/leased/cloverfold_control/src/replica_host.rs
@@ -31,7 +31,6 @@
         }
     }
 
-    /// Returns whether this replica leads.
     pub(crate) fn is_leader(&self) -> bool {
         self.replica.status().role == Role::Leader
     }
@@ -78,7 +77,6 @@
         self.is_failing || oldest.is_some_and(|begun_at| now > begun_at + limit)
     }
 
-    /// Logs slow writes.
     pub(crate) fn log_slow(&mut self, now: Timestamp) {
         self.writes.log_slow(now);
     }
--- a/crates/leased/cloverfold_control/src/state/apply.rs
+++ b/crates/leased/cloverfold_control/src/state/apply.rs
@@ -30,7 +30,6 @@
 }
 
 impl ControlState {
-    /// Handles a disk event.
     pub(crate) fn handle_disk_event(&mut self, event: LogEvent) {
         let event = match event.log {
             LogId::Control => event.event,
--- a/crates/leased/cloverfold_control/src/state/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/state/evacuations.rs
@@ -86,7 +86,6 @@
         Some(older.name.as_str())
     }
 
-    /// Applies a committed order.
     pub(super) fn apply_order(&mut self, order: EvacuationOrder, index: u64) {
         let (hall, source, change) = (order.hall.clone(), order.source.clone(), order.change);
         let outcome = self.state.evacuations.apply(order, index);
--- a/crates/leased/cloverfold_control/src/state/jobs.rs
+++ b/crates/leased/cloverfold_control/src/state/jobs.rs
@@ -43,7 +43,6 @@
         }
     }
 
-    /// Handles a disk event of a group.
     pub(super) fn handle_job_disk_event(&mut self, group: GroupId, event: DiskEvent) {
         let now = self.clock.now();
         if let Some(host) = self.jobs.open_group_mut(group) {
@@ -91,7 +90,6 @@
         }
     }
 
-    /// Performs the due work of the groups.
     pub(super) fn tick_jobs(&mut self, now: Timestamp) {
         self.jobs.relays.discard_expired(now);
         let ids: Vec<GroupId> = self.jobs.open_groups().map(GroupHost::id).collect();
--- a/crates/leased/cloverfold_control/src/state/known_peers.rs
+++ b/crates/leased/cloverfold_control/src/state/known_peers.rs
@@ -43,7 +43,6 @@
         peer.disconnected_at = Some(now);
     }
 
-    /// Returns whether a process has a link.
     pub(super) fn is_connected(&self, address: SocketAddr) -> bool {
         self.peers.get(&address).is_some_and(|peer| peer.links > 0)
     }
--- a/crates/leased/cloverfold_control/src/state/mod.rs
+++ b/crates/leased/cloverfold_control/src/state/mod.rs
@@ -172,7 +172,6 @@
         }
     }
 
-    /// Performs due work.
     pub(crate) fn tick(&mut self) {
         // Only logs and counts a suspension; its effects follow from the jump of the clock.
         self.suspensions.poll();
@@ -231,7 +230,6 @@
         &self.suspensions
     }
 
-    /// Returns the term of the log.
     pub(crate) fn term(&self) -> u64 {
         self.host.replica.status().term
     }
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -9,7 +9,6 @@
 use super::ControlState;
 
 impl ControlState {
-    /// Handles a link event.
     pub(crate) fn handle_link_event(&mut self, event: LinkEvent<PeerMessage>) {
         match event {
             LinkEvent::Opened {
--- a/crates/leased/cloverfold_control/src/state/pending_reads.rs
+++ b/crates/leased/cloverfold_control/src/state/pending_reads.rs
@@ -32,7 +32,6 @@
         (token, rx)
     }
 
-    /// Adds a read for another control process.
     pub(super) fn add_for_peer(&mut self, read: PeerRead) -> ReadToken {
         let token = self.next_token();
         self.for_peers.insert(token, read);
--- a/crates/leased/cloverfold_control/src/state/reads.rs
+++ b/crates/leased/cloverfold_control/src/state/reads.rs
@@ -28,7 +28,6 @@
         rx
     }
 
-    /// Starts a read for another control process.
     pub(super) fn start_peer_read(&mut self, link: LinkId, token: ReadToken) {
         let own = self.reads.add_for_peer(PeerRead { link, token });
         self.host.replica.begin_read(own, self.clock.now());
--- a/crates/leased/cloverfold_control/src/state/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep.rs
@@ -116,7 +116,6 @@
         self.host.replica.propose(command, self.clock.now()).ok()
     }
 
-    /// Applies a committed command.
     pub(super) fn apply_upkeep(&mut self, command: UpkeepCommand, index: LogIndex) {
         let described = describe_command(&command);
         let has_changed = self.state.upkeep.apply(command, index);
