--- a/crates/common/cloverfold_base/src/hash.rs
+++ b/crates/common/cloverfold_base/src/hash.rs
@@ -1,13 +1,11 @@
-//! Short hashes of byte strings.
-//!
-//! Owns no state. Relies on SHA-256.
+//! Truncated SHA-256 hashes of byte strings.
 
 use sha2::{Digest as _, Sha256};
 
-/// Length of a hash, in bytes: 128 bits of a SHA-256, so that a collision needs about 2^64 hashes.
+/// Length of a hash, in bytes: 128 bits, so that a collision needs about 2^64 hashes.
 pub const HASH_LEN: usize = 16;
 
-/// Hashes a list of parts with the length of each, so that lists which differ only in where a part ends have different hashes.
+/// Hashes a list of parts. The hash includes the length of each part, so that moving a boundary between parts changes it.
 pub fn hash_parts(parts: &[&[u8]]) -> [u8; HASH_LEN] {
     let mut hasher = Sha256::new();
     for part in parts {
--- a/crates/common/cloverfold_base/src/lib.rs
+++ b/crates/common/cloverfold_base/src/lib.rs
@@ -1,7 +1,6 @@
-//! Clocks, random numbers and hashes that every package may use.
+//! Clocks, random numbers and hashes for all crates.
 //!
-//! Owns no state. Relies on the system's clocks and random source only; packages that decide without I/O use the types and get the
-//! values as arguments.
+//! Crates without I/O use only the types and get the values as arguments.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/common/cloverfold_base/src/random.rs
+++ b/crates/common/cloverfold_base/src/random.rs
@@ -1,13 +1,11 @@
-//! Random numbers, seeded by the system.
-//!
-//! Owns no state. Relies on `rand`'s generator of each thread.
+//! Random numbers from a thread-local generator that the system seeds.
 
 /// Returns a random number.
 pub fn random_u64() -> u64 {
     rand::random()
 }
 
-/// Returns a random number below `bound`; the bias of the remainder is negligible for bounds far below 2^64.
+/// Returns a random number below `bound`; the modulo bias is negligible for bounds far below 2^64.
 ///
 /// # Panics
 ///
--- a/crates/common/cloverfold_base/src/suspension.rs
+++ b/crates/common/cloverfold_base/src/suspension.rs
@@ -1,30 +1,30 @@
-//! How long the box was suspended, read off two clocks of the system.
+//! Detection of box suspensions from two system clocks.
 //!
-//! Owns how much of the difference between them is accounted for ([`SuspensionDetector`]). Relies on the steady clock standing still while the
-//! box is suspended, and on the boot clock going on.
+//! The monotonic clock stops while the box is suspended and the boot clock does not, so a suspension increases the offset between them.
 
 use std::time::Duration;
 
-use crate::system_clocks::{read_boot_clock, read_steady_clock};
+use crate::system_clocks::{read_boot_clock, read_monotonic_clock};
 
-/// Shorter suspensions are not reported: they are no longer than a delay that any busy box has.
-const SHORTEST_SUSPENSION: Duration = Duration::from_millis(10);
+/// Minimum duration of a reported suspension; shorter ones are no worse than ordinary scheduling delays.
+const MIN_SUSPENSION: Duration = Duration::from_millis(10);
 
-/// How far the boot clock is ahead of the steady one. The clocks can't be read at the same instant, so that only bounds are known.
+/// Bounds of the offset of the boot clock from the monotonic clock. The exact offset is unknown, because the clocks cannot be read at the
+/// same instant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockOffset {
-    /// It is no less.
+    /// Lower bound of the offset.
     pub lower_bound: Duration,
-    /// It is no more.
+    /// Upper bound of the offset.
     pub upper_bound: Duration,
 }
 
 impl ClockOffset {
     /// Reads both clocks.
     fn read() -> Self {
-        let before = read_steady_clock();
+        let before = read_monotonic_clock();
         let boot = read_boot_clock();
-        let after = read_steady_clock();
+        let after = read_monotonic_clock();
         Self {
             lower_bound: boot.saturating_sub(after),
             upper_bound: boot.saturating_sub(before),
@@ -32,10 +32,10 @@
     }
 }
 
-/// Notices that the box was suspended.
+/// Detects suspensions of the box.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionDetector {
-    /// The lead of the boot clock that no longer counts as news; the true one is no less unless it has grown since.
+    /// Offset that is already accounted for. A larger offset means that a suspension has occurred since.
     accounted: Duration,
 }
 
@@ -46,26 +46,27 @@
 }
 
 impl SuspensionDetector {
-    /// Begins with what the clocks say now.
-    pub const fn new(lead: ClockOffset) -> Self {
+    /// Creates a detector that reports suspensions after the reading `offset`.
+    pub const fn new(offset: ClockOffset) -> Self {
         Self {
-            accounted: lead.upper_bound,
+            accounted: offset.upper_bound,
         }
     }
 
-    /// Reads the clocks; returns for how long the box was suspended since the last call, at the least. `None` if it was not.
+    /// Reads the clocks; returns a lower bound of the time for which the box was suspended since the last call. `None` if there was no
+    /// suspension.
     pub fn poll(&mut self) -> Option<Duration> {
         self.observe(ClockOffset::read())
     }
 
-    /// Compares a reading with what is accounted for; returns as [`Self::poll`] does. What a blurred reading hides, a later one shows.
-    pub fn observe(&mut self, lead: ClockOffset) -> Option<Duration> {
-        let span = lead.lower_bound.saturating_sub(self.accounted);
-        if span < SHORTEST_SUSPENSION {
-            self.accounted = self.accounted.min(lead.upper_bound);
+    /// Evaluates a reading; returns the same as [`Self::poll`]. A suspension that an imprecise reading hides shows in a later one.
+    pub fn observe(&mut self, offset: ClockOffset) -> Option<Duration> {
+        let span = offset.lower_bound.saturating_sub(self.accounted);
+        if span < MIN_SUSPENSION {
+            self.accounted = self.accounted.min(offset.upper_bound);
             return None;
         }
-        self.accounted = lead.lower_bound;
+        self.accounted = offset.lower_bound;
         Some(span)
     }
 }
--- a/crates/common/cloverfold_base/tests/clocks.rs
+++ b/crates/common/cloverfold_base/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Clocks: suspensions of the box are noticed from two clocks, and a process counts their time.
+//! Detection of box suspensions from two clocks, and the clock of a process.
 
 use std::time::Duration;
 
@@ -9,48 +9,49 @@
     Duration::from_millis(value)
 }
 
-/// A reading that is exact, with the boot clock ahead by so many milliseconds.
-fn exact(lead_ms: u64) -> ClockOffset {
-    blurred(lead_ms, 0, 0)
+/// An exact reading, with the boot clock ahead by `offset_ms`.
+fn exact(offset_ms: u64) -> ClockOffset {
+    imprecise(offset_ms, 0, 0)
 }
 
-/// A reading that was interrupted before and after the boot clock was read.
-fn blurred(lead_ms: u64, before_ms: u64, after_ms: u64) -> ClockOffset {
+/// An imprecise reading, interrupted for `before_ms` before and for `after_ms` after the boot clock was read.
+fn imprecise(offset_ms: u64, before_ms: u64, after_ms: u64) -> ClockOffset {
     ClockOffset {
-        lower_bound: ms(lead_ms).saturating_sub(ms(after_ms)),
-        upper_bound: ms(lead_ms + before_ms),
+        lower_bound: ms(offset_ms).saturating_sub(ms(after_ms)),
+        upper_bound: ms(offset_ms + before_ms),
     }
 }
 
 #[test]
-fn a_suspension_is_noticed_once_with_its_length() {
-    let mut watch = SuspensionDetector::new(exact(500));
+fn a_suspension_is_reported_once_with_its_duration() {
+    let mut detector = SuspensionDetector::new(exact(500));
 
-    let noticed = [500, 3_500, 3_500, 3_600].map(|lead| watch.observe(exact(lead)));
+    let detected = [500, 3_500, 3_500, 3_600].map(|offset| detector.observe(exact(offset)));
 
-    assert_eq!(noticed, [None, Some(ms(3_000)), None, Some(ms(100))]);
+    assert_eq!(detected, [None, Some(ms(3_000)), None, Some(ms(100))]);
 }
 
 #[test]
-fn what_is_too_short_for_one_reading_is_noticed_with_the_next() {
-    let mut watch = SuspensionDetector::new(blurred(0, 40, 0));
+fn a_suspension_hidden_by_an_imprecise_reading_shows_in_the_next() {
+    let mut detector = SuspensionDetector::new(imprecise(0, 40, 0));
 
-    let noticed = [blurred(20, 0, 30), exact(20), exact(70)].map(|lead| watch.observe(lead));
+    let detected =
+        [imprecise(20, 0, 30), exact(20), exact(70)].map(|offset| detector.observe(offset));
 
-    assert_eq!(noticed, [None, None, Some(ms(50))]);
+    assert_eq!(detected, [None, None, Some(ms(50))]);
 }
 
 #[test]
-fn a_process_on_a_box_that_is_awake_notices_no_suspension() {
-    let mut watch = SuspensionDetector::default();
+fn no_suspension_is_reported_while_the_box_is_awake() {
+    let mut detector = SuspensionDetector::default();
 
-    let noticed = (0..10_000).find_map(|_| watch.poll());
+    let detected = (0..10_000).find_map(|_| detector.poll());
 
-    assert_eq!(noticed, None);
+    assert_eq!(detected, None);
 }
 
 #[test]
-fn the_clock_of_a_process_begins_at_zero_and_never_goes_back() {
+fn the_process_clock_starts_at_zero_and_is_monotonic() {
     let clock = ProcessClock::default();
 
     let readings: Vec<Timestamp> = (0..1_000).map(|_| clock.now()).collect();
@@ -60,19 +61,19 @@
 }
 
 proptest! {
-    /// However readings are interrupted, nothing is noticed that was not there, and in the end nothing is missing but what is too short.
+    /// For any interruption of readings, the detected time never exceeds the true one, and in the end lacks at most one short suspension.
     #[test]
-    fn noticed_suspensions_add_up_to_no_more_than_there_was(
+    fn reported_suspensions_match_the_true_total(
         steps in prop::collection::vec((0_u64..2_000, any::<bool>(), 0_u64..50, 0_u64..50), 1..60)
     ) {
-        let mut watch = SuspensionDetector::new(exact(0));
-        let (mut lead, mut noticed) = (0, Duration::ZERO);
+        let mut detector = SuspensionDetector::new(exact(0));
+        let (mut offset, mut detected) = (0, Duration::ZERO);
         for (span, is_suspended, before, after) in steps {
-            lead += if is_suspended { span } else { 0 };
-            noticed += watch.observe(blurred(lead, before, after)).unwrap_or_default();
-            prop_assert!(noticed <= ms(lead));
+            offset += if is_suspended { span } else { 0 };
+            detected += detector.observe(imprecise(offset, before, after)).unwrap_or_default();
+            prop_assert!(detected <= ms(offset));
         }
-        noticed += watch.observe(exact(lead)).unwrap_or_default();
-        prop_assert!(noticed + ms(10) >= ms(lead), "{noticed:?} of {lead} ms");
+        detected += detector.observe(exact(offset)).unwrap_or_default();
+        prop_assert!(detected + ms(10) >= ms(offset), "{detected:?} of {offset} ms");
     }
 }
--- a/crates/common/cloverfold_http/src/lib.rs
+++ b/crates/common/cloverfold_http/src/lib.rs
@@ -1,9 +1,7 @@
-//! HTTP/1.1 for the leased installation: a small server with limits, a pooled client, and the pages for operators.
+//! HTTP/1.1 for the leased installation: a small server with limits, a client with a connection pool, and operator endpoints.
 //!
-//! Owns connections only; what is asked and answered belongs to the callers. Relies on `hyper` and on `cloverfold_link` for listening.
-//!
-//! The library underneath is `hyper` rather than `volo-http`, which is built on it: the server here needs limits on header
-//! time, a planned stop for each connection, and to drop a handler whose client has left.
+//! The crate uses `hyper` rather than `volo-http`, which is built on it, because the server needs a header timeout, a graceful shutdown of
+//! each connection, and the cancellation of a handler whose client has disconnected.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/common/cloverfold_http/src/operations.rs
+++ b/crates/common/cloverfold_http/src/operations.rs
@@ -1,6 +1,4 @@
-//! Listening on addresses of the settings, and the pages `/healthz`, `/readyz` and `/metrics`.
-//!
-//! Owns no state: what the pages show is asked of the process for each request. Relies on the server of this package.
+//! Listening on addresses from the settings, and the endpoints `/healthz`, `/readyz` and `/metrics`.
 
 use std::net::SocketAddr;
 
@@ -9,11 +7,11 @@
 
 use crate::server::{HttpLimits, Request, Response, ServerHandle, plain_response, serve};
 
-/// An address of the settings that cannot be listened on.
+/// An address from the settings on which the process cannot listen.
 #[derive(Debug, thiserror::Error)]
 #[error("{setting} {address}: {cause}; free the address or change the setting")]
 pub struct ListenError {
-    /// The setting that names the address.
+    /// The setting that contains the address.
     pub setting: &'static str,
     /// The address.
     pub address: SocketAddr,
@@ -21,7 +19,7 @@
     pub cause: std::io::Error,
 }
 
-/// Listens on an address of the settings.
+/// Listens on an address from the settings.
 ///
 /// # Errors
 ///
@@ -34,7 +32,7 @@
     })
 }
 
-/// Serves a handler on an address of the settings.
+/// Serves a handler on an address from the settings.
 ///
 /// # Errors
 ///
@@ -58,9 +56,9 @@
     })
 }
 
-/// Serves `/healthz`, `/readyz` and `/metrics`; returns `None` if the settings name no address for them.
+/// Serves `/healthz`, `/readyz` and `/metrics`; returns `None` if `address` is `None`.
 ///
-/// `find_unreadiness` returns why the process should get no new work, which `/readyz` answers with 503.
+/// `not_ready_reason` returns why the process is not ready for work, in which case `/readyz` responds with 503.
 ///
 /// # Errors
 ///
@@ -68,7 +66,7 @@
 pub fn serve_operations<M, R>(
     address: Option<SocketAddr>,
     write_metrics: M,
-    find_unreadiness: R,
+    not_ready_reason: R,
 ) -> Result<Option<ServerHandle>, ListenError>
 where
     M: Fn() -> String + Send + Sync + 'static,
@@ -81,7 +79,7 @@
         let response = match request.uri.path() {
             "/healthz" => plain_response(StatusCode::OK, "ok\n"),
             "/metrics" => plain_response(StatusCode::OK, write_metrics()),
-            "/readyz" => match find_unreadiness() {
+            "/readyz" => match not_ready_reason() {
                 None => plain_response(StatusCode::OK, "ready\n"),
                 Some(why) => plain_response(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
             },
--- a/crates/common/cloverfold_http/src/server.rs
+++ b/crates/common/cloverfold_http/src/server.rs
@@ -1,7 +1,6 @@
-//! The HTTP/1.1 server of the leased processes.
+//! HTTP/1.1 server with request limits and graceful shutdown.
 //!
-//! Reads whole requests within limits, hands each to one handler and sends its answer. Owns the connections that it has accepted and the
-//! phase of its planned stop. Relies on `hyper` for HTTP/1.1 and on the runtime that it is started in.
+//! The server reads each request in full before it calls the handler.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -21,29 +20,29 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Smallest buffer that `hyper` accepts, in bytes; a smaller one panics there.
+/// Minimum buffer size, in bytes; `hyper` panics below it.
 const MIN_HEADER_BUFFER: usize = 8 * 1024;
-/// Default longest header, in bytes. Chosen, not measured.
+/// Default of [`HttpLimits::header_bytes`].
 const HEADER_BYTES: usize = 16 * 1024;
-/// Default longest body, in bytes. Chosen, not measured.
+/// Default of [`HttpLimits::body_bytes`].
 const BODY_BYTES: usize = 1024 * 1024;
-/// Default time for a body to arrive. Chosen, not measured.
+/// Default of [`HttpLimits::body_timeout`].
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Default time that a connection may stay without a request. Chosen, not measured.
+/// Default of [`HttpLimits::idle_timeout`].
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Pause after a failed accept, so that a lack of file descriptors does not spin the thread. Chosen, not measured.
+/// Delay after a failed accept, so that the server does not busy-loop while there are no free file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a connection may use; read once when it is accepted.
+/// Limits of a connection; read once when it is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpLimits {
-    /// Longest header, in bytes; at least 8 KiB are allowed in any case.
+    /// Maximum size of a request header, in bytes; values below 8 KiB count as 8 KiB.
     pub header_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a body may take to arrive.
+    /// Timeout for receiving a request body.
     pub body_timeout: Duration,
-    /// How long a connection may stay without a whole request header.
+    /// Timeout for receiving a complete request header.
     pub idle_timeout: Duration,
 }
 
@@ -58,48 +57,48 @@
     }
 }
 
-/// How far a planned stop of a server has come.
+/// Phase of the graceful shutdown of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// It serves.
+    /// The server serves requests.
     #[default]
     Serving,
-    /// It serves, and answers with `Connection: close` so that clients reconnect elsewhere.
+    /// The server serves requests, and responds with `Connection: close` so that clients reconnect elsewhere.
     Draining,
-    /// It accepts no connection, finishes requests in flight and closes idle connections.
+    /// The server accepts no connections, finishes requests in flight and closes idle connections.
     Closing,
 }
 
-/// A request whose body has been read in full.
+/// A request with its complete body.
 #[derive(Debug)]
 pub struct Request {
-    /// The method.
+    /// Request method.
     pub method: Method,
-    /// The target.
+    /// Request target.
     pub uri: Uri,
-    /// The headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl Request {
-    /// Returns the requested host without its port; empty if the request names none.
+    /// Returns the requested host without its port; empty if the request has no host.
     pub fn host(&self) -> &str {
         let header = self.headers.get(http::header::HOST);
         let host = header
             .and_then(|value| value.to_str().ok())
             .or(self.uri.host());
-        // A request without a host is looked up, and logged, with an empty one.
+        // A request without a host is routed and logged with an empty one.
         let host = host.unwrap_or_default();
         host.rsplit_once(':').map_or(host, |(name, _)| name)
     }
 }
 
-/// The answer to a request.
+/// Response to a request.
 pub type Response = http::Response<Full<Bytes>>;
 
-/// Builds an answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json_response(status: StatusCode, body: impl Into<Bytes>) -> Response {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
@@ -108,14 +107,14 @@
     response
 }
 
-/// Builds an answer with a line of text.
+/// Builds a response with a plain text body.
 pub fn plain_response(status: StatusCode, text: impl Into<String>) -> Response {
     let mut response = Response::new(Full::new(Bytes::from(text.into())));
     *response.status_mut() = status;
     response
 }
 
-/// Handle of a running server; dropping it stops the server as [`ShutdownPhase::Closing`] does.
+/// Handle of a running server; dropping it has the effect of [`ShutdownPhase::Closing`].
 #[derive(Debug)]
 pub struct ServerHandle {
     phase: watch::Sender<ShutdownPhase>,
@@ -123,16 +122,16 @@
 }
 
 impl ServerHandle {
-    /// Returns the address that is listened on.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Advances the planned stop to a later phase; an earlier one changes nothing.
+    /// Advances the graceful shutdown to a later phase; ignores an earlier one.
     pub fn advance(&self, phase: ShutdownPhase) {
-        self.phase.send_if_modified(|held| {
-            let is_later = phase > *held;
-            *held = (*held).max(phase);
+        self.phase.send_if_modified(|current| {
+            let is_later = phase > *current;
+            *current = (*current).max(phase);
             is_later
         });
     }
@@ -143,9 +142,9 @@
     }
 }
 
-/// Serves requests on a listener; `limits` is called once for each connection.
+/// Serves requests on a listener; calls `limits` once for each connection.
 ///
-/// The future of a handler is dropped when its client disconnects before the answer. Must be called within a runtime.
+/// The server drops the future of a handler if its client disconnects before the response. Must be called within a runtime.
 ///
 /// # Errors
 ///
@@ -157,17 +156,17 @@
     F: Future<Output = Response> + Send + 'static,
 {
     let address = listener.local_addr()?;
-    let (phase, follow) = watch::channel(ShutdownPhase::Serving);
+    let (phase, phase_rx) = watch::channel(ShutdownPhase::Serving);
     tokio::spawn(accept_connections(
         listener,
         limits,
         Arc::new(handler),
-        follow,
+        phase_rx,
     ));
     Ok(ServerHandle { phase, address })
 }
 
-/// Accepts connections until the server closes, each served by a task of its own.
+/// Accepts connections until the server closes, and serves each in its own task.
 async fn accept_connections<L, H, F>(
     listener: TcpListener,
     limits: L,
@@ -182,7 +181,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = wait_closing(&mut closing) => return,
+            () = wait_until_closing(&mut closing) => return,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -190,16 +189,16 @@
                 tokio::spawn(connection);
             }
             Err(cause) => {
-                log::warn!("a connection cannot be accepted: {cause}");
+                log::warn!("cannot accept connection: {cause}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Waits until the server closes or its handle is gone.
-async fn wait_closing(phase: &mut watch::Receiver<ShutdownPhase>) {
-    // The only error is that the handle was dropped, which closes the server too.
+/// Waits until the server closes or its handle is dropped.
+async fn wait_until_closing(phase: &mut watch::Receiver<ShutdownPhase>) {
+    // Fails only if the handle was dropped, which closes the server too.
     let _ = phase
         .wait_for(|phase| *phase == ShutdownPhase::Closing)
         .await;
@@ -214,15 +213,15 @@
     H: Fn(Request) -> F + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    // Without the bound a client that goes silent while it is answered would hold its connection, and a descriptor, for good.
+    // Without this timeout, a client that vanishes while it reads a response would hold its connection and file descriptor forever.
     tune_socket(&stream, limits.idle_timeout);
-    let follow = phase.clone();
+    let phase_rx = phase.clone();
     let service = service_fn(move |request: http::Request<Incoming>| {
         let handler = handler.clone();
-        let follow = follow.clone();
+        let phase_rx = phase_rx.clone();
         async move {
             let mut response = answer(request, &limits, handler.as_ref()).await;
-            ask_to_reconnect(&mut response, *follow.borrow());
+            ask_to_reconnect(&mut response, *phase_rx.borrow());
             Ok::<_, std::convert::Infallible>(response)
         }
     });
@@ -234,18 +233,18 @@
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = wait_closing(&mut phase) => {
+        () = wait_until_closing(&mut phase) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
     if let Err(cause) = ended {
-        // Clients disconnect at any time, so this is not worth a warning.
-        log::debug!("a connection ended: {cause}");
+        // Not a warning, because clients may disconnect at any time.
+        log::debug!("connection failed: {cause}");
     }
 }
 
-/// Tells the client to open a new connection for its next request, from [`ShutdownPhase::Draining`] on.
+/// Asks the client to open a new connection for its next request, from [`ShutdownPhase::Draining`] on.
 fn ask_to_reconnect(response: &mut Response, phase: ShutdownPhase) {
     if phase >= ShutdownPhase::Draining {
         let close = HeaderValue::from_static("close");
@@ -253,7 +252,7 @@
     }
 }
 
-/// Reads the body within the limits and runs the handler; a body that breaks a limit is refused without the handler.
+/// Reads the body within the limits and runs the handler; refuses a body that exceeds a limit without running the handler.
 async fn answer<H, F>(
     request: http::Request<Incoming>,
     limits: &HttpLimits,
--- a/crates/common/cloverfold_http/tests/server.rs
+++ b/crates/common/cloverfold_http/tests/server.rs
@@ -1,4 +1,4 @@
-//! Limits, the planned stop, and handlers whose client leaves.
+//! Request limits, graceful shutdown, cancelled handlers, and connection reuse of the client.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,7 +20,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn limits() -> HttpLimits {
     HttpLimits {
@@ -31,16 +31,16 @@
     }
 }
 
-/// What the handlers of a server have come to.
+/// Counts of handler calls that have started and that were dropped.
 #[derive(Clone, Default)]
-struct Seen {
-    begun: Arc<AtomicUsize>,
+struct HandlerCounts {
+    started: Arc<AtomicUsize>,
     dropped: Arc<AtomicUsize>,
 }
 
-impl Seen {
-    async fn wait_begun(&self) {
-        wait_for(&self.begun, 1).await;
+impl HandlerCounts {
+    async fn wait_started(&self) {
+        wait_for(&self.started, 1).await;
     }
 
     async fn wait_dropped(&self) {
@@ -54,8 +54,8 @@
     }
 }
 
-/// Answers with the host once the gate is open, and counts handlers that were dropped before.
-fn start(gate: Arc<Semaphore>, seen: Seen) -> ServerHandle {
+/// Starts a server that responds with the host once the gate has a permit, and counts handlers that are dropped before.
+fn start(gate: Arc<Semaphore>, counts: HandlerCounts) -> ServerHandle {
     struct CountDrop(Option<Arc<AtomicUsize>>);
     impl Drop for CountDrop {
         fn drop(&mut self) {
@@ -67,10 +67,10 @@
     let listener = cloverfold_link::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let handler = move |request: Request| {
         let gate = gate.clone();
-        let seen = seen.clone();
+        let counts = counts.clone();
         async move {
-            seen.begun.fetch_add(1, Ordering::SeqCst);
-            let mut guard = CountDrop(Some(seen.dropped));
+            counts.started.fetch_add(1, Ordering::SeqCst);
+            let mut guard = CountDrop(Some(counts.dropped));
             let _permit = gate.acquire().await.unwrap();
             guard.0 = None;
             plain_response(StatusCode::OK, request.host())
@@ -94,12 +94,12 @@
         .header("Host", "shop.example:80")
         .body(Full::new(Bytes::from(body.to_owned())))
         .unwrap();
-    client.call(address, request, PATIENCE).await
+    client.call(address, request, LONG_TIMEOUT).await
 }
 
 #[tokio::test]
 async fn a_request_is_answered_with_the_host_without_its_port() {
-    let serving = start(open(), Seen::default());
+    let serving = start(open(), HandlerCounts::default());
 
     let (status, _, body) = post(&HttpClient::default(), serving.address(), "x")
         .await
@@ -110,7 +110,7 @@
 
 #[tokio::test]
 async fn a_body_that_is_too_long_or_too_slow_is_refused() {
-    let serving = start(open(), Seen::default());
+    let serving = start(open(), HandlerCounts::default());
     let long = "x".repeat(65);
     let (status, ..) = post(&HttpClient::default(), serving.address(), &long)
         .await
@@ -129,41 +129,41 @@
 
 #[tokio::test]
 async fn a_connection_without_a_request_is_closed() {
-    let serving = start(open(), Seen::default());
+    let serving = start(open(), HandlerCounts::default());
     let mut idle = TcpStream::connect(serving.address()).await.unwrap();
     idle.write_all(b"POST / HT").await.unwrap();
     let mut rest = Vec::new();
 
-    let closed = tokio::time::timeout(PATIENCE, idle.read_to_end(&mut rest)).await;
+    let closed = tokio::time::timeout(LONG_TIMEOUT, idle.read_to_end(&mut rest)).await;
 
     assert!(closed.is_ok());
 }
 
 #[tokio::test]
-async fn a_handler_is_dropped_when_its_client_leaves() {
-    let seen = Seen::default();
-    let serving = start(Arc::new(Semaphore::new(0)), seen.clone());
+async fn a_handler_is_dropped_when_its_client_disconnects() {
+    let counts = HandlerCounts::default();
+    let serving = start(Arc::new(Semaphore::new(0)), counts.clone());
     let mut client = TcpStream::connect(serving.address()).await.unwrap();
     client
         .write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         .await
         .unwrap();
-    seen.wait_begun().await;
+    counts.wait_started().await;
 
     drop(client);
 
-    seen.wait_dropped().await;
+    counts.wait_dropped().await;
 }
 
 #[tokio::test]
-async fn a_planned_stop_turns_clients_away_then_ends_what_is_in_flight() {
+async fn a_graceful_shutdown_asks_clients_to_reconnect_and_finishes_requests_in_flight() {
     let gate = Arc::new(Semaphore::new(0));
-    let seen = Seen::default();
-    let serving = start(gate.clone(), seen.clone());
+    let counts = HandlerCounts::default();
+    let serving = start(gate.clone(), counts.clone());
     let address = serving.address();
     serving.advance(ShutdownPhase::Draining);
     let in_flight = tokio::spawn(async move { post(&HttpClient::default(), address, "x").await });
-    seen.wait_begun().await;
+    counts.wait_started().await;
 
     serving.advance(ShutdownPhase::Closing);
     gate.add_permits(10);
@@ -171,7 +171,7 @@
     let (status, headers, _) = in_flight.await.unwrap().unwrap();
     assert_eq!(status, StatusCode::OK);
     assert_eq!(headers.get("connection").unwrap(), "close");
-    tokio::time::timeout(PATIENCE, serving.wait_closed())
+    tokio::time::timeout(LONG_TIMEOUT, serving.wait_closed())
         .await
         .unwrap();
     let refused = post(&HttpClient::default(), address, "x").await;
@@ -179,8 +179,8 @@
 }
 
 #[tokio::test]
-async fn a_call_without_an_answer_is_given_up_and_may_have_arrived() {
-    let serving = start(Arc::new(Semaphore::new(0)), Seen::default());
+async fn a_call_without_a_response_times_out_as_unanswered() {
+    let serving = start(Arc::new(Semaphore::new(0)), HandlerCounts::default());
     let request = http::Request::builder()
         .uri("/")
         .header("Host", "a")
@@ -194,8 +194,8 @@
     assert!(matches!(answer, Err(HttpCallError::Unanswered(_))));
 }
 
-/// Leaves so many idle connections to an address behind at a client, by calls that are answered at the same time.
-async fn open_idle(
+/// Opens `count` idle connections from a client to an address, with concurrent calls.
+async fn open_idle_connections(
     client: &Arc<HttpClient>,
     address: SocketAddr,
     count: usize,
@@ -210,23 +210,23 @@
     calls.join_all().await;
 }
 
-/// Gives a call without a body 50 ms.
-async fn call_briefly(
+/// Sends a request without a body, with a timeout of 50 ms.
+async fn call_with_short_timeout(
     client: &HttpClient,
     address: SocketAddr,
 ) -> Result<(StatusCode, http::HeaderMap, Bytes), HttpCallError> {
-    call_within(client, address, Duration::from_millis(50)).await
+    call_with_timeout(client, address, Duration::from_millis(50)).await
 }
 
-/// Gives a call without a body all the time that it needs.
+/// Sends a request without a body, with a long timeout.
 async fn get(
     client: &HttpClient,
     address: SocketAddr,
 ) -> Result<(StatusCode, http::HeaderMap, Bytes), HttpCallError> {
-    call_within(client, address, PATIENCE).await
+    call_with_timeout(client, address, LONG_TIMEOUT).await
 }
 
-async fn call_within(
+async fn call_with_timeout(
     client: &HttpClient,
     address: SocketAddr,
     limit: Duration,
@@ -239,29 +239,29 @@
     client.call(address, request, limit).await
 }
 
-/// A server behind a proxy, and a client with six idle connections to it.
+/// Returns a server behind a proxy, and a client with six idle connections to the proxy.
 async fn six_idle_connections() -> (ServerHandle, TcpProxy, Arc<HttpClient>) {
     let gate = Arc::new(Semaphore::new(0));
-    let seen = Seen::default();
-    let serving = start(gate.clone(), seen.clone());
+    let counts = HandlerCounts::default();
+    let serving = start(gate.clone(), counts.clone());
     let proxy = TcpProxy::start(serving.address()).await.unwrap();
     let client = Arc::new(HttpClient::default());
     let answer_all = async {
-        wait_for(&seen.begun, 6).await;
+        wait_for(&counts.started, 6).await;
         gate.add_permits(100);
     };
-    open_idle(&client, proxy.address(), 6, answer_all).await;
+    open_idle_connections(&client, proxy.address(), 6, answer_all).await;
     (serving, proxy, client)
 }
 
 #[tokio::test]
-async fn silent_connections_cost_two_calls_that_are_given_up() {
+async fn half_open_connections_cost_two_timeouts() {
     let (_serving, proxy, client) = six_idle_connections().await;
 
     proxy.silence_open();
-    let first = call_briefly(&client, proxy.address()).await;
-    let second = call_briefly(&client, proxy.address()).await;
-    let next = tokio::time::timeout(PATIENCE, post(&client, proxy.address(), "x")).await;
+    let first = call_with_short_timeout(&client, proxy.address()).await;
+    let second = call_with_short_timeout(&client, proxy.address()).await;
+    let next = tokio::time::timeout(LONG_TIMEOUT, post(&client, proxy.address(), "x")).await;
 
     assert!(matches!(first, Err(HttpCallError::Unanswered(_))));
     assert!(matches!(second, Err(HttpCallError::Unanswered(_))));
@@ -269,8 +269,8 @@
     assert_eq!(status, StatusCode::OK);
 }
 
-/// Answers requests without a body, each with a permit of the gate, and counts the connections that it has accepted.
-async fn count_connections(gate: Arc<Semaphore>) -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a server that answers each request without a body for one permit of the gate, and counts accepted connections.
+async fn start_gated_server(gate: Arc<Semaphore>) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let accepted = Arc::new(AtomicUsize::new(0));
@@ -278,13 +278,13 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             count.fetch_add(1, Ordering::SeqCst);
-            tokio::spawn(answer_one_by_one(stream, gate.clone()));
+            tokio::spawn(serve_gated(stream, gate.clone()));
         }
     });
     (address, accepted)
 }
 
-async fn answer_one_by_one(mut stream: TcpStream, gate: Arc<Semaphore>) {
+async fn serve_gated(mut stream: TcpStream, gate: Arc<Semaphore>) {
     let mut request = Vec::new();
     while let Ok(1..) = stream.read_buf(&mut request).await {
         if !request.ends_with(b"\r\n\r\n") {
@@ -300,15 +300,15 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_comes_late_costs_no_connection() {
+async fn a_late_response_does_not_cost_a_connection() {
     let gate = Arc::new(Semaphore::new(0));
-    let (address, accepted) = count_connections(gate.clone()).await;
+    let (address, accepted) = start_gated_server(gate.clone()).await;
     let client = HttpClient::default();
 
     for _ in 0..5 {
-        let late = call_briefly(&client, address).await;
+        let late = call_with_short_timeout(&client, address).await;
         assert!(matches!(late, Err(HttpCallError::Unanswered(_))));
-        // One for the late answer, one for the call after it.
+        // One permit for the late response, one for the next call.
         gate.add_permits(2);
         let (status, ..) = get(&client, address).await.unwrap();
         assert_eq!(status, StatusCode::OK);
@@ -319,7 +319,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_is_silent_while_it_is_answered_is_given_up() {
+async fn a_client_that_stops_reading_a_response_is_disconnected() {
     let listener = cloverfold_link::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let long_answer = |_| async { plain_response(StatusCode::OK, "x".repeat(32 * 1024 * 1024)) };
     let serving = serve(listener, limits, long_answer).unwrap();
@@ -332,7 +332,7 @@
 
     serving.advance(ShutdownPhase::Closing);
 
-    tokio::time::timeout(PATIENCE, serving.wait_closed())
+    tokio::time::timeout(LONG_TIMEOUT, serving.wait_closed())
         .await
         .expect("the connection is closed, although the client still holds it");
     drop(client);
