--- a/crates/leased/cloverfold_control/src/job_groups/group.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/group.rs
@@ -10,62 +10,59 @@
 use cloverfold_kept_jobs::{CallRefusal, GroupId, JobGroups, JobReply, JobTable};
 
 use super::GroupEffect;
-use super::leading::Leading;
-use crate::disk::{Disk, DiskEvent};
+use super::leader::LeaderState;
+use crate::disk::{DiskEvent, DiskWriter};
 use crate::job_counts::JobCounts;
 use crate::replica_host::ReplicaHost;
 
-/// Entries after which the log of a group is compacted. Chosen, not measured: a table of some megabytes is written every 20 s at 50
-/// syncs a second.
+/// Number of log entries that triggers compaction.
 const COMPACTION_THRESHOLD: usize = 1_024;
-/// Entries in one message: with [`MAX_ENTRY_BYTES`](super::batches::MAX_ENTRY_BYTES) half of the longest frame.
+/// Maximum number of entries in one message; with [`MAX_ENTRY_BYTES`](super::batches::MAX_ENTRY_BYTES), half of the longest frame.
 const MAX_BATCH_ENTRIES: usize = 8;
 
-/// Bytes of a table in one message; a full table has some 50 MB. Chosen, not measured: an eighth of the longest frame.
+/// Maximum size of a snapshot's state in one message, an eighth of the longest frame. A full table has about 50 MB.
 const MAX_SNAPSHOT_BYTES: usize = 1024 * 1024;
 
-/// Age of an unsynced write from which on a leader gives up its lead if the others' disks are faster. Chosen, not measured: twice the span
-/// after which it takes no new jobs.
-const HANGING_DISK: Duration = Duration::from_millis(1_000);
+/// Age of an unsynced write from which on a leader steps down if the other disks are faster. Twice the timeout for refusing new jobs.
+const LEADER_DISK_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long the committed index waits to be written with the next entry. A write of its own takes the disk a sync, for which the next
-/// entry waits: with 9 ms a sync half of the jobs of a loaded site were accepted after some 50 ms instead of 20.
+/// How long the commit index waits to be written together with the next entry. Writing it alone costs a sync, which delays the next entry.
 const COMMIT_DELAY: Duration = Duration::from_millis(100);
 
-/// What all groups of a process have in common.
+/// Settings shared by all groups of a process.
 #[derive(Clone, Debug)]
 pub(crate) struct GroupSettings {
-    /// The identity of this process's disk.
+    /// The replica identity of this process.
     pub(crate) replica: ReplicaId,
-    /// How many voters a group should have.
+    /// Target number of voters of a group.
     pub(crate) voters: usize,
-    /// How long ended jobs are remembered.
-    pub(crate) status: Duration,
+    /// How long ended jobs are retained.
+    pub(crate) retention: Duration,
 }
 
 /// One replica of one group.
 pub(crate) struct GroupHost {
     pub(super) id: GroupId,
-    remember_for: Duration,
+    retention: Duration,
     pub(super) host: ReplicaHost,
-    /// After all applied entries.
+    /// The jobs after all applied entries.
     pub(super) table: JobTable,
     /// `Some` while this replica leads.
-    pub(super) leading: Option<Leading>,
+    pub(super) leader_state: Option<LeaderState>,
     pub(super) effects: Vec<GroupEffect>,
     pub(super) counts: JobCounts,
 }
 
 impl GroupHost {
-    /// Goes on from what the disk has. A founder whose log is empty begins the group.
+    /// Opens a replica from the state recovered from disk. A founder with an empty log bootstraps the group.
     ///
-    /// All founders begin with the same members and state, so their logs agree. A disk that was lost has another identity and is no
-    /// founder: it never votes before the group has added it.
+    /// All founders bootstrap with the same members and state, so their logs agree. A replacement disk has a new identity and is not a
+    /// founder, so it does not vote before the group has added it.
     pub(crate) fn open(
         id: GroupId,
         groups: &JobGroups,
         settings: &GroupSettings,
-        disk: Disk,
+        disk: DiskWriter,
         recovered: RecoveredState,
         now: Timestamp,
     ) -> Self {
@@ -78,17 +75,17 @@
             ..ReplicaConfig::default()
         };
         let mut replica = Replica::new(settings.replica, config, recovered, random_u64(), now);
-        let founders = list_founders(groups);
+        let founders = founding_members(groups);
         if founders.contains(settings.replica) && replica.status().last_index == 0 {
-            log::info!(group = id, members = founders.voters.len(); "a group that keeps jobs begins");
+            log::info!(group = id, members = founders.voters.len(); "bootstrapping a group of kept jobs");
             replica.bootstrap(founders, Vec::new());
         }
         let mut group = Self {
             id,
-            remember_for: settings.status,
+            retention: settings.retention,
             host: ReplicaHost::new(replica, disk),
             table: JobTable::default(),
-            leading: None,
+            leader_state: None,
             effects: Vec::new(),
             counts: JobCounts::default(),
         };
@@ -96,42 +93,41 @@
         group
     }
 
-    /// Returns what is to be done and clears it.
+    /// Takes the pending effects.
     pub(crate) fn take_effects(&mut self) -> Vec<GroupEffect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Does the work that has fallen due.
+    /// Performs due work.
     pub(crate) fn tick(&mut self, now: Timestamp) {
         self.host.replica.tick(now);
-        self.resign_if_disk_hangs(now);
+        self.step_down_if_disk_hangs(now);
         self.advance(now);
-        if let Some(leading) = &mut self.leading {
-            leading.tick(&self.table, self.remember_for, now);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.tick(&self.table, self.retention, now);
             self.advance(now);
         }
         self.answer_due_watches(now);
         self.host.log_slow(now);
     }
 
-    /// Decision: when a leader gives up its lead. Rule: once its disk has not synced a write for [`HANGING_DISK`] that the majority has
-    /// synced. Inputs: the age of the oldest write, the committed and the synced index. Reason: a leader whose disk hangs takes no new
-    /// jobs, while those of the others work. Where all disks are slow nobody is ahead, and the leader stays.
-    fn resign_if_disk_hangs(&mut self, now: Timestamp) {
-        let hangs = self.host.is_disk_stuck(HANGING_DISK, now);
-        if self.leading.is_some() && hangs && self.host.replica.is_disk_behind() {
-            log::warn!(group = self.id; "the disk hangs: another process is to lead the group");
+    /// Steps down if this leader's disk has not synced a write for [`LEADER_DISK_TIMEOUT`] that a majority has synced: such a leader
+    /// accepts no new jobs, while the others could. If all disks are slow, no majority is ahead and the leader stays.
+    fn step_down_if_disk_hangs(&mut self, now: Timestamp) {
+        let is_stuck = self.host.is_disk_stuck(LEADER_DISK_TIMEOUT, now);
+        if self.leader_state.is_some() && is_stuck && self.host.replica.is_disk_behind() {
+            log::warn!(group = self.id; "the disk hangs; stepping down as leader of the group");
             self.host.replica.step_down(now);
         }
     }
 
-    /// Handles a message of another replica.
+    /// Handles a message from another replica.
     pub(crate) fn receive(&mut self, from: ReplicaId, message: Message, now: Timestamp) {
         self.host.replica.receive(from, message, now);
         self.advance(now);
     }
 
-    /// Handles an event of the disk.
+    /// Handles a disk event.
     pub(crate) fn disk_event(&mut self, event: &DiskEvent, now: Timestamp) {
         let messages = self.host.disk_event(event, now);
         self.send(messages);
@@ -149,50 +145,52 @@
         self.host.replica.remove_learner(replica);
     }
 
-    /// Carries out what the replica wants, and appends what waits.
+    /// Processes the output of the replica and appends queued commands until there is nothing left to do.
     pub(super) fn advance(&mut self, now: Timestamp) {
         loop {
-            self.carry_out(now);
-            if !self.append_waiting(now) {
+            self.process_ready(now);
+            if !self.propose_waiting(now) {
                 return;
             }
         }
     }
 
-    fn carry_out(&mut self, now: Timestamp) {
-        let wanted = self.host.write_wanted(now);
-        self.send(wanted.messages);
-        self.follow_role(now);
-        if let Some(snapshot) = wanted.restored {
+    fn process_ready(&mut self, now: Timestamp) {
+        let ready = self.host.write_ready(now);
+        self.send(ready.messages);
+        self.update_role(now);
+        if let Some(snapshot) = ready.restored {
             self.restore(&snapshot);
         }
-        for entry in wanted.committed {
+        for entry in ready.committed {
             self.apply(entry, now);
         }
-        for outcome in wanted.reads {
-            let leading = self.leading.as_mut();
-            let reads = leading.map_or(Vec::new(), |l| l.reads.finish(outcome.token));
+        for outcome in ready.reads {
+            let leader_state = self.leader_state.as_mut();
+            let reads = leader_state.map_or(Vec::new(), |l| l.reads.finish(outcome.token));
             for read in reads {
                 self.finish_read(read, outcome.index.is_some(), now);
             }
         }
     }
 
-    /// Appends the next commands and begins the next proof, if that is possible; returns whether anything changed.
-    fn append_waiting(&mut self, now: Timestamp) -> bool {
-        let Some(leading) = &mut self.leading else {
+    /// Appends the next entry and starts the next read if possible; returns whether anything changed.
+    fn propose_waiting(&mut self, now: Timestamp) -> bool {
+        let Some(leader_state) = &mut self.leader_state else {
             return false;
         };
         let mut has_changed = false;
-        if let Some((entry, callers)) = leading.batches.take_next() {
+        if let Some((entry, callers)) = leader_state.batches.take_next() {
             let appended = self.host.replica.propose(entry, now);
-            // It was leading a moment ago; if not, `follow_role` ends this term.
+            // Fails only if this replica has just lost its leadership, which `update_role` handles.
             if let Ok(index) = appended {
-                leading.batches.proposed(index, leading.term, callers, now);
+                leader_state
+                    .batches
+                    .mark_proposed(index, leader_state.term, callers, now);
             }
             has_changed = true;
         }
-        if let Some(token) = leading.reads.begin_next() {
+        if let Some(token) = leader_state.reads.start_next() {
             self.host.replica.begin_read(token, now);
             has_changed = true;
         }
@@ -205,25 +203,30 @@
         self.effects.extend(sends);
     }
 
-    /// Begins or ends to lead.
-    fn follow_role(&mut self, now: Timestamp) {
+    /// Creates or drops the leader state after a change of role or term.
+    fn update_role(&mut self, now: Timestamp) {
         let status = self.host.replica.status();
         let term = (status.role == Role::Leader).then_some(status.term);
-        if self.leading.as_ref().map(|leading| leading.term) == term {
+        if self
+            .leader_state
+            .as_ref()
+            .map(|leader_state| leader_state.term)
+            == term
+        {
             return;
         }
-        if let Some(ended) = self.leading.take() {
-            log::info!(group = self.id, term = ended.term; "this process no longer leads a group that keeps jobs");
-            self.refuse_waiting(ended);
+        if let Some(ended) = self.leader_state.take() {
+            log::info!(group = self.id, term = ended.term; "lost leadership of a group of kept jobs");
+            self.reject_waiting(ended);
         }
         if let Some(term) = term {
-            log::info!(group = self.id, term; "this process leads a group that keeps jobs");
-            self.leading = Some(Leading::new(term, &self.table, now));
+            log::info!(group = self.id, term; "became leader of a group of kept jobs");
+            self.leader_state = Some(LeaderState::new(term, &self.table, now));
         }
     }
 
-    /// Refuses the calls that had no effect. Those whose commands were appended get no answer: they may be committed yet.
-    fn refuse_waiting(&mut self, mut ended: Leading) {
+    /// Refuses the pending calls that had no effect. Calls whose commands were appended get no reply, because they may still be committed.
+    fn reject_waiting(&mut self, mut ended: LeaderState) {
         let refused = JobReply::Refused(CallRefusal::NoLeader);
         for caller in ended.batches.take_waiting_callers() {
             self.answer(caller, refused.clone());
@@ -239,7 +242,7 @@
     fn restore(&mut self, snapshot: &Snapshot) {
         match JobTable::decode(&snapshot.state) {
             Ok(table) => self.table = table,
-            Err(cause) => log::error!(group = self.id; "a snapshot cannot be read: {cause}"),
+            Err(cause) => log::error!(group = self.id; "cannot decode a snapshot: {cause}"),
         }
     }
 
@@ -262,8 +265,8 @@
     }
 }
 
-/// Returns the members that a group begins with.
-fn list_founders(groups: &JobGroups) -> Members {
+/// Returns the initial members of a group.
+fn founding_members(groups: &JobGroups) -> Members {
     let founders = groups.founders.iter();
     let mut voters: Vec<Member> = founders
         .map(|founder| Member {
