--- a/crates/common/cloverfold_link/src/dial.rs
+++ b/crates/common/cloverfold_link/src/dial.rs
@@ -1,7 +1,5 @@
-//! Connections that this process opens.
-//!
-//! For peers whose address is known: [`Dialer`] keeps one link to a peer open and dials again whenever it is lost; [`send_once`] sends
-//! a single message without keeping a link. Owns the task of each dialer. Relies on `link` to run a connection that stands.
+//! Outgoing connections: [`Dialer`] keeps a link to a peer open and reconnects when it is lost, and [`send_once`] sends a single message
+//! over a temporary connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,47 +16,47 @@
 use crate::link::{LinkEvent, run_link};
 use crate::socket::{USER_TIMEOUT, tune_socket};
 
-/// How long [`send_once`] may take.
+/// Timeout of [`send_once`].
 const SEND_ONCE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Attempts that are quick after a link was lost or the process has started. With [`QUICK_ATTEMPT`] they cover about 1.2 s.
+/// Number of quick attempts after a link was lost or the process has started; with [`QUICK_ATTEMPT`] they take about 1.2 s.
 const QUICK_ATTEMPTS: u32 = 12;
 
-/// A tenth of a second in all.
+/// Quick attempt; takes 100 ms including the pause.
 const QUICK_ATTEMPT: DialAttempt = DialAttempt {
     connect_timeout: Duration::from_millis(70),
     pause: Duration::from_millis(30),
 };
 
-/// Attempts to reach peers that stay away or are far.
+/// Slow attempt, for peers that stay unreachable or have a high latency.
 const SLOW_ATTEMPT: DialAttempt = DialAttempt {
     connect_timeout: Duration::from_millis(250),
     pause: Duration::from_millis(200),
 };
 
-/// Factors by which a pause is varied, so that processes that lost a peer together don't dial it together.
+/// Range of the random factor on a pause, so that processes that lost a peer together do not dial it at the same time.
 const JITTER: std::ops::Range<f64> = 0.75..1.25;
 
-/// One attempt to reach a peer, and the pause after it if it fails.
+/// Timing of one attempt to connect to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DialAttempt {
-    /// How long the connection may take to be established.
+    /// Timeout for establishing the connection.
     pub connect_timeout: Duration,
-    /// How long to wait before the next attempt, on average.
+    /// Average pause before the next attempt.
     pub pause: Duration,
 }
 
-/// How a peer is dialed again.
+/// Backoff between attempts to connect to a peer.
 ///
-/// A box without power answers nothing, so an attempt that begins just before it comes back is lost. Attempts are short
-/// at first, when a restarted peer is most likely to come back, and longer for peers that stay away or are far.
+/// A box without power does not respond, so an attempt that starts just before it comes back runs into its timeout. Attempts are short at
+/// first, when a restarted peer is most likely to come back, and longer for peers that stay unreachable or have a high latency.
 #[derive(Clone, Copy, Debug)]
 pub struct DialBackoff {
-    /// The first attempts after a link was lost or the process has started.
+    /// First attempts after a link was lost or the process has started.
     pub quick: DialAttempt,
-    /// How many attempts are quick.
+    /// Number of quick attempts.
     pub quick_attempts: u32,
-    /// All later ones.
+    /// All later attempts.
     pub slow: DialAttempt,
 }
 
@@ -73,7 +71,7 @@
 }
 
 impl DialBackoff {
-    /// Returns the attempt that follows so many failures in a row.
+    /// Returns the attempt after this number of consecutive failures.
     pub fn attempt_after(&self, failures: u32) -> DialAttempt {
         if failures < self.quick_attempts {
             self.quick
@@ -83,10 +81,10 @@
     }
 }
 
-/// Keeps a link to an address open until it is dropped; then the link closes.
+/// Keeps a link to an address open; dropping the dialer closes the link.
 #[derive(Debug)]
 pub struct Dialer {
-    /// The task stops when this is dropped.
+    /// Stops the task when dropped.
     _alive: watch::Sender<()>,
 }
 
@@ -105,12 +103,12 @@
         M: Serialize + DeserializeOwned + Send + 'static,
     {
         let (alive, stop) = watch::channel(());
-        tokio::spawn(keep_dialing(address, backoff, events, stop));
+        tokio::spawn(run_dialer(address, backoff, events, stop));
         Self { _alive: alive }
     }
 }
 
-async fn keep_dialing<M>(
+async fn run_dialer<M>(
     address: SocketAddr,
     backoff: DialBackoff,
     events: mpsc::Sender<LinkEvent<M>>,
@@ -131,7 +129,7 @@
                 let stopped = wait_until_dropped(stop.clone());
                 run_link(stream, address, true, &events, stopped).await;
             }
-            // Not logged: peers that are away are dialed several times a second, and the state logs which peers are connected.
+            // Not logged, because there are several attempts a second and the state logs which peers are connected.
             Ok(Err(_)) | Err(_) => failures = failures.saturating_add(1),
         }
         tokio::select! {
@@ -141,17 +139,17 @@
     }
 }
 
-/// Waits until the sender's side is dropped; nothing is ever sent.
+/// Waits until the sender is dropped; it never sends a value.
 async fn wait_until_dropped(mut stop: watch::Receiver<()>) {
     while stop.changed().await.is_ok() {}
 }
 
-/// Sends one message over a connection of its own, and closes it.
+/// Sends one message over a temporary connection.
 ///
 /// # Errors
 ///
 /// Returns the system's error, [`std::io::ErrorKind::TimedOut`] after 250 ms, or [`crate::FrameError`] within an error of kind `Other`.
-/// A message that was sent may still be lost.
+/// Success does not guarantee delivery.
 pub async fn send_once<M: Serialize>(address: SocketAddr, message: &M) -> std::io::Result<()> {
     let attempt = async {
         let mut stream = TcpStream::connect(address).await?;
--- a/crates/common/cloverfold_link/src/encoded.rs
+++ b/crates/common/cloverfold_link/src/encoded.rs
@@ -1,6 +1,4 @@
-//! A message that is encoded once and sent over many links.
-//!
-//! Owns the bytes of the frame, which all queues share. Relies on `frame` for their form.
+//! Messages that are encoded once and sent over many links.
 
 use std::marker::PhantomData;
 
@@ -9,7 +7,7 @@
 
 use crate::frame::encode_frame;
 
-/// A message as a frame; a copy shares its bytes.
+/// A message as an encoded frame; clones share its bytes.
 #[derive(Debug)]
 pub struct EncodedMessage<M> {
     frame: Bytes,
@@ -26,11 +24,11 @@
 }
 
 impl<M: Serialize> EncodedMessage<M> {
-    /// Encodes a message; `None` if that is not possible, which is logged.
+    /// Encodes a message; logs a failure and returns `None`.
     pub fn new(message: &M) -> Option<Self> {
         let mut buf = BytesMut::new();
         if let Err(cause) = encode_frame(message, &mut buf) {
-            log::error!("a message is not sent: {cause}");
+            log::error!("cannot send message: {cause}");
             return None;
         }
         Some(Self {
--- a/crates/common/cloverfold_link/src/frame.rs
+++ b/crates/common/cloverfold_link/src/frame.rs
@@ -1,23 +1,23 @@
 //! Length-prefixed frames.
 //!
-//! The form of every message on a link: four bytes of length, little-endian, then the message in postcard's encoding. A frame of
-//! length 0 is a heartbeat and carries no message. Owns nothing; relies on `postcard`.
+//! A frame consists of the length in four bytes, little-endian, and the message in postcard's encoding. A frame of length 0 is a heartbeat
+//! without a message.
 
 use bytes::{Buf, BufMut, BytesMut};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Longest encoded message, in bytes.
+/// Maximum length of an encoded message, in bytes.
 pub const MAX_FRAME_LEN: usize = 8 * 1024 * 1024;
-/// Length of a frame's prefix, in bytes.
+/// Length of the prefix of a frame, in bytes.
 const PREFIX_LEN: usize = 4;
-/// The length that a heartbeat names.
+/// Value of the prefix of a heartbeat.
 const HEARTBEAT_LEN: u32 = 0;
 
-/// Why a frame cannot be used; the link it came over is closed.
+/// Why a frame is invalid; the link from which it comes must be closed.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The frame names a length over [`MAX_FRAME_LEN`].
+    /// The length is over [`MAX_FRAME_LEN`].
     #[error("a frame of {0} bytes is longer than {MAX_FRAME_LEN}")]
     TooLong(usize),
     /// The message cannot be encoded or decoded.
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// Returns [`FrameError::Codec`] if the message cannot be encoded and [`FrameError::TooLong`] if it takes over [`MAX_FRAME_LEN`] bytes;
-/// nothing is appended then.
+/// appends nothing in these cases.
 pub fn encode_frame<M: Serialize>(message: &M, out: &mut BytesMut) -> Result<(), FrameError> {
     let body = postcard::to_stdvec(message)?;
     if body.len() > MAX_FRAME_LEN {
@@ -47,13 +47,13 @@
     out.put_u32_le(HEARTBEAT_LEN);
 }
 
-/// Removes the first complete message and the heartbeats before it from a buffer, and returns the message; `None` while more bytes are
-/// needed.
+/// Removes the first complete message and the heartbeats before it from a buffer, and returns the message; `None` if the message is
+/// incomplete.
 ///
 /// # Errors
 ///
-/// Returns [`FrameError::TooLong`] if the frame names over [`MAX_FRAME_LEN`] bytes and [`FrameError::Codec`] if it holds no message of
-/// this type; the stream cannot be read any further.
+/// Returns [`FrameError::TooLong`] if the length is over [`MAX_FRAME_LEN`] and [`FrameError::Codec`] if the frame does not contain a
+/// message of this type; the stream cannot be read any further.
 pub fn decode_frame<M: DeserializeOwned>(buf: &mut BytesMut) -> Result<Option<M>, FrameError> {
     let len = loop {
         let Some(prefix) = buf.first_chunk::<PREFIX_LEN>() else {
--- a/crates/common/cloverfold_link/src/lib.rs
+++ b/crates/common/cloverfold_link/src/lib.rs
@@ -1,11 +1,8 @@
 //! Framed TCP links between the processes of an installation.
 //!
-//! A link carries typed messages both ways, in order, over one TCP connection. Messages are one-way: a reply is a
-//! message of its own. Every link of a process reports to one channel of [`LinkEvent`]s, so that the state
-//! that reacts to them is driven from one place. Both ends send heartbeats while they have nothing else to send, and close a link on
-//! which nothing arrives for a second.
-//!
-//! Owns the connections and the queues of messages that wait to be sent. Relies on the system's TCP and on `postcard` for the encoding.
+//! A link carries typed messages in both directions, in order, over one TCP connection. Messages are one-way; a reply is a separate
+//! message. All links of a process report to one channel of [`LinkEvent`]s. Both ends send heartbeats on an idle link, and close it when
+//! nothing has arrived for a second.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/common/cloverfold_link/src/link.rs
+++ b/crates/common/cloverfold_link/src/link.rs
@@ -1,7 +1,4 @@
-//! One connection: its reader, its writer, and the events they raise.
-//!
-//! Carries typed messages over a TCP connection from either side and detects when it is over. Owns the queue of messages that wait to
-//! be sent, and the numbers of links. Relies on `frame` for the form of messages and on `socket` for the options.
+//! A link over one TCP connection: its reader, its writer, and its events.
 
 use std::marker::PhantomData;
 use std::net::SocketAddr;
@@ -23,56 +20,56 @@
 use crate::frame::{decode_frame, encode_heartbeat};
 use crate::socket::{USER_TIMEOUT, tune_socket};
 
-/// Messages that may wait for a slow peer; further ones are refused and the first of them is logged.
+/// Capacity of the send queue of a link, in messages; further messages are dropped, and the first drop is logged.
 const SEND_QUEUE_MESSAGES: usize = 4_096;
-/// Messages that are written with one system call at the most.
+/// Maximum number of messages that are written with one system call.
 const WRITE_BATCH_MESSAGES: usize = 64;
-/// How long a link may be idle before a heartbeat is sent: a third of [`SILENCE_TIMEOUT`], so that one that is late closes nothing.
+/// Interval of heartbeats on an idle link; less than a third of [`READ_TIMEOUT`], so that a late heartbeat does not close the link.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// Without any byte for this long the peer counts as lost: it may have no power or be cut off. Why there is a bound:
-/// docs/incidents/1-half-open-links.md.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Buffer space reserved for each read, in bytes.
+/// How long nothing may arrive before the link is closed, because a peer that loses power or is partitioned leaves a half-open
+/// connection.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Buffer space for each read, in bytes.
 const READ_BUFFER_BYTES: usize = 4 * 1024;
-/// Pause after a connection could not be accepted, for instance because the process has no file descriptor left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example while there are no free file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Number of one connection within this process, from 1; never used again.
+/// Number of a link within this process, from 1; never reused.
 pub type LinkId = u64;
 
-/// What happens on the links of a process.
+/// Event on a link of a process.
 #[derive(Debug)]
 pub enum LinkEvent<M> {
-    /// A connection is established.
+    /// The link has opened.
     Opened {
         /// The connection.
         link: LinkId,
-        /// Address of the peer; for a connection that the peer opened, not the one it listens on.
+        /// Remote address of the connection; if the peer dialed, this is not the address on which it listens.
         address: SocketAddr,
-        /// Whether this process opened it.
+        /// Whether this process opened the connection.
         dialed: bool,
-        /// Sends to the peer.
+        /// Sender of messages to the peer.
         sender: LinkSender<M>,
     },
-    /// The peer sent a message.
+    /// The peer has sent a message.
     Received {
         /// The connection.
         link: LinkId,
         /// The message.
         message: M,
     },
-    /// The connection is over.
+    /// The link has closed.
     Closed {
         /// The connection.
         link: LinkId,
     },
 }
 
-/// Sends messages over one link; dropping the last copy closes the connection.
+/// Sends messages over one link; dropping the last clone closes the link.
 #[derive(Debug)]
 pub struct LinkSender<M> {
     tx: mpsc::Sender<Bytes>,
-    /// Whether a full queue was logged on this link.
+    /// Whether a full queue of this link was logged.
     is_full_logged: Arc<AtomicBool>,
     message: PhantomData<fn(M)>,
 }
@@ -107,11 +104,11 @@
 }
 
 impl<M> LinkSender<M> {
-    /// Queues a message that is encoded already, without waiting. Returns `false` if the link is closed or the queue is full.
+    /// Queues an encoded message without waiting. Returns `false` if the link is closed or the queue is full.
     pub fn send_encoded(&self, message: &EncodedMessage<M>) -> bool {
         match self.tx.try_send(message.frame()) {
             Ok(()) => true,
-            // Not logged: a `LinkEvent::Closed` follows, and its receiver logs it.
+            // Not logged, because a `LinkEvent::Closed` follows and its receiver logs it.
             Err(TrySendError::Closed(_)) => false,
             Err(TrySendError::Full(_)) => {
                 self.log_full_queue();
@@ -120,15 +117,15 @@
         }
     }
 
-    /// Logs the first message that is refused on this link: a peer that reads nothing would else fill the log.
+    /// Logs the first dropped message of a link; otherwise a peer that does not read would flood the log.
     fn log_full_queue(&self) {
         if !self.is_full_logged.swap(true, Ordering::Relaxed) {
-            log::warn!(queue = SEND_QUEUE_MESSAGES; "a message is dropped: its link's queue is full");
+            log::warn!(queue = SEND_QUEUE_MESSAGES; "message dropped: the send queue of the link is full");
         }
     }
 }
 
-/// Accepts links for as long as the future is polled; each reports to `events`.
+/// Accepts links for as long as the future is polled; all links report to `events`.
 pub async fn accept_links<M>(listener: TcpListener, events: mpsc::Sender<LinkEvent<M>>)
 where
     M: Serialize + DeserializeOwned + Send + 'static,
@@ -141,14 +138,14 @@
                 tokio::spawn(async move { run_link(stream, address, false, &events, never).await });
             }
             Err(cause) => {
-                log::warn!("a link cannot be accepted: {cause}");
-                sleep(ACCEPT_PAUSE).await;
+                log::warn!("cannot accept link: {cause}");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Runs one link until it is over or `stopped` completes.
+/// Runs a link until it closes or `stopped` completes.
 pub(crate) async fn run_link<M>(
     stream: TcpStream,
     address: SocketAddr,
@@ -177,7 +174,7 @@
         () = write_messages(writer, rx) => {}
         () = stopped => {}
     }
-    // Fails only while the process ends: nothing receives events any more.
+    // Fails only while the process shuts down and no longer receives events.
     let _ = events.send(LinkEvent::Closed { link }).await;
 }
 
@@ -198,17 +195,17 @@
             }
             Ok(None) => {}
             Err(cause) => {
-                log::warn!("a link is closed: {cause}");
+                log::warn!("closing link after an invalid frame: {cause}");
                 return;
             }
         }
         buf.reserve(READ_BUFFER_BYTES);
-        match timeout(SILENCE_TIMEOUT, reader.read_buf(&mut buf)).await {
-            // Not logged: the event of the closed link follows, and its receiver logs which peer it was.
+        match timeout(READ_TIMEOUT, reader.read_buf(&mut buf)).await {
+            // Not logged, because the `Closed` event follows and its receiver logs which peer it was.
             Ok(Ok(0) | Err(_)) => return,
             Ok(Ok(_)) => {}
             Err(_) => {
-                log::info!(link; "peer is silent, closing its link");
+                log::info!(link; "peer timed out; closing link");
                 return;
             }
         }
--- a/crates/common/cloverfold_link/src/socket.rs
+++ b/crates/common/cloverfold_link/src/socket.rs
@@ -1,6 +1,4 @@
-//! Socket options of links, and of other connections.
-//!
-//! Owns nothing; relies on the system's TCP.
+//! Socket options of links and other connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,12 +6,12 @@
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// How long the bytes sent on a link may stay unacknowledged before it counts as lost.
+/// How long sent bytes on a link may stay unacknowledged before the system closes the connection.
 pub(crate) const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Listens on an address, also right after an earlier process has left it.
+/// Listens on an address, even right after an earlier process has released it.
 ///
 /// # Errors
 ///
@@ -28,8 +26,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Sets the options of a connection on which a peer may go silent: no delay of small messages, and a bound on how long sent bytes may
-/// stay unacknowledged. An option that the system refuses stays at its default, with a log line.
+/// Disables Nagle's algorithm and sets how long sent bytes may stay unacknowledged, so that a half-open connection fails. Logs an option
+/// that the system rejects, which stays at its default.
 pub fn tune_socket(stream: &TcpStream, user_timeout: Duration) {
     let socket = SockRef::from(stream);
     let outcomes = [
@@ -37,6 +35,6 @@
         socket.set_tcp_user_timeout(Some(user_timeout)),
     ];
     for refused in outcomes.into_iter().filter_map(Result::err) {
-        log::debug!("a socket option is refused: {refused}");
+        log::debug!("cannot set socket option: {refused}");
     }
 }
--- a/crates/common/cloverfold_link/tests/links.rs
+++ b/crates/common/cloverfold_link/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links over loopback: messages both ways, a peer that goes, frames that are no messages.
+//! Links over loopback: messages in both directions, reconnection, timeouts, and invalid frames.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn messages_go_both_ways_and_a_closed_link_is_opened_again() {
+async fn messages_go_both_ways_and_a_closed_link_is_reopened() {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     let (server_tx, mut server) = mpsc::channel(16);
@@ -68,8 +68,7 @@
 }
 
 #[test]
-fn a_peer_that_restarts_is_dialed_again_in_a_tenth_of_a_second_and_one_that_stays_away_less_often()
-{
+fn a_lost_peer_is_dialed_every_tenth_of_a_second_at_first_and_less_often_later() {
     let backoff = DialBackoff::default();
     let span = |failures| {
         let attempt = backoff.attempt_after(failures);
@@ -79,26 +78,26 @@
     let first_second: Duration = (0..10).map(span).sum();
 
     assert!(first_second <= Duration::from_secs(1), "{first_second:?}");
-    assert!(span(1_000) >= 4 * span(0), "a dead peer costs little");
+    assert!(span(1_000) >= 4 * span(0), "slow attempts are rarer");
 }
 
 #[test]
-fn a_frame_is_taken_only_when_it_is_whole() {
-    let mut whole = BytesMut::new();
-    encode_frame(&"text".to_owned(), &mut whole).unwrap();
-    let last = whole.split_off(whole.len() - 1);
+fn a_frame_is_decoded_only_when_it_is_complete() {
+    let mut frame = BytesMut::new();
+    encode_frame(&"text".to_owned(), &mut frame).unwrap();
+    let last = frame.split_off(frame.len() - 1);
 
-    assert!(decode_frame::<String>(&mut whole).unwrap().is_none());
-    whole.unsplit(last);
+    assert!(decode_frame::<String>(&mut frame).unwrap().is_none());
+    frame.unsplit(last);
     assert_eq!(
-        decode_frame::<String>(&mut whole).unwrap().as_deref(),
+        decode_frame::<String>(&mut frame).unwrap().as_deref(),
         Some("text")
     );
-    assert!(whole.is_empty());
+    assert!(frame.is_empty());
 }
 
 #[test]
-fn frames_that_are_too_long_or_no_message_are_refused() {
+fn frames_that_are_too_long_or_malformed_are_rejected() {
     let mut too_long = BytesMut::new();
     too_long.put_u32_le(MAX_FRAME_LEN as u32 + 1);
     assert!(matches!(
@@ -115,10 +114,10 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_says_nothing_is_given_up_and_an_idle_one_that_lives_is_not() {
+async fn a_link_to_a_silent_peer_closes_and_an_idle_link_stays_open() {
     let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let living = listen("127.0.0.1:0".parse().unwrap()).unwrap();
-    let (living_tx, mut living_events) = mpsc::channel(16);
+    let idle = listen("127.0.0.1:0".parse().unwrap()).unwrap();
+    let (idle_tx, mut idle_events) = mpsc::channel(16);
     let (silent_tx, mut silent_events) = mpsc::channel(16);
     let (dialed_tx, mut dialed_events) = mpsc::channel(16);
     let _to_silent = Dialer::start(
@@ -126,17 +125,17 @@
         DialBackoff::default(),
         silent_tx,
     );
-    let _to_living = Dialer::start(
-        living.local_addr().unwrap(),
+    let _to_idle = Dialer::start(
+        idle.local_addr().unwrap(),
         DialBackoff::default(),
         dialed_tx,
     );
-    tokio::spawn(accept_links(living, living_tx));
+    tokio::spawn(accept_links(idle, idle_tx));
     let (_held, _) = silent.accept().await.unwrap();
-    // The senders within the events keep the links open from this side.
+    // The senders in the events keep the links open from this side.
     let held_links = [
         next(&mut dialed_events).await,
-        next(&mut living_events).await,
+        next(&mut idle_events).await,
         next(&mut silent_events).await,
     ];
     assert!(
@@ -145,10 +144,10 @@
             .all(|event| matches!(event, LinkEvent::Opened { .. }))
     );
 
-    let given_up = next(&mut silent_events).await;
+    let event = next(&mut silent_events).await;
 
-    assert!(matches!(given_up, LinkEvent::Closed { .. }));
-    assert!(living_events.try_recv().is_err(), "the idle link stands");
+    assert!(matches!(event, LinkEvent::Closed { .. }));
+    assert!(idle_events.try_recv().is_err(), "the idle link stays open");
 }
 
 #[tokio::test]
@@ -169,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn a_message_to_a_peer_that_reads_too_slowly_is_refused_and_earlier_ones_arrive() {
+async fn a_message_to_a_full_queue_is_refused_and_earlier_ones_arrive() {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     let (server_tx, mut server) = mpsc::channel(16);
@@ -181,7 +180,7 @@
     };
     let _opened = next(&mut server).await;
 
-    // The link's task gets no time between these calls.
+    // The task of the link does not run between these calls.
     let accepted = (0..10_000).take_while(|number| sender.send(&format!("{number}")).is_some());
     let accepted = accepted.count();
 
@@ -195,7 +194,7 @@
 }
 
 #[tokio::test]
-async fn a_link_that_goes_silent_is_given_up_at_both_ends_and_opened_anew() {
+async fn a_half_open_link_closes_at_both_ends_and_is_reopened() {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let proxy = TcpProxy::start(listener.local_addr().unwrap())
         .await
@@ -225,10 +224,10 @@
     }
 }
 
-/// Counts how often it is encoded.
-struct Counted(std::cell::Cell<u32>);
+/// A message that counts how often it is encoded.
+struct CountedMessage(std::cell::Cell<u32>);
 
-impl serde::Serialize for Counted {
+impl serde::Serialize for CountedMessage {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         self.0.set(self.0.get() + 1);
         serializer.serialize_u32(0)
@@ -236,8 +235,8 @@
 }
 
 #[test]
-fn copies_of_an_encoded_message_are_not_encoded_again() {
-    let message = Counted(0.into());
+fn clones_of_an_encoded_message_share_its_bytes() {
+    let message = CountedMessage(0.into());
 
     let encoded = EncodedMessage::new(&message).unwrap();
     let copies: Vec<_> = (0..1_000).map(|_| encoded.clone()).collect();
--- a/crates/common/cloverfold_settings/src/common.rs
+++ b/crates/common/cloverfold_settings/src/common.rs
@@ -1,6 +1,4 @@
-//! What the settings of several processes share: keys, logs, paths and times.
-//!
-//! Owns no state. Relies on `document` for reading and checking a file.
+//! Settings that several processes share: keys, logs, paths and durations.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -10,20 +8,20 @@
 
 use crate::document::{SettingsError, Validate, read_settings};
 
-/// The key files of a process; paths are relative to the settings file.
+/// Key files of a process; paths are relative to the settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
-    /// Certificate of the installation's authority.
+    /// Certificate of the certificate authority of the installation.
     pub authority: PathBuf,
-    /// The process's certificate.
+    /// Certificate of the process.
     pub certificate: PathBuf,
-    /// The process's private key.
+    /// Private key of the process.
     pub private_key: PathBuf,
 }
 
 impl KeySettings {
-    /// Makes the paths absolute or relative to the working folder.
+    /// Resolves the paths against `folder`.
     pub fn resolve(&mut self, folder: &Path) {
         self.authority = folder.join(&self.authority);
         self.certificate = folder.join(&self.certificate);
@@ -31,16 +29,16 @@
     }
 }
 
-/// Settings that name other files by paths relative to their own file.
+/// Settings that contain paths relative to the settings file.
 pub trait SettingsWithPaths: DeserializeOwned + Validate {
-    /// Makes the paths absolute or relative to the working folder; `folder` is that of the settings file.
+    /// Resolves the paths against `folder`, the folder of the settings file.
     fn resolve_paths(&mut self, folder: &Path);
 
-    /// Reads and checks a settings file and resolves its paths.
+    /// Reads and validates a settings file, and resolves its paths.
     ///
     /// # Errors
     ///
-    /// As [`read_settings`].
+    /// Returns the errors of [`read_settings`].
     fn read(file: &Path) -> Result<Self, SettingsError> {
         let mut settings: Self = read_settings(file)?;
         settings.resolve_paths(file.parent().unwrap_or(Path::new("")));
@@ -48,24 +46,24 @@
     }
 }
 
-/// Reads a duration that a file gives in whole milliseconds; for `#[serde(deserialize_with)]`.
+/// Deserializes a duration from whole milliseconds; for `#[serde(deserialize_with)]`.
 ///
 /// # Errors
 ///
-/// Returns the deserializer's error unless the value is a whole number that is not negative.
+/// Returns the deserializer's error unless the value is a non-negative integer.
 pub fn deserialize_millis<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Duration, D::Error> {
     u64::deserialize(deserializer).map(Duration::from_millis)
 }
 
-/// How much is logged.
+/// Minimum severity of logged lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Only errors, which need a person.
+    /// Only errors, which require human intervention.
     Error,
-    /// Also warnings, which may need one.
+    /// Also warnings, which may require intervention.
     Warn,
     /// Also changes of state.
     #[default]
@@ -74,17 +72,17 @@
     Debug,
 }
 
-/// Where log lines go.
+/// Destination of log lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Least severity that is logged.
+    /// Minimum severity of logged lines.
     pub level: LogLevel,
-    /// File that lines are appended to; without one they go to `stream`.
+    /// File to which lines are appended; without it they go to `stream`.
     pub file: Option<PathBuf>,
-    /// Stream that lines go to without a file.
+    /// Stream for lines if there is no file.
     pub stream: LogStream,
-    /// Most lines in one second; further ones are dropped and counted. Without it there is no limit.
+    /// Rate limit for lines to the stream, per second; further lines are dropped and counted. Unlimited by default.
     pub lines_per_second: Option<u32>,
 }
 
--- a/crates/common/cloverfold_settings/src/document.rs
+++ b/crates/common/cloverfold_settings/src/document.rs
@@ -1,6 +1,4 @@
-//! Reading and checking of a settings file, with the line of each fault.
-//!
-//! Owns no state. Relies on `jsonc-parser` for the text and on `serde` for the types.
+//! Parsing and validation of a settings file, with the line of each error.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -10,18 +8,18 @@
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast, parse_to_serde_value};
 use serde::de::DeserializeOwned;
 
-/// Settings that can check their own values.
+/// Settings that can validate their values.
 pub trait Validate {
     /// Adds an error for each invalid value.
     fn validate(&self, errors: &mut ValidationErrors);
 }
 
-/// One impossible value.
+/// An invalid value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValidationError {
-    /// The field, as in `guards[2].hall`.
+    /// Path of the field, as in `guards[2].hall`.
     pub field: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and which values are valid.
     pub message: String,
 }
 
@@ -30,9 +28,14 @@
 pub struct ValidationErrors(Vec<ValidationError>);
 
 impl ValidationErrors {
-    /// Adds an error when `is_wrong` holds.
-    pub fn add_if(&mut self, is_wrong: bool, field: impl Into<String>, message: impl Into<String>) {
-        if is_wrong {
+    /// Adds an error if `is_invalid` is true.
+    pub fn add_if(
+        &mut self,
+        is_invalid: bool,
+        field: impl Into<String>,
+        message: impl Into<String>,
+    ) {
+        if is_invalid {
             self.0.push(ValidationError {
                 field: field.into(),
                 message: message.into(),
@@ -40,21 +43,21 @@
         }
     }
 
-    /// Returns the errors in the order in which they were found.
+    /// Returns the errors in the order in which they were added.
     pub fn errors(&self) -> &[ValidationError] {
         &self.0
     }
 }
 
-/// The faults for which a settings file is refused; its text names the file, the line and the field of each.
+/// Errors in a settings file; displays the file, line and field of each.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     file: PathBuf,
-    lines: Vec<FaultLine>,
+    lines: Vec<ErrorLine>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct FaultLine {
+struct ErrorLine {
     line: Option<usize>,
     field: String,
     message: String,
@@ -62,18 +65,18 @@
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, fault) in self.lines.iter().enumerate() {
+        for (index, error) in self.lines.iter().enumerate() {
             if index > 0 {
                 f.write_str("\n")?;
             }
             write!(f, "{}:", self.file.display())?;
-            if let Some(line) = fault.line {
+            if let Some(line) = error.line {
                 write!(f, "{line}:")?;
             }
-            if !fault.field.is_empty() {
-                write!(f, " {}:", fault.field)?;
+            if !error.field.is_empty() {
+                write!(f, " {}:", error.field)?;
             }
-            write!(f, " {}", fault.message)?;
+            write!(f, " {}", error.message)?;
         }
         Ok(())
     }
@@ -81,35 +84,35 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Reads and checks a settings file.
+/// Reads, parses and validates a settings file.
 ///
 /// # Errors
 ///
-/// Returns that the file cannot be read, or the faults that [`parse_settings`] found.
+/// Returns an error if the file cannot be read, or the errors of [`parse_settings`].
 pub fn read_settings<T: DeserializeOwned + Validate>(file: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(file)
         .map_err(|e| single_error(file, None, "", format!("cannot be read: {e}")))?;
     parse_settings(file, &text)
 }
 
-/// Checks the text of a settings file.
+/// Parses and validates the text of a settings file.
 ///
 /// # Errors
 ///
-/// Returns the first syntax or type error, or else all impossible values.
+/// Returns the first syntax or type error, or else all invalid values.
 pub fn parse_settings<T: DeserializeOwned + Validate>(
     file: &Path,
     text: &str,
 ) -> Result<T, SettingsError> {
     let options = ParseOptions::default();
-    let form_error = |e: jsonc_parser::errors::ParseError| {
+    let syntax_error = |e: jsonc_parser::errors::ParseError| {
         single_error(file, Some(e.line_display()), "", e.kind().to_string())
     };
-    let parsed = parse_to_ast(text, &CollectOptions::default(), &options).map_err(form_error)?;
+    let parsed = parse_to_ast(text, &CollectOptions::default(), &options).map_err(syntax_error)?;
     let Some(root) = parsed.value else {
         return Err(single_error(file, None, "", "the file is empty".into()));
     };
-    let json: serde_json::Value = parse_to_serde_value(text, &options).map_err(form_error)?;
+    let json: serde_json::Value = parse_to_serde_value(text, &options).map_err(syntax_error)?;
     let settings: T = serde_path_to_error::deserialize(json).map_err(|e| {
         let field = e.path().to_string();
         let field = if field == "." { String::new() } else { field };
@@ -121,10 +124,10 @@
     if errors.0.is_empty() {
         return Ok(settings);
     }
-    let locate = |fault: ValidationError| FaultLine {
-        line: find_line(text, &root, &fault.field),
-        field: fault.field,
-        message: fault.message,
+    let locate = |error: ValidationError| ErrorLine {
+        line: find_line(text, &root, &error.field),
+        field: error.field,
+        message: error.message,
     };
     Err(SettingsError {
         file: file.into(),
@@ -135,7 +138,7 @@
 fn single_error(file: &Path, line: Option<usize>, field: &str, message: String) -> SettingsError {
     SettingsError {
         file: file.into(),
-        lines: vec![FaultLine {
+        lines: vec![ErrorLine {
             line,
             field: field.into(),
             message,
@@ -143,7 +146,7 @@
     }
 }
 
-/// Finds the line, from 1, of a field like `guards[2].hall`, or of its innermost part that the file has.
+/// Returns the line, from 1, of a field such as `guards[2].hall`, or of its innermost parent that the file contains.
 fn find_line(text: &str, root: &ast::Value<'_>, field: &str) -> Option<usize> {
     let mut value = root;
     let mut position = root.range().start;
--- a/crates/common/cloverfold_settings/src/lib.rs
+++ b/crates/common/cloverfold_settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings files in JSON with comments, checked at the start of a process.
+//! Settings files in JSON with comments, validated at the start of a process.
 //!
-//! [`read_settings`] refuses unknown fields, wrong types and impossible values and names the file, the line and the field. The settings
-//! of each process are in `cloverfold_leased_settings` and `cloverfold_claims_settings`; here is what they share: keys, logs, paths and
-//! times. Owns no state. Relies on `jsonc-parser` for comments and lines.
+//! [`read_settings`] rejects unknown fields, wrong types and invalid values, and reports the file, line and field. The settings of each
+//! process are in `cloverfold_leased_settings` and `cloverfold_claims_settings`; this crate contains what they share: keys, logs, paths
+//! and durations.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/common/cloverfold_settings/tests/settings.rs
+++ b/crates/common/cloverfold_settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Faults in settings files are named with file, line and field.
+//! Errors in settings files are reported with file, line and field.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,15 +18,15 @@
 const CONTROL: &str = include_str!("../../../../examples/settings/control.jsonc");
 const ENTRY: &str = include_str!("../../../../examples/settings/entry.jsonc");
 
-/// Returns the example with one text replaced, and the line on which it stood.
-fn spoil(example: &str, from: &str, to: &str) -> (String, usize) {
+/// Returns the example with the first occurrence of a text replaced, and the line of that occurrence.
+fn replace_text(example: &str, from: &str, to: &str) -> (String, usize) {
     let position = example.find(from).unwrap();
     let line = example[..position].matches('\n').count() + 1;
     (example.replacen(from, to, 1), line)
 }
 
 #[test]
-fn the_examples_are_in_order() {
+fn the_examples_are_valid() {
     parse_settings::<CellSettings>(Path::new("cell.jsonc"), CELL).unwrap();
     parse_settings::<GuardSettings>(Path::new("guard.jsonc"), GUARD).unwrap();
     parse_settings::<EntrySettings>(Path::new("entry.jsonc"), ENTRY).unwrap();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn faults_in_leased_settings_name_their_field_and_the_mend() {
+fn errors_in_leased_settings_name_the_field_and_valid_values() {
     let cases = [
         (
             r#""session_ms": 500"#,
@@ -75,49 +75,49 @@
         ),
     ];
     for (from, to, expected) in cases {
-        let (text, line) = spoil(LEASED_ENTRY, from, to);
+        let (text, line) = replace_text(LEASED_ENTRY, from, to);
         let file = Path::new("leased-entry.jsonc");
-        let fault = parse_settings::<LeasedEntrySettings>(file, &text)
+        let error = parse_settings::<LeasedEntrySettings>(file, &text)
             .unwrap_err()
             .to_string();
         let expected = format!("leased-entry.jsonc:{line}: {expected}");
-        assert!(fault.contains(&expected), "{fault} lacks {expected}");
+        assert!(error.contains(&expected), "{error} lacks {expected}");
     }
-    let (text, line) = spoil(
+    let (text, line) = replace_text(
         CONTROL,
         r#""tolerated_losses": 1"#,
         r#""tolerated_losses": 7"#,
     );
     let file = Path::new("control.jsonc");
-    let fault = parse_settings::<ControlSettings>(file, &text)
+    let error = parse_settings::<ControlSettings>(file, &text)
         .unwrap_err()
         .to_string();
     assert!(
-        fault.contains(&format!(
+        error.contains(&format!(
             "control.jsonc:{line}: tolerated_losses: must be at most 4"
         )),
-        "{fault}"
+        "{error}"
     );
 }
 
 #[test]
-fn more_groups_than_may_be_are_refused_and_left_out_there_is_one() {
-    let (text, line) = spoil(CONTROL, r#""job_groups": 1"#, r#""job_groups": 17"#);
+fn too_many_job_groups_are_rejected_and_the_default_is_one() {
+    let (text, line) = replace_text(CONTROL, r#""job_groups": 1"#, r#""job_groups": 17"#);
     let file = Path::new("control.jsonc");
-    let fault = parse_settings::<ControlSettings>(file, &text)
+    let error = parse_settings::<ControlSettings>(file, &text)
         .unwrap_err()
         .to_string();
     let expected = format!("control.jsonc:{line}: job_groups: must be at most 16");
-    assert!(fault.contains(&expected), "{fault}");
+    assert!(error.contains(&expected), "{error}");
 
-    let (text, _) = spoil(CONTROL, r#""job_groups": 1,"#, "");
+    let (text, _) = replace_text(CONTROL, r#""job_groups": 1,"#, "");
     let settings = parse_settings::<ControlSettings>(file, &text).unwrap();
 
     assert_eq!((settings.job_groups, settings.status_s), (1, 150));
 }
 
 #[test]
-fn faults_of_a_guard_are_placed() {
+fn errors_in_guard_settings_are_located() {
     let cases = [
         ("\"id\": 1", "\"id\": \"one\"", "id: invalid type"),
         ("\"id\": 1", "\"id\": -1", "id: invalid value"),
@@ -149,23 +149,23 @@
         ("\"info\"", "\"loud\"", "log.level: unknown variant"),
     ];
     for (from, to, expected) in cases {
-        let (text, _) = spoil(GUARD, from, to);
+        let (text, _) = replace_text(GUARD, from, to);
 
-        let refused = parse_settings::<GuardSettings>(Path::new("guard.jsonc"), &text);
+        let rejected = parse_settings::<GuardSettings>(Path::new("guard.jsonc"), &text);
 
-        let message = refused.unwrap_err().to_string();
+        let message = rejected.unwrap_err().to_string();
         assert!(message.contains(expected), "{message}");
         assert!(message.starts_with("guard.jsonc:"), "{message}");
     }
 }
 
 #[test]
-fn the_line_is_that_of_the_field() {
-    let (text, line) = spoil(GUARD, "\"slots\": 8", "\"slots\": 0");
+fn an_error_reports_the_line_of_its_field() {
+    let (text, line) = replace_text(GUARD, "\"slots\": 8", "\"slots\": 0");
 
-    let refused = parse_settings::<GuardSettings>(Path::new("guard.jsonc"), &text);
+    let rejected = parse_settings::<GuardSettings>(Path::new("guard.jsonc"), &text);
 
-    let message = refused.unwrap_err().to_string();
+    let message = rejected.unwrap_err().to_string();
     assert!(
         message.starts_with(&format!("guard.jsonc:{line}: ")),
         "{message}"
@@ -173,16 +173,16 @@
 }
 
 #[test]
-fn all_impossible_values_of_a_cell_are_listed_at_once() {
+fn all_invalid_values_of_a_cell_are_reported_at_once() {
     let text = CELL
         .replace("\"replicas\": 3", "\"replicas\": 2")
         .replace("\"id\": 2", "\"id\": 1")
         .replace("\"lead\": 1", "\"lead\": 9")
         .replace("\"weight\": 2.5", "\"weight\": -1");
 
-    let refused = parse_settings::<CellSettings>(Path::new("cell.jsonc"), &text);
+    let rejected = parse_settings::<CellSettings>(Path::new("cell.jsonc"), &text);
 
-    let message = refused.unwrap_err().to_string();
+    let message = rejected.unwrap_err().to_string();
     for expected in [
         "replicas:",
         "guards[1].id:",
@@ -195,12 +195,12 @@
 }
 
 #[test]
-fn text_that_is_no_json_is_placed() {
-    let (text, line) = spoil(ENTRY, "\"name\": \"entry-1\",", "\"name\": ,");
+fn a_syntax_error_reports_its_line() {
+    let (text, line) = replace_text(ENTRY, "\"name\": \"entry-1\",", "\"name\": ,");
 
-    let refused = parse_settings::<EntrySettings>(Path::new("entry.jsonc"), &text);
+    let rejected = parse_settings::<EntrySettings>(Path::new("entry.jsonc"), &text);
 
-    let message = refused.unwrap_err().to_string();
+    let message = rejected.unwrap_err().to_string();
     assert!(
         message.starts_with(&format!("entry.jsonc:{line}:")),
         "{message}"
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn only_the_right_key_is_taken() {
+fn only_the_right_key_is_accepted() {
     let customer = WorkspaceSettings {
         name: "pharmacy".into(),
         key_sha256: hash_caller_key("right"),
--- a/crates/common/cloverfold_telemetry/src/bounded_log.rs
+++ b/crates/common/cloverfold_telemetry/src/bounded_log.rs
@@ -1,7 +1,4 @@
-//! A log appender that never blocks the thread that logs.
-//!
-//! Owns the queue of encoded lines, the thread that writes them, and the count of dropped lines. Relies on `log4rs` for the JSON form of
-//! a line.
+//! A rate-limited log appender that never blocks the logging thread.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,26 +13,26 @@
 use log4rs::encode::json::JsonEncoder;
 use log4rs::encode::writer::simple::SimpleWriter;
 
-/// Lines that may wait to be written; further ones are dropped. Chosen, not measured.
+/// Capacity of the queue, in lines; further lines are dropped.
 const QUEUE_LINES: usize = 2_048;
-/// How long the writing thread gathers lines after the first, so that a burst costs one write. Chosen, not measured.
-const GATHER_INTERVAL: Duration = Duration::from_millis(100);
-/// Window that the limit on lines per second holds for.
+/// How long the writer thread collects lines after the first one, so that a burst takes a single write.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// Window of the rate limit.
 const LIMIT_WINDOW: Duration = Duration::from_secs(1);
-/// Warnings and errors may exceed the limit by this factor. Chosen, not measured.
+/// Factor on the rate limit for warnings and errors.
 const PROBLEM_FACTOR: u32 = 2;
-/// Room for an encoded line before its buffer grows, in bytes. Chosen, not measured.
+/// Initial buffer capacity for an encoded line, in bytes.
 const LINE_CAPACITY: usize = 256;
 
-/// Lines that were dropped since the start of the process.
+/// Number of lines dropped since the start of the process.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Returns how many log lines were dropped since the start of the process, over the limit or with a full queue.
+/// Returns the number of log lines dropped since the start of the process, because of the rate limit or a full queue.
 pub fn dropped_line_count() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Queues encoded lines for the thread that writes them; drops lines over the limit.
+/// Queues encoded lines for the writer thread; drops lines over the rate limit.
 #[derive(Debug)]
 pub(crate) struct BoundedAppender {
     encoder: JsonEncoder,
@@ -44,28 +41,28 @@
     limit: u32,
 }
 
-/// Lines that were logged in the current window.
+/// The current window of the rate limit, with the number of its lines.
 #[derive(Debug)]
 struct Window {
-    since: Instant,
+    started_at: Instant,
     lines: u32,
 }
 
 impl Window {
     #[expect(
         clippy::disallowed_methods,
-        reason = "bounds log lines; no right hangs on it"
+        reason = "only limits log lines; no lease or session depends on it"
     )]
-    fn begin() -> Self {
+    fn start() -> Self {
         Self {
-            since: Instant::now(),
+            started_at: Instant::now(),
             lines: 0,
         }
     }
 }
 
 impl BoundedAppender {
-    /// Starts the writing thread; `limit` is in lines per second.
+    /// Starts the writer thread; `limit` is in lines per second.
     pub(crate) fn start(stream: LogStream, limit: u32) -> std::io::Result<Self> {
         let (tx, rx) = mpsc::sync_channel(QUEUE_LINES);
         let builder = thread::Builder::new().name("log".into());
@@ -73,16 +70,16 @@
         Ok(Self {
             encoder: JsonEncoder::new(),
             tx,
-            window: Mutex::new(Window::begin()),
+            window: Mutex::new(Window::start()),
             limit,
         })
     }
 
-    /// Counts a line and returns whether it is within the limit; warnings and errors have [`PROBLEM_FACTOR`] times the limit.
-    fn may_write(&self, record: &Record<'_>) -> bool {
+    /// Counts a line and returns whether it is within the limit, which is [`PROBLEM_FACTOR`] times higher for warnings and errors.
+    fn is_within_limit(&self, record: &Record<'_>) -> bool {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
-        if window.since.elapsed() > LIMIT_WINDOW {
-            *window = Window::begin();
+        if window.started_at.elapsed() > LIMIT_WINDOW {
+            *window = Window::start();
         }
         window.lines = window.lines.saturating_add(1);
         let is_problem = record.level() <= log::Level::Warn;
@@ -93,7 +90,7 @@
 
 impl Append for BoundedAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
-        if !self.may_write(record) {
+        if !self.is_within_limit(record) {
             DROPPED.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
@@ -105,29 +102,29 @@
         Ok(())
     }
 
-    /// Does nothing: the writing thread flushes by itself within [`GATHER_INTERVAL`].
+    /// Does nothing: the writer thread flushes within [`BATCH_INTERVAL`].
     fn flush(&self) {}
 }
 
-/// Writes queued lines until the appender is gone, and a line about lines that were dropped meanwhile.
+/// Writes queued lines until the appender is dropped, and a note whenever lines were dropped.
 fn write_lines(rx: &mpsc::Receiver<Vec<u8>>, stream: LogStream) {
     let mut reported = 0;
     while let Ok(mut buf) = rx.recv() {
-        thread::sleep(GATHER_INTERVAL);
+        thread::sleep(BATCH_INTERVAL);
         while let Ok(line) = rx.try_recv() {
             buf.extend_from_slice(&line);
         }
         let dropped = dropped_line_count();
         if dropped > reported {
-            buf.extend_from_slice(format_dropped_note(dropped).as_bytes());
+            buf.extend_from_slice(format_drop_note(dropped).as_bytes());
             reported = dropped;
         }
         write_to_stream(stream, &buf);
     }
 }
 
-/// Formats the line that says how many lines were dropped since the start.
-fn format_dropped_note(dropped: u64) -> String {
+/// Formats the note with the number of lines dropped since the start.
+fn format_drop_note(dropped: u64) -> String {
     format!(
         "{{\"level\":\"WARN\",\"message\":\"log lines were dropped\",\"since_start\":{dropped}}}\n"
     )
@@ -142,6 +139,6 @@
             written.and(stdout.flush())
         }
     };
-    // Harmless to drop: a closed stream leaves no place to report the error to, and the process must not stop for its log.
+    // The result is ignored: there is nowhere to report a closed stream, and the process must not stop because of its log.
     let _ = written;
 }
--- a/crates/common/cloverfold_telemetry/src/cause_gauges.rs
+++ b/crates/common/cloverfold_telemetry/src/cause_gauges.rs
@@ -1,6 +1,4 @@
-//! Gauges with one label, the cause, for counts that a process's state keeps.
-//!
-//! Owns the gauges of one name. Relies on the caller to set them before the metrics are read.
+//! Gauges with a `cause` label.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::family::Family;
@@ -12,14 +10,14 @@
     cause: &'static str,
 }
 
-/// One gauge for each cause.
+/// A family of gauges, one for each cause. Set them before the metrics are encoded.
 #[derive(Debug)]
 pub struct CauseGauges {
     family: Family<CauseLabel, Gauge>,
 }
 
 impl CauseGauges {
-    /// Registers the gauges under a name, to which the registry adds its prefix.
+    /// Registers the family under a name, to which the registry adds its prefix.
     pub fn register(registry: &mut Registry, name: &str, help: &str) -> Self {
         let family = Family::<CauseLabel, Gauge>::default();
         registry.register(name, help, family.clone());
--- a/crates/common/cloverfold_telemetry/src/lib.rs
+++ b/crates/common/cloverfold_telemetry/src/lib.rs
@@ -1,7 +1,4 @@
-//! Log lines in JSON and metrics as text, for every process.
-//!
-//! Owns the queue of log lines that wait to be written and the count of those that were dropped. Relies on `log4rs` for the format
-//! and on `prometheus-client` for the exposition.
+//! Logging in JSON lines and metrics in text format, for all processes.
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/common/cloverfold_telemetry/src/logging.rs
+++ b/crates/common/cloverfold_telemetry/src/logging.rs
@@ -1,7 +1,4 @@
-//! Start of logging: JSON lines to a file, or to a stream with or without a limit on lines per second.
-//!
-//! Owns nothing after the start: `log4rs` keeps the appender for the life of the process. Relies on `cloverfold_settings` for the `log`
-//! settings.
+//! Initialization of logging: JSON lines to a file, or to a stream with an optional rate limit.
 
 use cloverfold_settings::{LogLevel, LogSettings, LogStream};
 use log::LevelFilter;
@@ -13,9 +10,9 @@
 
 use crate::bounded_log::BoundedAppender;
 
-/// Name of the one appender within `log4rs`; it shows nowhere.
+/// Name of the appender within `log4rs`; not part of the output.
 const APPENDER: &str = "lines";
-/// Libraries of which only errors are logged, whatever the level in the settings.
+/// Libraries of which only errors are logged, regardless of the level in the settings.
 const QUIET_LIBRARIES: [&str; 6] = [
     "quinn",
     "quinn_proto",
@@ -36,19 +33,19 @@
         /// The system's error.
         cause: std::io::Error,
     },
-    /// The system refused the thread that writes lines.
+    /// The writer thread cannot be started.
     #[error("the thread that writes log lines: {0}")]
     Thread(std::io::Error),
-    /// Logging runs already, or `log4rs` refused its configuration.
+    /// Logging was initialized before, or `log4rs` rejected its configuration.
     #[error("logging cannot start: {0}")]
     Start(String),
 }
 
-/// Starts logging for the whole process; call it once.
+/// Initializes logging for the process; call it once.
 ///
 /// # Errors
 ///
-/// Returns which file cannot be opened, that no thread could be started, or that logging runs already.
+/// Returns [`LoggingError`] if the file cannot be opened, the writer thread cannot be started, or logging was initialized before.
 pub fn start_logging(settings: &LogSettings) -> Result<(), LoggingError> {
     let appender = build_appender(settings)?;
     let library = |name: &&str| Logger::builder().build(*name, LevelFilter::Error);
@@ -74,7 +71,7 @@
     }
 }
 
-/// Builds the appender that the settings ask for: a file before a stream, a limited stream before an unlimited one.
+/// Builds the appender for the settings: a file if one is set, otherwise a stream, with a rate limit if one is set.
 fn build_appender(settings: &LogSettings) -> Result<Box<dyn Append>, LoggingError> {
     let encoder = Box::new(JsonEncoder::new());
     if let Some(path) = &settings.file {
--- a/crates/common/cloverfold_telemetry/src/metrics.rs
+++ b/crates/common/cloverfold_telemetry/src/metrics.rs
@@ -1,6 +1,4 @@
-//! Metrics as text, in the format of `OpenMetrics`.
-//!
-//! Owns nothing: each process keeps its registry. Relies on `prometheus-client` for the format.
+//! Encoding of metrics in the `OpenMetrics` text format.
 
 use std::fmt;
 
@@ -11,17 +9,17 @@
 ///
 /// # Errors
 ///
-/// Returns the error of a metric that cannot be encoded; the text written so far is dropped.
+/// Returns an error if a metric cannot be encoded; discards the text encoded so far.
 pub fn encode_metrics(registry: &Registry) -> Result<String, fmt::Error> {
     let mut text = String::new();
     encode(&mut text, registry)?;
     Ok(text)
 }
 
-/// Encodes all metrics of a registry as text; on an error logs it and returns a comment line that holds it.
+/// Encodes all metrics of a registry as text. Logs an error and returns it as a comment line.
 pub fn write_metrics(registry: &Registry) -> String {
     encode_metrics(registry).unwrap_or_else(|cause| {
-        log::error!("the metrics cannot be encoded: {cause}");
+        log::error!("cannot encode metrics: {cause}");
         format!("# {cause}\n")
     })
 }
--- a/crates/leased/cloverfold_leased_entry/src/job_counts.rs
+++ b/crates/leased/cloverfold_leased_entry/src/job_counts.rs
@@ -17,9 +17,9 @@
 /// Outcome of a job in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobOutcome {
-    /// Completed within the target latency, which depends on the estimated work.
+    /// Completed within the latency objective, which depends on the estimated work.
     InTime,
-    /// Completed after the target latency.
+    /// Completed after the latency objective.
     Late,
     Failed,
     GivenUp,
@@ -27,10 +27,10 @@
 }
 
 impl JobOutcome {
-    /// Returns the outcome of a job that was answered after `took`; `target_latency` is its target latency.
-    pub(crate) fn new(answer: JobAnswer, took: Duration, target_latency: Duration) -> Self {
+    /// Returns the outcome of a job that was answered after `took`; `objective` is its latency objective.
+    pub(crate) fn new(answer: JobAnswer, took: Duration, objective: Duration) -> Self {
         match answer {
-            JobAnswer::Completed if took <= target_latency => Self::InTime,
+            JobAnswer::Completed if took <= objective => Self::InTime,
             JobAnswer::Completed => Self::Late,
             JobAnswer::Failed => Self::Failed,
             JobAnswer::GivenUp => Self::GivenUp,
--- a/crates/leased/cloverfold_leased_entry/src/kept_body.rs
+++ b/crates/leased/cloverfold_leased_entry/src/kept_body.rs
@@ -23,9 +23,9 @@
     pub priority: u32,
     /// Number of failures of one task after which the job has failed.
     pub max_attempts: u32,
-    /// Factor on the duration of the work in the target latency.
+    /// Factor on the duration of the work in the latency objective.
     pub stretch: f64,
-    /// Constant part of the target latency, in milliseconds.
+    /// Constant part of the latency objective, in milliseconds.
     pub allowance_ms: u64,
     /// Body of the caller's request.
     pub text: Vec<u8>,
