--- a/crates/cloverfold/tests/system/cluster/disturbances.rs
+++ b/crates/cloverfold/tests/system/cluster/disturbances.rs
@@ -40,7 +40,7 @@
     /// Cuts a guard off from all others in silence, both ways, or joins it again.
     pub fn set_isolation(&self, index: usize, is_cut: bool) {
         let faults = if is_cut {
-            Faults::silence()
+            Faults::blackhole()
         } else {
             Faults::default()
         };
--- a/crates/cloverfold/tests/system/link_faults.rs
+++ b/crates/cloverfold/tests/system/link_faults.rs
@@ -16,7 +16,7 @@
             jitter: Duration::from_millis(20),
             loss: 0.05,
             duplication: 0.3,
-            is_silent: false,
+            is_blackholed: false,
         });
     }
     let jobs: Vec<_> = (0..60)
@@ -75,7 +75,7 @@
 
     let disturb = || {
         for link in &cluster.target_links {
-            link.cut();
+            link.close_connections();
         }
     };
     let answer = cluster.submit_disturbed(&job, 10, disturb).await;
--- a/crates/common/cloverfold_http/tests/server.rs
+++ b/crates/common/cloverfold_http/tests/server.rs
@@ -258,7 +258,7 @@
 async fn silent_connections_cost_two_calls_that_are_given_up() {
     let (_serving, proxy, client) = six_idle_connections().await;
 
-    proxy.silence_open();
+    proxy.blackhole_connections();
     let first = call_briefly(&client, proxy.address()).await;
     let second = call_briefly(&client, proxy.address()).await;
     let next = tokio::time::timeout(PATIENCE, post(&client, proxy.address(), "x")).await;
--- a/crates/common/cloverfold_link/tests/links.rs
+++ b/crates/common/cloverfold_link/tests/links.rs
@@ -207,7 +207,7 @@
     // The senders within the events keep the link open from both sides.
     let _opened = [next(&mut client).await, next(&mut server).await];
 
-    proxy.silence_open();
+    proxy.blackhole_connections();
 
     assert!(matches!(next(&mut client).await, LinkEvent::Closed { .. }));
     let LinkEvent::Opened { sender, .. } = next(&mut client).await else {
--- a/crates/tools/cloverfold_faults/src/faults.rs
+++ b/crates/tools/cloverfold_faults/src/faults.rs
@@ -18,22 +18,22 @@
     pub loss: f64,
     /// Share of packets that are delivered twice, 0 to 1.
     pub duplication: f64,
-    /// Whether packets are dropped, or streams held, without an error at either end.
-    pub is_silent: bool,
+    /// Drops packets and stalls streams without an error at either end.
+    pub is_blackholed: bool,
 }
 
 impl Faults {
-    /// Returns the faults of a link that lets nothing through, without an error at either end.
-    pub fn silence() -> Self {
+    /// Returns faults that drop all traffic without an error at either end.
+    pub fn blackhole() -> Self {
         Self {
-            is_silent: true,
+            is_blackholed: true,
             ..Self::default()
         }
     }
 
     /// Draws the delay of each copy of a packet; empty when it is lost.
     pub(crate) fn draw_arrivals(&self) -> Vec<Duration> {
-        if self.is_silent || rand::random::<f64>() < self.loss {
+        if self.is_blackholed || rand::random::<f64>() < self.loss {
             return Vec::new();
         }
         let copies = if rand::random::<f64>() < self.duplication {
--- a/crates/tools/cloverfold_faults/src/lib.rs
+++ b/crates/tools/cloverfold_faults/src/lib.rs
@@ -21,6 +21,6 @@
 mod udp_proxy;
 
 pub use faults::{FaultTable, Faults};
-pub use link_proxy::{DialerName, LinkFaults, LinkProxy, NameDialer};
+pub use link_proxy::{DialerName, IdentifyDialer, LinkFaults, LinkProxy};
 pub use tcp_proxy::TcpProxy;
 pub use udp_proxy::UdpProxy;
--- a/crates/tools/cloverfold_faults/src/link_proxy.rs
+++ b/crates/tools/cloverfold_faults/src/link_proxy.rs
@@ -23,27 +23,27 @@
 
 /// Who opened a connection.
 pub type DialerName = String;
-/// Names the dialing side by the first bytes that it sent; `None` if they do not tell.
-pub type NameDialer = fn(&[u8]) -> Option<DialerName>;
+/// Identifies the dialing side by the first bytes that it sent; `None` if they do not identify it.
+pub type IdentifyDialer = fn(&[u8]) -> Option<DialerName>;
 
 /// Faults between one dialing side and the process behind a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFaults {
     /// Delay of what is read at once.
     pub delay: Duration,
-    /// Whether what the dialing side sends is held back, without an error at either end.
-    pub holds_there: bool,
-    /// Whether what the process behind the proxy sends is held back.
-    pub holds_back: bool,
+    /// Holds back the bytes from the dialing side, without an error at either end.
+    pub blocks_to_upstream: bool,
+    /// Holds back the bytes from the process behind the proxy.
+    pub blocks_to_dialer: bool,
 }
 
 impl LinkFaults {
-    /// Returns these faults together with others.
-    pub fn and(self, other: Self) -> Self {
+    /// Returns the union of both fault sets, with the longer delay.
+    pub fn combine(self, other: Self) -> Self {
         Self {
             delay: self.delay.max(other.delay),
-            holds_there: self.holds_there || other.holds_there,
-            holds_back: self.holds_back || other.holds_back,
+            blocks_to_upstream: self.blocks_to_upstream || other.blocks_to_upstream,
+            blocks_to_dialer: self.blocks_to_dialer || other.blocks_to_dialer,
         }
     }
 }
@@ -70,7 +70,7 @@
 
 struct Shared {
     upstream: SocketAddr,
-    name_dialer: NameDialer,
+    identify_dialer: IdentifyDialer,
     rules: Mutex<Rules>,
 }
 
@@ -83,7 +83,7 @@
     pub fn start(
         address: SocketAddr,
         upstream: SocketAddr,
-        name_dialer: NameDialer,
+        identify_dialer: IdentifyDialer,
     ) -> std::io::Result<Self> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
@@ -91,7 +91,7 @@
         let listener = socket.listen(BACKLOG)?;
         let shared = Arc::new(Shared {
             upstream,
-            name_dialer,
+            identify_dialer,
             rules: Mutex::default(),
         });
         let breaks = watch::Sender::new(Breaks::default());
@@ -121,20 +121,20 @@
         *self.shared.lock() = Rules::default();
     }
 
-    /// Resets every connection that is open now.
-    pub fn reset_open(&self) {
+    /// Resets all connections that are open now.
+    pub fn reset_connections(&self) {
         self.breaks.send_modify(|breaks| breaks.resets += 1);
     }
 
-    /// Lets nothing more through on every connection that is open now, for good and without an error; new ones work.
-    pub fn silence_open(&self) {
+    /// Drops all further traffic on the connections that are open now, without an error at either end. New connections work.
+    pub fn blackhole_connections(&self) {
         self.breaks.send_modify(|breaks| breaks.silences += 1);
     }
 }
 
 impl Drop for LinkProxy {
     fn drop(&mut self) {
-        self.reset_open();
+        self.reset_connections();
         self.task.abort();
     }
 }
@@ -147,7 +147,7 @@
     fn find(&self, dialer: Option<&str>) -> LinkFaults {
         let rules = self.lock();
         let own = dialer.and_then(|dialer| rules.by_dialer.get(dialer));
-        rules.general.and(own.copied().unwrap_or_default())
+        rules.general.combine(own.copied().unwrap_or_default())
     }
 }
 
@@ -239,7 +239,7 @@
             break;
         }
         if is_first && direction == Direction::There {
-            *lock(dialer) = (shared.name_dialer)(&buf[..len]);
+            *lock(dialer) = (shared.identify_dialer)(&buf[..len]);
         }
         is_first = false;
         let was_held = hold(shared, dialer, direction).await;
@@ -262,8 +262,8 @@
         let name = lock(dialer).clone();
         let faults = shared.find(name.as_deref());
         let is_held = match direction {
-            Direction::There => faults.holds_there,
-            Direction::Back => faults.holds_back,
+            Direction::There => faults.blocks_to_upstream,
+            Direction::Back => faults.blocks_to_dialer,
         };
         if !is_held {
             sleep(faults.delay).await;
--- a/crates/tools/cloverfold_faults/src/tcp_proxy.rs
+++ b/crates/tools/cloverfold_faults/src/tcp_proxy.rs
@@ -67,20 +67,20 @@
         self.faults.set(faults);
     }
 
-    /// Lets nothing more through on every connection that is open now, for good and without an error at either end; new ones work.
-    pub fn silence_open(&self) {
+    /// Drops all further traffic on the connections that are open now, without an error at either end. New connections work.
+    pub fn blackhole_connections(&self) {
         self.silences.send_modify(|silences| *silences += 1);
     }
 
-    /// Closes every connection that is open now.
-    pub fn cut(&self) {
+    /// Closes all connections that are open now.
+    pub fn close_connections(&self) {
         self.cuts.send_modify(|cuts| *cuts += 1);
     }
 }
 
 impl Drop for TcpProxy {
     fn drop(&mut self) {
-        self.cut();
+        self.close_connections();
         self.task.abort();
     }
 }
@@ -135,7 +135,7 @@
         if len == 0 {
             break;
         }
-        while faults.find(source).is_silent {
+        while faults.find(source).is_blackholed {
             sleep(SILENCE_POLL).await;
         }
         sleep(faults.find(source).delay).await;
--- a/crates/tools/cloverfold_faults/tests/link_proxy.rs
+++ b/crates/tools/cloverfold_faults/tests/link_proxy.rs
@@ -65,7 +65,7 @@
     let relayed = Relayed::start().await;
     let (mut dialed, mut accepted) = relayed.connect().await;
     let cut = LinkFaults {
-        holds_there: true,
+        blocks_to_upstream: true,
         ..LinkFaults::default()
     };
     relayed.proxy.set_for("a", cut);
@@ -83,7 +83,7 @@
 async fn a_cut_holds_for_the_named_dialer_alone() {
     let relayed = Relayed::start().await;
     let cut = LinkFaults {
-        holds_there: true,
+        blocks_to_upstream: true,
         ..LinkFaults::default()
     };
     relayed.proxy.set_for("a", cut);
@@ -99,7 +99,7 @@
     let relayed = Relayed::start().await;
     let (mut dialed, mut accepted) = relayed.connect().await;
     let cut = LinkFaults {
-        holds_there: true,
+        blocks_to_upstream: true,
         ..LinkFaults::default()
     };
     relayed.proxy.set(cut);
@@ -121,7 +121,7 @@
     dialed.write_all(b"a").await.unwrap();
     assert_eq!(read_letter(&mut accepted).await.unwrap(), b'a');
 
-    relayed.proxy.reset_open();
+    relayed.proxy.reset_connections();
 
     assert!(read_letter(&mut dialed).await.is_err());
     assert!(read_letter(&mut accepted).await.is_err());
@@ -133,7 +133,7 @@
     let (mut dialed, mut accepted) = relayed.connect().await;
     dialed.write_all(b"a").await.unwrap();
     assert_eq!(read_letter(&mut accepted).await.unwrap(), b'a');
-    relayed.proxy.silence_open();
+    relayed.proxy.blackhole_connections();
     tokio::time::sleep(LOOK).await;
 
     dialed.write_all(b"b").await.unwrap();
--- a/crates/tools/cloverfold_soak/src/run/links.rs
+++ b/crates/tools/cloverfold_soak/src/run/links.rs
@@ -125,14 +125,14 @@
     /// Resets all connections that others have opened to a process, and those to its target.
     pub(crate) fn reset(&self, process: Process) {
         for proxy in self.proxies_of(process) {
-            proxy.reset_open();
+            proxy.reset_connections();
         }
     }
 
     /// Lets all such connections go silent for good.
     pub(crate) fn silence(&self, process: Process) {
         for proxy in self.proxies_of(process) {
-            proxy.silence_open();
+            proxy.blackhole_connections();
         }
     }
 
@@ -148,7 +148,7 @@
     fn apply(&self, active: &BTreeMap<u64, LinkFault>) {
         let all = |find: &dyn Fn(&LinkFault) -> LinkFaults| {
             let faults = active.values().map(find);
-            faults.fold(LinkFaults::default(), LinkFaults::and)
+            faults.fold(LinkFaults::default(), LinkFaults::combine)
         };
         for (process, proxy) in &self.peers {
             for (dialer, name) in &self.names {
@@ -203,10 +203,10 @@
     }
 }
 
-fn hold(holds_there: bool, holds_back: bool) -> LinkFaults {
+fn hold(blocks_to_upstream: bool, blocks_to_dialer: bool) -> LinkFaults {
     LinkFaults {
-        holds_there,
-        holds_back,
+        blocks_to_upstream,
+        blocks_to_dialer,
         ..LinkFaults::default()
     }
 }
