--- a/crates/cloverfold/tests/soak.rs
+++ b/crates/cloverfold/tests/soak.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cloverfold_soak::checker::Bounds;
-use cloverfold_soak::plan::draw_calm_plan;
-use cloverfold_soak::run::{Counts, Programs, play, write_findings};
+use cloverfold_soak::plan::generate_fault_free_plan;
+use cloverfold_soak::run::{Counts, Programs, run_plan, write_findings};
 
 /// How long the play lasts: as long as the longest planned stop and what may come of it.
 const LENGTH: Duration = Duration::from_secs(12);
@@ -15,15 +15,15 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn all_promises_hold_while_nothing_but_planned_work_happens() {
     let folder = tempfile::tempdir().unwrap();
-    let plan = draw_calm_plan(SEED, LENGTH);
+    let plan = generate_fault_free_plan(SEED, LENGTH);
     let programs = Programs {
         cloverfold: env!("CARGO_BIN_EXE_cloverfold").into(),
         guard: env!("CARGO_BIN_EXE_cloverfold-guard").into(),
     };
     // How fast this machine is tells nothing about the promises.
-    let bounds = Bounds::never_reached();
+    let bounds = Bounds::unbounded();
 
-    let report = play(&plan, &programs, folder.path(), &bounds, |_, _| {}).await;
+    let report = run_plan(&plan, &programs, folder.path(), &bounds, |_, _| {}).await;
 
     let report = report.unwrap();
     if !report.violations.is_empty() {
--- a/crates/tools/cloverfold_soak/src/checker/answers.rs
+++ b/crates/tools/cloverfold_soak/src/checker/answers.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use super::{Promise, Violation};
-use crate::records::{At, Attempt, History, Outcome, Run, RunEnd};
+use super::{Guarantee, Violation};
+use crate::records::{Attempt, Elapsed, History, Outcome, Run, RunEnd};
 
 pub(super) fn check(history: &History) -> Vec<Violation> {
     let mut runs: HashMap<&str, Vec<&Run>> = HashMap::new();
@@ -18,39 +18,44 @@
     answered.chain(check_refusals(history, &runs)).collect()
 }
 
-fn check_answer(attempt: &Attempt, at: At, outcome: Outcome, runs: &[&Run]) -> Option<Violation> {
+fn check_answer(
+    attempt: &Attempt,
+    at: Elapsed,
+    outcome: Outcome,
+    runs: &[&Run],
+) -> Option<Violation> {
     let job = &attempt.job;
     match outcome {
         Outcome::Completed => {
             let missing = find_missing_task(attempt, at, runs)?;
             let what =
                 format!("job {job} is answered as completed, and its task {missing} is not done");
-            Some(Violation::new(Promise::WholeAnswer, at, what))
+            Some(Violation::new(Guarantee::WholeAnswer, at, what))
         }
         Outcome::Failed if !has_failed_for_good(attempt, at, runs) => {
             let what = format!(
                 "job {job} is answered as failed, and no task of it has failed {} times since it was sent",
                 attempt.max_failures
             );
-            Some(Violation::new(Promise::TrueFailure, at, what))
+            Some(Violation::new(Guarantee::TrueFailure, at, what))
         }
         Outcome::Garbled => {
             let what = format!("job {job} has an answer that there is not");
-            Some(Violation::new(Promise::KnownAnswer, at, what))
+            Some(Violation::new(Guarantee::KnownAnswer, at, what))
         }
         _ => None,
     }
 }
 
 /// Returns a task of which no run had ended as done.
-fn find_missing_task(attempt: &Attempt, at: At, runs: &[&Run]) -> Option<u32> {
+fn find_missing_task(attempt: &Attempt, at: Elapsed, runs: &[&Run]) -> Option<u32> {
     let is_done = |run: &&&Run| matches!(run.end, Some((end, RunEnd::Done)) if end <= at);
     let done: HashSet<u32> = runs.iter().filter(is_done).map(|run| run.task).collect();
     (0..attempt.tasks).find(|task| !done.contains(task))
 }
 
 /// Returns whether a task has failed as often as it may, by runs begun for this attempt.
-fn has_failed_for_good(attempt: &Attempt, at: At, runs: &[&Run]) -> bool {
+fn has_failed_for_good(attempt: &Attempt, at: Elapsed, runs: &[&Run]) -> bool {
     (0..attempt.tasks).any(|task| {
         let failures = runs.iter().filter(|run| {
             let is_failure = matches!(run.end, Some((end, RunEnd::Failed)) if end <= at);
@@ -81,6 +86,6 @@
             run.task,
             run.target
         );
-        Some(Violation::new(Promise::TrueRefusal, run.started_at, what))
+        Some(Violation::new(Guarantee::TrueRefusal, run.started_at, what))
     })
 }
--- a/crates/tools/cloverfold_soak/src/checker/configurations.rs
+++ b/crates/tools/cloverfold_soak/src/checker/configurations.rs
@@ -1,9 +1,9 @@
 //! Configurations: verdicts, reads, and what is in force at entries.
 
 use super::calm::is_in_touch;
-use super::{Bounds, Promise, Violation};
+use super::{Bounds, Guarantee, Violation};
 use crate::records::{
-    At, ConfigurationOrder, ConfigurationRead, History, OrderAnswer, Probe, Process, Version,
+    ConfigurationOrder, ConfigurationRead, Elapsed, History, OrderAnswer, Probe, Process, Version,
 };
 
 pub(super) fn check(history: &History, bounds: &Bounds) -> Vec<Violation> {
@@ -29,11 +29,11 @@
         _ => return None,
     };
     let what = format!("version {} is {what}", order.version);
-    Some(Violation::new(Promise::RightVerdict, at, what))
+    Some(Violation::new(Guarantee::RightVerdict, at, what))
 }
 
 /// Returns the highest valid version that was acknowledged before a moment, and when it first was.
-pub(super) fn find_acknowledged(history: &History, before: At) -> Option<(Version, At)> {
+pub(super) fn find_acknowledged(history: &History, before: Elapsed) -> Option<(Version, Elapsed)> {
     let orders = history.configuration_orders.iter();
     let acknowledged = orders.filter_map(|order| match order.answer {
         Some((at, OrderAnswer::Acknowledged)) if order.is_valid && at < before => {
@@ -54,14 +54,14 @@
             read.version,
             at.as_secs_f64()
         );
-        violations.push(Violation::new(Promise::NewestIsRead, read.asked_at, what));
+        violations.push(Violation::new(Guarantee::NewestIsRead, read.asked_at, what));
     }
     if !read.is_as_sent {
         let what = format!(
             "control-{} showed a version {} that nobody has sent so",
             read.control, read.version
         );
-        violations.push(Violation::new(Promise::ShownAsSent, read.asked_at, what));
+        violations.push(Violation::new(Guarantee::ShownAsSent, read.asked_at, what));
     }
     violations
 }
@@ -80,7 +80,7 @@
     }
     let before = probe.asked_at.checked_sub(bounds.apply)?;
     let (version, at) = find_acknowledged(history, before)?;
-    let since = before.saturating_sub(bounds.contact);
+    let since = before.saturating_sub(bounds.quiet_period);
     let entry = Process::Entry(probe.entry);
     let is_due = version >= probe.version;
     (is_due && is_in_touch(history, entry, since, probe.answered_at)).then(|| {
@@ -89,7 +89,7 @@
             probe.version,
             at.as_secs_f64()
         );
-        Violation::new(Promise::InForceInTime, probe.asked_at, what)
+        Violation::new(Guarantee::InForceInTime, probe.asked_at, what)
     })
 }
 
@@ -109,5 +109,9 @@
         probe.version,
         earlier.answered_at.as_secs_f64()
     );
-    Some(Violation::new(Promise::NeverReverts, probe.asked_at, what))
+    Some(Violation::new(
+        Guarantee::NeverReverts,
+        probe.asked_at,
+        what,
+    ))
 }
--- a/crates/tools/cloverfold_soak/src/checker/draining.rs
+++ b/crates/tools/cloverfold_soak/src/checker/draining.rs
@@ -1,7 +1,7 @@
 //! A target that leaves gets no new work.
 
 use super::calm::is_target_in_touch;
-use super::{Bounds, Promise, Violation};
+use super::{Bounds, Guarantee, Violation};
 use crate::records::{Drain, History, Run};
 
 pub(super) fn check(history: &History, bounds: &Bounds) -> Vec<Violation> {
@@ -19,7 +19,7 @@
 
 fn is_too_late(run: &Run, drain: &Drain, history: &History, bounds: &Bounds) -> bool {
     let is_there = run.target == drain.target && run.incarnation == drain.incarnation;
-    let since = run.started_at.saturating_sub(bounds.contact);
+    let since = run.started_at.saturating_sub(bounds.quiet_period);
     is_there
         && !run.is_late
         && run.started_at > drain.acknowledged_at + bounds.drain
@@ -34,5 +34,5 @@
         run.target,
         drain.acknowledged_at.as_secs_f64()
     );
-    Violation::new(Promise::NoWorkForLeaving, run.started_at, what)
+    Violation::new(Guarantee::NoWorkForLeaving, run.started_at, what)
 }
--- a/crates/tools/cloverfold_soak/src/checker/evacuations.rs
+++ b/crates/tools/cloverfold_soak/src/checker/evacuations.rs
@@ -1,14 +1,14 @@
 //! Acknowledged evacuations are in force and shown.
 
 use super::calm::is_target_in_touch;
-use super::{Bounds, Promise, Violation};
-use crate::records::{At, HallOrder, HallRead, HallWish, History, Run};
+use super::{Bounds, Guarantee, Violation};
+use crate::records::{Elapsed, HallAction, HallOrder, HallRead, History, Run};
 
 /// An acknowledged wish, and until when nobody wanted anything else of the hall.
 struct Held<'a> {
     order: &'a HallOrder,
-    from: At,
-    until: At,
+    from: Elapsed,
+    until: Elapsed,
 }
 
 pub(super) fn check(history: &History, bounds: &Bounds) -> Vec<Violation> {
@@ -40,7 +40,7 @@
         Some(Held {
             order,
             from,
-            until: until.unwrap_or(At::MAX),
+            until: until.unwrap_or(Elapsed::MAX),
         })
     })
 }
@@ -49,8 +49,10 @@
     let hall = history.target_halls.get(run.target);
     let is_there = hall == Some(&held.order.hall);
     let is_due = run.started_at > held.from + bounds.apply && run.started_at < held.until;
-    let since = run.started_at.saturating_sub(bounds.contact + bounds.apply);
-    held.order.wish == HallWish::Evacuate
+    let since = run
+        .started_at
+        .saturating_sub(bounds.quiet_period + bounds.apply);
+    held.order.wish == HallAction::Evacuate
         && is_there
         && is_due
         && !run.is_late
@@ -60,7 +62,7 @@
 fn is_wrong(read: &HallRead, held: &Held) -> bool {
     let is_within = read.asked_at > held.from && read.answered_at < held.until;
     let is_listed = read.halls.contains(&held.order.hall);
-    is_within && is_listed != (held.order.wish == HallWish::Evacuate)
+    is_within && is_listed != (held.order.wish == HallAction::Evacuate)
 }
 
 fn report_run(run: &Run, held: &Held) -> Violation {
@@ -72,7 +74,7 @@
         held.order.hall,
         held.from.as_secs_f64()
     );
-    Violation::new(Promise::HallStaysEmpty, run.started_at, what)
+    Violation::new(Guarantee::HallStaysEmpty, run.started_at, what)
 }
 
 fn report_read(read: &HallRead, held: &Held) -> Violation {
@@ -84,5 +86,5 @@
         held.order.hall,
         held.from.as_secs_f64()
     );
-    Violation::new(Promise::HallsAsOrdered, read.asked_at, what)
+    Violation::new(Guarantee::HallsAsOrdered, read.asked_at, what)
 }
--- a/crates/tools/cloverfold_soak/src/checker/mod.rs
+++ b/crates/tools/cloverfold_soak/src/checker/mod.rs
@@ -1,7 +1,7 @@
 //! Which promises broke, from what was seen alone.
 //!
 //! Pure code over a [`History`], no clock and no I/O; one module for each group of promises. A promise without a bound in time holds at
-//! any moment. One with a bound binds only what nothing has disturbed for [`Bounds::contact`] ([`calm`]).
+//! any moment. One with a bound binds only what nothing has disturbed for [`Bounds::quiet_period`] ([`calm`]).
 
 mod answers;
 mod calm;
@@ -17,40 +17,39 @@
 
 use serde::Serialize;
 
-use crate::records::{At, History};
+use crate::records::{Elapsed, History};
 
-/// Bounds that the promises name.
+/// Time bounds of the guarantees.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// What was not disturbed for so long is bound by promises with a bound in time.
-    pub contact: Duration,
+    /// Guarantees with a time bound apply only to what was free of disturbances for this long.
+    pub quiet_period: Duration,
     /// A target that leaves gets no new work so long after the acknowledgement.
     pub drain: Duration,
     /// An acknowledged configuration or evacuation is in force everywhere after so long.
     pub apply: Duration,
     /// Service is back so long after the last fault.
     pub recovery: Duration,
-    /// A request that breaks off sooner after it was sent, and of which nothing has run, counts as not read.
-    pub loss_slack: Duration,
+    /// A request that breaks off within this time after it was sent, and none of whose tasks has run, counts as not read.
+    pub unread_grace: Duration,
 }
 
 impl Default for Bounds {
     /// The bounds of the pages for callers and operators.
     fn default() -> Self {
         Self {
-            contact: Duration::from_secs(3),
+            quiet_period: Duration::from_secs(3),
             drain: Duration::from_secs(2),
             apply: Duration::from_secs(2),
             recovery: Duration::from_secs(12),
-            loss_slack: Duration::from_millis(200),
+            unread_grace: Duration::from_millis(200),
         }
     }
 }
 
 impl Bounds {
-    /// Returns bounds that are never reached, for a machine of which nothing is known: promises that hold at any moment are judged,
-    /// those with a bound in time are not.
-    pub fn never_reached() -> Self {
+    /// Returns bounds that are never reached, for machines of unknown speed: only guarantees without a time bound are checked.
+    pub fn unbounded() -> Self {
         const NEVER: Duration = Duration::from_secs(1_000_000);
         Self {
             drain: NEVER,
@@ -61,9 +60,9 @@
     }
 }
 
-/// What is promised.
+/// A guarantee of the installation to its callers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Promise {
+pub enum Guarantee {
     /// No two runs of a task at once.
     OneRunAtOnce,
     /// `completed` means that each task is done.
@@ -104,15 +103,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
     /// Which.
-    pub promise: Promise,
+    pub promise: Guarantee,
     /// When.
-    pub at: At,
+    pub at: Elapsed,
     /// What was seen.
     pub what: String,
 }
 
 impl Violation {
-    fn new(promise: Promise, at: At, what: String) -> Self {
+    fn new(promise: Guarantee, at: Elapsed, what: String) -> Self {
         Self { promise, at, what }
     }
 }
--- a/crates/tools/cloverfold_soak/src/checker/overlaps.rs
+++ b/crates/tools/cloverfold_soak/src/checker/overlaps.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use super::{Promise, Violation};
-use crate::records::{At, History, Run};
+use super::{Guarantee, Violation};
+use crate::records::{Elapsed, History, Run};
 
 pub(super) fn check(history: &History) -> Vec<Violation> {
     let mut tasks: HashMap<(&str, u32), Vec<&Run>> = HashMap::new();
@@ -29,8 +29,8 @@
     violations
 }
 
-fn end_of(run: &Run) -> At {
-    run.end.map_or(At::MAX, |(at, _)| at)
+fn end_of(run: &Run) -> Elapsed {
+    run.end.map_or(Elapsed::MAX, |(at, _)| at)
 }
 
 fn report(earlier: &Run, later: &Run) -> Violation {
@@ -46,5 +46,5 @@
         earlier.started_at.as_secs_f64(),
         earlier.end,
     );
-    Violation::new(Promise::OneRunAtOnce, later.started_at, what)
+    Violation::new(Guarantee::OneRunAtOnce, later.started_at, what)
 }
--- a/crates/tools/cloverfold_soak/src/checker/planned_stops.rs
+++ b/crates/tools/cloverfold_soak/src/checker/planned_stops.rs
@@ -3,8 +3,10 @@
 use std::time::Duration;
 
 use super::calm::is_without_faults;
-use super::{Bounds, Promise, Violation};
-use crate::records::{At, Attempt, History, Outcome, OwnEnd, PlannedStop, Process, Run, RunEnd};
+use super::{Bounds, Guarantee, Violation};
+use crate::records::{
+    Attempt, Elapsed, History, Outcome, PlannedStop, Process, Run, RunEnd, UnexpectedExit,
+};
 
 /// How long after the exit a cut still counts for the stop of an entry.
 const ENTRY_TAIL: Duration = Duration::from_secs(1);
@@ -31,9 +33,9 @@
     bounds: &Bounds,
     stop: &PlannedStop,
     tail: Duration,
-) -> Option<(At, At)> {
+) -> Option<(Elapsed, Elapsed)> {
     let until = stop.exited_at? + tail;
-    let since = stop.asked_at.saturating_sub(bounds.contact);
+    let since = stop.asked_at.saturating_sub(bounds.quiet_period);
     is_without_faults(history, since, until).then_some((stop.asked_at, until))
 }
 
@@ -59,18 +61,18 @@
                     stop.process,
                     from.as_secs_f64()
                 );
-                Violation::new(Promise::StopCutsNothing, at, what)
+                Violation::new(Guarantee::StopCutsNothing, at, what)
             })
         })
         .collect()
 }
 
 /// Returns whether a request that broke off counts as read: something of it has run, or it was there for a while.
-fn was_read(history: &History, bounds: &Bounds, attempt: &Attempt, broke_at: At) -> bool {
+fn was_read(history: &History, bounds: &Bounds, attempt: &Attempt, broke_at: Elapsed) -> bool {
     let has_run = history.runs.iter().any(|run| {
         run.job == attempt.job && attempt.sent_at <= run.started_at && run.started_at <= broke_at
     });
-    has_run || broke_at > attempt.sent_at + bounds.loss_slack
+    has_run || broke_at > attempt.sent_at + bounds.unread_grace
 }
 
 fn find_cut_runs(
@@ -93,13 +95,18 @@
             run.target,
             from.as_secs_f64()
         );
-        Some(Violation::new(Promise::StopCutsNothing, exited_at, what))
+        Some(Violation::new(Guarantee::StopCutsNothing, exited_at, what))
     })
     .collect()
 }
 
 /// Returns how the stop of its guard has cut a run, if it has: it lapsed, or it was at work when the guard was gone before its time.
-fn find_cut(run: &Run, asked_at: At, exited_at: At, until: At) -> Option<&'static str> {
+fn find_cut(
+    run: &Run,
+    asked_at: Elapsed,
+    exited_at: Elapsed,
+    until: Elapsed,
+) -> Option<&'static str> {
     if matches!(run.end, Some((at, RunEnd::Lapsed)) if asked_at <= at && at <= until) {
         return Some("lapsed");
     }
@@ -107,7 +114,7 @@
     (is_at_work && exited_at < asked_at + GUARD_DRAIN).then_some("was left at work")
 }
 
-fn report_own_end(end: &OwnEnd) -> Violation {
+fn report_own_end(end: &UnexpectedExit) -> Violation {
     let what = format!("{} ended by itself", end.process);
-    Violation::new(Promise::NoOwnEnd, end.at, what)
+    Violation::new(Guarantee::NoOwnEnd, end.at, what)
 }
--- a/crates/tools/cloverfold_soak/src/checker/recovery.rs
+++ b/crates/tools/cloverfold_soak/src/checker/recovery.rs
@@ -2,8 +2,8 @@
 
 use super::calm::find_last_end;
 use super::configurations::find_acknowledged;
-use super::{Bounds, Promise, Violation};
-use crate::records::{At, Attempt, History, Outcome};
+use super::{Bounds, Guarantee, Violation};
+use crate::records::{Attempt, Elapsed, History, Outcome};
 
 /// Sends that a verdict needs; fewer tell nothing.
 const FEWEST_SENDS: usize = 5;
@@ -16,7 +16,7 @@
     }
     let Some(last) = find_last_end(history) else {
         let what = "something that was disturbed did not become whole again".to_owned();
-        return vec![Violation::new(Promise::ServiceIsBack, history.now, what)];
+        return vec![Violation::new(Guarantee::ServiceIsBack, history.now, what)];
     };
     let due = last + bounds.recovery;
     let service = check_service(history, due);
@@ -26,7 +26,7 @@
         .collect()
 }
 
-fn check_service(history: &History, due: At) -> Option<Violation> {
+fn check_service(history: &History, due: Elapsed) -> Option<Violation> {
     let answered: Vec<&Attempt> = history
         .attempts
         .iter()
@@ -47,17 +47,17 @@
             answered.len(),
             due.as_secs_f64()
         );
-        Violation::new(Promise::ServiceIsBack, due, what)
+        Violation::new(Guarantee::ServiceIsBack, due, what)
     })
 }
 
-fn check_survival(history: &History, due: At) -> Option<Violation> {
+fn check_survival(history: &History, due: Elapsed) -> Option<Violation> {
     let (version, _) = find_acknowledged(history, due)?;
     let mut reads = history.configuration_reads.iter();
     // Whether a read shows too old a version is checked with every read.
     let is_read = reads.any(|read| read.asked_at > due);
     (!is_read && history.now > due).then(|| {
         let what = format!("nobody showed a configuration, and version {version} was acknowledged");
-        Violation::new(Promise::AcknowledgedSurvives, due, what)
+        Violation::new(Guarantee::AcknowledgedSurvives, due, what)
     })
 }
--- a/crates/tools/cloverfold_soak/src/main.rs
+++ b/crates/tools/cloverfold_soak/src/main.rs
@@ -6,8 +6,8 @@
 
 use argh::{EarlyExit, FromArgs};
 use cloverfold_soak::checker::{Bounds, Violation};
-use cloverfold_soak::plan::{Plan, PlanLength, draw_plan, read_plan, write_plan};
-use cloverfold_soak::run::{Counts, Programs, Report, play, write_findings};
+use cloverfold_soak::plan::{Plan, PlanLength, generate_plan, read_plan, write_plan};
+use cloverfold_soak::run::{Counts, Programs, SoakReport, run_plan, write_findings};
 use eyre::{Result, WrapErr, bail, eyre};
 use serde_json::json;
 use tokio::signal::unix::{SignalKind, signal};
@@ -123,7 +123,7 @@
 
 fn draw(seed: u64, seconds: u64) -> Result<Plan> {
     let length = PlanLength::new(seconds).ok_or_else(|| eyre!("--seconds: must be 24 to 600"))?;
-    Ok(draw_plan(seed, length))
+    Ok(generate_plan(seed, length))
 }
 
 /// Reads a line of kept seeds; `None` if it is empty or a comment.
@@ -196,7 +196,7 @@
     let (is_json, bounds) = (arguments.json, Bounds::default());
     let tell = |at: Duration, counts: Counts| tell_progress(plan, at, counts, is_json);
     let report = tokio::select! {
-        report = play(plan, programs, &kept, &bounds, tell) => report?,
+        report = run_plan(plan, programs, &kept, &bounds, tell) => report?,
         // What is dropped here ends all that was started.
         () = wait_interrupt() => bail!("interrupted"),
     };
@@ -245,7 +245,7 @@
     }
 }
 
-fn summarize(plan: &Plan, report: &Report, folder: &Path, is_json: bool) {
+fn summarize(plan: &Plan, report: &SoakReport, folder: &Path, is_json: bool) {
     let counts = Counts::of(&report.history);
     let folder = folder.display().to_string();
     if is_json {
--- a/crates/tools/cloverfold_soak/src/plan/draw.rs
+++ b/crates/tools/cloverfold_soak/src/plan/draw.rs
@@ -9,8 +9,8 @@
 use rand::{RngExt, SeedableRng};
 
 use super::{
-    CONTROLS, ENTRIES, Fault, GUARDS, HALLS, Manner, Millis, Order, Plan, PlannedFault, PlannedJob,
-    PlannedOrder, TargetFault,
+    CONTROL_COUNT, CallerBehavior, ENTRY_COUNT, Fault, GUARD_COUNT, HALLS, Millis, OperatorOrder,
+    Plan, PlannedFault, PlannedJob, PlannedOrder, TargetFault,
 };
 use crate::records::Process;
 
@@ -43,8 +43,8 @@
     }
 }
 
-/// Draws the plan of a seed.
-pub fn draw_plan(seed: u64, length: PlanLength) -> Plan {
+/// Generates the plan of a seed.
+pub fn generate_plan(seed: u64, length: PlanLength) -> Plan {
     let mut draw = Draw::new(seed, length.0);
     let busy = length.0 - TAIL;
     draw.draw_jobs(length.0);
@@ -53,17 +53,17 @@
     draw.finish()
 }
 
-/// Draws a plan without faults: jobs, changes of the configuration, one evacuation, one planned stop of each kind.
-pub fn draw_calm_plan(seed: u64, length: Duration) -> Plan {
+/// Generates a plan without faults: jobs, configuration changes, one evacuation, and one planned stop of each kind of process.
+pub fn generate_fault_free_plan(seed: u64, length: Duration) -> Plan {
     let length = length.as_millis() as Millis;
     let mut draw = Draw::new(seed, length);
     draw.draw_jobs(length);
     for at in [500, 1_500] {
-        draw.order(at, Order::Race);
+        draw.order(at, OperatorOrder::Race);
     }
-    draw.order(2_000, Order::Unsound);
+    draw.order(2_000, OperatorOrder::Unsound);
     let hall = HALLS[2].to_owned();
-    draw.order(1_000, Order::Evacuate { hall, lasts: 4_000 });
+    draw.order(1_000, OperatorOrder::Evacuate { hall, lasts: 4_000 });
     let processes = [Process::Entry(0), Process::Guard(0), Process::Control(0)];
     for process in processes {
         draw.fault(3_500, Fault::Stop { process, away: 300 });
@@ -104,8 +104,8 @@
         self.plan.faults.push(PlannedFault { at, fault });
     }
 
-    fn order(&mut self, at: Millis, order: Order) {
-        let control = self.rng.random_range(0..CONTROLS);
+    fn order(&mut self, at: Millis, order: OperatorOrder) {
+        let control = self.rng.random_range(0..CONTROL_COUNT);
         self.plan.orders.push(PlannedOrder { at, control, order });
     }
 
@@ -125,11 +125,11 @@
 
     fn draw_job(&mut self, at: Millis) -> PlannedJob {
         let manner = match self.rng.random_range(0..100) {
-            0..10 => Manner::Leaves {
+            0..10 => CallerBehavior::Leaves {
                 after: self.rng.random_range(5..600),
             },
-            10..30 => Manner::Insistent,
-            _ => Manner::Patient,
+            10..30 => CallerBehavior::Insistent,
+            _ => CallerBehavior::Patient,
         };
         // Some run on for longer than any session and lease, so that a run that ought to be over is still there when the next begins.
         let (tasks, work) = if self.rng.random_bool(0.12) {
@@ -139,7 +139,7 @@
         };
         PlannedJob {
             at,
-            entry: self.rng.random_range(0..ENTRIES),
+            entry: self.rng.random_range(0..ENTRY_COUNT),
             tasks: self.rng.random_range(tasks),
             work: self.rng.random_range(work),
             manner,
@@ -150,12 +150,12 @@
         let mut at = 500;
         while at < busy {
             let order = match self.rng.random_range(0..100) {
-                0..45 => Order::Configure,
-                45..65 => Order::Race,
-                65..75 => Order::Repeat,
-                75..83 => Order::Unsound,
-                83..90 => Order::Unreadable,
-                _ => Order::Evacuate {
+                0..45 => OperatorOrder::Configure,
+                45..65 => OperatorOrder::Race,
+                65..75 => OperatorOrder::Repeat,
+                75..83 => OperatorOrder::Unsound,
+                83..90 => OperatorOrder::Unreadable,
+                _ => OperatorOrder::Evacuate {
                     hall: HALLS[self.rng.random_range(0..HALLS.len())].to_owned(),
                     lasts: self.rng.random_range(3_000..7_000),
                 },
@@ -196,7 +196,7 @@
             let at = first + self.rng.random_range(0..1_000);
             let work = if self.rng.random_bool(0.25) {
                 Fault::Target {
-                    target: self.rng.random_range(0..GUARDS),
+                    target: self.rng.random_range(0..GUARD_COUNT),
                     fault: TargetFault::Leave,
                     lasts: self.rng.random_range(300..1_500),
                 }
--- a/crates/tools/cloverfold_soak/src/plan/draw_faults.rs
+++ b/crates/tools/cloverfold_soak/src/plan/draw_faults.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 
 use super::draw::Draw;
-use super::{CONTROLS, Fault, GUARDS, Millis, TargetFault, Way, list_processes};
+use super::{CONTROL_COUNT, CutDirection, Fault, GUARD_COUNT, Millis, TargetFault, list_processes};
 use crate::records::Process;
 
 /// Two lost disks are so far apart, so that no more are lost at once than one.
@@ -40,11 +40,11 @@
         processes[self.rng.random_range(0..processes.len())]
     }
 
-    fn draw_way(&mut self) -> Way {
+    fn draw_way(&mut self) -> CutDirection {
         match self.rng.random_range(0..3) {
-            0 => Way::Both,
-            1 => Way::Outwards,
-            _ => Way::Inwards,
+            0 => CutDirection::Both,
+            1 => CutDirection::Outwards,
+            _ => CutDirection::Inwards,
         }
     }
 
@@ -72,7 +72,7 @@
             61..66 => Fault::Reset { process },
             66..71 => Fault::Silence { process },
             _ => Fault::Target {
-                target: self.rng.random_range(0..GUARDS),
+                target: self.rng.random_range(0..GUARD_COUNT),
                 fault: self.draw_target_fault(),
                 lasts,
             },
@@ -91,7 +91,7 @@
     }
 
     fn draw_lost_disk(&mut self, at: Millis, away: Millis) -> Fault {
-        let control = self.rng.random_range(0..CONTROLS);
+        let control = self.rng.random_range(0..CONTROL_COUNT);
         if self.may_lose_disk(at) {
             Fault::LoseDisk { control, away }
         } else {
@@ -101,7 +101,7 @@
     }
 
     fn draw_kill_all(&mut self, at: Millis, away: Millis) -> Fault {
-        let control = self.rng.random_range(0..CONTROLS);
+        let control = self.rng.random_range(0..CONTROL_COUNT);
         let is_lost = self.rng.random_bool(0.3) && self.may_lose_disk(at);
         Fault::KillAll {
             away,
--- a/crates/tools/cloverfold_soak/src/plan/file.rs
+++ b/crates/tools/cloverfold_soak/src/plan/file.rs
@@ -4,7 +4,7 @@
 
 use std::path::Path;
 
-use super::{CONTROLS, ENTRIES, Fault, GUARDS, Plan, PlannedOrder};
+use super::{CONTROL_COUNT, ENTRY_COUNT, Fault, GUARD_COUNT, Plan, PlannedOrder};
 use crate::records::Process;
 
 /// Why a plan cannot be read or written.
@@ -40,9 +40,9 @@
 /// Returns what a plan names that is not there.
 fn find_fault_in(plan: &Plan) -> Option<&'static str> {
     let is_there = |process: &Process| match process {
-        Process::Control(index) => *index < CONTROLS,
-        Process::Entry(index) => *index < ENTRIES,
-        Process::Guard(index) => *index < GUARDS,
+        Process::Control(index) => *index < CONTROL_COUNT,
+        Process::Entry(index) => *index < ENTRY_COUNT,
+        Process::Guard(index) => *index < GUARD_COUNT,
     };
     let is_sound = |fault: &Fault| match fault {
         Fault::Stop { process, .. }
@@ -52,18 +52,18 @@
         | Fault::Delay { process, .. }
         | Fault::Reset { process }
         | Fault::Silence { process } => is_there(process),
-        Fault::LoseDisk { control, .. } => *control < CONTROLS,
-        Fault::KillAll { lost_disk, .. } => lost_disk.is_none_or(|control| control < CONTROLS),
+        Fault::LoseDisk { control, .. } => *control < CONTROL_COUNT,
+        Fault::KillAll { lost_disk, .. } => lost_disk.is_none_or(|control| control < CONTROL_COUNT),
         Fault::Cut { side, other, .. } => side.iter().chain(other).all(is_there),
-        Fault::Target { target, .. } => *target < GUARDS,
+        Fault::Target { target, .. } => *target < GUARD_COUNT,
     };
     if !plan.faults.iter().all(|planned| is_sound(&planned.fault)) {
         return Some("a fault names a process that there is not");
     }
-    if plan.jobs.iter().any(|job| job.entry >= ENTRIES) {
+    if plan.jobs.iter().any(|job| job.entry >= ENTRY_COUNT) {
         return Some("a job names an entry that there is not");
     }
-    let has_control = |order: &PlannedOrder| order.control < CONTROLS;
+    let has_control = |order: &PlannedOrder| order.control < CONTROL_COUNT;
     (!plan.orders.iter().all(has_control))
         .then_some("an order names a control process that there is not")
 }
--- a/crates/tools/cloverfold_soak/src/plan/mod.rs
+++ b/crates/tools/cloverfold_soak/src/plan/mod.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use draw::{PlanLength, draw_calm_plan, draw_plan};
+pub use draw::{PlanLength, generate_fault_free_plan, generate_plan};
 pub use file::{PlanFileError, read_plan, write_plan};
 
 use crate::records::{HallName, Process, TargetIndex};
@@ -17,20 +17,20 @@
 /// Milliseconds since the start of the soak, or a span of so many.
 pub type Millis = u64;
 
-/// Control processes of the installation.
-pub const CONTROLS: usize = 3;
-/// Entries of the installation.
-pub const ENTRIES: usize = 3;
-/// Guards of the installation, each with a target.
-pub const GUARDS: usize = 5;
+/// Number of control processes of the installation.
+pub const CONTROL_COUNT: usize = 3;
+/// Number of entries of the installation.
+pub const ENTRY_COUNT: usize = 3;
+/// Number of guards of the installation, each with a target.
+pub const GUARD_COUNT: usize = 5;
 /// The data halls; processes of each kind are spread over them in turn.
 pub const HALLS: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
 
 /// Returns all processes of the installation.
 pub fn list_processes() -> Vec<Process> {
-    let controls = (0..CONTROLS).map(Process::Control);
-    let entries = (0..ENTRIES).map(Process::Entry);
-    let guards = (0..GUARDS).map(Process::Guard);
+    let controls = (0..CONTROL_COUNT).map(Process::Control);
+    let entries = (0..ENTRY_COUNT).map(Process::Entry);
+    let guards = (0..GUARD_COUNT).map(Process::Guard);
     controls.chain(entries).chain(guards).collect()
 }
 
@@ -61,12 +61,12 @@
     /// How long each task works.
     pub work: Millis,
     /// What its caller does.
-    pub manner: Manner,
+    pub manner: CallerBehavior,
 }
 
-/// What a caller does.
+/// How a caller behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Manner {
+pub enum CallerBehavior {
     /// Waits, and sends again what got no answer.
     Patient,
     /// As a patient one, and sends again what was refused.
@@ -87,9 +87,9 @@
     pub fault: Fault,
 }
 
-/// Which way nothing passes.
+/// The direction in which a link carries no traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Way {
+pub enum CutDirection {
     /// Neither way.
     Both,
     /// Away from the side that is named first.
@@ -143,7 +143,7 @@
         /// The other side.
         other: Vec<Process>,
         /// Which way.
-        way: Way,
+        way: CutDirection,
         /// How long.
         lasts: Millis,
     },
@@ -152,7 +152,7 @@
         /// Which process.
         process: Process,
         /// Which way, from the process.
-        way: Way,
+        way: CutDirection,
         /// How long.
         lasts: Millis,
     },
@@ -233,12 +233,12 @@
     /// The control process that it is sent to first.
     pub control: usize,
     /// What is ordered.
-    pub order: Order,
+    pub order: OperatorOrder,
 }
 
 /// What an operator orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Order {
+pub enum OperatorOrder {
     /// A valid configuration of a higher version, sent until it is acknowledged.
     Configure,
     /// Two such at the same moment, to two control processes.
--- a/crates/tools/cloverfold_soak/src/records.rs
+++ b/crates/tools/cloverfold_soak/src/records.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Time since the start of the soak.
-pub type At = Duration;
+pub type Elapsed = Duration;
 /// The name of a job, chosen by its caller.
 pub type JobName = String;
 /// The name of a data hall.
@@ -68,11 +68,11 @@
     /// The life of the target.
     pub incarnation: u64,
     /// When it began.
-    pub started_at: At,
+    pub started_at: Elapsed,
     /// Whether the target carried out the order long after it came.
     pub is_late: bool,
     /// When and how it ended; `None` while it runs.
-    pub end: Option<(At, RunEnd)>,
+    pub end: Option<(Elapsed, RunEnd)>,
 }
 
 /// What became of one send of a caller.
@@ -108,9 +108,9 @@
     /// The entry that it was sent to.
     pub entry: usize,
     /// When it was sent.
-    pub sent_at: At,
+    pub sent_at: Elapsed,
     /// What came of it; `None` while the caller waits.
-    pub outcome: Option<(At, Outcome)>,
+    pub outcome: Option<(Elapsed, Outcome)>,
 }
 
 /// A target has told its guard that it leaves, and the guard has acknowledged it.
@@ -121,7 +121,7 @@
     /// The life of the target.
     pub incarnation: u64,
     /// When the acknowledgement came.
-    pub acknowledged_at: At,
+    pub acknowledged_at: Elapsed,
 }
 
 /// What an operator was told of an order.
@@ -143,9 +143,9 @@
     /// Whether it is valid.
     pub is_valid: bool,
     /// When it was sent.
-    pub sent_at: At,
+    pub sent_at: Elapsed,
     /// When and how it was answered; `None` while the operator waits.
-    pub answer: Option<(At, OrderAnswer)>,
+    pub answer: Option<(Elapsed, OrderAnswer)>,
 }
 
 /// A configuration that a control process showed.
@@ -154,7 +154,7 @@
     /// Which control process.
     pub control: usize,
     /// When it was asked.
-    pub asked_at: At,
+    pub asked_at: Elapsed,
     /// The version that it showed.
     pub version: Version,
     /// Whether its text is that of a valid configuration sent under this version.
@@ -169,9 +169,9 @@
     /// The life of the entry's process.
     pub life: u64,
     /// When it was asked.
-    pub asked_at: At,
+    pub asked_at: Elapsed,
     /// When it answered.
-    pub answered_at: At,
+    pub answered_at: Elapsed,
     /// The first version that has the queue.
     pub version: Version,
     /// The last version that has it.
@@ -180,9 +180,9 @@
     pub is_known: bool,
 }
 
-/// What an operator wants of a data hall.
+/// What an operator orders for a data hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HallWish {
+pub enum HallAction {
     /// To empty it.
     Evacuate,
     /// To use it again.
@@ -195,11 +195,11 @@
     /// The hall.
     pub hall: HallName,
     /// What is wanted.
-    pub wish: HallWish,
+    pub wish: HallAction,
     /// When it was sent first.
-    pub sent_at: At,
+    pub sent_at: Elapsed,
     /// When it was acknowledged; `None` if it never was.
-    pub acknowledged_at: Option<At>,
+    pub acknowledged_at: Option<Elapsed>,
 }
 
 /// The evacuated halls that a control process showed.
@@ -208,9 +208,9 @@
     /// Which control process.
     pub control: usize,
     /// When it was asked.
-    pub asked_at: At,
+    pub asked_at: Elapsed,
     /// When it answered.
-    pub answered_at: At,
+    pub answered_at: Elapsed,
     /// The halls.
     pub halls: Vec<HallName>,
 }
@@ -234,9 +234,9 @@
     /// Whether it is planned work.
     pub is_planned: bool,
     /// When it began.
-    pub from: At,
+    pub from: Elapsed,
     /// When it was over; `None` while it lasts.
-    pub until: Option<At>,
+    pub until: Option<Elapsed>,
 }
 
 /// A process was asked to stop.
@@ -245,25 +245,25 @@
     /// The process.
     pub process: Process,
     /// When it was asked.
-    pub asked_at: At,
+    pub asked_at: Elapsed,
     /// When it had exited; `None` while it stops.
-    pub exited_at: Option<At>,
+    pub exited_at: Option<Elapsed>,
 }
 
-/// A process ended though nobody had asked it to.
+/// A process exited without being asked to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OwnEnd {
+pub struct UnexpectedExit {
     /// The process.
     pub process: Process,
     /// When that was seen.
-    pub at: At,
+    pub at: Elapsed,
 }
 
 /// Everything that was seen up to a moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
     /// How far the records go.
-    pub now: At,
+    pub now: Elapsed,
     /// Whether the soak is over: what has not happened by now never will.
     pub is_over: bool,
     /// All runs, in no order.
@@ -289,5 +289,5 @@
     /// All planned stops.
     pub stops: Vec<PlannedStop>,
     /// All processes that ended by themselves.
-    pub own_ends: Vec<OwnEnd>,
+    pub own_ends: Vec<UnexpectedExit>,
 }
--- a/crates/tools/cloverfold_soak/src/run/callers.rs
+++ b/crates/tools/cloverfold_soak/src/run/callers.rs
@@ -13,7 +13,7 @@
 use super::exchange::exchange;
 use super::installation::Installation;
 use super::layout::Side;
-use crate::plan::{Manner, PlannedJob};
+use crate::plan::{CallerBehavior, PlannedJob};
 use crate::records::{Attempt, Outcome, Process};
 
 /// How long a caller waits, which it also tells.
@@ -41,7 +41,7 @@
         let outcome = send_once(installation, job, planned, entry).await;
         let pause = match (outcome, planned.manner) {
             (Outcome::Broken | Outcome::TimedOut | Outcome::GivenUp, _) => RESEND,
-            (Outcome::Refused, Manner::Insistent) => AFTER_REFUSAL,
+            (Outcome::Refused, CallerBehavior::Insistent) => AFTER_REFUSAL,
             _ => return,
         };
         sleep(pause).await;
@@ -70,8 +70,8 @@
         .layout
         .interface(Process::Entry(entry), Side::Outer);
     let (limit, at_limit) = match planned.manner {
-        Manner::Leaves { after } => (Duration::from_millis(after), Outcome::Left),
-        Manner::Patient | Manner::Insistent => (PATIENCE, Outcome::TimedOut),
+        CallerBehavior::Leaves { after } => (Duration::from_millis(after), Outcome::Left),
+        CallerBehavior::Patient | CallerBehavior::Insistent => (PATIENCE, Outcome::TimedOut),
     };
     let outcome = match timeout(limit, exchange(address, request)).await {
         Ok(Some((status, body))) => read_answer(status, &body),
--- a/crates/tools/cloverfold_soak/src/run/findings.rs
+++ b/crates/tools/cloverfold_soak/src/run/findings.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use super::{LogMark, Report};
+use super::{LogOffset, SoakReport};
 use crate::plan::{Plan, PlanFileError, write_plan};
 
 /// Lines are kept from so long before a finding.
@@ -32,7 +32,11 @@
 /// # Errors
 ///
 /// Returns which file cannot be written.
-pub fn write_findings(plan: &Plan, report: &Report, folder: &Path) -> Result<(), FindingsError> {
+pub fn write_findings(
+    plan: &Plan,
+    report: &SoakReport,
+    folder: &Path,
+) -> Result<(), FindingsError> {
     write_plan(plan, &folder.join("plan.json"))?;
     let violations = serde_json::to_string_pretty(&report.violations)?;
     write_text(&folder.join("findings.json"), &violations)?;
@@ -42,7 +46,7 @@
         return Ok(());
     };
     let around = folder.join("around.log");
-    write_lines_around(&report.marks, first.at, &around)
+    write_lines_around(&report.log_offsets, first.at, &around)
         .map_err(|cause| FindingsError::File(around.display().to_string(), cause))
 }
 
@@ -52,14 +56,14 @@
 }
 
 /// Copies from each log what was written around a moment.
-fn write_lines_around(marks: &[LogMark], at: Duration, file: &Path) -> std::io::Result<()> {
+fn write_lines_around(log_offsets: &[LogOffset], at: Duration, file: &Path) -> std::io::Result<()> {
     let mut out = std::fs::File::create(file)?;
-    let mut logs: Vec<&PathBuf> = marks.iter().map(|mark| &mark.log).collect();
+    let mut logs: Vec<&PathBuf> = log_offsets.iter().map(|offset| &offset.log).collect();
     logs.sort();
     logs.dedup();
     let spans: HashMap<&PathBuf, (u64, u64)> = logs
         .iter()
-        .map(|log| (*log, find_span(marks, log, at)))
+        .map(|log| (*log, find_span(log_offsets, log, at)))
         .collect();
     for log in logs {
         let (from, until) = spans[log];
@@ -74,12 +78,12 @@
 }
 
 /// Returns from where to where a log was written around a moment, by the marks next to it.
-fn find_span(marks: &[LogMark], log: &Path, at: Duration) -> (u64, u64) {
-    let own = || marks.iter().filter(|mark| mark.log == log);
-    let before = own().filter(|mark| mark.at + BEFORE <= at);
-    let from = before.map(|mark| mark.len).max().unwrap_or_default();
-    let after = own().filter(|mark| mark.at >= at + AFTER);
-    let last = own().map(|mark| mark.len).max().unwrap_or_default();
-    let until = after.map(|mark| mark.len).min().unwrap_or(last);
+fn find_span(log_offsets: &[LogOffset], log: &Path, at: Duration) -> (u64, u64) {
+    let own = || log_offsets.iter().filter(|offset| offset.log == log);
+    let before = own().filter(|offset| offset.at + BEFORE <= at);
+    let from = before.map(|offset| offset.len).max().unwrap_or_default();
+    let after = own().filter(|offset| offset.at >= at + AFTER);
+    let last = own().map(|offset| offset.len).max().unwrap_or_default();
+    let until = after.map(|offset| offset.len).min().unwrap_or(last);
     (from, until.max(from))
 }
--- a/crates/tools/cloverfold_soak/src/run/installation.rs
+++ b/crates/tools/cloverfold_soak/src/run/installation.rs
@@ -18,7 +18,7 @@
 use super::recorder::Recorder;
 use super::target_faults::send_heartbeats;
 use super::{SoakError, operators};
-use crate::plan::{ENTRIES, GUARDS, HALLS, list_processes};
+use crate::plan::{ENTRY_COUNT, GUARD_COUNT, HALLS, list_processes};
 use crate::records::{OrderAnswer, Process};
 
 /// How long the installation may take until it serves.
@@ -49,7 +49,7 @@
     pub(crate) target_care: Vec<tokio::sync::Mutex<()>>,
     pub(crate) recorder: Recorder,
     /// What the balancer thinks of each entry.
-    pub(crate) ready: [AtomicBool; ENTRIES],
+    pub(crate) ready: [AtomicBool; ENTRY_COUNT],
     next_version: AtomicU64,
     hall_care: Mutex<HashSet<String>>,
     is_founded: AtomicBool,
@@ -92,9 +92,11 @@
             links,
             slots: list_processes().into_iter().map(slot).collect(),
             targets,
-            target_care: (0..GUARDS).map(|_| tokio::sync::Mutex::new(())).collect(),
+            target_care: (0..GUARD_COUNT)
+                .map(|_| tokio::sync::Mutex::new(()))
+                .collect(),
             recorder: new_recorder(),
-            ready: [const { AtomicBool::new(false) }; ENTRIES],
+            ready: [const { AtomicBool::new(false) }; ENTRY_COUNT],
             next_version: AtomicU64::new(FIRST_VERSION + 1),
             hall_care: Mutex::default(),
             is_founded: AtomicBool::new(false),
@@ -140,7 +142,7 @@
     }
 
     async fn are_entries_ready(&self) -> bool {
-        for entry in 0..ENTRIES {
+        for entry in 0..ENTRY_COUNT {
             let asked = operators::send(
                 self.layout.ready(entry),
                 http::Method::GET,
@@ -197,9 +199,9 @@
 
     /// Returns the wanted entry, or the next one that is ready; the wanted one if none is.
     pub(crate) fn choose_entry(&self, wanted: usize) -> usize {
-        let mut entries = (0..ENTRIES).map(|step| (wanted + step) % ENTRIES);
+        let mut entries = (0..ENTRY_COUNT).map(|step| (wanted + step) % ENTRY_COUNT);
         let ready = entries.find(|entry| self.ready[*entry].load(Ordering::Relaxed));
-        ready.unwrap_or(wanted % ENTRIES)
+        ready.unwrap_or(wanted % ENTRY_COUNT)
     }
 
     pub(crate) fn next_version(&self) -> u64 {
@@ -237,7 +239,7 @@
 }
 
 fn new_recorder() -> Recorder {
-    let halls = (0..GUARDS).map(|index| HALLS[index % HALLS.len()].to_owned());
+    let halls = (0..GUARD_COUNT).map(|index| HALLS[index % HALLS.len()].to_owned());
     Recorder::new(halls.collect())
 }
 
@@ -252,7 +254,7 @@
             registration: layout.interface(guard, Side::Outer),
         })
     };
-    (0..GUARDS).map(start).collect()
+    (0..GUARD_COUNT).map(start).collect()
 }
 
 /// One operator's care for a hall.
--- a/crates/tools/cloverfold_soak/src/run/layout.rs
+++ b/crates/tools/cloverfold_soak/src/run/layout.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU8, Ordering};
 
-use crate::plan::{CONTROLS, HALLS};
+use crate::plan::{CONTROL_COUNT, HALLS};
 use crate::records::Process;
 
 /// From the last number of the address at which a process is reached to that at which it listens.
@@ -145,7 +145,7 @@
     fn write_peer(&self, process: Process) -> String {
         let (ip, listen_ip) = (self.ip(process, Side::Outer), self.ip(process, Side::Inner));
         let (hall, port, metrics) = (self.hall(process), self.port, self.port + METRICS);
-        let seeds: Vec<String> = (0..CONTROLS)
+        let seeds: Vec<String> = (0..CONTROL_COUNT)
             .map(|index| self.peer(Process::Control(index), Side::Outer).to_string())
             .collect();
         format!(
--- a/crates/tools/cloverfold_soak/src/run/links.rs
+++ b/crates/tools/cloverfold_soak/src/run/links.rs
@@ -11,7 +11,7 @@
 use cloverfold_peer::PeerMessage;
 
 use super::layout::{Layout, Side};
-use crate::plan::{GUARDS, Way, list_processes};
+use crate::plan::{CutDirection, GUARD_COUNT, list_processes};
 use crate::records::Process;
 
 /// A fault of links that lasts.
@@ -21,15 +21,15 @@
     Cut {
         side: Vec<Process>,
         other: Vec<Process>,
-        way: Way,
+        way: CutDirection,
     },
     /// Nothing passes between a process and its callers, operators or target.
-    CutOff { process: Process, way: Way },
+    CutOff { process: Process, way: CutDirection },
     /// All that passes to and from a process is late.
     Delay { process: Process, by: Duration },
 }
 
-impl Way {
+impl CutDirection {
     fn is_outwards(self) -> bool {
         self != Self::Inwards
     }
@@ -94,7 +94,7 @@
             let interface = LinkProxy::start(outer, inner, name_nobody)?;
             links.interfaces.insert(process, interface);
         }
-        for guard in 0..GUARDS {
+        for guard in 0..GUARD_COUNT {
             let (outer, inner) = (
                 layout.target(guard, Side::Outer),
                 layout.target(guard, Side::Inner),
--- a/crates/tools/cloverfold_soak/src/run/mod.rs
+++ b/crates/tools/cloverfold_soak/src/run/mod.rs
@@ -47,20 +47,20 @@
     NotServing(&'static str),
 }
 
-/// What a play has shown.
+/// The result of a soak.
 #[derive(Debug)]
-pub struct Report {
+pub struct SoakReport {
     /// All that was seen.
     pub history: History,
     /// The promises that broke, the earliest first.
     pub violations: Vec<Violation>,
-    /// How long each log was at certain moments.
-    pub marks: Vec<LogMark>,
+    /// Lengths of the logs over time.
+    pub log_offsets: Vec<LogOffset>,
 }
 
-/// How long a log was at a moment.
+/// The length of a log at one time.
 #[derive(Clone, Debug)]
-pub struct LogMark {
+pub struct LogOffset {
     /// When.
     pub at: Duration,
     /// Which log.
@@ -113,18 +113,18 @@
     }
 }
 
-/// Plays a plan in a folder, which holds settings, data and logs afterwards. Ends early when a promise breaks.
+/// Runs a plan in a folder, which holds settings, data and logs afterwards. Ends early at the first violation.
 ///
 /// # Errors
 ///
 /// Returns why the soak could not run; that tells nothing about the promises.
-pub async fn play(
+pub async fn run_plan(
     plan: &Plan,
     programs: &Programs,
     folder: &Path,
     bounds: &Bounds,
     mut tell: impl FnMut(Duration, Counts),
-) -> Result<Report, SoakError> {
+) -> Result<SoakReport, SoakError> {
     let installation = Arc::new(Installation::start(programs, folder).await?);
     let mut tasks = JoinSet::new();
     let mut background = JoinSet::new();
@@ -132,12 +132,12 @@
     spawn_plan(plan, &installation, &mut tasks);
 
     let end = Instant::now() + Duration::from_millis(plan.length);
-    let mut marks = Vec::new();
+    let mut log_offsets = Vec::new();
     let mut broken = false;
     while Instant::now() < end && !broken {
         sleep(CHECK_INTERVAL.min(end - Instant::now())).await;
         let history = installation.snapshot(false);
-        installation.mark_logs(&mut marks);
+        installation.record_log_offsets(&mut log_offsets);
         broken = !find_violations(&history, bounds).is_empty();
         tell(history.now, Counts::of(&history));
     }
@@ -146,13 +146,13 @@
         // Those that still wait are left: their sends have no outcome.
         let _ = timeout_at(Instant::now() + LAST_WAIT, all_ended).await;
     }
-    installation.mark_logs(&mut marks);
+    installation.record_log_offsets(&mut log_offsets);
     let history = installation.snapshot(!broken);
     let violations = find_violations(&history, bounds);
-    Ok(Report {
+    Ok(SoakReport {
         history,
         violations,
-        marks,
+        log_offsets,
     })
 }
 
--- a/crates/tools/cloverfold_soak/src/run/observers.rs
+++ b/crates/tools/cloverfold_soak/src/run/observers.rs
@@ -18,8 +18,8 @@
 use super::installation::Installation;
 use super::layout::Side;
 use super::operators::send;
-use crate::plan::{CONTROLS, ENTRIES};
-use crate::records::{ConfigurationRead, HallRead, OwnEnd, Probe, Process};
+use crate::plan::{CONTROL_COUNT, ENTRY_COUNT};
+use crate::records::{ConfigurationRead, HallRead, Probe, Process, UnexpectedExit};
 
 /// How often the balancer asks.
 const READINESS_INTERVAL: Duration = Duration::from_millis(500);
@@ -36,11 +36,11 @@
 
 /// Starts all who look on.
 pub(crate) fn spawn_observers(installation: &Arc<Installation>, tasks: &mut JoinSet<()>) {
-    for entry in 0..ENTRIES {
+    for entry in 0..ENTRY_COUNT {
         tasks.spawn(follow_readiness(installation.clone(), entry));
         tasks.spawn(probe_entry(installation.clone(), entry));
     }
-    for control in 0..CONTROLS {
+    for control in 0..CONTROL_COUNT {
         tasks.spawn(read_control(installation.clone(), control));
     }
     tasks.spawn(watch_exits(installation.clone()));
@@ -162,7 +162,7 @@
         sleep(EXIT_INTERVAL).await;
         for process in installation.take_own_ends() {
             let at = installation.recorder.now();
-            let end = OwnEnd { process, at };
+            let end = UnexpectedExit { process, at };
             installation.recorder.lock().own_ends.push(end);
         }
     }
--- a/crates/tools/cloverfold_soak/src/run/operators.rs
+++ b/crates/tools/cloverfold_soak/src/run/operators.rs
@@ -12,8 +12,8 @@
 use super::exchange::exchange;
 use super::installation::Installation;
 use super::layout::Side;
-use crate::plan::{CONTROLS, Order, PlannedOrder};
-use crate::records::{HallOrder, HallWish, OrderAnswer, Process};
+use crate::plan::{CONTROL_COUNT, OperatorOrder, PlannedOrder};
+use crate::records::{HallAction, HallOrder, OrderAnswer, Process};
 
 /// How long an operator waits for an answer.
 const PATIENCE: Duration = Duration::from_millis(3_000);
@@ -28,21 +28,21 @@
 pub(crate) async fn carry_out(installation: &Installation, planned: &PlannedOrder) {
     let control = planned.control;
     match &planned.order {
-        Order::Configure => configure(installation, control).await,
-        Order::Race => {
+        OperatorOrder::Configure => configure(installation, control).await,
+        OperatorOrder::Race => {
             let other = configure(installation, control + 1);
             tokio::join!(configure(installation, control), other);
         }
-        Order::Repeat => repeat(installation, control).await,
-        Order::Unsound => {
+        OperatorOrder::Repeat => repeat(installation, control).await,
+        OperatorOrder::Unsound => {
             let text = unsound_configuration;
             send_invalid(installation, control, text).await;
         }
-        Order::Unreadable => {
+        OperatorOrder::Unreadable => {
             let text = unreadable_configuration;
             send_invalid(installation, control, text).await;
         }
-        Order::Evacuate { hall, lasts } => {
+        OperatorOrder::Evacuate { hall, lasts } => {
             evacuate(installation, control, hall, Duration::from_millis(*lasts)).await;
         }
     }
@@ -67,7 +67,7 @@
 ) {
     let text = configuration(version);
     for send in 0..MAX_SENDS {
-        let control = (control + send) % CONTROLS;
+        let control = (control + send) % CONTROL_COUNT;
         if put(installation, control, version, true, &text).await != OrderAnswer::Unknown {
             return;
         }
@@ -79,7 +79,7 @@
     let version = installation.next_version();
     let text = write(version);
     for send in 0..MAX_INVALID_SENDS {
-        let control = (control + send) % CONTROLS;
+        let control = (control + send) % CONTROL_COUNT;
         if put(installation, control, version, false, &text).await != OrderAnswer::Unknown {
             return;
         }
@@ -119,12 +119,12 @@
     let Some(_care) = installation.care_for_hall(hall) else {
         return;
     };
-    order_hall(installation, control, hall, HallWish::Evacuate).await;
+    order_hall(installation, control, hall, HallAction::Evacuate).await;
     sleep(lasts).await;
-    order_hall(installation, control + 1, hall, HallWish::TakeBack).await;
+    order_hall(installation, control + 1, hall, HallAction::TakeBack).await;
 }
 
-async fn order_hall(installation: &Installation, control: usize, hall: &str, wish: HallWish) {
+async fn order_hall(installation: &Installation, control: usize, hall: &str, wish: HallAction) {
     let recorder = &installation.recorder;
     let number = recorder.begin_hall_order(HallOrder {
         hall: hall.to_owned(),
@@ -133,12 +133,12 @@
         acknowledged_at: None,
     });
     let method = match wish {
-        HallWish::Evacuate => Method::POST,
-        HallWish::TakeBack => Method::DELETE,
+        HallAction::Evacuate => Method::POST,
+        HallAction::TakeBack => Method::DELETE,
     };
     let path = format!("/v1/evacuations/{hall}");
     for attempt in 0..MAX_SENDS {
-        let address = installation.operator((control + attempt) % CONTROLS);
+        let address = installation.operator((control + attempt) % CONTROL_COUNT);
         let answer = send(address, method.clone(), &path, "").await;
         if answer.is_some_and(|(status, _)| status == StatusCode::OK) {
             recorder.acknowledge_hall_order(number);
@@ -168,7 +168,7 @@
 impl Installation {
     /// Returns where operators reach a control process.
     pub(crate) fn operator(&self, control: usize) -> SocketAddr {
-        let process = Process::Control(control % CONTROLS);
+        let process = Process::Control(control % CONTROL_COUNT);
         self.layout.interface(process, Side::Outer)
     }
 }
--- a/crates/tools/cloverfold_soak/src/run/recorder.rs
+++ b/crates/tools/cloverfold_soak/src/run/recorder.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use crate::records::{
-    At, Attempt, ConfigurationOrder, Disturbance, HallOrder, History, OrderAnswer, Outcome,
+    Attempt, ConfigurationOrder, Disturbance, Elapsed, HallOrder, History, OrderAnswer, Outcome,
     PlannedStop, Process, Scope,
 };
 
@@ -26,12 +26,12 @@
         }
     }
 
-    pub(crate) fn now(&self) -> At {
+    pub(crate) fn now(&self) -> Elapsed {
         self.began.elapsed()
     }
 
     /// Returns a moment on the clock of the records.
-    pub(crate) fn time_of(&self, moment: Instant) -> At {
+    pub(crate) fn time_of(&self, moment: Instant) -> Elapsed {
         moment.saturating_duration_since(self.began)
     }
 
--- a/crates/tools/cloverfold_soak/src/run/snapshot.rs
+++ b/crates/tools/cloverfold_soak/src/run/snapshot.rs
@@ -2,7 +2,7 @@
 
 use cloverfold_stand_ins::target::SeenEnd;
 
-use super::LogMark;
+use super::LogOffset;
 use super::installation::Installation;
 use crate::records::{History, Run, RunEnd};
 
@@ -32,12 +32,12 @@
     }
 
     /// Takes down how long all logs are now.
-    pub(crate) fn mark_logs(&self, marks: &mut Vec<LogMark>) {
+    pub(crate) fn record_log_offsets(&self, log_offsets: &mut Vec<LogOffset>) {
         let at = self.recorder.now();
         for slot in &self.slots {
             let log = self.layout.log(slot.process);
             let len = std::fs::metadata(&log).map_or(0, |found| found.len());
-            marks.push(LogMark { at, log, len });
+            log_offsets.push(LogOffset { at, log, len });
         }
     }
 }
--- a/crates/tools/cloverfold_soak/tests/checker.rs
+++ b/crates/tools/cloverfold_soak/tests/checker.rs
@@ -4,18 +4,18 @@
 
 use std::time::Duration;
 
-use cloverfold_soak::checker::{Bounds, Promise, find_violations};
+use cloverfold_soak::checker::{Bounds, Guarantee, find_violations};
 use cloverfold_soak::records::{
-    At, Attempt, ConfigurationOrder, ConfigurationRead, Disturbance, Drain, HallOrder, HallRead,
-    HallWish, History, OrderAnswer, Outcome, OwnEnd, PlannedStop, Probe, Process, Run, RunEnd,
-    Scope,
+    Attempt, ConfigurationOrder, ConfigurationRead, Disturbance, Drain, Elapsed, HallAction,
+    HallOrder, HallRead, History, OrderAnswer, Outcome, PlannedStop, Probe, Process, Run, RunEnd,
+    Scope, UnexpectedExit,
 };
 
 const JOB: &str = "00000001";
 /// A moment at which nothing has happened yet, far enough from the start that no bound reaches back to it.
 const EARLY: f64 = 10.0;
 
-fn at(seconds: f64) -> At {
+fn at(seconds: f64) -> Elapsed {
     Duration::from_secs_f64(seconds)
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-fn hall_order(wish: HallWish, from: f64, until: f64) -> HallOrder {
+fn hall_order(wish: HallAction, from: f64, until: f64) -> HallOrder {
     HallOrder {
         hall: "hall-a".into(),
         wish,
@@ -109,7 +109,7 @@
     }
 }
 
-fn find(history: &History) -> Vec<Promise> {
+fn find(history: &History) -> Vec<Guarantee> {
     let violations = find_violations(history, &Bounds::default());
     violations
         .iter()
@@ -144,7 +144,7 @@
         ..minute()
     };
 
-    assert_eq!(find(&history), [Promise::OneRunAtOnce]);
+    assert_eq!(find(&history), [Guarantee::OneRunAtOnce]);
 }
 
 #[test]
@@ -162,7 +162,7 @@
         ..minute()
     };
 
-    assert_eq!(find(&history), [Promise::OneRunAtOnce; 2]);
+    assert_eq!(find(&history), [Guarantee::OneRunAtOnce; 2]);
 }
 
 #[test]
@@ -191,7 +191,7 @@
         ..minute()
     };
 
-    assert_eq!(find(&history), [Promise::WholeAnswer]);
+    assert_eq!(find(&history), [Guarantee::WholeAnswer]);
 }
 
 #[test]
@@ -206,7 +206,7 @@
         ..minute()
     };
 
-    assert_eq!(find(&history), [Promise::WholeAnswer]);
+    assert_eq!(find(&history), [Guarantee::WholeAnswer]);
 }
 
 #[test]
@@ -221,7 +221,7 @@
     let twice = history(vec![failed(10.1), failed(10.3)]);
     let three_times = history(vec![failed(10.1), failed(10.3), failed(10.5)]);
 
-    assert_eq!(find(&twice), [Promise::TrueFailure]);
+    assert_eq!(find(&twice), [Guarantee::TrueFailure]);
     assert_eq!(find(&three_times), []);
 }
 
@@ -232,7 +232,7 @@
         ..minute()
     };
 
-    assert_eq!(find(&history), [Promise::KnownAnswer]);
+    assert_eq!(find(&history), [Guarantee::KnownAnswer]);
 }
 
 #[test]
@@ -246,7 +246,7 @@
         ..minute()
     };
 
-    assert_eq!(find(&history), [Promise::TrueRefusal]);
+    assert_eq!(find(&history), [Guarantee::TrueRefusal]);
 }
 
 #[test]
@@ -278,7 +278,7 @@
 
 #[test]
 fn new_work_at_a_target_that_leaves_is_found_after_the_bound() {
-    assert_eq!(find(&leaving(22.1, vec![])), [Promise::NoWorkForLeaving]);
+    assert_eq!(find(&leaving(22.1, vec![])), [Guarantee::NoWorkForLeaving]);
     assert_eq!(find(&leaving(21.9, vec![])), []);
 }
 
@@ -289,7 +289,7 @@
     let far = vec![disturbance(guard, false, 5.0, 6.0)];
 
     assert_eq!(find(&leaving(22.1, near)), []);
-    assert_eq!(find(&leaving(22.1, far)), [Promise::NoWorkForLeaving]);
+    assert_eq!(find(&leaving(22.1, far)), [Guarantee::NoWorkForLeaving]);
 }
 
 fn stopped(process: Process) -> History {
@@ -316,7 +316,7 @@
         ..stopped(Process::Entry(0))
     };
 
-    assert_eq!(find(&history(20.5, 21.0)), [Promise::StopCutsNothing]);
+    assert_eq!(find(&history(20.5, 21.0)), [Guarantee::StopCutsNothing]);
     // It may not have been read.
     assert_eq!(find(&history(20.5, 20.6)), []);
 }
@@ -329,7 +329,7 @@
         ..stopped(Process::Entry(0))
     };
 
-    assert_eq!(find(&history), [Promise::StopCutsNothing]);
+    assert_eq!(find(&history), [Guarantee::StopCutsNothing]);
 }
 
 #[test]
@@ -352,7 +352,7 @@
         ..stopped(Process::Guard(0))
     };
 
-    assert_eq!(find(&history(RunEnd::Lapsed)), [Promise::StopCutsNothing]);
+    assert_eq!(find(&history(RunEnd::Lapsed)), [Guarantee::StopCutsNothing]);
     assert_eq!(find(&history(RunEnd::Done)), []);
 }
 
@@ -363,7 +363,7 @@
         ..stopped(Process::Guard(0))
     };
 
-    assert_eq!(find(&history(23.2)), [Promise::StopCutsNothing]);
+    assert_eq!(find(&history(23.2)), [Guarantee::StopCutsNothing]);
     assert_eq!(find(&history(22.99)), []);
 }
 
@@ -381,14 +381,14 @@
 #[test]
 fn a_process_that_ends_by_itself_is_found() {
     let history = History {
-        own_ends: vec![OwnEnd {
+        own_ends: vec![UnexpectedExit {
             process: Process::Control(1),
             at: at(EARLY),
         }],
         ..minute()
     };
 
-    assert_eq!(find(&history), [Promise::NoOwnEnd]);
+    assert_eq!(find(&history), [Guarantee::NoOwnEnd]);
 }
 
 #[test]
@@ -403,7 +403,7 @@
         ..minute()
     };
 
-    assert_eq!(find(&history), [Promise::RightVerdict; 2]);
+    assert_eq!(find(&history), [Guarantee::RightVerdict; 2]);
 }
 
 #[test]
@@ -417,7 +417,7 @@
         ..minute()
     };
 
-    assert_eq!(find(&history(13.1)), [Promise::NewestIsRead]);
+    assert_eq!(find(&history(13.1)), [Guarantee::NewestIsRead]);
     assert_eq!(find(&history(12.9)), []);
 }
 
@@ -432,7 +432,7 @@
         ..minute()
     };
 
-    assert_eq!(find(&history), [Promise::ShownAsSent]);
+    assert_eq!(find(&history), [Guarantee::ShownAsSent]);
 }
 
 fn probed(asked: f64, disturbances: Vec<Disturbance>) -> History {
@@ -446,7 +446,7 @@
 
 #[test]
 fn an_acknowledged_configuration_that_is_not_in_force_is_found_after_the_bound() {
-    assert_eq!(find(&probed(13.1, vec![])), [Promise::InForceInTime]);
+    assert_eq!(find(&probed(13.1, vec![])), [Guarantee::InForceInTime]);
     assert_eq!(find(&probed(12.9, vec![])), []);
 }
 
@@ -460,7 +460,7 @@
 
     assert_eq!(of_scope(entry), []);
     assert_eq!(of_scope(control), []);
-    assert_eq!(of_scope(other), [Promise::InForceInTime]);
+    assert_eq!(of_scope(other), [Guarantee::InForceInTime]);
 }
 
 #[test]
@@ -477,7 +477,7 @@
         ..minute()
     };
 
-    assert_eq!(find(&history(1)), [Promise::NeverReverts]);
+    assert_eq!(find(&history(1)), [Guarantee::NeverReverts]);
     // Another life of its process may begin with an older one.
     assert_eq!(find(&history(2)), []);
 }
@@ -495,8 +495,8 @@
     History {
         runs: vec![run(0, started, started + 0.1, RunEnd::Done)],
         hall_orders: vec![
-            hall_order(HallWish::Evacuate, 20.0, 20.5),
-            hall_order(HallWish::TakeBack, 30.0, 30.5),
+            hall_order(HallAction::Evacuate, 20.0, 20.5),
+            hall_order(HallAction::TakeBack, 30.0, 30.5),
         ],
         ..minute()
     }
@@ -504,7 +504,7 @@
 
 #[test]
 fn a_start_in_an_evacuated_hall_is_found_after_the_bound() {
-    assert_eq!(find(&evacuated(22.6)), [Promise::HallStaysEmpty]);
+    assert_eq!(find(&evacuated(22.6)), [Guarantee::HallStaysEmpty]);
     assert_eq!(find(&evacuated(22.4)), []);
     assert_eq!(find(&evacuated(30.1)), []);
 }
@@ -525,8 +525,11 @@
         ..evacuated(0.0)
     };
 
-    assert_eq!(find(&listed(21.0, &[])), [Promise::HallsAsOrdered]);
-    assert_eq!(find(&listed(31.0, &["hall-a"])), [Promise::HallsAsOrdered]);
+    assert_eq!(find(&listed(21.0, &[])), [Guarantee::HallsAsOrdered]);
+    assert_eq!(
+        find(&listed(31.0, &["hall-a"])),
+        [Guarantee::HallsAsOrdered]
+    );
     assert_eq!(find(&listed(30.2, &["hall-a"])), []);
     assert_eq!(find(&listed(21.0, &["hall-a"])), []);
 }
@@ -547,7 +550,7 @@
     let not_back = after_the_last_fault(Outcome::TimedOut);
     let back = after_the_last_fault(Outcome::Completed);
 
-    assert_eq!(find(&not_back), [Promise::ServiceIsBack]);
+    assert_eq!(find(&not_back), [Guarantee::ServiceIsBack]);
     assert_eq!(find(&back), []);
 }
 
@@ -556,7 +559,7 @@
     let mut history = after_the_last_fault(Outcome::Completed);
     history.disturbances[0].until = None;
 
-    assert_eq!(find(&history), [Promise::ServiceIsBack]);
+    assert_eq!(find(&history), [Guarantee::ServiceIsBack]);
 }
 
 #[test]
@@ -565,7 +568,7 @@
     let order = configuration(2, EARLY, 11.0, OrderAnswer::Acknowledged);
     history.configuration_orders.push(order);
 
-    assert_eq!(find(&history), [Promise::AcknowledgedSurvives]);
+    assert_eq!(find(&history), [Guarantee::AcknowledgedSurvives]);
     history.configuration_reads.push(read(2, 50.0));
     assert_eq!(find(&history), []);
 }
--- a/crates/tools/cloverfold_soak/tests/plan.rs
+++ b/crates/tools/cloverfold_soak/tests/plan.rs
@@ -5,11 +5,12 @@
 use std::time::Duration;
 
 use cloverfold_soak::plan::{
-    Fault, Plan, PlanLength, TargetFault, draw_calm_plan, draw_plan, read_plan, write_plan,
+    Fault, Plan, PlanLength, TargetFault, generate_fault_free_plan, generate_plan, read_plan,
+    write_plan,
 };
 
 fn draw(seed: u64) -> Plan {
-    draw_plan(seed, PlanLength::new(60).unwrap())
+    generate_plan(seed, PlanLength::new(60).unwrap())
 }
 
 /// When disks are lost.
@@ -95,7 +96,7 @@
 
 #[test]
 fn a_calm_plan_has_planned_work_alone() {
-    let plan = draw_calm_plan(1, Duration::from_secs(10));
+    let plan = generate_fault_free_plan(1, Duration::from_secs(10));
 
     assert!(!plan.faults.is_empty());
     assert!(plan.faults.iter().all(|planned| planned.fault.is_planned()));
