--- a/crates/tools/cloverfold_leased_solo/src/lib.rs
+++ b/crates/tools/cloverfold_leased_solo/src/lib.rs
@@ -11,6 +11,6 @@
 mod target_state;
 
 pub use error::LeasedSoloError;
-pub use local_target::{LocalCalls, LocalTarget};
+pub use local_target::{LocalTarget, LocalTargetInterface};
 pub use system::{LeasedSolo, SoloSize};
 pub use target_state::TargetState;
--- a/crates/tools/cloverfold_leased_solo/src/local_target.rs
+++ b/crates/tools/cloverfold_leased_solo/src/local_target.rs
@@ -51,12 +51,12 @@
     }
 
     /// Returns how many runs were started.
-    pub fn starts(&self) -> u64 {
-        self.lock().starts()
+    pub fn start_count(&self) -> u64 {
+        self.lock().start_count()
     }
 
     /// Registers with the guard at an address again and again, for as long as the future is polled.
-    pub async fn keep_registering(self: Arc<Self>, guard: SocketAddr) {
+    pub async fn register_periodically(self: Arc<Self>, guard: SocketAddr) {
         let client = HttpClient::default();
         loop {
             let request = http::Request::builder()
@@ -146,9 +146,9 @@
 
 /// How a guard calls the target beside it.
 #[derive(Clone, Debug)]
-pub struct LocalCalls(pub Arc<LocalTarget>);
+pub struct LocalTargetInterface(pub Arc<LocalTarget>);
 
-impl TargetInterface for LocalCalls {
+impl TargetInterface for LocalTargetInterface {
     fn read_registration(&self, _: &Request) -> Result<RegistrationCall, RegistrationRefusal> {
         Ok(RegistrationCall::Register(self.0.describe()))
     }
--- a/crates/tools/cloverfold_leased_solo/src/system.rs
+++ b/crates/tools/cloverfold_leased_solo/src/system.rs
@@ -21,7 +21,7 @@
 
 use crate::addresses::SoloAddresses;
 use crate::error::LeasedSoloError;
-use crate::local_target::{LocalCalls, LocalTarget};
+use crate::local_target::{LocalTarget, LocalTargetInterface};
 
 /// How long a role may take to become ready. Chosen, not measured.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
@@ -133,7 +133,7 @@
 
     /// Returns the number of starts at all targets.
     pub fn count_starts(&self) -> u64 {
-        self.targets.iter().map(|target| target.starts()).sum()
+        self.targets.iter().map(|target| target.start_count()).sum()
     }
 
     /// Stops entries, then guards, then control processes, as planned.
@@ -178,11 +178,11 @@
             });
             let name = format!("target-{index}");
             let target = LocalTarget::new(&name, self.queue.service(), TARGET_CAPACITY);
-            let calls = Arc::new(LocalCalls(target.clone()));
+            let calls = Arc::new(LocalTargetInterface(target.clone()));
             let settings = serde_json::from_value(settings)?;
             self.guards.push(start_leased_guard(&settings, calls)?);
             self.registrations
-                .spawn(target.clone().keep_registering(registration));
+                .spawn(target.clone().register_periodically(registration));
             self.targets.push(target);
         }
         Ok(())
--- a/crates/tools/cloverfold_leased_solo/src/target_state.rs
+++ b/crates/tools/cloverfold_leased_solo/src/target_state.rs
@@ -38,7 +38,7 @@
 
 impl TargetState {
     /// Returns how many runs were started.
-    pub fn starts(&self) -> u64 {
+    pub fn start_count(&self) -> u64 {
         self.starts
     }
 
--- a/crates/tools/cloverfold_leased_solo/tests/local_target.rs
+++ b/crates/tools/cloverfold_leased_solo/tests/local_target.rs
@@ -9,7 +9,7 @@
     EndCause, IncarnationId, RenewalAnswer, RenewalOrder, Resources, StartOrder, TaskId,
 };
 use cloverfold_leased_guard::TargetInterface;
-use cloverfold_leased_solo::{LocalCalls, LocalTarget};
+use cloverfold_leased_solo::{LocalTarget, LocalTargetInterface};
 use tokio::time::timeout;
 
 /// Longest wait for something that must come; no test depends on how long it takes.
@@ -17,13 +17,13 @@
 /// How long the renewals may wait: longer than any test.
 const RENEWAL_WAIT: Duration = Duration::from_secs(3_600);
 
-fn target() -> LocalCalls {
+fn target() -> LocalTargetInterface {
     let capacity = Resources {
         cpu_milli: 16_000,
         memory_mb: 32_768,
         accelerators: 0,
     };
-    LocalCalls(LocalTarget::new("target-0", "sample", capacity))
+    LocalTargetInterface(LocalTarget::new("target-0", "sample", capacity))
 }
 
 fn start() -> StartOrder {
--- a/crates/tools/cloverfold_leased_solo/tests/target_state.rs
+++ b/crates/tools/cloverfold_leased_solo/tests/target_state.rs
@@ -122,7 +122,7 @@
     assert_eq!(again, StartAnswer::Refused(StartRefusal::Stale, Some(101)));
     assert_eq!(below, StartAnswer::Refused(StartRefusal::Fenced, Some(102)));
     assert_eq!(late, StartAnswer::Refused(StartRefusal::Late, Some(501)));
-    assert_eq!(target.starts(), 1);
+    assert_eq!(target.start_count(), 1);
 }
 
 fn stop(run: u64) -> StopOrder {
@@ -147,7 +147,7 @@
     let answer = target.start(&start(1), 1);
 
     assert_eq!(answer, StartAnswer::Refused(StartRefusal::Stale, Some(1)));
-    assert_eq!(target.starts(), 0);
+    assert_eq!(target.start_count(), 0);
 }
 
 #[test]
@@ -163,7 +163,7 @@
     assert_eq!(same, StartAnswer::Started { clock: 2 });
     let refusal = StartRefusal::NoCapacity;
     assert_eq!(newer, StartAnswer::Refused(refusal, Some(3)));
-    assert_eq!(target.starts(), 1);
+    assert_eq!(target.start_count(), 1);
 }
 
 #[test]
