--- a/benches/benches/capacity.rs
+++ b/benches/benches/capacity.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cloverfold_benches::{ProcessSystem, Role, Usage, read_usage};
-use cloverfold_load::{EvenLoad, LoadPlan, MetricsTotals, read_metrics, run_load};
+use cloverfold_load::{LoadPlan, MetricsTotals, UniformLoad, read_metrics, run_load};
 use cloverfold_solo::SERVICE;
 use eyre::Result;
 use tokio::time::sleep;
@@ -111,7 +111,7 @@
 }
 
 fn build_plan(system: &ProcessSystem, load: &Load) -> LoadPlan {
-    let even = EvenLoad {
+    let uniform = UniformLoad {
         entries: system.entry_addresses(),
         callers: system.callers(),
         service: SERVICE.into(),
@@ -121,7 +121,7 @@
         length: LENGTH,
         seed: 1,
     };
-    even.make_plan()
+    uniform.into_plan()
 }
 
 async fn take_snapshots(system: &ProcessSystem) -> Result<Vec<Snapshot>> {
--- a/crates/tools/cloverfold_load/src/lib.rs
+++ b/crates/tools/cloverfold_load/src/lib.rs
@@ -13,6 +13,6 @@
 
 pub use client::{CallerClient, CallerKey, JobAnswer, JobRequest, LoadError};
 pub use metrics_reader::{MetricsTotals, read_metrics};
-pub use plan::{EvenLoad, LoadPlan, LoadWorkspace};
+pub use plan::{LoadPlan, LoadWorkspace, UniformLoad};
 pub use report::{LoadReport, WasteReport, WorkspaceReport};
 pub use run::run_load;
--- a/crates/tools/cloverfold_load/src/plan.rs
+++ b/crates/tools/cloverfold_load/src/plan.rs
@@ -46,14 +46,14 @@
 
 impl LoadPlan {
     /// Returns the mean duration of a task.
-    pub fn mean_duration(&self) -> Duration {
+    pub fn mean_task_duration(&self) -> Duration {
         (self.task_duration.0 + self.task_duration.1) / 2
     }
 }
 
 /// Load on a system as a share of its slots, spread evenly over workspaces, of tasks of 50 to 500 ms.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EvenLoad {
+pub struct UniformLoad {
     /// Entries, used in turn.
     pub entries: Vec<SocketAddr>,
     /// The workspaces that submit.
@@ -72,9 +72,9 @@
     pub seed: u64,
 }
 
-impl EvenLoad {
+impl UniformLoad {
     /// Makes a plan in which every workspace submits at the same rate.
-    pub fn make_plan(self) -> LoadPlan {
+    pub fn into_plan(self) -> LoadPlan {
         let mut plan = LoadPlan {
             entries: self.entries,
             service: self.service,
@@ -84,7 +84,7 @@
             warm_up: WARM_UP,
             seed: self.seed,
         };
-        let tasks_per_s = self.share * self.slots as f64 / plan.mean_duration().as_secs_f64();
+        let tasks_per_s = self.share * self.slots as f64 / plan.mean_task_duration().as_secs_f64();
         let mean_size = (self.job_size.0 + self.job_size.1) as f64 / 2.0;
         let jobs_per_s = tasks_per_s / mean_size / self.callers.len() as f64;
         let workspaces = self.callers.into_iter().map(|caller| LoadWorkspace {
--- a/crates/tools/cloverfold_solo/src/measure.rs
+++ b/crates/tools/cloverfold_solo/src/measure.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cloverfold_load::{
-    CallerClient, EvenLoad, LoadPlan, LoadReport, WasteReport, read_metrics, run_load,
+    CallerClient, LoadPlan, LoadReport, UniformLoad, WasteReport, read_metrics, run_load,
 };
 
 use crate::error::SoloError;
@@ -64,7 +64,7 @@
 fn build_plan(system: &SoloSystem, load: &SoloLoad) -> LoadPlan {
     let config = system.config();
     let callers = config.workspaces.iter();
-    let even = EvenLoad {
+    let uniform = UniformLoad {
         entries: system.entry_addresses(),
         callers: callers.map(|workspace| workspace.caller.clone()).collect(),
         service: SERVICE.into(),
@@ -74,7 +74,7 @@
         length: load.length,
         seed: load.seed,
     };
-    let mut plan = even.make_plan();
+    let mut plan = uniform.into_plan();
     if let Some(first) = plan.workspaces.first_mut() {
         first.jobs_per_s *= load.overload;
     }
