--- a/crates/leased/cloverfold_control/src/job_groups/applying.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/apply.rs
@@ -1,6 +1,6 @@
-//! What a committed command changes, and who is told: its caller, and the drivers that gain or lose a job.
+//! Application of committed commands.
 //!
-//! Only the leader answers and logs; the others only apply.
+//! Every replica applies the commands; only the leader logs them, replies to callers and notifies the drivers that gain or lose a job.
 
 use cloverfold_base::Timestamp;
 use cloverfold_consensus::{LogIndex, Term};
@@ -13,18 +13,19 @@
 use super::batches::decode_commands;
 use super::{Caller, GroupEffect, GroupHost};
 
-/// Level of the lines that every job has: at 850 jobs a second they would crowd out the rarer ones, of which 100 a second are written.
-const USUAL_LEVEL: Level = Level::Debug;
+/// Log level of events that occur for every job. At a higher level, they would exceed the rate limit of 100 lines per second and displace
+/// rarer lines.
+const ROUTINE_LEVEL: Level = Level::Debug;
 
-/// An open job before a command that may end it or give it on.
-struct OpenBefore {
+/// The driver of an open job before a command that may end or reassign the job.
+struct PriorAssignment {
     job: JobId,
     driver: DriverId,
     epoch: Epoch,
 }
 
 impl GroupHost {
-    /// Applies the commands of an entry.
+    /// Applies the commands of a committed entry.
     pub(super) fn apply_commands(
         &mut self,
         index: LogIndex,
@@ -32,30 +33,30 @@
         entry: &[u8],
         now: Timestamp,
     ) {
-        let leading = self.leading.as_mut();
-        let callers = leading.map_or(Vec::new(), |l| l.batches.take_callers(index, term));
+        let leader_state = self.leader_state.as_mut();
+        let callers = leader_state.map_or(Vec::new(), |l| l.batches.take_callers(index, term));
         let commands = match decode_commands(entry) {
             Ok(commands) => commands,
             Err(cause) => {
-                log::error!(group = self.id, index; "an entry cannot be read: {cause}");
+                log::error!(group = self.id, index; "cannot decode a log entry: {cause}");
                 return;
             }
         };
-        for (place, command) in commands.into_iter().enumerate() {
-            let caller = callers.get(place).copied().flatten();
+        for (position, command) in commands.into_iter().enumerate() {
+            let caller = callers.get(position).copied().flatten();
             self.apply_command(command, caller, now);
         }
     }
 
     fn apply_command(&mut self, command: JobCommand, caller: Option<Caller>, now: Timestamp) {
-        let before = self.list_touched(&command);
+        let before = self.list_affected(&command);
         let outcome = self.table.apply(command.clone());
         self.counts.record(&outcome);
-        if self.leading.is_none() {
+        if self.leader_state.is_none() {
             return;
         }
         for open in &before {
-            self.tell_if_ended(open);
+            self.notify_if_ended(open);
         }
         match (command, outcome) {
             (JobCommand::Submit(job), CommandOutcome::Submit(outcome)) => {
@@ -66,29 +67,29 @@
                     if *decision == EndDecision::Fenced {
                         log::warn!(
                             job = end.job.as_str(), task = end.task, run = end.run, epoch = end.epoch, group = self.id;
-                            "an end of an earlier driver does not count"
+                            "ignored a task end reported by an earlier driver"
                         );
                     }
                 }
-                self.answer_if_awaited(caller, JobReply::EndsRecorded(decisions));
+                self.reply_if_awaited(caller, JobReply::EndsRecorded(decisions));
             }
             (JobCommand::Cancel(job), CommandOutcome::Cancel(outcome)) => {
-                log::info!(job = job.as_str(), outcome:? = outcome, group = self.id; "a kept job is to be cancelled");
-                self.answer_if_awaited(caller, JobReply::Cancelled(outcome));
+                log::info!(job = job.as_str(), outcome:? = outcome, group = self.id; "processed the cancellation of a kept job");
+                self.reply_if_awaited(caller, JobReply::Cancelled(outcome));
             }
             (JobCommand::Assign(assignees), CommandOutcome::Assigned(jobs)) => {
                 self.log_assigned(&before, &jobs);
-                self.tell_assigned(&assignees, &jobs);
+                self.notify_assigned_drivers(&assignees, &jobs);
             }
             (JobCommand::Expire(up_to), CommandOutcome::Expired(count)) => {
-                log::info!(count, up_to, group = self.id; "ended kept jobs are forgotten");
+                log::info!(count, up_to, group = self.id; "removed ended kept jobs");
             }
             _ => {}
         }
     }
 
-    /// Lists the open jobs that a command may end or give on.
-    fn list_touched(&self, command: &JobCommand) -> Vec<OpenBefore> {
+    /// Lists the open jobs that a command may end or reassign.
+    fn list_affected(&self, command: &JobCommand) -> Vec<PriorAssignment> {
         let mut jobs: Vec<&JobId> = match command {
             JobCommand::RecordEnds(ends) => ends.iter().map(|end| &end.job).collect(),
             JobCommand::Cancel(job) => vec![job],
@@ -99,7 +100,7 @@
         jobs.dedup();
         let open = jobs.into_iter().filter_map(|job| {
             let open = self.table.open().get(job)?;
-            Some(OpenBefore {
+            Some(PriorAssignment {
                 job: job.clone(),
                 driver: open.driver(),
                 epoch: open.epoch(),
@@ -108,20 +109,20 @@
         open.collect()
     }
 
-    fn tell_if_ended(&mut self, open: &OpenBefore) {
+    fn notify_if_ended(&mut self, open: &PriorAssignment) {
         let Some(ended) = self.table.ended(&open.job) else {
             return;
         };
-        if let Some(leading) = &mut self.leading {
-            leading.open_since.remove(&open.job);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.open_since.remove(&open.job);
         }
         let level = match ended.how {
-            TerminalState::Completed => USUAL_LEVEL,
+            TerminalState::Completed => ROUTINE_LEVEL,
             TerminalState::Failed | TerminalState::Cancelled => Level::Info,
         };
         log::log!(
             level, job = open.job.as_str(), how:? = ended.how, epoch = open.epoch, group = self.id;
-            "a kept job has ended"
+            "kept job ended"
         );
         let reply = RenewalReply {
             driver: open.driver,
@@ -132,8 +133,8 @@
         self.answer_watches(&open.job);
     }
 
-    /// Answers a submission. A driver without a lease of this leader is not told that it drives the job: the job may be given to
-    /// another as soon as it is committed. It learns of it with its next renewal.
+    /// Replies to a submission. A driver without a lease from this leader is not told that it drives the job, because the job may be
+    /// reassigned as soon as it is committed. The driver learns of the job with its next renewal.
     fn finish_submit(
         &mut self,
         job: &str,
@@ -143,45 +144,48 @@
         now: Timestamp,
     ) {
         let level = match outcome {
-            SubmitOutcome::Accepted(_) | SubmitOutcome::Known => USUAL_LEVEL,
+            SubmitOutcome::Accepted(_) | SubmitOutcome::Known => ROUTINE_LEVEL,
             SubmitOutcome::Conflict | SubmitOutcome::Full => Level::Info,
         };
-        log::log!(level, job, outcome:? = outcome, group = self.id; "a kept job was submitted");
-        if let (Some(leading), SubmitOutcome::Accepted(_)) = (&mut self.leading, outcome) {
-            leading.open_since.insert(job.to_owned(), now);
+        log::log!(level, job, outcome:? = outcome, group = self.id; "kept job submitted");
+        if let (Some(leader_state), SubmitOutcome::Accepted(_)) = (&mut self.leader_state, outcome)
+        {
+            leader_state.open_since.insert(job.to_owned(), now);
         }
-        let leading = self.leading.as_ref();
-        let is_alive = leading.is_some_and(|leading| leading.drivers.is_alive(driver, now));
-        let told = match outcome {
+        let leader_state = self.leader_state.as_ref();
+        let is_alive =
+            leader_state.is_some_and(|leader_state| leader_state.drivers.is_alive(driver, now));
+        let reported = match outcome {
             SubmitOutcome::Accepted(_) if !is_alive => SubmitOutcome::Known,
             outcome => outcome,
         };
-        self.answer_if_awaited(caller, JobReply::Submitted(told));
+        self.reply_if_awaited(caller, JobReply::Submitted(reported));
     }
 
-    fn log_assigned(&self, before: &[OpenBefore], assigned: &[JobId]) {
-        for OpenBefore { job, driver, epoch } in before {
+    fn log_assigned(&self, before: &[PriorAssignment], assigned: &[JobId]) {
+        for PriorAssignment { job, driver, epoch } in before {
             if !assigned.contains(job) {
                 continue;
             }
             let next = self.table.open().get(job).map(OpenJob::driver);
             let (from, to) = (self.name_entry(Some(*driver)), self.name_entry(next));
-            log::info!(job = job.as_str(), epoch = epoch + 1, from, to, group = self.id; "a kept job is handed on");
+            log::info!(job = job.as_str(), epoch = epoch + 1, from, to, group = self.id; "kept job reassigned");
         }
     }
 
-    /// Returns the name of a driver's entry; an empty text if it has not renewed with this leader.
+    /// Returns the name of a driver's entry, or an empty string if the driver has not renewed its lease with this leader.
     fn name_entry(&self, driver: Option<DriverId>) -> &str {
-        let leading = self.leading.as_ref();
-        let entry = leading.and_then(|leading| leading.drivers.entry_of(driver?));
+        let leader_state = self.leader_state.as_ref();
+        let entry = leader_state.and_then(|leader_state| leader_state.drivers.entry_of(driver?));
         entry.unwrap_or_default()
     }
 
-    /// Tells drivers of the jobs that they were given. An entry that hears of one unasked renews at once, and drives it by the reply.
-    fn tell_assigned(&mut self, assignees: &[JobReassignment], assigned: &[JobId]) {
-        if let Some(leading) = &mut self.leading {
+    /// Notifies drivers of jobs assigned to them. An entry that receives such a notification renews its lease immediately and drives the
+    /// job according to the reply.
+    fn notify_assigned_drivers(&mut self, assignees: &[JobReassignment], assigned: &[JobId]) {
+        if let Some(leader_state) = &mut self.leader_state {
             let jobs = assignees.iter().map(|assignee| &assignee.job);
-            leading.drivers.complete_handover(jobs);
+            leader_state.drivers.complete_handover(jobs);
         }
         for JobReassignment { job, driver, .. } in assignees {
             if !assigned.contains(job) {
@@ -200,14 +204,15 @@
     }
 
     fn push_to_driver(&mut self, reply: RenewalReply) {
-        let leading = self.leading.as_ref();
-        let entry = leading.and_then(|leading| leading.drivers.entry_of(reply.driver));
+        let leader_state = self.leader_state.as_ref();
+        let entry =
+            leader_state.and_then(|leader_state| leader_state.drivers.entry_of(reply.driver));
         if let Some(entry) = entry.map(str::to_owned) {
             self.effects.push(GroupEffect::Push { entry, reply });
         }
     }
 
-    fn answer_if_awaited(&mut self, caller: Option<Caller>, reply: JobReply) {
+    fn reply_if_awaited(&mut self, caller: Option<Caller>, reply: JobReply) {
         if let Some(caller) = caller {
             self.answer(caller, reply);
         }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/returned_callers.rs
@@ -8,7 +8,7 @@
 
 use crate::fixture::{CAPACITY, DEMAND, FULL, Fixture, job, ms, step};
 
-/// Caller timeouts exceed three times the target latency by this time.
+/// Caller timeouts exceed three times the latency objective by this time.
 const EXTRA_TIMEOUT_MS: u64 = 1_500;
 const RESEND_INTERVAL_MS: u64 = 1_300;
 
@@ -147,8 +147,8 @@
             let work = random_work_ms(&mut rng);
             fixture.submit(job_of_age(&format!("new-{step}"), work, 0, &mut rng));
         }
-        let offered = target.advance(&mut fixture, step);
-        served += offered
+        let assigned = target.advance(&mut fixture, step);
+        served += assigned
             .iter()
             .filter(|name| name.starts_with("new"))
             .count();
