--- a/crates/leased/cloverfold_control/src/job_groups/reads.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/reads.rs
@@ -12,12 +12,12 @@
 #[derive(Debug)]
 pub(super) struct WaitingRead {
     pub(super) caller: Caller,
-    pub(super) read: Read,
+    pub(super) read: ReadRequest,
 }
 
 /// The content of a read.
 #[derive(Debug)]
-pub(super) enum Read {
+pub(super) enum ReadRequest {
     /// The phase of a job.
     Show(JobId),
     /// The reply to the last renewal of a driver.
@@ -64,7 +64,6 @@
         }
     }
 
-    /// Takes all pending reads.
     pub(super) fn take_all(&mut self) -> impl Iterator<Item = WaitingRead> + use<> {
         let in_flight = std::mem::take(&mut self.in_flight).into_iter();
         in_flight.chain(std::mem::take(&mut self.queued))
--- a/crates/leased/cloverfold_control/src/pending_writes.rs
+++ b/crates/leased/cloverfold_control/src/pending_writes.rs
@@ -27,7 +27,7 @@
 
 impl PendingWrites {
     /// Adds a batch that was queued for the disk, with the messages that must wait for it.
-    pub(crate) fn begin(
+    pub(crate) fn add(
         &mut self,
         batch: BatchNumber,
         messages: Vec<OutgoingMessage>,
@@ -57,7 +57,6 @@
         Some(oldest.begun_at)
     }
 
-    /// Logs slow writes.
     pub(crate) fn log_slow(&mut self, now: Timestamp) {
         for (batch, write) in &mut self.writes {
             if now > write.since + SLOW_WRITE_THRESHOLD {
