--- a/crates/common/cloverfold_http/src/operations.rs
+++ b/crates/common/cloverfold_http/src/operations.rs
@@ -75,7 +75,7 @@
     let Some(address) = address else {
         return Ok(None);
     };
-    let answer = move |request: Request| {
+    let handler = move |request: Request| {
         let response = match request.uri.path() {
             "/healthz" => plain_response(StatusCode::OK, "ok\n"),
             "/metrics" => plain_response(StatusCode::OK, write_metrics()),
@@ -87,5 +87,5 @@
         };
         async move { response }
     };
-    serve_at("peer.metrics_port", address, HttpLimits::default, answer).map(Some)
+    serve_at("peer.metrics_port", address, HttpLimits::default, handler).map(Some)
 }
--- a/crates/leased/cloverfold_leased_entry/src/callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/callers.rs
@@ -44,9 +44,9 @@
     }
 
     /// Handles one request.
-    pub(crate) async fn answer(&self, request: Request) -> Response {
+    pub(crate) async fn handle(&self, request: Request) -> Response {
         match self.wait_for_configuration().await {
-            Some(configuration) => self.answer_with(&configuration, &request).await,
+            Some(configuration) => self.handle_configured(&configuration, &request).await,
             None => {
                 let path = request.uri.path();
                 log::info!(path, cause = "NoConfiguration"; "request refused");
@@ -71,7 +71,11 @@
     }
 
     /// Routes a request to its queue and call, and handles it.
-    async fn answer_with(&self, configuration: &Configuration, request: &Request) -> Response {
+    async fn handle_configured(
+        &self,
+        configuration: &Configuration,
+        request: &Request,
+    ) -> Response {
         let path = request.uri.path();
         let Some(route) = configuration.find_route(request.host(), path) else {
             log::info!(host = request.host(), path, version = configuration.version; "no queue matches the request");
--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -136,7 +136,7 @@
 }
 
 /// Logs that this entry no longer drives a kept job.
-pub(crate) fn log_not_driven(job: &str, epoch: Epoch, cause: StopCause) {
+pub(crate) fn log_stopped_driving(job: &str, epoch: Epoch, cause: StopCause) {
     let name = cause.as_str();
     if cause == StopCause::Dropped {
         log::debug!(job, epoch, cause = name; "no longer driving kept job");
--- a/crates/leased/cloverfold_leased_entry/src/known_guards.rs
+++ b/crates/leased/cloverfold_leased_entry/src/known_guards.rs
@@ -46,7 +46,7 @@
     }
 
     /// Removes a guard that has said goodbye, unless another link to it is open.
-    pub(crate) fn forget(&mut self, address: SocketAddr) {
+    pub(crate) fn discard(&mut self, address: SocketAddr) {
         if self
             .guards
             .get(&address)
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -179,11 +179,11 @@
         move || read_limits(&callers)
     };
     let callers = callers.clone();
-    let answer = move |request: Request| {
+    let handler = move |request: Request| {
         let callers = callers.clone();
-        async move { callers.answer(request).await }
+        async move { callers.handle(request).await }
     };
-    serve_at("client_address", address, limits, answer)
+    serve_at("client_address", address, limits, handler)
 }
 
 /// Returns the limits of the configuration in force, or the default ones if there is none.
@@ -206,15 +206,15 @@
     callers: &Arc<Callers>,
 ) -> Result<ServerHandle, ListenError> {
     let callers = callers.clone();
-    let answer = move |request: Request| {
-        let response = answer_readiness(&callers, &request);
+    let handler = move |request: Request| {
+        let response = handle_readiness(&callers, &request);
         async move { response }
     };
-    serve_at("ready_address", address, HttpLimits::default, answer)
+    serve_at("ready_address", address, HttpLimits::default, handler)
 }
 
 /// Responds to the load balancer: 200 if ready, otherwise 503 with the reason.
-fn answer_readiness(callers: &Callers, request: &Request) -> Response {
+fn handle_readiness(callers: &Callers, request: &Request) -> Response {
     let path = request.uri.path();
     if !callers.protocol.is_readiness_request(&request.method, path) {
         return plain_response(StatusCode::NOT_FOUND, "no such call\n");
--- a/crates/leased/cloverfold_leased_entry/src/state/kept.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/kept.rs
@@ -15,7 +15,7 @@
 
 use super::EntryState;
 use crate::driven_jobs::DrivenJob;
-use crate::event_log::{log_driving, log_not_driven, log_unreadable_job};
+use crate::event_log::{log_driving, log_stopped_driving, log_unreadable_job};
 use crate::kept_body::KeptBody;
 use crate::protocol::ParsedJob;
 
@@ -211,7 +211,7 @@
     }
 
     fn stop_driving(&mut self, job: &JobId, epoch: Epoch, cause: StopCause) {
-        log_not_driven(job, epoch, cause);
+        log_stopped_driving(job, epoch, cause);
         if let Some(number) = self.driven.find(job, epoch) {
             self.driven.remove(number);
             self.dispatcher.stop_driving(number);
--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -93,7 +93,7 @@
             return;
         };
         self.close_link(link);
-        self.guards.forget(guard);
+        self.guards.discard(guard);
     }
 
     /// Fetches the configuration of a peer if it is newer and no other fetch is in flight.
--- a/crates/leased/cloverfold_leased_guard/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_guard/src/event_log.rs
@@ -44,7 +44,7 @@
         log::info!(
             job = task.job.as_str(), step = task.step, index = task.index, run, ran_ms,
             outcome = outcome.as_str();
-            "run ended without success"
+            "run at the target ended without success"
         );
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -149,11 +149,16 @@
 ) -> Result<ServerHandle, ListenError> {
     let state = state.clone();
     let interface = interface.clone();
-    let answer = move |request: Request| {
+    let handler = move |request: Request| {
         let response = handle_registration(&state, interface.as_ref(), &request);
         async move { response }
     };
-    serve_at("registration_address", address, HttpLimits::default, answer)
+    serve_at(
+        "registration_address",
+        address,
+        HttpLimits::default,
+        handler,
+    )
 }
 
 /// Passes a registration call to the state and acknowledges it.
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -119,7 +119,7 @@
     /// Removes a link, which closes it if it is still open, and ends the session of an entry.
     pub(super) fn close_link(&mut self, link: LinkId) {
         let now = self.now();
-        self.link_drains.forget(link);
+        self.link_drains.discard(link);
         let Some(hello) = self.links.close(link) else {
             return;
         };
--- a/crates/leased/cloverfold_peer/src/entry_subsets.rs
+++ b/crates/leased/cloverfold_peer/src/entry_subsets.rs
@@ -5,9 +5,9 @@
 //!
 //! - **Size**: a guard has [`ENTRIES_PER_GUARD`] entries. It has more if each entry would otherwise see fewer than [`GUARDS_PER_ENTRY`]
 //!   guards of the service, or fewer than all if there are not as many. So a service with few targets is reachable through every entry.
-//! - **Balance**: all entries have the same number of links, to within one.
-//! - **Balance in each data hall**: all entries have the same number of links to each hall, to within one, so that they lose the same
-//!   number of guards when a hall is evacuated or fails.
+//! - **Balance**: all entries have the same number of links to the guards of a service, to within one.
+//! - **Balance in each data hall**: the same holds for the guards of a service in each hall, so that all entries lose the same number of
+//!   guards when a hall is evacuated or fails.
 //! - **Stability**: each guard ranks the entries by a hash of both addresses, so that adding or removing a process moves few other
 //!   links.
 //!
--- a/crates/leased/cloverfold_peer/src/link_drains.rs
+++ b/crates/leased/cloverfold_peer/src/link_drains.rs
@@ -90,7 +90,7 @@
     }
 
     /// Removes a link that has closed.
-    pub fn forget(&mut self, link: LinkId) {
+    pub fn discard(&mut self, link: LinkId) {
         self.links.remove(&link);
     }
 }
--- a/crates/leased/cloverfold_peer/tests/entry_subsets.rs
+++ b/crates/leased/cloverfold_peer/tests/entry_subsets.rs
@@ -120,13 +120,13 @@
     let all = guards(240);
     let before = choose_entries(&all, &entries(51));
 
-    for gone in all.keys().step_by(17) {
+    for removed in all.keys().step_by(17) {
         let mut left = all.clone();
-        left.remove(gone);
+        left.remove(removed);
         let after = choose_entries(&left, &entries(51));
 
         let moved = count_moved(&before, &after);
-        assert!(moved <= 24, "{moved} of 960 links without {gone}");
+        assert!(moved <= 24, "{moved} of 960 links without {removed}");
     }
 }
 
@@ -135,12 +135,16 @@
     let all = entries(51);
     let before = choose_entries(&guards(240), &all);
 
-    for gone in all.iter().step_by(7) {
-        let left = all.iter().copied().filter(|entry| entry != gone).collect();
+    for removed in all.iter().step_by(7) {
+        let left = all
+            .iter()
+            .copied()
+            .filter(|entry| entry != removed)
+            .collect();
         let after = choose_entries(&guards(240), &left);
 
         let moved = count_moved(&before, &after);
-        assert!(moved <= 110, "{moved} of 960 links without {gone}");
+        assert!(moved <= 110, "{moved} of 960 links without {removed}");
     }
 }
 
@@ -181,9 +185,9 @@
     let subsets = choose_entries(&guards, &entries);
 
     for evacuated in 0..3 {
-        let gone = subsets_in_hall(&subsets, &guards, evacuated);
+        let removed = subsets_in_hall(&subsets, &guards, evacuated);
         let mut left = subsets.clone();
-        left.retain(|guard, _| !gone.contains_key(guard));
+        left.retain(|guard, _| !removed.contains_key(guard));
         let seen = guards_by_entry(&left, &entries);
         assert!(
             seen.iter().all(|count| (20..=22).contains(count)),
@@ -197,13 +201,13 @@
     let all = guards_in_halls(&[80, 80, 80]);
     let before = choose_entries(&all, &entries(51));
 
-    for gone in all.keys().step_by(17) {
+    for removed in all.keys().step_by(17) {
         let mut left = all.clone();
-        left.remove(gone);
+        left.remove(removed);
         let after = choose_entries(&left, &entries(51));
 
         let moved = count_moved(&before, &after);
-        assert!(moved <= 48, "{moved} of 960 links without {gone}");
+        assert!(moved <= 48, "{moved} of 960 links without {removed}");
     }
 }
 
