--- a/crates/leased/cloverfold_consensus/src/replica/replication.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/replication.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns whether to send more entries right after a reply: everything sent is acknowledged or rejected, and the log has more.
-    fn wants_entries(&self, reply: &AppendReply, last: LogIndex) -> bool {
+    fn should_send_entries(&self, reply: &AppendReply, last: LogIndex) -> bool {
         let is_all_acknowledged = self.match_index + 1 == self.next_index;
         self.next_index <= last && (!reply.is_matching || is_all_acknowledged)
     }
@@ -132,7 +132,6 @@
         index
     }
 
-    /// Performs the due work of a leader.
     pub(super) fn tick_leader(&mut self, now: Timestamp) {
         if self.has_lost_quorum(now) {
             self.become_follower(self.term, None, now);
@@ -217,7 +216,7 @@
             return;
         };
         progress.record_reply(reply, last, now);
-        if progress.wants_entries(reply, last) {
+        if progress.should_send_entries(reply, last) {
             self.send_entries(from, now);
         }
         self.advance_commit(now);
--- a/crates/leased/cloverfold_control/src/replica_host.rs
+++ b/crates/leased/cloverfold_control/src/replica_host.rs
@@ -31,13 +31,16 @@
         }
     }
 
-    /// Returns whether this replica leads.
     pub(crate) fn is_leader(&self) -> bool {
         self.replica.status().role == Role::Leader
     }
 
     /// Handles a disk event; returns the messages that waited for it.
-    pub(crate) fn disk_event(&mut self, event: &DiskEvent, now: Timestamp) -> Vec<OutgoingMessage> {
+    pub(crate) fn handle_disk_event(
+        &mut self,
+        event: &DiskEvent,
+        now: Timestamp,
+    ) -> Vec<OutgoingMessage> {
         match event {
             DiskEvent::Synced(batch) => {
                 self.is_failing = false;
@@ -62,7 +65,7 @@
             let messages = std::mem::take(&mut ready.messages);
             let (waiting, free) = messages.into_iter().partition(|m| m.after_sync);
             ready.messages = free;
-            self.writes.begin(batch, waiting, now);
+            self.writes.add(batch, waiting, now);
             self.disk.write(batch, std::mem::take(&mut ready.records));
         }
         ready
@@ -74,7 +77,6 @@
         self.is_failing || oldest.is_some_and(|begun_at| now > begun_at + limit)
     }
 
-    /// Logs slow writes.
     pub(crate) fn log_slow(&mut self, now: Timestamp) {
         self.writes.log_slow(now);
     }
