--- a/crates/tools/cloverfold_soak/src/checker/answers.rs
+++ b/crates/tools/cloverfold_soak/src/checker/answers.rs
@@ -1,4 +1,4 @@
-//! Answers are whole or failed and for their own caller; refusals are true.
+//! Checks that answers match the runs of their job, and that refused jobs have not run.
 
 use std::collections::{HashMap, HashSet};
 
@@ -27,35 +27,36 @@
     let job = &attempt.job;
     match outcome {
         Outcome::Completed => {
-            let missing = find_missing_task(attempt, at, runs)?;
-            let what =
-                format!("job {job} is answered as completed, and its task {missing} is not done");
-            Some(Violation::new(Guarantee::WholeAnswer, at, what))
+            let unfinished = find_unfinished_task(attempt, at, runs)?;
+            let description = format!(
+                "job {job} is answered as completed, but its task {unfinished} is not done"
+            );
+            Some(Violation::new(Guarantee::WholeAnswer, at, description))
         }
-        Outcome::Failed if !has_failed_for_good(attempt, at, runs) => {
-            let what = format!(
-                "job {job} is answered as failed, and no task of it has failed {} times since it was sent",
+        Outcome::Failed if !has_exhausted_failures(attempt, at, runs) => {
+            let description = format!(
+                "job {job} is answered as failed, but none of its tasks has failed {} times since it was sent",
                 attempt.max_failures
             );
-            Some(Violation::new(Guarantee::TrueFailure, at, what))
+            Some(Violation::new(Guarantee::TrueFailure, at, description))
         }
         Outcome::Garbled => {
-            let what = format!("job {job} has an answer that there is not");
-            Some(Violation::new(Guarantee::KnownAnswer, at, what))
+            let description = format!("job {job} has an answer outside the protocol");
+            Some(Violation::new(Guarantee::KnownAnswer, at, description))
         }
         _ => None,
     }
 }
 
-/// Returns a task of which no run had ended as done.
-fn find_missing_task(attempt: &Attempt, at: Elapsed, runs: &[&Run]) -> Option<u32> {
+/// Returns a task without a run that ended as done by `at`.
+fn find_unfinished_task(attempt: &Attempt, at: Elapsed, runs: &[&Run]) -> Option<u32> {
     let is_done = |run: &&&Run| matches!(run.end, Some((end, RunEnd::Done)) if end <= at);
     let done: HashSet<u32> = runs.iter().filter(is_done).map(|run| run.task).collect();
     (0..attempt.tasks).find(|task| !done.contains(task))
 }
 
-/// Returns whether a task has failed as often as it may, by runs begun for this attempt.
-fn has_failed_for_good(attempt: &Attempt, at: Elapsed, runs: &[&Run]) -> bool {
+/// Returns whether a task has reached its failure limit with runs that started after this attempt was sent.
+fn has_exhausted_failures(attempt: &Attempt, at: Elapsed, runs: &[&Run]) -> bool {
     (0..attempt.tasks).any(|task| {
         let failures = runs.iter().filter(|run| {
             let is_failure = matches!(run.end, Some((end, RunEnd::Failed)) if end <= at);
@@ -65,7 +66,7 @@
     })
 }
 
-/// Finds jobs of which every send was refused and that have run all the same.
+/// Finds jobs that have run although every attempt was refused.
 fn check_refusals<'a>(
     history: &'a History,
     runs: &'a HashMap<&str, Vec<&Run>>,
@@ -80,12 +81,16 @@
             return None;
         }
         let run = runs.get(job)?.first()?;
-        let what = format!(
-            "job {job} was refused each of the {} times that it was sent, and its task {} began at target {}",
+        let description = format!(
+            "job {job} was refused in all {} attempts, but its task {} started at target {}",
             attempts.len(),
             run.task,
             run.target
         );
-        Some(Violation::new(Guarantee::TrueRefusal, run.started_at, what))
+        Some(Violation::new(
+            Guarantee::TrueRefusal,
+            run.started_at,
+            description,
+        ))
     })
 }
--- a/crates/tools/cloverfold_soak/src/checker/evacuations.rs
+++ b/crates/tools/cloverfold_soak/src/checker/evacuations.rs
@@ -1,34 +1,34 @@
-//! Acknowledged evacuations are in force and shown.
+//! Checks that acknowledged evacuations are in force and listed.
 
-use super::calm::is_target_in_touch;
+use super::disturbances::is_target_undisturbed;
 use super::{Bounds, Guarantee, Violation};
 use crate::records::{Elapsed, HallAction, HallOrder, HallRead, History, Run};
 
-/// An acknowledged wish, and until when nobody wanted anything else of the hall.
-struct Held<'a> {
+/// An acknowledged order with the span until the next order for the same data hall.
+struct AcknowledgedOrder<'a> {
     order: &'a HallOrder,
     from: Elapsed,
     until: Elapsed,
 }
 
 pub(super) fn check(history: &History, bounds: &Bounds) -> Vec<Violation> {
-    let held: Vec<Held> = list_held(history).collect();
-    let runs = held.iter().flat_map(|held| {
+    let acknowledged: Vec<AcknowledgedOrder> = list_acknowledged(history).collect();
+    let runs = acknowledged.iter().flat_map(|acknowledged| {
         let runs = history.runs.iter();
-        runs.filter(|run| is_forbidden(run, held, history, bounds))
-            .map(|run| report_run(run, held))
+        runs.filter(|run| is_forbidden(run, acknowledged, history, bounds))
+            .map(|run| report_run(run, acknowledged))
     });
-    let reads = held.iter().flat_map(|held| {
+    let reads = acknowledged.iter().flat_map(|acknowledged| {
         let reads = history.hall_reads.iter();
         reads
-            .filter(|read| is_wrong(read, held))
-            .map(|read| report_read(read, held))
+            .filter(|read| contradicts_order(read, acknowledged))
+            .map(|read| report_read(read, acknowledged))
     });
     runs.chain(reads).collect()
 }
 
-/// Lists the acknowledged wishes with their spans.
-fn list_held(history: &History) -> impl Iterator<Item = Held<'_>> {
+/// Lists the acknowledged orders with their spans.
+fn list_acknowledged(history: &History) -> impl Iterator<Item = AcknowledgedOrder<'_>> {
     let orders = history.hall_orders.iter();
     orders.filter_map(|order| {
         let from = order.acknowledged_at?;
@@ -37,7 +37,7 @@
             .filter(|later| later.hall == order.hall && later.sent_at >= from)
             .map(|later| later.sent_at)
             .min();
-        Some(Held {
+        Some(AcknowledgedOrder {
             order,
             from,
             until: until.unwrap_or(Elapsed::MAX),
@@ -45,46 +45,52 @@
     })
 }
 
-fn is_forbidden(run: &Run, held: &Held, history: &History, bounds: &Bounds) -> bool {
+fn is_forbidden(
+    run: &Run,
+    acknowledged: &AcknowledgedOrder,
+    history: &History,
+    bounds: &Bounds,
+) -> bool {
     let hall = history.target_halls.get(run.target);
-    let is_there = hall == Some(&held.order.hall);
-    let is_due = run.started_at > held.from + bounds.apply && run.started_at < held.until;
+    let is_in_hall = hall == Some(&acknowledged.order.hall);
+    let is_due =
+        run.started_at > acknowledged.from + bounds.apply && run.started_at < acknowledged.until;
     let since = run
         .started_at
         .saturating_sub(bounds.quiet_period + bounds.apply);
-    held.order.wish == HallAction::Evacuate
-        && is_there
+    acknowledged.order.wish == HallAction::Evacuate
+        && is_in_hall
         && is_due
         && !run.is_late
-        && is_target_in_touch(history, run.target, since, run.started_at)
+        && is_target_undisturbed(history, run.target, since, run.started_at)
 }
 
-fn is_wrong(read: &HallRead, held: &Held) -> bool {
-    let is_within = read.asked_at > held.from && read.answered_at < held.until;
-    let is_listed = read.halls.contains(&held.order.hall);
-    is_within && is_listed != (held.order.wish == HallAction::Evacuate)
+fn contradicts_order(read: &HallRead, acknowledged: &AcknowledgedOrder) -> bool {
+    let is_within = read.asked_at > acknowledged.from && read.answered_at < acknowledged.until;
+    let is_listed = read.halls.contains(&acknowledged.order.hall);
+    is_within && is_listed != (acknowledged.order.wish == HallAction::Evacuate)
 }
 
-fn report_run(run: &Run, held: &Held) -> Violation {
-    let what = format!(
-        "job {} task {} began at target {} in {}, whose evacuation was acknowledged at {:.3} s",
+fn report_run(run: &Run, acknowledged: &AcknowledgedOrder) -> Violation {
+    let description = format!(
+        "job {} task {} started at target {} in {}, whose evacuation was acknowledged at {:.3} s",
         run.job,
         run.task,
         run.target,
-        held.order.hall,
-        held.from.as_secs_f64()
+        acknowledged.order.hall,
+        acknowledged.from.as_secs_f64()
     );
-    Violation::new(Guarantee::HallStaysEmpty, run.started_at, what)
+    Violation::new(Guarantee::HallStaysEmpty, run.started_at, description)
 }
 
-fn report_read(read: &HallRead, held: &Held) -> Violation {
-    let what = format!(
-        "control-{} listed {:?}, and {:?} of {} was acknowledged at {:.3} s",
+fn report_read(read: &HallRead, acknowledged: &AcknowledgedOrder) -> Violation {
+    let description = format!(
+        "control-{} listed {:?}, but {:?} of {} was acknowledged at {:.3} s",
         read.control,
         read.halls,
-        held.order.wish,
-        held.order.hall,
-        held.from.as_secs_f64()
+        acknowledged.order.wish,
+        acknowledged.order.hall,
+        acknowledged.from.as_secs_f64()
     );
-    Violation::new(Guarantee::HallsAsOrdered, read.asked_at, what)
+    Violation::new(Guarantee::HallsAsOrdered, read.asked_at, description)
 }
--- a/crates/tools/cloverfold_soak/src/checker/mod.rs
+++ b/crates/tools/cloverfold_soak/src/checker/mod.rs
@@ -1,11 +1,11 @@
-//! Which promises broke, from what was seen alone.
+//! Finds violated guarantees in a recorded history.
 //!
-//! Pure code over a [`History`], no clock and no I/O; one module for each group of promises. A promise without a bound in time holds at
-//! any moment. One with a bound binds only what nothing has disturbed for [`Bounds::quiet_period`] ([`calm`]).
+//! The checks are pure functions of a [`History`], without a clock or I/O. Each module checks one group of guarantees. A guarantee without
+//! a time bound always holds. One with a time bound applies only to what was undisturbed for [`Bounds::quiet_period`] ([`disturbances`]).
 
 mod answers;
-mod calm;
 mod configurations;
+mod disturbances;
 mod draining;
 mod evacuations;
 mod overlaps;
@@ -24,18 +24,18 @@
 pub struct Bounds {
     /// Guarantees with a time bound apply only to what was free of disturbances for this long.
     pub quiet_period: Duration,
-    /// A target that leaves gets no new work so long after the acknowledgement.
+    /// A draining target starts no new runs after this time from the acknowledgement.
     pub drain: Duration,
-    /// An acknowledged configuration or evacuation is in force everywhere after so long.
+    /// An acknowledged configuration or evacuation is in force everywhere after this time.
     pub apply: Duration,
-    /// Service is back so long after the last fault.
+    /// The installation serves again after this time from the last fault.
     pub recovery: Duration,
     /// A request that breaks off within this time after it was sent, and none of whose tasks has run, counts as not read.
     pub unread_grace: Duration,
 }
 
 impl Default for Bounds {
-    /// The bounds of the pages for callers and operators.
+    /// Returns the bounds that are documented for callers and operators.
     fn default() -> Self {
         Self {
             quiet_period: Duration::from_secs(3),
@@ -63,50 +63,50 @@
 /// A guarantee of the installation to its callers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Guarantee {
-    /// No two runs of a task at once.
+    /// Runs of one task do not overlap.
     OneRunAtOnce,
-    /// `completed` means that each task is done.
+    /// A job that is answered as `completed` has only finished tasks.
     WholeAnswer,
-    /// `failed` means that a task has failed as often as it may.
+    /// A job that is answered as `failed` has a task that reached its failure limit.
     TrueFailure,
-    /// An answer is one of those that there are.
+    /// Every answer is part of the protocol.
     KnownAnswer,
-    /// A job of which every send was refused has not run.
+    /// A job whose attempts were all refused has not run.
     TrueRefusal,
-    /// A target that leaves gets no new work after the bound.
+    /// A draining target starts no new runs after [`Bounds::drain`].
     NoWorkForLeaving,
-    /// A planned stop cuts nothing.
+    /// A planned stop interrupts no request and no run.
     StopCutsNothing,
-    /// A valid configuration is not refused, an invalid one not acknowledged.
+    /// A valid configuration is never refused, and an invalid one is never acknowledged.
     RightVerdict,
-    /// A read shows nothing older than what was acknowledged before it.
+    /// A configuration read returns no version older than one acknowledged before it.
     NewestIsRead,
-    /// A read shows a configuration as it was sent.
+    /// A configuration read returns a text that an operator has sent.
     ShownAsSent,
-    /// An acknowledged configuration is in force after the bound.
+    /// An acknowledged configuration is in force after [`Bounds::apply`].
     InForceInTime,
-    /// An entry does not fall back to an older configuration.
+    /// An entry never reverts to an older configuration.
     NeverReverts,
-    /// No task starts in an evacuated hall after the bound.
+    /// No task starts in an evacuated data hall after [`Bounds::apply`].
     HallStaysEmpty,
-    /// A list of evacuations shows what was acknowledged before it.
+    /// A list of evacuations reflects all orders acknowledged before it.
     HallsAsOrdered,
-    /// Service is back after the last fault.
+    /// The installation serves again [`Bounds::recovery`] after the last fault.
     ServiceIsBack,
-    /// What was acknowledged can be read after the last fault.
+    /// An acknowledged configuration can be read after the last fault.
     AcknowledgedSurvives,
-    /// No process ends by itself.
+    /// No process exits unexpectedly.
     NoOwnEnd,
 }
 
-/// A promise that broke.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// The guarantee.
     pub promise: Guarantee,
-    /// When.
+    /// When it was violated.
     pub at: Elapsed,
-    /// What was seen.
+    /// The observation that violates it.
     pub what: String,
 }
 
@@ -123,7 +123,7 @@
     }
 }
 
-/// Returns every promise that broke, the earliest first.
+/// Returns all violations, earliest first.
 pub fn find_violations(history: &History, bounds: &Bounds) -> Vec<Violation> {
     let mut violations = overlaps::check(history);
     violations.extend(answers::check(history));
--- a/crates/tools/cloverfold_soak/src/checker/overlaps.rs
+++ b/crates/tools/cloverfold_soak/src/checker/overlaps.rs
@@ -1,4 +1,4 @@
-//! No two runs of a task at once.
+//! Checks that runs of one task do not overlap.
 
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
     tasks.into_values().flat_map(find_overlaps).collect()
 }
 
-/// Compares each run of a task with the one of those before it that ended last.
+/// Compares each run of a task with the earlier run that ended last.
 fn find_overlaps(mut runs: Vec<&Run>) -> Vec<Violation> {
     runs.sort_by_key(|run| run.started_at);
     let mut last: Option<&Run> = None;
@@ -34,8 +34,8 @@
 }
 
 fn report(earlier: &Run, later: &Run) -> Violation {
-    let what = format!(
-        "job {} task {}: run {} at target {} began at {:.3} s while run {} at target {} (from {:.3} s) had not ended: {:?}",
+    let description = format!(
+        "job {} task {}: run {} at target {} started at {:.3} s before run {} at target {} (from {:.3} s) had ended: {:?}",
         later.job,
         later.task,
         later.number,
@@ -46,5 +46,5 @@
         earlier.started_at.as_secs_f64(),
         earlier.end,
     );
-    Violation::new(Guarantee::OneRunAtOnce, later.started_at, what)
+    Violation::new(Guarantee::OneRunAtOnce, later.started_at, description)
 }
--- a/crates/tools/cloverfold_soak/src/lib.rs
+++ b/crates/tools/cloverfold_soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! The fault soak: real programs of a leased installation under faults that are drawn from a seed, and a checker of what was promised.
+//! Fault-injection soak test: runs the real programs of a leased installation under faults generated from a seed, and checks guarantees.
 //!
-//! [`plan`] says what happens when, [`run`] does it and records what callers, operators and targets see ([`records`]), [`checker`] finds
-//! the promises that broke. A test tool, no part of the product's programs. Relies on `cloverfold_stand_ins` for the platform's names
-//! and on `cloverfold_faults` for the links.
+//! [`plan`] defines the workload and the faults, [`run`] executes a plan and records what callers, operators and targets observe
+//! ([`records`]), and [`checker`] finds violated guarantees in that history. `cloverfold_stand_ins` provides the names and formats of
+//! the platform, and `cloverfold_faults` provides the proxies on the links.
 
 pub mod checker;
 pub mod plan;
--- a/crates/tools/cloverfold_soak/src/main.rs
+++ b/crates/tools/cloverfold_soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `cloverfold_soak`: plays plans and says which promises broke.
+//! The program `cloverfold_soak`: runs plans and reports violated guarantees.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
@@ -12,14 +12,14 @@
 use serde_json::json;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// All promises held.
-const HELD: u8 = 0;
-/// A promise broke.
-const BROKE: u8 = 1;
-/// The soak itself could not run.
-const COULD_NOT_RUN: u8 = 2;
-/// Length of a soak unless it is given, in seconds.
-const USUAL_SECONDS: u64 = 60;
+/// Exit code if there is no violation.
+const EXIT_OK: u8 = 0;
+/// Exit code if a guarantee was violated.
+const EXIT_VIOLATION: u8 = 1;
+/// Exit code if the soak itself could not run.
+const EXIT_FAILURE: u8 = 2;
+/// Default length of a soak, in seconds.
+const DEFAULT_SECONDS: u64 = 60;
 
 /// Real programs under faults drawn from a seed; ends with 0 if all promises held, 1 if one broke, 2 if the soak could not run.
 #[derive(FromArgs)]
@@ -55,29 +55,29 @@
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let arguments = match Arguments::from_args(&["cloverfold_soak"], &words) {
         Ok(arguments) => arguments,
-        Err(early) => return show(&early),
+        Err(early_exit) => return print_early_exit(&early_exit),
     };
     match run(&arguments) {
-        Ok(true) => ExitCode::from(HELD),
-        Ok(false) => ExitCode::from(BROKE),
+        Ok(true) => ExitCode::from(EXIT_OK),
+        Ok(false) => ExitCode::from(EXIT_VIOLATION),
         Err(cause) => {
             eprintln!("the soak could not run: {cause:#}");
-            ExitCode::from(COULD_NOT_RUN)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
-/// Shows the help that was asked for, or what is wrong with the arguments.
-fn show(early: &EarlyExit) -> ExitCode {
-    if early.status.is_ok() {
-        println!("{}", early.output);
+/// Prints the requested help, or the error in the arguments.
+fn print_early_exit(early_exit: &EarlyExit) -> ExitCode {
+    if early_exit.status.is_ok() {
+        println!("{}", early_exit.output);
         return ExitCode::SUCCESS;
     }
-    eprintln!("{}", early.output);
-    ExitCode::from(COULD_NOT_RUN)
+    eprintln!("{}", early_exit.output);
+    ExitCode::from(EXIT_FAILURE)
 }
 
-/// Plays all that is asked for; returns whether all promises held.
+/// Runs all requested plans; returns whether there was no violation.
 fn run(arguments: &Arguments) -> Result<bool> {
     if arguments.installation != "leased" {
         bail!(
@@ -91,15 +91,15 @@
         .worker_threads(2)
         .enable_all()
         .build()?;
-    let mut has_held = true;
+    let mut has_passed = true;
     for plan in plans {
-        has_held &= runtime.block_on(play_one(&plan, &programs, arguments))?;
+        has_passed &= runtime.block_on(run_one(&plan, &programs, arguments))?;
     }
-    Ok(has_held)
+    Ok(has_passed)
 }
 
 fn list_plans(arguments: &Arguments) -> Result<Vec<Plan>> {
-    let seconds = arguments.seconds.unwrap_or(USUAL_SECONDS);
+    let seconds = arguments.seconds.unwrap_or(DEFAULT_SECONDS);
     match (&arguments.plan, &arguments.seeds) {
         (Some(_), Some(_)) => bail!("--plan and --seeds exclude each other"),
         (Some(file), None) => Ok(vec![read_plan(file)?]),
@@ -116,17 +116,17 @@
         }
         (None, None) => {
             let seed = arguments.seed.unwrap_or_else(seed_from_time);
-            Ok(vec![draw(seed, seconds)?])
+            Ok(vec![generate(seed, seconds)?])
         }
     }
 }
 
-fn draw(seed: u64, seconds: u64) -> Result<Plan> {
+fn generate(seed: u64, seconds: u64) -> Result<Plan> {
     let length = PlanLength::new(seconds).ok_or_else(|| eyre!("--seconds: must be 24 to 600"))?;
     Ok(generate_plan(seed, length))
 }
 
-/// Reads a line of kept seeds; `None` if it is empty or a comment.
+/// Reads a line of a seed file; returns `None` if it is empty or a comment.
 fn read_seed_line(line: &str) -> Option<Result<Plan>> {
     let mut words = line.split('#').next()?.split_whitespace();
     let seed = words.next()?;
@@ -135,7 +135,7 @@
         word.parse::<u64>()
             .wrap_err_with(|| format!("seeds: {line}"))
     };
-    Some(read(seed).and_then(|seed| draw(seed, read(seconds)?)))
+    Some(read(seed).and_then(|seed| generate(seed, read(seconds)?)))
 }
 
 fn seed_from_time() -> u64 {
@@ -143,14 +143,16 @@
     now.map_or(0, |now| now.as_millis() as u64)
 }
 
-/// Returns the programs in a folder, or builds those beside this one.
+/// Returns the programs in a folder, or builds those next to this program.
 fn find_programs(folder: Option<&Path>) -> Result<Programs> {
-    let own = std::env::current_exe()?;
-    let beside = own.parent().ok_or_else(|| eyre!("no folder of its own"))?;
+    let program = std::env::current_exe()?;
+    let build_folder = program
+        .parent()
+        .ok_or_else(|| eyre!("no folder of its own"))?;
     if folder.is_none() {
-        build_programs(beside)?;
+        build_programs(build_folder)?;
     }
-    let folder = folder.unwrap_or(beside);
+    let folder = folder.unwrap_or(build_folder);
     let programs = Programs {
         cloverfold: folder.join("cloverfold"),
         guard: folder.join("cloverfold-guard"),
@@ -166,14 +168,14 @@
     Ok(programs)
 }
 
-/// Builds the programs as this one was built, if cargo has started it.
-fn build_programs(beside: &Path) -> Result<()> {
+/// Builds the programs in the profile of this program, if cargo has started it.
+fn build_programs(build_folder: &Path) -> Result<()> {
     let Some(cargo) = std::env::var_os("CARGO") else {
         return Ok(());
     };
     let mut build = Command::new(cargo);
     build.args(["build", "--locked", "--quiet", "-p", "cloverfold", "--bins"]);
-    if beside.ends_with("release") {
+    if build_folder.ends_with("release") {
         build.arg("--release");
     }
     let status = build.status().wrap_err("cargo build")?;
@@ -183,31 +185,31 @@
     Ok(())
 }
 
-/// Plays one plan; returns whether all promises held.
-async fn play_one(plan: &Plan, programs: &Programs, arguments: &Arguments) -> Result<bool> {
-    // No two plays share a folder, also of one seed.
+/// Runs one plan; returns whether there was no violation.
+async fn run_one(plan: &Plan, programs: &Programs, arguments: &Arguments) -> Result<bool> {
+    // The process id keeps apart runs of the same seed.
     let own = format!("{}-{}", plan.seed, std::process::id());
-    let kept = match &arguments.folder {
+    let run_folder = match &arguments.folder {
         Some(folder) => folder.join(own),
         None => std::env::temp_dir().join(format!("cloverfold-soak-{own}")),
     };
-    std::fs::create_dir_all(&kept).wrap_err(kept.display().to_string())?;
-    write_plan(plan, &kept.join("plan.json"))?;
+    std::fs::create_dir_all(&run_folder).wrap_err(run_folder.display().to_string())?;
+    write_plan(plan, &run_folder.join("plan.json"))?;
     let (is_json, bounds) = (arguments.json, Bounds::default());
-    let tell = |at: Duration, counts: Counts| tell_progress(plan, at, counts, is_json);
+    let on_progress = |at: Duration, counts: Counts| report_progress(plan, at, counts, is_json);
     let report = tokio::select! {
-        report = run_plan(plan, programs, &kept, &bounds, tell) => report?,
-        // What is dropped here ends all that was started.
+        report = run_plan(plan, programs, &run_folder, &bounds, on_progress) => report?,
+        // Dropping the run kills all child processes.
         () = wait_interrupt() => bail!("interrupted"),
     };
-    let has_held = report.violations.is_empty();
-    if has_held && arguments.folder.is_none() {
-        std::fs::remove_dir_all(&kept)?;
+    let has_passed = report.violations.is_empty();
+    if has_passed && arguments.folder.is_none() {
+        std::fs::remove_dir_all(&run_folder)?;
     } else {
-        write_findings(plan, &report, &kept)?;
+        write_findings(plan, &report, &run_folder)?;
     }
-    summarize(plan, &report, &kept, is_json);
-    Ok(has_held)
+    summarize(plan, &report, &run_folder, is_json);
+    Ok(has_passed)
 }
 
 async fn wait_interrupt() {
@@ -225,7 +227,7 @@
     }
 }
 
-fn tell_progress(plan: &Plan, at: Duration, counts: Counts, is_json: bool) {
+fn report_progress(plan: &Plan, at: Duration, counts: Counts, is_json: bool) {
     if is_json {
         let line = json!({ "seed": plan.seed, "at_s": at.as_secs_f64(), "counts": counts });
         println!("{line}");
--- a/crates/tools/cloverfold_soak/src/plan/file.rs
+++ b/crates/tools/cloverfold_soak/src/plan/file.rs
@@ -1,22 +1,20 @@
-//! Plans in files, as JSON.
-//!
-//! Owns the check that a plan names only what there is. Relies on the types of [`Plan`].
+//! Reads and writes plans as JSON files, and validates them.
 
 use std::path::Path;
 
 use super::{CONTROL_COUNT, ENTRY_COUNT, Fault, GUARD_COUNT, Plan, PlannedOrder};
 use crate::records::Process;
 
-/// Why a plan cannot be read or written.
+/// Errors of reading or writing a plan.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanFileError {
-    /// The file cannot be used.
+    /// The file cannot be read or written.
     #[error("{0}: {1}")]
     File(String, std::io::Error),
-    /// It does not hold a plan.
+    /// The file does not contain a plan.
     #[error("{0}: {1}")]
     Form(String, serde_json::Error),
-    /// The plan names what is not there.
+    /// The plan refers to a process that does not exist.
     #[error("{0}: {1}")]
     Content(String, &'static str),
 }
@@ -25,54 +23,54 @@
 ///
 /// # Errors
 ///
-/// Returns why the file cannot be read.
+/// Returns an error if the file cannot be read or does not contain a valid plan.
 pub fn read_plan(file: &Path) -> Result<Plan, PlanFileError> {
     let name = || file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|cause| PlanFileError::File(name(), cause))?;
     let plan: Plan =
         serde_json::from_str(&text).map_err(|cause| PlanFileError::Form(name(), cause))?;
-    match find_fault_in(&plan) {
-        Some(fault) => Err(PlanFileError::Content(name(), fault)),
+    match find_invalid_reference(&plan) {
+        Some(reference) => Err(PlanFileError::Content(name(), reference)),
         None => Ok(plan),
     }
 }
 
-/// Returns what a plan names that is not there.
-fn find_fault_in(plan: &Plan) -> Option<&'static str> {
-    let is_there = |process: &Process| match process {
+/// Returns a description of the first reference to a process that does not exist.
+fn find_invalid_reference(plan: &Plan) -> Option<&'static str> {
+    let exists = |process: &Process| match process {
         Process::Control(index) => *index < CONTROL_COUNT,
         Process::Entry(index) => *index < ENTRY_COUNT,
         Process::Guard(index) => *index < GUARD_COUNT,
     };
-    let is_sound = |fault: &Fault| match fault {
+    let is_valid = |fault: &Fault| match fault {
         Fault::Stop { process, .. }
         | Fault::Kill { process, .. }
         | Fault::Pause { process, .. }
         | Fault::CutOff { process, .. }
         | Fault::Delay { process, .. }
         | Fault::Reset { process }
-        | Fault::Silence { process } => is_there(process),
+        | Fault::Silence { process } => exists(process),
         Fault::LoseDisk { control, .. } => *control < CONTROL_COUNT,
         Fault::KillAll { lost_disk, .. } => lost_disk.is_none_or(|control| control < CONTROL_COUNT),
-        Fault::Cut { side, other, .. } => side.iter().chain(other).all(is_there),
+        Fault::Cut { side, other, .. } => side.iter().chain(other).all(exists),
         Fault::Target { target, .. } => *target < GUARD_COUNT,
     };
-    if !plan.faults.iter().all(|planned| is_sound(&planned.fault)) {
-        return Some("a fault names a process that there is not");
+    if !plan.faults.iter().all(|planned| is_valid(&planned.fault)) {
+        return Some("a fault refers to a process that does not exist");
     }
     if plan.jobs.iter().any(|job| job.entry >= ENTRY_COUNT) {
-        return Some("a job names an entry that there is not");
+        return Some("a job refers to an entry that does not exist");
     }
     let has_control = |order: &PlannedOrder| order.control < CONTROL_COUNT;
     (!plan.orders.iter().all(has_control))
-        .then_some("an order names a control process that there is not")
+        .then_some("an order refers to a control process that does not exist")
 }
 
 /// Writes a plan to a file.
 ///
 /// # Errors
 ///
-/// Returns why the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub fn write_plan(plan: &Plan, file: &Path) -> Result<(), PlanFileError> {
     let name = || file.display().to_string();
     let text =
--- a/crates/tools/cloverfold_soak/src/plan/draw_faults.rs
+++ b/crates/tools/cloverfold_soak/src/plan/generate_faults.rs
@@ -1,67 +1,68 @@
-//! Draws faults, several at once and again right after a repair.
+//! Generates concurrent faults, some of which repeat right after the recovery.
 //!
-//! Rule: no second disk is lost while the first may not be whole again; all else may fall together, since only service may rest then.
+//! A second disk is lost only after the first replica has had time to recover. Other faults may coincide: they may make the installation
+//! unavailable, but must not violate a guarantee.
 
 use rand::RngExt;
 
-use super::draw::Draw;
-use super::{CONTROL_COUNT, CutDirection, Fault, GUARD_COUNT, Millis, TargetFault, list_processes};
+use super::generate::PlanGenerator;
+use super::{CONTROL_COUNT, Fault, GUARD_COUNT, Millis, TargetFault, Way, list_processes};
 use crate::records::Process;
 
-/// Two lost disks are so far apart, so that no more are lost at once than one.
-const BETWEEN_LOST_DISKS: Millis = 20_000;
-/// Longest fault.
-const LONGEST_FAULT: Millis = 5_000;
+/// Minimum time between two disk losses, so that the first replica has recovered before the second loss.
+const MIN_DISK_LOSS_INTERVAL: Millis = 20_000;
+/// Maximum duration of a fault.
+const MAX_FAULT_LENGTH: Millis = 5_000;
 
-impl Draw {
-    /// Draws the faults of a span.
-    pub(super) fn draw_storm(&mut self, from: Millis, until: Millis) {
+impl PlanGenerator {
+    /// Generates the faults of a phase.
+    pub(super) fn generate_fault_phase(&mut self, from: Millis, until: Millis) {
         let mut at = from;
         while at < until {
-            let at_once = self.rng.random_range(1..4);
-            for _ in 0..at_once {
-                let longest = (until - at).clamp(200, LONGEST_FAULT);
-                let fault = self.draw_fault(at, longest);
-                let is_again = self.rng.random_bool(0.3) && !loses_disk(&fault);
-                let again = is_again.then(|| fault.clone());
-                // Once more right after the repair.
-                let at_again = at + span_of(&fault) + self.rng.random_range(0..400);
-                self.fault(at, fault);
-                if let Some(fault) = again.filter(|_| at_again < until) {
-                    self.fault(at_again, fault);
+            let concurrent_faults = self.rng.random_range(1..4);
+            for _ in 0..concurrent_faults {
+                let longest = (until - at).clamp(200, MAX_FAULT_LENGTH);
+                let fault = self.generate_fault(at, longest);
+                let is_repeated = self.rng.random_bool(0.3) && !includes_disk_loss(&fault);
+                let repeated = is_repeated.then(|| fault.clone());
+                // The repetition starts right after the recovery.
+                let repeated_at = at + planned_duration(&fault) + self.rng.random_range(0..400);
+                self.add_fault(at, fault);
+                if let Some(fault) = repeated.filter(|_| repeated_at < until) {
+                    self.add_fault(repeated_at, fault);
                 }
             }
             at += self.rng.random_range(150..2_000);
         }
     }
 
-    pub(super) fn draw_process(&mut self) -> Process {
+    pub(super) fn choose_process(&mut self) -> Process {
         let processes = list_processes();
         processes[self.rng.random_range(0..processes.len())]
     }
 
-    fn draw_way(&mut self) -> CutDirection {
+    fn choose_direction(&mut self) -> Way {
         match self.rng.random_range(0..3) {
-            0 => CutDirection::Both,
-            1 => CutDirection::Outwards,
-            _ => CutDirection::Inwards,
+            0 => Way::Both,
+            1 => Way::Outwards,
+            _ => Way::Inwards,
         }
     }
 
-    fn draw_fault(&mut self, at: Millis, longest: Millis) -> Fault {
+    fn generate_fault(&mut self, at: Millis, longest: Millis) -> Fault {
         let lasts = self.rng.random_range(50..longest);
         let away = self.rng.random_range(0..longest.min(2_500));
-        let process = self.draw_process();
+        let process = self.choose_process();
         match self.rng.random_range(0..100) {
             0..5 => Fault::Stop { process, away },
             5..17 => Fault::Kill { process, away },
             17..31 => Fault::Pause { process, lasts },
-            31..35 => self.draw_lost_disk(at, away),
-            35..38 => self.draw_kill_all(at, away),
-            38..51 => self.draw_cut(lasts),
+            31..35 => self.generate_disk_loss(at, away),
+            35..38 => self.generate_kill_all(at, away),
+            38..51 => self.generate_cut(lasts),
             51..56 => Fault::CutOff {
                 process,
-                way: self.draw_way(),
+                way: self.choose_direction(),
                 lasts,
             },
             56..61 => Fault::Delay {
@@ -73,26 +74,26 @@
             66..71 => Fault::Silence { process },
             _ => Fault::Target {
                 target: self.rng.random_range(0..GUARD_COUNT),
-                fault: self.draw_target_fault(),
+                fault: self.generate_target_fault(),
                 lasts,
             },
         }
     }
 
-    /// Returns whether another disk may be lost at this time, and takes note of it.
-    fn may_lose_disk(&mut self, at: Millis) -> bool {
-        let is_far = self
-            .last_lost_disk
-            .is_none_or(|last| at > last + BETWEEN_LOST_DISKS);
-        if is_far {
-            self.last_lost_disk = Some(at);
+    /// Records a disk loss at this time if the previous one is long enough ago; returns whether it did.
+    fn try_lose_disk(&mut self, at: Millis) -> bool {
+        let is_allowed = self
+            .last_disk_loss
+            .is_none_or(|last| at > last + MIN_DISK_LOSS_INTERVAL);
+        if is_allowed {
+            self.last_disk_loss = Some(at);
         }
-        is_far
+        is_allowed
     }
 
-    fn draw_lost_disk(&mut self, at: Millis, away: Millis) -> Fault {
+    fn generate_disk_loss(&mut self, at: Millis, away: Millis) -> Fault {
         let control = self.rng.random_range(0..CONTROL_COUNT);
-        if self.may_lose_disk(at) {
+        if self.try_lose_disk(at) {
             Fault::LoseDisk { control, away }
         } else {
             let process = Process::Control(control);
@@ -100,55 +101,55 @@
         }
     }
 
-    fn draw_kill_all(&mut self, at: Millis, away: Millis) -> Fault {
+    fn generate_kill_all(&mut self, at: Millis, away: Millis) -> Fault {
         let control = self.rng.random_range(0..CONTROL_COUNT);
-        let is_lost = self.rng.random_bool(0.3) && self.may_lose_disk(at);
+        let is_lost = self.rng.random_bool(0.3) && self.try_lose_disk(at);
         Fault::KillAll {
             away,
             lost_disk: is_lost.then_some(control),
         }
     }
 
-    fn draw_cut(&mut self, lasts: Millis) -> Fault {
+    fn generate_cut(&mut self, lasts: Millis) -> Fault {
         let all = list_processes();
         let kind = self.rng.random_range(0..3);
-        let in_side: Vec<bool> = all
+        let side_flags: Vec<bool> = all
             .iter()
             .map(|process| match kind {
-                // Halves.
+                // Random halves.
                 0 => self.rng.random_bool(0.5),
-                // One process from the others.
+                // One process against all others.
                 1 => false,
-                // Control processes among themselves.
+                // Control processes against each other.
                 _ => matches!(process, Process::Control(_)) && self.rng.random_bool(0.5),
             })
             .collect();
-        let alone = self.draw_process();
+        let alone = self.choose_process();
         let is_in_side = |index: usize, process: Process| {
             if kind == 1 {
                 process == alone
             } else {
-                in_side[index]
+                side_flags[index]
             }
         };
-        let is_meant = |process: Process| kind != 2 || matches!(process, Process::Control(_));
+        let takes_part = |process: Process| kind != 2 || matches!(process, Process::Control(_));
         let (mut side, mut other) = (Vec::new(), Vec::new());
         for (index, process) in all.into_iter().enumerate() {
             if is_in_side(index, process) {
                 side.push(process);
-            } else if is_meant(process) {
+            } else if takes_part(process) {
                 other.push(process);
             }
         }
         Fault::Cut {
             side,
             other,
-            way: self.draw_way(),
+            way: self.choose_direction(),
             lasts,
         }
     }
 
-    fn draw_target_fault(&mut self) -> TargetFault {
+    fn generate_target_fault(&mut self) -> TargetFault {
         match self.rng.random_range(0..10) {
             0..4 => TargetFault::Crash {
                 late_registration: self
@@ -167,8 +168,8 @@
     }
 }
 
-/// Returns how long a fault lasts by the plan.
-fn span_of(fault: &Fault) -> Millis {
+/// Returns the planned duration of a fault.
+fn planned_duration(fault: &Fault) -> Millis {
     match fault {
         Fault::Stop { away, .. }
         | Fault::Kill { away, .. }
@@ -183,7 +184,7 @@
     }
 }
 
-fn loses_disk(fault: &Fault) -> bool {
+fn includes_disk_loss(fault: &Fault) -> bool {
     let loses_all = matches!(
         fault,
         Fault::KillAll {
--- a/crates/tools/cloverfold_soak/src/plan/mod.rs
+++ b/crates/tools/cloverfold_soak/src/plan/mod.rs
@@ -1,20 +1,20 @@
-//! What a soak does and when, all of it drawn from a seed or read from a file.
+//! The plan of a soak: jobs, faults and operator orders with their times.
 //!
-//! Owns the types; `draw` draws a plan, `file` reads and writes one. The same seed gives the same plan; when the system carries out what the plan says, which of two
-//! messages is first, and where a job is placed stay undetermined.
+//! `generate` generates a plan from a seed, and `file` reads and writes one. The same seed always gives the same plan, but its execution is
+//! not deterministic: timing, message order and job placement vary.
 
-mod draw;
-mod draw_faults;
 mod file;
+mod generate;
+mod generate_faults;
 
 use serde::{Deserialize, Serialize};
 
-pub use draw::{PlanLength, generate_fault_free_plan, generate_plan};
 pub use file::{PlanFileError, read_plan, write_plan};
+pub use generate::{PlanLength, generate_fault_free_plan, generate_plan};
 
 use crate::records::{HallName, Process, TargetIndex};
 
-/// Milliseconds since the start of the soak, or a span of so many.
+/// Milliseconds since the start of the soak, or a duration in milliseconds.
 pub type Millis = u64;
 
 /// Number of control processes of the installation.
@@ -23,7 +23,7 @@
 pub const ENTRY_COUNT: usize = 3;
 /// Number of guards of the installation, each with a target.
 pub const GUARD_COUNT: usize = 5;
-/// The data halls; processes of each kind are spread over them in turn.
+/// Data halls, assigned round-robin to the processes of each kind.
 pub const HALLS: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
 
 /// Returns all processes of the installation.
@@ -34,46 +34,46 @@
     controls.chain(entries).chain(guards).collect()
 }
 
-/// Everything that a soak does.
+/// The workload, the faults and the operator orders of a soak.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The seed that it was drawn from.
+    /// The seed that it was generated from.
     pub seed: u64,
-    /// How long the soak lasts.
+    /// Duration of the soak.
     pub length: Millis,
-    /// What callers send.
+    /// Jobs of callers.
     pub jobs: Vec<PlannedJob>,
-    /// What goes wrong, and planned work.
+    /// Faults and planned work.
     pub faults: Vec<PlannedFault>,
-    /// What operators order.
+    /// Orders of operators.
     pub orders: Vec<PlannedOrder>,
 }
 
-/// A job of a caller.
+/// A job and the behavior of its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedJob {
-    /// When it is sent.
+    /// Time of the first attempt.
     pub at: Millis,
-    /// The entry that it goes to; another one that is ready if this one is not.
+    /// The preferred entry; the caller uses the next ready one if it is not ready.
     pub entry: usize,
-    /// Number of its tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// How long each task works.
+    /// Duration of each task.
     pub work: Millis,
-    /// What its caller does.
-    pub manner: CallerBehavior,
+    /// Behavior of the caller.
+    pub manner: Manner,
 }
 
 /// How a caller behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CallerBehavior {
-    /// Waits, and sends again what got no answer.
+pub enum Manner {
+    /// Waits for the answer, and retries if there is none.
     Patient,
-    /// As a patient one, and sends again what was refused.
+    /// Like [`Manner::Patient`], and also retries after a refusal.
     Insistent,
-    /// Leaves after a while.
+    /// Disconnects before the answer.
     Leaves {
-        /// After how long.
+        /// Time until it disconnects.
         after: Millis,
     },
 }
@@ -81,107 +81,107 @@
 /// A fault, or planned work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedFault {
-    /// When it begins.
+    /// Start time.
     pub at: Millis,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
 /// The direction in which a link carries no traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CutDirection {
-    /// Neither way.
+pub enum Way {
+    /// Both directions.
     Both,
-    /// Away from the side that is named first.
+    /// From the first side to the second.
     Outwards,
-    /// Towards it.
+    /// From the second side to the first.
     Inwards,
 }
 
-/// What goes wrong, or is planned.
+/// A fault or planned work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fault {
-    /// A process is asked to stop and started again after its exit.
+    /// A planned stop: a process receives SIGTERM and restarts after its exit.
     Stop {
-        /// Which.
+        /// The process.
         process: Process,
-        /// How long it stays away.
+        /// Downtime before the restart.
         away: Millis,
     },
-    /// A process is killed and started again.
+    /// A process is killed and restarted.
     Kill {
-        /// Which.
+        /// The process.
         process: Process,
-        /// How long it stays away.
+        /// Downtime before the restart.
         away: Millis,
     },
-    /// A process stands still.
+    /// A process is suspended.
     Pause {
-        /// Which.
+        /// The process.
         process: Process,
-        /// How long.
+        /// Duration of the suspension.
         lasts: Millis,
     },
-    /// A control process is killed and started again with an empty folder.
+    /// A control process is killed and restarted with an empty data folder.
     LoseDisk {
-        /// Which.
+        /// The control process.
         control: usize,
-        /// How long it stays away.
+        /// Downtime before the restart.
         away: Millis,
     },
-    /// All processes are killed at once and started again.
+    /// All processes are killed at once and restarted.
     KillAll {
-        /// How long they stay away.
+        /// Downtime before the restart.
         away: Millis,
-        /// The control process whose folder is empty then.
+        /// The control process that loses its data folder.
         lost_disk: Option<usize>,
     },
-    /// Nothing passes between two sides.
+    /// A network partition between two sets of processes.
     Cut {
         /// One side.
         side: Vec<Process>,
         /// The other side.
         other: Vec<Process>,
-        /// Which way.
-        way: CutDirection,
-        /// How long.
+        /// The blocked direction, seen from `side`.
+        way: Way,
+        /// Duration of the partition.
         lasts: Millis,
     },
-    /// Nothing passes between a process and its callers, operators or target.
+    /// A partition between a process and its callers, operators or target.
     CutOff {
-        /// Which process.
+        /// The process.
         process: Process,
-        /// Which way, from the process.
-        way: CutDirection,
-        /// How long.
+        /// The blocked direction, seen from the process.
+        way: Way,
+        /// Duration of the partition.
         lasts: Millis,
     },
     /// All links to a process are delayed.
     Delay {
-        /// Which process.
+        /// The process.
         process: Process,
-        /// By how much.
+        /// Added delay.
         by: Millis,
-        /// How long.
+        /// Duration of the fault.
         lasts: Millis,
     },
     /// All open connections to a process are reset.
     Reset {
-        /// Which process.
+        /// The process.
         process: Process,
     },
-    /// All open connections to a process go silent for good; new ones work.
+    /// All open connections to a process drop all further traffic; new connections work.
     Silence {
-        /// Which process.
+        /// The process.
         process: Process,
     },
-    /// A target misbehaves.
+    /// A target fault, or the planned restart of a target.
     Target {
-        /// Which.
+        /// The target.
         target: TargetIndex,
-        /// How.
+        /// The fault.
         fault: TargetFault,
-        /// How long.
+        /// Duration of the fault.
         lasts: Millis,
     },
 }
@@ -200,60 +200,60 @@
     }
 }
 
-/// How a target misbehaves.
+/// A fault or the planned restart of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetFault {
-    /// It crashes; a late registration of the old life may come so long after the new one has begun.
+    /// The target crashes and restarts; a delayed registration of the old incarnation may arrive after the new one has started.
     Crash {
-        /// The delay of the late registration, if one comes.
+        /// Delay of that registration after the restart; `None` if there is none.
         late_registration: Option<Millis>,
     },
     /// Runs never end.
     Hang,
     /// Runs fail.
     Fail,
-    /// Orders are carried out late.
+    /// Orders are executed late.
     Late {
-        /// By how much.
+        /// Added delay.
         by: Millis,
     },
-    /// Orders are not answered.
+    /// Orders get no answer.
     Unanswering,
-    /// Starts get 503.
+    /// Starts are answered with 503.
     Unhealthy,
-    /// It says that it leaves, ends, and another life comes up.
+    /// A planned restart: the target announces a drain, exits, and starts a new incarnation.
     Leave,
 }
 
-/// An operator's order.
+/// An order of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedOrder {
-    /// When it is sent first.
+    /// Time of the first attempt.
     pub at: Millis,
-    /// The control process that it is sent to first.
+    /// The control process of the first attempt.
     pub control: usize,
-    /// What is ordered.
-    pub order: OperatorOrder,
+    /// The order.
+    pub order: Order,
 }
 
-/// What an operator orders.
+/// An order of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OperatorOrder {
-    /// A valid configuration of a higher version, sent until it is acknowledged.
+pub enum Order {
+    /// Sends a valid configuration with a higher version until it is acknowledged.
     Configure,
-    /// Two such at the same moment, to two control processes.
+    /// Sends two such configurations at the same time, to two control processes.
     Race,
-    /// The newest acknowledged configuration once more.
+    /// Sends the newest acknowledged configuration again.
     Repeat,
-    /// A configuration whose queues name a service that there is not.
+    /// Sends a configuration whose queues name an unknown service.
     Unsound,
-    /// A configuration that breaks off.
+    /// Sends a truncated configuration.
     Unreadable,
-    /// A hall is evacuated, and taken back a while after the acknowledgement.
+    /// Evacuates a data hall, and ends the evacuation some time after the acknowledgement.
     Evacuate {
-        /// Which hall.
+        /// The data hall.
         hall: HallName,
-        /// How long after.
+        /// Time from the acknowledgement to the end of the evacuation.
         lasts: Millis,
     },
 }
--- a/crates/tools/cloverfold_soak/src/records.rs
+++ b/crates/tools/cloverfold_soak/src/records.rs
@@ -1,6 +1,6 @@
-//! What callers, operators, targets and the soak itself have seen, on one steady clock.
+//! Types of the recorded history: observations of callers, operators, targets and the soak itself, on one monotonic clock.
 //!
-//! Owns the types alone. The checker reads nothing else: neither logs nor metrics of the programs.
+//! The checker reads only this history, not the logs or metrics of the programs.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 pub type JobName = String;
 /// The name of a data hall.
 pub type HallName = String;
-/// Version of a configuration.
+/// The version of a configuration.
 pub type Version = u64;
-/// A target, by the number of the guard that it stands beside.
+/// The index of a target, which is that of its guard.
 pub type TargetIndex = usize;
 
-/// A process that the soak has started.
+/// A process of the installation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Process {
     /// A control process.
@@ -42,211 +42,211 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
-    /// All its work is done.
+    /// The task is done.
     Done,
-    /// It failed by itself.
+    /// The task failed.
     Failed,
-    /// It was ordered to stop.
+    /// A stop order ended the run.
     Stopped,
-    /// Its lease was over.
+    /// The lease expired.
     Lapsed,
-    /// Its target crashed.
+    /// The target crashed.
     Died,
 }
 
-/// One run at a target.
+/// One run of a task at a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The job of its task.
+    /// The job.
     pub job: JobName,
-    /// The number of its task in the job.
+    /// The index of the task in the job.
     pub task: u32,
-    /// Number of the start.
+    /// The run number of the start order.
     pub number: u64,
-    /// Where it ran.
+    /// The target.
     pub target: TargetIndex,
-    /// The life of the target.
+    /// The incarnation of the target.
     pub incarnation: u64,
-    /// When it began.
+    /// Start of the run.
     pub started_at: Elapsed,
-    /// Whether the target carried out the order long after it came.
+    /// Whether a fault delayed the execution of the start order at the target.
     pub is_late: bool,
-    /// When and how it ended; `None` while it runs.
+    /// Time and cause of the end; `None` while the run is active.
     pub end: Option<(Elapsed, RunEnd)>,
 }
 
-/// What became of one send of a caller.
+/// The outcome of one attempt of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The whole job is done.
+    /// The answer says that all tasks are done.
     Completed,
-    /// A task has failed as often as it may.
+    /// The answer says that a task has reached its failure limit.
     Failed,
-    /// It was not taken and never runs.
+    /// The entry refused the job, which never runs.
     Refused,
-    /// The entry has given it up; parts may have run.
+    /// The entry gave up the job, of which parts may have run.
     GivenUp,
-    /// The answer is none of those that there are.
+    /// The answer is not part of the protocol.
     Garbled,
-    /// The connection ended without a whole answer.
+    /// The connection ended before a complete answer.
     Broken,
-    /// The caller's own time was over.
+    /// The caller reached its timeout.
     TimedOut,
-    /// The caller left before.
+    /// The caller disconnected before the answer.
     Left,
 }
 
-/// One send of a job by its caller.
+/// One attempt of a caller to submit a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The job; the same for all its sends.
+    /// The job, which is the same for all its attempts.
     pub job: JobName,
-    /// Number of its tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Runs of a task that may fail.
+    /// Failures of one task after which the job fails.
     pub max_failures: u32,
-    /// The entry that it was sent to.
+    /// The entry.
     pub entry: usize,
-    /// When it was sent.
+    /// Time of the attempt.
     pub sent_at: Elapsed,
-    /// What came of it; `None` while the caller waits.
+    /// Time and kind of the outcome; `None` while the caller waits.
     pub outcome: Option<(Elapsed, Outcome)>,
 }
 
-/// A target has told its guard that it leaves, and the guard has acknowledged it.
+/// A drain that a target announced and its guard acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
     /// The target.
     pub target: TargetIndex,
-    /// The life of the target.
+    /// The incarnation of the target.
     pub incarnation: u64,
-    /// When the acknowledgement came.
+    /// Time of the acknowledgement.
     pub acknowledged_at: Elapsed,
 }
 
-/// What an operator was told of an order.
+/// The answer to an order of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderAnswer {
-    /// It is taken.
+    /// The order is acknowledged.
     Acknowledged,
-    /// It is refused for good.
+    /// The order is refused permanently.
     Refused,
-    /// Nothing that tells.
+    /// There is no answer, or it leaves the result open.
     Unknown,
 }
 
-/// One send of a configuration.
+/// One attempt to send a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationOrder {
-    /// Its version.
+    /// The version.
     pub version: Version,
-    /// Whether it is valid.
+    /// Whether the configuration is valid.
     pub is_valid: bool,
-    /// When it was sent.
+    /// Time of the attempt.
     pub sent_at: Elapsed,
-    /// When and how it was answered; `None` while the operator waits.
+    /// Time and kind of the answer; `None` while the operator waits.
     pub answer: Option<(Elapsed, OrderAnswer)>,
 }
 
-/// A configuration that a control process showed.
+/// A configuration that a control process returned.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationRead {
-    /// Which control process.
+    /// The control process.
     pub control: usize,
-    /// When it was asked.
+    /// Time of the request.
     pub asked_at: Elapsed,
-    /// The version that it showed.
+    /// The returned version.
     pub version: Version,
-    /// Whether its text is that of a valid configuration sent under this version.
+    /// Whether the text equals that of a valid configuration that was sent with this version.
     pub is_as_sent: bool,
 }
 
-/// An entry was asked whether it knows a queue that only versions from one on have.
+/// A probe whether an entry knows a queue that exists only in a range of versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
-    /// Which entry.
+    /// The entry.
     pub entry: usize,
-    /// The life of the entry's process.
+    /// Incarnation number of the entry's process.
     pub life: u64,
-    /// When it was asked.
+    /// Time of the request.
     pub asked_at: Elapsed,
-    /// When it answered.
+    /// Time of the answer.
     pub answered_at: Elapsed,
-    /// The first version that has the queue.
+    /// The first version with the queue.
     pub version: Version,
-    /// The last version that has it.
+    /// The last version with the queue.
     pub last_version: Version,
-    /// Whether it knows the queue.
+    /// Whether the entry knows the queue.
     pub is_known: bool,
 }
 
 /// What an operator orders for a data hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HallAction {
-    /// To empty it.
+    /// Start an evacuation.
     Evacuate,
-    /// To use it again.
+    /// End the evacuation.
     TakeBack,
 }
 
-/// A wish for a data hall, sent until it was acknowledged; one operator at a time cares for a hall.
+/// An order for a data hall, repeated until it is acknowledged. Only one operator at a time gives orders for a hall.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallOrder {
-    /// The hall.
+    /// The data hall.
     pub hall: HallName,
-    /// What is wanted.
+    /// The ordered action.
     pub wish: HallAction,
-    /// When it was sent first.
+    /// Time of the first attempt.
     pub sent_at: Elapsed,
-    /// When it was acknowledged; `None` if it never was.
+    /// Time of the acknowledgement; `None` if there is none.
     pub acknowledged_at: Option<Elapsed>,
 }
 
-/// The evacuated halls that a control process showed.
+/// The list of evacuated data halls that a control process returned.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallRead {
-    /// Which control process.
+    /// The control process.
     pub control: usize,
-    /// When it was asked.
+    /// Time of the request.
     pub asked_at: Elapsed,
-    /// When it answered.
+    /// Time of the answer.
     pub answered_at: Elapsed,
-    /// The halls.
+    /// The data halls.
     pub halls: Vec<HallName>,
 }
 
-/// What a fault of the soak touches.
+/// What a disturbance affects.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// These processes, and the links to and from them.
+    /// Some processes, and the links to and from them.
     Processes(Vec<Process>),
-    /// A target and the calls between it and its guard.
+    /// A target, and the calls between it and its guard.
     Target(TargetIndex),
     /// Everything.
     All,
 }
 
-/// A fault of the soak, or planned work, from its beginning until all that it touched was whole again.
+/// A fault or planned work, from its start until everything that it affected has recovered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Disturbance {
-    /// What it touches.
+    /// What it affects.
     pub scope: Scope,
     /// Whether it is planned work.
     pub is_planned: bool,
-    /// When it began.
+    /// Start.
     pub from: Elapsed,
-    /// When it was over; `None` while it lasts.
+    /// End; `None` while it is active.
     pub until: Option<Elapsed>,
 }
 
-/// A process was asked to stop.
+/// A planned stop of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedStop {
     /// The process.
     pub process: Process,
-    /// When it was asked.
+    /// Time of the stop request.
     pub asked_at: Elapsed,
-    /// When it had exited; `None` while it stops.
+    /// Time of the exit; `None` while the process is stopping.
     pub exited_at: Option<Elapsed>,
 }
 
@@ -255,32 +255,32 @@
 pub struct UnexpectedExit {
     /// The process.
     pub process: Process,
-    /// When that was seen.
+    /// Time at which the exit was observed.
     pub at: Elapsed,
 }
 
-/// Everything that was seen up to a moment.
+/// All observations up to a time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
-    /// How far the records go.
+    /// Time up to which the history is complete.
     pub now: Elapsed,
-    /// Whether the soak is over: what has not happened by now never will.
+    /// Whether the soak is over, so that what is still missing never happens.
     pub is_over: bool,
-    /// All runs, in no order.
+    /// All runs, unordered.
     pub runs: Vec<Run>,
-    /// All sends of callers.
+    /// All attempts of callers.
     pub attempts: Vec<Attempt>,
-    /// All acknowledged announcements of targets that leave.
+    /// All acknowledged drains.
     pub drains: Vec<Drain>,
-    /// All sends of configurations.
+    /// All attempts to send a configuration.
     pub configuration_orders: Vec<ConfigurationOrder>,
-    /// All configurations shown.
+    /// All configuration reads.
     pub configuration_reads: Vec<ConfigurationRead>,
     /// All probes of entries.
     pub probes: Vec<Probe>,
-    /// All wishes for data halls, in order for each hall.
+    /// All orders for data halls, ordered by time within a hall.
     pub hall_orders: Vec<HallOrder>,
-    /// All lists of evacuated halls.
+    /// All reads of the evacuated data halls.
     pub hall_reads: Vec<HallRead>,
     /// The data hall of each target.
     pub target_halls: Vec<HallName>,
@@ -288,6 +288,6 @@
     pub disturbances: Vec<Disturbance>,
     /// All planned stops.
     pub stops: Vec<PlannedStop>,
-    /// All processes that ended by themselves.
+    /// All unexpected exits.
     pub own_ends: Vec<UnexpectedExit>,
 }
--- a/crates/tools/cloverfold_soak/src/run/callers.rs
+++ b/crates/tools/cloverfold_soak/src/run/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they choose an entry that is ready, wait, leave, and send again what got no answer.
+//! Simulated callers: they choose a ready entry, wait for the answer or disconnect, and retry jobs without an answer.
 
 use std::time::Duration;
 
@@ -13,42 +13,42 @@
 use super::exchange::exchange;
 use super::installation::Installation;
 use super::layout::Side;
-use crate::plan::{CallerBehavior, PlannedJob};
+use crate::plan::{Manner, PlannedJob};
 use crate::records::{Attempt, Outcome, Process};
 
-/// How long a caller waits, which it also tells.
-const PATIENCE: Duration = Duration::from_millis(4_000);
-/// After this a caller sends again what got no answer.
-const RESEND: Duration = Duration::from_millis(1_300);
-/// After this an insistent caller sends again what was refused.
-const AFTER_REFUSAL: Duration = Duration::from_millis(300);
-/// Most sends of one job.
-const MAX_SENDS: usize = 4;
+/// How long a caller waits for an answer; also sent as the deadline of the job.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Delay before a caller retries a job without an answer.
+const RETRY_DELAY: Duration = Duration::from_millis(1_300);
+/// Delay before an insistent caller retries a refused job.
+const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Maximum submissions of one job.
+const MAX_SUBMISSIONS: usize = 4;
 
-/// A caller that begins later than this is left out.
-const LATEST_BEGIN: Duration = Duration::from_millis(1_000);
+/// A caller that starts later than this is skipped.
+const MAX_LATENESS: Duration = Duration::from_millis(1_000);
 
-/// Returns whether a caller that is late by so much still begins. It is late only if the soak itself stood still; all callers of that time
-/// at once would be a burst that no plan has.
-pub(crate) fn is_in_time(lateness: Duration) -> bool {
-    lateness <= LATEST_BEGIN
+/// Returns whether a caller that is late by this much still starts. Callers are late only after a stall of the soak itself; starting all of
+/// them at once would be a burst that is not part of the plan.
+pub(crate) fn is_on_time(lateness: Duration) -> bool {
+    lateness <= MAX_LATENESS
 }
 
-/// Plays one caller.
-pub(crate) async fn call(installation: &Installation, job: &str, planned: &PlannedJob) {
-    for send in 0..MAX_SENDS {
-        let entry = installation.choose_entry(planned.entry + send);
-        let outcome = send_once(installation, job, planned, entry).await;
-        let pause = match (outcome, planned.manner) {
-            (Outcome::Broken | Outcome::TimedOut | Outcome::GivenUp, _) => RESEND,
-            (Outcome::Refused, CallerBehavior::Insistent) => AFTER_REFUSAL,
+/// Runs one caller.
+pub(crate) async fn run_caller(installation: &Installation, job: &str, planned: &PlannedJob) {
+    for attempt in 0..MAX_SUBMISSIONS {
+        let entry = installation.choose_entry(planned.entry + attempt);
+        let outcome = attempt_once(installation, job, planned, entry).await;
+        let delay = match (outcome, planned.manner) {
+            (Outcome::Broken | Outcome::TimedOut | Outcome::GivenUp, _) => RETRY_DELAY,
+            (Outcome::Refused, Manner::Insistent) => REFUSAL_RETRY_DELAY,
             _ => return,
         };
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
 
-async fn send_once(
+async fn attempt_once(
     installation: &Installation,
     job: &str,
     planned: &PlannedJob,
@@ -70,8 +70,8 @@
         .layout
         .interface(Process::Entry(entry), Side::Outer);
     let (limit, at_limit) = match planned.manner {
-        CallerBehavior::Leaves { after } => (Duration::from_millis(after), Outcome::Left),
-        CallerBehavior::Patient | CallerBehavior::Insistent => (PATIENCE, Outcome::TimedOut),
+        Manner::Leaves { after } => (Duration::from_millis(after), Outcome::Left),
+        Manner::Patient | Manner::Insistent => (ANSWER_TIMEOUT, Outcome::TimedOut),
     };
     let outcome = match timeout(limit, exchange(address, request)).await {
         Ok(Some((status, body))) => read_answer(status, &body),
@@ -92,7 +92,7 @@
         .uri(format!("{QUEUE_PREFIX}{job}"))
         .header("Host", CALLER_HOST)
         .header("Content-Type", "application/json")
-        .header(DEADLINE_HEADER, PATIENCE.as_millis().to_string())
+        .header(DEADLINE_HEADER, ANSWER_TIMEOUT.as_millis().to_string())
         .body(Full::new(Bytes::from(write_job(shape))));
     request.ok()
 }
--- a/crates/tools/cloverfold_soak/src/run/exchange.rs
+++ b/crates/tools/cloverfold_soak/src/run/exchange.rs
@@ -1,4 +1,4 @@
-//! One request over a connection of its own, as callers send it.
+//! One HTTP request over a new connection.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Sends a request and reads the whole answer; `None` if the connection ends before. A connection that is dropped before is reset.
+/// Sends a request and reads the complete answer; returns `None` if the connection ends before. Dropping the future resets the connection.
 pub(crate) async fn exchange(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -28,7 +28,7 @@
     tokio::select! {
         biased;
         answer = &mut answer => answer,
-        // What has arrived before the end may still be a whole answer.
+        // The bytes received before the end may still be a complete answer.
         _ = connection => answer.await,
     }
 }
--- a/crates/tools/cloverfold_soak/src/run/faults.rs
+++ b/crates/tools/cloverfold_soak/src/run/faults.rs
@@ -1,26 +1,27 @@
-//! Carries out faults and planned work.
+//! Executes faults and planned work.
 //!
-//! One thing at a time is done to a process: what finds it busy is left out. Everything done is recorded until it is whole again.
+//! Each process has at most one process fault at a time; a fault that finds the process busy is skipped. The history records each fault
+//! until everything that it affected has recovered.
 
 use std::time::Duration;
 
 use rustix::process::Signal;
 use tokio::time::sleep;
 
-use super::installation::{Installation, Slot};
+use super::installation::{Installation, ProcessSlot};
 use super::links::LinkFault;
 use super::programs::Program;
 use super::target_faults;
 use crate::plan::{Fault, Millis};
 use crate::records::{Process, Scope};
 
-/// How long a planned stop may take before the process is killed.
-const GRACE: Duration = Duration::from_secs(6);
-/// A process that was started again counts as whole after so long.
-const AFTER_START: Duration = Duration::from_secs(1);
+/// Timeout of a planned stop, after which the process is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(6);
+/// A restarted process counts as recovered after this time.
+const RECOVERY_DELAY: Duration = Duration::from_secs(1);
 
-/// Carries out one.
-pub(crate) async fn carry_out(installation: &Installation, fault: Fault) {
+/// Executes one fault.
+pub(crate) async fn execute(installation: &Installation, fault: Fault) {
     let is_planned = fault.is_planned();
     match fault {
         Fault::Stop { process, away } => stop(installation, process, millis(away)).await,
@@ -37,14 +38,14 @@
             fault,
             lasts,
         } => {
-            target_faults::misbehave(installation, target, fault, millis(lasts)).await;
+            target_faults::inject(installation, target, fault, millis(lasts)).await;
         }
         Fault::Reset { process } => {
-            let number = begin(installation, vec![process], is_planned);
+            let disturbance = begin_disturbance(installation, vec![process], is_planned);
             installation.links.reset(process);
-            installation.recorder.end_disturbance(number);
+            installation.recorder.end_disturbance(disturbance);
         }
-        Fault::Silence { process } => silence(installation, process).await,
+        Fault::Silence { process } => blackhole(installation, process).await,
         Fault::Cut {
             side,
             other,
@@ -53,7 +54,7 @@
         } => {
             let processes = [side.clone(), other.clone()].concat();
             let fault = LinkFault::Cut { side, other, way };
-            disturb_links(installation, processes, fault, lasts).await;
+            inject_link_fault(installation, processes, fault, lasts).await;
         }
         Fault::CutOff {
             process,
@@ -61,12 +62,12 @@
             lasts,
         } => {
             let fault = LinkFault::CutOff { process, way };
-            disturb_links(installation, vec![process], fault, lasts).await;
+            inject_link_fault(installation, vec![process], fault, lasts).await;
         }
         Fault::Delay { process, by, lasts } => {
             let by = millis(by);
             let fault = LinkFault::Delay { process, by };
-            disturb_links(installation, vec![process], fault, lasts).await;
+            inject_link_fault(installation, vec![process], fault, lasts).await;
         }
     }
 }
@@ -75,59 +76,67 @@
     Duration::from_millis(span)
 }
 
-fn begin(installation: &Installation, processes: Vec<Process>, is_planned: bool) -> usize {
+fn begin_disturbance(
+    installation: &Installation,
+    processes: Vec<Process>,
+    is_planned: bool,
+) -> usize {
     let scope = Scope::Processes(processes);
     installation.recorder.begin_disturbance(scope, is_planned)
 }
 
-async fn disturb_links(
+async fn inject_link_fault(
     installation: &Installation,
     processes: Vec<Process>,
     fault: LinkFault,
     lasts: Millis,
 ) {
-    let number = begin(installation, processes, false);
+    let disturbance = begin_disturbance(installation, processes, false);
     let links = installation.links.begin(fault);
     sleep(millis(lasts)).await;
     installation.links.end(links);
-    installation.recorder.end_disturbance(number);
+    installation.recorder.end_disturbance(disturbance);
 }
 
-/// Lets connections go silent; each is given up within its own bound, the longest of which counts.
-async fn silence(installation: &Installation, process: Process) {
-    const GIVEN_UP_AFTER: Duration = Duration::from_millis(1_500);
-    let number = begin(installation, vec![process], false);
-    installation.links.silence(process);
-    sleep(GIVEN_UP_AFTER).await;
-    installation.recorder.end_disturbance(number);
+/// Drops all further traffic on the open connections, and waits for the longest timeout after which a side gives them up.
+async fn blackhole(installation: &Installation, process: Process) {
+    const CONNECTION_TIMEOUT: Duration = Duration::from_millis(1_500);
+    let disturbance = begin_disturbance(installation, vec![process], false);
+    installation.links.blackhole(process);
+    sleep(CONNECTION_TIMEOUT).await;
+    installation.recorder.end_disturbance(disturbance);
 }
 
-/// Starts a process again and waits until it counts as whole.
-async fn start_again(installation: &Installation, slot: &Slot, held: &mut Option<Program>) {
-    // A program that cannot be started again is seen by all who wait for it.
-    *held = installation.start_program(slot).ok();
-    sleep(AFTER_START).await;
+/// Restarts a process and waits until it counts as recovered.
+async fn restart(
+    installation: &Installation,
+    slot: &ProcessSlot,
+    program_slot: &mut Option<Program>,
+) {
+    // A failed restart shows as a process that stays unavailable.
+    *program_slot = installation.start_program(slot).ok();
+    sleep(RECOVERY_DELAY).await;
 }
 
 async fn stop(installation: &Installation, process: Process, away: Duration) {
     let Some(slot) = installation.slot(process) else {
         return;
     };
-    let Ok(mut held) = slot.program.try_lock() else {
+    let Ok(mut program_slot) = slot.program.try_lock() else {
         return;
     };
-    let Some(program) = held.as_mut() else {
+    let Some(program) = program_slot.as_mut() else {
         return;
     };
-    let disturbance = begin(installation, vec![process], true);
+    let disturbance = begin_disturbance(installation, vec![process], true);
     let stop = installation.recorder.begin_stop(process);
     program.signal(Signal::TERM);
-    if program.wait_exit(GRACE).await {
+    if program.wait_exit(STOP_TIMEOUT).await {
         installation.recorder.end_stop(stop);
     }
-    *held = None;
+    *program_slot = None;
     sleep(away).await;
-    start_again(installation, slot, &mut held).await;
+    restart(installation, slot, &mut program_slot).await;
     installation.recorder.end_disturbance(disturbance);
 }
 
@@ -135,21 +144,21 @@
     let Some(slot) = installation.slot(process) else {
         return;
     };
-    let Ok(mut held) = slot.program.try_lock() else {
+    let Ok(mut program_slot) = slot.program.try_lock() else {
         return;
     };
-    let number = begin(installation, vec![process], false);
-    *held = None;
+    let disturbance = begin_disturbance(installation, vec![process], false);
+    *program_slot = None;
     if let (true, Process::Control(index)) = (loses_disk, process) {
-        empty_folder(installation, index);
+        remove_data_folder(installation, index);
     }
     sleep(away).await;
-    start_again(installation, slot, &mut held).await;
-    installation.recorder.end_disturbance(number);
+    restart(installation, slot, &mut program_slot).await;
+    installation.recorder.end_disturbance(disturbance);
 }
 
-fn empty_folder(installation: &Installation, control: usize) {
-    // An error means that there is none: the process had not begun to write.
+fn remove_data_folder(installation: &Installation, control: usize) {
+    // An error means that the folder does not exist: the process has not written yet.
     let _ = std::fs::remove_dir_all(installation.layout.data_folder(control));
 }
 
@@ -158,35 +167,35 @@
     for slot in &installation.slots {
         all.push((slot, slot.program.lock().await));
     }
-    let number = installation.recorder.begin_disturbance(Scope::All, false);
-    for (_, held) in &mut all {
-        **held = None;
+    let disturbance = installation.recorder.begin_disturbance(Scope::All, false);
+    for (_, program_slot) in &mut all {
+        **program_slot = None;
     }
     if let Some(control) = lost_disk {
-        empty_folder(installation, control);
+        remove_data_folder(installation, control);
     }
     sleep(away).await;
-    for (slot, held) in &mut all {
-        // As in `start_again`.
-        **held = installation.start_program(slot).ok();
+    for (slot, program_slot) in &mut all {
+        // As in `restart`.
+        **program_slot = installation.start_program(slot).ok();
     }
-    sleep(AFTER_START).await;
-    installation.recorder.end_disturbance(number);
+    sleep(RECOVERY_DELAY).await;
+    installation.recorder.end_disturbance(disturbance);
 }
 
 async fn pause(installation: &Installation, process: Process, lasts: Duration) {
     let Some(slot) = installation.slot(process) else {
         return;
     };
-    let Ok(mut held) = slot.program.try_lock() else {
+    let Ok(mut program_slot) = slot.program.try_lock() else {
         return;
     };
-    let Some(program) = held.as_mut() else {
+    let Some(program) = program_slot.as_mut() else {
         return;
     };
-    let number = begin(installation, vec![process], false);
+    let disturbance = begin_disturbance(installation, vec![process], false);
     program.signal(Signal::STOP);
     sleep(lasts).await;
     program.signal(Signal::CONT);
-    installation.recorder.end_disturbance(number);
+    installation.recorder.end_disturbance(disturbance);
 }
--- a/crates/tools/cloverfold_soak/src/run/findings.rs
+++ b/crates/tools/cloverfold_soak/src/run/findings.rs
@@ -1,4 +1,4 @@
-//! What is kept of a play that found something: the plan, all that was seen, the logs, and the lines around.
+//! Writes the evidence of a violation: the plan, the history, and the log lines around the first violation.
 
 use std::collections::HashMap;
 use std::io::{Read, Seek, SeekFrom, Write};
@@ -8,30 +8,30 @@
 use super::{LogOffset, SoakReport};
 use crate::plan::{Plan, PlanFileError, write_plan};
 
-/// Lines are kept from so long before a finding.
-const BEFORE: Duration = Duration::from_secs(6);
-/// Lines are kept until so long after it.
-const AFTER: Duration = Duration::from_secs(4);
+/// Log lines are kept from this time before the violation.
+const LOG_BEFORE: Duration = Duration::from_secs(6);
+/// Log lines are kept until this time after the violation.
+const LOG_AFTER: Duration = Duration::from_secs(4);
 
-/// Why findings cannot be kept.
+/// Errors of writing findings.
 #[derive(Debug, thiserror::Error)]
 pub enum FindingsError {
     /// A file cannot be written.
     #[error("{0}: {1}")]
     File(String, std::io::Error),
-    /// What was seen cannot be written.
-    #[error("what was seen: {0}")]
+    /// The history or the violations cannot be serialized.
+    #[error("cannot serialize the findings: {0}")]
     Form(#[from] serde_json::Error),
     /// The plan cannot be written.
     #[error(transparent)]
     Plan(#[from] PlanFileError),
 }
 
-/// Writes `plan.json`, `findings.json`, `history.json` and `around.log` beside the logs of a play.
+/// Writes `plan.json`, `findings.json`, `history.json` and `around.log` next to the logs of a soak.
 ///
 /// # Errors
 ///
-/// Returns which file cannot be written.
+/// Returns an error that names the file that cannot be written.
 pub fn write_findings(
     plan: &Plan,
     report: &SoakReport,
@@ -55,18 +55,18 @@
         .map_err(|cause| FindingsError::File(file.display().to_string(), cause))
 }
 
-/// Copies from each log what was written around a moment.
+/// Copies the lines around a time from each log.
 fn write_lines_around(log_offsets: &[LogOffset], at: Duration, file: &Path) -> std::io::Result<()> {
     let mut out = std::fs::File::create(file)?;
     let mut logs: Vec<&PathBuf> = log_offsets.iter().map(|offset| &offset.log).collect();
     logs.sort();
     logs.dedup();
-    let spans: HashMap<&PathBuf, (u64, u64)> = logs
+    let ranges: HashMap<&PathBuf, (u64, u64)> = logs
         .iter()
-        .map(|log| (*log, find_span(log_offsets, log, at)))
+        .map(|log| (*log, find_byte_range(log_offsets, log, at)))
         .collect();
     for log in logs {
-        let (from, until) = spans[log];
+        let (from, until) = ranges[log];
         let mut lines = Vec::new();
         let mut source = std::fs::File::open(log)?;
         source.seek(SeekFrom::Start(from))?;
@@ -77,13 +77,16 @@
     Ok(())
 }
 
-/// Returns from where to where a log was written around a moment, by the marks next to it.
-fn find_span(log_offsets: &[LogOffset], log: &Path, at: Duration) -> (u64, u64) {
-    let own = || log_offsets.iter().filter(|offset| offset.log == log);
-    let before = own().filter(|offset| offset.at + BEFORE <= at);
+/// Returns the byte range that was written to a log around a time, from the nearest recorded offsets.
+fn find_byte_range(log_offsets: &[LogOffset], log: &Path, at: Duration) -> (u64, u64) {
+    let offsets_of_log = || log_offsets.iter().filter(|offset| offset.log == log);
+    let before = offsets_of_log().filter(|offset| offset.at + LOG_BEFORE <= at);
     let from = before.map(|offset| offset.len).max().unwrap_or_default();
-    let after = own().filter(|offset| offset.at >= at + AFTER);
-    let last = own().map(|offset| offset.len).max().unwrap_or_default();
+    let after = offsets_of_log().filter(|offset| offset.at >= at + LOG_AFTER);
+    let last = offsets_of_log()
+        .map(|offset| offset.len)
+        .max()
+        .unwrap_or_default();
     let until = after.map(|offset| offset.len).min().unwrap_or(last);
     (from, until.max(from))
 }
--- a/crates/tools/cloverfold_soak/src/run/installation.rs
+++ b/crates/tools/cloverfold_soak/src/run/installation.rs
@@ -1,4 +1,4 @@
-//! The installation: programs, proxies and targets, and what everybody who plays needs to know of it.
+//! The installation under test: programs, proxies and targets, with the state that callers, operators, observers and faults share.
 
 use std::collections::HashSet;
 use std::io;
@@ -21,57 +21,57 @@
 use crate::plan::{ENTRY_COUNT, GUARD_COUNT, HALLS, list_processes};
 use crate::records::{OrderAnswer, Process};
 
-/// How long the installation may take until it serves.
-const START_PATIENCE: Duration = Duration::from_secs(60);
-/// How often that is looked for.
-const START_POLL: Duration = Duration::from_millis(300);
-/// From the first readiness to the beginning: all guards have found all entries by then.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Timeout for the installation to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Polling interval for readiness.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(300);
+/// Delay from readiness to the start of the plan, in which all guards find all entries.
+const SETTLE_DELAY: Duration = Duration::from_secs(2);
 /// The configuration that the installation starts with.
 const FIRST_VERSION: u64 = 1;
 
-/// A process and its present life.
-pub(crate) struct Slot {
+/// A process and its current incarnation.
+pub(crate) struct ProcessSlot {
     pub(crate) process: Process,
-    /// `None` while it is away by the soak's doing. Locked by whoever does something to it.
+    /// `None` while the soak keeps the process down. Locked during a fault or a planned stop of the process.
     pub(crate) program: tokio::sync::Mutex<Option<Program>>,
-    life: AtomicU64,
+    incarnation: AtomicU64,
 }
 
-/// Everything that is played with.
+/// The installation under test.
 pub(crate) struct Installation {
     programs: Programs,
     pub(crate) layout: Layout,
     pub(crate) links: Links,
-    pub(crate) slots: Vec<Slot>,
+    pub(crate) slots: Vec<ProcessSlot>,
     pub(crate) targets: Vec<Arc<FakeTarget>>,
-    /// Locked by the one fault that a target has.
-    pub(crate) target_care: Vec<tokio::sync::Mutex<()>>,
+    /// Locked during a fault of the target, so that each target has at most one at a time.
+    pub(crate) target_fault_locks: Vec<tokio::sync::Mutex<()>>,
     pub(crate) recorder: Recorder,
-    /// What the balancer thinks of each entry.
+    /// Readiness of each entry as the load balancer sees it.
     pub(crate) ready: [AtomicBool; ENTRY_COUNT],
     next_version: AtomicU64,
-    hall_care: Mutex<HashSet<String>>,
-    is_founded: AtomicBool,
+    reserved_halls: Mutex<HashSet<String>>,
+    is_bootstrapped: AtomicBool,
     heartbeats: Mutex<JoinSet<()>>,
 }
 
 impl Installation {
-    /// Starts everything and waits until it serves.
+    /// Starts the installation and waits until it is ready.
     pub(crate) async fn start(programs: &Programs, folder: &Path) -> Result<Self, SoakError> {
-        let failed = |what: &str| {
+        let io_error = |what: &str| {
             let what = what.to_owned();
             move |cause: io::Error| SoakError::Io(what, cause)
         };
-        let layout = Layout::draw(folder).map_err(failed("addresses"))?;
-        let links = Links::start(&layout).map_err(failed("proxies"))?;
-        let targets = start_targets(&layout).map_err(failed("targets"))?;
+        let layout = Layout::allocate(folder).map_err(io_error("addresses"))?;
+        let links = Links::start(&layout).map_err(io_error("proxies"))?;
+        let targets = start_targets(&layout).map_err(io_error("targets"))?;
         let mut installation = Self::new(programs, layout, links, targets);
         for slot in &installation.slots {
             let program = installation.start_program(slot);
-            *slot.program.lock().await = Some(program.map_err(failed("a program"))?);
+            *slot.program.lock().await = Some(program.map_err(io_error("a program"))?);
         }
-        installation.begin_to_serve().await?;
+        installation.become_ready().await?;
         Ok(installation)
     }
 
@@ -81,10 +81,10 @@
         links: Links,
         targets: Vec<Arc<FakeTarget>>,
     ) -> Self {
-        let slot = |process| Slot {
+        let slot = |process| ProcessSlot {
             process,
             program: tokio::sync::Mutex::new(None),
-            life: AtomicU64::new(0),
+            incarnation: AtomicU64::new(0),
         };
         Self {
             programs: programs.clone(),
@@ -92,20 +92,20 @@
             links,
             slots: list_processes().into_iter().map(slot).collect(),
             targets,
-            target_care: (0..GUARD_COUNT)
+            target_fault_locks: (0..GUARD_COUNT)
                 .map(|_| tokio::sync::Mutex::new(()))
                 .collect(),
             recorder: new_recorder(),
             ready: [const { AtomicBool::new(false) }; ENTRY_COUNT],
             next_version: AtomicU64::new(FIRST_VERSION + 1),
-            hall_care: Mutex::default(),
-            is_founded: AtomicBool::new(false),
+            reserved_halls: Mutex::default(),
+            is_bootstrapped: AtomicBool::new(false),
             heartbeats: Mutex::default(),
         }
     }
 
-    /// Brings the first configuration into force, waits until all entries are ready, and begins to record.
-    async fn begin_to_serve(&mut self) -> Result<(), SoakError> {
+    /// Sends the first configuration, waits until all entries are ready, and starts the history.
+    async fn become_ready(&mut self) -> Result<(), SoakError> {
         for target in self.targets.clone() {
             let mut heartbeats = self
                 .heartbeats
@@ -113,43 +113,46 @@
                 .unwrap_or_else(PoisonError::into_inner);
             heartbeats.spawn(send_heartbeats(target));
         }
-        let until = Instant::now() + START_PATIENCE;
+        let until = Instant::now() + START_TIMEOUT;
         operators::send_until_acknowledged(self, 0, FIRST_VERSION).await;
         if self.newest_acknowledged().is_none() {
             return Err(SoakError::NotServing(
-                "the first configuration is not taken",
+                "the first configuration was not acknowledged",
             ));
         }
-        self.is_founded.store(true, Ordering::Relaxed);
+        self.is_bootstrapped.store(true, Ordering::Relaxed);
         while !self.are_entries_ready().await {
             if Instant::now() > until {
                 return Err(SoakError::NotServing("an entry is not ready"));
             }
-            sleep(START_POLL).await;
-            // An acknowledgement is judged from the beginning of the records on.
+            sleep(START_POLL_INTERVAL).await;
+            // The checker counts the time bounds of an acknowledgement from the start of the history.
             operators::send_until_acknowledged(self, 0, FIRST_VERSION).await;
         }
-        sleep(SETTLE).await;
+        sleep(SETTLE_DELAY).await;
         let orders = std::mem::take(&mut self.recorder.lock().configuration_orders);
         self.recorder = new_recorder();
-        let at_start = orders.into_iter().map(|mut order| {
+        let initial_orders = orders.into_iter().map(|mut order| {
             order.sent_at = Duration::ZERO;
             order.answer = order.answer.map(|(_, answer)| (Duration::ZERO, answer));
             order
         });
-        self.recorder.lock().configuration_orders.extend(at_start);
+        self.recorder
+            .lock()
+            .configuration_orders
+            .extend(initial_orders);
         Ok(())
     }
 
     async fn are_entries_ready(&self) -> bool {
         for entry in 0..ENTRY_COUNT {
-            let asked = operators::send(
+            let answer = operators::send(
                 self.layout.ready(entry),
                 http::Method::GET,
                 READINESS_PATH,
                 "",
             );
-            if !matches!(asked.await, Some((http::StatusCode::OK, _))) {
+            if !matches!(answer.await, Some((http::StatusCode::OK, _))) {
                 return false;
             }
             self.ready[entry].store(true, Ordering::Relaxed);
@@ -157,51 +160,51 @@
         true
     }
 
-    /// Starts the next life of a process.
-    pub(crate) fn start_program(&self, slot: &Slot) -> io::Result<Program> {
-        let may_found = !self.is_founded.load(Ordering::Relaxed);
+    /// Starts a new incarnation of a process.
+    pub(crate) fn start_program(&self, slot: &ProcessSlot) -> io::Result<Program> {
+        let may_found = !self.is_bootstrapped.load(Ordering::Relaxed);
         let settings = self.layout.write_settings(slot.process, may_found)?;
         let (program, arguments) = match slot.process {
             Process::Control(_) => (&self.programs.cloverfold, "control"),
             Process::Entry(_) => (&self.programs.cloverfold, "leased-entry"),
             Process::Guard(_) => (&self.programs.guard, "--leased"),
         };
-        slot.life.fetch_add(1, Ordering::Relaxed);
+        slot.incarnation.fetch_add(1, Ordering::Relaxed);
         let log = self.layout.log(slot.process);
         Program::start(program, &[arguments], &settings, &log)
     }
 
-    pub(crate) fn slot(&self, process: Process) -> Option<&Slot> {
+    pub(crate) fn slot(&self, process: Process) -> Option<&ProcessSlot> {
         self.slots.iter().find(|slot| slot.process == process)
     }
 
-    /// Returns the number of a process's present life.
-    pub(crate) fn life(&self, process: Process) -> u64 {
+    /// Returns the incarnation number of a process.
+    pub(crate) fn incarnation(&self, process: Process) -> u64 {
         self.slot(process)
-            .map_or(0, |slot| slot.life.load(Ordering::Relaxed))
+            .map_or(0, |slot| slot.incarnation.load(Ordering::Relaxed))
     }
 
-    /// Starts processes again that have ended though nobody does anything to them; returns which.
-    pub(crate) fn take_own_ends(&self) -> Vec<Process> {
+    /// Restarts the processes that exited without a fault or a planned stop; returns them.
+    pub(crate) fn restart_exited(&self) -> Vec<Process> {
         let mut ended = Vec::new();
         for slot in &self.slots {
-            let Ok(mut held) = slot.program.try_lock() else {
+            let Ok(mut program) = slot.program.try_lock() else {
                 continue;
             };
-            if held.as_mut().is_some_and(Program::has_exited) {
+            if program.as_mut().is_some_and(Program::has_exited) {
                 ended.push(slot.process);
-                // The end itself is recorded, which is what counts.
-                *held = self.start_program(slot).ok();
+                // The caller records the exit; a failed restart needs no report of its own.
+                *program = self.start_program(slot).ok();
             }
         }
         ended
     }
 
-    /// Returns the wanted entry, or the next one that is ready; the wanted one if none is.
-    pub(crate) fn choose_entry(&self, wanted: usize) -> usize {
-        let mut entries = (0..ENTRY_COUNT).map(|step| (wanted + step) % ENTRY_COUNT);
+    /// Returns the first ready entry from the preferred one on, or the preferred one if none is ready.
+    pub(crate) fn choose_entry(&self, preferred: usize) -> usize {
+        let mut entries = (0..ENTRY_COUNT).map(|offset| (preferred + offset) % ENTRY_COUNT);
         let ready = entries.find(|entry| self.ready[*entry].load(Ordering::Relaxed));
-        ready.unwrap_or(wanted % ENTRY_COUNT)
+        ready.unwrap_or(preferred % ENTRY_COUNT)
     }
 
     pub(crate) fn next_version(&self) -> u64 {
@@ -218,21 +221,21 @@
         acknowledged.map(|order| order.version).max()
     }
 
-    /// Returns whether a valid configuration of this version was sent.
+    /// Returns whether a valid configuration with this version was sent.
     pub(crate) fn was_sent(&self, version: u64) -> bool {
         let history = self.recorder.lock();
         let mut orders = history.configuration_orders.iter();
         orders.any(|order| order.version == version && order.is_valid)
     }
 
-    /// Lets one operator care for a hall until the result is dropped; `None` if another one does.
-    pub(crate) fn care_for_hall(&self, hall: &str) -> Option<HallCare<'_>> {
+    /// Reserves a data hall for one operator until the guard is dropped; returns `None` if the hall is already reserved.
+    pub(crate) fn reserve_hall(&self, hall: &str) -> Option<HallReservation<'_>> {
         let mut halls = self
-            .hall_care
+            .reserved_halls
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        halls.insert(hall.to_owned()).then(|| HallCare {
-            halls: &self.hall_care,
+        halls.insert(hall.to_owned()).then(|| HallReservation {
+            halls: &self.reserved_halls,
             hall: hall.to_owned(),
         })
     }
@@ -257,13 +260,13 @@
     (0..GUARD_COUNT).map(start).collect()
 }
 
-/// One operator's care for a hall.
-pub(crate) struct HallCare<'a> {
+/// Reserves a data hall for one operator until it is dropped.
+pub(crate) struct HallReservation<'a> {
     halls: &'a Mutex<HashSet<String>>,
     hall: String,
 }
 
-impl Drop for HallCare<'_> {
+impl Drop for HallReservation<'_> {
     fn drop(&mut self) {
         let mut halls = self.halls.lock().unwrap_or_else(PoisonError::into_inner);
         halls.remove(&self.hall);
--- a/crates/tools/cloverfold_soak/src/run/layout.rs
+++ b/crates/tools/cloverfold_soak/src/run/layout.rs
@@ -1,6 +1,6 @@
 //! Addresses and settings files of the installation.
 //!
-//! Every process is reached at an address of its own, where a proxy stands, and listens at another one behind it.
+//! Each process has an outer address, at which a proxy listens, and an inner address, at which the process itself listens.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -9,23 +9,23 @@
 use crate::plan::{CONTROL_COUNT, HALLS};
 use crate::records::Process;
 
-/// From the last number of the address at which a process is reached to that at which it listens.
-const BEHIND: u8 = 100;
-/// Port of callers, operators or registrations, from the first.
-const INTERFACE: u16 = 1;
-/// Port at which an entry is asked whether it is ready, from the first.
-const READY: u16 = 2;
-/// Port of the metrics, from the first.
-const METRICS: u16 = 3;
-/// Port of a target, from the first.
-const TARGET: u16 = 4;
-
-/// Which side of the proxy.
+/// Offset of the last octet of an inner address from that of the outer address.
+const INNER_OFFSET: u8 = 100;
+/// Port offset of the interface for callers, operators or registrations.
+const INTERFACE_PORT: u16 = 1;
+/// Port offset of the readiness interface of an entry.
+const READY_PORT: u16 = 2;
+/// Port offset of the metrics.
+const METRICS_PORT: u16 = 3;
+/// Port offset of a target.
+const TARGET_PORT: u16 = 4;
+
+/// The side of the proxy that an address is on.
 #[derive(Clone, Copy)]
 pub(crate) enum Side {
-    /// Where others reach the process.
+    /// The address at which others reach the process.
     Outer,
-    /// Where the process listens.
+    /// The address at which the process listens.
     Inner,
 }
 
@@ -37,14 +37,14 @@
 }
 
 impl Layout {
-    /// Draws addresses that no other soak uses, and a port that is free on one of them.
-    pub(crate) fn draw(folder: &Path) -> std::io::Result<Self> {
-        static NEXT: AtomicU8 = AtomicU8::new(0);
+    /// Chooses addresses that no other soak uses, and a port that is free on one of them.
+    pub(crate) fn allocate(folder: &Path) -> std::io::Result<Self> {
+        static NEXT_BLOCK: AtomicU8 = AtomicU8::new(0);
         let process = std::process::id();
         let block = [
             127,
             1 + (process % 200) as u8,
-            (process / 200 % 8) as u8 * 32 + NEXT.fetch_add(1, Ordering::Relaxed) % 32,
+            (process / 200 % 8) as u8 * 32 + NEXT_BLOCK.fetch_add(1, Ordering::Relaxed) % 32,
         ];
         let probe = TcpListener::bind((Ipv4Addr::new(block[0], block[1], block[2], 1), 0))?;
         let port = probe.local_addr()?.port().min(u16::MAX - 10);
@@ -56,14 +56,14 @@
     }
 
     pub(crate) fn ip(&self, process: Process, side: Side) -> IpAddr {
-        let own = match process {
+        let octet = match process {
             Process::Control(index) => 1 + index,
             Process::Entry(index) => 11 + index,
             Process::Guard(index) => 21 + index,
         } as u8;
         let last = match side {
-            Side::Outer => own,
-            Side::Inner => own + BEHIND,
+            Side::Outer => octet,
+            Side::Inner => octet + INNER_OFFSET,
         };
         IpAddr::V4(Ipv4Addr::new(
             self.block[0],
@@ -77,24 +77,24 @@
         SocketAddr::new(self.ip(process, side), self.port + offset)
     }
 
-    /// Where the other processes reach one.
+    /// Returns the address for other processes.
     pub(crate) fn peer(&self, process: Process, side: Side) -> SocketAddr {
         self.address(process, side, 0)
     }
 
-    /// Where callers, operators or the target reach a process.
+    /// Returns the address for callers, operators or the target of a process.
     pub(crate) fn interface(&self, process: Process, side: Side) -> SocketAddr {
-        self.address(process, side, INTERFACE)
+        self.address(process, side, INTERFACE_PORT)
     }
 
-    /// Where an entry is asked whether it is ready; no proxy stands there.
+    /// Returns the readiness address of an entry, which has no proxy.
     pub(crate) fn ready(&self, entry: usize) -> SocketAddr {
-        self.address(Process::Entry(entry), Side::Inner, READY)
+        self.address(Process::Entry(entry), Side::Inner, READY_PORT)
     }
 
-    /// Where the target beside a guard is reached.
+    /// Returns the address of the target of a guard.
     pub(crate) fn target(&self, guard: usize, side: Side) -> SocketAddr {
-        self.address(Process::Guard(guard), side, TARGET)
+        self.address(Process::Guard(guard), side, TARGET_PORT)
     }
 
     pub(crate) fn hall(&self, process: Process) -> &'static str {
@@ -110,7 +110,7 @@
         self.folder.join(format!("data-{control}"))
     }
 
-    /// Writes the settings file of a process; `may_found` is for control processes.
+    /// Writes the settings file of a process; `may_found` applies to control processes only.
     pub(crate) fn write_settings(
         &self,
         process: Process,
@@ -119,7 +119,7 @@
         let file = self.folder.join(format!("{process}.jsonc"));
         let peer = self.write_peer(process);
         let interface = self.interface(process, Side::Inner);
-        let own = match process {
+        let role_settings = match process {
             Process::Control(index) => {
                 let data = self.data_folder(index);
                 format!(
@@ -136,7 +136,7 @@
             }
         };
         let text = format!(
-            "{{ {peer}, {own}, \"log\": {{ \"stream\": \"stdout\", \"lines_per_second\": 2000 }} }}\n"
+            "{{ {peer}, {role_settings}, \"log\": {{ \"stream\": \"stdout\", \"lines_per_second\": 2000 }} }}\n"
         );
         std::fs::write(&file, text)?;
         Ok(file)
@@ -144,7 +144,7 @@
 
     fn write_peer(&self, process: Process) -> String {
         let (ip, listen_ip) = (self.ip(process, Side::Outer), self.ip(process, Side::Inner));
-        let (hall, port, metrics) = (self.hall(process), self.port, self.port + METRICS);
+        let (hall, port, metrics) = (self.hall(process), self.port, self.port + METRICS_PORT);
         let seeds: Vec<String> = (0..CONTROL_COUNT)
             .map(|index| self.peer(Process::Control(index), Side::Outer).to_string())
             .collect();
--- a/crates/tools/cloverfold_soak/src/run/links.rs
+++ b/crates/tools/cloverfold_soak/src/run/links.rs
@@ -1,6 +1,6 @@
-//! A proxy on every link, and the faults of all links together.
+//! A proxy on every link, and the combined faults of all links.
 //!
-//! Between two processes a proxy tells who dialed by the message with which that side introduces itself.
+//! The proxy of a process identifies the dialing process by its first message.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Mutex, PoisonError};
@@ -11,35 +11,35 @@
 use cloverfold_peer::PeerMessage;
 
 use super::layout::{Layout, Side};
-use crate::plan::{CutDirection, GUARD_COUNT, list_processes};
+use crate::plan::{GUARD_COUNT, Way, list_processes};
 use crate::records::Process;
 
-/// A fault of links that lasts.
+/// A link fault with a duration.
 #[derive(Clone, Debug)]
 pub(crate) enum LinkFault {
-    /// Nothing passes between two sides.
+    /// A network partition between two sets of processes.
     Cut {
         side: Vec<Process>,
         other: Vec<Process>,
-        way: CutDirection,
+        way: Way,
     },
-    /// Nothing passes between a process and its callers, operators or target.
-    CutOff { process: Process, way: CutDirection },
-    /// All that passes to and from a process is late.
+    /// A partition between a process and its callers, operators or target.
+    CutOff { process: Process, way: Way },
+    /// A delay on all links of a process.
     Delay { process: Process, by: Duration },
 }
 
-impl CutDirection {
-    fn is_outwards(self) -> bool {
+impl Way {
+    fn blocks_outbound(self) -> bool {
         self != Self::Inwards
     }
 
-    fn is_inwards(self) -> bool {
+    fn blocks_inbound(self) -> bool {
         self != Self::Outwards
     }
 }
 
-/// All links.
+/// The proxies and the active faults of all links.
 pub(crate) struct Links {
     names: Vec<(Process, DialerName)>,
     peers: HashMap<Process, LinkProxy>,
@@ -50,12 +50,12 @@
 
 #[derive(Default)]
 struct ActiveFaults {
-    next: u64,
+    next_id: u64,
     faults: BTreeMap<u64, LinkFault>,
 }
 
-/// Names the side that dialed by the address at which it is reached.
-fn name_by_introduction(first: &[u8]) -> Option<DialerName> {
+/// Identifies the dialing process by the outer address in its first message.
+fn identify_by_first_message(first: &[u8]) -> Option<DialerName> {
     let mut buf = first.into();
     match decode_frame::<PeerMessage>(&mut buf).ok()?? {
         PeerMessage::Hello(hello) => Some(hello.address.ip().to_string()),
@@ -64,8 +64,8 @@
     }
 }
 
-/// Callers, operators and targets need no names.
-fn name_nobody(_first: &[u8]) -> Option<DialerName> {
+/// Identifies nobody: faults do not distinguish callers, operators and targets.
+fn identify_nobody(_first: &[u8]) -> Option<DialerName> {
     None
 }
 
@@ -85,13 +85,13 @@
                 layout.peer(process, Side::Outer),
                 layout.peer(process, Side::Inner),
             );
-            let peer = LinkProxy::start(outer, inner, name_by_introduction)?;
+            let peer = LinkProxy::start(outer, inner, identify_by_first_message)?;
             links.peers.insert(process, peer);
             let (outer, inner) = (
                 layout.interface(process, Side::Outer),
                 layout.interface(process, Side::Inner),
             );
-            let interface = LinkProxy::start(outer, inner, name_nobody)?;
+            let interface = LinkProxy::start(outer, inner, identify_nobody)?;
             links.interfaces.insert(process, interface);
         }
         for guard in 0..GUARD_COUNT {
@@ -101,36 +101,36 @@
             );
             links
                 .targets
-                .push(LinkProxy::start(outer, inner, name_nobody)?);
+                .push(LinkProxy::start(outer, inner, identify_nobody)?);
         }
         Ok(links)
     }
 
-    /// Begins a fault; returns its number.
+    /// Starts a fault; returns its id.
     pub(crate) fn begin(&self, fault: LinkFault) -> u64 {
         let mut active = self.active.lock().unwrap_or_else(PoisonError::into_inner);
-        let number = active.next;
-        active.next += 1;
-        active.faults.insert(number, fault);
+        let id = active.next_id;
+        active.next_id += 1;
+        active.faults.insert(id, fault);
         self.apply(&active.faults);
-        number
+        id
     }
 
-    pub(crate) fn end(&self, number: u64) {
+    pub(crate) fn end(&self, id: u64) {
         let mut active = self.active.lock().unwrap_or_else(PoisonError::into_inner);
-        active.faults.remove(&number);
+        active.faults.remove(&id);
         self.apply(&active.faults);
     }
 
-    /// Resets all connections that others have opened to a process, and those to its target.
+    /// Resets all connections that others have opened to a process, and those to the target of a guard.
     pub(crate) fn reset(&self, process: Process) {
         for proxy in self.proxies_of(process) {
             proxy.reset_connections();
         }
     }
 
-    /// Lets all such connections go silent for good.
-    pub(crate) fn silence(&self, process: Process) {
+    /// Drops all further traffic on the same connections.
+    pub(crate) fn blackhole(&self, process: Process) {
         for proxy in self.proxies_of(process) {
             proxy.blackhole_connections();
         }
@@ -146,64 +146,80 @@
     }
 
     fn apply(&self, active: &BTreeMap<u64, LinkFault>) {
-        let all = |find: &dyn Fn(&LinkFault) -> LinkFaults| {
-            let faults = active.values().map(find);
+        let all = |faults_of: &dyn Fn(&LinkFault) -> LinkFaults| {
+            let faults = active.values().map(faults_of);
             faults.fold(LinkFaults::default(), LinkFaults::combine)
         };
         for (process, proxy) in &self.peers {
             for (dialer, name) in &self.names {
-                proxy.set_for(name, all(&|fault| find_between(fault, *dialer, *process)));
+                proxy.set_for(
+                    name,
+                    all(&|fault| peer_link_faults(fault, *dialer, *process)),
+                );
             }
         }
         for (process, proxy) in &self.interfaces {
-            proxy.set(all(&|fault| find_at_interface(fault, *process)));
+            proxy.set(all(&|fault| interface_faults(fault, *process)));
         }
         for (index, proxy) in self.targets.iter().enumerate() {
-            proxy.set(all(&|fault| find_at_target(fault, Process::Guard(index))));
+            proxy.set(all(&|fault| {
+                target_link_faults(fault, Process::Guard(index))
+            }));
         }
     }
 }
 
-/// What a fault does to a connection that one process has opened to another.
-fn find_between(fault: &LinkFault, dialer: Process, process: Process) -> LinkFaults {
+/// Returns the effect of a fault on connections from one process to another.
+fn peer_link_faults(fault: &LinkFault, dialer: Process, process: Process) -> LinkFaults {
     match fault {
         LinkFault::Cut { side, other, way } => {
             if side.contains(&dialer) && other.contains(&process) {
-                hold(way.is_outwards(), way.is_inwards())
+                block(way.blocks_outbound(), way.blocks_inbound())
             } else if other.contains(&dialer) && side.contains(&process) {
-                hold(way.is_inwards(), way.is_outwards())
+                block(way.blocks_inbound(), way.blocks_outbound())
             } else {
                 LinkFaults::default()
             }
         }
-        LinkFault::Delay { process: late, by } if *late == dialer || *late == process => delay(*by),
+        LinkFault::Delay {
+            process: delayed,
+            by,
+        } if *delayed == dialer || *delayed == process => delay(*by),
         LinkFault::CutOff { .. } | LinkFault::Delay { .. } => LinkFaults::default(),
     }
 }
 
-/// What a fault does to a connection that a caller, an operator or a target has opened to a process.
-fn find_at_interface(fault: &LinkFault, process: Process) -> LinkFaults {
+/// Returns the effect of a fault on connections from a caller, an operator or a target to a process.
+fn interface_faults(fault: &LinkFault, process: Process) -> LinkFaults {
     match fault {
-        LinkFault::CutOff { process: cut, way } if *cut == process => {
-            hold(way.is_inwards(), way.is_outwards())
-        }
-        LinkFault::Delay { process: late, by } if *late == process => delay(*by),
+        LinkFault::CutOff {
+            process: isolated,
+            way,
+        } if *isolated == process => block(way.blocks_inbound(), way.blocks_outbound()),
+        LinkFault::Delay {
+            process: delayed,
+            by,
+        } if *delayed == process => delay(*by),
         _ => LinkFaults::default(),
     }
 }
 
-/// What a fault does to a connection that a guard has opened to its target.
-fn find_at_target(fault: &LinkFault, guard: Process) -> LinkFaults {
+/// Returns the effect of a fault on connections from a guard to its target.
+fn target_link_faults(fault: &LinkFault, guard: Process) -> LinkFaults {
     match fault {
-        LinkFault::CutOff { process: cut, way } if *cut == guard => {
-            hold(way.is_outwards(), way.is_inwards())
-        }
-        LinkFault::Delay { process: late, by } if *late == guard => delay(*by),
+        LinkFault::CutOff {
+            process: isolated,
+            way,
+        } if *isolated == guard => block(way.blocks_outbound(), way.blocks_inbound()),
+        LinkFault::Delay {
+            process: delayed,
+            by,
+        } if *delayed == guard => delay(*by),
         _ => LinkFaults::default(),
     }
 }
 
-fn hold(blocks_to_upstream: bool, blocks_to_dialer: bool) -> LinkFaults {
+fn block(blocks_to_upstream: bool, blocks_to_dialer: bool) -> LinkFaults {
     LinkFaults {
         blocks_to_upstream,
         blocks_to_dialer,
--- a/crates/tools/cloverfold_soak/src/run/mod.rs
+++ b/crates/tools/cloverfold_soak/src/run/mod.rs
@@ -1,6 +1,4 @@
-//! Plays a plan: starts the programs, does what the plan says, records what is seen, and checks it all the time.
-//!
-//! Owns the order of a play. Relies on the modules below for each part; what is found is judged by [`crate::checker`] alone.
+//! Runs a plan: starts the programs, executes the plan, records a history, and checks it periodically with [`crate::checker`].
 
 mod callers;
 mod exchange;
@@ -31,28 +29,28 @@
 use installation::Installation;
 pub use programs::Programs;
 
-/// How often what was seen so far is checked, and progress is told.
+/// Interval at which the history is checked and progress is reported.
 const CHECK_INTERVAL: Duration = Duration::from_secs(3);
-/// Callers and operators that have not ended so long after the end are left.
-const LAST_WAIT: Duration = Duration::from_secs(6);
+/// Time after the end of the plan that callers and operators may take to finish.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Why a soak could not run.
+/// Errors that prevent a soak from running.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
     /// A file, an address or a program cannot be used.
     #[error("{0}: {1}")]
     Io(String, std::io::Error),
-    /// The installation did not begin to serve.
-    #[error("the installation does not begin to serve: {0}")]
+    /// The installation did not become ready.
+    #[error("the installation did not become ready: {0}")]
     NotServing(&'static str),
 }
 
 /// The result of a soak.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// All that was seen.
+    /// The recorded history.
     pub history: History,
-    /// The promises that broke, the earliest first.
+    /// The violated guarantees, earliest first.
     pub violations: Vec<Violation>,
     /// Lengths of the logs over time.
     pub log_offsets: Vec<LogOffset>,
@@ -61,44 +59,44 @@
 /// The length of a log at one time.
 #[derive(Clone, Debug)]
 pub struct LogOffset {
-    /// When.
+    /// Time of the measurement.
     pub at: Duration,
-    /// Which log.
+    /// The log file.
     pub log: PathBuf,
-    /// Its bytes.
+    /// Its length in bytes.
     pub len: u64,
 }
 
-/// How much of what a play has done.
+/// Numbers of the events in a history.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub struct Counts {
-    /// Sends of callers.
+    /// Attempts of callers.
     pub sends: usize,
-    /// Those that were answered as completed.
+    /// Attempts that were answered as completed.
     pub completed: usize,
-    /// Those that were refused.
+    /// Attempts that were refused.
     pub refused: usize,
-    /// Those that got no answer.
+    /// Attempts without an answer.
     pub unanswered: usize,
     /// Runs at targets.
     pub runs: usize,
     /// Faults and planned work.
     pub disturbances: usize,
-    /// Sends of configurations.
+    /// Attempts to send a configuration.
     pub configurations: usize,
-    /// Probes of what is in force.
+    /// Probes of the configuration in force.
     pub probes: usize,
 }
 
 impl Counts {
-    /// Counts what was seen.
+    /// Counts the events in a history.
     pub fn of(history: &History) -> Self {
-        let count = |is_meant: &dyn Fn(Outcome) -> bool| {
+        let count = |is_counted: &dyn Fn(Outcome) -> bool| {
             let outcomes = history
                 .attempts
                 .iter()
                 .filter_map(|attempt| attempt.outcome);
-            outcomes.filter(|(_, outcome)| is_meant(*outcome)).count()
+            outcomes.filter(|(_, outcome)| is_counted(*outcome)).count()
         };
         Self {
             sends: history.attempts.len(),
@@ -117,13 +115,13 @@
 ///
 /// # Errors
 ///
-/// Returns why the soak could not run; that tells nothing about the promises.
+/// Returns an error if the soak could not run, which says nothing about the guarantees.
 pub async fn run_plan(
     plan: &Plan,
     programs: &Programs,
     folder: &Path,
     bounds: &Bounds,
-    mut tell: impl FnMut(Duration, Counts),
+    mut report_progress: impl FnMut(Duration, Counts),
 ) -> Result<SoakReport, SoakError> {
     let installation = Arc::new(Installation::start(programs, folder).await?);
     let mut tasks = JoinSet::new();
@@ -133,21 +131,21 @@
 
     let end = Instant::now() + Duration::from_millis(plan.length);
     let mut log_offsets = Vec::new();
-    let mut broken = false;
-    while Instant::now() < end && !broken {
+    let mut has_violation = false;
+    while Instant::now() < end && !has_violation {
         sleep(CHECK_INTERVAL.min(end - Instant::now())).await;
         let history = installation.snapshot(false);
         installation.record_log_offsets(&mut log_offsets);
-        broken = !find_violations(&history, bounds).is_empty();
-        tell(history.now, Counts::of(&history));
+        has_violation = !find_violations(&history, bounds).is_empty();
+        report_progress(history.now, Counts::of(&history));
     }
-    if !broken {
+    if !has_violation {
         let all_ended = async { while tasks.join_next().await.is_some() {} };
-        // Those that still wait are left: their sends have no outcome.
-        let _ = timeout_at(Instant::now() + LAST_WAIT, all_ended).await;
+        // Callers and operators that still wait are abandoned, and their attempts have no outcome.
+        let _ = timeout_at(Instant::now() + FINISH_TIMEOUT, all_ended).await;
     }
     installation.record_log_offsets(&mut log_offsets);
-    let history = installation.snapshot(!broken);
+    let history = installation.snapshot(!has_violation);
     let violations = find_violations(&history, bounds);
     Ok(SoakReport {
         history,
@@ -156,17 +154,17 @@
     })
 }
 
-/// Starts a task for each thing that the plan says, which waits for its time.
+/// Spawns a task for each job, order and fault of the plan, which waits for its time.
 fn spawn_plan(plan: &Plan, installation: &Arc<Installation>, tasks: &mut JoinSet<()>) {
-    let began = Instant::now();
-    let at = |millis: u64| began + Duration::from_millis(millis);
+    let started = Instant::now();
+    let at = |millis: u64| started + Duration::from_millis(millis);
     for (number, job) in plan.jobs.iter().cloned().enumerate() {
         let (installation, at) = (installation.clone(), at(job.at));
         let name = format!("{:08x}{number:08x}", plan.seed as u32);
         tasks.spawn(async move {
             sleep_until(at).await;
-            if callers::is_in_time(at.elapsed()) {
-                callers::call(&installation, &name, &job).await;
+            if callers::is_on_time(at.elapsed()) {
+                callers::run_caller(&installation, &name, &job).await;
             }
         });
     }
@@ -174,14 +172,14 @@
         let (installation, at) = (installation.clone(), at(planned.at));
         tasks.spawn(async move {
             sleep_until(at).await;
-            operators::carry_out(&installation, &planned).await;
+            operators::execute(&installation, &planned).await;
         });
     }
     for planned in plan.faults.iter().cloned() {
         let (installation, at) = (installation.clone(), at(planned.at));
         tasks.spawn(async move {
             sleep_until(at).await;
-            faults::carry_out(&installation, planned.fault).await;
+            faults::execute(&installation, planned.fault).await;
         });
     }
 }
--- a/crates/tools/cloverfold_soak/src/run/observers.rs
+++ b/crates/tools/cloverfold_soak/src/run/observers.rs
@@ -1,4 +1,4 @@
-//! Those who look on: the balancer, readers at control processes, probes of entries, and who sees a process end by itself.
+//! Observers: the load balancer's readiness checks, reads at control processes, probes of entries, and a watch for unexpected exits.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -21,23 +21,23 @@
 use crate::plan::{CONTROL_COUNT, ENTRY_COUNT};
 use crate::records::{ConfigurationRead, HallRead, Probe, Process, UnexpectedExit};
 
-/// How often the balancer asks.
+/// Interval of the load balancer's readiness checks.
 const READINESS_INTERVAL: Duration = Duration::from_millis(500);
-/// How long it waits.
+/// Timeout of a readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_millis(400);
-/// An entry that missed so many questions gets no new callers.
-const MISSES: u32 = 2;
-/// How often each entry is probed and each control process read.
-const LOOK_INTERVAL: Duration = Duration::from_millis(300);
-/// How long a probe waits.
+/// An entry that fails this many readiness checks in a row gets no new callers.
+const MAX_FAILED_CHECKS: u32 = 2;
+/// Interval of the probes of an entry and of the reads at a control process.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(300);
+/// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How often it is looked whether a process has ended.
+/// Interval of the checks for unexpected exits.
 const EXIT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Starts all who look on.
+/// Spawns all observers.
 pub(crate) fn spawn_observers(installation: &Arc<Installation>, tasks: &mut JoinSet<()>) {
     for entry in 0..ENTRY_COUNT {
-        tasks.spawn(follow_readiness(installation.clone(), entry));
+        tasks.spawn(check_readiness(installation.clone(), entry));
         tasks.spawn(probe_entry(installation.clone(), entry));
     }
     for control in 0..CONTROL_COUNT {
@@ -46,29 +46,29 @@
     tasks.spawn(watch_exits(installation.clone()));
 }
 
-async fn follow_readiness(installation: Arc<Installation>, entry: usize) {
-    let mut misses = 0;
+async fn check_readiness(installation: Arc<Installation>, entry: usize) {
+    let mut failed_checks = 0;
     loop {
-        let asked = send(
+        let request = send(
             installation.layout.ready(entry),
             Method::GET,
             READINESS_PATH,
             "",
         );
         let is_ready = matches!(
-            timeout(READINESS_TIMEOUT, asked).await,
+            timeout(READINESS_TIMEOUT, request).await,
             Ok(Some((StatusCode::OK, _)))
         );
-        misses = if is_ready { 0 } else { misses + 1 };
-        installation.ready[entry].store(misses < MISSES, Ordering::Relaxed);
+        failed_checks = if is_ready { 0 } else { failed_checks + 1 };
+        installation.ready[entry].store(failed_checks < MAX_FAILED_CHECKS, Ordering::Relaxed);
         sleep(READINESS_INTERVAL).await;
     }
 }
 
-/// Asks an entry again and again for the queue that the newest acknowledged configuration has brought.
+/// Probes an entry periodically for the queue that the newest acknowledged configuration added.
 async fn probe_entry(installation: Arc<Installation>, entry: usize) {
     loop {
-        sleep(LOOK_INTERVAL).await;
+        sleep(OBSERVATION_INTERVAL).await;
         if let Some(version) = installation.newest_acknowledged() {
             probe_once(&installation, entry, version).await;
         }
@@ -85,16 +85,16 @@
     let Ok(request) = request else {
         return;
     };
-    let life = installation.life(process);
+    let life = installation.incarnation(process);
     let asked_at = installation.recorder.now();
     let answer = timeout(PROBE_TIMEOUT, exchange(address, request)).await;
     let is_known = match answer {
         Ok(Some((StatusCode::OK, _))) => true,
         Ok(Some((StatusCode::NOT_FOUND, _))) => false,
-        // Silence, or an entry without a configuration.
+        // No answer, or an entry without a configuration.
         _ => return,
     };
-    if installation.life(process) != life {
+    if installation.incarnation(process) != life {
         return;
     }
     let probe = Probe {
@@ -111,7 +111,7 @@
 
 async fn read_control(installation: Arc<Installation>, control: usize) {
     loop {
-        sleep(LOOK_INTERVAL).await;
+        sleep(OBSERVATION_INTERVAL).await;
         read_configuration(&installation, control).await;
         read_halls(&installation, control).await;
     }
@@ -119,14 +119,14 @@
 
 async fn read_configuration(installation: &Installation, control: usize) {
     let asked_at = installation.recorder.now();
-    let address = installation.operator(control);
+    let address = installation.operator_address(control);
     let answer = send(address, Method::GET, "/v1/configuration", "").await;
     let Some((StatusCode::OK, text)) = answer else {
         return;
     };
     let version = serde_json::from_str::<Value>(&text)
         .ok()
-        .and_then(|shown| shown["Version"].as_u64());
+        .and_then(|answer| answer["Version"].as_u64());
     let version = version.unwrap_or_default();
     let read = ConfigurationRead {
         control,
@@ -139,13 +139,13 @@
 
 async fn read_halls(installation: &Installation, control: usize) {
     let asked_at = installation.recorder.now();
-    let address = installation.operator(control);
+    let address = installation.operator_address(control);
     let answer = send(address, Method::GET, "/v1/evacuations", "").await;
     let Some((StatusCode::OK, text)) = answer else {
         return;
     };
-    let shown: Value = serde_json::from_str(&text).unwrap_or_default();
-    let halls = shown["halls"].as_array().cloned().unwrap_or_default();
+    let answer: Value = serde_json::from_str(&text).unwrap_or_default();
+    let halls = answer["halls"].as_array().cloned().unwrap_or_default();
     let names = halls.iter().filter_map(|hall| hall["hall"].as_str());
     let read = HallRead {
         control,
@@ -156,14 +156,14 @@
     installation.recorder.lock().hall_reads.push(read);
 }
 
-/// Records processes that end by themselves, and starts them again.
+/// Records unexpected exits and restarts the processes.
 async fn watch_exits(installation: Arc<Installation>) {
     loop {
         sleep(EXIT_INTERVAL).await;
-        for process in installation.take_own_ends() {
+        for process in installation.restart_exited() {
             let at = installation.recorder.now();
-            let end = UnexpectedExit { process, at };
-            installation.recorder.lock().own_ends.push(end);
+            let exit = UnexpectedExit { process, at };
+            installation.recorder.lock().own_ends.push(exit);
         }
     }
 }
--- a/crates/tools/cloverfold_soak/src/run/operators.rs
+++ b/crates/tools/cloverfold_soak/src/run/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: they order, send again what got no clear answer, race, repeat, and send what is invalid.
+//! Simulated operators: they send valid, invalid, concurrent and repeated orders, and retry orders without a clear answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,37 +12,37 @@
 use super::exchange::exchange;
 use super::installation::Installation;
 use super::layout::Side;
-use crate::plan::{CONTROL_COUNT, OperatorOrder, PlannedOrder};
+use crate::plan::{CONTROL_COUNT, Order, PlannedOrder};
 use crate::records::{HallAction, HallOrder, OrderAnswer, Process};
 
-/// How long an operator waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(3_000);
-/// Pause before an order is sent again.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Most sends of a valid order; with the pauses longer than any fault.
-const MAX_SENDS: usize = 60;
-/// Most sends of an invalid configuration.
-const MAX_INVALID_SENDS: usize = 3;
+/// Timeout of one request of an operator.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Delay before an order is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Maximum attempts of a valid order; with the delays they outlast any fault.
+const MAX_ATTEMPTS: usize = 60;
+/// Maximum attempts of an invalid configuration.
+const MAX_INVALID_ATTEMPTS: usize = 3;
 
-/// Plays one operator.
-pub(crate) async fn carry_out(installation: &Installation, planned: &PlannedOrder) {
+/// Executes one planned order.
+pub(crate) async fn execute(installation: &Installation, planned: &PlannedOrder) {
     let control = planned.control;
     match &planned.order {
-        OperatorOrder::Configure => configure(installation, control).await,
-        OperatorOrder::Race => {
+        Order::Configure => configure(installation, control).await,
+        Order::Race => {
             let other = configure(installation, control + 1);
             tokio::join!(configure(installation, control), other);
         }
-        OperatorOrder::Repeat => repeat(installation, control).await,
-        OperatorOrder::Unsound => {
+        Order::Repeat => repeat(installation, control).await,
+        Order::Unsound => {
             let text = invalid_configuration;
             send_invalid(installation, control, text).await;
         }
-        OperatorOrder::Unreadable => {
+        Order::Unreadable => {
             let text = malformed_configuration;
             send_invalid(installation, control, text).await;
         }
-        OperatorOrder::Evacuate { hall, lasts } => {
+        Order::Evacuate { hall, lasts } => {
             evacuate(installation, control, hall, Duration::from_millis(*lasts)).await;
         }
     }
@@ -66,28 +66,36 @@
     version: u64,
 ) {
     let text = configuration(version);
-    for send in 0..MAX_SENDS {
-        let control = (control + send) % CONTROL_COUNT;
-        if put(installation, control, version, true, &text).await != OrderAnswer::Unknown {
+    for attempt in 0..MAX_ATTEMPTS {
+        let control = (control + attempt) % CONTROL_COUNT;
+        if put_configuration(installation, control, version, true, &text).await
+            != OrderAnswer::Unknown
+        {
             return;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-async fn send_invalid(installation: &Installation, control: usize, write: fn(u64) -> String) {
+async fn send_invalid(
+    installation: &Installation,
+    control: usize,
+    generate_text: fn(u64) -> String,
+) {
     let version = installation.next_version();
-    let text = write(version);
-    for send in 0..MAX_INVALID_SENDS {
-        let control = (control + send) % CONTROL_COUNT;
-        if put(installation, control, version, false, &text).await != OrderAnswer::Unknown {
+    let text = generate_text(version);
+    for attempt in 0..MAX_INVALID_ATTEMPTS {
+        let control = (control + attempt) % CONTROL_COUNT;
+        if put_configuration(installation, control, version, false, &text).await
+            != OrderAnswer::Unknown
+        {
             return;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-async fn put(
+async fn put_configuration(
     installation: &Installation,
     control: usize,
     version: u64,
@@ -96,17 +104,17 @@
 ) -> OrderAnswer {
     let number = installation.recorder.begin_configuration(version, is_valid);
     let answer = send(
-        installation.operator(control),
+        installation.operator_address(control),
         Method::PUT,
         "/v1/configuration",
         text,
     );
-    let answer = read_verdict(answer.await.map(|(status, _)| status));
+    let answer = read_answer(answer.await.map(|(status, _)| status));
     installation.recorder.end_configuration(number, answer);
     answer
 }
 
-fn read_verdict(status: Option<StatusCode>) -> OrderAnswer {
+fn read_answer(status: Option<StatusCode>) -> OrderAnswer {
     match status {
         Some(StatusCode::OK) => OrderAnswer::Acknowledged,
         Some(status) if status.is_client_error() => OrderAnswer::Refused,
@@ -114,9 +122,9 @@
     }
 }
 
-/// Evacuates a hall unless another operator cares for it, and takes it back.
+/// Evacuates a data hall and ends the evacuation later, unless another operator has reserved the hall.
 async fn evacuate(installation: &Installation, control: usize, hall: &str, lasts: Duration) {
-    let Some(_care) = installation.care_for_hall(hall) else {
+    let Some(_reservation) = installation.reserve_hall(hall) else {
         return;
     };
     order_hall(installation, control, hall, HallAction::Evacuate).await;
@@ -137,18 +145,18 @@
         HallAction::TakeBack => Method::DELETE,
     };
     let path = format!("/v1/evacuations/{hall}");
-    for attempt in 0..MAX_SENDS {
-        let address = installation.operator((control + attempt) % CONTROL_COUNT);
+    for attempt in 0..MAX_ATTEMPTS {
+        let address = installation.operator_address((control + attempt) % CONTROL_COUNT);
         let answer = send(address, method.clone(), &path, "").await;
         if answer.is_some_and(|(status, _)| status == StatusCode::OK) {
             recorder.acknowledge_hall_order(number);
             return;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-/// Sends one call of an operator; `None` if it gets no answer in time.
+/// Sends one request of an operator; returns `None` if there is no answer in time.
 pub(crate) async fn send(
     address: SocketAddr,
     method: Method,
@@ -162,12 +170,14 @@
         .header("Content-Type", "application/json")
         .body(Full::new(Bytes::from(body.to_owned())))
         .ok()?;
-    timeout(PATIENCE, exchange(address, request)).await.ok()?
+    timeout(REQUEST_TIMEOUT, exchange(address, request))
+        .await
+        .ok()?
 }
 
 impl Installation {
-    /// Returns where operators reach a control process.
-    pub(crate) fn operator(&self, control: usize) -> SocketAddr {
+    /// Returns the operator address of a control process.
+    pub(crate) fn operator_address(&self, control: usize) -> SocketAddr {
         let process = Process::Control(control % CONTROL_COUNT);
         self.layout.interface(process, Side::Outer)
     }
--- a/crates/tools/cloverfold_soak/src/run/programs.rs
+++ b/crates/tools/cloverfold_soak/src/run/programs.rs
@@ -1,4 +1,4 @@
-//! Real programs as processes of their own.
+//! Child processes that run the real programs.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -8,25 +8,25 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::time::{Instant, sleep};
 
-/// How often an exit is looked for.
-const POLL: Duration = Duration::from_millis(10);
+/// Polling interval for an exit.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The programs that are played with.
+/// Paths of the programs under test.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// `cloverfold`.
+    /// The program `cloverfold`.
     pub cloverfold: PathBuf,
-    /// `cloverfold-guard`.
+    /// The program `cloverfold-guard`.
     pub guard: PathBuf,
 }
 
-/// A program that runs; it is killed when dropped, also by a panic.
+/// A running program, which is killed on drop.
 pub(crate) struct Program {
     child: Child,
 }
 
 impl Program {
-    /// Starts a program with a settings file; its output is appended to a log.
+    /// Starts a program with a settings file and appends its output to a log.
     pub(crate) fn start(
         program: &Path,
         arguments: &[&str],
@@ -44,30 +44,30 @@
         Ok(Self { child })
     }
 
-    /// Sends a signal; a process that has ended gets none.
+    /// Sends a signal unless the process has exited.
     pub(crate) fn signal(&mut self, signal: Signal) {
-        // Its number stays taken until it is waited for.
+        // The process id is not reused before the child is waited for.
         let is_running = !self.has_exited();
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if let Some(pid) = pid.filter(|_| is_running) {
-            // The only error left is that it has just ended.
+            // An error means that the process has just exited.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Returns whether the process has ended.
+    /// Returns whether the process has exited.
     pub(crate) fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for the exit; returns whether it came in time.
+    /// Waits for the exit; returns whether the process exited within the limit.
     pub(crate) async fn wait_exit(&mut self, limit: Duration) -> bool {
         let until = Instant::now() + limit;
         while !self.has_exited() {
             if Instant::now() >= until {
                 return false;
             }
-            sleep(POLL).await;
+            sleep(EXIT_POLL_INTERVAL).await;
         }
         true
     }
@@ -75,7 +75,7 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // An error means that it has ended by itself.
+        // An error means that the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/tools/cloverfold_soak/src/run/recorder.rs
+++ b/crates/tools/cloverfold_soak/src/run/recorder.rs
@@ -1,4 +1,4 @@
-//! Takes records on one steady clock.
+//! Records the history on one monotonic clock.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -8,9 +8,9 @@
     PlannedStop, Process, Scope,
 };
 
-/// Where everything that is seen is recorded, but for runs, which targets keep themselves.
+/// Records all observations except runs, which the targets record themselves.
 pub(crate) struct Recorder {
-    began: Instant,
+    started: Instant,
     history: Mutex<History>,
 }
 
@@ -21,37 +21,37 @@
             ..History::default()
         };
         Self {
-            began: Instant::now(),
+            started: Instant::now(),
             history: Mutex::new(history),
         }
     }
 
     pub(crate) fn now(&self) -> Elapsed {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 
-    /// Returns a moment on the clock of the records.
-    pub(crate) fn time_of(&self, moment: Instant) -> Elapsed {
-        moment.saturating_duration_since(self.began)
+    /// Converts an instant to the clock of the history.
+    pub(crate) fn elapsed_at(&self, instant: Instant) -> Elapsed {
+        instant.saturating_duration_since(self.started)
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, History> {
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that a caller sends; returns the number of the record.
+    /// Records the start of an attempt; returns the index of the record.
     pub(crate) fn begin_attempt(&self, attempt: Attempt) -> usize {
         let mut history = self.lock();
         history.attempts.push(attempt);
         history.attempts.len() - 1
     }
 
-    pub(crate) fn end_attempt(&self, number: usize, outcome: Outcome) {
+    pub(crate) fn end_attempt(&self, index: usize, outcome: Outcome) {
         let now = self.now();
-        self.lock().attempts[number].outcome = Some((now, outcome));
+        self.lock().attempts[index].outcome = Some((now, outcome));
     }
 
-    /// Records that an operator sends a configuration; returns the number of the record.
+    /// Records that an operator sends a configuration; returns the index of the record.
     pub(crate) fn begin_configuration(&self, version: u64, is_valid: bool) -> usize {
         let sent_at = self.now();
         let mut history = self.lock();
@@ -64,9 +64,9 @@
         history.configuration_orders.len() - 1
     }
 
-    pub(crate) fn end_configuration(&self, number: usize, answer: OrderAnswer) {
+    pub(crate) fn end_configuration(&self, index: usize, answer: OrderAnswer) {
         let now = self.now();
-        self.lock().configuration_orders[number].answer = Some((now, answer));
+        self.lock().configuration_orders[index].answer = Some((now, answer));
     }
 
     pub(crate) fn begin_hall_order(&self, order: HallOrder) -> usize {
@@ -75,12 +75,12 @@
         history.hall_orders.len() - 1
     }
 
-    pub(crate) fn acknowledge_hall_order(&self, number: usize) {
+    pub(crate) fn acknowledge_hall_order(&self, index: usize) {
         let now = self.now();
-        self.lock().hall_orders[number].acknowledged_at = Some(now);
+        self.lock().hall_orders[index].acknowledged_at = Some(now);
     }
 
-    /// Records that something is disturbed from now on; returns the number of the record.
+    /// Records the start of a disturbance; returns the index of the record.
     pub(crate) fn begin_disturbance(&self, scope: Scope, is_planned: bool) -> usize {
         let from = self.now();
         let mut history = self.lock();
@@ -93,9 +93,9 @@
         history.disturbances.len() - 1
     }
 
-    pub(crate) fn end_disturbance(&self, number: usize) {
+    pub(crate) fn end_disturbance(&self, index: usize) {
         let now = self.now();
-        self.lock().disturbances[number].until = Some(now);
+        self.lock().disturbances[index].until = Some(now);
     }
 
     pub(crate) fn begin_stop(&self, process: Process) -> usize {
@@ -109,8 +109,8 @@
         history.stops.len() - 1
     }
 
-    pub(crate) fn end_stop(&self, number: usize) {
+    pub(crate) fn end_stop(&self, index: usize) {
         let now = self.now();
-        self.lock().stops[number].exited_at = Some(now);
+        self.lock().stops[index].exited_at = Some(now);
     }
 }
--- a/crates/tools/cloverfold_soak/src/run/snapshot.rs
+++ b/crates/tools/cloverfold_soak/src/run/snapshot.rs
@@ -1,4 +1,4 @@
-//! All that was seen up to now, with the runs that targets keep, and how long the logs are.
+//! Snapshots of the history, including the runs that the targets record, and of the log lengths.
 
 use cloverfold_stand_ins::target::RunEndCause;
 
@@ -7,36 +7,36 @@
 use crate::records::{History, Run, RunEnd};
 
 impl Installation {
-    /// Returns all that was seen so far.
+    /// Returns the history up to now.
     pub(crate) fn snapshot(&self, is_over: bool) -> History {
-        // The runs are read last: whatever an answer tells was at a target before.
+        // The runs are read last: every run that an answer refers to was recorded at its target before the answer.
         let mut history = self.recorder.lock().clone();
         history.now = self.recorder.now();
         history.is_over = is_over;
         for (index, target) in self.targets.iter().enumerate() {
-            let runs = target.list_runs().into_iter().map(|seen| Run {
-                job: seen.job,
-                task: seen.task,
-                number: seen.number,
+            let runs = target.list_runs().into_iter().map(|run| Run {
+                job: run.job,
+                task: run.task,
+                number: run.number,
                 target: index,
-                incarnation: seen.incarnation,
-                started_at: self.recorder.time_of(seen.started_at),
-                is_late: seen.is_late,
-                end: seen
+                incarnation: run.incarnation,
+                started_at: self.recorder.elapsed_at(run.started_at),
+                is_late: run.is_late,
+                end: run
                     .end
-                    .map(|(at, end)| (self.recorder.time_of(at), read_end(end))),
+                    .map(|(at, end)| (self.recorder.elapsed_at(at), read_end(end))),
             });
             history.runs.extend(runs);
         }
         history
     }
 
-    /// Takes down how long all logs are now.
+    /// Records the current length of each log.
     pub(crate) fn record_log_offsets(&self, log_offsets: &mut Vec<LogOffset>) {
         let at = self.recorder.now();
         for slot in &self.slots {
             let log = self.layout.log(slot.process);
-            let len = std::fs::metadata(&log).map_or(0, |found| found.len());
+            let len = std::fs::metadata(&log).map_or(0, |metadata| metadata.len());
             log_offsets.push(LogOffset { at, log, len });
         }
     }
--- a/crates/tools/cloverfold_soak/src/run/target_faults.rs
+++ b/crates/tools/cloverfold_soak/src/run/target_faults.rs
@@ -1,4 +1,4 @@
-//! What targets do by themselves and in a fault: heartbeats, crashes, late registrations, leaving.
+//! Behavior of the targets: heartbeats, faults, crashes, delayed registrations, and planned restarts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,59 +10,59 @@
 use crate::plan::{Millis, TargetFault};
 use crate::records::{Drain, Scope, TargetIndex};
 
-/// How often a target sends a heartbeat.
+/// Interval of the heartbeats of a target.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// A target that leaves waits so long for the acknowledgement.
-const DRAIN_PATIENCE: Duration = Duration::from_secs(4);
-/// After the acknowledgement it serves on for so long: the bound for new work, and the longest task.
-const SERVES_ON: Duration = Duration::from_millis(2_800);
-/// Longest time that a crashed target stays away.
-const LONGEST_AWAY: Duration = Duration::from_millis(2_000);
-/// From the end of a target to its next life.
-const BETWEEN_LIVES: Duration = Duration::from_millis(200);
+/// How long a draining target waits for the acknowledgement.
+const DRAIN_ACK_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long a draining target keeps running after the acknowledgement: the drain bound and the longest task.
+const DRAIN_DURATION: Duration = Duration::from_millis(2_800);
+/// Maximum downtime of a crashed target.
+const MAX_CRASH_DOWNTIME: Duration = Duration::from_millis(2_000);
+/// Downtime between two incarnations in a planned restart.
+const RESTART_DOWNTIME: Duration = Duration::from_millis(200);
 
-/// Sends heartbeats for good.
+/// Sends heartbeats until the task is aborted.
 pub(crate) async fn send_heartbeats(target: Arc<FakeTarget>) {
     loop {
         if let Some(heartbeat) = target.next_heartbeat() {
-            // One that is lost is followed by the next.
+            // The next heartbeat makes up for a lost one.
             target.send_heartbeat(&heartbeat).await;
         }
         sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// Lets a target misbehave, unless it does already.
-pub(crate) async fn misbehave(
+/// Injects a fault into a target unless it already has one.
+pub(crate) async fn inject(
     installation: &Installation,
     index: TargetIndex,
     fault: TargetFault,
     lasts: Duration,
 ) {
-    let Ok(_care) = installation.target_care[index].try_lock() else {
+    let Ok(_lock) = installation.target_fault_locks[index].try_lock() else {
         return;
     };
     match fault {
-        TargetFault::Leave => leave(installation, index).await,
+        TargetFault::Leave => drain_and_restart(installation, index).await,
         TargetFault::Crash { late_registration } => {
             crash(installation, index, late_registration, lasts).await;
         }
         other => {
-            let number = begin(installation, index, false);
-            installation.targets[index].set_faults(list_faults(other));
+            let disturbance = begin_disturbance(installation, index, false);
+            installation.targets[index].set_faults(build_faults(other));
             sleep(lasts).await;
             installation.targets[index].set_faults(TargetFaults::default());
-            installation.recorder.end_disturbance(number);
+            installation.recorder.end_disturbance(disturbance);
         }
     }
 }
 
-fn begin(installation: &Installation, index: TargetIndex, is_planned: bool) -> usize {
+fn begin_disturbance(installation: &Installation, index: TargetIndex, is_planned: bool) -> usize {
     let scope = Scope::Target(index);
     installation.recorder.begin_disturbance(scope, is_planned)
 }
 
-fn list_faults(fault: TargetFault) -> TargetFaults {
+fn build_faults(fault: TargetFault) -> TargetFaults {
     let mut faults = TargetFaults::default();
     match fault {
         TargetFault::Hang => faults.hangs_runs = true,
@@ -81,41 +81,41 @@
     late_registration: Option<Millis>,
     lasts: Duration,
 ) {
-    let number = begin(installation, index, false);
+    let disturbance = begin_disturbance(installation, index, false);
     let target = &installation.targets[index];
-    let last_words = target.next_heartbeat();
+    let last_heartbeat = target.next_heartbeat();
     target.crash();
-    sleep(lasts.min(LONGEST_AWAY)).await;
+    sleep(lasts.min(MAX_CRASH_DOWNTIME)).await;
     target.restart();
-    if let (Some(after), Some(last_words)) = (late_registration, last_words) {
+    if let (Some(after), Some(last_heartbeat)) = (late_registration, last_heartbeat) {
         sleep(Duration::from_millis(after)).await;
-        target.send_heartbeat(&last_words).await;
+        target.send_heartbeat(&last_heartbeat).await;
     }
-    installation.recorder.end_disturbance(number);
+    installation.recorder.end_disturbance(disturbance);
 }
 
-/// Announces that a target leaves, lets it serve on, ends it, and begins another life.
-async fn leave(installation: &Installation, index: TargetIndex) {
+/// Drains a target, waits for its runs, stops it, and starts a new incarnation.
+async fn drain_and_restart(installation: &Installation, index: TargetIndex) {
     let target = &installation.targets[index];
     target.drain();
-    let until = Instant::now() + DRAIN_PATIENCE;
-    while !announce(installation, index).await && Instant::now() < until {
+    let until = Instant::now() + DRAIN_ACK_TIMEOUT;
+    while !announce_drain(installation, index).await && Instant::now() < until {
         sleep(HEARTBEAT_INTERVAL).await;
     }
-    sleep(SERVES_ON).await;
-    let number = begin(installation, index, true);
-    if let Some(last_words) = target.next_heartbeat() {
-        // It ends all the same.
-        target.deregister(&last_words).await;
+    sleep(DRAIN_DURATION).await;
+    let disturbance = begin_disturbance(installation, index, true);
+    if let Some(last_heartbeat) = target.next_heartbeat() {
+        // The target exits whether or not the deregistration succeeds.
+        target.deregister(&last_heartbeat).await;
     }
     target.crash();
-    sleep(BETWEEN_LIVES).await;
+    sleep(RESTART_DOWNTIME).await;
     target.restart();
-    installation.recorder.end_disturbance(number);
+    installation.recorder.end_disturbance(disturbance);
 }
 
-/// Sends a heartbeat that says that the target leaves; records the acknowledgement.
-async fn announce(installation: &Installation, index: TargetIndex) -> bool {
+/// Sends a heartbeat that announces the drain, and records the acknowledgement.
+async fn announce_drain(installation: &Installation, index: TargetIndex) -> bool {
     let target = &installation.targets[index];
     let Some(heartbeat) = target.next_heartbeat() else {
         return false;
--- a/crates/tools/cloverfold_soak/tests/checker.rs
+++ b/crates/tools/cloverfold_soak/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker finds each promise that broke, and finds nothing where none did.
+//! The checker detects each violated guarantee and reports nothing for a valid history.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,7 +12,7 @@
 };
 
 const JOB: &str = "00000001";
-/// A moment at which nothing has happened yet, far enough from the start that no bound reaches back to it.
+/// Start time of the first events, in seconds; longer after the start than any bound.
 const EARLY: f64 = 10.0;
 
 fn at(seconds: f64) -> Elapsed {
@@ -100,8 +100,8 @@
     }
 }
 
-/// A minute in which nothing else happens than the test says.
-fn minute() -> History {
+/// Returns an empty history of one minute.
+fn empty_minute() -> History {
     History {
         now: at(60.0),
         target_halls: vec!["hall-a".into(), "hall-b".into()],
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn nothing_is_found_where_nothing_broke() {
+fn valid_history_has_no_violations() {
     let history = History {
         runs: vec![
             run(0, EARLY, 10.2, RunEnd::Lapsed),
@@ -128,27 +128,27 @@
         configuration_orders: vec![configuration(2, EARLY, 11.0, OrderAnswer::Acknowledged)],
         configuration_reads: vec![read(2, 12.0)],
         probes: vec![probe(2, 20.0, true)],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), []);
 }
 
 #[test]
-fn two_runs_of_a_task_at_once_are_found() {
+fn overlapping_runs_of_a_task_are_detected() {
     let history = History {
         runs: vec![
             run(0, EARLY, 10.5, RunEnd::Done),
             run(1, 10.4, 10.9, RunEnd::Done),
         ],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), [Guarantee::OneRunAtOnce]);
 }
 
 #[test]
-fn a_run_that_never_ended_overlaps_all_later_ones() {
+fn run_without_end_overlaps_all_later_runs() {
     let endless = Run {
         end: None,
         ..run(0, EARLY, 0.0, RunEnd::Done)
@@ -159,7 +159,7 @@
             run(1, 20.0, 20.1, RunEnd::Done),
             run(1, 30.0, 30.1, RunEnd::Done),
         ],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), [Guarantee::OneRunAtOnce; 2]);
@@ -173,14 +173,14 @@
     };
     let history = History {
         runs: vec![run(0, EARLY, 10.5, RunEnd::Done), other],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), []);
 }
 
 #[test]
-fn an_answer_before_all_tasks_are_done_is_found() {
+fn completed_answer_before_all_tasks_are_done_is_detected() {
     let two_tasks = Attempt {
         tasks: 2,
         ..attempt(EARLY, 10.5, Outcome::Completed)
@@ -188,14 +188,14 @@
     let history = History {
         runs: vec![run(0, EARLY, 10.2, RunEnd::Done)],
         attempts: vec![two_tasks],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), [Guarantee::WholeAnswer]);
 }
 
 #[test]
-fn an_answer_that_belongs_to_another_job_is_found() {
+fn answer_of_another_job_is_detected() {
     let other = Attempt {
         job: "00000002".into(),
         ..attempt(EARLY, 10.5, Outcome::Completed)
@@ -203,19 +203,19 @@
     let history = History {
         runs: vec![run(0, EARLY, 10.2, RunEnd::Done)],
         attempts: vec![other],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), [Guarantee::WholeAnswer]);
 }
 
 #[test]
-fn a_failure_without_enough_failed_runs_is_found() {
+fn failed_answer_without_enough_failed_runs_is_detected() {
     let failed = |from: f64| run(0, from, from + 0.1, RunEnd::Failed);
     let history = |runs| History {
         runs,
         attempts: vec![attempt(EARLY, 12.0, Outcome::Failed)],
-        ..minute()
+        ..empty_minute()
     };
 
     let twice = history(vec![failed(10.1), failed(10.3)]);
@@ -226,44 +226,44 @@
 }
 
 #[test]
-fn an_answer_that_there_is_not_is_found() {
+fn answer_outside_the_protocol_is_detected() {
     let history = History {
         attempts: vec![attempt(EARLY, 10.5, Outcome::Garbled)],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), [Guarantee::KnownAnswer]);
 }
 
 #[test]
-fn a_refused_job_that_has_run_is_found() {
+fn refused_job_that_has_run_is_detected() {
     let history = History {
         runs: vec![run(0, 10.2, 10.4, RunEnd::Done)],
         attempts: vec![
             attempt(EARLY, 10.1, Outcome::Refused),
             attempt(10.2, 10.3, Outcome::Refused),
         ],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), [Guarantee::TrueRefusal]);
 }
 
 #[test]
-fn a_refused_job_may_run_for_another_send_that_got_no_answer() {
+fn refused_job_may_run_for_an_unanswered_attempt() {
     let history = History {
         runs: vec![run(0, 11.2, 11.4, RunEnd::Done)],
         attempts: vec![
             attempt(EARLY, 10.1, Outcome::Refused),
             attempt(11.1, 11.3, Outcome::Broken),
         ],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), []);
 }
 
-fn leaving(started: f64, disturbances: Vec<Disturbance>) -> History {
+fn draining(started: f64, disturbances: Vec<Disturbance>) -> History {
     History {
         runs: vec![run(0, started, started + 0.1, RunEnd::Done)],
         drains: vec![Drain {
@@ -272,24 +272,24 @@
             acknowledged_at: at(20.0),
         }],
         disturbances,
-        ..minute()
+        ..empty_minute()
     }
 }
 
 #[test]
-fn new_work_at_a_target_that_leaves_is_found_after_the_bound() {
-    assert_eq!(find(&leaving(22.1, vec![])), [Guarantee::NoWorkForLeaving]);
-    assert_eq!(find(&leaving(21.9, vec![])), []);
+fn run_at_draining_target_is_detected_after_the_bound() {
+    assert_eq!(find(&draining(22.1, vec![])), [Guarantee::NoWorkForLeaving]);
+    assert_eq!(find(&draining(21.9, vec![])), []);
 }
 
 #[test]
-fn new_work_at_a_target_that_leaves_does_not_count_while_its_guard_is_disturbed() {
+fn run_at_draining_target_is_allowed_while_its_guard_is_disturbed() {
     let guard = Scope::Processes(vec![Process::Guard(0)]);
     let near = vec![disturbance(guard.clone(), false, 20.5, 21.0)];
     let far = vec![disturbance(guard, false, 5.0, 6.0)];
 
-    assert_eq!(find(&leaving(22.1, near)), []);
-    assert_eq!(find(&leaving(22.1, far)), [Guarantee::NoWorkForLeaving]);
+    assert_eq!(find(&draining(22.1, near)), []);
+    assert_eq!(find(&draining(22.1, far)), [Guarantee::NoWorkForLeaving]);
 }
 
 fn stopped(process: Process) -> History {
@@ -305,24 +305,24 @@
             20.0,
             24.0,
         )],
-        ..minute()
+        ..empty_minute()
     }
 }
 
 #[test]
-fn a_request_that_a_planned_stop_cut_is_found() {
+fn request_interrupted_by_planned_stop_is_detected() {
     let history = |sent, broke| History {
         attempts: vec![attempt(sent, broke, Outcome::Broken)],
         ..stopped(Process::Entry(0))
     };
 
     assert_eq!(find(&history(20.5, 21.0)), [Guarantee::StopCutsNothing]);
-    // It may not have been read.
+    // The entry may not have read the request.
     assert_eq!(find(&history(20.5, 20.6)), []);
 }
 
 #[test]
-fn a_request_of_which_something_ran_counts_as_read() {
+fn request_with_a_started_run_counts_as_read() {
     let history = History {
         runs: vec![run(0, 20.55, 20.58, RunEnd::Done)],
         attempts: vec![attempt(20.5, 20.6, Outcome::Broken)],
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn a_cut_near_a_fault_is_not_the_stops() {
+fn interruption_near_a_fault_is_not_attributed_to_the_stop() {
     let mut history = History {
         attempts: vec![attempt(20.5, 21.0, Outcome::Broken)],
         ..stopped(Process::Entry(0))
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn a_run_that_a_planned_stop_let_lapse_is_found() {
+fn run_that_lapses_during_planned_stop_is_detected() {
     let history = |how| History {
         runs: vec![run(0, 19.9, 20.7, how)],
         ..stopped(Process::Guard(0))
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn a_run_that_a_stopped_guard_left_at_work_is_found() {
+fn run_abandoned_by_stopped_guard_is_detected() {
     let history = |until| History {
         runs: vec![run(0, 22.9, until, RunEnd::Done)],
         ..stopped(Process::Guard(0))
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn a_guard_that_has_waited_for_all_its_time_may_leave_a_run() {
+fn guard_may_abandon_a_run_after_its_drain_timeout() {
     let mut history = History {
         runs: vec![run(0, 19.0, 40.0, RunEnd::Done)],
         ..stopped(Process::Guard(0))
@@ -379,20 +379,20 @@
 }
 
 #[test]
-fn a_process_that_ends_by_itself_is_found() {
+fn unexpected_exit_is_detected() {
     let history = History {
         own_ends: vec![UnexpectedExit {
             process: Process::Control(1),
             at: at(EARLY),
         }],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), [Guarantee::NoOwnEnd]);
 }
 
 #[test]
-fn wrong_verdicts_on_configurations_are_found() {
+fn wrong_answers_to_configurations_are_detected() {
     let refused = configuration(2, EARLY, 11.0, OrderAnswer::Refused);
     let acknowledged = ConfigurationOrder {
         is_valid: false,
@@ -400,21 +400,21 @@
     };
     let history = History {
         configuration_orders: vec![refused, acknowledged],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), [Guarantee::RightVerdict; 2]);
 }
 
 #[test]
-fn a_read_older_than_what_was_acknowledged_before_it_is_found() {
+fn stale_configuration_read_is_detected() {
     let history = |asked| History {
         configuration_orders: vec![
             configuration(2, EARLY, 11.0, OrderAnswer::Acknowledged),
             configuration(5, 12.0, 13.0, OrderAnswer::Acknowledged),
         ],
         configuration_reads: vec![read(2, asked)],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history(13.1)), [Guarantee::NewestIsRead]);
@@ -422,14 +422,14 @@
 }
 
 #[test]
-fn a_configuration_that_nobody_sent_so_is_found() {
+fn configuration_that_was_never_sent_is_detected() {
     let other = ConfigurationRead {
         is_as_sent: false,
         ..read(2, EARLY)
     };
     let history = History {
         configuration_reads: vec![other],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history), [Guarantee::ShownAsSent]);
@@ -440,18 +440,18 @@
         configuration_orders: vec![configuration(2, EARLY, 11.0, OrderAnswer::Acknowledged)],
         probes: vec![probe(2, asked, false)],
         disturbances,
-        ..minute()
+        ..empty_minute()
     }
 }
 
 #[test]
-fn an_acknowledged_configuration_that_is_not_in_force_is_found_after_the_bound() {
+fn acknowledged_configuration_not_in_force_is_detected_after_the_bound() {
     assert_eq!(find(&probed(13.1, vec![])), [Guarantee::InForceInTime]);
     assert_eq!(find(&probed(12.9, vec![])), []);
 }
 
 #[test]
-fn a_disturbed_entry_may_have_an_older_configuration() {
+fn disturbed_entry_may_have_an_older_configuration() {
     let entry = Scope::Processes(vec![Process::Entry(0)]);
     let control = Scope::Processes(vec![Process::Control(2)]);
     let other = Scope::Processes(vec![Process::Entry(1)]);
@@ -464,7 +464,7 @@
 }
 
 #[test]
-fn an_entry_that_falls_back_is_found_also_when_disturbed() {
+fn configuration_revert_is_detected_even_when_disturbed() {
     let history = |life| History {
         probes: vec![
             probe(2, EARLY, true),
@@ -474,16 +474,16 @@
             },
         ],
         disturbances: vec![disturbance(Scope::All, false, EARLY, 12.0)],
-        ..minute()
+        ..empty_minute()
     };
 
     assert_eq!(find(&history(1)), [Guarantee::NeverReverts]);
-    // Another life of its process may begin with an older one.
+    // A new incarnation of the process may start with an older configuration.
     assert_eq!(find(&history(2)), []);
 }
 
 #[test]
-fn a_queue_that_a_later_version_has_dropped_tells_nothing() {
+fn queue_removed_by_a_later_version_is_not_checked() {
     let mut history = probed(13.1, vec![]);
     let later = configuration(10, 12.0, 14.0, OrderAnswer::Unknown);
     history.configuration_orders.push(later);
@@ -498,19 +498,19 @@
             hall_order(HallAction::Evacuate, 20.0, 20.5),
             hall_order(HallAction::TakeBack, 30.0, 30.5),
         ],
-        ..minute()
+        ..empty_minute()
     }
 }
 
 #[test]
-fn a_start_in_an_evacuated_hall_is_found_after_the_bound() {
+fn start_in_evacuated_hall_is_detected_after_the_bound() {
     assert_eq!(find(&evacuated(22.6)), [Guarantee::HallStaysEmpty]);
     assert_eq!(find(&evacuated(22.4)), []);
     assert_eq!(find(&evacuated(30.1)), []);
 }
 
 #[test]
-fn a_start_in_another_hall_is_none_of_the_evacuation() {
+fn start_in_another_hall_is_allowed_during_evacuation() {
     let mut history = evacuated(22.6);
     history.runs[0].target = 1;
 
@@ -518,7 +518,7 @@
 }
 
 #[test]
-fn a_list_that_does_not_show_what_was_acknowledged_is_found() {
+fn evacuation_list_that_contradicts_an_order_is_detected() {
     let listed = |asked, halls: &[&str]| History {
         runs: vec![],
         hall_reads: vec![hall_read(asked, halls)],
@@ -534,37 +534,37 @@
     assert_eq!(find(&listed(21.0, &["hall-a"])), []);
 }
 
-fn after_the_last_fault(outcome: Outcome) -> History {
+fn after_last_fault(outcome: Outcome) -> History {
     let sends = (0..8).map(|number| attempt(40.0 + f64::from(number), 50.0, outcome));
     History {
         is_over: true,
         attempts: sends.collect(),
         runs: vec![run(0, 40.0, 40.1, RunEnd::Done)],
         disturbances: vec![disturbance(Scope::All, false, 20.0, 25.0)],
-        ..minute()
+        ..empty_minute()
     }
 }
 
 #[test]
-fn service_that_is_not_back_after_the_last_fault_is_found() {
-    let not_back = after_the_last_fault(Outcome::TimedOut);
-    let back = after_the_last_fault(Outcome::Completed);
+fn missing_recovery_after_the_last_fault_is_detected() {
+    let unavailable = after_last_fault(Outcome::TimedOut);
+    let recovered = after_last_fault(Outcome::Completed);
 
-    assert_eq!(find(&not_back), [Guarantee::ServiceIsBack]);
-    assert_eq!(find(&back), []);
+    assert_eq!(find(&unavailable), [Guarantee::ServiceIsBack]);
+    assert_eq!(find(&recovered), []);
 }
 
 #[test]
-fn something_that_never_became_whole_is_found() {
-    let mut history = after_the_last_fault(Outcome::Completed);
+fn disturbance_without_end_is_detected() {
+    let mut history = after_last_fault(Outcome::Completed);
     history.disturbances[0].until = None;
 
     assert_eq!(find(&history), [Guarantee::ServiceIsBack]);
 }
 
 #[test]
-fn an_acknowledged_configuration_that_nobody_shows_any_more_is_found() {
-    let mut history = after_the_last_fault(Outcome::Completed);
+fn acknowledged_configuration_that_is_never_read_is_detected() {
+    let mut history = after_last_fault(Outcome::Completed);
     let order = configuration(2, EARLY, 11.0, OrderAnswer::Acknowledged);
     history.configuration_orders.push(order);
 
--- a/crates/tools/cloverfold_soak/tests/plan.rs
+++ b/crates/tools/cloverfold_soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! A seed and a file give the same plan again, and a plan stays within what may be lost.
+//! Plans are deterministic, survive a round trip through a file, and respect the limits on faults.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,42 +9,42 @@
     write_plan,
 };
 
-fn draw(seed: u64) -> Plan {
+fn generate(seed: u64) -> Plan {
     generate_plan(seed, PlanLength::new(60).unwrap())
 }
 
-/// When disks are lost.
-fn list_lost_disks(plan: &Plan) -> Vec<u64> {
+/// Lists the times of disk losses.
+fn list_disk_losses(plan: &Plan) -> Vec<u64> {
     let faults = plan.faults.iter();
-    let lost = faults.filter(|planned| match planned.fault {
+    let losses = faults.filter(|planned| match planned.fault {
         Fault::LoseDisk { .. } => true,
         Fault::KillAll { lost_disk, .. } => lost_disk.is_some(),
         _ => false,
     });
-    lost.map(|planned| planned.at).collect()
+    losses.map(|planned| planned.at).collect()
 }
 
 #[test]
-fn the_same_seed_gives_the_same_plan() {
-    assert_eq!(draw(7), draw(7));
-    assert_ne!(draw(7), draw(8));
+fn same_seed_generates_same_plan() {
+    assert_eq!(generate(7), generate(7));
+    assert_ne!(generate(7), generate(8));
 }
 
 #[test]
-fn a_plan_is_read_back_from_its_file() {
+fn plan_round_trips_through_file() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("plan.json");
 
-    write_plan(&draw(7), &file).unwrap();
+    write_plan(&generate(7), &file).unwrap();
 
-    assert_eq!(read_plan(&file).unwrap(), draw(7));
+    assert_eq!(read_plan(&file).unwrap(), generate(7));
 }
 
 #[test]
-fn a_plan_that_names_what_is_not_there_is_refused() {
+fn plan_with_unknown_process_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("plan.json");
-    let mut plan = draw(7);
+    let mut plan = generate(7);
     plan.jobs[0].entry = 3;
 
     write_plan(&plan, &file).unwrap();
@@ -53,31 +53,31 @@
 }
 
 #[test]
-fn no_more_disks_are_lost_at_once_than_one() {
+fn disk_losses_are_spaced_apart() {
     for seed in 0..300 {
-        let lost = list_lost_disks(&draw(seed));
+        let losses = list_disk_losses(&generate(seed));
         let is_far = |pair: &[u64]| pair[1] - pair[0] >= 20_000;
-        assert!(lost.windows(2).all(is_far), "seed {seed}: {lost:?}");
+        assert!(losses.windows(2).all(is_far), "seed {seed}: {losses:?}");
     }
 }
 
 #[test]
-fn every_plan_leaves_its_end_alone() {
+fn plans_end_without_faults() {
     for seed in 0..300 {
-        let plan = draw(seed);
+        let plan = generate(seed);
         let last = plan.faults.iter().map(|planned| planned.at).max().unwrap();
         assert!(last + 18_000 <= plan.length, "seed {seed}: {last} ms");
     }
 }
 
 #[test]
-fn most_plans_have_a_late_registration_of_a_dead_incarnation() {
+fn most_plans_delay_a_registration_of_a_crashed_incarnation() {
     let is_late = |fault: &Fault| {
-        let has_time = |registration: &Option<u64>| registration.is_some();
-        matches!(fault, Fault::Target { fault: TargetFault::Crash { late_registration }, .. } if has_time(late_registration))
+        let is_scheduled = |registration: &Option<u64>| registration.is_some();
+        matches!(fault, Fault::Target { fault: TargetFault::Crash { late_registration }, .. } if is_scheduled(late_registration))
     };
     let has_one = |seed: &u64| {
-        draw(*seed)
+        generate(*seed)
             .faults
             .iter()
             .any(|planned| is_late(&planned.fault))
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn lengths_out_of_bounds_are_refused() {
+fn out_of_range_lengths_are_rejected() {
     assert!(PlanLength::new(23).is_none());
     assert!(PlanLength::new(601).is_none());
 }
 
 #[test]
-fn a_calm_plan_has_planned_work_alone() {
+fn fault_free_plan_has_only_planned_work() {
     let plan = generate_fault_free_plan(1, Duration::from_secs(10));
 
     assert!(!plan.faults.is_empty());
