--- a/crates/common/cloverfold_http/tests/server.rs
+++ b/crates/common/cloverfold_http/tests/server.rs
@@ -258,7 +258,7 @@
 async fn half_open_connections_cost_two_timeouts() {
     let (_serving, proxy, client) = six_idle_connections().await;
 
-    proxy.silence_open();
+    proxy.blackhole_connections();
     let first = call_with_short_timeout(&client, proxy.address()).await;
     let second = call_with_short_timeout(&client, proxy.address()).await;
     let next = tokio::time::timeout(LONG_TIMEOUT, post(&client, proxy.address(), "x")).await;
--- a/crates/tools/cloverfold_soak/src/checker/overlaps.rs
+++ b/crates/tools/cloverfold_soak/src/checker/overlaps.rs
@@ -1,9 +1,9 @@
-//! No two runs of a task at once.
+//! Checks that runs of one task do not overlap.
 
 use std::collections::HashMap;
 
-use super::{Promise, Violation};
-use crate::records::{At, History, Run};
+use super::{Guarantee, Violation};
+use crate::records::{Elapsed, History, Run};
 
 pub(super) fn check(history: &History) -> Vec<Violation> {
     let mut tasks: HashMap<(&str, u32), Vec<&Run>> = HashMap::new();
@@ -13,7 +13,7 @@
     tasks.into_values().flat_map(find_overlaps).collect()
 }
 
-/// Compares each run of a task with the one of those before it that ended last.
+/// Compares each run of a task with the earlier run that ended last.
 fn find_overlaps(mut runs: Vec<&Run>) -> Vec<Violation> {
     runs.sort_by_key(|run| run.started_at);
     let mut last: Option<&Run> = None;
@@ -29,13 +29,13 @@
     violations
 }
 
-fn end_of(run: &Run) -> At {
-    run.end.map_or(At::MAX, |(at, _)| at)
+fn end_of(run: &Run) -> Elapsed {
+    run.end.map_or(Elapsed::MAX, |(at, _)| at)
 }
 
 fn report(earlier: &Run, later: &Run) -> Violation {
-    let what = format!(
-        "job {} task {}: run {} at target {} began at {:.3} s while run {} at target {} (from {:.3} s) had not ended: {:?}",
+    let description = format!(
+        "job {} task {}: run {} at target {} started at {:.3} s before run {} at target {} (from {:.3} s) had ended: {:?}",
         later.job,
         later.task,
         later.number,
@@ -46,5 +46,5 @@
         earlier.started_at.as_secs_f64(),
         earlier.end,
     );
-    Violation::new(Promise::OneRunAtOnce, later.started_at, what)
+    Violation::new(Guarantee::OneRunAtOnce, later.started_at, description)
 }
