--- a/benches/benches/decisions.rs
+++ b/benches/benches/decisions.rs
@@ -96,7 +96,7 @@
             slots: 8,
             age: Duration::ZERO,
         };
-        table.absorb(report, NOW);
+        table.record_report(report, NOW);
     }
     table
 }
@@ -104,8 +104,8 @@
 fn place(table: &mut GuardTable, count: usize, round: u32) {
     let policy = PlacementPolicy::LeastLoaded;
     let draw = |bound: usize| round as usize % bound;
-    for place in table.place(policy, count, NOW, SILENCE, draw) {
-        table.discharge(place.guard);
+    for place in table.place_tasks(policy, count, NOW, SILENCE, draw) {
+        table.remove_in_flight(place.guard);
     }
 }
 
--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -17,8 +17,8 @@
 use cloverfold_claim::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
 use cloverfold_claims_core::{
     Accepted, Ballot, Claim, ClaimReply, ClaimRequest, GuardPhase, GuardReport, Incarnations,
-    Outcome, Placement, ReasonCode, RecoveryPage, ReleaseVerdict, Repeat, ReplicaRecord,
-    ReplicaReply, Standing, Submission, SubmissionKey, TaskEnd,
+    Outcome, Placement, ReasonCode, RecoveryPage, RecoveryState, ReleaseResult, ReplicaRecord,
+    ReplicaReply, RetryPolicy, Submission, SubmissionKey, TaskEnd,
 };
 use cloverfold_coordinate::{JobState, Query, QueryReply, Submit, SubmitReply, Verdict};
 use cloverfold_execute::{Assign, AssignReply, AssignedTask, Release, ReleaseReply, TaskReport};
@@ -206,20 +206,20 @@
     })
 }
 
-fn repeats() -> Vec<Sample<Repeat>> {
-    each_variant!(Repeat {
-        Repeat::Never => one("never", Repeat::Never),
-        Repeat::Allowed => one("allowed", Repeat::Allowed),
+fn repeats() -> Vec<Sample<RetryPolicy>> {
+    each_variant!(RetryPolicy {
+        RetryPolicy::Never => one("never", RetryPolicy::Never),
+        RetryPolicy::Allowed => one("allowed", RetryPolicy::Allowed),
     })
 }
 
-fn standings() -> Vec<Sample<Standing>> {
-    let recovering = |sources: &[u16]| Standing::Recovering {
+fn standings() -> Vec<Sample<RecoveryState>> {
+    let recovering = |sources: &[u16]| RecoveryState::Recovering {
         whole_sources: sources.iter().copied().collect(),
     };
-    each_variant!(Standing {
-        Standing::Whole => one("whole", Standing::Whole),
-        Standing::Recovering { .. } => several([
+    each_variant!(RecoveryState {
+        RecoveryState::Whole => one("whole", RecoveryState::Whole),
+        RecoveryState::Recovering { .. } => several([
             ("recovering", recovering(&[21, 2_200])),
             ("recovering-no-source", recovering(&[])),
         ]),
@@ -300,16 +300,16 @@
     })
 }
 
-fn release_verdicts() -> Vec<Sample<ReleaseVerdict>> {
-    each_variant!(ReleaseVerdict {
-        ReleaseVerdict::Released(_) => several([
-            ("released", ReleaseVerdict::Released(Some(place(52)))),
-            ("released-nowhere", ReleaseVerdict::Released(None)),
+fn release_verdicts() -> Vec<Sample<ReleaseResult>> {
+    each_variant!(ReleaseResult {
+        ReleaseResult::Released(_) => several([
+            ("released", ReleaseResult::Released(Some(place(52)))),
+            ("released-nowhere", ReleaseResult::Released(None)),
         ]),
-        ReleaseVerdict::Started => one("started", ReleaseVerdict::Started),
-        ReleaseVerdict::WrongIncarnation(_) => one(
+        ReleaseResult::Started => one("started", ReleaseResult::Started),
+        ReleaseResult::WrongIncarnation(_) => one(
             "wrong-incarnation",
-            ReleaseVerdict::WrongIncarnation(1_790_000_000_053),
+            ReleaseResult::WrongIncarnation(1_790_000_000_053),
         ),
     })
 }
@@ -437,7 +437,7 @@
     let mut all = wrap("recover-reply", standings(), |standing| {
         page(standing, records(), true)
     });
-    let last = page(Standing::Whole, Vec::new(), false);
+    let last = page(RecoveryState::Whole, Vec::new(), false);
     all.extend(one("recover-reply-last", last));
     // A claim refused for each reason, so that stored reasons are covered too.
     all.extend(wrap("recover-reply-refused", reason_codes(), |reason| {
@@ -446,7 +446,7 @@
             accepted: Some(accepted(Some(reason))),
             submitted_at: time(90),
         };
-        page(Standing::Whole, vec![(key(0x26), record)], false)
+        page(RecoveryState::Whole, vec![(key(0x26), record)], false)
     }));
     all
 }
@@ -562,7 +562,7 @@
     let mut all = wrap("release-reply", release_verdicts(), |verdict| {
         reply(verdict, guard_report())
     });
-    let alone = reply(ReleaseVerdict::Started, None);
+    let alone = reply(ReleaseResult::Started, None);
     all.extend(one("release-reply-no-member", alone));
     all
 }
@@ -583,7 +583,7 @@
     let mut all = wrap("submit-request", repeats(), |repeat| {
         submit(repeat, true, tasks.clone())
     });
-    let again = submit(Repeat::Never, false, Vec::new());
+    let again = submit(RetryPolicy::Never, false, Vec::new());
     all.extend(one("submit-request-not-sole-no-task", again));
     all
 }
--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -52,7 +52,7 @@
 /// How one attempt to agree on a claim ended.
 enum AttemptEnd {
     Chosen(Claim),
-    Outbid { round: u32 },
+    Preempted { round: u32 },
     Expired,
     NoQuorum,
 }
@@ -92,7 +92,7 @@
             match self.run_attempt(submission, &group, proposer).await {
                 AttemptEnd::Chosen(claim) => return Ok(claim),
                 AttemptEnd::Expired => return Err(ClaimError::Expired),
-                AttemptEnd::Outbid { round: next } => round = round.max(next),
+                AttemptEnd::Preempted { round: next } => round = round.max(next),
                 AttemptEnd::NoQuorum => {}
             }
             sleep(draw_backoff(attempt)).await;
@@ -145,7 +145,7 @@
 
     fn prepared_proposer(&self, group: &[GuardId], round: u32, wanted: Claim) -> Proposer {
         let attempt = self.next_attempt();
-        Proposer::prepared(group.to_vec(), self.inner.own, round, attempt, wanted)
+        Proposer::with_prepare_phase(group.to_vec(), self.inner.own, round, attempt, wanted)
     }
 
     fn next_attempt(&self) -> u64 {
@@ -166,11 +166,11 @@
                 let Some(reply) = replies.recv().await else {
                     return AttemptEnd::NoQuorum;
                 };
-                match proposer.absorb(reply) {
+                match proposer.handle_reply(reply) {
                     ProposerStep::Wait => {}
                     ProposerStep::Send(next) => break next,
                     ProposerStep::Chosen(claim) => return AttemptEnd::Chosen(claim),
-                    ProposerStep::Outbid { round } => return AttemptEnd::Outbid { round },
+                    ProposerStep::Preempted { round } => return AttemptEnd::Preempted { round },
                     ProposerStep::Expired => return AttemptEnd::Expired,
                 }
             };
--- a/crates/claims/cloverfold_claim/src/found.rs
+++ b/crates/claims/cloverfold_claim/src/found.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use cloverfold_claims_core::Standing;
+use cloverfold_claims_core::RecoveryState;
 use cloverfold_net::{CallError, Network, PeerAddress};
 
 use crate::messages::{FoundCall, StandingCall, StandingReport};
@@ -48,7 +48,7 @@
 ) -> Result<Vec<StandingReport>, FoundError> {
     let reports = read_standings(network, guards).await?;
     for (guard, report) in guards.iter().zip(&reports) {
-        if report.standing == Standing::Whole {
+        if report.standing == RecoveryState::Whole {
             return Err(FoundError::FoundedBefore(guard.name.clone()));
         }
     }
--- a/crates/claims/cloverfold_claim/src/messages.rs
+++ b/crates/claims/cloverfold_claim/src/messages.rs
@@ -3,7 +3,7 @@
 //! Encoded with postcard, by the order of fields and variants.
 
 use cloverfold_claims_core::{
-    ClaimRequest, GuardReport, Placement, RecoveryPage, ReplicaReply, Standing, Submission,
+    ClaimRequest, GuardReport, Placement, RecoveryPage, RecoveryState, ReplicaReply, Submission,
     SubmissionKey,
 };
 use cloverfold_net::Message;
@@ -60,7 +60,7 @@
     /// The replica in its present incarnation.
     pub own: Placement,
     /// Its standing.
-    pub standing: Standing,
+    pub standing: RecoveryState,
     /// Number of records it holds.
     pub records: u64,
 }
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -87,8 +87,8 @@
                 let replica = &claims.inner.replica;
                 replica
                     .with(|replica| StandingReport {
-                        own: replica.own(),
-                        standing: replica.standing().clone(),
+                        own: replica.placement(),
+                        standing: replica.recovery_state().clone(),
                         records: replica.record_count() as u64,
                     })
                     .await
@@ -103,7 +103,7 @@
                 log::info!(operator = peer.name; "the cell is being founded");
                 let replica = &claims.inner.replica;
                 replica
-                    .with(move |replica| replica.found(&call.incarnations))
+                    .with(move |replica| replica.bootstrap(&call.incarnations))
                     .await
             }
         });
--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -6,7 +6,7 @@
 
 use cloverfold_app::{Lifecycle, Phase};
 use cloverfold_base::{random_u64, unix_now};
-use cloverfold_claims_core::{ClaimReplica, GuardId, Standing};
+use cloverfold_claims_core::{ClaimReplica, GuardId, RecoveryState};
 use cloverfold_net::CallError;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -51,7 +51,7 @@
             sleep(PURGE_INTERVAL).await;
             let now = unix_now();
             self.inner.replica.post(move |replica| {
-                replica.collect_expired_records(now);
+                replica.drop_expired_records(now);
             });
         }
     }
@@ -60,7 +60,7 @@
     pub async fn is_whole(&self) -> bool {
         let replica = &self.inner.replica;
         replica
-            .with(|replica| *replica.standing() == Standing::Whole)
+            .with(|replica| *replica.recovery_state() == RecoveryState::Whole)
             .await
     }
 
@@ -78,8 +78,8 @@
         self.inner
             .replica
             .with(move |replica| {
-                replica.become_whole_by_copy(&cell);
-                replica.become_whole_by_age(now);
+                replica.mark_whole_after_copy(&cell);
+                replica.mark_whole_after_retention(now);
             })
             .await;
     }
@@ -117,7 +117,7 @@
             let has_more = page.has_more;
             call.after = page.records.last().map(|(key, _)| *key);
             let absorb = move |replica: &mut ClaimReplica| {
-                replica.absorb_page(source, standing, page);
+                replica.merge_page(source, standing, page);
             };
             self.inner.replica.with(absorb).await;
             if !has_more {
--- a/crates/claims/cloverfold_claims_core/src/admission.rs
+++ b/crates/claims/cloverfold_claims_core/src/admission.rs
@@ -126,7 +126,7 @@
     }
 
     /// Removes a queued job; returns whether it was still waiting.
-    pub fn withdraw(&mut self, id: TicketId) -> bool {
+    pub fn cancel(&mut self, id: TicketId) -> bool {
         let taken = self.waiting.drain_where(|ticket| ticket.id == id);
         self.waiting_tasks -= taken.iter().map(|ticket| ticket.tasks).sum::<usize>();
         !taken.is_empty()
--- a/crates/claims/cloverfold_claims_core/src/claim_records.rs
+++ b/crates/claims/cloverfold_claims_core/src/claim_records.rs
@@ -159,7 +159,7 @@
         }
     }
     /// Drops the records whose retention, with its margin, has passed; returns how many.
-    pub(crate) fn collect_expired(&mut self, now: UnixTime) -> usize {
+    pub(crate) fn drop_expired(&mut self, now: UnixTime) -> usize {
         let before = self.by_key.len();
         let kept_for = self.keeping.span();
         self.by_key
--- a/crates/claims/cloverfold_claims_core/src/fence.rs
+++ b/crates/claims/cloverfold_claims_core/src/fence.rs
@@ -78,7 +78,7 @@
 
 /// What becomes of an assignment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AssignVerdict {
+pub enum AssignResult {
     /// It waits in the queue.
     Queued,
     /// It was known before; this is its state.
@@ -91,7 +91,7 @@
 
 /// What becomes of a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ReleaseVerdict {
+pub enum ReleaseResult {
     /// The task has not started here and never will; it belongs to this place now, or to none.
     Released(Option<Placement>),
     /// The task was sent to the target, so it cannot be released.
@@ -176,25 +176,25 @@
         task: QueuedTask<P>,
         pass_to: Option<Placement>,
         now: UnixTime,
-    ) -> AssignVerdict {
+    ) -> AssignResult {
         if incarnation != self.incarnation {
-            return AssignVerdict::WrongIncarnation(self.incarnation);
+            return AssignResult::WrongIncarnation(self.incarnation);
         }
         if let Some(entry) = self.entries.get(&task.id) {
-            return AssignVerdict::Known(entry.state.clone());
+            return AssignResult::Known(entry.state.clone());
         }
         if pass_to.is_some() && now < task.deadline && !self.can_start_now() {
             let state = TaskState::Ended(TaskEnd::Released(pass_to));
             self.remember(task.id, state.clone(), task.keep_until);
-            return AssignVerdict::Known(state);
+            return AssignResult::Known(state);
         }
         if let Some(reason) = self.find_obstacle(&task, now) {
-            return AssignVerdict::Refused(reason);
+            return AssignResult::Refused(reason);
         }
         self.remember(task.id, TaskState::Queued, task.keep_until);
         self.queue
             .push(task.flow.clone(), task.weight, TASK_COST, task);
-        AssignVerdict::Queued
+        AssignResult::Queued
     }
 
     /// Returns whether a task that came now would start at once.
@@ -275,18 +275,18 @@
         id: TaskId,
         to: Option<Placement>,
         keep_until: UnixTime,
-    ) -> ReleaseVerdict {
+    ) -> ReleaseResult {
         if incarnation != self.incarnation {
-            return ReleaseVerdict::WrongIncarnation(self.incarnation);
+            return ReleaseResult::WrongIncarnation(self.incarnation);
         }
         match self.state_of(&id) {
             Some(
                 TaskState::Running | TaskState::Ended(TaskEnd::Done(_) | TaskEnd::Failed { .. }),
             ) => {
-                return ReleaseVerdict::Started;
+                return ReleaseResult::Started;
             }
             Some(TaskState::Ended(TaskEnd::Released(place))) => {
-                return ReleaseVerdict::Released(*place);
+                return ReleaseResult::Released(*place);
             }
             Some(TaskState::Queued) => {
                 self.queue.drain_where(|task| task.id == id);
@@ -295,11 +295,11 @@
         }
         let state = TaskState::Ended(TaskEnd::Released(to));
         self.remember(id, state, keep_until);
-        ReleaseVerdict::Released(to)
+        ReleaseResult::Released(to)
     }
 
     /// Starts nothing any more; forgets all queued tasks and returns them.
-    pub fn begin_leaving(&mut self) -> Vec<TaskId> {
+    pub fn begin_drain(&mut self) -> Vec<TaskId> {
         self.is_leaving = true;
         let waiting = self.queue.drain_where(|_| true);
         for task in &waiting {
@@ -309,7 +309,7 @@
     }
 
     /// Drops results and entries whose time has passed; the task of a dropped result stays fenced.
-    pub fn collect_expired(&mut self, now: UnixTime) {
+    pub fn drop_expired(&mut self, now: UnixTime) {
         while let Some(kept) = self.results.pop_front_if(|kept| kept.until <= now) {
             let dropped = TaskEnd::Failed {
                 reason: ReasonCode::AnswerDropped,
--- a/crates/claims/cloverfold_claims_core/src/guard_table.rs
+++ b/crates/claims/cloverfold_claims_core/src/guard_table.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::admission::Capacity;
-use crate::choice::{Candidate, PlacementPolicy, choose_placements};
+use crate::placement_policy::{Candidate, PlacementPolicy, choose_placements};
 use crate::{GuardId, Incarnation, Placement};
 
 /// Phase of a guard, as it reports it itself.
@@ -73,7 +73,7 @@
 
 impl GuardTable {
     /// Records a report, unless a newer one is known; returns whether the guard has restarted.
-    pub fn absorb(&mut self, report: GuardReport, now: Duration) -> bool {
+    pub fn record_report(&mut self, report: GuardReport, now: Duration) -> bool {
         let guard = report.placement.guard;
         let held = self.guards.get(&guard);
         if held.is_some_and(|held| held.report.order() >= report.order()) {
@@ -121,34 +121,34 @@
     }
 
     /// Counts a task that this process sends to a guard.
-    pub fn charge(&mut self, guard: GuardId) {
+    pub fn add_in_flight(&mut self, guard: GuardId) {
         *self.in_flight.entry(guard).or_default() += 1;
     }
 
     /// Counts a task that was charged to a guard as ended.
-    pub fn discharge(&mut self, guard: GuardId) {
+    pub fn remove_in_flight(&mut self, guard: GuardId) {
         if let Some(count) = self.in_flight.get_mut(&guard) {
             *count = count.saturating_sub(1);
         }
     }
 
     /// Places tasks on the guards that have reported within the given time, and charges them.
-    pub fn place(
+    pub fn place_tasks(
         &mut self,
         policy: PlacementPolicy,
         count: usize,
         now: Duration,
-        silence: Duration,
+        report_timeout: Duration,
         draw: impl FnMut(usize) -> usize,
     ) -> Vec<Placement> {
-        let mut candidates = self.list_candidates(now, silence);
+        let mut candidates = self.list_candidates(now, report_timeout);
         let chosen = choose_placements(policy, &mut candidates, count, draw);
         let places: Vec<Placement> = chosen
             .into_iter()
             .map(|index| candidates[index].placement)
             .collect();
         for place in &places {
-            self.charge(place.guard);
+            self.add_in_flight(place.guard);
         }
         places
     }
@@ -165,9 +165,9 @@
         &self,
         order: &[GuardId],
         now: Duration,
-        silence: Duration,
+        report_timeout: Duration,
     ) -> Option<GuardId> {
-        let usable = self.list_candidates(now, silence);
+        let usable = self.list_candidates(now, report_timeout);
         let can_lead = |guard: &GuardId| {
             let is_usable = usable.iter().any(|one| one.placement.guard == *guard);
             is_usable && self.report_of(*guard).is_some_and(|report| report.is_whole)
@@ -176,9 +176,9 @@
     }
 
     /// Counts the slots of the guards that have reported within the given time.
-    pub fn count_capacity(&self, now: Duration, silence: Duration) -> Capacity {
+    pub fn count_capacity(&self, now: Duration, report_timeout: Duration) -> Capacity {
         let mut capacity = Capacity::default();
-        for candidate in self.list_candidates(now, silence) {
+        for candidate in self.list_candidates(now, report_timeout) {
             capacity.total += candidate.slots as usize;
             capacity.free += candidate.slots.saturating_sub(candidate.load) as usize;
             capacity.backlog += candidate.load.saturating_sub(candidate.slots) as usize;
@@ -187,11 +187,11 @@
     }
 
     /// Lists the live guards that have reported within the given time.
-    pub fn list_candidates(&self, now: Duration, silence: Duration) -> Vec<Candidate> {
+    pub fn list_candidates(&self, now: Duration, report_timeout: Duration) -> Vec<Candidate> {
         let usable = self.guards.values().filter(|guard| {
             guard.report.phase == GuardPhase::Live
                 && guard.suspected_at.is_none()
-                && now.saturating_sub(guard.reported_at) <= silence
+                && now.saturating_sub(guard.reported_at) <= report_timeout
         });
         let describe = |guard: &KnownGuard| Candidate {
             placement: guard.report.placement,
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -8,9 +8,9 @@
 //! that a task has not started.
 
 use crate::claim::Claim;
-use crate::fence::{ReleaseVerdict, TaskEnd};
-use crate::job_events::{JobAction, JobEvent, JobOptions};
-use crate::outcome::{Outcome, ReasonCode, Repeat};
+use crate::fence::{ReleaseResult, TaskEnd};
+use crate::job_events::{EventContext, JobAction, JobEvent};
+use crate::outcome::{Outcome, ReasonCode, RetryPolicy};
 use crate::task_progress::{TaskProgress, TaskStatus};
 use crate::{Placement, TaskIndex};
 
@@ -24,7 +24,7 @@
 /// State of one driver of a job.
 #[derive(Clone, Debug)]
 pub struct JobProgress {
-    repeat: Repeat,
+    repeat: RetryPolicy,
     tasks: Vec<TaskProgress>,
     failure: Option<Failure>,
     is_answered: bool,
@@ -32,7 +32,7 @@
 
 impl JobProgress {
     /// Begins to drive a claim; returns the progress and the first assignments.
-    pub fn begin(claim: &Claim, repeat: Repeat) -> (Self, Vec<JobAction>) {
+    pub fn begin(claim: &Claim, repeat: RetryPolicy) -> (Self, Vec<JobAction>) {
         let places =
             (0..claim.tasks.len() as TaskIndex).filter_map(|task| claim.placement_of(task));
         let tasks: Vec<TaskProgress> = places.map(TaskProgress::new).collect();
@@ -54,34 +54,38 @@
     }
 
     /// Handles an event; returns what the driver is to send.
-    pub fn absorb(&mut self, event: JobEvent, options: &mut JobOptions<'_>) -> Vec<JobAction> {
+    pub fn handle_event(
+        &mut self,
+        event: JobEvent,
+        context: &mut EventContext<'_>,
+    ) -> Vec<JobAction> {
         let mut actions = Vec::new();
         if self.is_answered {
             return actions;
         }
         let (task, place) = event.origin();
         if self.is_at(task, place) {
-            self.absorb_at(task, event, options, &mut actions);
+            self.handle_event_at(task, event, context, &mut actions);
         }
         self.answer_if_decided(&mut actions);
         actions
     }
 
-    fn absorb_at(
+    fn handle_event_at(
         &mut self,
         task: TaskIndex,
         event: JobEvent,
-        options: &mut JobOptions<'_>,
+        context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
         match event {
-            JobEvent::Ended { end, .. } => self.absorb_end(task, end, options, actions),
-            JobEvent::Verdict { verdict, .. } => {
-                self.absorb_verdict(task, verdict, options, actions);
+            JobEvent::Ended { end, .. } => self.handle_end(task, end, context, actions),
+            JobEvent::ReleaseAnswered { verdict, .. } => {
+                self.handle_release_result(task, verdict, context, actions);
             }
-            JobEvent::PlaceLost { place, .. } => {
+            JobEvent::PlacementLost { place, .. } => {
                 let detail = lost_detail(place);
-                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, options, actions);
+                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, context, actions);
             }
         }
     }
@@ -92,44 +96,44 @@
         progress.is_some_and(|progress| progress.is_open() && progress.place == place)
     }
 
-    fn absorb_end(
+    fn handle_end(
         &mut self,
         task: TaskIndex,
         end: TaskEnd,
-        options: &mut JobOptions<'_>,
+        context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
         match end {
             TaskEnd::Done(result) => self.task_mut(task).status = TaskStatus::Done(result),
             TaskEnd::Failed { reason, detail } => {
-                self.repeat_or_fail(task, reason, &detail, options, actions);
+                self.repeat_or_fail(task, reason, &detail, context, actions);
             }
-            TaskEnd::Returned(reason) => self.move_or_fail(task, reason, options, actions),
+            TaskEnd::Returned(reason) => self.move_or_fail(task, reason, context, actions),
             TaskEnd::Released(place) => self.follow_release(task, place, actions),
         }
     }
 
-    fn absorb_verdict(
+    fn handle_release_result(
         &mut self,
         task: TaskIndex,
-        verdict: ReleaseVerdict,
-        options: &mut JobOptions<'_>,
+        verdict: ReleaseResult,
+        context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
         let place = self.task_mut(task).place;
         match verdict {
-            ReleaseVerdict::Released(to) => self.follow_release(task, to, actions),
-            ReleaseVerdict::Started if self.failure.is_some() => {
+            ReleaseResult::Released(to) => self.follow_release(task, to, actions),
+            ReleaseResult::Started if self.failure.is_some() => {
                 self.task_mut(task).status = TaskStatus::Lost;
             }
-            ReleaseVerdict::Started => {
+            ReleaseResult::Started => {
                 let progress = self.task_mut(task);
                 progress.status = TaskStatus::Assigned;
                 actions.push(progress.assign(task));
             }
-            ReleaseVerdict::WrongIncarnation(_) => {
+            ReleaseResult::WrongIncarnation(_) => {
                 let detail = lost_detail(place);
-                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, options, actions);
+                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, context, actions);
             }
         }
     }
@@ -169,14 +173,14 @@
         &mut self,
         task: TaskIndex,
         reason: ReasonCode,
-        options: &mut JobOptions<'_>,
+        context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
         let progress = self.task_mut(task);
         let place = progress.place;
         progress.status = TaskStatus::Releasing;
         let can_move = reason != ReasonCode::DeadlinePassed;
-        let to = progress.choose_next(&options.places).filter(|_| can_move);
+        let to = progress.choose_next(&context.places).filter(|_| can_move);
         if to.is_none() || self.failure.is_some() {
             self.task_mut(task).status = TaskStatus::Assigned;
             self.fail_job(reason, "a task could not be placed", actions);
@@ -191,12 +195,12 @@
         task: TaskIndex,
         reason: ReasonCode,
         detail: &str,
-        options: &mut JobOptions<'_>,
+        context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
         if self.can_repeat(reason)
-            && let Some(place) = self.task_mut(task).choose_next(&options.places)
-            && (options.take_retry)()
+            && let Some(place) = self.task_mut(task).choose_next(&context.places)
+            && (context.take_retry)()
         {
             let progress = self.task_mut(task);
             progress.move_to(place, TaskStatus::Assigned);
@@ -210,7 +214,7 @@
     /// A task is repeated only where its workspace allows it and its place, not the task itself, failed.
     fn can_repeat(&self, reason: ReasonCode) -> bool {
         let is_place_at_fault = matches!(reason, ReasonCode::GuardLost | ReasonCode::TargetLost);
-        self.repeat == Repeat::Allowed && is_place_at_fault && self.failure.is_none()
+        self.repeat == RetryPolicy::Allowed && is_place_at_fault && self.failure.is_none()
     }
 
     /// Records the first failure and asks for the release of every task that is still assigned.
--- a/crates/claims/cloverfold_claims_core/src/job_events.rs
+++ b/crates/claims/cloverfold_claims_core/src/job_events.rs
@@ -2,7 +2,7 @@
 //!
 //! Plain values; nothing here is sent over the wire as it is.
 
-use crate::fence::{ReleaseVerdict, TaskEnd};
+use crate::fence::{ReleaseResult, TaskEnd};
 use crate::outcome::Outcome;
 use crate::{GuardId, Placement, TaskIndex};
 
@@ -46,16 +46,16 @@
         end: TaskEnd,
     },
     /// A place answered a release.
-    Verdict {
+    ReleaseAnswered {
         /// The task.
         task: TaskIndex,
         /// The place.
         place: Placement,
         /// Its answer.
-        verdict: ReleaseVerdict,
+        verdict: ReleaseResult,
     },
     /// A place has restarted or stayed out of reach, with what it had of a task.
-    PlaceLost {
+    PlacementLost {
         /// The task.
         task: TaskIndex,
         /// The place.
@@ -68,14 +68,14 @@
     pub(crate) fn origin(&self) -> (TaskIndex, Placement) {
         match self {
             Self::Ended { task, place, .. }
-            | Self::Verdict { task, place, .. }
-            | Self::PlaceLost { task, place } => (*task, *place),
+            | Self::ReleaseAnswered { task, place, .. }
+            | Self::PlacementLost { task, place } => (*task, *place),
         }
     }
 }
 
 /// What the driver offers for a decision about one event.
-pub struct JobOptions<'a> {
+pub struct EventContext<'a> {
     /// Where a task can go next, best first.
     pub places: Vec<Placement>,
     /// Takes one retry out of the process's budget; returns whether there was one.
--- a/crates/claims/cloverfold_claims_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -19,7 +19,6 @@
 
 mod admission;
 mod cell;
-mod choice;
 mod claim;
 mod claim_records;
 mod fair_queue;
@@ -30,22 +29,22 @@
 mod job;
 mod job_events;
 mod outcome;
+mod placement_policy;
 mod proposer;
+mod recovery_state;
 mod replica;
 mod retry_budget;
-mod standing;
 mod task_progress;
 
 pub use admission::{Admission, Capacity, Ticket, TicketId};
 pub use cell::{Cell, Location, quorum_of};
-pub use choice::{Candidate, PlacementPolicy, choose_free_place, choose_placements, rank_by_load};
 pub use claim::{
     Accepted, Ballot, CLOCK_MARGIN, Claim, ClaimReply, ClaimRequest, ReplicaReply, Submission,
 };
 pub use claim_records::ReplicaRecord;
 pub use fair_queue::{FairQueue, Flow};
 pub use fence::{
-    AssignVerdict, Fence, FenceLimits, QueuedTask, ReleaseVerdict, TaskEnd, TaskId, TaskState,
+    AssignResult, Fence, FenceLimits, QueuedTask, ReleaseResult, TaskEnd, TaskId, TaskState,
 };
 pub use guard_table::{GuardPhase, GuardReport, GuardTable};
 pub use ids::{
@@ -54,9 +53,12 @@
 };
 pub use incarnations::Incarnations;
 pub use job::JobProgress;
-pub use job_events::{JobAction, JobEvent, JobOptions};
-pub use outcome::{Outcome, ReasonCode, Repeat};
+pub use job_events::{EventContext, JobAction, JobEvent};
+pub use outcome::{Outcome, ReasonCode, RetryPolicy};
+pub use placement_policy::{
+    Candidate, PlacementPolicy, choose_free_placement, choose_placements, rank_by_load,
+};
 pub use proposer::{Proposer, ProposerStep};
+pub use recovery_state::{RecoveryPage, RecoveryState};
 pub use replica::ClaimReplica;
 pub use retry_budget::RetryBudget;
-pub use standing::{RecoveryPage, Standing};
--- a/crates/claims/cloverfold_claims_core/src/choice.rs
+++ b/crates/claims/cloverfold_claims_core/src/placement_policy.rs
@@ -71,7 +71,7 @@
 ///
 /// A guard is drawn with a chance in proportion to its free slots, since several guards may choose by the same
 /// reports at a time.
-pub fn choose_free_place(
+pub fn choose_free_placement(
     candidates: &mut [Candidate],
     avoid: &[GuardId],
     draw: impl FnOnce(usize) -> usize,
--- a/crates/claims/cloverfold_claims_core/src/proposer.rs
+++ b/crates/claims/cloverfold_claims_core/src/proposer.rs
@@ -17,8 +17,8 @@
     Send(ClaimRequest),
     /// The group has agreed on this claim, which may be another proposer's.
     Chosen(Claim),
-    /// A larger ballot was promised; begin again with [`Proposer::prepared`] at this round.
-    Outbid {
+    /// A larger ballot was promised; begin again with [`Proposer::with_prepare_phase`] at this round.
+    Preempted {
         /// Round that is larger than any seen.
         round: u32,
     },
@@ -54,7 +54,7 @@
 
     /// Begins an attempt with a prepare phase; `round` is at least 1, `attempt` differs for every proposer of
     /// one incarnation.
-    pub fn prepared(
+    pub fn with_prepare_phase(
         group: Vec<GuardId>,
         own: Placement,
         round: u32,
@@ -87,16 +87,16 @@
     }
 
     /// Handles one reply; returns what to do next.
-    pub fn absorb(&mut self, reply: ReplicaReply) -> ProposerStep {
+    pub fn handle_reply(&mut self, reply: ReplicaReply) -> ProposerStep {
         if !self.group.contains(&reply.from.guard) {
             return ProposerStep::Wait;
         }
         match (&reply.body, self.phase) {
-            (ClaimReply::Rejected(ballot), _) if *ballot > self.ballot => ProposerStep::Outbid {
+            (ClaimReply::Rejected(ballot), _) if *ballot > self.ballot => ProposerStep::Preempted {
                 round: ballot.round + 1,
             },
             // A fast ballot is rejected by any record, also one with a smaller ballot.
-            (ClaimReply::Rejected(ballot), _) if self.ballot.is_fast() => ProposerStep::Outbid {
+            (ClaimReply::Rejected(ballot), _) if self.ballot.is_fast() => ProposerStep::Preempted {
                 round: ballot.round + 1,
             },
             (ClaimReply::Expired, _) => ProposerStep::Expired,
--- a/crates/claims/cloverfold_claims_core/src/standing.rs
+++ b/crates/claims/cloverfold_claims_core/src/recovery_state.rs
@@ -12,7 +12,7 @@
 
 /// Whether a replica's memory covers all votes that its guard ever gave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum RecoveryState {
     /// Nothing can have been forgotten.
     Whole,
     /// Votes of an earlier incarnation may be missing, but for groups covered by these whole sources.
@@ -29,13 +29,13 @@
     /// page must not be used.
     pub known_incarnation: Incarnation,
     /// The standing of the source itself.
-    pub standing: Standing,
+    pub standing: RecoveryState,
     /// Records whose group contains the asking guard, in the order of their keys.
     pub records: Vec<(SubmissionKey, ReplicaRecord)>,
     /// Whether records remain after these.
     pub has_more: bool,
 }
-impl Standing {
+impl RecoveryState {
     /// Returns whether records of the group's keys that were copied from a source of this standing are all that
     /// the source ever voted on.
     pub(crate) fn covers_group(&self, source: GuardId, group: &[GuardId]) -> bool {
--- a/crates/claims/cloverfold_claims_core/src/replica.rs
+++ b/crates/claims/cloverfold_claims_core/src/replica.rs
@@ -3,7 +3,7 @@
 //! For each submission key the replica group agrees on one [`crate::Claim`], which fixes where each task may
 //! start. Agreement is single-decree Paxos in memory (docs/design/2-claims-and-fence.md). A replica that restarts
 //! has forgotten its votes, so it votes again only for groups whose other members it has copied from
-//! ([`ClaimReplica::absorb_page`]), and every reply names the incarnations it knows, so that a quorum never counts
+//! ([`ClaimReplica::merge_page`]), and every reply names the incarnations it knows, so that a quorum never counts
 //! a vote of an incarnation that has ended (see [`crate::Proposer`]).
 //!
 //! Owns the records of this guard ([`Records`]), its standing, and the incarnations that it knows. Relies on the
@@ -19,7 +19,7 @@
 use crate::claim_records::{Keeping, Records};
 use crate::incarnations::Incarnations;
 use crate::proposer::Proposer;
-use crate::standing::{RecoveryPage, Standing, count_needed_sources};
+use crate::recovery_state::{RecoveryPage, RecoveryState, count_needed_sources};
 use crate::{GuardId, Placement, SubmissionKey};
 
 /// One guard's records of claims, its incarnation and its standing.
@@ -28,9 +28,9 @@
     own: Placement,
     started_at: UnixTime,
     keeping: Keeping,
-    standing: Standing,
-    /// Standing that each source had when copying from it ended.
-    sources: BTreeMap<GuardId, Standing>,
+    recovery_state: RecoveryState,
+    /// RecoveryState that each source had when copying from it ended.
+    sources: BTreeMap<GuardId, RecoveryState>,
     known: Incarnations,
     records: Records,
 }
@@ -53,7 +53,7 @@
             own,
             started_at,
             keeping,
-            standing: Standing::Recovering {
+            recovery_state: RecoveryState::Recovering {
                 whole_sources: BTreeSet::new(),
             },
             sources: BTreeMap::new(),
@@ -63,18 +63,18 @@
     }
 
     /// Returns the guard and its present incarnation.
-    pub fn own(&self) -> Placement {
+    pub fn placement(&self) -> Placement {
         self.own
     }
 
     /// Returns the newest incarnations known.
-    pub fn known(&self) -> &Incarnations {
+    pub fn known_incarnations(&self) -> &Incarnations {
         &self.known
     }
 
     /// Returns whether the replica's memory is whole, and what covers it if not.
-    pub fn standing(&self) -> &Standing {
-        &self.standing
+    pub fn recovery_state(&self) -> &RecoveryState {
+        &self.recovery_state
     }
 
     /// Returns the number of records held.
@@ -83,7 +83,7 @@
     }
 
     /// Returns whether a record of the key is held.
-    pub fn holds(&self, key: &SubmissionKey) -> bool {
+    pub fn has_record(&self, key: &SubmissionKey) -> bool {
         self.records.contains(key)
     }
 
@@ -91,24 +91,24 @@
     /// these.
     ///
     /// Returns whether the replica is whole afterwards.
-    pub fn found(&mut self, first: &[Placement]) -> bool {
+    pub fn bootstrap(&mut self, first: &[Placement]) -> bool {
         if first.contains(&self.own) && self.known.newest(self.own.guard) == self.own.incarnation {
-            self.standing = Standing::Whole;
+            self.recovery_state = RecoveryState::Whole;
         }
-        self.standing == Standing::Whole
+        self.recovery_state == RecoveryState::Whole
     }
 
     /// Becomes whole once every vote that an earlier incarnation can have given has passed its retention.
-    pub fn become_whole_by_age(&mut self, now: UnixTime) {
+    pub fn mark_whole_after_retention(&mut self, now: UnixTime) {
         let forgotten_until = self.started_at + self.keeping.span();
         if now >= forgotten_until {
-            self.standing = Standing::Whole;
+            self.recovery_state = RecoveryState::Whole;
         }
     }
 
     /// Returns whether the replica may vote on keys of a group that it belongs to.
     pub fn can_vote(&self, group: &[GuardId]) -> bool {
-        if self.standing == Standing::Whole {
+        if self.recovery_state == RecoveryState::Whole {
             return true;
         }
         let covers = |member: &&GuardId| {
@@ -151,7 +151,7 @@
         now: UnixTime,
     ) -> Option<Proposer> {
         let is_first_choice = group.first() == Some(&self.own.guard);
-        if !is_first_choice || self.holds(&submission.key) || !self.can_vote(group) {
+        if !is_first_choice || self.has_record(&submission.key) || !self.can_vote(group) {
             return None;
         }
         let proposer = Proposer::fast(group.to_vec(), self.own, attempt, claim);
@@ -175,7 +175,7 @@
         let (records, has_more) = self.records.list_page(after, limit, is_shared);
         RecoveryPage {
             known_incarnation: self.known.newest(asking.guard),
-            standing: self.standing.clone(),
+            standing: self.recovery_state.clone(),
             records,
             has_more,
         }
@@ -184,7 +184,7 @@
     /// Merges one page of a source; the last page makes the source count.
     ///
     /// `standing` is the source's standing on its first page.
-    pub fn absorb_page(&mut self, source: GuardId, standing: Standing, page: RecoveryPage) {
+    pub fn merge_page(&mut self, source: GuardId, standing: RecoveryState, page: RecoveryPage) {
         for (key, record) in page.records {
             self.records.merge(key, record);
         }
@@ -193,9 +193,9 @@
         }
     }
 
-    fn count_source(&mut self, source: GuardId, standing: Standing) {
-        if let Standing::Recovering { whole_sources } = &mut self.standing
-            && standing == Standing::Whole
+    fn count_source(&mut self, source: GuardId, standing: RecoveryState) {
+        if let RecoveryState::Recovering { whole_sources } = &mut self.recovery_state
+            && standing == RecoveryState::Whole
         {
             whole_sources.insert(source);
         }
@@ -203,12 +203,12 @@
     }
 
     /// Becomes whole when every other guard of the cell was whole and has been copied from.
-    pub fn become_whole_by_copy(&mut self, cell: &Cell) {
+    pub fn mark_whole_after_copy(&mut self, cell: &Cell) {
         let is_copied = |guard: GuardId| {
-            guard == self.own.guard || self.sources.get(&guard) == Some(&Standing::Whole)
+            guard == self.own.guard || self.sources.get(&guard) == Some(&RecoveryState::Whole)
         };
         if cell.locations().iter().all(|place| is_copied(place.guard)) {
-            self.standing = Standing::Whole;
+            self.recovery_state = RecoveryState::Whole;
         }
     }
 
@@ -217,12 +217,12 @@
         let others = cell.locations().iter().map(|place| place.guard);
         others
             .filter(|guard| *guard != self.own.guard)
-            .filter(|guard| self.sources.get(guard) != Some(&Standing::Whole))
+            .filter(|guard| self.sources.get(guard) != Some(&RecoveryState::Whole))
             .collect()
     }
 
     /// Drops the records whose retention, with its margin, has passed; returns how many.
-    pub fn collect_expired_records(&mut self, now: UnixTime) -> usize {
-        self.records.collect_expired(now)
+    pub fn drop_expired_records(&mut self, now: UnixTime) -> usize {
+        self.records.drop_expired(now)
     }
 }
--- a/crates/claims/cloverfold_claims_core/tests/claims.rs
+++ b/crates/claims/cloverfold_claims_core/tests/claims.rs
@@ -98,7 +98,7 @@
         .collect();
     let mut replicas: Vec<ClaimReplica> = lives.iter().map(|own| new_replica(*own)).collect();
     for replica in &mut replicas {
-        assert!(replica.found(&lives));
+        assert!(replica.bootstrap(&lives));
     }
     World {
         group: cell.choose_replica_group(&KEY),
@@ -151,7 +151,7 @@
         if !replica.can_vote(&self.group) {
             return;
         }
-        let own = replica.own();
+        let own = replica.placement();
         let number = self.proposers.len();
         let claim = make_claim(number);
         let group = self.group.clone();
@@ -161,8 +161,8 @@
         } else {
             None
         };
-        let proposer =
-            fast.unwrap_or_else(|| Proposer::prepared(group, own, 1, number as u64, claim));
+        let proposer = fast
+            .unwrap_or_else(|| Proposer::with_prepare_phase(group, own, 1, number as u64, claim));
         self.begin(own, proposer);
     }
 
@@ -200,7 +200,7 @@
             }
             Packet::Reply { proposer, reply } => self.absorb(proposer, reply),
             Packet::Recover { asking, to } => {
-                let source = self.replicas[to].own().guard;
+                let source = self.replicas[to].placement().guard;
                 let page = self.replicas[to].serve_page(asking, None, PAGE_LIMIT, &self.cell);
                 self.packets.push(Packet::Page {
                     asking,
@@ -214,10 +214,10 @@
                 page,
             } => {
                 let replica = &mut self.replicas[usize::from(asking.guard) - 1];
-                if replica.own() == asking && page.known_incarnation == asking.incarnation {
+                if replica.placement() == asking && page.known_incarnation == asking.incarnation {
                     let standing = page.standing.clone();
-                    replica.absorb_page(source, standing, page);
-                    replica.become_whole_by_copy(&self.cell);
+                    replica.merge_page(source, standing, page);
+                    replica.mark_whole_after_copy(&self.cell);
                 }
             }
         }
@@ -225,18 +225,18 @@
 
     fn absorb(&mut self, number: usize, reply: ReplicaReply) {
         let active = &mut self.proposers[number];
-        let life = self.replicas[usize::from(active.owner.guard) - 1].own();
+        let life = self.replicas[usize::from(active.owner.guard) - 1].placement();
         if active.is_over || life != active.owner {
             return;
         }
-        match active.proposer.absorb(reply) {
+        match active.proposer.handle_reply(reply) {
             ProposerStep::Wait | ProposerStep::Expired => {}
             ProposerStep::Send(request) => self.send_to_all(number, &request),
             ProposerStep::Chosen(claim) => {
                 active.is_over = true;
                 self.chosen.push(claim);
             }
-            ProposerStep::Outbid { round } => {
+            ProposerStep::Preempted { round } => {
                 active.is_over = true;
                 self.propose_again(active_owner(life), round);
             }
@@ -248,21 +248,22 @@
         if round > LAST_ROUND {
             return;
         }
-        let own = self.replicas[guard].own();
+        let own = self.replicas[guard].placement();
         let number = self.proposers.len();
         let claim = make_claim(number);
-        let proposer = Proposer::prepared(self.group.clone(), own, round, number as u64, claim);
+        let proposer =
+            Proposer::with_prepare_phase(self.group.clone(), own, round, number as u64, claim);
         self.begin(own, proposer);
     }
 
     fn restart(&mut self, guard: usize) {
-        let mut own = self.replicas[guard].own();
+        let mut own = self.replicas[guard].placement();
         own.incarnation += 1;
         self.replicas[guard] = new_replica(own);
     }
 
     fn ask_recovery(&mut self, guard: usize) {
-        let asking = self.replicas[guard].own();
+        let asking = self.replicas[guard].placement();
         for to in 0..self.replicas.len() {
             if to != guard {
                 self.packets.push(Packet::Recover { asking, to });
@@ -353,8 +354,8 @@
 #[test]
 fn a_vote_of_an_ended_life_is_not_counted() {
     let mut world = make_world(3);
-    let own = world.replicas[0].own();
-    let mut proposer = Proposer::prepared(world.group.clone(), own, 1, 0, make_claim(0));
+    let own = world.replicas[0].placement();
+    let mut proposer = Proposer::with_prepare_phase(world.group.clone(), own, 1, 0, make_claim(0));
     let request = proposer.request();
     let vote = |world: &mut World, guard: usize| {
         let group = world.group.clone();
@@ -363,20 +364,20 @@
 
     let forgotten = vote(&mut world, 1);
     world.restart(1);
-    let asking = world.replicas[1].own();
+    let asking = world.replicas[1].placement();
     let cell = world.cell.clone();
     world.replicas[2].serve_page(asking, None, PAGE_LIMIT, &cell);
     let knowing = vote(&mut world, 2);
 
-    assert_eq!(proposer.absorb(forgotten), ProposerStep::Wait);
-    assert_eq!(proposer.absorb(knowing), ProposerStep::Wait);
+    assert_eq!(proposer.handle_reply(forgotten), ProposerStep::Wait);
+    assert_eq!(proposer.handle_reply(knowing), ProposerStep::Wait);
 }
 
 #[test]
 fn a_restarted_member_votes_only_after_copying_from_enough_others() {
     let mut world = make_world(3);
     world.restart(0);
-    let asking = world.replicas[0].own();
+    let asking = world.replicas[0].placement();
     let cell = world.cell.clone();
     let group = world.group.clone();
     let mut can_vote = vec![world.replicas[0].can_vote(&group)];
@@ -384,7 +385,7 @@
     for source in [1, 2] {
         let page = world.replicas[source].serve_page(asking, None, PAGE_LIMIT, &cell);
         let standing = page.standing.clone();
-        world.replicas[0].absorb_page(source as GuardId + 1, standing, page);
+        world.replicas[0].merge_page(source as GuardId + 1, standing, page);
         can_vote.push(world.replicas[0].can_vote(&group));
     }
 
--- a/crates/claims/cloverfold_claims_core/tests/guard_table.rs
+++ b/crates/claims/cloverfold_claims_core/tests/guard_table.rs
@@ -4,7 +4,7 @@
 
 use cloverfold_claims_core::{GuardPhase, GuardReport, GuardTable, Placement};
 
-const SILENCE: Duration = Duration::from_millis(1_600);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 fn report(sequence: u64, running: u32) -> GuardReport {
     GuardReport {
@@ -30,76 +30,76 @@
 fn a_report_that_is_passed_on_keeps_its_age() {
     let mut first = GuardTable::default();
     let mut second = GuardTable::default();
-    first.absorb(report(1, 0), at(0));
+    first.record_report(report(1, 0), at(0));
 
     for passed_on in first.reports(at(1_500)) {
-        second.absorb(passed_on, at(1_500));
+        second.record_report(passed_on, at(1_500));
     }
 
-    assert_eq!(second.list_candidates(at(1_600), SILENCE).len(), 1);
-    assert!(second.list_candidates(at(1_601), SILENCE).is_empty());
-    assert_eq!(second.find_lead(&[1], at(1_601), SILENCE), None);
+    assert_eq!(second.list_candidates(at(1_600), REPORT_TIMEOUT).len(), 1);
+    assert!(second.list_candidates(at(1_601), REPORT_TIMEOUT).is_empty());
+    assert_eq!(second.find_lead(&[1], at(1_601), REPORT_TIMEOUT), None);
 }
 
 #[test]
 fn a_suspected_guard_gets_nothing_until_it_reports_anew() {
     let mut table = GuardTable::default();
-    table.absorb(report(1, 0), at(0));
+    table.record_report(report(1, 0), at(0));
     table.suspect(1, at(5));
-    table.absorb(report(1, 0), at(10));
-    let suspected = table.list_candidates(at(10), SILENCE).len();
+    table.record_report(report(1, 0), at(10));
+    let suspected = table.list_candidates(at(10), REPORT_TIMEOUT).len();
 
-    table.absorb(report(2, 0), at(20));
+    table.record_report(report(2, 0), at(20));
 
     assert_eq!(suspected, 0);
-    assert_eq!(table.list_candidates(at(20), SILENCE).len(), 1);
+    assert_eq!(table.list_candidates(at(20), REPORT_TIMEOUT).len(), 1);
 }
 
 #[test]
 fn a_suspected_guard_gets_nothing_for_an_older_report_that_is_passed_on() {
     let mut first = GuardTable::default();
     let mut second = GuardTable::default();
-    first.absorb(report(2, 0), at(100));
-    second.absorb(report(1, 0), at(0));
+    first.record_report(report(2, 0), at(100));
+    second.record_report(report(1, 0), at(0));
     second.suspect(1, at(600));
 
     for passed_on in first.reports(at(700)) {
-        second.absorb(passed_on, at(700));
+        second.record_report(passed_on, at(700));
     }
-    let suspected = second.list_candidates(at(700), SILENCE).len();
-    second.absorb(report(3, 0), at(800));
+    let suspected = second.list_candidates(at(700), REPORT_TIMEOUT).len();
+    second.record_report(report(3, 0), at(800));
 
     assert_eq!(suspected, 0);
-    assert_eq!(second.list_candidates(at(800), SILENCE).len(), 1);
+    assert_eq!(second.list_candidates(at(800), REPORT_TIMEOUT).len(), 1);
 }
 
 #[test]
 fn a_restart_ends_the_suspicion_of_the_incarnation_before() {
     let mut table = GuardTable::default();
-    table.absorb(report(1, 0), at(0));
+    table.record_report(report(1, 0), at(0));
     table.suspect(1, at(500));
     let mut restarted = report(1, 0);
     restarted.placement.incarnation = 2;
     restarted.age = at(200);
 
-    let has_restarted = table.absorb(restarted, at(600));
+    let has_restarted = table.record_report(restarted, at(600));
 
     assert!(has_restarted);
-    assert_eq!(table.list_candidates(at(600), SILENCE).len(), 1);
+    assert_eq!(table.list_candidates(at(600), REPORT_TIMEOUT).len(), 1);
 }
 
 #[test]
 fn own_tasks_are_counted_once_and_foreign_ones_are_added() {
     let mut table = GuardTable::default();
-    table.charge(1);
-    table.charge(1);
-    table.absorb(report(1, 5), at(0));
-    table.charge(1);
-    let load = table.list_candidates(at(0), SILENCE)[0].load;
-    table.discharge(1);
-    table.discharge(1);
-    table.discharge(1);
+    table.add_in_flight(1);
+    table.add_in_flight(1);
+    table.record_report(report(1, 5), at(0));
+    table.add_in_flight(1);
+    let load = table.list_candidates(at(0), REPORT_TIMEOUT)[0].load;
+    table.remove_in_flight(1);
+    table.remove_in_flight(1);
+    table.remove_in_flight(1);
 
     assert_eq!(load, 6, "three foreign tasks and three own");
-    assert_eq!(table.list_candidates(at(0), SILENCE)[0].load, 3);
+    assert_eq!(table.list_candidates(at(0), REPORT_TIMEOUT)[0].load, 3);
 }
--- a/crates/claims/cloverfold_claims_core/tests/jobs.rs
+++ b/crates/claims/cloverfold_claims_core/tests/jobs.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use cloverfold_claims_core::{
-    AssignVerdict, Claim, Fence, FenceLimits, Flow, GuardId, JobAction, JobEvent, JobOptions,
-    JobProgress, Outcome, Placement, QueuedTask, ReasonCode, ReleaseVerdict, Repeat, TaskEnd,
+    AssignResult, Claim, EventContext, Fence, FenceLimits, Flow, GuardId, JobAction, JobEvent,
+    JobProgress, Outcome, Placement, QueuedTask, ReasonCode, ReleaseResult, RetryPolicy, TaskEnd,
     TaskId, TaskIndex, TaskState,
 };
 use proptest::prelude::*;
@@ -132,7 +132,7 @@
         if self.drivers.len() >= 3 {
             return;
         }
-        let (progress, actions) = JobProgress::begin(&self.claim, Repeat::Never);
+        let (progress, actions) = JobProgress::begin(&self.claim, RetryPolicy::Never);
         self.drivers.push(progress);
         self.answers.push(Vec::new());
         self.send(self.drivers.len() - 1, actions);
@@ -154,11 +154,11 @@
                 let mut places = self.lives.clone();
                 places.rotate_left(self.turn % GUARDS);
                 let mut take_retry = || true;
-                let mut options = JobOptions {
+                let mut context = EventContext {
                     places,
                     take_retry: &mut take_retry,
                 };
-                let actions = self.drivers[driver].absorb(event, &mut options);
+                let actions = self.drivers[driver].handle_event(event, &mut context);
                 self.send(driver, actions);
             }
             Packet::Action { driver, action } => self.deliver_action(driver, action),
@@ -179,13 +179,13 @@
                 let verdict = self.fences[guard].release(place.incarnation, id, to, LATER);
                 self.send_event(
                     driver,
-                    JobEvent::Verdict {
+                    JobEvent::ReleaseAnswered {
                         task,
                         place,
                         verdict,
                     },
                 );
-                if let ReleaseVerdict::Released(to) = verdict
+                if let ReleaseResult::Released(to) = verdict
                     && place == self.lives[guard]
                 {
                     self.notify(guard, task, &TaskEnd::Released(to));
@@ -220,17 +220,17 @@
             payload: (),
         };
         match self.fences[guard].assign(place.incarnation, queued, pass_to, NOW) {
-            AssignVerdict::WrongIncarnation(_) => {
-                self.send_event(driver, JobEvent::PlaceLost { task, place });
+            AssignResult::WrongIncarnation(_) => {
+                self.send_event(driver, JobEvent::PlacementLost { task, place });
             }
-            AssignVerdict::Known(TaskState::Ended(end)) => {
+            AssignResult::Known(TaskState::Ended(end)) => {
                 self.send_event(driver, JobEvent::Ended { task, place, end });
             }
-            AssignVerdict::Refused(reason) => {
+            AssignResult::Refused(reason) => {
                 let end = TaskEnd::Returned(reason);
                 self.send_event(driver, JobEvent::Ended { task, place, end });
             }
-            AssignVerdict::Queued | AssignVerdict::Known(_) => {
+            AssignResult::Queued | AssignResult::Known(_) => {
                 self.watching.insert((driver, task, place));
             }
         }
@@ -283,7 +283,7 @@
     }
 
     fn leave(&mut self, guard: usize) {
-        for id in self.fences[guard].begin_leaving() {
+        for id in self.fences[guard].begin_drain() {
             self.notify(guard, id.index, &TaskEnd::Returned(ReasonCode::Leaving));
         }
     }
@@ -293,7 +293,7 @@
         let watching: Vec<_> = self.watching.iter().copied().collect();
         if !watching.is_empty() {
             let (driver, task, place) = watching[number % watching.len()];
-            self.send_event(driver, JobEvent::PlaceLost { task, place });
+            self.send_event(driver, JobEvent::PlacementLost { task, place });
         }
     }
 
--- a/crates/claims/cloverfold_coordinate/src/admitter.rs
+++ b/crates/claims/cloverfold_coordinate/src/admitter.rs
@@ -140,7 +140,7 @@
     async fn withdraw(&self, id: TicketId) {
         let waiting = self.waiting.clone();
         let withdraw = move |queue: &mut JobQueue| {
-            if queue.admission.withdraw(id) {
+            if queue.admission.cancel(id) {
                 waiting.fetch_sub(1, Ordering::AcqRel);
             }
             queue.waiters.remove(&id);
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -91,7 +91,7 @@
             }
         }
         for task in open.into_keys() {
-            self.send(JobEvent::PlaceLost { task, place }).await;
+            self.send(JobEvent::PlacementLost { task, place }).await;
         }
     }
 
@@ -182,7 +182,7 @@
         };
         let since = Instant::now();
         let Some(address) = self.context.directory.address_of(place.guard) else {
-            return self.send(JobEvent::PlaceLost { task, place }).await;
+            return self.send(JobEvent::PlacementLost { task, place }).await;
         };
         loop {
             let network = &self.context.network;
@@ -190,7 +190,7 @@
                 Ok(reply) => {
                     let verdict = reply.verdict;
                     self.context.membership.absorb(reply.guard_report);
-                    let event = JobEvent::Verdict {
+                    let event = JobEvent::ReleaseAnswered {
                         task,
                         place,
                         verdict,
@@ -200,7 +200,7 @@
                 Err(cause) => log::debug!(guard = place.guard; "release: {cause}"),
             }
             if since.elapsed() > PATIENCE {
-                return self.send(JobEvent::PlaceLost { task, place }).await;
+                return self.send(JobEvent::PlacementLost { task, place }).await;
             }
             sleep(draw_backoff()).await;
         }
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -10,7 +10,7 @@
 use cloverfold_base::random_below;
 use cloverfold_claim::ClaimError;
 use cloverfold_claims_core::{
-    Claim, JobAction, JobEvent, JobOptions, JobProgress, Outcome, Placement, ReasonCode, TaskEnd,
+    Claim, EventContext, JobAction, JobEvent, JobProgress, Outcome, Placement, ReasonCode, TaskEnd,
     TaskIndex, rank_by_load,
 };
 use cloverfold_membership::Charge;
@@ -154,11 +154,11 @@
         };
         let context = self.link.context.clone();
         let mut take_retry = || context.take_retry();
-        let mut options = JobOptions {
+        let mut event_context = EventContext {
             places,
             take_retry: &mut take_retry,
         };
-        self.progress.absorb(event, &mut options)
+        self.progress.handle_event(event, &mut event_context)
     }
 
     fn record_done(&mut self) {
--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use cloverfold_base::{UnixTime, random_below};
 use cloverfold_claims_core::{
-    AssignVerdict, Candidate, Fence, FenceLimits, Flow, Incarnation, Placement, QueuedTask,
-    ReasonCode, ReleaseVerdict, TaskEnd, TaskId, TaskState, choose_free_place,
+    AssignResult, Candidate, Fence, FenceLimits, Flow, Incarnation, Placement, QueuedTask,
+    ReasonCode, ReleaseResult, TaskEnd, TaskId, TaskState, choose_free_placement,
 };
 use cloverfold_membership::OwnState;
 use tokio::sync::mpsc;
@@ -91,10 +91,10 @@
             };
             let incarnation = assign.place.incarnation;
             match self.fence.assign(incarnation, queued, pass_to, now) {
-                AssignVerdict::WrongIncarnation(own) => return Assigned::WrongIncarnation(own),
-                AssignVerdict::Known(TaskState::Ended(end)) => report(&tx, id, end),
-                AssignVerdict::Refused(reason) => report(&tx, id, TaskEnd::Returned(reason)),
-                AssignVerdict::Queued | AssignVerdict::Known(_) => {
+                AssignResult::WrongIncarnation(own) => return Assigned::WrongIncarnation(own),
+                AssignResult::Known(TaskState::Ended(end)) => report(&tx, id, end),
+                AssignResult::Refused(reason) => report(&tx, id, TaskEnd::Returned(reason)),
+                AssignResult::Queued | AssignResult::Known(_) => {
                     self.watchers.entry(id).or_default().push(tx.clone());
                 }
             }
@@ -112,7 +112,7 @@
         if !task.may_pass_on || self.fence.can_start_now() {
             return None;
         }
-        choose_free_place(others, &task.previous_guards, random_below)
+        choose_free_placement(others, &task.previous_guards, random_below)
     }
 
     /// Records how a task ended and returns what starts in its place.
@@ -128,7 +128,7 @@
     }
 
     /// Releases a task that has not started.
-    pub(crate) fn release(&mut self, release: &Release) -> ReleaseVerdict {
+    pub(crate) fn release(&mut self, release: &Release) -> ReleaseResult {
         self.last_request_at = Instant::now();
         let id = TaskId {
             key: release.key,
@@ -140,7 +140,7 @@
             release.to,
             release.keep_until,
         );
-        if let ReleaseVerdict::Released(to) = verdict {
+        if let ReleaseResult::Released(to) = verdict {
             self.notify(&id, &TaskEnd::Released(to));
         }
         self.publish_load();
@@ -148,17 +148,17 @@
     }
 
     /// Returns all queued tasks to their coordinators, because the guard leaves.
-    pub(crate) fn begin_leaving(&mut self) {
+    pub(crate) fn begin_drain(&mut self) {
         self.last_request_at = Instant::now();
-        for id in self.fence.begin_leaving() {
+        for id in self.fence.begin_drain() {
             self.notify(&id, &TaskEnd::Returned(ReasonCode::Leaving));
         }
         self.publish_load();
     }
 
     /// Drops results and entries that are past their time, and watchers that have gone.
-    pub(crate) fn collect_expired(&mut self, now: UnixTime) {
-        self.fence.collect_expired(now);
+    pub(crate) fn drop_expired(&mut self, now: UnixTime) {
+        self.fence.drop_expired(now);
         self.watchers.retain(|_, watchers| {
             watchers.retain(|tx| !tx.is_closed());
             !watchers.is_empty()
--- a/crates/claims/cloverfold_execute/src/messages.rs
+++ b/crates/claims/cloverfold_execute/src/messages.rs
@@ -4,8 +4,8 @@
 
 use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
-    GuardId, GuardReport, Incarnation, Placement, ReleaseVerdict, ServiceId, SubmissionKey,
-    TaskEnd, TaskIndex, WorkspaceId,
+    GuardId, GuardReport, Incarnation, Placement, ReleaseResult, ServiceId, SubmissionKey, TaskEnd,
+    TaskIndex, WorkspaceId,
 };
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReleaseReply {
     /// The verdict.
-    pub verdict: ReleaseVerdict,
+    pub verdict: ReleaseResult,
     /// The guard's newest report.
     pub guard_report: Option<GuardReport>,
 }
--- a/crates/claims/cloverfold_execute/src/task_runner.rs
+++ b/crates/claims/cloverfold_execute/src/task_runner.rs
@@ -10,7 +10,7 @@
 use cloverfold_app::ThreadState;
 use cloverfold_base::unix_now;
 use cloverfold_claims_core::{
-    Candidate, Placement, QueuedTask, ReasonCode, ReleaseVerdict, TaskEnd, TaskId, format_key,
+    Candidate, Placement, QueuedTask, ReasonCode, ReleaseResult, TaskEnd, TaskId, format_key,
 };
 use cloverfold_claims_settings::CellSettings;
 use cloverfold_membership::Membership;
@@ -92,7 +92,7 @@
             .execution
             .with(move |execution| execution.release(&release))
             .await;
-        if verdict == ReleaseVerdict::Started && is_given_up {
+        if verdict == ReleaseResult::Started && is_given_up {
             let target = self.target.clone();
             tokio::spawn(async move { target.cancel(&id).await });
         }
@@ -132,7 +132,7 @@
             sleep(COLLECT_INTERVAL).await;
             let now = unix_now();
             self.execution
-                .post(move |execution| execution.collect_expired(now));
+                .post(move |execution| execution.drop_expired(now));
         }
     }
 
@@ -148,7 +148,7 @@
 
     /// Returns what waits, ends what runs, and answers coordinators until none asks any more.
     pub(crate) async fn drain(self) {
-        self.execution.with(Execution::begin_leaving).await;
+        self.execution.with(Execution::begin_drain).await;
         let is_drained = |execution: &mut Execution| execution.is_drained();
         while !self.execution.with(is_drained).await {
             sleep(DRAIN_POLL).await;
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -40,7 +40,7 @@
         let guard = self.place.guard;
         let changed = self.changed.clone();
         self.table.post(move |table| {
-            table.discharge(guard);
+            table.remove_in_flight(guard);
             changed.notify_one();
         });
     }
@@ -98,7 +98,7 @@
             changed.notify_one();
             for report in reports {
                 let guard = report.placement.guard;
-                if table.absorb(report, now)
+                if table.record_report(report, now)
                     && let Some(address) = directory.address_of(guard)
                 {
                     network.forget_connection(address);
@@ -119,7 +119,7 @@
         self.table
             .with(move |table| {
                 if let Some(own) = own {
-                    table.absorb(own, now);
+                    table.record_report(own, now);
                 }
                 decide(table, now)
             })
@@ -151,7 +151,7 @@
     /// Places tasks by the cell's policy, one charge for each.
     pub async fn place_tasks(&self, policy: PlacementPolicy, count: usize) -> Vec<Charge> {
         let place = move |table: &mut GuardTable, now| {
-            table.place(policy, count, now, SILENCE_LIMIT, random_below)
+            table.place_tasks(policy, count, now, SILENCE_LIMIT, random_below)
         };
         let places = self.with_table(place).await;
         let charge = |place| Charge {
@@ -164,7 +164,8 @@
 
     /// Counts a task that this process sends to a place, until the charge is dropped.
     pub fn charge(&self, place: Placement) -> Charge {
-        self.table.post(move |table| table.charge(place.guard));
+        self.table
+            .post(move |table| table.add_in_flight(place.guard));
         Charge {
             place,
             table: self.table.clone(),
--- a/crates/cloverfold/src/bin/cloverfold/status.rs
+++ b/crates/cloverfold/src/bin/cloverfold/status.rs
@@ -6,7 +6,7 @@
 
 use argh::FromArgs;
 use cloverfold_claim::StandingCall;
-use cloverfold_claims_core::Standing;
+use cloverfold_claims_core::RecoveryState;
 use cloverfold_net::{Network, PeerAddress};
 use eyre::Result;
 
@@ -53,10 +53,10 @@
     }
 }
 
-fn describe(standing: &Standing) -> String {
+fn describe(standing: &RecoveryState) -> String {
     match standing {
-        Standing::Whole => "whole".into(),
-        Standing::Recovering { whole_sources } => {
+        RecoveryState::Whole => "whole".into(),
+        RecoveryState::Recovering { whole_sources } => {
             format!("recovering from {}", whole_sources.len())
         }
     }
