--- a/benches/src/process_system.rs
+++ b/benches/src/process_system.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use cloverfold_claim::found_cell;
+use cloverfold_claim::bootstrap_cell;
 use cloverfold_claims_process::{list_guard_addresses, open_operator_network};
 use cloverfold_claims_settings::CellSettings;
 use cloverfold_load::{CallerClient, CallerKey, read_metrics};
@@ -205,7 +205,7 @@
 /// Founds the cell, as an operator does once all guards have started.
 async fn found(installation: &Installation, cell: &CellSettings) -> Result<()> {
     let network = open_operator_network(&installation.key_folder(), OPERATOR)?;
-    found_cell(&network, &list_guard_addresses(cell)).await?;
+    bootstrap_cell(&network, &list_guard_addresses(cell)).await?;
     network.close().await;
     Ok(())
 }
--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -14,7 +14,9 @@
 use std::fs;
 use std::time::Duration;
 
-use cloverfold_claim::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
+use cloverfold_claim::{
+    BootstrapCall, ClaimCall, RecoverCall, RecoveryStateCall, RecoveryStateReport,
+};
 use cloverfold_claims_core::{
     Accepted, Ballot, Claim, ClaimReply, ClaimRequest, GuardPhase, GuardReport, Incarnations,
     Outcome, Placement, ReasonCode, RecoveryPage, RecoveryState, ReleaseResult, ReplicaRecord,
@@ -451,20 +453,22 @@
     all
 }
 
-fn standing_requests() -> Vec<Sample<StandingCall>> {
-    one("standing-request", StandingCall)
+fn standing_requests() -> Vec<Sample<RecoveryStateCall>> {
+    one("standing-request", RecoveryStateCall)
 }
 
-fn standing_replies() -> Vec<Sample<StandingReport>> {
-    wrap("standing-reply", standings(), |standing| StandingReport {
-        own: place(91),
-        standing,
-        records: 70_092,
+fn standing_replies() -> Vec<Sample<RecoveryStateReport>> {
+    wrap("standing-reply", standings(), |standing| {
+        RecoveryStateReport {
+            own: place(91),
+            standing,
+            records: 70_092,
+        }
     })
 }
 
-fn found_requests() -> Vec<Sample<FoundCall>> {
-    let call = |incarnations| FoundCall { incarnations };
+fn found_requests() -> Vec<Sample<BootstrapCall>> {
+    let call = |incarnations| BootstrapCall { incarnations };
     several([
         ("found-request", call(vec![place(93), place(940)])),
         ("found-request-none", call(Vec::new())),
@@ -650,8 +654,8 @@
     assert_eq!(kind_of::<Leave>(), (2, "leave"));
     assert_eq!(kind_of::<ClaimCall>(), (10, "claim"));
     assert_eq!(kind_of::<RecoverCall>(), (11, "recover"));
-    assert_eq!(kind_of::<StandingCall>(), (12, "standing"));
-    assert_eq!(kind_of::<FoundCall>(), (13, "found"));
+    assert_eq!(kind_of::<RecoveryStateCall>(), (12, "standing"));
+    assert_eq!(kind_of::<BootstrapCall>(), (13, "found"));
     assert_eq!(kind_of::<Assign>(), (20, "assign"));
     assert_eq!(kind_of::<Release>(), (21, "release"));
     assert_eq!(kind_of::<Submit>(), (30, "submit"));
@@ -684,14 +688,14 @@
 
 #[test]
 fn standings_are_as_recorded() {
-    assert_requests::<StandingCall>(&standing_requests());
-    assert_equal_replies::<StandingCall>(&standing_replies());
+    assert_requests::<RecoveryStateCall>(&standing_requests());
+    assert_equal_replies::<RecoveryStateCall>(&standing_replies());
 }
 
 #[test]
 fn foundings_are_as_recorded() {
-    assert_requests::<FoundCall>(&found_requests());
-    assert_equal_replies::<FoundCall>(&found_replies());
+    assert_requests::<BootstrapCall>(&found_requests());
+    assert_equal_replies::<BootstrapCall>(&found_replies());
 }
 
 #[test]
--- a/crates/claims/cloverfold_claim/src/found.rs
+++ b/crates/claims/cloverfold_claim/src/bootstrap.rs
@@ -9,14 +9,14 @@
 use cloverfold_claims_core::RecoveryState;
 use cloverfold_net::{CallError, Network, PeerAddress};
 
-use crate::messages::{FoundCall, StandingCall, StandingReport};
+use crate::messages::{BootstrapCall, RecoveryStateCall, RecoveryStateReport};
 
 /// Longest wait for one guard's answer. Chosen, not measured.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why a cell was not founded.
 #[derive(Debug, thiserror::Error)]
-pub enum FoundError {
+pub enum BootstrapError {
     /// A guard did not answer; founding needs every guard.
     #[error("{guard} did not answer ({cause}); start every guard of the cell, then found it again")]
     Unreachable {
@@ -42,19 +42,19 @@
 ///
 /// Returns which guard did not answer, is whole already, or restarted meanwhile. Guards that were told before it
 /// stay whole; the rest recover from them.
-pub async fn found_cell(
+pub async fn bootstrap_cell(
     network: &Network,
     guards: &[PeerAddress],
-) -> Result<Vec<StandingReport>, FoundError> {
-    let reports = read_standings(network, guards).await?;
+) -> Result<Vec<RecoveryStateReport>, BootstrapError> {
+    let reports = read_recovery_states(network, guards).await?;
     for (guard, report) in guards.iter().zip(&reports) {
         if report.standing == RecoveryState::Whole {
-            return Err(FoundError::FoundedBefore(guard.name.clone()));
+            return Err(BootstrapError::FoundedBefore(guard.name.clone()));
         }
     }
     let incarnations: Vec<_> = reports.iter().map(|report| report.own).collect();
     for guard in guards {
-        let call = FoundCall {
+        let call = BootstrapCall {
             incarnations: incarnations.clone(),
         };
         let is_whole = network
@@ -62,7 +62,7 @@
             .await
             .map_err(|cause| unreachable_guard(guard, cause))?;
         if !is_whole {
-            return Err(FoundError::Restarted(guard.name.clone()));
+            return Err(BootstrapError::Restarted(guard.name.clone()));
         }
     }
     Ok(reports)
@@ -73,14 +73,14 @@
 /// # Errors
 ///
 /// Names the first guard that does not answer.
-pub async fn read_standings(
+pub async fn read_recovery_states(
     network: &Network,
     guards: &[PeerAddress],
-) -> Result<Vec<StandingReport>, FoundError> {
+) -> Result<Vec<RecoveryStateReport>, BootstrapError> {
     let mut reports = Vec::with_capacity(guards.len());
     for guard in guards {
         let report = network
-            .call(guard, &StandingCall, CALL_TIMEOUT)
+            .call(guard, &RecoveryStateCall, CALL_TIMEOUT)
             .await
             .map_err(|cause| unreachable_guard(guard, cause))?;
         reports.push(report);
@@ -88,8 +88,8 @@
     Ok(reports)
 }
 
-fn unreachable_guard(guard: &PeerAddress, cause: CallError) -> FoundError {
-    FoundError::Unreachable {
+fn unreachable_guard(guard: &PeerAddress, cause: CallError) -> BootstrapError {
+    BootstrapError::Unreachable {
         guard: guard.name.clone(),
         cause,
     }
--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -59,7 +59,7 @@
 
 impl Claims {
     /// Returns the guard and incarnation that hold these claims.
-    pub fn own(&self) -> Placement {
+    pub fn placement(&self) -> Placement {
         self.inner.own
     }
 
--- a/crates/claims/cloverfold_claim/src/lib.rs
+++ b/crates/claims/cloverfold_claim/src/lib.rs
@@ -15,15 +15,15 @@
 //! # }
 //! ```
 
+mod bootstrap;
 mod claims;
 mod error;
-mod found;
 mod messages;
 mod plugin;
 mod recovery;
 
+pub use bootstrap::{BootstrapError, bootstrap_cell, read_recovery_states};
 pub use claims::Claims;
 pub use error::ClaimError;
-pub use found::{FoundError, found_cell, read_standings};
-pub use messages::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
+pub use messages::{BootstrapCall, ClaimCall, RecoverCall, RecoveryStateCall, RecoveryStateReport};
 pub use plugin::ClaimPlugin;
--- a/crates/claims/cloverfold_claim/src/messages.rs
+++ b/crates/claims/cloverfold_claim/src/messages.rs
@@ -52,11 +52,11 @@
 
 /// Asks a replica for its standing.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct StandingCall;
+pub struct RecoveryStateCall;
 
 /// The standing of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StandingReport {
+pub struct RecoveryStateReport {
     /// The replica in its present incarnation.
     pub own: Placement,
     /// Its standing.
@@ -65,20 +65,20 @@
     pub records: u64,
 }
 
-impl Message for StandingCall {
+impl Message for RecoveryStateCall {
     const KIND: u16 = 12;
     const NAME: &'static str = "standing";
-    type Reply = StandingReport;
+    type Reply = RecoveryStateReport;
 }
 
 /// Declares the named incarnations to be the first of their guards.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FoundCall {
+pub struct BootstrapCall {
     /// The guards with their incarnations.
     pub incarnations: Vec<Placement>,
 }
 
-impl Message for FoundCall {
+impl Message for BootstrapCall {
     const KIND: u16 = 13;
     const NAME: &'static str = "found";
     /// Whether the replica is whole afterwards.
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -17,7 +17,9 @@
 use tokio::time::sleep;
 
 use crate::claims::{Claims, Inner};
-use crate::messages::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
+use crate::messages::{
+    BootstrapCall, ClaimCall, RecoverCall, RecoveryStateCall, RecoveryStateReport,
+};
 use crate::recovery::PAGE_LIMIT;
 
 /// How often the readiness check and the gauge are brought up to date. Chosen, not measured.
@@ -26,16 +28,16 @@
 /// Adds [`Claims`]; needs [`CellSettings`], [`Directory`], [`Membership`] and [`OwnState`].
 pub struct ClaimPlugin {
     /// The guard that this process is.
-    pub own: Placement,
+    pub placement: Placement,
 }
 
 impl Plugin for ClaimPlugin {
     fn build(self, app: &mut App) -> Result<(), BuildError> {
         let cell = app.resource::<CellSettings>()?;
-        let replica = ClaimReplica::new(self.own, unix_now(), cell.retention, CLOCK_MARGIN);
+        let replica = ClaimReplica::new(self.placement, unix_now(), cell.retention, CLOCK_MARGIN);
         let claims = Claims {
             inner: Arc::new(Inner {
-                own: self.own,
+                own: self.placement,
                 cell: cell.build_cell(),
                 directory: app.resource::<Directory>()?,
                 network: app.network(),
@@ -81,12 +83,12 @@
     let served = claims.clone();
     app.router().register(
         &[PeerRole::Operator],
-        move |_peer: Peer, _call: StandingCall| {
+        move |_peer: Peer, _call: RecoveryStateCall| {
             let claims = served.clone();
             async move {
                 let replica = &claims.inner.replica;
                 replica
-                    .with(|replica| StandingReport {
+                    .with(|replica| RecoveryStateReport {
                         own: replica.placement(),
                         standing: replica.recovery_state().clone(),
                         records: replica.record_count() as u64,
@@ -96,8 +98,9 @@
         },
     );
     let served = claims.clone();
-    app.router()
-        .register(&[PeerRole::Operator], move |peer: Peer, call: FoundCall| {
+    app.router().register(
+        &[PeerRole::Operator],
+        move |peer: Peer, call: BootstrapCall| {
             let claims = served.clone();
             async move {
                 log::info!(operator = peer.name; "the cell is being founded");
@@ -106,7 +109,8 @@
                     .with(move |replica| replica.bootstrap(&call.incarnations))
                     .await
             }
-        });
+        },
+    );
 }
 
 /// Keeps the readiness check and the gauge up to date, until the process ends.
--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -42,7 +42,7 @@
             sleep(retry_after + jitter).await;
             retry_after = (retry_after * 2).min(LAST_RETRY);
         }
-        log::info!(guard = self.own().guard; "the replica is whole");
+        log::info!(guard = self.placement().guard; "the replica is whole");
     }
 
     /// Drops records that are past their retention, until the process ends.
--- a/crates/claims/cloverfold_claims_process/src/guard.rs
+++ b/crates/claims/cloverfold_claims_process/src/guard.rs
@@ -25,7 +25,7 @@
     if !cell.guards.iter().any(|place| place.id == settings.id) {
         return Err(ProcessError::UnknownGuard(settings.id));
     }
-    let own = Placement {
+    let placement = Placement {
         guard: settings.id,
         incarnation: unix_now().as_micros() as u64,
     };
@@ -36,10 +36,10 @@
     app.insert_resource(cell);
     app.insert_resource(settings);
     app.add_plugin(MembershipPlugin {
-        own: Some((own, slots)),
+        own: Some((placement, slots)),
     })?
-    .add_plugin(ClaimPlugin { own })?
-    .add_plugin(ExecutePlugin { own })?
+    .add_plugin(ClaimPlugin { placement })?
+    .add_plugin(ExecutePlugin { placement })?
     .add_plugin(CoordinatePlugin)?;
     Ok(app.start(http_address).await?)
 }
--- a/crates/claims/cloverfold_coordinate/src/job_context.rs
+++ b/crates/claims/cloverfold_coordinate/src/job_context.rs
@@ -31,7 +31,7 @@
     /// Returns whether this guard coordinates all jobs of the cell now.
     pub(crate) async fn is_acting_lead(&self) -> bool {
         let lead = self.membership.find_acting_lead().await;
-        lead == Some(self.claims.own().guard)
+        lead == Some(self.claims.placement().guard)
     }
 
     /// Returns until when fences must remember the tasks of a submission.
--- a/crates/claims/cloverfold_execute/src/plugin.rs
+++ b/crates/claims/cloverfold_execute/src/plugin.rs
@@ -18,7 +18,7 @@
 /// Runs tasks at the target; needs [`CellSettings`], [`GuardSettings`], [`Membership`] and [`OwnState`].
 pub struct ExecutePlugin {
     /// The guard that this process is.
-    pub own: Placement,
+    pub placement: Placement,
 }
 
 impl Plugin for ExecutePlugin {
@@ -44,7 +44,7 @@
             answer_retention: cell.answer_retention,
         };
         let load = app.resource::<OwnState>()?;
-        let execution = Execution::new(self.own.incarnation, limits, load);
+        let execution = Execution::new(self.placement.incarnation, limits, load);
         let membership = app.resource::<Membership>()?;
         Ok(TaskRunner {
             execution: app.control().own(execution),
--- a/crates/cloverfold/src/bin/cloverfold/found.rs
+++ b/crates/cloverfold/src/bin/cloverfold/found.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use cloverfold_claim::found_cell;
+use cloverfold_claim::bootstrap_cell;
 use eyre::Result;
 
 use crate::operator::{default_keys, default_name, read_guards, run_as_operator};
@@ -29,7 +29,7 @@
     pub(crate) fn run(self) -> Result<()> {
         let guards = read_guards(&self.cell)?;
         run_as_operator(&self.keys, &self.name, async |network| {
-            let founded = found_cell(network, &guards).await?;
+            let founded = bootstrap_cell(network, &guards).await?;
             println!("the cell is founded with {} guards", founded.len());
             Ok(())
         })
--- a/crates/cloverfold/src/bin/cloverfold/status.rs
+++ b/crates/cloverfold/src/bin/cloverfold/status.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use cloverfold_claim::StandingCall;
+use cloverfold_claim::RecoveryStateCall;
 use cloverfold_claims_core::RecoveryState;
 use cloverfold_net::{Network, PeerAddress};
 use eyre::Result;
@@ -41,7 +41,7 @@
 async fn print_standings(network: &Network, guards: &[PeerAddress]) {
     println!("{:<12} {:<22} {:<18} claims", "guard", "address", "memory");
     for guard in guards {
-        let report = network.call(guard, &StandingCall, CALL_TIMEOUT).await;
+        let report = network.call(guard, &RecoveryStateCall, CALL_TIMEOUT).await;
         let (memory, claims) = match report {
             Ok(report) => (describe(&report.standing), report.records.to_string()),
             Err(cause) => (cause.to_string(), "-".into()),
--- a/crates/cloverfold/tests/system/cluster.rs
+++ b/crates/cloverfold/tests/system/cluster.rs
@@ -10,7 +10,7 @@
 use std::process::Command;
 use std::sync::Mutex;
 
-use cloverfold_claim::found_cell;
+use cloverfold_claim::bootstrap_cell;
 use cloverfold_claims_process::{list_guard_addresses, open_operator_network};
 use cloverfold_claims_settings::CellSettings;
 use cloverfold_faults::{TcpProxy, UdpProxy};
@@ -175,7 +175,7 @@
     pub async fn found(&mut self) {
         self.wait_until_all_live().await;
         let network = open_operator_network(&self.installation.key_folder(), OPERATOR).unwrap();
-        found_cell(&network, &list_guard_addresses(&self.cell))
+        bootstrap_cell(&network, &list_guard_addresses(&self.cell))
             .await
             .unwrap();
     }
--- a/crates/tools/cloverfold_solo/src/error.rs
+++ b/crates/tools/cloverfold_solo/src/error.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns nothing; the start and the measurement of the system return them.
 
-use cloverfold_claim::FoundError;
+use cloverfold_claim::BootstrapError;
 use cloverfold_claims_process::ProcessError;
 use cloverfold_load::LoadError;
 use cloverfold_net::KeyError;
@@ -25,7 +25,7 @@
     Process(#[from] ProcessError),
     /// The cell could not be founded.
     #[error(transparent)]
-    Found(#[from] FoundError),
+    Found(#[from] BootstrapError),
     /// The load could not be run or a page not be read.
     #[error(transparent)]
     Load(#[from] LoadError),
--- a/crates/tools/cloverfold_solo/src/system.rs
+++ b/crates/tools/cloverfold_solo/src/system.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use cloverfold_app::Running;
-use cloverfold_claim::found_cell;
+use cloverfold_claim::bootstrap_cell;
 use cloverfold_claims_process::{
     list_guard_addresses, open_operator_network, start_entry, start_guard,
 };
@@ -174,7 +174,7 @@
 
     async fn found(&self, cell: &CellSettings) -> Result<(), SoloError> {
         let network = open_operator_network(&self.installation.key_folder(), OPERATOR)?;
-        found_cell(&network, &list_guard_addresses(cell)).await?;
+        bootstrap_cell(&network, &list_guard_addresses(cell)).await?;
         network.close().await;
         Ok(())
     }
