--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -191,7 +191,7 @@
             let call = ClaimCall {
                 submission,
                 request: request.clone(),
-                guard_report: self.inner.membership.own_report(),
+                guard_report: self.inner.membership.local_report(),
             };
             let tx = tx.clone();
             let guard = *guard;
@@ -213,7 +213,7 @@
         let address = self.inner.directory.address_of(guard)?;
         match self.inner.network.call(address, &call, CALL_TIMEOUT).await {
             Ok(answer) => {
-                self.inner.membership.absorb(answer.guard_report);
+                self.inner.membership.record_reports(answer.guard_report);
                 Some(answer.reply)
             }
             Err(cause) => {
@@ -225,9 +225,9 @@
 
     /// Answers another guard's request.
     pub(crate) async fn serve(&self, call: ClaimCall) -> ClaimAnswer {
-        self.inner.membership.absorb(call.guard_report);
+        self.inner.membership.record_reports(call.guard_report);
         let reply = self.handle(call).await;
-        let guard_report = self.inner.membership.own_report();
+        let guard_report = self.inner.membership.local_report();
         ClaimAnswer {
             reply,
             guard_report,
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -1,7 +1,7 @@
 //! Registers the replica with a guard: its handlers, background tasks, readiness check and gauge.
 //!
 //! Creates the [`ClaimReplica`] on the control thread and owns nothing afterwards; the state belongs to [`Claims`]. Relies on
-//! the membership plugin, which adds [`Directory`], [`Membership`] and [`OwnState`] before.
+//! the membership plugin, which adds [`Directory`], [`Membership`] and [`LocalState`] before.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -11,7 +11,7 @@
 use cloverfold_base::unix_now;
 use cloverfold_claims_core::{CLOCK_MARGIN, ClaimReplica, Placement};
 use cloverfold_claims_settings::CellSettings;
-use cloverfold_membership::{Directory, Membership, OwnState};
+use cloverfold_membership::{Directory, LocalState, Membership};
 use cloverfold_net::{Peer, PeerRole};
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::time::sleep;
@@ -25,7 +25,7 @@
 /// How often the readiness check and the gauge are brought up to date. Chosen, not measured.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Adds [`Claims`]; needs [`CellSettings`], [`Directory`], [`Membership`] and [`OwnState`].
+/// Adds [`Claims`]; needs [`CellSettings`], [`Directory`], [`Membership`] and [`LocalState`].
 pub struct ClaimPlugin {
     /// The guard that this process is.
     pub placement: Placement,
@@ -115,7 +115,7 @@
 
 /// Keeps the readiness check and the gauge up to date, until the process ends.
 fn register_state(app: &mut App, claims: &Claims) -> Result<(), BuildError> {
-    let own = app.resource::<OwnState>()?;
+    let own = app.resource::<LocalState>()?;
     let records = Gauge::<i64>::default();
     app.registry().register(
         "claim_records",
--- a/crates/claims/cloverfold_claims_process/src/entry.rs
+++ b/crates/claims/cloverfold_claims_process/src/entry.rs
@@ -24,7 +24,7 @@
     let mut app = App::new(&name, network)?;
     app.insert_resource(cell);
     app.insert_resource(settings);
-    app.add_plugin(MembershipPlugin { own: None })?
+    app.add_plugin(MembershipPlugin { local_guard: None })?
         .add_plugin(EntryPlugin)?;
     Ok(app.start(http_address).await?)
 }
--- a/crates/claims/cloverfold_claims_process/src/guard.rs
+++ b/crates/claims/cloverfold_claims_process/src/guard.rs
@@ -36,7 +36,7 @@
     app.insert_resource(cell);
     app.insert_resource(settings);
     app.add_plugin(MembershipPlugin {
-        own: Some((placement, slots)),
+        local_guard: Some((placement, slots)),
     })?
     .add_plugin(ClaimPlugin { placement })?
     .add_plugin(ExecutePlugin { placement })?
--- a/crates/claims/cloverfold_coordinate/src/admitter.rs
+++ b/crates/claims/cloverfold_coordinate/src/admitter.rs
@@ -11,7 +11,7 @@
 use cloverfold_app::ThreadState;
 use cloverfold_base::{UnixTime, unix_now};
 use cloverfold_claims_core::{Admission, Flow, PlacementPolicy, ReasonCode, Ticket, TicketId};
-use cloverfold_membership::{Charge, Membership};
+use cloverfold_membership::{InFlightTask, Membership};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::timeout;
 
@@ -30,7 +30,7 @@
 /// Slots for a job, given back as its tasks end.
 pub(crate) struct Grant {
     /// One charge for each task; none when no guard accepts work.
-    pub(crate) charges: Vec<Charge>,
+    pub(crate) charges: Vec<InFlightTask>,
     /// Counts the job's tasks to its flow.
     pub(crate) flow_charge: FlowCharge,
 }
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -10,7 +10,7 @@
 use cloverfold_base::random_u64;
 use cloverfold_claims_core::{GuardId, JobEvent, Placement, TaskEnd, TaskIndex};
 use cloverfold_execute::{Assign, AssignReply, AssignedTask, Release};
-use cloverfold_membership::Charge;
+use cloverfold_membership::InFlightTask;
 use cloverfold_net::CallError;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -40,7 +40,7 @@
 /// A task on its way to a place.
 pub(crate) struct PlacedTask {
     /// Counts the task at its place until it has ended there.
-    pub(crate) _charge: Charge,
+    pub(crate) _charge: InFlightTask,
     pub(crate) index: TaskIndex,
     /// Guards that had the task before.
     pub(crate) previous_guards: Vec<GuardId>,
@@ -124,7 +124,7 @@
                     guard_report,
                 })) => {
                     *reached_at = Instant::now();
-                    self.context.membership.absorb(guard_report);
+                    self.context.membership.record_reports(guard_report);
                     for report in reports {
                         open.remove(&report.index);
                         self.report_end(report.index, place, report.end).await;
@@ -153,7 +153,7 @@
             deadline: submit.deadline,
             keep_until: self.context.keep_until(&submit.submission),
             tasks: tasks.collect(),
-            guard_report: self.context.membership.own_report(),
+            guard_report: self.context.membership.local_report(),
         }
     }
 
@@ -189,7 +189,7 @@
             match network.call(address, &release, RELEASE_TIMEOUT).await {
                 Ok(reply) => {
                     let verdict = reply.verdict;
-                    self.context.membership.absorb(reply.guard_report);
+                    self.context.membership.record_reports(reply.guard_report);
                     let event = JobEvent::ReleaseAnswered {
                         task,
                         place,
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -13,7 +13,7 @@
     Claim, EventContext, JobAction, JobEvent, JobProgress, Outcome, Placement, ReasonCode, TaskEnd,
     TaskIndex, rank_by_load,
 };
-use cloverfold_membership::Charge;
+use cloverfold_membership::InFlightTask;
 use tokio::sync::mpsc;
 
 use crate::admitter::{FlowCharge, Grant};
@@ -104,17 +104,17 @@
 }
 
 /// Charges of the claim that was proposed, by task; the claim agreed on may name other places.
-struct PlannedCharges(Vec<Option<Charge>>);
+struct PlannedCharges(Vec<Option<InFlightTask>>);
 
 impl PlannedCharges {
-    fn new(charges: Vec<Charge>) -> Self {
+    fn new(charges: Vec<InFlightTask>) -> Self {
         Self(charges.into_iter().map(Some).collect())
     }
 
     /// Removes the charge of a task, if it was planned at this place.
-    fn take(&mut self, task: TaskIndex, place: Placement) -> Option<Charge> {
+    fn take(&mut self, task: TaskIndex, place: Placement) -> Option<InFlightTask> {
         let planned = self.0.get_mut(usize::from(task))?.take()?;
-        (planned.place() == place).then_some(planned)
+        (planned.placement() == place).then_some(planned)
     }
 }
 
@@ -192,7 +192,8 @@
                     }
                     let planned = planned.take(task, place);
                     let placed = PlacedTask {
-                        _charge: planned.unwrap_or_else(|| link.context.membership.charge(place)),
+                        _charge: planned
+                            .unwrap_or_else(|| link.context.membership.track_in_flight(place)),
                         index: task,
                         previous_guards,
                         may_pass_on: may_pass_on && !link.is_lead,
--- a/crates/claims/cloverfold_coordinate/src/job_plan.rs
+++ b/crates/claims/cloverfold_coordinate/src/job_plan.rs
@@ -7,7 +7,7 @@
 
 use cloverfold_base::unix_now;
 use cloverfold_claims_core::{Claim, ReasonCode};
-use cloverfold_membership::Charge;
+use cloverfold_membership::InFlightTask;
 
 use crate::admitter::Grant;
 use crate::job_context::JobContext;
@@ -66,11 +66,11 @@
 }
 
 /// Names the place of each task in a claim.
-fn fill_places(claim: &mut Claim, charges: &[Charge]) {
+fn fill_places(claim: &mut Claim, charges: &[InFlightTask]) {
     let mut index_of = BTreeMap::new();
     for charge in charges {
-        let index = *index_of.entry(charge.place()).or_insert_with(|| {
-            claim.placements.push(charge.place());
+        let index = *index_of.entry(charge.placement()).or_insert_with(|| {
+            claim.placements.push(charge.placement());
             claim.placements.len() as u16 - 1
         });
         claim.tasks.push(index);
--- a/crates/claims/cloverfold_entry/src/routing.rs
+++ b/crates/claims/cloverfold_entry/src/routing.rs
@@ -87,7 +87,7 @@
             let group = self
                 .cell
                 .choose_replica_group(&derive_submission_key(workspace, &key));
-            let usable = self.membership.keep_usable(group.clone()).await;
+            let usable = self.membership.filter_usable(group.clone()).await;
             if usable.len() == group.len() {
                 break;
             }
@@ -102,7 +102,7 @@
         let group = self.cell.choose_replica_group(key);
         let mut ordered: Vec<GuardId> = Vec::new();
         ordered.extend(self.membership.find_acting_lead().await);
-        ordered.extend(self.membership.keep_usable(group.clone()).await);
+        ordered.extend(self.membership.filter_usable(group.clone()).await);
         ordered.extend(group);
         let mut seen = BTreeSet::new();
         ordered.retain(|guard| seen.insert(*guard));
--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -13,7 +13,7 @@
     AssignResult, Candidate, Fence, FenceLimits, Flow, Incarnation, Placement, QueuedTask,
     ReasonCode, ReleaseResult, TaskEnd, TaskId, TaskState, choose_free_placement,
 };
-use cloverfold_membership::OwnState;
+use cloverfold_membership::LocalState;
 use tokio::sync::mpsc;
 
 use crate::messages::{Assign, AssignedTask, Release, TaskReport};
@@ -30,7 +30,7 @@
     fence: Fence<Bytes>,
     /// Coordinators that wait for a task; each channel has room for all tasks that it was made for.
     watchers: HashMap<TaskId, Vec<mpsc::Sender<TaskReport>>>,
-    load: Arc<OwnState>,
+    load: Arc<LocalState>,
     /// When a coordinator last assigned or released tasks here, or when the guard began to leave.
     last_request_at: Instant,
 }
@@ -47,7 +47,11 @@
 }
 
 impl Execution {
-    pub(crate) fn new(incarnation: Incarnation, limits: FenceLimits, load: Arc<OwnState>) -> Self {
+    pub(crate) fn new(
+        incarnation: Incarnation,
+        limits: FenceLimits,
+        load: Arc<LocalState>,
+    ) -> Self {
         Self {
             fence: Fence::new(incarnation, limits),
             watchers: HashMap::new(),
--- a/crates/claims/cloverfold_execute/src/plugin.rs
+++ b/crates/claims/cloverfold_execute/src/plugin.rs
@@ -1,12 +1,12 @@
 //! Registers the execution of tasks with a guard: its handlers, background tasks and drain step.
 //!
 //! Creates the [`Execution`] on the control thread and the client of the target, and owns nothing afterwards. Relies on the
-//! membership plugin, which adds [`Membership`] and [`OwnState`] before.
+//! membership plugin, which adds [`Membership`] and [`LocalState`] before.
 
 use cloverfold_app::{App, BuildError, Plugin};
 use cloverfold_claims_core::{FenceLimits, Placement};
 use cloverfold_claims_settings::{CellSettings, GuardSettings};
-use cloverfold_membership::{Membership, OwnState};
+use cloverfold_membership::{LocalState, Membership};
 use cloverfold_net::{Peer, PeerRole, ReplySink};
 
 use crate::execution::Execution;
@@ -15,7 +15,7 @@
 use crate::target_client::TargetClient;
 use crate::task_runner::TaskRunner;
 
-/// Runs tasks at the target; needs [`CellSettings`], [`GuardSettings`], [`Membership`] and [`OwnState`].
+/// Runs tasks at the target; needs [`CellSettings`], [`GuardSettings`], [`Membership`] and [`LocalState`].
 pub struct ExecutePlugin {
     /// The guard that this process is.
     pub placement: Placement,
@@ -43,7 +43,7 @@
             queue: settings.queue_limit,
             answer_retention: cell.answer_retention,
         };
-        let load = app.resource::<OwnState>()?;
+        let load = app.resource::<LocalState>()?;
         let execution = Execution::new(self.placement.incarnation, limits, load);
         let membership = app.resource::<Membership>()?;
         Ok(TaskRunner {
--- a/crates/claims/cloverfold_execute/src/task_runner.rs
+++ b/crates/claims/cloverfold_execute/src/task_runner.rs
@@ -43,7 +43,7 @@
 impl TaskRunner {
     /// Handles an assignment until each of its tasks has ended here or was passed on.
     pub(crate) async fn handle_assign(self, assign: Assign, mut sink: ReplySink) {
-        self.membership.absorb(assign.guard_report);
+        self.membership.record_reports(assign.guard_report);
         let flow = self.cell.flow_of(&assign.service, &assign.workspace);
         let weight = self.cell.weight_of(&assign.workspace);
         let others = self.list_others(assign.place).await;
@@ -65,7 +65,7 @@
         while let Some(batch) = receive_batch(&mut reports).await {
             let reply = AssignReply::Ended {
                 reports: batch,
-                guard_report: self.membership.own_report(),
+                guard_report: self.membership.local_report(),
             };
             if !sink.send(&reply).await {
                 return;
@@ -98,7 +98,7 @@
         }
         ReleaseReply {
             verdict,
-            guard_report: self.membership.own_report(),
+            guard_report: self.membership.local_report(),
         }
     }
 
--- a/crates/claims/cloverfold_membership/src/gossip.rs
+++ b/crates/claims/cloverfold_membership/src/gossip.rs
@@ -13,10 +13,10 @@
 use tokio::time::sleep;
 
 use crate::directory::Directory;
+use crate::local_state::LocalState;
 use crate::membership::Membership;
 use crate::messages::Heartbeat;
 use crate::metrics::MembershipMetrics;
-use crate::own_state::OwnState;
 
 /// Time between two heartbeats of a process; 400 and not 500 ms so that a dead lead is missed sooner
 /// (docs/CAPACITY.md).
@@ -32,7 +32,7 @@
 /// Exchanges reports with other guards, until the process ends.
 #[derive(Clone)]
 pub(crate) struct Gossip {
-    pub(crate) state: Arc<OwnState>,
+    pub(crate) state: Arc<LocalState>,
     pub(crate) metrics: MembershipMetrics,
     pub(crate) network: Network,
     pub(crate) directory: Arc<Directory>,
@@ -127,7 +127,7 @@
             .call(address, &heartbeat, HEARTBEAT_TIMEOUT)
             .await;
         match reply {
-            Ok(reports) => self.membership.absorb(reports),
+            Ok(reports) => self.membership.record_reports(reports),
             Err(cause) => {
                 log::debug!(guard = guard; "heartbeat: {cause}");
                 // The next report that it makes, by whatever way that comes, ends the suspicion.
--- a/crates/claims/cloverfold_membership/src/lib.rs
+++ b/crates/claims/cloverfold_membership/src/lib.rs
@@ -17,14 +17,14 @@
 
 mod directory;
 mod gossip;
+mod local_state;
 mod membership;
 mod messages;
 mod metrics;
-mod own_state;
 mod plugin;
 
 pub use directory::Directory;
-pub use membership::{Charge, Membership};
+pub use local_state::LocalState;
+pub use membership::{InFlightTask, Membership};
 pub use messages::{Heartbeat, Leave};
-pub use own_state::OwnState;
 pub use plugin::MembershipPlugin;
--- a/crates/claims/cloverfold_membership/src/own_state.rs
+++ b/crates/claims/cloverfold_membership/src/local_state.rs
@@ -1,6 +1,6 @@
 //! What a guard reports of itself.
 //!
-//! [`OwnState`] is written by the packages that run tasks and hold claims, and read for each report.
+//! [`LocalState`] is written by the packages that run tasks and hold claims, and read for each report.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -11,13 +11,13 @@
 
 /// State of this guard, kept up to date by the packages that run tasks and hold claims.
 #[derive(Debug, Default)]
-pub struct OwnState {
+pub struct LocalState {
     is_whole: AtomicBool,
     running: AtomicU32,
     queued: AtomicU32,
 }
 
-impl OwnState {
+impl LocalState {
     /// Records whether this guard's memory of claims is whole.
     pub fn set_whole(&self, is_whole: bool) {
         self.is_whole.store(is_whole, Ordering::Relaxed);
@@ -37,15 +37,15 @@
 
 /// The guard that this process is, as its reports describe it.
 #[derive(Debug)]
-pub(crate) struct OwnGuard {
+pub(crate) struct LocalGuard {
     pub(crate) placement: Placement,
     pub(crate) slots: u32,
-    pub(crate) load: Arc<OwnState>,
+    pub(crate) load: Arc<LocalState>,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) sequence: AtomicU64,
 }
 
-impl OwnGuard {
+impl LocalGuard {
     /// Makes a fresh report.
     pub(crate) fn report(&self) -> GuardReport {
         let phase = match self.lifecycle.phase() {
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -15,27 +15,27 @@
 use tokio::sync::{Notify, watch};
 
 use crate::directory::Directory;
-use crate::own_state::OwnGuard;
+use crate::local_state::LocalGuard;
 
 /// A guard that has not reported for this long gets no new task. Chosen, not measured: four heartbeats
 /// (docs/design/5-membership.md).
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_600);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// A task that this process has at a place; dropped when the task has ended there.
-pub struct Charge {
+pub struct InFlightTask {
     place: Placement,
     table: ThreadState<GuardTable>,
     changed: Arc<Notify>,
 }
 
-impl Charge {
+impl InFlightTask {
     /// Returns the place.
-    pub fn place(&self) -> Placement {
+    pub fn placement(&self) -> Placement {
         self.place
     }
 }
 
-impl Drop for Charge {
+impl Drop for InFlightTask {
     fn drop(&mut self) {
         let guard = self.place.guard;
         let changed = self.changed.clone();
@@ -55,7 +55,7 @@
     directory: Arc<Directory>,
     changed: Arc<Notify>,
     restarts: watch::Sender<()>,
-    own: Option<Arc<OwnGuard>>,
+    own: Option<Arc<LocalGuard>>,
 }
 
 impl Membership {
@@ -63,7 +63,7 @@
         control: &ControlThread,
         network: Network,
         directory: Arc<Directory>,
-        own: Option<Arc<OwnGuard>>,
+        own: Option<Arc<LocalGuard>>,
     ) -> Self {
         Self {
             started: Instant::now(),
@@ -77,14 +77,14 @@
     }
 
     /// Makes a fresh report of this guard; `None` in a process that is not a guard.
-    pub fn own_report(&self) -> Option<GuardReport> {
+    pub fn local_report(&self) -> Option<GuardReport> {
         self.own.as_ref().map(|own| own.report())
     }
 
     /// Records reports, from heartbeats or from messages that carried them.
     ///
     /// The connection to a guard that has restarted is closed, since nothing answers on it.
-    pub fn absorb(&self, reports: impl IntoIterator<Item = GuardReport>) {
+    pub fn record_reports(&self, reports: impl IntoIterator<Item = GuardReport>) {
         let reports: Vec<GuardReport> = reports.into_iter().collect();
         if reports.is_empty() {
             return;
@@ -114,7 +114,7 @@
         R: Send + 'static,
         F: FnOnce(&mut GuardTable, Duration) -> R + Send + 'static,
     {
-        let own = self.own_report();
+        let own = self.local_report();
         let now = self.started.elapsed();
         self.table
             .with(move |table| {
@@ -133,13 +133,13 @@
 
     /// Lists the guards that accept work, with their load.
     pub async fn list_candidates(&self) -> Vec<Candidate> {
-        self.with_table(|table, now| table.list_candidates(now, SILENCE_LIMIT))
+        self.with_table(|table, now| table.list_candidates(now, REPORT_TIMEOUT))
             .await
     }
 
     /// Counts the slots of the guards that accept work.
     pub async fn count_capacity(&self) -> Capacity {
-        self.with_table(|table, now| table.count_capacity(now, SILENCE_LIMIT))
+        self.with_table(|table, now| table.count_capacity(now, REPORT_TIMEOUT))
             .await
     }
 
@@ -149,12 +149,12 @@
     }
 
     /// Places tasks by the cell's policy, one charge for each.
-    pub async fn place_tasks(&self, policy: PlacementPolicy, count: usize) -> Vec<Charge> {
+    pub async fn place_tasks(&self, policy: PlacementPolicy, count: usize) -> Vec<InFlightTask> {
         let place = move |table: &mut GuardTable, now| {
-            table.place_tasks(policy, count, now, SILENCE_LIMIT, random_below)
+            table.place_tasks(policy, count, now, REPORT_TIMEOUT, random_below)
         };
         let places = self.with_table(place).await;
-        let charge = |place| Charge {
+        let charge = |place| InFlightTask {
             place,
             table: self.table.clone(),
             changed: self.changed.clone(),
@@ -163,10 +163,10 @@
     }
 
     /// Counts a task that this process sends to a place, until the charge is dropped.
-    pub fn charge(&self, place: Placement) -> Charge {
+    pub fn track_in_flight(&self, place: Placement) -> InFlightTask {
         self.table
             .post(move |table| table.add_in_flight(place.guard));
-        Charge {
+        InFlightTask {
             place,
             table: self.table.clone(),
             changed: self.changed.clone(),
@@ -199,12 +199,12 @@
     /// Finds the guard that coordinates the cell's jobs now: the lead, or the next that accepts work.
     pub async fn find_acting_lead(&self) -> Option<GuardId> {
         let order = self.directory.lead_order.clone();
-        self.with_table(move |table, now| table.find_lead(&order, now, SILENCE_LIMIT))
+        self.with_table(move |table, now| table.find_lead(&order, now, REPORT_TIMEOUT))
             .await
     }
 
     /// Lists those of the given guards that accept work and have reported lately, in their order.
-    pub async fn keep_usable(&self, guards: Vec<GuardId>) -> Vec<GuardId> {
+    pub async fn filter_usable(&self, guards: Vec<GuardId>) -> Vec<GuardId> {
         let candidates = self.list_candidates().await;
         let is_usable =
             |guard: &GuardId| candidates.iter().any(|one| one.placement.guard == *guard);
--- a/crates/claims/cloverfold_membership/src/plugin.rs
+++ b/crates/claims/cloverfold_membership/src/plugin.rs
@@ -1,6 +1,6 @@
 //! Registers heartbeats with a process: its handlers, background task and drain step.
 //!
-//! Creates [`Membership`], [`Directory`] and [`OwnState`], on which the plugins of the other packages rely, and owns nothing
+//! Creates [`Membership`], [`Directory`] and [`LocalState`], on which the plugins of the other packages rely, and owns nothing
 //! afterwards. Relies on [`CellSettings`] being added before.
 
 use std::sync::Arc;
@@ -13,23 +13,23 @@
 
 use crate::directory::Directory;
 use crate::gossip::Gossip;
+use crate::local_state::{LocalGuard, LocalState};
 use crate::membership::Membership;
 use crate::messages::{Heartbeat, Leave};
 use crate::metrics::MembershipMetrics;
-use crate::own_state::{OwnGuard, OwnState};
 
-/// Adds [`Membership`], [`Directory`] and [`OwnState`]; needs [`CellSettings`].
+/// Adds [`Membership`], [`Directory`] and [`LocalState`]; needs [`CellSettings`].
 pub struct MembershipPlugin {
     /// The guard that this process is and its number of slots, if it is one.
-    pub own: Option<(Placement, u32)>,
+    pub local_guard: Option<(Placement, u32)>,
 }
 
 impl Plugin for MembershipPlugin {
     fn build(self, app: &mut App) -> Result<(), BuildError> {
         let cell = app.resource::<CellSettings>()?;
         let directory = app.insert_resource(Directory::new(&cell));
-        let state = app.insert_resource(OwnState::default());
-        let own = self.build_own_guard(app, &state);
+        let state = app.insert_resource(LocalState::default());
+        let own = self.build_local_guard(app, &state);
         let membership = Membership::new(&app.control(), app.network(), directory.clone(), own);
         app.insert_resource(membership.clone());
         register_handlers(app, &membership);
@@ -39,7 +39,7 @@
             network: app.network(),
             directory,
             membership,
-            own: self.own.map(|(placement, _)| placement.guard),
+            own: self.local_guard.map(|(placement, _)| placement.guard),
         };
         app.add_drain_step(gossip.clone().announce_phase());
         app.add_task(gossip.run(app.lifecycle()));
@@ -48,9 +48,9 @@
 }
 
 impl MembershipPlugin {
-    fn build_own_guard(&self, app: &App, load: &Arc<OwnState>) -> Option<Arc<OwnGuard>> {
-        let (placement, slots) = self.own?;
-        Some(Arc::new(OwnGuard {
+    fn build_local_guard(&self, app: &App, load: &Arc<LocalState>) -> Option<Arc<LocalGuard>> {
+        let (placement, slots) = self.local_guard?;
+        Some(Arc::new(LocalGuard {
             placement,
             slots,
             load: load.clone(),
@@ -67,7 +67,7 @@
         move |_peer: Peer, heartbeat: Heartbeat| {
             let membership = served.clone();
             async move {
-                membership.absorb(heartbeat.reports);
+                membership.record_reports(heartbeat.reports);
                 membership.list_reports().await
             }
         },
