--- a/crates/claims/cloverfold_app/src/app.rs
+++ b/crates/claims/cloverfold_app/src/app.rs
@@ -16,7 +16,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::ops_http::{HttpServer, OpsState, ReadyCheck, build_ops_router};
 use crate::resources::Resources;
-use crate::running::{BoxedFuture, Running};
+use crate::running::{BoxedFuture, RunningApp};
 use crate::traffic::TrafficGauges;
 
 /// A capability that registers itself with a process.
@@ -155,7 +155,7 @@
     /// # Errors
     ///
     /// Returns the system's error if the HTTP address cannot be listened on.
-    pub async fn start(self, http_address: SocketAddr) -> Result<Running, BuildError> {
+    pub async fn start(self, http_address: SocketAddr) -> Result<RunningApp, BuildError> {
         let listen_error = |cause| BuildError::System {
             what: format!("http_address {http_address}"),
             cause,
@@ -173,7 +173,7 @@
             tasks.spawn(task);
         }
         log::info!(process = self.name, http = http_address.to_string(); "serving");
-        Ok(Running {
+        Ok(RunningApp {
             name: self.name,
             http_address,
             network: self.network,
--- a/crates/claims/cloverfold_app/src/control.rs
+++ b/crates/claims/cloverfold_app/src/control.rs
@@ -1,7 +1,7 @@
 //! The control thread, which owns a process's control state.
 //!
 //! Decisions run here one after the other, so that none needs a lock of its own; traffic runs on the
-//! threads of the runtime and sends closures here. Owns the states that [`ControlThread::own`] was given.
+//! threads of the runtime and sends closures here. Owns the states that [`ControlThread::manage`] was given.
 //! Relies on decisions not to block.
 
 use std::sync::{Arc, Mutex, PoisonError, mpsc};
@@ -63,7 +63,7 @@
     }
 
     /// Puts a state under the control thread.
-    pub fn own<S: Send + 'static>(&self, state: S) -> ThreadState<S> {
+    pub fn manage<S: Send + 'static>(&self, state: S) -> ThreadState<S> {
         ThreadState {
             control: self.clone(),
             state: Arc::new(Mutex::new(state)),
--- a/crates/claims/cloverfold_app/src/error.rs
+++ b/crates/claims/cloverfold_app/src/error.rs
@@ -10,7 +10,7 @@
     MissingResource(&'static str),
     /// A value from the settings does not fit the rest.
     #[error("{0}")]
-    Unfit(String),
+    InvalidSetting(String),
     /// The system refused something.
     #[error("{what}: {cause}")]
     System {
--- a/crates/claims/cloverfold_app/src/lib.rs
+++ b/crates/claims/cloverfold_app/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A process is an [`App`] to which each capability adds itself as a [`Plugin`]: its resources, message
 //! handlers, metrics, background tasks, readiness checks and drain steps. The binaries only choose plugins.
-//! [`App::start`] returns a [`Running`] process and [`Running::stop`] drains it. Owns the control thread, the
+//! [`App::start`] returns a [`RunningApp`] process and [`RunningApp::stop`] drains it. Owns the control thread, the
 //! metrics registry and the life cycle of a process. Relies on `cloverfold_net` for messages between processes.
 //!
 //! ```
@@ -31,4 +31,4 @@
 pub use control::{ControlThread, ThreadState};
 pub use error::BuildError;
 pub use lifecycle::{Lifecycle, Phase};
-pub use running::Running;
+pub use running::RunningApp;
--- a/crates/claims/cloverfold_app/src/running.rs
+++ b/crates/claims/cloverfold_app/src/running.rs
@@ -17,7 +17,7 @@
 pub(crate) type BoxedFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 
 /// A process that serves; dropping it aborts its tasks.
-pub struct Running {
+pub struct RunningApp {
     pub(crate) name: String,
     pub(crate) http_address: SocketAddr,
     pub(crate) network: Network,
@@ -27,7 +27,7 @@
     pub(crate) _tasks: JoinSet<()>,
 }
 
-impl Running {
+impl RunningApp {
     /// Returns the address of the HTTP interface.
     pub fn http_address(&self) -> SocketAddr {
         self.http_address
@@ -38,7 +38,7 @@
         &self.network
     }
 
-    /// Waits for SIGTERM, SIGINT or an operator's `leave`, then stops as [`Running::stop`] does.
+    /// Waits for SIGTERM, SIGINT or an operator's `leave`, then stops as [`RunningApp::stop`] does.
     ///
     /// # Errors
     ///
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -42,7 +42,7 @@
                 directory: app.resource::<Directory>()?,
                 network: app.network(),
                 membership: (*app.resource::<Membership>()?).clone(),
-                replica: app.control().own(replica),
+                replica: app.control().manage(replica),
                 attempts: AtomicU64::new(0),
             }),
         };
--- a/crates/claims/cloverfold_claims_process/src/entry.rs
+++ b/crates/claims/cloverfold_claims_process/src/entry.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns nothing: the running process goes to the caller. Relies on the plugins of membership and of the entry.
 
-use cloverfold_app::{App, Running};
+use cloverfold_app::{App, RunningApp};
 use cloverfold_claims_settings::{CellSettings, EntrySettings};
 use cloverfold_entry::EntryPlugin;
 use cloverfold_membership::MembershipPlugin;
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// Returns which file, address or key is unusable.
-pub async fn start_entry(settings: EntrySettings) -> Result<Running, ProcessError> {
+pub async fn start_entry(settings: EntrySettings) -> Result<RunningApp, ProcessError> {
     let cell: CellSettings = read_settings(&settings.cell)?;
     let network = open_network(settings.peer_address, &settings.keys)?;
     let http_address = settings.http_address;
--- a/crates/claims/cloverfold_claims_process/src/guard.rs
+++ b/crates/claims/cloverfold_claims_process/src/guard.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns nothing: the running process goes to the caller. Relies on the plugins of membership, claims, execution and coordination.
 
-use cloverfold_app::{App, Running};
+use cloverfold_app::{App, RunningApp};
 use cloverfold_base::unix_now;
 use cloverfold_claim::ClaimPlugin;
 use cloverfold_claims_core::Placement;
@@ -20,7 +20,7 @@
 /// # Errors
 ///
 /// Returns which file, address or key is unusable, or that the cell's file does not name the guard.
-pub async fn start_guard(settings: GuardSettings) -> Result<Running, ProcessError> {
+pub async fn start_guard(settings: GuardSettings) -> Result<RunningApp, ProcessError> {
     let cell: CellSettings = read_settings(&settings.cell)?;
     if !cell.guards.iter().any(|place| place.id == settings.id) {
         return Err(ProcessError::UnknownGuard(settings.id));
--- a/crates/claims/cloverfold_coordinate/src/plugin.rs
+++ b/crates/claims/cloverfold_coordinate/src/plugin.rs
@@ -34,7 +34,7 @@
         let coordinator = Coordinator {
             context: Arc::new(context),
             lifecycle: app.lifecycle(),
-            jobs: app.control().own(Jobs::default()),
+            jobs: app.control().manage(Jobs::default()),
         };
         app.insert_resource(coordinator.clone());
         register_handlers(app, &coordinator);
@@ -48,7 +48,7 @@
     let metrics = CoordinateMetrics::register(app);
     let membership = (*app.resource::<Membership>()?).clone();
     let cell = app.resource::<CellSettings>()?;
-    let queue = app.control().own(JobQueue::default());
+    let queue = app.control().manage(JobQueue::default());
     Ok(JobContext {
         admitter: Admitter::new(queue, membership.clone(), cell.placement),
         claims: (*app.resource::<Claims>()?).clone(),
--- a/crates/claims/cloverfold_execute/src/plugin.rs
+++ b/crates/claims/cloverfold_execute/src/plugin.rs
@@ -37,7 +37,7 @@
         let settings = app.resource::<GuardSettings>()?;
         let cell = app.resource::<CellSettings>()?;
         let target = TargetClient::new(&settings.target)
-            .map_err(|e| BuildError::Unfit(format!("target: {e}")))?;
+            .map_err(|e| BuildError::InvalidSetting(format!("target: {e}")))?;
         let limits = FenceLimits {
             slots: settings.target.slots,
             queue: settings.queue_limit,
@@ -47,7 +47,7 @@
         let execution = Execution::new(self.placement.incarnation, limits, load);
         let membership = app.resource::<Membership>()?;
         Ok(TaskRunner {
-            execution: app.control().own(execution),
+            execution: app.control().manage(execution),
             target,
             membership: (*membership).clone(),
             cell,
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -67,7 +67,7 @@
     ) -> Self {
         Self {
             started: Instant::now(),
-            table: control.own(GuardTable::default()),
+            table: control.manage(GuardTable::default()),
             network,
             directory,
             changed: Arc::default(),
--- a/crates/tools/cloverfold_solo/src/system.rs
+++ b/crates/tools/cloverfold_solo/src/system.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use cloverfold_app::Running;
+use cloverfold_app::RunningApp;
 use cloverfold_claim::bootstrap_cell;
 use cloverfold_claims_process::{
     list_guard_addresses, open_operator_network, start_entry, start_guard,
@@ -70,8 +70,8 @@
     installation: Installation,
     config: SoloConfig,
     targets: Vec<SampleTarget>,
-    guards: Vec<Running>,
-    entries: Vec<Running>,
+    guards: Vec<RunningApp>,
+    entries: Vec<RunningApp>,
 }
 
 impl SoloSystem {
@@ -116,13 +116,13 @@
 
     /// Lists the callers' addresses.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
-        self.entries.iter().map(Running::http_address).collect()
+        self.entries.iter().map(RunningApp::http_address).collect()
     }
 
     /// Lists the addresses of all metrics pages.
     pub fn metrics_addresses(&self) -> Vec<SocketAddr> {
         let processes = self.entries.iter().chain(&self.guards);
-        processes.map(Running::http_address).collect()
+        processes.map(RunningApp::http_address).collect()
     }
 
     /// Returns the number of starts at all targets.
@@ -217,7 +217,7 @@
     }
 }
 
-async fn stop_all(processes: Vec<Running>) -> bool {
+async fn stop_all(processes: Vec<RunningApp>) -> bool {
     let mut stops = JoinSet::new();
     for process in processes {
         stops.spawn(process.stop(STOP_TIMEOUT));
