--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -22,7 +22,7 @@
     Outcome, Placement, ReasonCode, RecoveryPage, RecoveryState, ReleaseResult, ReplicaRecord,
     ReplicaReply, RetryPolicy, Submission, SubmissionKey, TaskEnd,
 };
-use cloverfold_coordinate::{JobState, Query, QueryReply, Submit, SubmitReply, Verdict};
+use cloverfold_coordinate::{JobState, Query, QueryReply, Submit, SubmitReply, SubmitResult};
 use cloverfold_execute::{Assign, AssignReply, AssignedTask, Release, ReleaseReply, TaskReport};
 use cloverfold_membership::{Heartbeat, Leave};
 use cloverfold_net::Message;
@@ -316,10 +316,10 @@
     })
 }
 
-fn verdicts() -> Vec<Sample<Verdict>> {
-    each_variant!(Verdict {
-        Verdict::Answered(_) => wrap("answered", outcomes(), Verdict::Answered),
-        Verdict::NotHere(_) => wrap("not-here", reason_codes(), Verdict::NotHere),
+fn verdicts() -> Vec<Sample<SubmitResult>> {
+    each_variant!(SubmitResult {
+        SubmitResult::Answered(_) => wrap("answered", outcomes(), SubmitResult::Answered),
+        SubmitResult::NotHere(_) => wrap("not-here", reason_codes(), SubmitResult::NotHere),
     })
 }
 
--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -13,7 +13,7 @@
 use crate::driver::drive_job;
 use crate::job_context::JobContext;
 use crate::jobs::{AnswerReceiver, AnswerSender, JobAnswer, Jobs, Joining};
-use crate::messages::{JobState, Query, QueryReply, Submit, SubmitReply, Verdict};
+use crate::messages::{JobState, Query, QueryReply, Submit, SubmitReply, SubmitResult};
 
 /// How often expired answers are dropped. Chosen, not measured.
 const COLLECT_INTERVAL: Duration = Duration::from_secs(1);
@@ -41,11 +41,11 @@
         }
     }
 
-    async fn decide_submit(&self, submit: Submit) -> Verdict {
+    async fn decide_submit(&self, submit: Submit) -> SubmitResult {
         let key = submit.submission.key;
         let is_sole_attempt = submit.is_sole_attempt;
         if !self.context.claims.can_coordinate(&key).await {
-            return Verdict::NotHere(ReasonCode::NoQuorum);
+            return SubmitResult::NotHere(ReasonCode::NoQuorum);
         }
         let may_begin = self.lifecycle.phase() == Phase::Serving;
         let digest = submit.digest;
@@ -54,11 +54,11 @@
             .with(move |jobs| jobs.join_or_begin(key, digest, may_begin))
             .await;
         let rx = match joining {
-            None => return Verdict::NotHere(ReasonCode::Leaving),
+            None => return SubmitResult::NotHere(ReasonCode::Leaving),
             Some(Joining::Conflict) => {
                 let detail = "the idempotency key was used before with another body; use a new key";
                 let outcome = Outcome::not_run(ReasonCode::KeyConflict, detail, None);
-                return Verdict::Answered(outcome);
+                return SubmitResult::Answered(outcome);
             }
             Some(Joining::Known(rx)) => rx,
             Some(Joining::Begun(tx)) => {
@@ -70,10 +70,10 @@
         match wait_for_answer(rx).await {
             // Another guard may have had the submission, so what this one alone knows proves nothing.
             Some(answer) if answer.rests_on_sole_attempt && !is_sole_attempt => {
-                Verdict::NotHere(ReasonCode::Unavailable)
+                SubmitResult::NotHere(ReasonCode::Unavailable)
             }
-            Some(answer) => Verdict::Answered(answer.outcome.clone()),
-            None => Verdict::NotHere(ReasonCode::Unavailable),
+            Some(answer) => SubmitResult::Answered(answer.outcome.clone()),
+            None => SubmitResult::NotHere(ReasonCode::Unavailable),
         }
     }
 
--- a/crates/claims/cloverfold_coordinate/src/lib.rs
+++ b/crates/claims/cloverfold_coordinate/src/lib.rs
@@ -20,5 +20,5 @@
 mod plugin;
 
 pub use coordinator::Coordinator;
-pub use messages::{JobState, Query, QueryReply, Submit, SubmitReply, Verdict};
+pub use messages::{JobState, Query, QueryReply, Submit, SubmitReply, SubmitResult};
 pub use plugin::CoordinatePlugin;
--- a/crates/claims/cloverfold_coordinate/src/messages.rs
+++ b/crates/claims/cloverfold_coordinate/src/messages.rs
@@ -47,12 +47,12 @@
     /// Number of the request that is answered.
     pub attempt: u64,
     /// The answer.
-    pub verdict: Verdict,
+    pub verdict: SubmitResult,
 }
 
 /// The guard's verdict on a [`Submit`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum SubmitResult {
     /// The job's answer.
     Answered(Outcome),
     /// This guard did nothing with the request; another may run it.
--- a/crates/claims/cloverfold_entry/src/routing.rs
+++ b/crates/claims/cloverfold_entry/src/routing.rs
@@ -11,7 +11,7 @@
 use cloverfold_claims_core::{
     Cell, GuardId, Outcome, ReasonCode, SubmissionKey, derive_submission_key, format_key,
 };
-use cloverfold_coordinate::{JobState, Query, Submit, SubmitReply, Verdict};
+use cloverfold_coordinate::{JobState, Query, Submit, SubmitReply, SubmitResult};
 use cloverfold_membership::{Directory, Membership};
 use cloverfold_net::{CallError, Network};
 use tokio::time::sleep;
@@ -122,8 +122,8 @@
                 Attempt::Lost
             }
             Ok(reply) => match reply.verdict {
-                Verdict::Answered(outcome) => Attempt::Answered(outcome),
-                Verdict::NotHere(reason) => {
+                SubmitResult::Answered(outcome) => Attempt::Answered(outcome),
+                SubmitResult::NotHere(reason) => {
                     log::debug!(key = key, guard = guard; "not taken: {}", reason.as_str());
                     Attempt::NotAccepted
                 }
--- a/crates/claims/cloverfold_net/src/peer.rs
+++ b/crates/claims/cloverfold_net/src/peer.rs
@@ -18,7 +18,7 @@
 
 impl PeerRole {
     /// Reads the role out of a process's name.
-    pub fn of_name(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         match name.split_once('-')?.0 {
             "entry" => Some(Self::Entry),
             "guard" => Some(Self::Guard),
--- a/crates/claims/cloverfold_net/src/tls.rs
+++ b/crates/claims/cloverfold_net/src/tls.rs
@@ -102,6 +102,6 @@
     let chain = identity.downcast::<Vec<CertificateDer<'static>>>().ok()?;
     let certificate = webpki::EndEntityCert::try_from(chain.first()?).ok()?;
     let name = certificate.valid_dns_names().next()?.to_owned();
-    let role = PeerRole::of_name(&name)?;
+    let role = PeerRole::from_name(&name)?;
     Some(Peer { name, role })
 }
--- a/crates/cloverfold/src/bin/cloverfold/keys.rs
+++ b/crates/cloverfold/src/bin/cloverfold/keys.rs
@@ -26,7 +26,7 @@
             bail!("name at least one process, as in: cloverfold keys guard-1 entry-1 operator-1");
         }
         for name in &self.names {
-            if PeerRole::of_name(name).is_none() {
+            if PeerRole::from_name(name).is_none() {
                 bail!("{name}: must begin with guard-, entry- or operator-");
             }
         }
