--- a/crates/tools/cloverfold_soak/src/run/links.rs
+++ b/crates/tools/cloverfold_soak/src/run/links.rs
@@ -11,7 +11,7 @@
 use cloverfold_peer::PeerMessage;
 
 use super::layout::{Layout, Side};
-use crate::plan::{GUARDS, Way, list_processes};
+use crate::plan::{CutDirection, GUARD_COUNT, list_processes};
 use crate::records::Process;
 
 /// A fault of links that lasts.
@@ -21,15 +21,15 @@
     Cut {
         side: Vec<Process>,
         other: Vec<Process>,
-        way: Way,
+        way: CutDirection,
     },
     /// Nothing passes between a process and its callers, operators or target.
-    CutOff { process: Process, way: Way },
+    CutOff { process: Process, way: CutDirection },
     /// All that passes to and from a process is late.
     Delay { process: Process, by: Duration },
 }
 
-impl Way {
+impl CutDirection {
     fn is_outwards(self) -> bool {
         self != Self::Inwards
     }
@@ -94,7 +94,7 @@
             let interface = LinkProxy::start(outer, inner, name_nobody)?;
             links.interfaces.insert(process, interface);
         }
-        for guard in 0..GUARDS {
+        for guard in 0..GUARD_COUNT {
             let (outer, inner) = (
                 layout.target(guard, Side::Outer),
                 layout.target(guard, Side::Inner),
@@ -125,14 +125,14 @@
     /// Resets all connections that others have opened to a process, and those to its target.
     pub(crate) fn reset(&self, process: Process) {
         for proxy in self.proxies_of(process) {
-            proxy.reset_open();
+            proxy.reset_connections();
         }
     }
 
     /// Lets all such connections go silent for good.
     pub(crate) fn silence(&self, process: Process) {
         for proxy in self.proxies_of(process) {
-            proxy.silence_open();
+            proxy.blackhole_connections();
         }
     }
 
@@ -148,7 +148,7 @@
     fn apply(&self, active: &BTreeMap<u64, LinkFault>) {
         let all = |find: &dyn Fn(&LinkFault) -> LinkFaults| {
             let faults = active.values().map(find);
-            faults.fold(LinkFaults::default(), LinkFaults::and)
+            faults.fold(LinkFaults::default(), LinkFaults::combine)
         };
         for (process, proxy) in &self.peers {
             for (dialer, name) in &self.names {
@@ -203,10 +203,10 @@
     }
 }
 
-fn hold(holds_there: bool, holds_back: bool) -> LinkFaults {
+fn hold(blocks_to_upstream: bool, blocks_to_dialer: bool) -> LinkFaults {
     LinkFaults {
-        holds_there,
-        holds_back,
+        blocks_to_upstream,
+        blocks_to_dialer,
         ..LinkFaults::default()
     }
 }
