--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -19,8 +19,8 @@
 };
 use cloverfold_claims_core::{
     Accepted, Ballot, Claim, ClaimReply, ClaimRequest, GuardPhase, GuardReport, Incarnations,
-    Outcome, Placement, ReasonCode, RecoveryPage, RecoveryState, ReleaseResult, ReplicaRecord,
-    ReplicaReply, RetryPolicy, Submission, SubmissionKey, TaskEnd,
+    Outcome, Placement, ReasonCode, RecoveryPage, RecoveryState, ReleaseResult, Repeat,
+    ReplicaRecord, ReplicaReply, Submission, SubmissionKey, TaskEnd,
 };
 use cloverfold_coordinate::{JobState, Query, QueryReply, Submit, SubmitReply, SubmitResult};
 use cloverfold_execute::{Assign, AssignReply, AssignedTask, Release, ReleaseReply, TaskReport};
@@ -208,10 +208,10 @@
     })
 }
 
-fn repeats() -> Vec<Sample<RetryPolicy>> {
-    each_variant!(RetryPolicy {
-        RetryPolicy::Never => one("never", RetryPolicy::Never),
-        RetryPolicy::Allowed => one("allowed", RetryPolicy::Allowed),
+fn repeats() -> Vec<Sample<Repeat>> {
+    each_variant!(Repeat {
+        Repeat::Never => one("never", Repeat::Never),
+        Repeat::Allowed => one("allowed", Repeat::Allowed),
     })
 }
 
@@ -587,7 +587,7 @@
     let mut all = wrap("submit-request", repeats(), |repeat| {
         submit(repeat, true, tasks.clone())
     });
-    let again = submit(RetryPolicy::Never, false, Vec::new());
+    let again = submit(Repeat::Never, false, Vec::new());
     all.extend(one("submit-request-not-sole-no-task", again));
     all
 }
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -10,7 +10,7 @@
 use crate::claim::Claim;
 use crate::fence::{ReleaseResult, TaskEnd};
 use crate::job_events::{EventContext, JobAction, JobEvent};
-use crate::outcome::{Outcome, ReasonCode, RetryPolicy};
+use crate::outcome::{Outcome, ReasonCode, Repeat};
 use crate::task_progress::{TaskProgress, TaskStatus};
 use crate::{Placement, TaskIndex};
 
@@ -24,7 +24,7 @@
 /// State of one driver of a job.
 #[derive(Clone, Debug)]
 pub struct JobProgress {
-    repeat: RetryPolicy,
+    repeat: Repeat,
     tasks: Vec<TaskProgress>,
     failure: Option<Failure>,
     is_answered: bool,
@@ -32,7 +32,7 @@
 
 impl JobProgress {
     /// Begins to drive a claim; returns the progress and the first assignments.
-    pub fn begin(claim: &Claim, repeat: RetryPolicy) -> (Self, Vec<JobAction>) {
+    pub fn begin(claim: &Claim, repeat: Repeat) -> (Self, Vec<JobAction>) {
         let places =
             (0..claim.tasks.len() as TaskIndex).filter_map(|task| claim.placement_of(task));
         let tasks: Vec<TaskProgress> = places.map(TaskProgress::new).collect();
@@ -214,7 +214,7 @@
     /// A task is repeated only where its workspace allows it and its place, not the task itself, failed.
     fn can_repeat(&self, reason: ReasonCode) -> bool {
         let is_place_at_fault = matches!(reason, ReasonCode::GuardLost | ReasonCode::TargetLost);
-        self.repeat == RetryPolicy::Allowed && is_place_at_fault && self.failure.is_none()
+        self.repeat == Repeat::Allowed && is_place_at_fault && self.failure.is_none()
     }
 
     /// Records the first failure and asks for the release of every task that is still assigned.
--- a/crates/claims/cloverfold_claims_core/src/outcome.rs
+++ b/crates/claims/cloverfold_claims_core/src/outcome.rs
@@ -10,7 +10,7 @@
 /// Whether the system may start a task again after its first start was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RetryPolicy {
+pub enum Repeat {
     /// A task starts at most once, whatever fails.
     #[default]
     Never,
--- a/crates/claims/cloverfold_coordinate/src/messages.rs
+++ b/crates/claims/cloverfold_coordinate/src/messages.rs
@@ -4,7 +4,7 @@
 
 use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
-    BodyDigest, Outcome, ReasonCode, RetryPolicy, ServiceId, Submission, SubmissionKey, WorkspaceId,
+    BodyDigest, Outcome, ReasonCode, Repeat, ServiceId, Submission, SubmissionKey, WorkspaceId,
 };
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
@@ -28,7 +28,7 @@
     /// No start at or after this time.
     pub deadline: UnixTime,
     /// Whether a task may start again after its first start was lost.
-    pub repeat: RetryPolicy,
+    pub repeat: Repeat,
     /// What each task gives to the target.
     pub tasks: Vec<Vec<u8>>,
 }
--- a/crates/claims/cloverfold_entry/src/submission.rs
+++ b/crates/claims/cloverfold_entry/src/submission.rs
@@ -6,9 +6,7 @@
 use std::time::Duration;
 
 use cloverfold_base::{UnixTime, hash_parts};
-use cloverfold_claims_core::{
-    BodyDigest, CLOCK_MARGIN, RetryPolicy, Submission, derive_submission_key,
-};
+use cloverfold_claims_core::{BodyDigest, CLOCK_MARGIN, Repeat, Submission, derive_submission_key};
 use http::StatusCode;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -75,7 +73,7 @@
     /// No start at or after this time.
     pub deadline: UnixTime,
     /// Whether a task may be repeated.
-    pub repeat: RetryPolicy,
+    pub repeat: Repeat,
     /// What each task gives to the target.
     pub tasks: Vec<Vec<u8>>,
 }
@@ -87,7 +85,7 @@
     #[serde(borrow)]
     tasks: Vec<&'a RawValue>,
     #[serde(default)]
-    repeat: RetryPolicy,
+    repeat: Repeat,
     deadline_ms: Option<u64>,
     deadline_unix_ms: Option<u64>,
     first_submitted_unix_ms: Option<u64>,
@@ -242,10 +240,10 @@
 }
 
 /// Hashes what has to be equal in all submissions under one key; the deadline may differ between them.
-fn digest_body(service: &str, repeat: RetryPolicy, tasks: &[Vec<u8>]) -> BodyDigest {
+fn digest_body(service: &str, repeat: Repeat, tasks: &[Vec<u8>]) -> BodyDigest {
     let repeat: &[u8] = match repeat {
-        RetryPolicy::Never => b"never",
-        RetryPolicy::Allowed => b"allowed",
+        Repeat::Never => b"never",
+        Repeat::Allowed => b"allowed",
     };
     let mut parts = vec![service.as_bytes(), repeat];
     parts.extend(tasks.iter().map(Vec::as_slice));
