--- a/crates/claims/cloverfold_claims_core/src/replica.rs
+++ b/crates/claims/cloverfold_claims_core/src/replica.rs
@@ -29,7 +29,7 @@
     started_at: UnixTime,
     keeping: Keeping,
     recovery_state: RecoveryState,
-    /// RecoveryState that each source had when copying from it ended.
+    /// Recovery state of each source when copying from it ended.
     sources: BTreeMap<GuardId, RecoveryState>,
     known: Incarnations,
     records: Records,
