--- a/crates/common/cloverfold_base/src/suspension.rs
+++ b/crates/common/cloverfold_base/src/suspension.rs
@@ -20,7 +20,6 @@
 }
 
 impl ClockOffset {
-    /// Reads both clocks.
     fn read() -> Self {
         let before = read_monotonic_clock();
         let boot = read_boot_clock();
--- a/crates/common/cloverfold_link/src/link.rs
+++ b/crates/common/cloverfold_link/src/link.rs
@@ -42,7 +42,7 @@
 pub enum LinkEvent<M> {
     /// The link has opened.
     Opened {
-        /// The connection.
+        /// Number of the link.
         link: LinkId,
         /// Remote address of the connection; if the peer dialed, this is not the address on which it listens.
         address: SocketAddr,
@@ -53,14 +53,14 @@
     },
     /// The peer has sent a message.
     Received {
-        /// The connection.
+        /// Number of the link.
         link: LinkId,
         /// The message.
         message: M,
     },
     /// The link has closed.
     Closed {
-        /// The connection.
+        /// Number of the link.
         link: LinkId,
     },
 }
--- a/crates/common/cloverfold_link/tests/links.rs
+++ b/crates/common/cloverfold_link/tests/links.rs
@@ -158,7 +158,7 @@
     let (client_tx, mut client) = mpsc::channel(16);
     tokio::spawn(accept_links(listener, server_tx));
     let dialer = Dialer::start(address, DialBackoff::default(), client_tx);
-    // The senders within the events keep the link open from both sides.
+    // The senders in the events keep the link open from both sides.
     let _opened = [next(&mut client).await, next(&mut server).await];
 
     drop(dialer);
@@ -203,7 +203,7 @@
     let (client_tx, mut client) = mpsc::channel(16);
     tokio::spawn(accept_links(listener, server_tx));
     let _dialer = Dialer::start(proxy.address(), DialBackoff::default(), client_tx);
-    // The senders within the events keep the link open from both sides.
+    // The senders in the events keep the link open from both sides.
     let _opened = [next(&mut client).await, next(&mut server).await];
 
     proxy.silence_open();
--- a/crates/leased/cloverfold_leased_entry/src/driven_jobs.rs
+++ b/crates/leased/cloverfold_leased_entry/src/driven_jobs.rs
@@ -46,17 +46,14 @@
         (job.epoch == epoch).then_some(number)
     }
 
-    /// Returns a job by its number.
     pub(crate) fn get(&self, number: JobNumber) -> Option<&DrivenJob> {
         self.by_number.get(&number)
     }
 
-    /// Returns the ID of a job.
     pub(crate) fn id(&self, number: JobNumber) -> Option<JobId> {
         self.by_number.get(&number).map(|job| job.id.clone())
     }
 
-    /// Returns the number of a job.
     pub(crate) fn number(&self, id: &str) -> Option<JobNumber> {
         self.by_id.get(id).copied()
     }
--- a/crates/leased/cloverfold_leased_entry/src/job_counts.rs
+++ b/crates/leased/cloverfold_leased_entry/src/job_counts.rs
@@ -69,7 +69,6 @@
         self.counters.clone()
     }
 
-    /// Counts a job of a queue.
     pub(crate) fn count(&self, queue: &str, outcome: JobOutcome) {
         let label = JobLabel {
             queue: self.name(queue),
--- a/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
@@ -128,7 +128,6 @@
         }
     }
 
-    /// Cancels a kept job.
     pub(crate) async fn cancel_kept(&self, id: &str, request: &Request) -> Response {
         let timeout = self.call_timeout(request, CANCEL_TIMEOUT);
         let answer = self.lock().cancel_kept(id, timeout);
@@ -186,7 +185,7 @@
 
 /// Waits for the reply of a group.
 async fn receive(answer: GroupAnswer) -> CallAnswer {
-    // The state drops the sender without an answer only when the process ends.
+    // The state drops the sender without an answer only when the process exits.
     answer.await.unwrap_or(CallAnswer::Unknown)
 }
 
--- a/crates/leased/cloverfold_leased_entry/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_entry/src/metrics.rs
@@ -98,12 +98,11 @@
         self.acceptance_seconds.observe(took.as_secs_f64());
     }
 
-    /// Counts a job by its outcome.
     pub(crate) fn count_job(&self, queue: &str, outcome: JobOutcome) {
         self.jobs.count(queue, outcome);
     }
 
-    /// Writes the metrics as text.
+    /// Updates the gauges from the state and encodes all metrics as text.
     pub(crate) fn write(&self, state: &EntryState) -> String {
         let counts = state.counts();
         self.runs.set(&[
--- a/crates/leased/cloverfold_leased_entry/src/pending_counts.rs
+++ b/crates/leased/cloverfold_leased_entry/src/pending_counts.rs
@@ -39,7 +39,6 @@
         self.find(queue, USABLE_AGE, now)
     }
 
-    /// Records a count.
     pub(crate) fn record(&self, queue: &str, count: usize, asked_at: Timestamp) {
         let mut by_queue = self.lock();
         if by_queue.len() >= MAX_QUEUES {
--- a/crates/leased/cloverfold_leased_entry/src/state/kept.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/kept.rs
@@ -42,7 +42,6 @@
         self.await_group(token)
     }
 
-    /// Cancels a job.
     pub(crate) fn cancel_kept(&mut self, id: &str, timeout: Duration) -> GroupAnswer {
         let now = self.clock.now();
         let token = self.driver.cancel(id, now + timeout, now);
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -31,7 +31,6 @@
 use crate::run_numbers::first_run_number;
 pub(crate) use kept::GroupAnswer;
 
-/// The state of an entry.
 pub(crate) struct EntryState {
     clock: ProcessClock,
     suspensions: SuspensionMonitor,
@@ -167,7 +166,6 @@
         now
     }
 
-    /// Returns the current time.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -94,7 +94,7 @@
             job: id,
             number,
         };
-        // The state drops the sender without an answer only when the process ends.
+        // The state drops the sender without an answer only when the process exits.
         let answer = answer.await.unwrap_or(JobAnswer::GivenUp);
         cancel.number = None;
         answer
--- a/crates/leased/cloverfold_leased_guard/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_guard/src/metrics.rs
@@ -116,7 +116,7 @@
         ]);
     }
 
-    /// Writes the metrics as text.
+    /// Updates the gauges from the state and encodes all metrics as text.
     pub(crate) fn write(&self, state: &GuardState) -> String {
         let counts = state.counts();
         self.runs.set(&[
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -30,7 +30,6 @@
 use crate::interface::RegistrationCall;
 use crate::target_orders::TargetOrder;
 
-/// The state of a guard.
 pub(crate) struct GuardState {
     clock: ProcessClock,
     suspensions: SuspensionMonitor,
@@ -176,7 +175,6 @@
         self.runner.processor_use()
     }
 
-    /// Returns how fast the target usually is.
     pub(crate) fn usual_speed(&self) -> UsualSpeed {
         self.runner.usual_speed()
     }
--- a/crates/leased/cloverfold_leased_guard/src/target_orders.rs
+++ b/crates/leased/cloverfold_leased_guard/src/target_orders.rs
@@ -10,12 +10,9 @@
 use crate::interface::TargetInterface;
 use crate::state::GuardState;
 
-/// An order for the target.
 #[derive(Debug)]
 pub(crate) enum TargetOrder {
-    /// Start a run.
     Start(StartOrder),
-    /// Stop a run.
     Stop(StopOrder),
 }
 
