--- a/crates/common/cloverfold_link/tests/links.rs
+++ b/crates/common/cloverfold_link/tests/links.rs
@@ -206,7 +206,7 @@
     // The senders in the events keep the link open from both sides.
     let _opened = [next(&mut client).await, next(&mut server).await];
 
-    proxy.silence_open();
+    proxy.blackhole_connections();
 
     assert!(matches!(next(&mut client).await, LinkEvent::Closed { .. }));
     let LinkEvent::Opened { sender, .. } = next(&mut client).await else {
