--- a/crates/tools/cloverfold_leased_solo/src/lib.rs
+++ b/crates/tools/cloverfold_leased_solo/src/lib.rs
@@ -1,8 +1,8 @@
-//! A whole leased installation in one process, for newcomers.
+//! A complete leased installation in one process, for trying it out.
 //!
-//! [`LeasedSolo`] starts control processes, entries, and guards with a [sample target](LocalTarget) each as tasks of this process, over
-//! the same links and calls as separate processes; only the calls to targets stay within the process. Owns a temporary folder with the
-//! state of the control processes. Each role has a loopback address of its own (127.0.0.0/8), as boxes have.
+//! [`LeasedSolo`] starts control processes, entries, and guards with one [sample target](LocalTarget) each as tasks of this process. They
+//! use the same links and calls as separate processes, except that a guard calls its target directly. The control processes keep their
+//! state in a temporary folder. Each process has its own loopback address (127.0.0.0/8).
 
 mod addresses;
 mod error;
--- a/crates/tools/cloverfold_leased_solo/src/local_target.rs
+++ b/crates/tools/cloverfold_leased_solo/src/local_target.rs
@@ -1,6 +1,6 @@
-//! A sample target within this process: the guard calls it without a connection.
+//! A sample target that its guard calls within this process, without a connection.
 //!
-//! Owns the clock around a [`TargetState`]. It registers with its guard over HTTP, as every target does.
+//! The target adds a clock to a [`TargetState`]. It registers with its guard over HTTP, as every target does.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,7 +20,7 @@
 
 use crate::target_state::TargetState;
 
-/// How often a target registers. Chosen, not measured.
+/// Interval of the registrations of a target.
 const REGISTRATION_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A sample target.
@@ -32,30 +32,30 @@
     started_at: Instant,
     start_time: StartTimeMs,
     state: Mutex<TargetState>,
-    /// Notified when a run was started or stopped.
+    /// Notified when a run is started or stopped.
     changed: Notify,
 }
 
 impl LocalTarget {
-    /// Returns a target on which nothing runs.
+    /// Creates a target without runs.
     pub fn new(name: &str, service: &str, capacity: Resources) -> Arc<Self> {
         Arc::new(Self {
             name: name.into(),
             service: service.into(),
             capacity,
             started_at: Instant::now(),
-            start_time: read_time_of_day(),
+            start_time: read_unix_time_ms(),
             state: Mutex::default(),
             changed: Notify::new(),
         })
     }
 
-    /// Returns how many runs were started.
+    /// Returns the number of started runs.
     pub fn start_count(&self) -> u64 {
         self.lock().start_count()
     }
 
-    /// Registers with the guard at an address again and again, for as long as the future is polled.
+    /// Registers with the guard at an address periodically while the future is polled.
     pub async fn register_periodically(self: Arc<Self>, guard: SocketAddr) {
         let client = HttpClient::default();
         loop {
@@ -66,14 +66,14 @@
             if let Ok(request) = request
                 && let Err(cause) = client.call(guard, request, REGISTRATION_INTERVAL).await
             {
-                log::debug!(target = self.name.as_str(); "a registration fails: {cause}");
+                log::debug!(target = self.name.as_str(); "registration with the guard failed: {cause}");
             }
             sleep(REGISTRATION_INTERVAL).await;
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, TargetState> {
-        // A panic while it was locked leaves no change half made that matters here.
+        // The state stays valid after a panic in a critical section.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -99,24 +99,24 @@
         }
     }
 
-    /// Waits for an end, as long as the renewal allows.
-    async fn wait_for_end(&self, longest: Duration) {
-        // Whether there is an end or the wait is over, the target lists what there is.
-        let _ = timeout(longest, self.meet_end()).await;
+    /// Waits for the end of a run, at most as long as the renewal allows.
+    async fn wait_for_end(&self, limit: Duration) {
+        // The answer lists the same data after an end and after a timeout.
+        let _ = timeout(limit, self.wait_for_next_end()).await;
     }
 
-    async fn meet_end(&self) {
+    async fn wait_for_next_end(&self) {
         loop {
-            let Some(wait) = self.plan_wait() else {
+            let Some(wait) = self.next_wait() else {
                 return;
             };
-            // Whether runs have changed or the next one is over, it looks again.
+            // Checks again after a change of the runs and after the expected end of the next run.
             let _ = timeout(wait, self.changed.notified()).await;
         }
     }
 
-    /// Returns how long to wait before looking for an end again; `None` if there is one.
-    fn plan_wait(&self) -> Option<Duration> {
+    /// Returns how long to wait before the next check for an end, or `None` if there is one.
+    fn next_wait(&self) -> Option<Duration> {
         let now = self.now();
         let mut state = self.lock();
         state.advance(now);
@@ -138,13 +138,13 @@
     }
 }
 
-/// Returns the time of day in milliseconds since 1970; 0 for a clock before that.
-fn read_time_of_day() -> StartTimeMs {
+/// Returns the wall-clock time in milliseconds since the Unix epoch, or 0 if the clock is before the epoch.
+fn read_unix_time_ms() -> StartTimeMs {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as StartTimeMs
 }
 
-/// How a guard calls the target beside it.
+/// The in-process interface of a guard to its target.
 #[derive(Clone, Debug)]
 pub struct LocalTargetInterface(pub Arc<LocalTarget>);
 
--- a/crates/tools/cloverfold_leased_solo/src/system.rs
+++ b/crates/tools/cloverfold_leased_solo/src/system.rs
@@ -1,4 +1,4 @@
-//! Start and stop of all roles of a leased installation in one process.
+//! Starts and stops all processes of a leased installation as tasks of this process.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
@@ -23,29 +23,29 @@
 use crate::error::LeasedSoloError;
 use crate::local_target::{LocalTarget, LocalTargetInterface};
 
-/// How long a role may take to become ready. Chosen, not measured.
+/// Timeout for a process to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
-/// How often readiness is asked for, and how long one call may take. Chosen, not measured.
-const READY_POLL: Duration = Duration::from_millis(50);
-/// Longest call within the installation. Chosen, not measured.
+/// Polling interval for readiness.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of a call within the installation.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a planned stop of an entry may take, in milliseconds. Chosen, not measured.
+/// Drain timeout of entries and guards, in milliseconds.
 const DRAIN_MS: u64 = 5_000;
-/// How long a stopping entry takes new requests, in milliseconds: no balancer has to notice here. Chosen, not measured.
+/// How long a stopping entry accepts new requests, in milliseconds. Short, because there is no load balancer to notice the stop.
 const LINGER_MS: u64 = 100;
-/// What each sample target has. Chosen, not measured.
+/// Capacity of each sample target.
 const TARGET_CAPACITY: Resources = Resources {
     cpu_milli: 16_000,
     memory_mb: 32_768,
     accelerators: 0,
 };
-/// The data halls; control processes and guards are spread over them in turn.
+/// Data halls, assigned round-robin to control processes and guards.
 const HALLS: [&str; 2] = ["hall-a", "hall-b"];
 
-/// How many processes of each role there are.
+/// Number of processes of each role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoloSize {
-    /// Control processes, 1, 3 or 5.
+    /// Control processes: 1, 3 or 5.
     pub controls: u8,
     /// Entries, at most 9.
     pub entries: u8,
@@ -63,7 +63,7 @@
     }
 }
 
-/// A leased installation that runs; dropping it ends its processes and removes its files.
+/// A running leased installation. Dropping it stops its processes and removes its files.
 pub struct LeasedSolo {
     addresses: SoloAddresses,
     size: SoloSize,
@@ -78,11 +78,11 @@
 }
 
 impl LeasedSolo {
-    /// Starts all roles, brings a configuration with one queue into force, and waits until every entry is ready.
+    /// Starts all processes, applies a configuration with one queue, and waits until every entry is ready.
     ///
     /// # Errors
     ///
-    /// Returns which part could not start or did not become ready.
+    /// Returns an error if a part could not start or did not become ready.
     ///
     /// # Panics
     ///
@@ -112,13 +112,13 @@
         self.folder.path()
     }
 
-    /// Lists where operators are served.
+    /// Lists the operator addresses of the control processes.
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         let controls = self.controls.iter();
         controls.map(ControlProcess::operator_address).collect()
     }
 
-    /// Lists where callers are served.
+    /// Lists the caller addresses of the entries.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.entries
             .iter()
@@ -131,12 +131,12 @@
         &self.queue
     }
 
-    /// Returns the number of starts at all targets.
+    /// Returns the total number of runs that the targets have started.
     pub fn count_starts(&self) -> u64 {
         self.targets.iter().map(|target| target.start_count()).sum()
     }
 
-    /// Stops entries, then guards, then control processes, as planned.
+    /// Stops all processes with a planned stop: entries first, then guards, then control processes.
     pub async fn stop(self) {
         for entry in self.entries {
             entry.stop().await;
@@ -154,7 +154,7 @@
             let ip = self.addresses.control(index);
             let settings = json!({
                 "peer": self.describe_peer(&format!("control-{index}"), index, ip),
-                "operator_address": self.addresses.outside(ip),
+                "operator_address": self.addresses.external(ip),
                 "data_folder": self.folder.path().join(format!("control-{index}")),
                 "may_found": true,
                 "tolerated_losses": self.size.controls / 2,
@@ -170,7 +170,7 @@
     fn start_guards(&mut self) -> Result<(), LeasedSoloError> {
         for index in 0..self.size.guards {
             let ip = self.addresses.guard(index);
-            let registration = self.addresses.outside(ip);
+            let registration = self.addresses.external(ip);
             let settings = json!({
                 "peer": self.describe_peer(&format!("guard-{index}"), index, ip),
                 "registration_address": registration,
@@ -193,7 +193,7 @@
             let ip = self.addresses.entry(index);
             let settings = json!({
                 "peer": self.describe_peer(&format!("entry-{index}"), 0, ip),
-                "client_address": self.addresses.outside(ip),
+                "client_address": self.addresses.external(ip),
                 "ready_address": self.addresses.ready(ip),
                 "drain_ms": DRAIN_MS,
                 "linger_ms": LINGER_MS,
@@ -208,7 +208,7 @@
     fn describe_peer(&self, name: &str, index: u8, ip: IpAddr) -> Value {
         let controls = 0..self.size.controls;
         let seeds: Vec<SocketAddr> = controls
-            .map(|index| self.addresses.outside(self.addresses.control(index)))
+            .map(|index| self.addresses.external(self.addresses.control(index)))
             .collect();
         json!({
             "name": name,
@@ -244,19 +244,19 @@
     }
 }
 
-/// Repeats a call until it is answered 200.
-async fn wait_for<F>(what: &'static str, attempt: impl Fn() -> F) -> Result<(), LeasedSoloError>
+/// Repeats a call until it is answered with 200.
+async fn wait_for<F>(what: &'static str, send_call: impl Fn() -> F) -> Result<(), LeasedSoloError>
 where
     F: Future<Output = Result<StatusCode, LeasedSoloError>>,
 {
     let until_answered = async {
-        // While roles start, calls fail and are made again.
-        while !matches!(attempt().await, Ok(StatusCode::OK)) {
-            sleep(READY_POLL).await;
+        // Calls fail while processes are starting, and are retried.
+        while !matches!(send_call().await, Ok(StatusCode::OK)) {
+            sleep(READY_POLL_INTERVAL).await;
         }
     };
-    let in_time = timeout(READY_TIMEOUT, until_answered).await;
-    in_time.map_err(|_| LeasedSoloError::NotReady(what))
+    let outcome = timeout(READY_TIMEOUT, until_answered).await;
+    outcome.map_err(|_| LeasedSoloError::NotReady(what))
 }
 
 async fn call(
--- a/crates/tools/cloverfold_leased_solo/src/target_state.rs
+++ b/crates/tools/cloverfold_leased_solo/src/target_state.rs
@@ -1,7 +1,7 @@
-//! What runs at a sample target, without a clock.
+//! The state machine of a sample target: its runs, its unacknowledged ends, its lease and its fencing token.
 //!
-//! A task takes as many milliseconds as its work description says, or [`USUAL_WORK`]. Runs are leased: they end when the lease lapses.
-//! Owns the runs, the ends that are not acknowledged, and the fencing token.
+//! The caller passes the time. A task takes the number of milliseconds in its work description, or [`DEFAULT_WORK`]. All runs end when the
+//! lease lapses.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,9 +11,9 @@
     StartRefusal, StartTimeMs, StopOrder, TargetTime, TaskId,
 };
 
-/// How long a task takes whose work description is no number. Chosen, not measured.
-const USUAL_WORK: Duration = Duration::from_millis(100);
-/// Ended or stopped runs that are remembered, so that a late start of one is refused. Chosen, not measured.
+/// Duration of a task whose work description is not a number.
+const DEFAULT_WORK: Duration = Duration::from_millis(100);
+/// Number of ended or stopped runs that are remembered in order to refuse their late starts.
 const MAX_REMEMBERED_RUNS: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
@@ -23,12 +23,12 @@
     done_at: TargetTime,
 }
 
-/// The state of a sample target. Times are on the target's clock.
+/// The state of a sample target. All times are on the target's clock.
 #[derive(Debug, Default)]
 pub struct TargetState {
     running: BTreeMap<TaskId, RunningTask>,
     ended: VecDeque<EndedRun>,
-    /// Runs that have ended or were stopped before they began, oldest first.
+    /// Runs that ended or were stopped before their start, oldest first.
     ended_runs: VecDeque<(TaskId, u64)>,
     last_end: u64,
     lease_until: TargetTime,
@@ -37,12 +37,12 @@
 }
 
 impl TargetState {
-    /// Returns how many runs were started.
+    /// Returns the number of started runs.
     pub fn start_count(&self) -> u64 {
         self.starts
     }
 
-    /// Starts a run, or accepts that it is there already.
+    /// Starts a run. A repeated start of the same run succeeds without effect.
     pub fn start(&mut self, order: &StartOrder, now: TargetTime) -> StartAnswer {
         self.advance(now);
         match self.try_start(order, now) {
@@ -58,30 +58,30 @@
         if now > order.deadline {
             return Err(StartRefusal::Late);
         }
-        // A start that is refused below extends the lease too.
+        // A start that is refused below still extends the lease.
         self.lease_until = self.lease_until.max(order.deadline);
         match self.running.get(&order.task).map(|task| task.run) {
             Some(run) if run == order.run => Ok(()),
             Some(run) if run > order.run => Err(StartRefusal::Stale),
-            // The earlier run is at work in its place.
+            // An earlier run of the task is still active.
             Some(_) => Err(StartRefusal::NoCapacity),
             None if self.has_ended(order) => Err(StartRefusal::Stale),
             None => {
-                self.begin(order, now);
+                self.start_run(order, now);
                 Ok(())
             }
         }
     }
 
-    /// Returns whether the run or a later one of its task has ended or was stopped before it began.
+    /// Returns whether the run or a later one of its task ended or was stopped before its start.
     fn has_ended(&self, order: &StartOrder) -> bool {
         let is_stale = |(task, run): &(TaskId, u64)| *task == order.task && *run >= order.run;
         self.ended_runs.iter().any(is_stale)
     }
 
-    fn begin(&mut self, order: &StartOrder, now: TargetTime) {
+    fn start_run(&mut self, order: &StartOrder, now: TargetTime) {
         let work = order.spec.trim().parse().map(Duration::from_millis);
-        let work = work.unwrap_or(USUAL_WORK);
+        let work = work.unwrap_or(DEFAULT_WORK);
         self.starts += 1;
         let task = RunningTask {
             run: order.run,
@@ -91,7 +91,7 @@
         self.running.insert(order.task.clone(), task);
     }
 
-    /// Stops a run. One that is not there is never started: the stop may have overtaken the start.
+    /// Stops a run. An unknown run is remembered and never started, because the stop may have overtaken the start.
     pub fn stop(&mut self, order: &StopOrder, now: TargetTime) {
         self.advance(now);
         if !self.accept_token(order.fencing_token) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes a renewal: extends the lease and forgets acknowledged ends. Returns `false` if its fencing token is too low.
+    /// Handles a renewal: extends the lease and drops acknowledged ends. Returns `false` if the fencing token is too low.
     pub fn renew(&mut self, order: &RenewalOrder, now: TargetTime) -> bool {
         self.advance(now);
         if !self.accept_token(order.fencing_token) {
@@ -117,19 +117,19 @@
         true
     }
 
-    /// Returns whether an end waits to be acknowledged.
+    /// Returns whether there is an unacknowledged end.
     pub fn has_ends(&self) -> bool {
         !self.ended.is_empty()
     }
 
-    /// Returns when the next run ends, done or with its lease, if nothing happens before.
+    /// Returns the time at which the next run will be done or lapse, without further orders.
     pub fn next_end(&self) -> Option<TargetTime> {
         let ends = self.running.values().map(|task| task.done_at);
         let lapse = self.lease_until.saturating_add(1);
         ends.min().map(|end| end.min(lapse))
     }
 
-    /// Lists what runs and what has ended in the incarnation that began at `start_time`.
+    /// Lists the active runs and the unacknowledged ends of the incarnation that started at `start_time`.
     pub fn list(&mut self, start_time: StartTimeMs, now: TargetTime) -> RenewalAnswer {
         self.advance(now);
         let running = self.running.iter();
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Ends the runs that are done by now, and all others if the lease has lapsed.
+    /// Ends the runs that are done by `now`, and all other runs if the lease has lapsed.
     pub fn advance(&mut self, now: TargetTime) {
         let until = now.min(self.lease_until);
         let is_done = |(id, task): (&TaskId, &RunningTask)| {
@@ -153,8 +153,8 @@
             self.end(&task, EndCause::Done);
         }
         if now > self.lease_until {
-            let left: Vec<TaskId> = self.running.keys().cloned().collect();
-            for task in left {
+            let remaining: Vec<TaskId> = self.running.keys().cloned().collect();
+            for task in remaining {
                 self.end(&task, EndCause::Lapsed);
             }
         }
@@ -189,11 +189,11 @@
 }
 
 fn list_run(id: &TaskId, task: RunningTask, now: TargetTime) -> ListedRun {
-    let whole = task.done_at.saturating_sub(task.started_at).max(1);
-    let past = now.saturating_sub(task.started_at);
+    let duration = task.done_at.saturating_sub(task.started_at).max(1);
+    let elapsed = now.saturating_sub(task.started_at);
     ListedRun {
         task: id.clone(),
         run: task.run,
-        progress: Some((past * 100 / whole).min(99) as u8),
+        progress: Some((elapsed * 100 / duration).min(99) as u8),
     }
 }
--- a/crates/tools/cloverfold_leased_solo/tests/local_target.rs
+++ b/crates/tools/cloverfold_leased_solo/tests/local_target.rs
@@ -1,4 +1,4 @@
-//! A renewal that waits at a sample target is answered at the next end, also that of a run which began meanwhile.
+//! A waiting renewal is answered at the next end, even if the run started during the wait.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,9 +12,9 @@
 use cloverfold_leased_solo::{LocalTarget, LocalTargetInterface};
 use tokio::time::timeout;
 
-/// Longest wait for something that must come; no test depends on how long it takes.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// How long the renewals may wait: longer than any test.
+/// Timeout of expected events; much longer than a passing test needs.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long the renewals may wait; longer than any test.
 const RENEWAL_WAIT: Duration = Duration::from_secs(3_600);
 
 fn target() -> LocalTargetInterface {
@@ -41,10 +41,10 @@
         },
         run: 1,
         spec: "20".to_owned(),
-        deadline: PATIENCE.as_millis() as u64,
+        deadline: TEST_TIMEOUT.as_millis() as u64,
         fencing_token: 7,
         attempt: 1,
-        timeout: PATIENCE,
+        timeout: TEST_TIMEOUT,
     }
 }
 
@@ -66,18 +66,18 @@
 
 /// Lists how the runs ended, from the answer to a renewal.
 async fn read_causes(answer: impl Future<Output = RenewalAnswer>) -> Vec<EndCause> {
-    match timeout(PATIENCE, answer).await.unwrap() {
+    match timeout(TEST_TIMEOUT, answer).await.unwrap() {
         RenewalAnswer::Listed { ended, .. } => ended.into_iter().map(|end| end.cause).collect(),
         other => panic!("{other:?}"),
     }
 }
 
 #[tokio::test]
-async fn a_run_that_begins_during_a_renewal_is_listed_at_its_end() {
+async fn run_started_during_a_renewal_is_listed_at_its_end() {
     let target = target();
-    let calls = target.clone();
-    let renewing = tokio::spawn(async move { read_causes(calls.renew(renewal())).await });
-    // The renewal waits as soon as this task, the only other one, gives way.
+    let interface = target.clone();
+    let renewing = tokio::spawn(async move { read_causes(interface.renew(renewal())).await });
+    // Yielding lets the renewal task, the only other one, run until it waits.
     tokio::task::yield_now().await;
 
     target.start(start()).await;
--- a/crates/tools/cloverfold_leased_solo/tests/solo.rs
+++ b/crates/tools/cloverfold_leased_solo/tests/solo.rs
@@ -1,4 +1,4 @@
-//! A leased installation in one process, from its start to an answered job.
+//! End-to-end tests of a leased installation in one process.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,8 +13,8 @@
 use http_body_util::Full;
 use tokio::task::JoinSet;
 
-/// Longest wait for something that must come; no test depends on how long it takes.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of expected events; much longer than a passing test needs.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn submit(solo: &LeasedSolo, entry: SocketAddr, id: &str, body: String) -> StatusCode {
     let request = http::Request::builder()
@@ -23,12 +23,14 @@
         .header("Host", solo.queue().host())
         .body(Full::new(Bytes::from(body)))
         .unwrap();
-    let answer = HttpClient::default().call(entry, request, PATIENCE).await;
+    let answer = HttpClient::default()
+        .call(entry, request, TEST_TIMEOUT)
+        .await;
     answer.unwrap().0
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_entry_answers_a_job_whose_tasks_run_once() {
+async fn every_entry_answers_a_job_and_runs_its_tasks_once() {
     let size = SoloSize {
         controls: 1,
         entries: 2,
@@ -48,23 +50,25 @@
     solo.stop().await;
 }
 
-/// Kept jobs of [`every_kept_job_of_many_callers_is_answered`], and how many callers send them.
+/// Number of kept jobs in [`all_kept_jobs_of_many_callers_are_answered`], and number of callers that submit them.
 const KEPT_JOBS: usize = 300;
 const CALLERS: usize = 8;
 
-async fn ask(host: &str, entry: SocketAddr, path: String) -> (StatusCode, Bytes) {
+async fn query(host: &str, entry: SocketAddr, path: String) -> (StatusCode, Bytes) {
     let request = http::Request::builder()
         .method(Method::GET)
         .uri(path)
         .header("Host", host)
         .body(Full::new(Bytes::new()))
         .unwrap();
-    let answer = HttpClient::default().call(entry, request, PATIENCE).await;
+    let answer = HttpClient::default()
+        .call(entry, request, TEST_TIMEOUT)
+        .await;
     let (status, _, body) = answer.unwrap();
     (status, body)
 }
 
-/// Submits a kept job until it is accepted, and waits until the other entry shows its end.
+/// Submits a kept job until it is accepted, and waits until the other entry reports it as completed.
 async fn finish_kept_job(solo: &LeasedSolo, number: usize) {
     let entries = solo.entry_addresses();
     let (entry, other) = (entries[number % 2], entries[(number + 1) % 2]);
@@ -74,7 +78,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     loop {
-        let (status, body) = ask(solo.queue().host(), other, solo.queue().job_path(&id)).await;
+        let (status, body) = query(solo.queue().host(), other, solo.queue().job_path(&id)).await;
         if status == StatusCode::OK && body == r#"{"State":"completed"}"# {
             return;
         }
@@ -82,11 +86,10 @@
     }
 }
 
-/// A guard asked its target again and again, as fast as that answers, while the end of a kept run was not recorded. The sample targets
-/// answer without ever waiting, so all threads of the process were at that, and the control processes that record ends got no turn: after a
-/// dozen jobs no call was answered any more.
+/// Guards against busy polling: a guard that polls its in-process target without delay until the end of a kept run is recorded occupies all
+/// threads and starves the control processes that record ends.
 #[tokio::test(flavor = "multi_thread")]
-async fn every_kept_job_of_many_callers_is_answered() {
+async fn all_kept_jobs_of_many_callers_are_answered() {
     let solo = Arc::new(LeasedSolo::start(SoloSize::default()).await.unwrap());
     let mut callers = JoinSet::new();
 
@@ -98,7 +101,7 @@
             }
         });
     }
-    let all = tokio::time::timeout(PATIENCE, callers.join_all()).await;
+    let all = tokio::time::timeout(TEST_TIMEOUT, callers.join_all()).await;
 
-    assert!(all.is_ok(), "some kept jobs are not answered");
+    assert!(all.is_ok(), "some kept jobs were not answered in time");
 }
--- a/crates/tools/cloverfold_leased_solo/tests/target_state.rs
+++ b/crates/tools/cloverfold_leased_solo/tests/target_state.rs
@@ -1,4 +1,4 @@
-//! A sample target keeps leases and fencing tokens as targets do.
+//! A sample target implements leases, fencing tokens and acknowledged ends as real targets do.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// A start of a task of 100 ms, whose deadline extends the lease to 500.
+/// Returns a start order for a task of 100 ms, whose deadline extends the lease to 500 ms.
 fn start(run: u64) -> StartOrder {
     StartOrder {
         incarnation: IncarnationId {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_run_is_done_in_time_and_listed_until_it_is_acknowledged() {
+fn finished_run_is_listed_until_it_is_acknowledged() {
     let mut target = TargetState::default();
     target.start(&start(1), 0);
 
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_run_ends_with_its_lease() {
+fn run_lapses_with_its_lease() {
     let mut target = TargetState::default();
     let long = StartOrder {
         spec: "10000".to_owned(),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_renewal_keeps_a_run_alive() {
+fn renewal_extends_the_lease() {
     let mut target = TargetState::default();
     let long = StartOrder {
         spec: "10000".to_owned(),
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn late_ended_and_fenced_starts_are_refused() {
+fn late_stale_and_fenced_starts_are_refused() {
     let mut target = TargetState::default();
     target.start(&start(1), 0);
     list_ends(&mut target, 100);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_stop_that_overtakes_its_start_prevents_the_run() {
+fn stop_that_overtakes_its_start_prevents_the_run() {
     let mut target = TargetState::default();
 
     target.stop(&stop(1), 0);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn another_run_of_a_task_at_work_is_never_said_to_have_started() {
+fn start_of_another_run_of_an_active_task_is_refused() {
     let mut target = TargetState::default();
     target.start(&start(2), 0);
 
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_refused_start_that_is_in_time_extends_the_lease() {
+fn refused_start_before_its_deadline_extends_the_lease() {
     let mut target = TargetState::default();
     let other = TaskId { index: 1, ..task() };
     let long = StartOrder {
