--- a/crates/cloverfold/src/bin/cloverfold-guard.rs
+++ b/crates/cloverfold/src/bin/cloverfold-guard.rs
@@ -1,7 +1,7 @@
-//! `cloverfold-guard`: the process beside each target, of a claims installation or, with `--leased`, of a leased one.
+//! `cloverfold-guard`: the guard process beside each target of a claims installation or, with `--leased`, of a leased one.
 //!
-//! Owns the process from its settings to its planned stop. Relies on `cloverfold_claims_process` and `cloverfold_leased_guard` for what
-//! the process does.
+//! Runs the process from reading its settings to its graceful shutdown. `cloverfold_claims_process` and `cloverfold_leased_guard`
+//! implement the two kinds of guard.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -19,9 +19,8 @@
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
-/// Threads of a claims guard's runtime; each further one costs wake-ups. One instead of two is part of the change that took an idle guard
-/// of eleven from 1.91 % to 0.83 % of a core (`docs/MEASUREMENTS.md`, "What processes spend"); it was not measured by itself.
-const TRAFFIC_THREADS: usize = 1;
+/// Worker threads of a claims guard's runtime. Each further thread adds wake-ups to an idle guard.
+const GUARD_WORKER_THREADS: usize = 1;
 
 /// Start the tasks of one target, and coordinate jobs.
 #[derive(FromArgs)]
@@ -36,19 +35,19 @@
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let outcome = if args.leased {
+    let result = if args.leased {
         run_leased_guard(&args.settings)
     } else {
         run_guard(&args.settings)
     };
-    report_outcome(outcome)
+    report_outcome(result)
 }
 
 /// Runs the guard of a claims installation until a signal or an operator stops it.
 fn run_guard(file: &Path) -> Result<()> {
     let settings = GuardSettings::read(file)?;
     start_logging(&settings.log)?;
-    start_runtime(RuntimeThreads::Fixed(TRAFFIC_THREADS))?.block_on(async {
+    start_runtime(RuntimeThreads::Fixed(GUARD_WORKER_THREADS))?.block_on(async {
         let drain_timeout = settings.drain_timeout;
         let running = start_guard(settings).await?;
         running.run_until_signal(drain_timeout).await?;
@@ -56,7 +55,7 @@
     })
 }
 
-/// Runs the guard of a leased installation until a signal stops it; reloads changed settings.
+/// Runs the guard of a leased installation until a signal stops it, and reloads changed settings.
 fn run_leased_guard(file: &Path) -> Result<()> {
     let settings: LeasedGuardSettings = read_settings(file)?;
     start_logging(&settings.log)?;
--- a/crates/cloverfold/src/bin/cloverfold/check.rs
+++ b/crates/cloverfold/src/bin/cloverfold/check.rs
@@ -1,6 +1,6 @@
 //! `cloverfold check`: checks a settings file and starts nothing.
 //!
-//! Relies on the settings packages for the checks, and on field names to guess what a file is for.
+//! The settings packages check the file. Without `--role`, the role of the file is inferred from its field names.
 
 use std::path::{Path, PathBuf};
 
@@ -50,7 +50,7 @@
     pub(crate) fn run(self) -> Result<()> {
         let role = match self.role {
             Some(role) => role,
-            None => guess_role(&self.file)?,
+            None => infer_role(&self.file)?,
         };
         match role {
             Role::Cell => check_cell(&self.file)?,
@@ -65,11 +65,11 @@
     }
 }
 
-/// Checks a guard's settings, and that the cell's file names the guard.
+/// Checks a guard's settings and that the cell's file names the guard.
 fn check_guard(file: &Path) -> Result<()> {
     let settings = GuardSettings::read(file)?;
     let cell: CellSettings = read_settings(&settings.cell)?;
-    if !cell.guards.iter().any(|place| place.id == settings.id) {
+    if !cell.guards.iter().any(|guard| guard.id == settings.id) {
         bail!(
             "{}: id: the cell's file names no guard {}",
             file.display(),
@@ -84,21 +84,23 @@
     Ok(())
 }
 
-/// Guesses what a file is for by a field that only this kind of file has; the order matters, since a guard also has `http_address`.
-fn guess_role(file: &Path) -> Result<Role> {
+/// Infers the role of a file from a field that only files of this role have.
+///
+/// `http_address` comes last because a guard's file has it too.
+fn infer_role(file: &Path) -> Result<Role> {
     let text = std::fs::read_to_string(file)?;
-    let has = |field: &str| text.contains(&format!("\"{field}\""));
-    if has("operator_address") {
+    let has_field = |field: &str| text.contains(&format!("\"{field}\""));
+    if has_field("operator_address") {
         Ok(Role::Control)
-    } else if has("client_address") {
+    } else if has_field("client_address") {
         Ok(Role::LeasedEntry)
-    } else if has("registration_address") {
+    } else if has_field("registration_address") {
         Ok(Role::LeasedGuard)
-    } else if has("guards") {
+    } else if has_field("guards") {
         Ok(Role::Cell)
-    } else if has("target") {
+    } else if has_field("target") {
         Ok(Role::Guard)
-    } else if has("http_address") {
+    } else if has_field("http_address") {
         Ok(Role::Entry)
     } else {
         bail!("{}: say what it is for with --role", file.display())
--- a/crates/cloverfold/src/bin/cloverfold/configuration.rs
+++ b/crates/cloverfold/src/bin/cloverfold/configuration.rs
@@ -1,6 +1,6 @@
-//! `cloverfold configuration`: an operator's commands to the control processes of a leased installation.
+//! `cloverfold configuration`: shows, saves and restores the configuration of a leased installation.
 //!
-//! Relies on the operators' interface of a control process (`cloverfold_control`), over HTTP.
+//! Calls the operator API of a control process (`cloverfold_control`) over HTTP.
 
 use std::fs::File;
 use std::io::Write;
@@ -11,9 +11,9 @@
 use eyre::{Result, WrapErr};
 use http::Method;
 
-use crate::control_calls::{ControlCalls, run_calls};
+use crate::control_client::{ControlClient, run_with_client};
 
-/// Where a control process shows and takes the configuration.
+/// Path at which a control process serves and accepts the configuration.
 const CONFIGURATION_PATH: &str = "/v1/configuration";
 
 /// Show, save or send the configuration that the control processes keep.
@@ -66,25 +66,25 @@
 
 impl ConfigurationCommand {
     pub(crate) fn run(self) -> Result<()> {
-        run_calls(self.at, async |calls| self.action.carry_out(calls).await)
+        run_with_client(self.at, async |client| self.action.execute(client).await)
     }
 }
 
 impl Action {
-    async fn carry_out(&self, calls: &ControlCalls) -> Result<()> {
+    async fn execute(&self, client: &ControlClient) -> Result<()> {
         match self {
-            Self::Audit(_) => println!("{}", calls.get("/v1/audit").await?),
-            Self::Status(_) => println!("{}", calls.get("/v1/status").await?),
-            Self::Backup(backup) => back_up(calls, &backup.file).await?,
-            Self::Restore(restore) => send_saved(calls, &restore.file).await?,
+            Self::Audit(_) => println!("{}", client.get("/v1/audit").await?),
+            Self::Status(_) => println!("{}", client.get("/v1/status").await?),
+            Self::Backup(backup) => save_backup(client, &backup.file).await?,
+            Self::Restore(restore) => restore_backup(client, &restore.file).await?,
         }
         Ok(())
     }
 }
 
 /// Writes the configuration in force to a new file.
-async fn back_up(calls: &ControlCalls, path: &Path) -> Result<()> {
-    let text = calls.get(CONFIGURATION_PATH).await?;
+async fn save_backup(client: &ControlClient, path: &Path) -> Result<()> {
+    let text = client.get(CONFIGURATION_PATH).await?;
     let mut file = File::create_new(path).wrap_err_with(|| path.display().to_string())?;
     file.write_all(text.as_bytes())?;
     file.sync_all()?;
@@ -92,10 +92,12 @@
     Ok(())
 }
 
-/// Sends the configuration in a file.
-async fn send_saved(calls: &ControlCalls, path: &Path) -> Result<()> {
+/// Sends the configuration in a file to a control process.
+async fn restore_backup(client: &ControlClient, path: &Path) -> Result<()> {
     let text = std::fs::read_to_string(path).wrap_err_with(|| path.display().to_string())?;
-    calls.call(Method::PUT, CONFIGURATION_PATH, &text).await?;
+    client
+        .request(Method::PUT, CONFIGURATION_PATH, &text)
+        .await?;
     println!("{}: acknowledged", path.display());
     Ok(())
 }
--- a/crates/cloverfold/src/bin/cloverfold/control.rs
+++ b/crates/cloverfold/src/bin/cloverfold/control.rs
@@ -1,6 +1,6 @@
 //! `cloverfold control`: runs a control process of a leased installation.
 //!
-//! Owns the process from its settings to its planned stop. Relies on `cloverfold_control` for what it does.
+//! Runs the process from reading its settings to its graceful shutdown. `cloverfold_control` implements the process.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 }
 
 impl ControlCommand {
-    /// Runs the process until a signal stops it; reloads changed settings.
+    /// Runs the process until a signal stops it, and reloads changed settings.
     pub(crate) fn run(self) -> Result<()> {
         let settings: ControlSettings = read_settings(&self.settings)?;
         start_logging(&settings.log)?;
--- a/crates/cloverfold/src/bin/cloverfold/control_calls.rs
+++ b/crates/cloverfold/src/bin/cloverfold/control_client.rs
@@ -1,7 +1,6 @@
-//! What the operators' commands to the control processes of a leased installation share: their addresses and the calls.
+//! HTTP client for the operator API of the control processes, shared by the operator commands of a leased installation.
 //!
-//! Relies on the operators' interface of a control process (`cloverfold_control`), over HTTP. `argh` cannot share options among
-//! commands, so each command declares `at` itself.
+//! `argh` cannot share options between commands, so each command declares `at` itself.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,39 +12,39 @@
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
 
-/// How long one control process may take to answer. Chosen, not measured.
+/// Timeout of a request to one control process.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The control processes that a command calls.
-pub(crate) struct ControlCalls {
-    at: Vec<SocketAddr>,
+/// Sends requests to the first control process that answers.
+pub(crate) struct ControlClient {
+    addresses: Vec<SocketAddr>,
 }
 
-/// Runs the calls of a command to these control processes.
-pub(crate) fn run_calls<F>(at: Vec<SocketAddr>, calls: F) -> Result<()>
+/// Runs a command on a new runtime with a client for the control processes at these addresses.
+pub(crate) fn run_with_client<F>(addresses: Vec<SocketAddr>, command: F) -> Result<()>
 where
-    F: AsyncFnOnce(&ControlCalls) -> Result<()>,
+    F: AsyncFnOnce(&ControlClient) -> Result<()>,
 {
-    if at.is_empty() {
+    if addresses.is_empty() {
         bail!("--at: give the operator address of at least one control process");
     }
-    start_runtime(RuntimeThreads::PerCore)?.block_on(calls(&ControlCalls { at }))
+    start_runtime(RuntimeThreads::PerCore)?.block_on(command(&ControlClient { addresses }))
 }
 
-impl ControlCalls {
+impl ControlClient {
     pub(crate) async fn get(&self, path: &str) -> Result<String> {
-        self.call(Method::GET, path, "").await
+        self.request(Method::GET, path, "").await
     }
 
-    /// Calls one control process after the other until one answers with success or refuses the request.
+    /// Sends a request to one control process after the other until one answers with success or with a client error.
     ///
-    /// Other answers and broken calls lead to the next process; the last one is the error if none is left.
-    pub(crate) async fn call(&self, method: Method, path: &str, body: &str) -> Result<String> {
-        let client = HttpClient::default();
+    /// After any other status or a failed call it tries the next process; the last failure is the error if none is left.
+    pub(crate) async fn request(&self, method: Method, path: &str, body: &str) -> Result<String> {
+        let http_client = HttpClient::default();
         let mut last = String::new();
-        for address in &self.at {
+        for address in &self.addresses {
             let request = build_request(&method, *address, path, body)?;
-            match client.call(*address, request, CALL_TIMEOUT).await {
+            match http_client.call(*address, request, CALL_TIMEOUT).await {
                 Ok((StatusCode::OK, _, answer)) => {
                     return Ok(String::from_utf8_lossy(&answer).into_owned());
                 }
--- a/crates/cloverfold/src/bin/cloverfold/entry.rs
+++ b/crates/cloverfold/src/bin/cloverfold/entry.rs
@@ -1,6 +1,6 @@
 //! `cloverfold entry`: runs an entry of a claims installation.
 //!
-//! Owns the process from its settings to its planned stop. Relies on `cloverfold_claims_process` for what it does.
+//! Runs the process from reading its settings to its graceful shutdown. `cloverfold_claims_process` implements the process.
 
 use std::path::PathBuf;
 
--- a/crates/cloverfold/src/bin/cloverfold/evacuation.rs
+++ b/crates/cloverfold/src/bin/cloverfold/evacuation.rs
@@ -1,4 +1,4 @@
-//! `cloverfold evacuation`: an operator's orders for the data halls of a leased installation.
+//! `cloverfold evacuation`: starts, ends and lists evacuations of the data halls of a leased installation.
 
 use std::net::SocketAddr;
 
@@ -6,9 +6,9 @@
 use eyre::Result;
 use http::Method;
 
-use crate::control_calls::{ControlCalls, run_calls};
+use crate::control_client::{ControlClient, run_with_client};
 
-/// Where a control process shows the evacuations and takes orders.
+/// Path at which a control process lists evacuations and accepts orders.
 const EVACUATIONS_PATH: &str = "/v1/evacuations";
 
 /// Evacuate a data hall, take it back, or list the evacuations in force.
@@ -55,30 +55,30 @@
 
 impl EvacuationCommand {
     pub(crate) fn run(self) -> Result<()> {
-        run_calls(self.at, async |calls| self.action.carry_out(calls).await)
+        run_with_client(self.at, async |client| self.action.execute(client).await)
     }
 }
 
 impl Action {
-    async fn carry_out(&self, calls: &ControlCalls) -> Result<()> {
+    async fn execute(&self, client: &ControlClient) -> Result<()> {
         match self {
             Self::Start(Start { hall }) => {
-                order(calls, Method::POST, hall).await?;
+                send_order(client, Method::POST, hall).await?;
                 println!("{hall}: no task starts there any more");
             }
             Self::End(End { hall }) => {
-                order(calls, Method::DELETE, hall).await?;
+                send_order(client, Method::DELETE, hall).await?;
                 println!("{hall}: tasks start there again");
             }
-            Self::List(_) => println!("{}", calls.get(EVACUATIONS_PATH).await?),
+            Self::List(_) => println!("{}", client.get(EVACUATIONS_PATH).await?),
         }
         Ok(())
     }
 }
 
-/// Sends an order for a data hall until a control process has acknowledged it.
-async fn order(calls: &ControlCalls, method: Method, hall: &str) -> Result<()> {
+/// Sends an order for a data hall to the control processes; one of them must acknowledge it.
+async fn send_order(client: &ControlClient, method: Method, hall: &str) -> Result<()> {
     let path = format!("{EVACUATIONS_PATH}/{hall}");
-    calls.call(method, &path, "").await?;
+    client.request(method, &path, "").await?;
     Ok(())
 }
--- a/crates/cloverfold/src/bin/cloverfold/found.rs
+++ b/crates/cloverfold/src/bin/cloverfold/found.rs
@@ -1,6 +1,4 @@
-//! `cloverfold found`: founds a cell of a claims installation.
-//!
-//! Owns nothing. Relies on `cloverfold_claim` for the founding and on `operator` for the calls.
+//! `cloverfold found`: founds (bootstraps) a cell of a claims installation.
 
 use std::path::PathBuf;
 
--- a/crates/cloverfold/src/bin/cloverfold/hash_key.rs
+++ b/crates/cloverfold/src/bin/cloverfold/hash_key.rs
@@ -1,6 +1,4 @@
 //! `cloverfold hash-key`: hashes the key of a workspace for the cell's file.
-//!
-//! Owns nothing. Relies on `cloverfold_claims_settings` for the form of the hash.
 
 use argh::FromArgs;
 use cloverfold_claims_settings::hash_caller_key;
--- a/crates/cloverfold/src/bin/cloverfold/jobs.rs
+++ b/crates/cloverfold/src/bin/cloverfold/jobs.rs
@@ -1,4 +1,4 @@
-//! `cloverfold jobs`: an operator's look at the kept jobs of a leased installation.
+//! `cloverfold jobs`: lists, shows and cancels the kept jobs of a leased installation.
 
 use std::net::SocketAddr;
 
@@ -6,9 +6,9 @@
 use eyre::Result;
 use http::Method;
 
-use crate::control_calls::{ControlCalls, run_calls};
+use crate::control_client::{ControlClient, run_with_client};
 
-/// Where a control process shows and cancels kept jobs.
+/// Path at which a control process lists, shows and cancels kept jobs.
 const JOBS_PATH: &str = "/v1/jobs";
 
 /// List, show or cancel kept jobs.
@@ -55,18 +55,18 @@
 
 impl JobsCommand {
     pub(crate) fn run(self) -> Result<()> {
-        run_calls(self.at, async |calls| self.action.carry_out(calls).await)
+        run_with_client(self.at, async |client| self.action.execute(client).await)
     }
 }
 
 impl Action {
-    async fn carry_out(&self, calls: &ControlCalls) -> Result<()> {
+    async fn execute(&self, client: &ControlClient) -> Result<()> {
         let answer = match self {
-            Self::List(_) => calls.get(JOBS_PATH).await?,
-            Self::Show(Show { job }) => calls.get(&format!("{JOBS_PATH}/{job}")).await?,
+            Self::List(_) => client.get(JOBS_PATH).await?,
+            Self::Show(Show { job }) => client.get(&format!("{JOBS_PATH}/{job}")).await?,
             Self::Cancel(Cancel { job }) => {
                 let path = format!("{JOBS_PATH}/{job}");
-                calls.call(Method::DELETE, &path, "").await?
+                client.request(Method::DELETE, &path, "").await?
             }
         };
         println!("{answer}");
--- a/crates/cloverfold/src/bin/cloverfold/keys.rs
+++ b/crates/cloverfold/src/bin/cloverfold/keys.rs
@@ -1,6 +1,4 @@
-//! `cloverfold keys`: makes the keys of the processes of a claims installation.
-//!
-//! Owns nothing after the files are written. Relies on `cloverfold_net` for the keys.
+//! `cloverfold keys`: generates certificates and private keys for the processes of a claims installation.
 
 use std::path::PathBuf;
 
--- a/crates/cloverfold/src/bin/cloverfold/leave.rs
+++ b/crates/cloverfold/src/bin/cloverfold/leave.rs
@@ -1,6 +1,4 @@
-//! `cloverfold leave`: stops a guard of a claims installation as planned.
-//!
-//! Owns nothing. Relies on `cloverfold_membership` for the message and on `operator` for the call.
+//! `cloverfold leave`: drains and stops a guard of a claims installation.
 
 use std::path::PathBuf;
 
--- a/crates/cloverfold/src/bin/cloverfold/main.rs
+++ b/crates/cloverfold/src/bin/cloverfold/main.rs
@@ -1,11 +1,11 @@
-//! `cloverfold`: entries and control processes, the solo system, and the operators' commands.
+//! `cloverfold`: entries, control processes, the solo system and the operator commands.
 //!
-//! Each command is a module of its own: its arguments and what it runs. Relies on the packages of the processes for what they do.
+//! Each subcommand is a module with its arguments and its `run` method.
 
 mod check;
 mod configuration;
 mod control;
-mod control_calls;
+mod control_client;
 mod entry;
 mod evacuation;
 mod found;
--- a/crates/cloverfold/src/bin/cloverfold/operator.rs
+++ b/crates/cloverfold/src/bin/cloverfold/operator.rs
@@ -1,6 +1,6 @@
-//! What the operators' commands to the guards of a cell share: the cell's file, the operator's keys and the calls.
+//! Shared parts of the operator commands that call the guards of a cell: default options, the list of guards, and the network endpoint.
 //!
-//! `argh` cannot share options among commands, so each command declares `keys` and `name` itself, with the defaults from here.
+//! `argh` cannot share options between commands, so each command declares `keys` and `name` itself, with the defaults from here.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -12,15 +12,15 @@
 use cloverfold_settings::read_settings;
 use eyre::Result;
 
-/// How long a guard may take to answer. Chosen, not measured.
+/// Timeout of a call to one guard.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Returns the folder of the operator's keys where none is given.
+/// Returns the default folder of the operator's keys.
 pub(crate) fn default_keys() -> PathBuf {
     PathBuf::from("keys")
 }
 
-/// Returns the name in the operator's certificate where none is given.
+/// Returns the default name in the operator's certificate.
 pub(crate) fn default_name() -> String {
     "operator-1".into()
 }
@@ -31,16 +31,16 @@
     Ok(list_guard_addresses(&cell))
 }
 
-/// Opens an endpoint with an operator's keys, runs calls on it and closes it.
+/// Opens a network endpoint with an operator's keys, runs a command on it and closes the endpoint.
 ///
-/// After a failed call the process ends, so the endpoint is not closed in order.
-pub(crate) fn run_as_operator<F>(keys: &Path, name: &str, calls: F) -> Result<()>
+/// After an error the endpoint is not closed gracefully, since the process exits.
+pub(crate) fn run_as_operator<F>(keys: &Path, name: &str, command: F) -> Result<()>
 where
     F: AsyncFnOnce(&Network) -> Result<()>,
 {
     start_runtime(RuntimeThreads::PerCore)?.block_on(async {
         let network = open_operator_network(keys, name)?;
-        calls(&network).await?;
+        command(&network).await?;
         network.close().await;
         Ok(())
     })
--- a/crates/cloverfold/src/bin/cloverfold/solo.rs
+++ b/crates/cloverfold/src/bin/cloverfold/solo.rs
@@ -1,6 +1,6 @@
 //! `cloverfold solo`: every role of an installation in one process.
 //!
-//! Relies on `cloverfold_solo` for an installation of claims and its measurement, and on `cloverfold_leased_solo` for a leased one.
+//! `cloverfold_solo` runs and measures a claims installation; `cloverfold_leased_solo` runs a leased one.
 
 use std::env::args;
 use std::time::Duration;
@@ -80,7 +80,7 @@
     }
 
     async fn run_leased(&self) -> Result<()> {
-        // At most MAX_LEASED_GUARDS.
+        // `run` has rejected more than MAX_LEASED_GUARDS guards.
         let guards = self.guards as u8;
         let size = SoloSize {
             guards,
@@ -128,7 +128,7 @@
     }
 }
 
-/// Most guards of a leased installation: each has a loopback address of its own.
+/// Largest number of guards of a leased installation; each has its own loopback address.
 const MAX_LEASED_GUARDS: usize = 200;
 
 /// Names of the placement policies, as in the cell's settings.
@@ -141,14 +141,14 @@
 ];
 
 fn parse_placement(name: &str) -> Result<&'static str> {
-    let found = PLACEMENTS.into_iter().find(|one| *one == name);
+    let found = PLACEMENTS.into_iter().find(|policy| *policy == name);
     found.ok_or_else(|| eyre!("--placement must be one of {}", PLACEMENTS.join(", ")))
 }
 
 /// Prints how to submit a job by hand and waits for Ctrl-C or SIGTERM.
 async fn serve(system: &SoloSystem) -> Result<()> {
-    // Before anything is printed: whoever reads that it serves may stop it at once.
-    let mut term = signal(SignalKind::terminate())?;
+    // Listens before it prints anything, since whoever reads the output may send SIGTERM at once.
+    let mut sigterm = signal(SignalKind::terminate())?;
     let entries = system.entry_addresses();
     let caller = &system.config().workspaces[0].caller;
     println!(
@@ -162,13 +162,13 @@
         entries[0], caller.workspace, caller.key
     );
     println!("    -d '{{\"service\":\"sample\",\"tasks\":[{{\"duration_ms\":100}}]}}'");
-    wait_for_end(&mut term).await
+    wait_for_stop_signal(&mut sigterm).await
 }
 
 /// Prints how to use a leased installation by hand and waits for Ctrl-C or SIGTERM.
 async fn serve_leased(solo: &LeasedSolo) -> Result<()> {
-    // As in `serve`.
-    let mut term = signal(SignalKind::terminate())?;
+    // Listens before it prints anything, as in `serve`.
+    let mut sigterm = signal(SignalKind::terminate())?;
     let (entries, operators) = (solo.entry_addresses(), solo.operator_addresses());
     let queue = solo.queue();
     let host = queue.host();
@@ -193,18 +193,18 @@
         "  curl -s http://{}{kept_path} -H 'Host: {host}'",
         entries.last().unwrap_or(&entries[0])
     );
-    // As it was called: the binary need not be on the path.
+    // Prints the path that started this process, since the binary may not be on `PATH`.
     let program = args().next().unwrap_or_else(|| "cloverfold".into());
     println!("  {program} configuration --at {} status", operators[0]);
     println!("  {program} jobs --at {} list", operators[0]);
     println!("  {program} evacuation --at {} start hall-b", operators[0]);
-    wait_for_end(&mut term).await
+    wait_for_stop_signal(&mut sigterm).await
 }
 
-async fn wait_for_end(term: &mut Signal) -> Result<()> {
+async fn wait_for_stop_signal(sigterm: &mut Signal) -> Result<()> {
     tokio::select! {
         interrupted = ctrl_c() => interrupted?,
-        _ = term.recv() => {}
+        _ = sigterm.recv() => {}
     }
     Ok(())
 }
--- a/crates/cloverfold/src/bin/cloverfold/status.rs
+++ b/crates/cloverfold/src/bin/cloverfold/status.rs
@@ -1,6 +1,4 @@
 //! `cloverfold status`: shows the claim records of each guard of a claims installation.
-//!
-//! Owns nothing. Relies on `cloverfold_claim` for the message and on `operator` for the calls.
 
 use std::path::PathBuf;
 
@@ -37,7 +35,7 @@
     }
 }
 
-/// Prints a row for each guard; one that does not answer shows the cause instead.
+/// Prints a row for each guard, with the error in place of the state if the guard does not answer.
 async fn print_standings(network: &Network, guards: &[PeerAddress]) {
     println!("{:<12} {:<22} {:<18} claims", "guard", "address", "memory");
     for guard in guards {
--- a/crates/cloverfold/src/bin/cloverfold/upkeep.rs
+++ b/crates/cloverfold/src/bin/cloverfold/upkeep.rs
@@ -1,4 +1,4 @@
-//! `cloverfold upkeep`: an operator's waves of planned upkeep.
+//! `cloverfold upkeep`: orders waves of planned maintenance (upkeep) over boxes and shows their state.
 
 use std::net::SocketAddr;
 
@@ -7,9 +7,9 @@
 use http::Method;
 use serde_json::json;
 
-use crate::control_calls::{ControlCalls, run_calls};
+use crate::control_client::{ControlClient, run_with_client};
 
-/// Where a control process shows the waves and takes orders.
+/// Path at which a control process shows waves and accepts orders.
 const UPKEEP_PATH: &str = "/v1/upkeep";
 
 /// Order a wave of planned upkeep over boxes, or show how far the waves are. A wave that was ordered cannot be cancelled.
@@ -59,33 +59,33 @@
 
 impl UpkeepCommand {
     pub(crate) fn run(self) -> Result<()> {
-        run_calls(self.at, async |calls| self.action.carry_out(calls).await)
+        run_with_client(self.at, async |client| self.action.execute(client).await)
     }
 }
 
 impl Action {
-    async fn carry_out(&self, calls: &ControlCalls) -> Result<()> {
+    async fn execute(&self, client: &ControlClient) -> Result<()> {
         match self {
-            Self::Start(start) => start.order(calls).await,
-            Self::Status(Status { wave: None }) => show(calls, UPKEEP_PATH).await,
+            Self::Start(start) => start.send_order(client).await,
+            Self::Status(Status { wave: None }) => print_answer(client, UPKEEP_PATH).await,
             Self::Status(Status { wave: Some(wave) }) => {
-                show(calls, &format!("{UPKEEP_PATH}/{wave}")).await
+                print_answer(client, &format!("{UPKEEP_PATH}/{wave}")).await
             }
         }
     }
 }
 
 impl Start {
-    /// Sends the order until a control process has acknowledged it.
-    async fn order(&self, calls: &ControlCalls) -> Result<()> {
+    /// Sends the order to the control processes; one of them must acknowledge it.
+    async fn send_order(&self, client: &ControlClient) -> Result<()> {
         let body = json!({
             "wave": self.wave,
             "boxes": self.boxes,
             "span_ms": self.span_s.saturating_mul(1_000),
             "most_down": self.most_down,
         });
-        calls
-            .call(Method::POST, UPKEEP_PATH, &body.to_string())
+        client
+            .request(Method::POST, UPKEEP_PATH, &body.to_string())
             .await?;
         let boxes = self.boxes.len();
         println!("wave {}: {boxes} boxes will have their upkeep", self.wave);
@@ -93,7 +93,7 @@
     }
 }
 
-async fn show(calls: &ControlCalls, path: &str) -> Result<()> {
-    println!("{}", calls.get(path).await?);
+async fn print_answer(client: &ControlClient, path: &str) -> Result<()> {
+    println!("{}", client.get(path).await?);
     Ok(())
 }
--- a/crates/cloverfold/src/lib.rs
+++ b/crates/cloverfold/src/lib.rs
@@ -1,6 +1,4 @@
-//! What the programs `cloverfold` and `cloverfold-guard` share: the runtime of claims processes and commands, and how a program ends.
-//!
-//! Owns no state. Relies on `tokio` for the runtime.
+//! Code shared by the programs `cloverfold` and `cloverfold-guard`: the runtime of claims processes and commands, and the exit report.
 
 mod outcome;
 mod runtime;
--- a/crates/cloverfold/src/runtime.rs
+++ b/crates/cloverfold/src/runtime.rs
@@ -1,24 +1,24 @@
-//! The runtime of claims processes and of operators' commands.
+//! The Tokio runtime of claims processes and operator commands.
 //!
-//! Leased processes have one of their own, with a single thread: `cloverfold_leased_process`.
+//! Leased processes use the single-threaded runtime of `cloverfold_leased_process`.
 
 use eyre::{Result, WrapErr};
 use tokio::runtime::{Builder, Runtime};
 
-/// How many threads a runtime has.
+/// Number of worker threads of a runtime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RuntimeThreads {
-    /// One for each core of the box.
+    /// One thread for each core of the box.
     PerCore,
     /// A fixed number.
     Fixed(usize),
 }
 
-/// Starts a runtime.
+/// Builds a multi-threaded runtime.
 ///
 /// # Errors
 ///
-/// Returns the system's error.
+/// Returns the system's error if the runtime cannot be built.
 pub fn start_runtime(threads: RuntimeThreads) -> Result<Runtime> {
     let mut builder = Builder::new_multi_thread();
     if let RuntimeThreads::Fixed(count) = threads {
