--- a/crates/cloverfold/tests/control_processes.rs
+++ b/crates/cloverfold/tests/control_processes.rs
@@ -1,4 +1,4 @@
-//! Three control processes, killed, stopped and robbed of their disks by signals and files.
+//! Three control processes that are killed or paused, lose a disk, or find a torn log.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,15 +9,15 @@
 use std::sync::atomic::{AtomicU8, AtomicU32, Ordering};
 
 use programs::addresses::BOXES;
-use programs::{Addresses, CLOVERFOLD, Program, empty_configuration, run, wait_until};
+use programs::{Addresses, CLOVERFOLD, Program, empty_configuration, run_command, wait_until};
 use rustix::process::Signal;
 use serde_json::Value;
 
 /// Control processes, one on each box.
 const CONTROLS: usize = BOXES;
-/// Port of the operators' interface, from the peer port.
+/// Offset of the operator port from the peer port.
 const OPERATOR_OFFSET: u16 = 1;
-/// Lines of each log that a failed test shows.
+/// Log lines of each process that a failed test prints.
 const SHOWN_LINES: usize = 40;
 
 /// A group of control processes that tolerates the loss of one.
@@ -34,7 +34,7 @@
         let block = NEXT_BLOCK.fetch_add(1, Ordering::Relaxed);
         let mut group = Self {
             folder: tempfile::tempdir().unwrap(),
-            addresses: Addresses::choose(block),
+            addresses: Addresses::for_block(block),
             running: [None, None, None],
             backups: AtomicU32::new(0),
         };
@@ -48,14 +48,14 @@
         self.folder.path().join(format!("data-{index}"))
     }
 
-    fn operator(&self, index: usize) -> String {
-        self.addresses.at(index, OPERATOR_OFFSET).to_string()
+    fn operator_address(&self, index: usize) -> String {
+        self.addresses.address(index, OPERATOR_OFFSET).to_string()
     }
 
     fn start_control(&mut self, index: usize, may_found: bool) {
         let name = format!("control-{index}");
         let peer = self.addresses.peer_settings(&name, index, &[0, 1, 2]);
-        let operator = self.operator(index);
+        let operator = self.operator_address(index);
         let data = self.data_folder(index);
         let data = data.display();
         let text = format!(
@@ -66,7 +66,6 @@
         self.running[index] = Some(Program::start(CLOVERFOLD, &["control"], &file));
     }
 
-    /// Kills a process.
     fn kill(&mut self, index: usize) {
         self.running[index] = None;
     }
@@ -75,13 +74,13 @@
         self.running[index].as_ref().unwrap().signal(signal);
     }
 
-    /// Sends a configuration to one process until it is acknowledged.
-    fn acknowledge(&self, index: usize, version: u64) {
+    /// Sends a configuration to one process until the process acknowledges it.
+    fn restore_until_acknowledged(&self, index: usize, version: u64) {
         let file = self.folder.path().join(format!("version-{version}.json"));
         std::fs::write(&file, empty_configuration(version)).unwrap();
-        let at = self.operator(index);
+        let at = self.operator_address(index);
         wait_until("an acknowledgement", || {
-            let answer = run(&[
+            let answer = run_command(&[
                 "configuration",
                 "--at",
                 &at,
@@ -92,12 +91,12 @@
         });
     }
 
-    /// Reads the configuration at one process; nothing if that cannot prove that it has the newest.
-    fn read(&self, index: usize) -> Option<String> {
+    /// Reads the configuration at one process. Returns `None` if the process cannot prove that it has the newest one.
+    fn read_configuration(&self, index: usize) -> Option<String> {
         let number = self.backups.fetch_add(1, Ordering::Relaxed);
         let file = self.folder.path().join(format!("backup-{number}.json"));
-        let at = self.operator(index);
-        let answer = run(&[
+        let at = self.operator_address(index);
+        let answer = run_command(&[
             "configuration",
             "--at",
             &at,
@@ -110,30 +109,30 @@
             .then(|| std::fs::read_to_string(&file).unwrap())
     }
 
-    /// Waits until a process reads; it must read this version at once.
-    fn expect_read(&self, index: usize, version: u64) {
-        let found = wait_until("a read", || self.read(index));
+    /// Waits for a successful read at a process; the first one must return this version.
+    fn expect_version(&self, index: usize, version: u64) {
+        let found = wait_until("a read", || self.read_configuration(index));
         assert_eq!(
             found,
             empty_configuration(version),
-            "nothing older is ever shown"
+            "a read never returns an older version"
         );
     }
 
-    /// Sends an order for a data hall to one process until it is acknowledged.
-    fn order(&self, index: usize, action: &str, hall: &str) {
-        let at = self.operator(index);
+    /// Sends an evacuation order to one process until the process acknowledges it.
+    fn order_evacuation(&self, index: usize, action: &str, hall: &str) {
+        let at = self.operator_address(index);
         wait_until("an acknowledged order", || {
-            let answer = run(&["evacuation", "--at", &at, action, hall]);
+            let answer = run_command(&["evacuation", "--at", &at, action, hall]);
             answer.status.success().then_some(())
         });
     }
 
-    /// Waits until a process lists evacuations, and returns their halls.
+    /// Waits until a process lists the evacuations, and returns the data halls.
     fn evacuated_halls(&self, index: usize) -> Vec<String> {
-        let at = self.operator(index);
+        let at = self.operator_address(index);
         let listed = wait_until("a list", || {
-            let answer = run(&["evacuation", "--at", &at, "list"]);
+            let answer = run_command(&["evacuation", "--at", &at, "list"]);
             serde_json::from_slice::<Value>(&answer.stdout).ok()
         });
         let halls = listed["halls"].as_array().unwrap().iter();
@@ -145,8 +144,8 @@
     fn find_leader(&self) -> usize {
         wait_until("a leader", || {
             (0..CONTROLS).find(|&index| {
-                let at = self.operator(index);
-                let answer = run(&["configuration", "--at", &at, "status"]);
+                let at = self.operator_address(index);
+                let answer = run_command(&["configuration", "--at", &at, "status"]);
                 let status = serde_json::from_slice::<Value>(&answer.stdout);
                 status.is_ok_and(|status| status["role"] == "leader")
             })
@@ -154,7 +153,7 @@
     }
 }
 
-/// A test that fails shows what the processes logged last.
+/// Prints the last log lines of each process if the test failed.
 impl Drop for Group {
     fn drop(&mut self) {
         if !std::thread::panicking() {
@@ -172,49 +171,54 @@
 }
 
 #[test]
-fn a_leader_that_stands_still_is_replaced_and_shows_nothing_old_when_it_goes_on() {
+fn a_paused_leader_is_replaced_and_serves_no_stale_read_after_it_resumes() {
     let group = Group::start();
-    group.acknowledge(0, 3);
+    group.restore_until_acknowledged(0, 3);
     let leader = group.find_leader();
     let other = (leader + 1) % CONTROLS;
 
     group.signal(leader, Signal::STOP);
-    group.acknowledge(other, 4);
+    group.restore_until_acknowledged(other, 4);
     group.signal(leader, Signal::CONT);
 
-    group.expect_read(leader, 4);
-    group.expect_read(other, 4);
+    group.expect_version(leader, 4);
+    group.expect_version(other, 4);
 }
 
 #[test]
-fn an_order_whose_answer_a_killed_leader_took_along_is_acknowledged_when_it_comes_again() {
+fn a_configuration_whose_answer_was_lost_with_the_leader_is_acknowledged_on_retry() {
     let mut group = Group::start();
-    group.acknowledge(0, 3);
+    group.restore_until_acknowledged(0, 3);
     for version in 4..8 {
         let leader = group.find_leader();
         let file = group.folder.path().join(format!("cut-{version}.json"));
         std::fs::write(&file, empty_configuration(version)).unwrap();
-        let order = Program::start(
+        let restore = Program::start(
             CLOVERFOLD,
-            &["configuration", "--at", &group.operator(leader), "restore"],
+            &[
+                "configuration",
+                "--at",
+                &group.operator_address(leader),
+                "restore",
+            ],
             &file,
         );
         group.kill(leader);
-        drop(order);
+        drop(restore);
 
-        group.acknowledge((leader + 1) % CONTROLS, version);
+        group.restore_until_acknowledged((leader + 1) % CONTROLS, version);
         group.start_control(leader, false);
 
-        group.expect_read(leader, version);
+        group.expect_version(leader, version);
     }
 }
 
 #[test]
-fn what_was_acknowledged_survives_when_all_are_killed_and_one_disk_is_lost() {
+fn an_acknowledged_configuration_survives_the_kill_of_all_processes_and_the_loss_of_one_disk() {
     let mut group = Group::start();
-    group.acknowledge(0, 3);
+    group.restore_until_acknowledged(0, 3);
     let leader = group.find_leader();
-    group.acknowledge(leader, 4);
+    group.restore_until_acknowledged(leader, 4);
     for index in 0..CONTROLS {
         group.kill(index);
     }
@@ -225,54 +229,54 @@
     }
 
     for index in 0..CONTROLS {
-        group.expect_read(index, 4);
+        group.expect_version(index, 4);
     }
-    group.acknowledge(leader, 5);
+    group.restore_until_acknowledged(leader, 5);
 }
 
-/// Leaves part of a record at the end of every file in a folder and the folders in it; returns how many there are.
-fn tear_files(folder: &Path) -> usize {
-    let mut torn = 0;
+/// Appends a partial record to every file below a folder and returns the number of files.
+fn append_partial_records(folder: &Path) -> usize {
+    let mut file_count = 0;
     for file in std::fs::read_dir(folder).unwrap() {
         let path = file.unwrap().path();
         if path.is_dir() {
-            torn += tear_files(&path);
+            file_count += append_partial_records(&path);
             continue;
         }
         let mut file = std::fs::File::options().append(true).open(path).unwrap();
         file.write_all(&[0x17, 0, 0, 0, 0xde, 0xad]).unwrap();
-        torn += 1;
+        file_count += 1;
     }
-    torn
+    file_count
 }
 
 #[test]
-fn a_torn_tail_is_cut_off_at_the_start() {
+fn a_torn_log_tail_is_truncated_at_startup() {
     let mut group = Group::start();
-    group.acknowledge(0, 3);
+    group.restore_until_acknowledged(0, 3);
     let leader = group.find_leader();
     group.kill(leader);
-    let torn = tear_files(&group.data_folder(leader));
+    let file_count = append_partial_records(&group.data_folder(leader));
     assert!(
-        torn >= 2,
-        "the logs of control and of a group that keeps jobs"
+        file_count >= 2,
+        "the logs of the configuration and of a group of kept jobs"
     );
-    group.acknowledge((leader + 1) % CONTROLS, 4);
+    group.restore_until_acknowledged((leader + 1) % CONTROLS, 4);
 
     group.start_control(leader, false);
 
-    group.expect_read(leader, 4);
-    group.acknowledge(leader, 5);
+    group.expect_version(leader, 4);
+    group.restore_until_acknowledged(leader, 5);
 }
 
 #[test]
-fn evacuations_survive_when_all_are_killed_and_one_disk_is_lost() {
+fn evacuations_survive_the_kill_of_all_processes_and_the_loss_of_one_disk() {
     let mut group = Group::start();
-    group.acknowledge(0, 3);
+    group.restore_until_acknowledged(0, 3);
     let leader = group.find_leader();
-    group.order(leader, "start", "hall-a");
-    group.order((leader + 1) % CONTROLS, "start", "hall-b");
-    group.order((leader + 2) % CONTROLS, "end", "hall-a");
+    group.order_evacuation(leader, "start", "hall-a");
+    group.order_evacuation((leader + 1) % CONTROLS, "start", "hall-b");
+    group.order_evacuation((leader + 2) % CONTROLS, "end", "hall-a");
     for index in 0..CONTROLS {
         group.kill(index);
     }
@@ -288,11 +292,17 @@
 }
 
 #[test]
-fn an_order_that_names_no_hall_is_refused_with_its_fault() {
+fn an_evacuation_of_an_invalid_hall_name_is_rejected_with_the_reason() {
     let group = Group::start();
-    group.acknowledge(0, 3);
-
-    let answer = run(&["evacuation", "--at", &group.operator(0), "start", "no/hall"]);
+    group.restore_until_acknowledged(0, 3);
+
+    let answer = run_command(&[
+        "evacuation",
+        "--at",
+        &group.operator_address(0),
+        "start",
+        "no/hall",
+    ]);
 
     assert!(!answer.status.success());
     let message = String::from_utf8_lossy(&answer.stderr).into_owned();
--- a/crates/cloverfold/tests/kept_jobs_full_disk.rs
+++ b/crates/cloverfold/tests/kept_jobs_full_disk.rs
@@ -1,4 +1,4 @@
-//! Control processes whose disks are full: files may not grow beyond a limit.
+//! Control processes with full disks, simulated by a limit on the file size.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,15 +14,16 @@
 use programs::addresses::BOXES;
 use programs::{Addresses, CLOVERFOLD, Program};
 
-/// Starts the program with its last argument; a write beyond the limit fails instead of ending it. 512 or 1,024 kB, as the shell counts.
-const LIMITED: &str = r#"trap "" XFSZ; ulimit -f 1024; exec "$0" control "$1""#;
+/// Starts a control process with a file size limit of 512 or 1,024 KiB, depending on the shell's unit. SIGXFSZ is ignored so that a write
+/// beyond the limit fails instead of ending the process.
+const START_WITH_FILE_SIZE_LIMIT: &str = r#"trap "" XFSZ; ulimit -f 1024; exec "$0" control "$1""#;
 const GROUP: u32 = 0;
-/// Bytes of a job: some hundred fill the disk.
+/// Body of a job; some hundred of them fill the disk.
 const BODY: [u8; 8_000] = [7; 8_000];
 
 fn start(folder: &Path, addresses: &Addresses, index: usize, is_limited: bool) -> Program {
     let peer = addresses.peer_settings(&format!("control-{index}"), index, &[0, 1, 2]);
-    let operator = addresses.at(index, 1);
+    let operator = addresses.address(index, 1);
     let data = folder.join(format!("data-{index}"));
     let data = data.display();
     let text = format!(
@@ -31,19 +32,19 @@
     let file = folder.join(format!("control-{index}.jsonc"));
     std::fs::write(&file, text).unwrap();
     if is_limited {
-        Program::start("sh", &["-c", LIMITED, CLOVERFOLD], &file)
+        Program::start("sh", &["-c", START_WITH_FILE_SIZE_LIMIT, CLOVERFOLD], &file)
     } else {
         Program::start(CLOVERFOLD, &["control"], &file)
     }
 }
 
-/// Submits jobs until the group refuses them for its disks; returns those that were accepted and those that were refused.
-async fn fill(client: &mut GroupClient) -> (Vec<String>, Vec<String>) {
+/// Submits jobs until the group refuses three of them for its disks; returns the IDs of the accepted and of the refused jobs.
+async fn fill_disks(client: &mut GroupClient) -> (Vec<String>, Vec<String>) {
     let mut accepted = Vec::new();
     let mut refused = Vec::new();
     let mut number = 0;
     while refused.len() < 3 {
-        assert!(number < 10_000, "the disks are never full");
+        assert!(number < 10_000, "the disks do not fill up");
         number += 1;
         let id = format!("job-{number}");
         let call = JobCall::Submit(submission(&id, 1, &BODY));
@@ -52,7 +53,7 @@
                 accepted.push(id);
             }
             Some(JobReply::Refused(CallRefusal::Disk)) => refused.push(id),
-            // Without a reply nothing is known of it; no leader is known at the beginning.
+            // Without a reply the outcome is unknown; at first there is no leader.
             None | Some(JobReply::Refused(CallRefusal::NoLeader)) => {}
             reply => panic!("{reply:?}"),
         }
@@ -60,34 +61,42 @@
     (accepted, refused)
 }
 
-async fn show(client: &mut GroupClient, id: &str) -> JobReply {
+async fn show_phase(client: &mut GroupClient, id: &str) -> JobReply {
     client.call(GROUP, JobCall::Show(id.into())).await
 }
 
 #[tokio::test]
-async fn full_disks_refuse_jobs_truly_and_lose_none() {
+async fn full_disks_refuse_new_jobs_and_lose_no_accepted_job() {
     let folder = tempfile::tempdir().unwrap();
-    let addresses = Addresses::choose(140);
+    let addresses = Addresses::for_block(140);
     let limited: Vec<Program> = (0..BOXES)
         .map(|index| start(folder.path(), &addresses, index, true))
         .collect();
-    let mut client = GroupClient::connect("caller", addresses.at(0, 0));
+    let mut client = GroupClient::connect("caller", addresses.address(0, 0));
 
-    let (accepted, refused) = fill(&mut client).await;
+    let (accepted, refused) = fill_disks(&mut client).await;
     let queued = JobReply::Shown(Some(JobPhase::Queued));
     assert!(!accepted.is_empty());
-    assert_eq!(show(&mut client, &accepted[0]).await, queued);
+    assert_eq!(show_phase(&mut client, &accepted[0]).await, queued);
     drop(limited);
     let _running: Vec<Program> = (0..BOXES)
         .map(|index| start(folder.path(), &addresses, index, false))
         .collect();
 
     for id in &accepted {
-        assert_eq!(show(&mut client, id).await, queued, "{id} was accepted");
+        assert_eq!(
+            show_phase(&mut client, id).await,
+            queued,
+            "{id} was accepted"
+        );
     }
     for id in &refused {
         let unknown = JobReply::Shown(None);
-        assert_eq!(show(&mut client, id).await, unknown, "{id} was refused");
+        assert_eq!(
+            show_phase(&mut client, id).await,
+            unknown,
+            "{id} was refused"
+        );
     }
     let again = JobCall::Submit(submission(&refused[0], 1, &BODY));
     assert!(matches!(
--- a/crates/cloverfold/tests/leased_processes.rs
+++ b/crates/cloverfold/tests/leased_processes.rs
@@ -1,4 +1,4 @@
-//! The programs of a leased installation as an operator starts, asks, reloads and stops them.
+//! The programs of a leased installation, started, queried, reloaded and stopped as an operator does.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,17 +7,19 @@
 use std::net::TcpListener;
 use std::path::PathBuf;
 
-use programs::{Addresses, CLOVERFOLD, GUARD, Program, empty_configuration, run, wait_until};
+use programs::{
+    Addresses, CLOVERFOLD, GUARD, Program, empty_configuration, run_command, wait_until,
+};
 use rustix::process::Signal;
 use serde_json::Value;
 
-/// Block of addresses that the tests of this file share; the tests of control processes use those from 100 on.
-const BLOCK: u8 = 200;
-/// Port of the operators', clients' or registrations' interface, from the peer port.
-const INTERFACE_OFFSET: u16 = 1;
-/// Port at which an entry's readiness is asked, from the peer port.
-const READY_OFFSET: u16 = 2;
-/// Version of the configuration that is restored.
+/// Block of addresses that the tests of this file share; the tests of control processes use the blocks from 100 on.
+const ADDRESS_BLOCK: u8 = 200;
+/// Offset of the operator, client or registration port from the peer port.
+const SERVICE_PORT_OFFSET: u16 = 1;
+/// Offset of an entry's readiness port from the peer port.
+const READY_PORT_OFFSET: u16 = 2;
+/// Version of the restored configuration.
 const VERSION: u64 = 3;
 /// Boxes of the three processes.
 const CONTROL_BOX: usize = 0;
@@ -34,7 +36,7 @@
     fn new() -> Self {
         Self {
             folder: tempfile::tempdir().unwrap(),
-            addresses: Addresses::choose(BLOCK),
+            addresses: Addresses::for_block(ADDRESS_BLOCK),
         }
     }
 
@@ -43,7 +45,9 @@
     }
 
     fn operator_address(&self) -> String {
-        self.addresses.at(CONTROL_BOX, INTERFACE_OFFSET).to_string()
+        self.addresses
+            .address(CONTROL_BOX, SERVICE_PORT_OFFSET)
+            .to_string()
     }
 
     fn write(&self, name: &str, text: &str) -> PathBuf {
@@ -64,8 +68,8 @@
 
     fn entry_settings(&self) -> String {
         let peer = self.peer("entry-1", ENTRY_BOX);
-        let clients = self.addresses.at(ENTRY_BOX, INTERFACE_OFFSET);
-        let ready = self.addresses.at(ENTRY_BOX, READY_OFFSET);
+        let clients = self.addresses.address(ENTRY_BOX, SERVICE_PORT_OFFSET);
+        let ready = self.addresses.address(ENTRY_BOX, READY_PORT_OFFSET);
         format!(
             r#"{{ {peer}, "client_address": "{clients}", "ready_address": "{ready}", "linger_ms": 50, "drain_ms": 2000, "log": {{ "stream": "stdout", "lines_per_second": 500 }} }}"#
         )
@@ -73,7 +77,7 @@
 
     fn guard_settings(&self) -> String {
         let peer = self.peer("guard-1", GUARD_BOX);
-        let registration = self.addresses.at(GUARD_BOX, INTERFACE_OFFSET);
+        let registration = self.addresses.address(GUARD_BOX, SERVICE_PORT_OFFSET);
         format!(
             r#"{{ {peer}, "registration_address": "{registration}", "drain_ms": 2000, "log": {{ "stream": "stdout", "lines_per_second": 500 }} }}"#
         )
@@ -81,7 +85,7 @@
 }
 
 #[test]
-fn an_installation_is_started_configured_asked_reloaded_and_stopped() {
+fn an_installation_starts_takes_a_configuration_reloads_and_stops() {
     let installation = Installation::new();
     let settings = installation.write("control.jsonc", &installation.control_settings());
     let control = Program::start(CLOVERFOLD, &["control"], &settings);
@@ -91,36 +95,41 @@
     let guard = Program::start(GUARD, &["--leased"], &guard_file);
     let saved = installation.write("saved.json", &empty_configuration(VERSION));
     let at = installation.operator_address();
-    let ask = |action: &[&str]| run(&[&["configuration", "--at", &at], action].concat());
+    let run_configuration =
+        |action: &[&str]| run_command(&[&["configuration", "--at", &at], action].concat());
 
     wait_until("an acknowledged configuration", || {
-        let answer = ask(&["restore", saved.to_str().unwrap()]);
+        let answer = run_configuration(&["restore", saved.to_str().unwrap()]);
         answer.status.success().then_some(())
     });
     entry.wait_for_line("configuration in force");
     guard.wait_for_line("configuration copy updated");
 
     let status = wait_until("the version at each process", || {
-        let answer = ask(&["status"]);
+        let answer = run_configuration(&["status"]);
         let status: Value = serde_json::from_slice(&answer.stdout).ok()?;
         let processes = status["processes"].as_array()?;
-        let holds = |name: &str| {
+        let has_version = |name: &str| {
             processes
                 .iter()
                 .any(|p| p["name"] == name && p["version"] == VERSION)
         };
-        (holds("entry-1") && holds("guard-1")).then_some(status)
+        (has_version("entry-1") && has_version("guard-1")).then_some(status)
     });
     assert_eq!(status["role"], "leader");
-    let audit: Value = serde_json::from_slice(&ask(&["audit"]).stdout).unwrap();
+    let audit: Value = serde_json::from_slice(&run_configuration(&["audit"]).stdout).unwrap();
     assert_eq!(audit["audit"][0]["outcome"], "taken");
     let backup = installation.folder.path().join("backup.json");
-    assert!(ask(&["backup", backup.to_str().unwrap()]).status.success());
+    assert!(
+        run_configuration(&["backup", backup.to_str().unwrap()])
+            .status
+            .success()
+    );
     assert_eq!(
         std::fs::read_to_string(&backup).unwrap(),
         empty_configuration(VERSION)
     );
-    let again = ask(&["backup", backup.to_str().unwrap()]);
+    let again = run_configuration(&["backup", backup.to_str().unwrap()]);
     assert!(!again.status.success(), "a backup overwrites nothing");
 
     std::fs::write(
@@ -128,9 +137,9 @@
         installation.entry_settings().replace("entry-1", ""),
     )
     .unwrap();
-    let fault = entry.wait_for_line("changed settings rejected");
+    let rejection = entry.wait_for_line("changed settings rejected");
     assert!(
-        fault["message"]
+        rejection["message"]
             .as_str()
             .unwrap()
             .contains("peer.name: must not be empty")
@@ -145,7 +154,7 @@
 }
 
 #[test]
-fn wrong_settings_are_refused_with_file_line_field_and_mend_and_nothing_else() {
+fn invalid_settings_are_reported_in_one_line_with_file_line_field_and_remedy() {
     let installation = Installation::new();
     let text = installation
         .control_settings()
@@ -153,24 +162,29 @@
     let settings = installation.write("control.jsonc", &text);
     let file = settings.to_str().unwrap();
     for arguments in [["control", file], ["check", file]] {
-        let output = run(&arguments);
+        let output = run_command(&arguments);
         let error = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(1));
         assert!(
             error.contains("control.jsonc:1: tolerated_losses: must be at most 4"),
             "{error}"
         );
-        assert_eq!(error.lines().count(), 1, "no place in the code: {error}");
+        assert_eq!(error.lines().count(), 1, "no source location: {error}");
     }
 }
 
 #[test]
-fn an_address_that_is_taken_is_named_with_its_setting() {
+fn an_address_in_use_is_reported_with_its_setting() {
     let installation = Installation::new();
-    let _taken = TcpListener::bind(installation.addresses.at(ENTRY_BOX, INTERFACE_OFFSET)).unwrap();
+    let _listener = TcpListener::bind(
+        installation
+            .addresses
+            .address(ENTRY_BOX, SERVICE_PORT_OFFSET),
+    )
+    .unwrap();
     let settings = installation.write("entry.jsonc", &installation.entry_settings());
 
-    let output = run(&["leased-entry", settings.to_str().unwrap()]);
+    let output = run_command(&["leased-entry", settings.to_str().unwrap()]);
 
     let error = String::from_utf8(output.stderr).unwrap();
     assert!(error.contains("client_address 127."), "{error}");
--- a/crates/cloverfold/tests/programs/mod.rs
+++ b/crates/cloverfold/tests/programs/mod.rs
@@ -1,6 +1,6 @@
-//! Real programs as processes of their own, and the addresses and settings that they are started with.
+//! Runs the built binaries as child processes, with addresses and settings for tests.
 
-// Each test file uses a part.
+// Each test file uses only some of the items.
 #![allow(dead_code)]
 
 pub mod addresses;
@@ -18,19 +18,18 @@
 
 pub const CLOVERFOLD: &str = env!("CARGO_BIN_EXE_cloverfold");
 pub const GUARD: &str = env!("CARGO_BIN_EXE_cloverfold-guard");
-/// Bounds waits for what must come; nothing is measured by it.
-const PATIENCE: Duration = Duration::from_secs(120);
-/// How often a wait looks again.
-const POLL: Duration = Duration::from_millis(20);
+/// Longest wait for an event that must occur.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A program that runs, and the file that its log lines go to.
+/// A running program and its log file.
 pub struct Program {
     child: Child,
     log: PathBuf,
 }
 
 impl Program {
-    /// Starts a program with a settings file; its output is appended to a log beside the file.
+    /// Starts a program with a settings file, and appends its output to a log file beside the settings.
     pub fn start(program: &str, arguments: &[&str], settings: &Path) -> Self {
         let log = settings.with_extension("log");
         let output = File::options().create(true).append(true).open(&log);
@@ -50,7 +49,7 @@
         kill_process(pid, signal).unwrap();
     }
 
-    /// Waits for a log line with this message; returns it.
+    /// Waits for a log line whose message contains this text, and returns the line.
     pub fn wait_for_line(&self, message: &str) -> Value {
         wait_until(message, || {
             let text = std::fs::read_to_string(&self.log).unwrap();
@@ -65,7 +64,7 @@
         })
     }
 
-    /// Stops the program as planned; returns its exit code.
+    /// Stops the program with SIGTERM and returns its exit code.
     pub fn stop(mut self) -> Option<i32> {
         self.signal(Signal::TERM);
         self.child.wait().unwrap().code()
@@ -74,32 +73,32 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // An error means that it has ended by itself.
+        // An error means that the program has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Polls until something is found, and fails the test if it never is.
+/// Polls until `find` returns a value, and fails the test after a timeout.
 pub fn wait_until<T>(what: &str, mut find: impl FnMut() -> Option<T>) -> T {
-    let began = Instant::now();
-    while began.elapsed() < PATIENCE {
+    let started_at = Instant::now();
+    while started_at.elapsed() < WAIT_TIMEOUT {
         if let Some(found) = find() {
             return found;
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
-    panic!("{what} does not come");
+    panic!("timed out waiting for {what}");
 }
 
-/// Writes a configuration without routes or services.
+/// Returns a configuration without routes or services.
 pub fn empty_configuration(version: u64) -> String {
     format!(
         r#"{{"Version":{version},"Routes":[],"Services":[],"Limits":{{"MaxHeaderBytes":16384,"MaxBodyBytes":262144,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}}}"#
     )
 }
 
-/// Runs an operator's command to its end.
-pub fn run(arguments: &[&str]) -> Output {
+/// Runs an operator command and returns its output.
+pub fn run_command(arguments: &[&str]) -> Output {
     Command::new(CLOVERFOLD).args(arguments).output().unwrap()
 }
--- a/crates/cloverfold/tests/soak.rs
+++ b/crates/cloverfold/tests/soak.rs
@@ -1,4 +1,4 @@
-//! One short play of the fault soak without faults: jobs, changes of the configuration, an evacuation, and planned stops.
+//! A short run of the soak test without faults: jobs, configuration changes, an evacuation and planned stops.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,19 +8,19 @@
 use cloverfold_soak::plan::draw_calm_plan;
 use cloverfold_soak::run::{Counts, Programs, play, write_findings};
 
-/// How long the play lasts: as long as the longest planned stop and what may come of it.
+/// Long enough for the longest planned stop and its consequences.
 const LENGTH: Duration = Duration::from_secs(12);
 const SEED: u64 = 1;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn all_promises_hold_while_nothing_but_planned_work_happens() {
+async fn all_guarantees_hold_under_planned_operations() {
     let folder = tempfile::tempdir().unwrap();
     let plan = draw_calm_plan(SEED, LENGTH);
     let programs = Programs {
         cloverfold: env!("CARGO_BIN_EXE_cloverfold").into(),
         guard: env!("CARGO_BIN_EXE_cloverfold-guard").into(),
     };
-    // How fast this machine is tells nothing about the promises.
+    // Time bounds are off because the speed of this machine says nothing about the guarantees.
     let bounds = Bounds::never_reached();
 
     let report = play(&plan, &programs, folder.path(), &bounds, |_, _| {}).await;
@@ -28,8 +28,8 @@
     let report = report.unwrap();
     if !report.violations.is_empty() {
         write_findings(&plan, &report, folder.path()).unwrap();
-        let kept = folder.keep();
-        panic!("{:#?}, see {}", report.violations, kept.display());
+        let kept_folder = folder.keep();
+        panic!("{:#?}, see {}", report.violations, kept_folder.display());
     }
     let counts = Counts::of(&report.history);
     assert!(counts.completed > 0, "{counts:?}");
--- a/crates/cloverfold/tests/solo.rs
+++ b/crates/cloverfold/tests/solo.rs
@@ -1,4 +1,4 @@
-//! The command `solo --serve` as a process of its own.
+//! The command `solo --serve` as a child process.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// The line that is printed once everything runs.
+/// Printed once the whole system runs.
 const READY_LINE: &str = "try, and end with Ctrl-C:";
 
 /// Starts the command and waits until it serves.
@@ -21,7 +21,7 @@
         .unwrap();
     let lines = BufReader::new(solo.stdout.as_mut().unwrap()).lines();
     let ready = lines.map_while(Result::ok).find(|line| line == READY_LINE);
-    assert!(ready.is_some(), "it ended before it served");
+    assert!(ready.is_some(), "the process exited before it was ready");
     solo
 }
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_leased_solo_without_serve_is_refused() {
+fn a_leased_solo_without_serve_is_rejected() {
     let solo = Command::new(env!("CARGO_BIN_EXE_cloverfold"))
         .args(["solo", "--leased"])
         .output()
--- a/crates/cloverfold/tests/system/bad_input.rs
+++ b/crates/cloverfold/tests/system/bad_input.rs
@@ -1,4 +1,4 @@
-//! Requests that are wrong, and connections that are slow.
+//! Invalid requests and slow connections.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::cluster::{Cluster, Shape, TestJob, unix_ms};
+use crate::cluster::{Cluster, ClusterConfig, TestJob, unix_ms};
 
-/// A wrong request and what must come back.
+/// An invalid request and the expected error.
 struct Case {
     key: Option<&'static str>,
     body: Bytes,
     status: u16,
     code: &'static str,
-    /// Field or header that the error must name.
+    /// Field or header that the error names.
     field: Option<&'static str>,
 }
 
@@ -115,16 +115,16 @@
     cases
 }
 
-fn shape() -> Shape {
-    Shape {
+fn cluster_config() -> ClusterConfig {
+    ClusterConfig {
         entry: json!({ "max_body": 200_000, "read_timeout_ms": 400 }),
-        ..Shape::default()
+        ..ClusterConfig::default()
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn wrong_requests_are_named_and_nothing_runs() {
-    let cluster = Cluster::start(shape()).await;
+async fn invalid_requests_are_rejected_with_their_field_and_start_nothing() {
+    let cluster = Cluster::start(cluster_config()).await;
 
     for case in list_cases() {
         let answer = submit_raw(&cluster, &cluster.caller, &case).await;
@@ -140,22 +140,22 @@
 }
 
 async fn submit_raw(cluster: &Cluster, caller: &CallerKey, case: &Case) -> JobAnswer {
-    let entry = cluster.entry_https[0];
+    let entry = cluster.entry_http_addresses[0];
     let body = case.body.clone();
     let answer = cluster.client.submit_raw(entry, caller, case.key, body);
     answer.await.unwrap()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn wrong_callers_learn_nothing() {
-    let cluster = Cluster::start(shape()).await;
+async fn unauthorized_callers_are_rejected_and_other_workspaces_see_no_job() {
+    let cluster = Cluster::start(cluster_config()).await;
     let job = TestJob::new("mine", 1, 10);
     cluster.submit(0, &job).await.unwrap();
     let case = case(job_with(json!({})), "unauthorized", "Authorization");
 
-    for (customer, key) in [("pharmacy", "clinic-key"), ("nobody", "pharmacy-key")] {
+    for (workspace, key) in [("pharmacy", "clinic-key"), ("nobody", "pharmacy-key")] {
         let caller = CallerKey {
-            workspace: customer.into(),
+            workspace: workspace.into(),
             key: key.into(),
         };
         let answer = submit_raw(&cluster, &caller, &case).await;
@@ -166,14 +166,16 @@
         workspace: "clinic".into(),
         key: "clinic-key".into(),
     };
-    let state = cluster.client.query(cluster.entry_https[0], &other, "mine");
+    let state = cluster
+        .client
+        .query(cluster.entry_http_addresses[0], &other, "mine");
     assert_eq!(state.await.unwrap().outcome, "not_seen");
     assert_eq!(cluster.count_starts(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_same_key_with_another_body_is_a_conflict() {
-    let cluster = Cluster::start(shape()).await;
+    let cluster = Cluster::start(cluster_config()).await;
     let job = TestJob::new("conflict", 2, 10);
     let mut other = job.clone();
     other.tasks = 3;
@@ -182,7 +184,7 @@
     let request = other.request();
     let second = cluster
         .client
-        .submit(cluster.entry_https[1], &cluster.caller, &request)
+        .submit(cluster.entry_http_addresses[1], &cluster.caller, &request)
         .await
         .unwrap();
 
@@ -191,12 +193,12 @@
     assert_eq!(second.outcome, "not_run");
     assert_eq!(second.error_code(), Some("key_conflict"));
     assert_eq!(cluster.count_starts(), 2);
-    cluster.check_promises();
+    cluster.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_refused_for_its_deadline_never_runs() {
-    let cluster = Cluster::start(shape()).await;
+async fn a_key_rejected_for_its_deadline_never_runs() {
+    let cluster = Cluster::start(cluster_config()).await;
     let submitted_at = unix_ms();
     let body = |deadline_ms: u64| {
         job_with(json!({
@@ -207,7 +209,7 @@
 
     let mut answers = Vec::new();
     for (entry, deadline) in [(0, submitted_at - 1_000), (1, submitted_at + 20_000)] {
-        let entry = cluster.entry_https[entry];
+        let entry = cluster.entry_http_addresses[entry];
         let request =
             cluster
                 .client
@@ -223,9 +225,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_and_half_open_connections_hold_up_nobody() {
-    let cluster = Cluster::start(shape()).await;
-    let entry = cluster.entry_https[0];
+async fn slow_and_half_open_connections_do_not_block_other_callers() {
+    let cluster = Cluster::start(cluster_config()).await;
+    let entry = cluster.entry_http_addresses[0];
     let mut half_open = Vec::new();
     for _ in 0..50 {
         let mut stream = TcpStream::connect(entry).await.unwrap();
@@ -243,7 +245,7 @@
     let answer = cluster.submit(0, &job).await.unwrap();
     let mut reply = vec![0; 400];
     let read = tokio::time::timeout(Duration::from_secs(20), slow.read(&mut reply));
-    let len = read.await.expect("the slow caller is answered").unwrap();
+    let len = read.await.expect("the slow caller gets an answer").unwrap();
 
     assert_eq!(answer.outcome, "complete");
     let reply = String::from_utf8_lossy(&reply[..len]);
--- a/crates/cloverfold/tests/system/checker_tests.rs
+++ b/crates/cloverfold/tests/system/checker_tests.rs
@@ -1,10 +1,10 @@
-//! The checker finds each kind of broken promise that it is fed.
+//! Tests that the checker finds each kind of violation.
 
 use cloverfold_load::JobAnswer;
 use cloverfold_target::Journal;
 use serde_json::{Value, json};
 
-use crate::checker::{JobRecord, find_broken_promises, make_echo};
+use crate::checker::{JobRecord, find_violations, make_echo};
 
 fn answer(value: Value) -> JobAnswer {
     serde_json::from_value(value).unwrap()
@@ -36,25 +36,29 @@
 }
 
 #[test]
-fn a_sound_record_passes() {
+fn a_consistent_record_has_no_violations() {
     let records = [record(vec![complete("job", 2), complete("job", 2)])];
 
-    let broken = find_broken_promises(&records, &[&journal(&[0]), &journal(&[1])]);
+    let violations = find_violations(&records, &[&journal(&[0]), &journal(&[1])]);
 
-    assert_eq!(broken, Vec::<String>::new());
+    assert_eq!(violations, Vec::<String>::new());
 }
 
 #[test]
-fn each_kind_of_fault_is_found() {
+fn each_kind_of_violation_is_found() {
     let not_run = || answer(json!({ "outcome": "not_run" }));
     let partial = answer(json!({ "outcome": "failed", "results": [1] }));
     let cases = [
         (vec![], vec![0, 0], "started 2 times"),
-        (vec![not_run()], vec![1], "was not run with 1 starts"),
+        (vec![not_run()], vec![1], "is not_run with 1 starts"),
         (vec![complete("job", 2)], vec![0], "complete with 1 starts"),
         (vec![complete("job", 1)], vec![0, 1], "has 1 results"),
-        (vec![complete("other", 2)], vec![0, 1], "another's result"),
-        (vec![partial], vec![], "is partial"),
+        (
+            vec![complete("other", 2)],
+            vec![0, 1],
+            "the result of another task",
+        ),
+        (vec![partial], vec![], "has results but is not complete"),
         (
             vec![complete("job", 2), not_run()],
             vec![0, 1],
@@ -62,11 +66,13 @@
         ),
     ];
     for (answers, starts, expected) in cases {
-        let broken = find_broken_promises(&[record(answers)], &[&journal(&starts)]);
+        let violations = find_violations(&[record(answers)], &[&journal(&starts)]);
 
         assert!(
-            broken.iter().any(|one| one.contains(expected)),
-            "{expected}: {broken:?}"
+            violations
+                .iter()
+                .any(|violation| violation.contains(expected)),
+            "{expected}: {violations:?}"
         );
     }
 }
--- a/crates/cloverfold/tests/system/cluster.rs
+++ b/crates/cloverfold/tests/system/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of real processes with sample targets, each guard and target behind a proxy.
+//! A cluster of real processes with sample targets. Each guard and each target is behind a fault-injecting proxy.
 
 mod disturbances;
 mod job;
@@ -27,10 +27,10 @@
 pub use self::job::{TestJob, unix_ms};
 pub use self::readiness::wait_until;
 
-const CUSTOMER: &str = "pharmacy";
+const WORKSPACE: &str = "pharmacy";
 
 /// Size and settings of a cluster.
-pub struct Shape {
+pub struct ClusterConfig {
     pub guards: usize,
     pub entries: usize,
     pub slots: usize,
@@ -40,7 +40,7 @@
     pub entry: Value,
 }
 
-impl Default for Shape {
+impl Default for ClusterConfig {
     fn default() -> Self {
         Self {
             guards: 5,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Running processes; all are killed when it is dropped.
+/// Running processes, which are killed when the cluster is dropped.
 pub struct Cluster {
     folder: TempDir,
     pub installation: Installation,
@@ -61,8 +61,8 @@
     pub guard_links: Vec<UdpProxy>,
     pub target_links: Vec<TcpProxy>,
     peers: Vec<SocketAddr>,
-    guard_https: Vec<SocketAddr>,
-    pub entry_https: Vec<SocketAddr>,
+    guard_http_addresses: Vec<SocketAddr>,
+    pub entry_http_addresses: Vec<SocketAddr>,
     guards: Vec<Process>,
     entries: Vec<Process>,
     pub client: CallerClient,
@@ -72,21 +72,21 @@
 
 impl Cluster {
     /// Starts a cluster and founds it.
-    pub async fn start(shape: Shape) -> Self {
-        let mut cluster = Self::start_unfounded(shape).await;
+    pub async fn start(config: ClusterConfig) -> Self {
+        let mut cluster = Self::start_unfounded(config).await;
         cluster.found().await;
-        cluster.wait_ready().await;
+        cluster.wait_until_ready().await;
         cluster
     }
 
-    /// Starts a cluster whose guards vote on nothing yet.
-    pub async fn start_unfounded(shape: Shape) -> Self {
+    /// Starts a cluster that has not been founded, so that its guards do not vote yet.
+    pub async fn start_unfounded(config: ClusterConfig) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let installation =
-            Installation::create(folder.path(), shape.guards, shape.entries).unwrap();
-        let peers = find_free_addresses(shape.guards).unwrap();
-        let guard_https = find_free_addresses(shape.guards).unwrap();
-        let entry_https = find_free_addresses(shape.entries).unwrap();
+            Installation::create(folder.path(), config.guards, config.entries).unwrap();
+        let peers = find_free_addresses(config.guards).unwrap();
+        let guard_http_addresses = find_free_addresses(config.guards).unwrap();
+        let entry_http_addresses = find_free_addresses(config.entries).unwrap();
         let mut targets = Vec::new();
         let mut guard_links = Vec::new();
         let mut target_links = Vec::new();
@@ -98,12 +98,12 @@
             targets.push(target);
         }
         let public: Vec<_> = guard_links.iter().map(UdpProxy::address).collect();
-        let customers = [
-            SoloWorkspace::named(CUSTOMER),
+        let workspaces = [
+            SoloWorkspace::named(WORKSPACE),
             SoloWorkspace::named("clinic"),
         ];
         let cell = installation
-            .write_cell(&public, &customers, shape.cell)
+            .write_cell(&public, &workspaces, config.cell)
             .unwrap();
         let mut cluster = Self {
             folder,
@@ -113,15 +113,15 @@
             guard_links,
             target_links,
             peers,
-            guard_https,
-            entry_https,
+            guard_http_addresses,
+            entry_http_addresses,
             guards: Vec::new(),
             entries: Vec::new(),
             client: CallerClient::new().unwrap(),
-            caller: customers[0].caller.clone(),
+            caller: workspaces[0].caller.clone(),
             records: Mutex::default(),
         };
-        cluster.start_processes(shape.slots, &shape.entry);
+        cluster.start_processes(config.slots, &config.entry);
         cluster
     }
 
@@ -130,7 +130,7 @@
             let addresses = GuardAddresses {
                 public: self.guard_links[index].address(),
                 peer: self.peers[index],
-                http: self.guard_https[index],
+                http: self.guard_http_addresses[index],
                 target: self.target_links[index].address(),
             };
             let log = self.log_settings(&format!("guard-{}", index + 1));
@@ -146,7 +146,7 @@
             process.start();
             self.guards.push(process);
         }
-        for (index, http) in self.entry_https.iter().enumerate() {
+        for (index, http) in self.entry_http_addresses.iter().enumerate() {
             let mut extra = self.log_settings(&format!("entry-{}", index + 1));
             extra
                 .as_object_mut()
@@ -171,7 +171,7 @@
         json!({ "log": { "level": "debug", "file": file } })
     }
 
-    /// Founds the cell, as the operator's command does, once every guard answers.
+    /// Founds the cell, as the operator's command does, once every guard answers requests.
     pub async fn found(&mut self) {
         self.wait_until_all_live().await;
         let network = open_operator_network(&self.installation.key_folder(), OPERATOR).unwrap();
@@ -181,7 +181,7 @@
     }
 
     async fn wait_until_all_live(&self) {
-        for http in &self.guard_https {
+        for http in &self.guard_http_addresses {
             wait_until("a guard is up", async || {
                 self.client.get_text(*http, "/healthz").await.is_ok()
             })
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Runs an operator's command on the cell's file and returns what it prints.
+    /// Runs an operator command on the cell's file and returns its output.
     pub fn run_operator(&self, command: &[&str], args: &[&str]) -> String {
         let output = Command::new(env!("CARGO_BIN_EXE_cloverfold"))
             .args(command)
@@ -205,12 +205,12 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// Prints the last log lines of each process, for a test that failed.
+    /// Prints the last log lines of each process of a failed test.
     fn print_logs(&self) {
         const SHOWN_LINES: usize = 40;
         for entry in std::fs::read_dir(self.folder.path()).unwrap().flatten() {
             let path = entry.path();
-            if path.extension().is_some_and(|one| one == "log") {
+            if path.extension().is_some_and(|extension| extension == "log") {
                 let text = std::fs::read_to_string(&path).unwrap_or_default();
                 let lines: Vec<_> = text.lines().collect();
                 let from = lines.len().saturating_sub(SHOWN_LINES);
--- a/crates/cloverfold/tests/system/cluster/disturbances.rs
+++ b/crates/cloverfold/tests/system/cluster/disturbances.rs
@@ -1,4 +1,4 @@
-//! What tests do to a cluster: kills, planned stops, cut and slow links.
+//! Disruptions of a cluster: kills, planned stops, isolated guards and slow links.
 
 use std::time::Duration;
 
@@ -28,18 +28,18 @@
         kill_process(self.entries[index].pid(), signal).unwrap();
     }
 
-    /// Waits until a stopping guard has ended, and returns whether it ended well.
-    pub async fn wait_guard_end(&mut self, index: usize) -> bool {
-        self.guards[index].wait_end().await
+    /// Waits until a stopping guard exits, and returns whether it exited cleanly.
+    pub async fn wait_for_guard_exit(&mut self, index: usize) -> bool {
+        self.guards[index].wait_for_exit().await
     }
 
-    pub async fn wait_entry_end(&mut self, index: usize) -> bool {
-        self.entries[index].wait_end().await
+    pub async fn wait_for_entry_exit(&mut self, index: usize) -> bool {
+        self.entries[index].wait_for_exit().await
     }
 
-    /// Cuts a guard off from all others in silence, both ways, or joins it again.
-    pub fn set_isolation(&self, index: usize, is_cut: bool) {
-        let faults = if is_cut {
+    /// Silently drops all traffic between a guard and all others, or restores it.
+    pub fn set_isolation(&self, index: usize, is_isolated: bool) {
+        let faults = if is_isolated {
             Faults::silence()
         } else {
             Faults::default()
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Slows the link between two guards, both ways.
-    pub fn delay_between(&self, one: usize, other: usize, delay: Duration) {
+    /// Delays the link between two guards in both directions.
+    pub fn delay_between(&self, first: usize, second: usize, delay: Duration) {
         let faults = Faults {
             delay,
             ..Faults::default()
@@ -61,7 +61,7 @@
                 .faults()
                 .set_for(self.peers[from], faults);
         };
-        set(one, other);
-        set(other, one);
+        set(first, second);
+        set(second, first);
     }
 }
--- a/crates/cloverfold/tests/system/cluster/job.rs
+++ b/crates/cloverfold/tests/system/cluster/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as tests submit them.
+//! Jobs that tests submit.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -8,7 +8,7 @@
 
 use crate::checker::make_echo;
 
-/// A job as tests submit it.
+/// A job that a test submits.
 #[derive(Clone)]
 pub struct TestJob {
     pub name: String,
@@ -16,13 +16,13 @@
     pub duration_ms: u64,
     pub repeat: Option<&'static str>,
     pub first_submitted_unix_ms: u64,
-    /// Whether the caller names a key.
+    /// Whether the caller sends an idempotency key, which is the job's name.
     pub has_key: bool,
     pub deadline_ms: Option<u64>,
 }
 
 impl TestJob {
-    /// A job under a caller's key that equals its name.
+    /// Creates a job with an idempotency key that equals its name.
     pub fn new(name: &str, tasks: usize, duration_ms: u64) -> Self {
         Self {
             name: name.into(),
--- a/crates/cloverfold/tests/system/cluster/process.rs
+++ b/crates/cloverfold/tests/system/cluster/process.rs
@@ -1,4 +1,4 @@
-//! The processes of a cluster.
+//! A child process of a cluster.
 
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -7,7 +7,7 @@
 
 use super::readiness::wait_until;
 
-/// One process of a cluster; it is killed when this is dropped.
+/// A process of a cluster, which is killed when this is dropped.
 pub(super) struct Process {
     pub(super) binary: &'static str,
     pub(super) args: Vec<PathBuf>,
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Waits until a stopping process has ended, and returns whether it ended well.
-    pub(super) async fn wait_end(&mut self) -> bool {
+    /// Waits until a stopping process exits, and returns whether it exited cleanly.
+    pub(super) async fn wait_for_exit(&mut self) -> bool {
         let mut child = self.child.take().expect("the process runs");
         let mut status = None;
-        wait_until("a process ends", async || {
+        wait_until("a process exits", async || {
             status = child.try_wait().unwrap();
             status.is_some()
         })
--- a/crates/cloverfold/tests/system/cluster/readiness.rs
+++ b/crates/cloverfold/tests/system/cluster/readiness.rs
@@ -1,4 +1,4 @@
-//! Waiting for the state that a test begins with, and reading metrics.
+//! Waits until a cluster is ready, and reads metrics.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,39 +7,39 @@
 
 use super::Cluster;
 
-/// Longest wait for a condition; a test that needs it has failed.
+/// Longest wait for a condition before the test fails.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(40);
-const CONDITION_POLL: Duration = Duration::from_millis(20);
+const CONDITION_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Cluster {
-    /// Waits until every process that runs is ready.
-    pub async fn wait_ready(&self) {
+    /// Waits until every running process is ready, and all agree on the live members and the lead.
+    pub async fn wait_until_ready(&self) {
         for index in 0..self.guards.len() {
             if self.guards[index].child.is_some() {
-                self.wait_guard_ready(index).await;
+                self.wait_until_guard_ready(index).await;
             }
         }
-        for http in &self.entry_https {
-            self.wait_page(*http, "/readyz").await;
+        for http in &self.entry_http_addresses {
+            self.wait_until_page_is_ok(*http, "/readyz").await;
         }
         let live = self.count_running_guards();
         for index in 0..self.guards.len() {
             if self.guards[index].child.is_some() {
-                self.wait_members_live(index, live).await;
+                self.wait_for_live_members(index, live).await;
             }
         }
-        self.wait_led().await;
+        self.wait_for_lead().await;
     }
 
-    /// Waits until every running process takes the same guard for the lead.
-    async fn wait_led(&self) {
+    /// Waits until every running process agrees on the lead.
+    async fn wait_for_lead(&self) {
         let is_running = |index: &usize| self.guards[*index].child.is_some();
         let first = (0..self.guards.len()).find(is_running);
         let lead = first.filter(|_| self.cell.find_lead().is_some());
         let expected = lead.map_or(0, |index| index + 1);
         let guards = (0..self.guards.len()).filter(is_running);
-        let https = guards.map(|index| self.guard_https[index]);
-        for http in https.chain(self.entry_https.iter().copied()) {
+        let addresses = guards.map(|index| self.guard_http_addresses[index]);
+        for http in addresses.chain(self.entry_http_addresses.iter().copied()) {
             wait_until("the lead is known", async || {
                 self.read_metric(http, "cloverfold_acting_lead").await as usize == expected
             })
@@ -52,8 +52,8 @@
         running.count()
     }
 
-    /// Waits until a guard knows so many guards as able to work.
-    pub async fn wait_members_live(&self, index: usize, count: usize) {
+    /// Waits until a guard counts this many guards as live.
+    pub async fn wait_for_live_members(&self, index: usize, count: usize) {
         wait_until("the guards know each other", async || {
             self.read_guard_metric(index, "cloverfold_members_live")
                 .await as usize
@@ -62,11 +62,12 @@
         .await;
     }
 
-    pub async fn wait_guard_ready(&self, index: usize) {
-        self.wait_page(self.guard_https[index], "/readyz").await;
+    pub async fn wait_until_guard_ready(&self, index: usize) {
+        self.wait_until_page_is_ok(self.guard_http_addresses[index], "/readyz")
+            .await;
     }
 
-    async fn wait_page(&self, address: SocketAddr, path: &str) {
+    async fn wait_until_page_is_ok(&self, address: SocketAddr, path: &str) {
         wait_until(path, async || {
             let page = self.client.get_text(address, path).await;
             page.is_ok_and(|(status, _)| status == 200)
@@ -76,7 +77,8 @@
 
     /// Returns one series of a guard's metrics.
     pub async fn read_guard_metric(&self, index: usize, series: &str) -> f64 {
-        self.read_metric(self.guard_https[index], series).await
+        self.read_metric(self.guard_http_addresses[index], series)
+            .await
     }
 
     async fn read_metric(&self, http: SocketAddr, series: &str) -> f64 {
@@ -89,9 +91,9 @@
 
 /// Waits until a condition holds.
 pub async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let until = Instant::now() + CONDITION_TIMEOUT;
+    let deadline = Instant::now() + CONDITION_TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < until, "waited in vain until {what}");
-        sleep(CONDITION_POLL).await;
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
+        sleep(CONDITION_POLL_INTERVAL).await;
     }
 }
--- a/crates/cloverfold/tests/system/link_faults.rs
+++ b/crates/cloverfold/tests/system/link_faults.rs
@@ -1,15 +1,15 @@
-//! Links that delay, lose, repeat, reorder, fall silent and break.
+//! Links that delay, drop, duplicate or reorder packets, fall silent, or break.
 
 use std::time::Duration;
 
 use cloverfold_faults::Faults;
 use tokio::time::sleep;
 
-use crate::cluster::{Cluster, Shape, TestJob};
+use crate::cluster::{Cluster, ClusterConfig, TestJob};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_repeated_and_reordered_datagrams_cross_no_answers() {
-    let cluster = Cluster::start(Shape::default()).await;
+async fn lost_duplicated_and_reordered_datagrams_mix_up_no_answers() {
+    let cluster = Cluster::start(ClusterConfig::default()).await;
     for link in &cluster.guard_links {
         link.set(Faults {
             delay: Duration::from_millis(2),
@@ -32,14 +32,14 @@
     for answer in answers {
         assert_eq!(answer.unwrap().outcome, "complete");
     }
-    cluster.check_promises();
+    cluster.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_coordinator_cut_off_in_silence_is_replaced_and_may_return() {
-    let cluster = Cluster::start(Shape::default()).await;
+async fn a_silently_isolated_coordinator_is_replaced_and_may_return() {
+    let cluster = Cluster::start(ClusterConfig::default()).await;
     let victim = 0;
-    let names = (0..8).map(|number| cluster.name_job_for(victim, &format!("silent-{number}")));
+    let names = (0..8).map(|number| cluster.find_job_name_for(victim, &format!("silent-{number}")));
     let jobs: Vec<_> = names.map(|name| TestJob::new(&name, 1, 800)).collect();
 
     let requests = jobs.iter().map(|job| cluster.submit(0, job));
@@ -47,12 +47,12 @@
     tokio::pin!(all);
     tokio::select! {
         _ = &mut all => panic!("the jobs ended before the cut"),
-        () = cluster.wait_starts(8) => {}
+        () = cluster.wait_for_starts(8) => {}
     }
     cluster.set_isolation(victim, true);
     let answers = all.await;
     cluster.set_isolation(victim, false);
-    cluster.wait_ready().await;
+    cluster.wait_until_ready().await;
     let requests = jobs.iter().map(|job| cluster.submit(1, job));
     let again = futures_util::future::join_all(requests).await;
 
@@ -65,24 +65,24 @@
         assert!(["complete", "failed"].contains(&answer.outcome.as_str()));
     }
     assert_eq!(cluster.count_starts(), 8);
-    cluster.check_promises();
+    cluster.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_connection_to_the_target_is_never_tried_again() {
-    let cluster = Cluster::start(Shape::default()).await;
+async fn a_task_on_a_broken_target_connection_is_never_retried() {
+    let cluster = Cluster::start(ClusterConfig::default()).await;
     let job = TestJob::new("broken", 10, 500);
 
-    let disturb = || {
+    let disrupt = || {
         for link in &cluster.target_links {
             link.cut();
         }
     };
-    let answer = cluster.submit_disturbed(&job, 10, disturb).await;
+    let answer = cluster.submit_with_disruption(&job, 10, disrupt).await;
     sleep(Duration::from_millis(300)).await;
 
     assert_eq!(answer.outcome, "failed");
     assert_eq!(answer.error_code(), Some("target_lost"));
     assert_eq!(cluster.count_starts(), 10);
-    cluster.check_promises();
+    cluster.assert_no_violations();
 }
--- a/crates/cloverfold/tests/system/main.rs
+++ b/crates/cloverfold/tests/system/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the whole system: real processes behind the fault-injecting proxy.
+//! Tests of a claims installation of real processes behind fault-injecting proxies.
 
-// An expectation that fails is what a test is for.
+// A failed `unwrap` fails the test, as intended.
 #![allow(clippy::unwrap_used, clippy::needless_pass_by_value)]
 
 mod bad_input;
--- a/crates/cloverfold/tests/system/whole_path.rs
+++ b/crates/cloverfold/tests/system/whole_path.rs
@@ -1,17 +1,17 @@
-//! The path without faults.
+//! The path of a job from submission to answer, without faults.
 
-use crate::cluster::{Cluster, Shape, TestJob, wait_until};
+use crate::cluster::{Cluster, ClusterConfig, TestJob, wait_until};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_is_answered_whole_and_again_without_a_second_start() {
-    let cluster = Cluster::start(Shape::default()).await;
+async fn a_resubmitted_job_gets_the_same_results_without_a_second_start() {
+    let cluster = Cluster::start(ClusterConfig::default()).await;
     let job = TestJob::new("whole", 40, 30);
 
     let first = cluster.submit(0, &job).await.unwrap();
     let again = cluster.submit(1, &job).await.unwrap();
     let state = cluster
         .client
-        .query(cluster.entry_https[1], &cluster.caller, &job.name)
+        .query(cluster.entry_http_addresses[1], &cluster.caller, &job.name)
         .await
         .unwrap();
 
@@ -19,31 +19,31 @@
     assert_eq!(first.results, again.results);
     assert_eq!(state.outcome, "complete");
     assert_eq!(cluster.count_starts(), 40);
-    cluster.check_promises();
+    cluster.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_same_submission_through_two_entries_at_once_runs_once() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterConfig::default()).await;
     let job = TestJob::new("twins", 10, 100);
 
-    let (one, other) = tokio::join!(cluster.submit(0, &job), cluster.submit(1, &job));
+    let (first, second) = tokio::join!(cluster.submit(0, &job), cluster.submit(1, &job));
 
-    assert_eq!(one.unwrap().outcome, "complete");
-    assert_eq!(other.unwrap().outcome, "complete");
+    assert_eq!(first.unwrap().outcome, "complete");
+    assert_eq!(second.unwrap().outcome, "complete");
     assert_eq!(cluster.count_starts(), 10);
-    cluster.check_promises();
+    cluster.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_failing_task_fails_the_whole_job() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(ClusterConfig::default()).await;
     let mut request = TestJob::new("failing", 3, 20).request();
     request.tasks[1]["fails"] = true.into();
 
     let answer = cluster
         .client
-        .submit(cluster.entry_https[0], &cluster.caller, &request)
+        .submit(cluster.entry_http_addresses[0], &cluster.caller, &request)
         .await
         .unwrap();
 
@@ -53,19 +53,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_still_runs_of_a_failed_job_is_cancelled() {
-    let cluster = Cluster::start(Shape::default()).await;
+async fn running_tasks_of_a_failed_job_are_cancelled() {
+    let cluster = Cluster::start(ClusterConfig::default()).await;
     let mut request = TestJob::new("cancelled", 2, 20_000).request();
     request.tasks[0]["duration_ms"] = 100.into();
     request.tasks[0]["fails"] = true.into();
 
     let answer = cluster
         .client
-        .submit(cluster.entry_https[0], &cluster.caller, &request)
+        .submit(cluster.entry_http_addresses[0], &cluster.caller, &request)
         .await
         .unwrap();
     wait_until("the other task is cancelled", async || {
-        let cancelled = cluster.targets.iter().map(|one| one.list_cancelled().len());
+        let cancelled = cluster
+            .targets
+            .iter()
+            .map(|target| target.list_cancelled().len());
         cancelled.sum::<usize>() == 1
     })
     .await;
@@ -76,15 +79,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn guards_show_what_their_targets_report() {
-    let cluster = Cluster::start(Shape::default()).await;
+async fn guards_export_the_starts_that_their_targets_report() {
+    let cluster = Cluster::start(ClusterConfig::default()).await;
 
     cluster
         .submit(0, &TestJob::new("reported", 40, 10))
         .await
         .unwrap();
 
-    wait_until("every guard shows its target's starts", async || {
+    wait_until("the guards export all reported starts", async || {
         let mut reported = 0.0;
         for guard in 0..5 {
             let series = "cloverfold_target_reported_starts";
@@ -97,13 +100,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_runs_before_the_cell_is_founded() {
-    let mut cluster = Cluster::start_unfounded(Shape::default()).await;
+    let mut cluster = Cluster::start_unfounded(ClusterConfig::default()).await;
     let job = TestJob::new("early", 2, 20);
     let other = TestJob::new("later", 2, 20);
 
     let early = cluster.submit(0, &job).await;
     cluster.found().await;
-    cluster.wait_ready().await;
+    cluster.wait_until_ready().await;
     let later = cluster.submit(0, &other).await.unwrap();
 
     if let Ok(early) = early {
@@ -111,24 +114,24 @@
     }
     assert_eq!(later.outcome, "complete");
     assert_eq!(cluster.count_starts(), 2);
-    cluster.check_promises();
+    cluster.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_that_finds_no_slot_before_its_deadline_is_truly_not_run() {
-    let shape = Shape {
+async fn a_job_without_a_slot_before_its_deadline_never_runs() {
+    let config = ClusterConfig {
         guards: 3,
         slots: 1,
-        ..Shape::default()
+        ..ClusterConfig::default()
     };
-    let cluster = Cluster::start(shape).await;
+    let cluster = Cluster::start(config).await;
     let first = TestJob::new("holding", 3, 1_200);
     let mut hurried = TestJob::new("hurried", 2, 20);
     hurried.deadline_ms = Some(200);
 
     let holding = cluster.submit(0, &first);
     let refused = async {
-        cluster.wait_starts(3).await;
+        cluster.wait_for_starts(3).await;
         cluster.submit(1, &hurried).await.unwrap()
     };
     let (holding, refused) = tokio::join!(holding, refused);
@@ -138,7 +141,7 @@
     assert_eq!(holding.unwrap().outcome, "complete");
     assert_eq!(refused.outcome, "not_run");
     assert_eq!(refused.error_code(), Some("deadline_passed"));
-    assert_eq!(again.outcome, "not_run", "a refused key stays refused");
+    assert_eq!(again.outcome, "not_run", "a rejected key stays rejected");
     assert_eq!(cluster.count_starts(), 3);
-    cluster.check_promises();
+    cluster.assert_no_violations();
 }
--- a/crates/cloverfold/tests/upkeep_processes.rs
+++ b/crates/cloverfold/tests/upkeep_processes.rs
@@ -1,4 +1,4 @@
-//! A wave of upkeep over three real control processes, the holder of which is stopped between two calls.
+//! A wave of upkeep by three control processes, whose lease holder is paused between two calls.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,17 +11,17 @@
 use std::time::Duration;
 
 use boxes::{FakeBoxApi, RecordedCall};
-use programs::{Addresses, CLOVERFOLD, Program, run, wait_until};
+use programs::{Addresses, CLOVERFOLD, Program, run_command, wait_until};
 use rustix::process::Signal;
 use serde_json::Value;
 
 const MAINTENANCE: Duration = Duration::from_millis(300);
 const LEASE: Duration = Duration::from_millis(600);
-/// Port of the operators' interface, from the peer port.
+/// Offset of the operator port from the peer port.
 const OPERATOR_OFFSET: u16 = 1;
 
 /// Addresses that no other test file uses.
-const BLOCK: u8 = 180;
+const ADDRESS_BLOCK: u8 = 180;
 
 struct Group {
     addresses: Addresses,
@@ -30,11 +30,11 @@
 
 impl Group {
     fn start(folder: &Path, boxes: &FakeBoxApi) -> Self {
-        let addresses = Addresses::choose(BLOCK);
+        let addresses = Addresses::for_block(ADDRESS_BLOCK);
         let start = |index| {
             let name = format!("control-{index}");
             let peer = addresses.peer_settings(&name, index, &[0, 1, 2]);
-            let operator = addresses.at(index, OPERATOR_OFFSET);
+            let operator = addresses.address(index, OPERATOR_OFFSET);
             let data = folder.join(format!("data-{index}"));
             let upkeep = format!(
                 r#"{{ "address": "{}", "calls_per_second": 200, "readings_per_second": 500, "maintenance_s": 0.3, "lease_ms": 600, "thaw_ms": 100, "list_lag_s": 0.3, "empty_ms": 100 }}"#,
@@ -52,43 +52,43 @@
         Self { addresses, running }
     }
 
-    /// Runs `cloverfold upkeep` at all control processes; returns what it prints once it succeeds.
-    fn upkeep(&self, arguments: &[&str]) -> String {
-        let operators = (0..3).map(|index| self.addresses.at(index, OPERATOR_OFFSET));
+    /// Runs `cloverfold upkeep` with the addresses of all control processes until it succeeds, and returns its output.
+    fn run_upkeep(&self, arguments: &[&str]) -> String {
+        let operators = (0..3).map(|index| self.addresses.address(index, OPERATOR_OFFSET));
         let operators: Vec<String> = operators.map(|at| at.to_string()).collect();
-        let mut words = vec!["upkeep"];
+        let mut arguments_with_addresses = vec!["upkeep"];
         for operator in &operators {
-            words.extend(["--at", operator]);
+            arguments_with_addresses.extend(["--at", operator]);
         }
-        words.extend(arguments);
+        arguments_with_addresses.extend(arguments);
         wait_until("an answer", || {
-            let output = run(&words);
+            let output = run_command(&arguments_with_addresses);
             let text = String::from_utf8(output.stdout).unwrap();
             output.status.success().then_some(text)
         })
     }
 
     fn state_of_wave(&self, wave: &str) -> Value {
-        let text = self.upkeep(&["status", wave]);
+        let text = self.run_upkeep(&["status", wave]);
         let shown: Value = serde_json::from_str(&text).unwrap();
         shown["state"].clone()
     }
 }
 
-fn first_call(boxes: &FakeBoxApi) -> RecordedCall {
+fn wait_for_first_call(boxes: &FakeBoxApi) -> RecordedCall {
     wait_until("the first call", || boxes.state().calls.first().cloned())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_holder_that_is_stopped_between_two_calls_and_woken_calls_no_more() {
+async fn a_paused_lease_holder_is_replaced_and_makes_no_conflicting_calls() {
     let names: Vec<String> = (0..4).map(|index| format!("box-{index}")).collect();
     let boxes = FakeBoxApi::start(&names, MAINTENANCE, Duration::from_millis(200)).await;
     let folder = tempfile::tempdir().unwrap();
     let group = Group::start(folder.path(), &boxes);
     let mut order = vec!["start", "7", "--most-down", "1", "--span-s", "5"];
     order.extend(names.iter().map(String::as_str));
-    group.upkeep(&order);
-    let first = first_call(&boxes);
+    group.run_upkeep(&order);
+    let first = wait_for_first_call(&boxes);
     let holder: usize = first
         .holder
         .strip_prefix("control-")
@@ -110,7 +110,7 @@
     assert_eq!(boxes.count_begun(7), 4);
     assert_eq!(boxes.state().most_down[&7], 1);
     boxes.assert_no_conflicting_calls(LEASE);
-    // The same order again is acknowledged, and changes nothing.
-    group.upkeep(&order);
+    // Orders are idempotent: a repeated order is acknowledged and has no effect.
+    group.run_upkeep(&order);
     assert_eq!(boxes.count_begun(7), 4);
 }
