--- a/crates/cloverfold/tests/system/cluster/disturbances.rs
+++ b/crates/cloverfold/tests/system/cluster/disturbances.rs
@@ -40,7 +40,7 @@
     /// Silently drops all traffic between a guard and all others, or restores it.
     pub fn set_isolation(&self, index: usize, is_isolated: bool) {
         let faults = if is_isolated {
-            Faults::silence()
+            Faults::blackhole()
         } else {
             Faults::default()
         };
--- a/crates/cloverfold/tests/system/link_faults.rs
+++ b/crates/cloverfold/tests/system/link_faults.rs
@@ -16,7 +16,7 @@
             jitter: Duration::from_millis(20),
             loss: 0.05,
             duplication: 0.3,
-            is_silent: false,
+            is_blackholed: false,
         });
     }
     let jobs: Vec<_> = (0..60)
@@ -75,7 +75,7 @@
 
     let disrupt = || {
         for link in &cluster.target_links {
-            link.cut();
+            link.close_connections();
         }
     };
     let answer = cluster.submit_with_disruption(&job, 10, disrupt).await;
