--- a/crates/claims/cloverfold_claims_core/src/admission.rs
+++ b/crates/claims/cloverfold_claims_core/src/admission.rs
@@ -1,40 +1,36 @@
-//! When a job may take slots.
+//! Admission control: queues jobs until the cell has free slots for them.
 //!
-//! A coordinator that knows the load of its cell queues a job here, unclaimed, until slots are free for it. A queued
-//! job has cost no message and can still be refused as `not_run`. Reasons: docs/design/3-lead-and-placement.md.
-//!
-//! Owns the queue and the number of admitted tasks of each flow. Relies on the caller for the cell's [`Capacity`].
+//! A queued job has no claim yet, so it needs no messages and can still be refused as `not_run`. The caller provides the
+//! cell's [`Capacity`].
 
 use std::collections::HashMap;
 
 use crate::fair_queue::{FairQueue, Flow};
 use crate::outcome::ReasonCode;
 
-/// A job waits for as many slots as it has tasks, but for no more than all slots divided by this.
-///
-/// Chosen, not measured; see docs/design/3-lead-and-placement.md.
-const LARGEST_NEED_DIVISOR: usize = 8;
+/// A job waits for as many free slots as it has tasks, but for at most the total divided by this.
+const REQUIRED_SLOTS_DIVISOR: usize = 8;
 
-/// Number of a waiting job, unique in its process.
+/// Identifier of a queued job, unique in its process.
 pub type TicketId = u64;
 
-/// Slots of the cell as its coordinator knows them.
+/// Slots of the cell, as this coordinator knows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Capacity {
     /// Slots without a task.
     pub free: usize,
     /// All slots.
     pub total: usize,
-    /// Tasks beyond the slots, which wait at the targets.
+    /// Tasks that wait for a slot at the guards.
     pub backlog: usize,
 }
 
-/// A job that asks for slots.
+/// A queued job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
-    /// Number of the job.
+    /// Identifier of the job.
     pub id: TicketId,
-    /// Workspace and service.
+    /// Workspace and service of the job.
     pub flow: Flow,
     /// Weight of the flow, above 0.
     pub weight: f64,
@@ -49,7 +45,7 @@
     weight: f64,
 }
 
-/// The waiting jobs of a coordinator, and the tasks of the admitted ones by flow.
+/// The queued jobs of a coordinator, and the number of admitted tasks of each flow.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     waiting: FairQueue<Ticket>,
@@ -59,16 +55,16 @@
 }
 
 impl Admission {
-    /// Returns the number of tasks of waiting jobs.
+    /// Returns the number of tasks of queued jobs.
     pub fn waiting_tasks(&self) -> usize {
         self.waiting_tasks
     }
 
-    /// Queues a job, unless `limit` tasks wait already.
+    /// Queues a job, unless `limit` tasks are queued already.
     ///
     /// # Errors
     ///
-    /// Returns [`ReasonCode::QueueFull`].
+    /// Returns [`ReasonCode::QueueFull`] at the limit.
     pub fn push(&mut self, ticket: Ticket, limit: usize) -> Result<(), ReasonCode> {
         if self.waiting_tasks >= limit {
             return Err(ReasonCode::QueueFull);
@@ -81,14 +77,14 @@
         Ok(())
     }
 
-    /// Removes the next job that may have slots now from the queue, and counts its tasks as active.
+    /// Removes the next job that can be admitted and counts its tasks as active.
     ///
-    /// Jobs go in fair order as slots come free, and a larger job is not overtaken by smaller ones. While large
-    /// jobs have a backlog at the targets, slots do not come free here; then a flow that has less than its
-    /// share is let in all the same, since the queues there serve it before the backlog.
+    /// Jobs are admitted in fair order as slots become free, so small jobs do not overtake a large one. While guards
+    /// have a backlog, no slots become free; a job of a flow below its share is then admitted anyway, because the
+    /// guards' fair queues serve it before the backlog.
     pub fn admit_next(&mut self, capacity: Capacity) -> Option<Ticket> {
         let (_, first) = self.waiting.peek()?;
-        let is_free = capacity.free >= limit_need(first.tasks, capacity.total);
+        let is_free = capacity.free >= required_slots(first.tasks, capacity.total);
         let ticket = if is_free {
             self.waiting.pop()
         } else if capacity.backlog == 0 {
@@ -103,19 +99,19 @@
         Some(ticket)
     }
 
-    /// Removes the next job whose flow stays within its share of all slots with it.
+    /// Removes the next job that keeps its flow within its share of all slots.
     fn pop_below_share(&mut self, total: usize) -> Option<Ticket> {
         let shares = self.compute_shares(total);
         let active = &self.active;
         self.waiting.pop_where(|flow, ticket| {
             let has = active.get(flow).map_or(0, |one| one.tasks);
-            // Every waiting flow has a share, so the default is never used.
+            // Every queued flow has a share, so the default is never used.
             let share = shares.get(flow).copied().unwrap_or(0.0);
-            (has + limit_need(ticket.tasks, total)) as f64 <= share
+            (has + required_slots(ticket.tasks, total)) as f64 <= share
         })
     }
 
-    /// Records that tasks of an admitted job no longer take slots.
+    /// Records that tasks of an admitted job ended and no longer use slots.
     pub fn record_ended(&mut self, flow: &Flow, tasks: usize) {
         if let Some(active) = self.active.get_mut(flow) {
             active.tasks = active.tasks.saturating_sub(tasks);
@@ -125,14 +121,14 @@
         }
     }
 
-    /// Removes a queued job; returns whether it was still waiting.
+    /// Removes a queued job; returns whether it was still queued.
     pub fn cancel(&mut self, id: TicketId) -> bool {
         let taken = self.waiting.drain_where(|ticket| ticket.id == id);
         self.waiting_tasks -= taken.iter().map(|ticket| ticket.tasks).sum::<usize>();
         !taken.is_empty()
     }
 
-    /// Divides all slots by weight among the flows that have or want some.
+    /// Divides all slots by weight among the flows with active or queued tasks.
     fn compute_shares(&self, total: usize) -> HashMap<Flow, f64> {
         let mut weights: HashMap<Flow, f64> = self
             .active
@@ -152,7 +148,7 @@
     }
 }
 
-/// Returns how many free slots a job with so many tasks waits for.
-fn limit_need(tasks: usize, total: usize) -> usize {
-    tasks.min((total / LARGEST_NEED_DIVISOR).max(1))
+/// Returns how many free slots a job with `tasks` tasks waits for.
+fn required_slots(tasks: usize, total: usize) -> usize {
+    tasks.min((total / REQUIRED_SLOTS_DIVISOR).max(1))
 }
--- a/crates/claims/cloverfold_claims_core/src/cell.rs
+++ b/crates/claims/cloverfold_claims_core/src/cell.rs
@@ -1,6 +1,6 @@
-//! The guards of one cell and the replica group of a key.
+//! The guards of one cell and the replica group of each key.
 //!
-//! Owns nothing that changes: a cell is what its settings file lists, the same in every process.
+//! A cell comes from its settings file and is the same in every process.
 
 use std::hash::Hasher;
 
@@ -9,10 +9,10 @@
 
 use crate::{GuardId, SubmissionKey};
 
-/// Where a guard's box stands; boxes that share a data hall or a rack can fail together.
+/// Failure domain of a guard's box; boxes that share a data hall or a rack can fail together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Location {
-    /// Number of the guard on the box.
+    /// The guard on the box.
     pub guard: GuardId,
     /// Name of the data hall.
     pub data_hall: String,
@@ -20,7 +20,7 @@
     pub rack: String,
 }
 
-/// The guards that may hold claims and run tasks together.
+/// The guards that replicate claims and run tasks together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cell {
     locations: Vec<Location>,
@@ -29,7 +29,7 @@
 }
 
 impl Cell {
-    /// Builds a cell whose keys are each held by `group_size` guards.
+    /// Builds a cell in which `group_size` guards replicate each key.
     pub fn new(locations: Vec<Location>, group_size: usize) -> Self {
         Self {
             locations,
@@ -38,32 +38,32 @@
         }
     }
 
-    /// Makes one guard the first choice for every key, so that it knows all tasks in flight in the cell.
+    /// Makes one guard the preferred proposer for every key, so that it knows all tasks in flight in the cell.
     pub fn with_lead(mut self, lead: GuardId) -> Self {
         self.lead = Some(lead);
         self
     }
 
-    /// Returns where each guard of the cell stands.
+    /// Returns the location of each guard.
     pub fn locations(&self) -> &[Location] {
         &self.locations
     }
 
-    /// Returns the number of replies that make a majority of a group.
+    /// Returns the size of a majority of a replica group.
     pub fn quorum(&self) -> usize {
         quorum_of(self.group_size.min(self.locations.len()))
     }
 
-    /// Chooses the guards that hold a key, first choice first.
+    /// Returns the guards that replicate a key, the preferred proposer first.
     ///
-    /// The lead, where the cell has one, is the first choice. The other guards are ranked by rendezvous hashing,
-    /// so the loss or arrival of one guard moves only that guard's share of keys. From the ranking each next
-    /// member is taken from a data hall not yet used, then from a rack not yet used, then from the rest.
+    /// The lead, where the cell has one, is the preferred proposer. Rendezvous hashing ranks the other guards, so
+    /// adding or removing one guard moves only that guard's share of keys. Each next member is the best ranked guard
+    /// of an unused data hall, otherwise of an unused rack, otherwise of the rest.
     pub fn choose_replica_group(&self, key: &SubmissionKey) -> Vec<GuardId> {
         let ranked = self.rank_guards(key);
         let mut chosen: Vec<&Location> = Vec::with_capacity(self.group_size);
         while chosen.len() < self.group_size.min(ranked.len()) {
-            let Some(next) = choose_most_separate(&ranked, &chosen) else {
+            let Some(next) = choose_next_member(&ranked, &chosen) else {
                 break;
             };
             chosen.push(next);
@@ -93,7 +93,7 @@
     hasher.finish()
 }
 
-fn choose_most_separate<'a>(ranked: &[&'a Location], chosen: &[&Location]) -> Option<&'a Location> {
+fn choose_next_member<'a>(ranked: &[&'a Location], chosen: &[&Location]) -> Option<&'a Location> {
     let is_free = |one: &Location| chosen.iter().all(|other| other.guard != one.guard);
     let in_new_data_hall =
         |one: &Location| chosen.iter().all(|other| other.data_hall != one.data_hall);
--- a/crates/claims/cloverfold_claims_core/src/claim.rs
+++ b/crates/claims/cloverfold_claims_core/src/claim.rs
@@ -1,7 +1,7 @@
-//! A claim, the ballots that order attempts to agree on it, and the messages of the agreement.
+//! Claims, the ballots of single-decree Paxos, and its requests and replies.
 //!
-//! Used by the proposer ([`crate::Proposer`]) and the acceptor ([`crate::ClaimReplica`]). The types are encoded
-//! with postcard, by the order of their fields and variants, and go over the wire between guards.
+//! The proposer is [`crate::Proposer`] and the acceptor is [`crate::ClaimReplica`]. Guards exchange these types in
+//! postcard, which depends on the order of fields and variants.
 
 use std::time::Duration;
 
@@ -12,105 +12,105 @@
 use crate::outcome::ReasonCode;
 use crate::{BodyDigest, GuardId, Incarnation, Placement, SubmissionKey, TaskIndex};
 
-/// How far the clocks of callers and boxes may disagree (docs/design/1-submissions.md). Chosen, not measured.
+/// Largest tolerated clock skew between callers and boxes.
 pub const CLOCK_MARGIN: Duration = Duration::from_secs(5);
 
-/// Order of attempts to fix a claim; a larger ballot overrules a smaller one.
+/// Paxos ballot; a larger one takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Number of the attempt; 0 is the first choice's attempt without a prepare phase.
+    /// Round number; 0 is the fast round of the preferred proposer, which has no prepare phase.
     pub round: u32,
     /// The guard that proposes.
     pub proposer: GuardId,
-    /// The incarnation of the guard that proposes.
+    /// Incarnation of the proposer.
     pub incarnation: Incarnation,
-    /// Number of the attempt in that incarnation, so that no two attempts share a ballot.
+    /// Number of the attempt in that incarnation; makes every ballot unique.
     pub attempt: u64,
 }
 
 impl Ballot {
-    /// Returns whether this is the one attempt that needs no prepare phase.
+    /// Returns whether this is a fast ballot, which needs no prepare phase.
     pub fn is_fast(&self) -> bool {
         self.round == 0
     }
 }
 
-/// What a replica group agrees on for one key: what was asked for, and where each task may start.
+/// The value that a replica group agrees on for one key: the submission's digest and where each task may start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// Hash of the submission's body.
     pub digest: BodyDigest,
-    /// When the caller first submitted.
+    /// Time of the caller's first submission.
     pub submitted_at: UnixTime,
     /// The distinct placements that the job uses.
     pub placements: Vec<Placement>,
     /// For each task, the index of its placement in `placements`.
     pub tasks: Vec<u16>,
-    /// Set when the group agreed that nothing will run under this key, and why.
+    /// Reason why no task will run under this key, if the group agreed on a refusal.
     pub refusal: Option<ReasonCode>,
 }
 
 impl Claim {
-    /// Returns where a task may start, if the job has such a task.
+    /// Returns where a task may start, or `None` for an unknown index.
     pub fn placement_of(&self, task: TaskIndex) -> Option<Placement> {
         let index = self.tasks.get(usize::from(task))?;
         self.placements.get(usize::from(*index)).copied()
     }
 }
 
-/// A claim together with the ballot it was accepted under.
+/// A claim and the ballot under which it was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The ballot.
+    /// Ballot of the accepted proposal.
     pub ballot: Ballot,
-    /// The claim.
+    /// Value of the accepted proposal.
     pub claim: Claim,
 }
 
-/// The identity and age of a submission, which each claim request carries.
+/// Key and time of a submission, sent with each claim request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
     /// Key of the submission.
     pub key: SubmissionKey,
-    /// When the caller first submitted.
+    /// Time of the caller's first submission.
     pub submitted_at: UnixTime,
 }
 
 /// A request to one replica about one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimRequest {
-    /// Asks for a promise to accept nothing below the ballot.
+    /// Asks the replica to promise to reject smaller ballots.
     Prepare(Ballot),
-    /// Asks to accept a claim under a ballot.
+    /// Asks the replica to accept a claim under a ballot.
     Accept(Accepted),
-    /// Asks what is accepted, without changing anything.
+    /// Reads the accepted claim without a vote.
     Read,
 }
 
 /// A replica's answer to a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The promise is given; carries what was accepted before.
+    /// The promise, with the claim that was accepted before.
     Promised(Option<Accepted>),
     /// The claim is accepted under this ballot.
     Accepted(Ballot),
-    /// A ballot at least this large was promised before.
+    /// The replica promised this ballot before, which rules out the requested one.
     Rejected(Ballot),
-    /// What is accepted now.
+    /// The currently accepted claim.
     Value(Option<Accepted>),
-    /// The replica may have forgotten votes for this key and gives none.
+    /// The replica may have lost earlier votes on this key and must not vote.
     NotVoting,
     /// The key is older than the retention.
     Expired,
 }
 
-/// A [`ClaimReply`] with who gives it and which incarnations that replica knows.
+/// A [`ClaimReply`] with its sender and the incarnations that the sender knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReply {
-    /// The replica that replies, in its present incarnation.
+    /// The replying replica and its current incarnation.
     pub from: Placement,
-    /// The newest incarnations that the replica knows in the group.
+    /// The newest incarnations of the group's members that the replica knows.
     pub known: Incarnations,
-    /// The reply itself.
+    /// The reply.
     pub body: ClaimReply,
 }
--- a/crates/claims/cloverfold_claims_core/src/claim_records.rs
+++ b/crates/claims/cloverfold_claims_core/src/claim_records.rs
@@ -1,7 +1,7 @@
-//! What a replica holds of each key: votes on ballots and claims, and the rules of their change.
+//! Acceptor state of a replica for each key, and the rules of voting.
 //!
-//! [`Records`] owns the records and knows neither groups nor incarnations: whether the replica may vote at all is
-//! decided by [`crate::ClaimReplica`] before it asks here.
+//! [`Records`] knows neither groups nor incarnations: [`crate::ClaimReplica`] checks first whether the replica may
+//! vote.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -13,33 +13,34 @@
 use crate::SubmissionKey;
 use crate::claim::{Accepted, Ballot, ClaimReply, ClaimRequest, Submission};
 
-/// What a replica holds for one key.
+/// Acceptor state for one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaRecord {
-    /// Largest ballot promised or accepted.
+    /// Largest promised or accepted ballot.
     pub promised: Ballot,
-    /// The claim accepted last.
+    /// The claim that was accepted last.
     pub accepted: Option<Accepted>,
-    /// When the caller first submitted; the record is kept for the retention after it.
+    /// Time of the caller's first submission, from which the retention counts.
     pub submitted_at: UnixTime,
 }
+
 /// How long records are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Keeping {
-    /// How long a key is known after its first submission.
+    /// How long a key is kept after its first submission.
     pub(crate) retention: Duration,
-    /// Allowance for clocks that disagree.
+    /// Tolerated clock skew.
     pub(crate) margin: Duration,
 }
 
 impl Keeping {
-    /// Returns how long a record is kept after its first submission.
+    /// Returns how long a record is kept after its first submission, with the clock skew.
     pub(crate) fn span(self) -> Duration {
         self.retention + self.margin
     }
 }
 
-/// The records of one replica, in the order of their keys.
+/// The records of one replica, in key order.
 #[derive(Clone, Debug)]
 pub(crate) struct Records {
     keeping: Keeping,
@@ -47,7 +48,7 @@
 }
 
 impl Records {
-    /// Returns a collection without a record.
+    /// Creates an empty collection.
     pub(crate) fn new(keeping: Keeping) -> Self {
         Self {
             keeping,
@@ -60,14 +61,14 @@
         self.by_key.len()
     }
 
-    /// Returns whether a record of the key is held.
+    /// Returns whether there is a record of the key.
     pub(crate) fn contains(&self, key: &SubmissionKey) -> bool {
         self.by_key.contains_key(key)
     }
 
-    /// Votes on a request by the rules of single-decree Paxos.
+    /// Votes on a request according to single-decree Paxos.
     ///
-    /// A key that is past its retention gets no new record, since an earlier one may have been dropped.
+    /// A key past its retention gets no new record, because an earlier one may have been dropped.
     pub(crate) fn vote(
         &mut self,
         submission: &Submission,
@@ -103,7 +104,7 @@
     fn accept(&mut self, submission: &Submission, accepted: Accepted) -> ClaimReply {
         let ballot = accepted.ballot;
         match self.by_key.get_mut(&submission.key) {
-            // The fast ballot skipped the prepare phase, so it is valid only where nothing was promised before.
+            // A fast ballot has no prepare phase, so it is valid only if nothing was promised before.
             Some(record) if ballot.is_fast() && record.promised != ballot => {
                 ClaimReply::Rejected(record.promised)
             }
@@ -124,7 +125,8 @@
             }
         }
     }
-    /// Lists up to `limit` records after a key for which `is_wanted` holds, and whether more follow.
+
+    /// Returns up to `limit` records after a key whose keys match `is_wanted`, and whether more follow.
     pub(crate) fn list_page(
         &self,
         after: Option<SubmissionKey>,
@@ -145,7 +147,7 @@
         (page, has_more)
     }
 
-    /// Merges a record of another replica: the larger ballot wins.
+    /// Merges a record of another replica; the larger ballot wins.
     pub(crate) fn merge(&mut self, key: SubmissionKey, record: ReplicaRecord) {
         let held = self.by_key.entry(key).or_insert_with(|| record.clone());
         held.promised = held.promised.max(record.promised);
@@ -158,7 +160,8 @@
             held.accepted = record.accepted;
         }
     }
-    /// Drops the records whose retention, with its margin, has passed; returns how many.
+
+    /// Drops the records past their retention and the clock skew; returns how many.
     pub(crate) fn drop_expired(&mut self, now: UnixTime) -> usize {
         let before = self.by_key.len();
         let kept_for = self.keeping.span();
--- a/crates/claims/cloverfold_claims_core/src/fair_queue.rs
+++ b/crates/claims/cloverfold_claims_core/src/fair_queue.rs
@@ -1,7 +1,6 @@
-//! A queue that serves its flows in proportion to their weights.
+//! A weighted fair queue.
 //!
-//! Owns the queued items and the virtual time of each flow. Used at the lead ([`crate::Admission`]) and in front of
-//! each target ([`crate::Fence`]).
+//! The lead queues jobs in it ([`crate::Admission`]) and each guard queues the tasks of its target ([`crate::Fence`]).
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,7 +8,7 @@
 
 use crate::{ServiceId, WorkspaceId};
 
-/// The work of one workspace at one service, which shares the queue by weight.
+/// Scheduling class of a fair queue: the work of one workspace at one service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Flow {
     /// The service.
@@ -21,7 +20,7 @@
 #[derive(Clone, Debug)]
 struct FlowState<T> {
     items: VecDeque<QueuedItem<T>>,
-    /// Virtual time at which the flow's next item may leave.
+    /// Virtual start time of the flow's next item.
     next_tag: f64,
     weight: f64,
 }
@@ -32,10 +31,9 @@
     cost: f64,
 }
 
-/// Start-time fair queue: the waiting flow with the smallest virtual time goes next.
+/// Start-time fair queue: the backlogged flow with the smallest virtual start time is served next.
 ///
-/// A flow that was idle starts at the present virtual time, so that it neither gains credit by waiting nor
-/// pays for capacity that it was lent.
+/// An idle flow resumes at the current virtual time, so that it earns no credit while it is idle.
 #[derive(Clone, Debug)]
 pub struct FairQueue<T> {
     flows: HashMap<Flow, FlowState<T>>,
@@ -54,17 +52,17 @@
 }
 
 impl<T> FairQueue<T> {
-    /// Returns the number of waiting items.
+    /// Returns the number of queued items.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether the queue has no items.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds an item at the end of its flow; `weight` is above 0, `cost` is what the item takes of the flow's share.
+    /// Appends an item to its flow; `weight` is above 0, `cost` is the share of the flow that the item uses.
     pub fn push(&mut self, flow: Flow, weight: f64, cost: f64, item: T) {
         let now = self.virtual_time;
         let state = self.flows.entry(flow).or_insert_with(|| FlowState {
@@ -86,14 +84,14 @@
         self.pop_from(&flow)
     }
 
-    /// Returns the item that [`FairQueue::pop`] would take, with its flow.
+    /// Returns the item that [`FairQueue::pop`] would remove, with its flow.
     pub fn peek(&self) -> Option<(Flow, &T)> {
         let flow = self.order_waiting_flows().into_iter().next()?;
         let first = self.flows.get(&flow)?.items.front()?;
         Some((flow, &first.item))
     }
 
-    /// Removes the first item in fair order among the flows' first items for which `is_wanted` holds.
+    /// Removes the next item in fair order among the flows' first items that match `is_wanted`.
     pub fn pop_where(&mut self, is_wanted: impl Fn(&Flow, &T) -> bool) -> Option<T> {
         let is_wanted_flow = |flow: &Flow| {
             let first = self.flows.get(flow).and_then(|state| state.items.front());
@@ -106,7 +104,7 @@
         self.pop_from(&flow)
     }
 
-    /// Lists the flows in which something waits.
+    /// Returns the flows that have queued items.
     pub fn waiting_flows(&self) -> impl Iterator<Item = &Flow> {
         let waiting = self.flows.iter().filter(|(_, one)| !one.items.is_empty());
         waiting.map(|(flow, _)| flow)
@@ -118,7 +116,7 @@
             .iter()
             .filter(|(_, one)| !one.items.is_empty())
             .collect();
-        // Ties go by name, so that equal states always decide alike.
+        // Ties are broken by name, so that the order is deterministic.
         waiting.sort_by(|(a_flow, a), (b_flow, b)| {
             a.next_tag
                 .total_cmp(&b.next_tag)
@@ -137,7 +135,7 @@
         Some(first.item)
     }
 
-    /// Removes every item for which `is_wanted` holds.
+    /// Removes every item that matches `is_wanted`.
     pub fn drain_where(&mut self, mut is_wanted: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut taken = Vec::new();
         for state in self.flows.values_mut() {
--- a/crates/claims/cloverfold_claims_core/src/fence.rs
+++ b/crates/claims/cloverfold_claims_core/src/fence.rs
@@ -1,12 +1,11 @@
-//! The start fence and the queue in front of one target.
+//! The start fence and the task queue of one target.
 //!
-//! A guard alone starts tasks at its target, and each `(key, task)` at most once in one incarnation. A task can be
-//! moved away from a guard only through this state: [`Fence::release`] either proves that the task has not started
-//! and never will here, or returns where it went or that it started. The first release wins, so two coordinators of
-//! one job can never send one task to two places. Reasons: docs/design/2-claims-and-fence.md.
+//! Only the guard starts tasks at its target, and each `(key, task)` at most once in an incarnation. A task moves away
+//! only through [`Fence::release`], which either proves that the task has not started here and never will, or returns
+//! where it went or that it started. The first release wins, so two coordinators of one job cannot send one task to two
+//! guards.
 //!
-//! Owns the state of each task at this guard, and the queue. Relies on the caller to start what
-//! [`Fence::start_next`] returns and to report each end to [`Fence::finish`].
+//! The caller starts the tasks that [`Fence::start_next`] returns and reports each end to [`Fence::finish`].
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -18,32 +17,32 @@
 use crate::outcome::ReasonCode;
 use crate::{Incarnation, Placement, SubmissionKey, TaskIndex};
 
-/// Every task takes one slot.
+/// Cost of a task in the fair queue; every task uses one slot.
 const TASK_COST: f64 = 1.0;
 
-/// Identity of one task of one submission.
+/// Identifier of one task of one submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// Key of the submission.
     pub key: SubmissionKey,
-    /// Place of the task in the job.
+    /// Index of the task in the job.
     pub index: TaskIndex,
 }
 
-/// A task as it is given to a guard.
+/// A task that was assigned to a guard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedTask<P> {
-    /// Identity of the task.
+    /// Identifier of the task.
     pub id: TaskId,
-    /// The flow it is queued in.
+    /// The flow in which it is queued.
     pub flow: Flow,
     /// The flow's weight, above 0.
     pub weight: f64,
-    /// No start at or after this time.
+    /// The task does not start at or after this time.
     pub deadline: UnixTime,
-    /// Until when the fence must remember the task.
+    /// Until when the fence must keep an entry for the task.
     pub keep_until: UnixTime,
-    /// What the target is given.
+    /// Request body for the target.
     pub payload: P,
 }
 
@@ -52,73 +51,73 @@
 pub enum TaskEnd {
     /// The target answered with this result.
     Done(Vec<u8>),
-    /// The task started and did not end well.
+    /// The task may have started and has no result.
     Failed {
-        /// Why.
+        /// Reason of the failure.
         reason: ReasonCode,
-        /// One sentence for a person.
+        /// Human-readable message.
         detail: String,
     },
-    /// The task has not started and is not kept here; only its release fences it.
+    /// The task has not started and the fence has no entry for it; only a release fences it.
     Returned(ReasonCode),
-    /// The task has not started here and was passed on, or given up where there is no new place.
+    /// The task has not started here and was forwarded to this placement, or abandoned if there is none.
     Released(Option<Placement>),
 }
 
-/// What the fence holds of one task.
+/// State of one task in the fence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// It waits for a slot.
+    /// Waiting for a slot.
     Queued,
-    /// It was sent to the target.
+    /// Sent to the target.
     Running,
-    /// It is over here.
+    /// Ended at this guard.
     Ended(TaskEnd),
 }
 
-/// What becomes of an assignment.
+/// Result of an assignment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AssignResult {
-    /// It waits in the queue.
+    /// The task was queued.
     Queued,
-    /// It was known before; this is its state.
+    /// The fence has an entry for the task, in this state.
     Known(TaskState),
-    /// It is refused, and nothing of it is kept.
+    /// The task was refused; the fence has no entry for it.
     Refused(ReasonCode),
-    /// It was meant for another incarnation of the guard, and nothing was done.
+    /// The assignment was for another incarnation of the guard and had no effect.
     WrongIncarnation(Incarnation),
 }
 
-/// What becomes of a release.
+/// Result of a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseResult {
-    /// The task has not started here and never will; it belongs to this place now, or to none.
+    /// The task has not started here and never will; it moved to this placement, or was abandoned if there is none.
     Released(Option<Placement>),
-    /// The task was sent to the target, so it cannot be released.
+    /// The task was sent to the target and cannot be released.
     Started,
-    /// The release was meant for another incarnation of the guard, and nothing was done.
+    /// The release was for another incarnation of the guard and had no effect.
     WrongIncarnation(Incarnation),
 }
 
-/// Bounds of one guard's fence.
+/// Limits of one guard's fence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FenceLimits {
-    /// Tasks that may run at once.
+    /// Tasks that may run concurrently.
     pub slots: usize,
-    /// Tasks that may wait.
+    /// Tasks that may wait for a slot.
     pub queue: usize,
-    /// How long results are kept for a coordinator that asks again.
+    /// How long results are kept for repeated assignments.
     pub answer_retention: Duration,
 }
 
-/// One task that the fence remembers.
+/// Entry of one task.
 #[derive(Clone, Debug)]
 struct Entry {
     state: TaskState,
     keep_until: UnixTime,
 }
 
-/// A result that is kept for a coordinator that asks again.
+/// Expiry time of the result of a task.
 #[derive(Clone, Copy, Debug)]
 struct KeptResult {
     id: TaskId,
@@ -138,7 +137,7 @@
 }
 
 impl<P> Fence<P> {
-    /// Builds an empty fence for one incarnation of a guard.
+    /// Creates an empty fence for one incarnation of a guard.
     pub fn new(incarnation: Incarnation, limits: FenceLimits) -> Self {
         Self {
             incarnation,
@@ -156,25 +155,25 @@
         self.running
     }
 
-    /// Returns the number of tasks that wait.
+    /// Returns the number of queued tasks.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns the state of a task, if it is known here.
+    /// Returns the state of a task, if the fence has an entry for it.
     pub fn state_of(&self, id: &TaskId) -> Option<&TaskState> {
         self.entries.get(id).map(|entry| &entry.state)
     }
 
-    /// Queues a task, unless it is known, meant for another incarnation, or cannot be accepted.
+    /// Queues a task, unless it has an entry, was assigned to another incarnation, or is refused.
     ///
-    /// A task that is not accepted is not remembered: a coordinator that wants to move it releases it here first,
-    /// which fences it. A task that would have to wait is passed on to `pass_to`, if that is given.
+    /// A refused task gets no entry: a coordinator that moves it must release it here first, which fences it. A task
+    /// that would have to wait is forwarded to `forward_to`, if there is one.
     pub fn assign(
         &mut self,
         incarnation: Incarnation,
         task: QueuedTask<P>,
-        pass_to: Option<Placement>,
+        forward_to: Option<Placement>,
         now: UnixTime,
     ) -> AssignResult {
         if incarnation != self.incarnation {
@@ -183,27 +182,27 @@
         if let Some(entry) = self.entries.get(&task.id) {
             return AssignResult::Known(entry.state.clone());
         }
-        if pass_to.is_some() && now < task.deadline && !self.can_start_now() {
-            let state = TaskState::Ended(TaskEnd::Released(pass_to));
-            self.remember(task.id, state.clone(), task.keep_until);
+        if forward_to.is_some() && now < task.deadline && !self.can_start_now() {
+            let state = TaskState::Ended(TaskEnd::Released(forward_to));
+            self.add_entry(task.id, state.clone(), task.keep_until);
             return AssignResult::Known(state);
         }
-        if let Some(reason) = self.find_obstacle(&task, now) {
+        if let Some(reason) = self.refusal_reason(&task, now) {
             return AssignResult::Refused(reason);
         }
-        self.remember(task.id, TaskState::Queued, task.keep_until);
+        self.add_entry(task.id, TaskState::Queued, task.keep_until);
         self.queue
             .push(task.flow.clone(), task.weight, TASK_COST, task);
         AssignResult::Queued
     }
 
-    /// Returns whether a task that came now would start at once.
+    /// Returns whether a new task would start without waiting.
     pub fn can_start_now(&self) -> bool {
         !self.is_leaving && self.running + self.queue.len() < self.limits.slots
     }
 
-    /// Returns why a task cannot be accepted now, if it cannot.
-    fn find_obstacle(&self, task: &QueuedTask<P>, now: UnixTime) -> Option<ReasonCode> {
+    /// Returns the reason to refuse a task, if there is one.
+    fn refusal_reason(&self, task: &QueuedTask<P>, now: UnixTime) -> Option<ReasonCode> {
         if self.is_leaving {
             Some(ReasonCode::Leaving)
         } else if now >= task.deadline {
@@ -215,13 +214,13 @@
         }
     }
 
-    fn remember(&mut self, id: TaskId, state: TaskState, keep_until: UnixTime) {
+    fn add_entry(&mut self, id: TaskId, state: TaskState, keep_until: UnixTime) {
         self.entries.insert(id, Entry { state, keep_until });
     }
 
-    /// Removes the next task from the queue while a slot is free, and marks it as started.
+    /// Removes the next task from the queue if a slot is free, and marks it as running.
     ///
-    /// Tasks whose deadline has passed are forgotten on the way and listed in `returned`.
+    /// Tasks past their deadline lose their entry and are appended to `returned`.
     pub fn start_next(
         &mut self,
         now: UnixTime,
@@ -246,9 +245,9 @@
         }
     }
 
-    /// Records how a running task ended and frees its slot.
+    /// Records the end of a running task and frees its slot.
     ///
-    /// A task that the target proved not to have started is forgotten.
+    /// A task that the target did not start loses its entry.
     pub fn finish(&mut self, id: &TaskId, end: TaskEnd, now: UnixTime) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
@@ -266,9 +265,9 @@
         self.results.push_back(KeptResult { id: *id, until });
     }
 
-    /// Gives up a task that has not started, to a new place or, with `None`, for good.
+    /// Releases a task that has not started to a new placement, or abandons it with `None`.
     ///
-    /// A task that is not known yet is fenced, so that its assignment, still on the way, starts nothing.
+    /// A task without an entry gets one, so that an assignment still in flight does not start it.
     pub fn release(
         &mut self,
         incarnation: Incarnation,
@@ -294,11 +293,11 @@
             Some(TaskState::Ended(TaskEnd::Returned(_))) | None => {}
         }
         let state = TaskState::Ended(TaskEnd::Released(to));
-        self.remember(id, state, keep_until);
+        self.add_entry(id, state, keep_until);
         ReleaseResult::Released(to)
     }
 
-    /// Starts nothing any more; forgets all queued tasks and returns them.
+    /// Stops starting tasks; removes and returns all queued tasks.
     pub fn begin_drain(&mut self) -> Vec<TaskId> {
         self.is_leaving = true;
         let waiting = self.queue.drain_where(|_| true);
@@ -308,7 +307,7 @@
         waiting.into_iter().map(|task| task.id).collect()
     }
 
-    /// Drops results and entries whose time has passed; the task of a dropped result stays fenced.
+    /// Drops expired results and entries; the task of a dropped result stays fenced until its entry expires.
     pub fn drop_expired(&mut self, now: UnixTime) {
         while let Some(kept) = self.results.pop_front_if(|kept| kept.until <= now) {
             let dropped = TaskEnd::Failed {
--- a/crates/claims/cloverfold_claims_core/src/guard_table.rs
+++ b/crates/claims/cloverfold_claims_core/src/guard_table.rs
@@ -1,7 +1,6 @@
-//! What one process knows of the guards of its cell: their incarnations, phases and loads.
+//! One process's view of the guards of its cell: their incarnations, phases and loads.
 //!
-//! Owns the newest report of each guard and the number of tasks that this process has in flight there. Relies on the
-//! caller for reports and for the time, as a span since the start of the process.
+//! The caller provides the reports and the time since the start of the process.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,35 +11,35 @@
 use crate::placement_policy::{Candidate, PlacementPolicy, choose_placements};
 use crate::{GuardId, Incarnation, Placement};
 
-/// Phase of a guard, as it reports it itself.
+/// Lifecycle phase of a guard, as it reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardPhase {
-    /// It runs but accepts no work yet.
+    /// Started, but not accepting work yet.
     Joining,
-    /// It accepts work.
+    /// Accepting work.
     Live,
-    /// It ends what runs and accepts nothing new.
+    /// Draining: finishes running tasks and accepts no new ones.
     Leaving,
 }
 
-/// What a guard reports of itself; a later report has a larger `(incarnation, sequence)`.
+/// A guard's report of its own state; a newer report has a larger `(incarnation, sequence)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GuardReport {
     /// The guard and its incarnation.
     pub placement: Placement,
-    /// Number of the report in that incarnation.
+    /// Sequence number of the report in that incarnation.
     pub sequence: u64,
     /// Phase of the guard.
     pub phase: GuardPhase,
-    /// Whether its memory of claims is whole, so that it can lead.
+    /// Whether its claim records are complete, so that it can lead.
     pub is_whole: bool,
     /// Tasks at the target.
     pub running: u32,
-    /// Tasks that wait.
+    /// Tasks that wait for a slot.
     pub queued: u32,
-    /// Tasks that can run at once.
+    /// Tasks that can run concurrently.
     pub slots: u32,
-    /// How long ago the guard made the report, summed over the processes that passed it on.
+    /// Age of the report, summed over the processes that forwarded it.
     pub age: Duration,
 }
 
@@ -53,18 +52,17 @@
 #[derive(Clone, Copy, Debug)]
 struct KnownGuard {
     report: GuardReport,
-    /// When the guard made the report, by this process's monotonic clock.
+    /// When the guard made the report, on this process's monotonic clock.
     reported_at: Duration,
-    /// Tasks that the report shows beyond those that this process had there when it came.
+    /// Reported tasks beyond those that this process had in flight there when the report arrived.
     load_of_others: u32,
-    /// When it last could not be reached, unless it made a report after that.
+    /// When the guard was last unreachable, unless it has made a report since.
     suspected_at: Option<Duration>,
 }
 
-/// The newest report of each guard, and what this process itself has in flight there.
+/// The newest report of each guard, and the tasks that this process has in flight there.
 ///
-/// Its own tasks are known exactly; reports only show the tasks of other coordinators. So a process that places
-/// all tasks of a cell needs no report to know the load.
+/// The process knows its own tasks exactly and needs reports only for the tasks of other coordinators.
 #[derive(Clone, Debug, Default)]
 pub struct GuardTable {
     guards: BTreeMap<GuardId, KnownGuard>,
@@ -72,7 +70,7 @@
 }
 
 impl GuardTable {
-    /// Records a report, unless a newer one is known; returns whether the guard has restarted.
+    /// Records a report, unless it is not newer than the known one; returns whether the guard has restarted.
     pub fn record_report(&mut self, report: GuardReport, now: Duration) -> bool {
         let guard = report.placement.guard;
         let held = self.guards.get(&guard);
@@ -83,7 +81,7 @@
             |held: &KnownGuard| held.report.placement.incarnation != report.placement.incarnation;
         let has_restarted = held.is_some_and(is_new_incarnation);
         let reported_at = now.saturating_sub(report.age);
-        // A report from before the suspicion, passed on late, does not show that the guard can be reached.
+        // A report from before the suspicion that arrives late does not prove that the guard is reachable.
         let suspected_at = held
             .filter(|_| !has_restarted)
             .and_then(|held| held.suspected_at)
@@ -99,7 +97,7 @@
         has_restarted
     }
 
-    /// Lists the newest report of each guard with its present age.
+    /// Returns the newest report of each guard with its current age.
     pub fn reports(&self, now: Duration) -> Vec<GuardReport> {
         let guards = self.guards.values();
         guards
@@ -115,24 +113,24 @@
         self.guards.get(&guard).map(|guard| &guard.report)
     }
 
-    /// Returns the number of tasks that this process has at a guard.
+    /// Returns the number of tasks that this process has in flight at a guard.
     pub fn in_flight_at(&self, guard: GuardId) -> u32 {
         self.in_flight.get(&guard).copied().unwrap_or(0)
     }
 
-    /// Counts a task that this process sends to a guard.
+    /// Adds a task to those that this process has in flight at a guard.
     pub fn add_in_flight(&mut self, guard: GuardId) {
         *self.in_flight.entry(guard).or_default() += 1;
     }
 
-    /// Counts a task that was charged to a guard as ended.
+    /// Removes an ended task from those that this process has in flight at a guard.
     pub fn remove_in_flight(&mut self, guard: GuardId) {
         if let Some(count) = self.in_flight.get_mut(&guard) {
             *count = count.saturating_sub(1);
         }
     }
 
-    /// Places tasks on the guards that have reported within the given time, and charges them.
+    /// Places tasks on the guards that have reported within the timeout, and counts them as in flight.
     pub fn place_tasks(
         &mut self,
         policy: PlacementPolicy,
@@ -153,14 +151,15 @@
         places
     }
 
-    /// Excludes a guard that could not be reached from new work until a report that it made after `now` comes.
+    /// Excludes an unreachable guard from new work until a report that it made after `now` arrives.
     pub fn suspect(&mut self, guard: GuardId, now: Duration) {
         if let Some(guard) = self.guards.get_mut(&guard) {
             guard.suspected_at = Some(now);
         }
     }
 
-    /// Finds the first of the given guards that accepts work, has reported within the given time, and is whole.
+    /// Returns the first of the given guards that accepts work, has reported within the timeout, and has complete
+    /// claim records.
     pub fn find_lead(
         &self,
         order: &[GuardId],
@@ -175,7 +174,7 @@
         order.iter().copied().find(can_lead)
     }
 
-    /// Counts the slots of the guards that have reported within the given time.
+    /// Returns the slots of the live guards that have reported within the timeout.
     pub fn count_capacity(&self, now: Duration, report_timeout: Duration) -> Capacity {
         let mut capacity = Capacity::default();
         for candidate in self.list_candidates(now, report_timeout) {
@@ -186,7 +185,7 @@
         capacity
     }
 
-    /// Lists the live guards that have reported within the given time.
+    /// Returns the live, reachable guards that have reported within the timeout.
     pub fn list_candidates(&self, now: Duration, report_timeout: Duration) -> Vec<Candidate> {
         let usable = self.guards.values().filter(|guard| {
             guard.report.phase == GuardPhase::Live
--- a/crates/claims/cloverfold_claims_core/src/ids.rs
+++ b/crates/claims/cloverfold_claims_core/src/ids.rs
@@ -1,35 +1,34 @@
-//! Identities that all packages of a claims installation share.
+//! Identifiers that all crates of a claims installation share.
 //!
-//! Guards, incarnations, tasks, workspaces and submissions are named by these types in messages, records and logs. Owns no
-//! state. Relies on `cloverfold_base` for the hash, which must give the same key in every process.
+//! The hash from `cloverfold_base` must give the same key in every process.
 
 use cloverfold_base::{HASH_LEN, hash_parts};
 use serde::{Deserialize, Serialize};
 
-/// Number of one box that runs a guard, unique in its cell.
+/// Number of a guard, unique in its cell; each box runs one guard.
 pub type GuardId = u16;
 
-/// Number of one incarnation of a guard, from the start of its process to its end; a later one is larger.
+/// Incarnation number of a guard: the start of its process in microseconds since the Unix epoch.
 ///
-/// Microseconds since the Unix epoch at the start of the process.
+/// A restarted guard has a larger number.
 pub type Incarnation = u64;
 
-/// Place of a task within its job, from 0.
+/// Index of a task within its job, from 0.
 pub type TaskIndex = u16;
 
-/// Name of a workspace, as in the table.
+/// Name of a workspace, as in the cell's settings.
 pub type WorkspaceId = String;
 
-/// Name of a service, as in the table.
+/// Name of a service, as in the cell's settings.
 pub type ServiceId = String;
 
-/// Hash of a workspace and that workspace's idempotency key; the identity of one submission.
+/// Hash of a workspace and its idempotency key; identifies one submission.
 pub type SubmissionKey = [u8; HASH_LEN];
 
-/// Hash of what a submission asks for, used to refuse the same key with another body.
+/// Hash of a submission's body, used to refuse the same key with another body.
 pub type BodyDigest = [u8; HASH_LEN];
 
-/// One incarnation of one guard: the place that a task is assigned to.
+/// One incarnation of one guard, to which tasks are assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Placement {
     /// The guard.
@@ -43,7 +42,7 @@
     hash_parts(&[workspace.as_bytes(), idempotency_key.as_bytes()])
 }
 
-/// Writes a key as lower-case hexadecimal, the form used in logs and towards targets.
+/// Formats a key as lower-case hexadecimal, as logs and requests to targets show it.
 pub fn format_key(key: &SubmissionKey) -> String {
     key.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/claims/cloverfold_claims_core/src/incarnations.rs
+++ b/crates/claims/cloverfold_claims_core/src/incarnations.rs
@@ -1,8 +1,7 @@
 //! The newest known incarnation of each guard.
 //!
-//! A replica sends it with each reply, so that a proposer does not count the vote of an incarnation that has ended
-//! ([`crate::Proposer`]). Owns the numbers by guard; a number never falls. Relies on a later incarnation having a larger
-//! number.
+//! A replica sends it with each reply, so that a proposer ([`crate::Proposer`]) does not count the vote of an
+//! incarnation that has ended. Numbers only increase.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +14,18 @@
 pub struct Incarnations(BTreeMap<GuardId, Incarnation>);
 
 impl Incarnations {
-    /// Returns the newest incarnation known of a guard, 0 when none is known.
+    /// Returns the newest known incarnation of a guard, or 0.
     pub fn newest(&self, guard: GuardId) -> Incarnation {
         self.0.get(&guard).copied().unwrap_or(0)
     }
 
-    /// Records an incarnation of a guard; one that is older than known changes nothing.
+    /// Records an incarnation of a guard; an older one has no effect.
     pub fn record(&mut self, guard: GuardId, incarnation: Incarnation) {
         let known = self.0.entry(guard).or_insert(incarnation);
         *known = (*known).max(incarnation);
     }
 
-    /// Returns what is known of the given guards alone.
+    /// Returns the known incarnations of the given guards only.
     pub fn restrict_to(&self, guards: &[GuardId]) -> Self {
         let known = guards
             .iter()
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -1,11 +1,8 @@
-//! Progress of one job, from its claim to its answer.
+//! State machine of one job, from its claim to its outcome.
 //!
-//! [`JobProgress`] decides when a task is moved, repeated or released, and what the caller is told; its driver
-//! sends what the [`JobAction`]s ask for and reports [`JobEvent`]s. Several drivers may run one job at a time, on
-//! several guards: a task starts where its fence lets it start, whichever driver asks.
-//!
-//! Owns what one driver knows of each task. Relies on the fences of the guards ([`crate::Fence`]) for the proof
-//! that a task has not started.
+//! [`JobProgress`] decides when a task moves, is retried or is released, and what the outcome is. Its driver executes
+//! the [`JobAction`]s and reports [`JobEvent`]s. Several guards may drive one job concurrently: the fence of each guard
+//! ([`crate::Fence`]) keeps each task to one start and proves that a task has not started.
 
 use crate::claim::Claim;
 use crate::fence::{ReleaseResult, TaskEnd};
@@ -14,14 +11,14 @@
 use crate::task_progress::{TaskProgress, TaskStatus};
 use crate::{Placement, TaskIndex};
 
-/// Why the job will not complete.
+/// First failure of a job.
 #[derive(Clone, Debug)]
 struct Failure {
     reason: ReasonCode,
     detail: String,
 }
 
-/// State of one driver of a job.
+/// What one driver knows of a job.
 #[derive(Clone, Debug)]
 pub struct JobProgress {
     repeat: Repeat,
@@ -31,7 +28,7 @@
 }
 
 impl JobProgress {
-    /// Begins to drive a claim; returns the progress and the first assignments.
+    /// Starts a job from its claim; returns its state and the first assignments.
     pub fn begin(claim: &Claim, repeat: Repeat) -> (Self, Vec<JobAction>) {
         let places =
             (0..claim.tasks.len() as TaskIndex).filter_map(|task| claim.placement_of(task));
@@ -47,13 +44,13 @@
         (progress, actions)
     }
 
-    /// Returns the number of tasks that are done.
+    /// Returns the number of completed tasks.
     pub fn done_count(&self) -> usize {
         let is_done = |task: &&TaskProgress| matches!(task.status, TaskStatus::Done(_));
         self.tasks.iter().filter(is_done).count()
     }
 
-    /// Handles an event; returns what the driver is to send.
+    /// Handles an event; returns the actions for the driver.
     pub fn handle_event(
         &mut self,
         event: JobEvent,
@@ -64,7 +61,7 @@
             return actions;
         }
         let (task, place) = event.origin();
-        if self.is_at(task, place) {
+        if self.is_open_at(task, place) {
             self.handle_event_at(task, event, context, &mut actions);
         }
         self.answer_if_decided(&mut actions);
@@ -90,8 +87,8 @@
         }
     }
 
-    /// Returns whether an open task is at a place; events of other places and of ended tasks are ignored.
-    fn is_at(&self, task: TaskIndex, place: Placement) -> bool {
+    /// Returns whether a task is open at a placement; events of ended tasks and of other placements are ignored.
+    fn is_open_at(&self, task: TaskIndex, place: Placement) -> bool {
         let progress = self.tasks.get(usize::from(task));
         progress.is_some_and(|progress| progress.is_open() && progress.place == place)
     }
@@ -138,7 +135,7 @@
         }
     }
 
-    /// Follows a task to the place that it was released to.
+    /// Assigns a released task to its next placement.
     fn follow_release(
         &mut self,
         task: TaskIndex,
@@ -153,7 +150,7 @@
             return;
         };
         if progress.has_visited(place) {
-            // Each place on the way has passed the task on to the next, so none will ever start it.
+            // Every placement since then has released the task to the next one, so none will ever start it.
             progress.status = TaskStatus::NeverStarted;
             self.fail_job(ReasonCode::Unavailable, "no place kept a task", actions);
         } else if is_failing {
@@ -166,9 +163,9 @@
         }
     }
 
-    /// Moves a task that its place returned unstarted to the next place; without one the job fails.
+    /// Moves a task that was returned unstarted, or fails the job if there is no next placement.
     ///
-    /// The place is asked to release the task first, which fences it there.
+    /// The current placement must release the task first, which fences it there.
     fn move_or_fail(
         &mut self,
         task: TaskIndex,
@@ -189,7 +186,7 @@
         actions.push(JobAction::Release { task, place, to });
     }
 
-    /// Repeats a task whose start was lost, where that is allowed; else the job fails.
+    /// Retries a task that may have started if the job and the retry budget allow it, otherwise fails the job.
     fn repeat_or_fail(
         &mut self,
         task: TaskIndex,
@@ -198,7 +195,7 @@
         context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
-        if self.can_repeat(reason)
+        if self.can_retry(reason)
             && let Some(place) = self.task_mut(task).choose_next(&context.places)
             && (context.take_retry)()
         {
@@ -211,13 +208,13 @@
         self.fail_job(reason, detail, actions);
     }
 
-    /// A task is repeated only where its workspace allows it and its place, not the task itself, failed.
-    fn can_repeat(&self, reason: ReasonCode) -> bool {
-        let is_place_at_fault = matches!(reason, ReasonCode::GuardLost | ReasonCode::TargetLost);
-        self.repeat == Repeat::Allowed && is_place_at_fault && self.failure.is_none()
+    /// Returns whether the job allows retries and the guard or target was lost, as opposed to a failure of the task.
+    fn can_retry(&self, reason: ReasonCode) -> bool {
+        let is_placement_lost = matches!(reason, ReasonCode::GuardLost | ReasonCode::TargetLost);
+        self.repeat == Repeat::Allowed && is_placement_lost && self.failure.is_none()
     }
 
-    /// Records the first failure and asks for the release of every task that is still assigned.
+    /// Records the first failure and releases every task that is still assigned.
     fn fail_job(&mut self, reason: ReasonCode, detail: &str, actions: &mut Vec<JobAction>) {
         if self.failure.is_none() {
             let detail = detail.to_owned();
@@ -236,17 +233,17 @@
     }
 
     fn answer_if_decided(&mut self, actions: &mut Vec<JobAction>) {
-        if let Some(outcome) = self.decide() {
+        if let Some(outcome) = self.decide_outcome() {
             self.is_answered = true;
             actions.push(JobAction::Answer(outcome));
         }
     }
 
-    /// Decides the answer, once what is known allows one.
+    /// Returns the outcome once it is decided.
     ///
-    /// A failed job is answered as soon as one task may have run; that nothing ran is only answered when every
-    /// task is proved not to have started.
-    fn decide(&mut self) -> Option<Outcome> {
+    /// A failed job is `Failed` as soon as one task may have run. It is `NotRun` only if every task is proved not to
+    /// have started.
+    fn decide_outcome(&mut self) -> Option<Outcome> {
         let Some(failure) = &self.failure else {
             return self.take_results();
         };
--- a/crates/claims/cloverfold_claims_core/src/job_events.rs
+++ b/crates/claims/cloverfold_claims_core/src/job_events.rs
@@ -1,70 +1,70 @@
-//! What passes between [`crate::JobProgress`] and its driver: events in, actions out.
+//! Events and actions that [`crate::JobProgress`] exchanges with its driver.
 //!
-//! Plain values; nothing here is sent over the wire as it is.
+//! These types are not sent over the wire.
 
 use crate::fence::{ReleaseResult, TaskEnd};
 use crate::outcome::Outcome;
 use crate::{GuardId, Placement, TaskIndex};
 
-/// What the driver is to send.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobAction {
-    /// Give a task to a place, or ask how it goes if the place has it.
+    /// Assign a task to a placement, or ask for its end if it was assigned there before.
     Assign {
         /// The task.
         task: TaskIndex,
-        /// The place.
+        /// The placement.
         place: Placement,
-        /// Guards that had the task before; the place may pass it on to others.
+        /// Guards that had the task before; the placement must not forward it to them.
         previous_guards: Vec<GuardId>,
-        /// Whether the place may pass the task on.
+        /// Whether the placement may forward the task to another guard.
         may_pass_on: bool,
     },
-    /// Ask a place to give up a task.
+    /// Ask a placement to release a task.
     Release {
         /// The task.
         task: TaskIndex,
-        /// The place that has it.
+        /// The placement that has the task.
         place: Placement,
-        /// Where it goes, or nowhere.
+        /// The next placement; `None` abandons the task.
         to: Option<Placement>,
     },
-    /// Tell the caller; comes exactly once.
+    /// Answer the caller; returned at most once.
     Answer(Outcome),
 }
 
-/// What the driver has learnt.
+/// An event that the driver reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobEvent {
-    /// A place reports how a task ended there.
+    /// A placement reported the end of a task there.
     Ended {
         /// The task.
         task: TaskIndex,
-        /// The place.
+        /// The placement.
         place: Placement,
-        /// How it ended.
+        /// How the task ended.
         end: TaskEnd,
     },
-    /// A place answered a release.
+    /// A placement answered a release.
     ReleaseAnswered {
         /// The task.
         task: TaskIndex,
-        /// The place.
+        /// The placement.
         place: Placement,
-        /// Its answer.
+        /// The result of the release.
         verdict: ReleaseResult,
     },
-    /// A place has restarted or stayed out of reach, with what it had of a task.
+    /// A placement of a task restarted or was unreachable for too long.
     PlacementLost {
         /// The task.
         task: TaskIndex,
-        /// The place.
+        /// The placement.
         place: Placement,
     },
 }
 
 impl JobEvent {
-    /// Returns the task and the place that the event is about.
+    /// Returns the task and the placement of the event.
     pub(crate) fn origin(&self) -> (TaskIndex, Placement) {
         match self {
             Self::Ended { task, place, .. }
@@ -74,10 +74,10 @@
     }
 }
 
-/// What the driver offers for a decision about one event.
+/// What [`crate::JobProgress`] needs to handle an event.
 pub struct EventContext<'a> {
-    /// Where a task can go next, best first.
+    /// Placements for a task that has to move, best first.
     pub places: Vec<Placement>,
-    /// Takes one retry out of the process's budget; returns whether there was one.
+    /// Spends one retry of the process's retry budget; returns whether the budget allows it.
     pub take_retry: &'a mut dyn FnMut() -> bool,
 }
--- a/crates/claims/cloverfold_claims_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -1,12 +1,12 @@
-//! All decisions of a claims installation: no I/O and no clock of its own.
+//! The protocol logic of a claims installation, without I/O or a clock.
 //!
-//! - Agreement on one [`Claim`] a submission: [`Proposer`], [`ClaimReplica`].
+//! - Consensus on one [`Claim`] for each submission: [`Proposer`], [`ClaimReplica`].
 //! - Admission and placement at the lead: [`Admission`], [`GuardTable`], [`choose_placements`].
 //! - Starting a task at most once: [`Fence`].
-//! - Moving, repeating and answering: [`JobProgress`], [`RetryBudget`].
+//! - Moving and retrying tasks, and the outcome of a job: [`JobProgress`], [`RetryBudget`].
 //!
-//! Everything is a plain value with functions over explicit state, so that each decision can be tested without a
-//! network. Times and random numbers are arguments. The other packages of the installation carry the decisions out.
+//! All types are plain state machines that can be tested without a network: times and random numbers are arguments.
+//! The other crates of the installation perform the I/O.
 //!
 //! ```
 //! use cloverfold_claims_core::{Cell, Location, derive_submission_key};
--- a/crates/claims/cloverfold_claims_core/src/outcome.rs
+++ b/crates/claims/cloverfold_claims_core/src/outcome.rs
@@ -1,55 +1,54 @@
-//! Outcomes of jobs as callers receive them, and the codes of their causes.
+//! Outcomes of jobs as callers receive them, and their reason codes.
 //!
-//! Shared by the guard that decides an outcome and the entry that answers with it. Owns no state. Relies on nothing; callers
-//! rely on the names of the codes, which therefore stay as they are.
+//! Callers match the names of the codes, so these are stable.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether the system may start a task again after its first start was lost.
+/// Whether a task may be started again after it may have started at a guard or target that was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// A task starts at most once, whatever fails.
+    /// A task starts at most once.
     #[default]
     Never,
-    /// A task whose worker or guard died may start again elsewhere, within the retry budget.
+    /// A task whose target or guard was lost may start again elsewhere, within the retry budget.
     Allowed,
 }
 
-/// Stable code of the cause of an answer that is not complete.
+/// Stable code of the reason why a job did not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReasonCode {
     /// The idempotency key was used before with another body.
     KeyConflict,
-    /// The key is older than the retention, so nothing is known of it any more.
+    /// The key is past its retention.
     KeyExpired,
-    /// Too few replicas of the key can vote to know its claim.
+    /// Too few replicas of the key can vote.
     NoQuorum,
-    /// No process that can run the job was reached.
+    /// No process that can run the job was reachable.
     Unavailable,
-    /// Every queue that could take the task is full.
+    /// The queue that could accept the task is full.
     QueueFull,
-    /// The deadline passed, or would pass before the task can end.
+    /// The deadline passed before the task started.
     DeadlinePassed,
-    /// The process is stopping and accepts no new work.
+    /// The process is draining and accepts no new work.
     Leaving,
-    /// The target answered that the task failed.
+    /// The target reported that the task failed.
     TargetFailed,
-    /// The connection to the target broke while the task ran.
+    /// The target did not answer a start, so the task may have run.
     TargetLost,
-    /// The guard that held the task died or was replaced.
+    /// The guard of the task restarted or was unreachable for too long.
     GuardLost,
     /// Another task of the job failed first.
     SiblingFailed,
-    /// The task ran, but its answer is no longer kept.
+    /// The task ran, but its result is past its retention.
     AnswerDropped,
 }
 
 impl ReasonCode {
-    /// Returns the code as written in answers, logs and metrics.
+    /// Returns the code as it appears in answers and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::KeyConflict => "key_conflict",
@@ -68,41 +67,41 @@
     }
 }
 
-/// The whole answer to one job; never partial.
+/// Outcome of one job; there are no partial outcomes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Every task ended well.
+    /// Every task succeeded.
     Complete {
-        /// One result for each task, in the order of the tasks.
+        /// One result for each task, in task order.
         results: Vec<Vec<u8>>,
     },
-    /// At least one task may have started and the job did not complete.
+    /// The job did not complete, and at least one task may have started.
     Failed {
-        /// Cause of the first failure.
+        /// Reason of the first failure.
         reason: ReasonCode,
-        /// One sentence for a person.
+        /// Human-readable message.
         detail: String,
     },
-    /// No task of the job started, and none will.
+    /// No task of the job started or ever will.
     NotRun {
-        /// Cause of the refusal.
+        /// Reason of the refusal.
         reason: ReasonCode,
-        /// One sentence for a person.
+        /// Human-readable message.
         detail: String,
-        /// When to retry, where that can help.
+        /// When to retry, if a retry can succeed.
         retry_after: Option<Duration>,
     },
-    /// It cannot be proved whether a task started.
+    /// Whether a task started is unknown.
     Unknown {
-        /// Why nothing can be proved.
+        /// Reason why it is unknown.
         reason: ReasonCode,
-        /// One sentence for a person.
+        /// Human-readable message.
         detail: String,
     },
 }
 
 impl Outcome {
-    /// Returns the word for what became of the work: `complete`, `failed`, `not_run` or `unknown`.
+    /// Returns the name of the outcome: `complete`, `failed`, `not_run` or `unknown`.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Complete { .. } => "complete",
--- a/crates/claims/cloverfold_claims_core/src/placement_policy.rs
+++ b/crates/claims/cloverfold_claims_core/src/placement_policy.rs
@@ -1,43 +1,40 @@
-//! Placement: which guards run a job's tasks.
-//!
-//! Owns nothing: candidates and random numbers are arguments. Measurements of the policies:
-//! docs/design/3-lead-and-placement.md.
+//! Policies that choose which guards run a job's tasks.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{GuardId, Placement};
 
-/// A guard that may take tasks, with what is known of its load.
+/// A guard that can accept tasks, with its known load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The guard and its present incarnation.
+    /// The guard and its current incarnation.
     pub placement: Placement,
-    /// Tasks that run or wait there, as far as known.
+    /// Tasks that are known to run or wait there.
     pub load: u32,
-    /// Tasks that can run there at once.
+    /// Tasks that can run there concurrently.
     pub slots: u32,
 }
 
-/// How tasks are placed; all but [`PlacementPolicy::Packed`] are kept as baselines for measurements.
+/// How tasks are placed; all policies but [`PlacementPolicy::Packed`] are baselines for benchmarks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementPolicy {
-    /// Any guard, with equal chance.
+    /// Any guard, with equal probability.
     Random,
     /// Each guard in turn.
     RoundRobin,
     /// The less loaded of two guards drawn at random.
     TwoChoices,
-    /// The guard with the most free slots, ties drawn at random, one task at a time.
+    /// For each task the guard with the lowest load per slot; ties are broken at random.
     LeastLoaded,
-    /// As many tasks as have a free slot on the guard with the most free slots, then the next such guard.
+    /// Fills the free slots of the guard with the lowest load per slot before the next such guard.
     #[default]
     Packed,
 }
 
-/// Places `count` tasks one after the other, charging each to its guard before the next is placed.
+/// Places `count` tasks in sequence, adding each to the load of its guard before it places the next.
 ///
-/// `draw(n)` returns a number below `n`. Returns for each task the index of its candidate; empty when there is
+/// `draw(n)` returns a number below `n`. Returns the index of each task's candidate, or an empty list when there is
 /// no candidate.
 pub fn choose_placements(
     policy: PlacementPolicy,
@@ -67,10 +64,10 @@
     chosen
 }
 
-/// Chooses a guard with a free slot that has not had the task, and charges the task to it.
+/// Chooses a guard with a free slot that is not in `avoid`, and adds the task to its load.
 ///
-/// A guard is drawn with a chance in proportion to its free slots, since several guards may choose by the same
-/// reports at a time.
+/// The probability of a guard is proportional to its free slots, because several guards may choose from the same
+/// reports concurrently.
 pub fn choose_free_placement(
     candidates: &mut [Candidate],
     avoid: &[GuardId],
@@ -100,7 +97,7 @@
     None
 }
 
-/// Orders candidates by how soon a new task would start there, ties drawn at random.
+/// Orders candidates by load per slot; ties are broken at random.
 pub fn rank_by_load(
     candidates: &mut [Candidate],
     mut draw: impl FnMut(usize) -> usize,
@@ -112,7 +109,7 @@
     candidates.iter().map(|one| one.placement).collect()
 }
 
-/// Orders guards by how soon a new task would start: free slots first, then waiting per slot.
+/// Compares the load per slot without a division.
 fn compare_load(a: &Candidate, b: &Candidate) -> std::cmp::Ordering {
     let a_scaled = u64::from(a.load) * u64::from(b.slots.max(1));
     let b_scaled = u64::from(b.load) * u64::from(a.slots.max(1));
@@ -134,7 +131,7 @@
 }
 
 fn choose_least_loaded(candidates: &[Candidate], draw: &mut impl FnMut(usize) -> usize) -> usize {
-    // Starting anywhere makes ties fall evenly.
+    // A random start breaks ties evenly.
     let start = draw(candidates.len());
     let in_turn = (0..candidates.len()).map(|step| (start + step) % candidates.len());
     let least = in_turn.min_by(|a, b| compare_load(&candidates[*a], &candidates[*b]));
--- a/crates/claims/cloverfold_claims_core/src/proposer.rs
+++ b/crates/claims/cloverfold_claims_core/src/proposer.rs
@@ -1,25 +1,25 @@
-//! One guard's attempt to have a claim agreed on: the proposer of single-decree Paxos.
+//! The proposer of single-decree Paxos.
 //!
-//! Owns the state of the attempt. Relies on the caller to send its requests to the group and to pass on the replies,
-//! and on [`crate::ClaimReplica`] for the rules of voting.
+//! The caller sends the requests to the replica group and passes the replies to [`Proposer::handle_reply`]. The
+//! acceptor is [`crate::ClaimReplica`].
 
 use std::collections::BTreeMap;
 
 use crate::claim::{Accepted, Ballot, Claim, ClaimReply, ClaimRequest, ReplicaReply};
 use crate::{GuardId, Placement, quorum_of};
 
-/// What the proposer does after a reply.
+/// What the caller does after a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposerStep {
-    /// More replies are needed.
+    /// Wait for more replies.
     Wait,
-    /// The next phase begins: send this to every member.
+    /// Send this request of the next phase to every member.
     Send(ClaimRequest),
-    /// The group has agreed on this claim, which may be another proposer's.
+    /// The group has chosen this claim, which may come from another proposer.
     Chosen(Claim),
-    /// A larger ballot was promised; begin again with [`Proposer::with_prepare_phase`] at this round.
+    /// A replica has promised a larger ballot; retry with [`Proposer::with_prepare_phase`] in this round.
     Preempted {
-        /// Round that is larger than any seen.
+        /// Round after that of the larger ballot.
         round: u32,
     },
     /// The key is past its retention.
@@ -32,7 +32,7 @@
     Accepting,
 }
 
-/// State of one attempt, fed with replies in any order, repeated or not.
+/// One proposal; replies may arrive in any order and more than once.
 #[derive(Clone, Debug)]
 pub struct Proposer {
     group: Vec<GuardId>,
@@ -43,17 +43,16 @@
 }
 
 impl Proposer {
-    /// Begins the attempt of the group's first choice, which needs one round trip.
+    /// Creates the fast proposal of the group's preferred proposer, which takes one round trip.
     ///
-    /// Only [`crate::ClaimReplica::propose_fast`] may begin one, after the proposer's own vote.
-    /// `attempt` differs for every proposer of one incarnation.
+    /// Only [`crate::ClaimReplica::propose_fast`] may call this, because the proposer must accept its own claim first.
+    /// `attempt` is unique in the incarnation.
     pub(crate) fn fast(group: Vec<GuardId>, own: Placement, attempt: u64, claim: Claim) -> Self {
         let ballot = make_ballot(own, 0, attempt);
         Self::begin(group, ballot, claim, Phase::Accepting)
     }
 
-    /// Begins an attempt with a prepare phase; `round` is at least 1, `attempt` differs for every proposer of
-    /// one incarnation.
+    /// Creates a proposal with a prepare phase; `round` is at least 1 and `attempt` is unique in the incarnation.
     pub fn with_prepare_phase(
         group: Vec<GuardId>,
         own: Placement,
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Returns the request that the present phase sends to every member.
+    /// Returns the request of the current phase for every member.
     pub fn request(&self) -> ClaimRequest {
         match self.phase {
             Phase::Preparing => ClaimRequest::Prepare(self.ballot),
@@ -95,20 +94,20 @@
             (ClaimReply::Rejected(ballot), _) if *ballot > self.ballot => ProposerStep::Preempted {
                 round: ballot.round + 1,
             },
-            // A fast ballot is rejected by any record, also one with a smaller ballot.
+            // Any existing record rejects a fast ballot, even one with a smaller ballot.
             (ClaimReply::Rejected(ballot), _) if self.ballot.is_fast() => ProposerStep::Preempted {
                 round: ballot.round + 1,
             },
             (ClaimReply::Expired, _) => ProposerStep::Expired,
-            (ClaimReply::Promised(_), Phase::Preparing) => self.count(reply),
+            (ClaimReply::Promised(_), Phase::Preparing) => self.count_vote(reply),
             (ClaimReply::Accepted(ballot), Phase::Accepting) if *ballot == self.ballot => {
-                self.count(reply)
+                self.count_vote(reply)
             }
             _ => ProposerStep::Wait,
         }
     }
 
-    fn count(&mut self, reply: ReplicaReply) -> ProposerStep {
+    fn count_vote(&mut self, reply: ReplicaReply) -> ProposerStep {
         let held = self.replies.get(&reply.from.guard);
         if held.is_none_or(|held| held.from.incarnation <= reply.from.incarnation) {
             self.replies.insert(reply.from.guard, reply);
@@ -140,12 +139,12 @@
     }
 }
 
-/// Lists the replies of incarnations that no other reply knows to have ended.
+/// Returns the replies whose sender has not restarted according to any other reply.
 fn list_current_replies(replies: &BTreeMap<GuardId, ReplicaReply>) -> Vec<&ReplicaReply> {
     let is_current = |reply: &&ReplicaReply| {
         let from = reply.from;
         let newest = replies.values().map(|other| other.known.newest(from.guard));
-        // The reply itself is among them, so the default is never used.
+        // `replies` contains this reply, so the default is never used.
         newest.max().unwrap_or(0) <= from.incarnation
     };
     replies.values().filter(is_current).collect()
--- a/crates/claims/cloverfold_claims_core/src/recovery_state.rs
+++ b/crates/claims/cloverfold_claims_core/src/recovery_state.rs
@@ -1,7 +1,7 @@
-//! Whether a restarted replica can have forgotten votes, and what covers what it forgot.
+//! Recovery state of a replica.
 //!
-//! A replica has no disk. Its memory is whole when nothing can be missing; else it votes only for groups in which
-//! enough other members have been copied from.
+//! A replica keeps its votes in memory only and loses them in a restart. A recovering replica votes only in groups in
+//! which it has copied the records of enough other members.
 
 use std::collections::BTreeSet;
 
@@ -10,14 +10,14 @@
 use crate::claim_records::ReplicaRecord;
 use crate::{GuardId, Incarnation, SubmissionKey, quorum_of};
 
-/// Whether a replica's memory covers all votes that its guard ever gave.
+/// Whether a replica's records cover all votes of its guard, including those of earlier incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecoveryState {
-    /// Nothing can have been forgotten.
+    /// The records are complete.
     Whole,
-    /// Votes of an earlier incarnation may be missing, but for groups covered by these whole sources.
+    /// Votes of an earlier incarnation may be missing, except in groups that the copied sources cover.
     Recovering {
-        /// Guards that were whole and whose records have all been copied.
+        /// Guards with complete records that have been copied entirely.
         whole_sources: BTreeSet<GuardId>,
     },
 }
@@ -25,19 +25,19 @@
 /// One page of a replica's records, sent to a restarted member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecoveryPage {
-    /// The incarnation of the asking guard that the source knows; if it is larger than the one that asked, the
-    /// page must not be used.
+    /// The newest incarnation of the requesting guard that the source knows. If it is larger than that of the
+    /// request, the page must not be used.
     pub known_incarnation: Incarnation,
-    /// The standing of the source itself.
+    /// Recovery state of the source.
     pub standing: RecoveryState,
-    /// Records whose group contains the asking guard, in the order of their keys.
+    /// Records whose group contains the requesting guard, in key order.
     pub records: Vec<(SubmissionKey, ReplicaRecord)>,
-    /// Whether records remain after these.
+    /// Whether more pages follow.
     pub has_more: bool,
 }
+
 impl RecoveryState {
-    /// Returns whether records of the group's keys that were copied from a source of this standing are all that
-    /// the source ever voted on.
+    /// Returns whether the copied records of a source in this state include every vote that the source gave in a group.
     pub(crate) fn covers_group(&self, source: GuardId, group: &[GuardId]) -> bool {
         match self {
             Self::Whole => true,
@@ -50,8 +50,8 @@
     }
 }
 
-/// Returns how many other members must be copied from so that every quorum that the earlier incarnation voted in
-/// has a member among them.
+/// Returns how many other members must be copied so that they intersect every quorum in which an earlier incarnation
+/// voted.
 pub(crate) fn count_needed_sources(group_len: usize) -> usize {
     group_len - quorum_of(group_len) + 1
 }
--- a/crates/claims/cloverfold_claims_core/src/replica.rs
+++ b/crates/claims/cloverfold_claims_core/src/replica.rs
@@ -1,13 +1,12 @@
-//! One guard's replica of the claims: the acceptor of the agreement on each key.
+//! The acceptor of a guard: its replica of the claims.
 //!
-//! For each submission key the replica group agrees on one [`crate::Claim`], which fixes where each task may
-//! start. Agreement is single-decree Paxos in memory (docs/design/2-claims-and-fence.md). A replica that restarts
-//! has forgotten its votes, so it votes again only for groups whose other members it has copied from
-//! ([`ClaimReplica::merge_page`]), and every reply names the incarnations it knows, so that a quorum never counts
-//! a vote of an incarnation that has ended (see [`crate::Proposer`]).
+//! For each submission key the replica group agrees on one [`crate::Claim`], which fixes where each task may start.
+//! The protocol is single-decree Paxos with acceptor state in memory only. A restarted replica has lost its votes, so
+//! it votes only in groups whose other members it has copied ([`ClaimReplica::merge_page`]). Every reply contains the
+//! incarnations that the replica knows, so that a quorum never counts a vote of an incarnation that has ended (see
+//! [`crate::Proposer`]).
 //!
-//! Owns the records of this guard ([`Records`]), its standing, and the incarnations that it knows. Relies on the
-//! caller for the group of a key ([`Cell::choose_replica_group`]) and for the time.
+//! The caller provides the replica group of a key ([`Cell::choose_replica_group`]) and the time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,24 +21,24 @@
 use crate::recovery_state::{RecoveryPage, RecoveryState, count_needed_sources};
 use crate::{GuardId, Placement, SubmissionKey};
 
-/// One guard's records of claims, its incarnation and its standing.
+/// One guard's acceptor: its records, its incarnation and its recovery state.
 #[derive(Clone, Debug)]
 pub struct ClaimReplica {
     own: Placement,
     started_at: UnixTime,
     keeping: Keeping,
     recovery_state: RecoveryState,
-    /// Recovery state of each source when copying from it ended.
+    /// Recovery state that each copied source reported on its first page.
     sources: BTreeMap<GuardId, RecoveryState>,
     known: Incarnations,
     records: Records,
 }
 
 impl ClaimReplica {
-    /// Starts a replica that is recovering until it has copied, been founded, or waited.
+    /// Creates a recovering replica.
     ///
-    /// `retention` is how long a key is known after its first submission; `margin` is added to it for clocks that
-    /// disagree.
+    /// It becomes complete by copying the other guards, by the bootstrap of the cell, or once the retention has passed.
+    /// `retention` is how long a key is kept after its first submission; `margin` is the tolerated clock skew.
     pub fn new(
         own: Placement,
         started_at: UnixTime,
@@ -62,35 +61,34 @@
         }
     }
 
-    /// Returns the guard and its present incarnation.
+    /// Returns the guard and its current incarnation.
     pub fn placement(&self) -> Placement {
         self.own
     }
 
-    /// Returns the newest incarnations known.
+    /// Returns the newest known incarnations.
     pub fn known_incarnations(&self) -> &Incarnations {
         &self.known
     }
 
-    /// Returns whether the replica's memory is whole, and what covers it if not.
+    /// Returns whether the records are complete, and which complete sources have been copied if not.
     pub fn recovery_state(&self) -> &RecoveryState {
         &self.recovery_state
     }
 
-    /// Returns the number of records held.
+    /// Returns the number of records.
     pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether a record of the key is held.
+    /// Returns whether there is a record of the key.
     pub fn has_record(&self, key: &SubmissionKey) -> bool {
         self.records.contains(key)
     }
 
-    /// Becomes whole without a copy if this is its first incarnation: the operator founds the cell with exactly
-    /// these.
+    /// Marks the records as complete if this incarnation is one of those with which the operator bootstraps the cell.
     ///
-    /// Returns whether the replica is whole afterwards.
+    /// Returns whether the records are complete afterwards.
     pub fn bootstrap(&mut self, first: &[Placement]) -> bool {
         if first.contains(&self.own) && self.known.newest(self.own.guard) == self.own.incarnation {
             self.recovery_state = RecoveryState::Whole;
@@ -98,15 +96,15 @@
         self.recovery_state == RecoveryState::Whole
     }
 
-    /// Becomes whole once every vote that an earlier incarnation can have given has passed its retention.
+    /// Marks the records as complete once all votes of earlier incarnations are past their retention.
     pub fn mark_whole_after_retention(&mut self, now: UnixTime) {
-        let forgotten_until = self.started_at + self.keeping.span();
-        if now >= forgotten_until {
+        let votes_expire_at = self.started_at + self.keeping.span();
+        if now >= votes_expire_at {
             self.recovery_state = RecoveryState::Whole;
         }
     }
 
-    /// Returns whether the replica may vote on keys of a group that it belongs to.
+    /// Returns whether the replica may vote on keys of a group of which it is a member.
     pub fn can_vote(&self, group: &[GuardId]) -> bool {
         if self.recovery_state == RecoveryState::Whole {
             return true;
@@ -118,7 +116,7 @@
         group.iter().filter(covers).count() >= count_needed_sources(group.len())
     }
 
-    /// Answers a request about a key.
+    /// Handles a request about a key.
     pub fn handle(
         &mut self,
         submission: &Submission,
@@ -138,10 +136,10 @@
         }
     }
 
-    /// Begins the fast attempt, if this replica is the first choice for the key and holds nothing of it.
+    /// Starts the fast round if this replica is the preferred proposer of the key and has no record of it.
     ///
-    /// The replica votes for its own claim before it sends anything. So there is one fast attempt for a key
-    /// in an incarnation, and a later incarnation sees in the copied records whether it can have succeeded.
+    /// The replica accepts its own claim before it sends the request. Each incarnation therefore makes at most one fast
+    /// proposal for a key, and a later incarnation sees in the copied records whether that one can have succeeded.
     pub fn propose_fast(
         &mut self,
         submission: &Submission,
@@ -150,18 +148,19 @@
         claim: Claim,
         now: UnixTime,
     ) -> Option<Proposer> {
-        let is_first_choice = group.first() == Some(&self.own.guard);
-        if !is_first_choice || self.has_record(&submission.key) || !self.can_vote(group) {
+        let is_preferred_proposer = group.first() == Some(&self.own.guard);
+        if !is_preferred_proposer || self.has_record(&submission.key) || !self.can_vote(group) {
             return None;
         }
         let proposer = Proposer::fast(group.to_vec(), self.own, attempt, claim);
         let reply = self.handle(submission, group, proposer.request(), now);
         matches!(reply.body, ClaimReply::Accepted(_)).then_some(proposer)
     }
-    /// Serves one page of records to a restarted member, after recording its new incarnation.
+
+    /// Records the new incarnation of a restarted member and returns one page of records for it.
     ///
-    /// From here on every vote of this replica names the new incarnation, so that no quorum can still count a vote
-    /// of the earlier one that the copy missed.
+    /// All later replies contain the new incarnation, so that no quorum counts a vote of the earlier incarnation that
+    /// the copy does not include.
     pub fn serve_page(
         &mut self,
         asking: Placement,
@@ -181,19 +180,19 @@
         }
     }
 
-    /// Merges one page of a source; the last page makes the source count.
+    /// Merges one page of a source; after the last page the source counts as copied.
     ///
-    /// `standing` is the source's standing on its first page.
+    /// `standing` is the source's recovery state on its first page.
     pub fn merge_page(&mut self, source: GuardId, standing: RecoveryState, page: RecoveryPage) {
         for (key, record) in page.records {
             self.records.merge(key, record);
         }
         if !page.has_more {
-            self.count_source(source, standing);
+            self.record_source(source, standing);
         }
     }
 
-    fn count_source(&mut self, source: GuardId, standing: RecoveryState) {
+    fn record_source(&mut self, source: GuardId, standing: RecoveryState) {
         if let RecoveryState::Recovering { whole_sources } = &mut self.recovery_state
             && standing == RecoveryState::Whole
         {
@@ -202,7 +201,7 @@
         self.sources.insert(source, standing);
     }
 
-    /// Becomes whole when every other guard of the cell was whole and has been copied from.
+    /// Marks the records as complete once every other guard of the cell has been copied with complete records.
     pub fn mark_whole_after_copy(&mut self, cell: &Cell) {
         let is_copied = |guard: GuardId| {
             guard == self.own.guard || self.sources.get(&guard) == Some(&RecoveryState::Whole)
@@ -212,7 +211,7 @@
         }
     }
 
-    /// Lists the guards that have not been copied from while whole.
+    /// Returns the guards that have not been copied with complete records.
     pub fn missing_sources(&self, cell: &Cell) -> Vec<GuardId> {
         let others = cell.locations().iter().map(|place| place.guard);
         others
@@ -221,7 +220,7 @@
             .collect()
     }
 
-    /// Drops the records whose retention, with its margin, has passed; returns how many.
+    /// Drops the records past their retention and the clock skew; returns how many.
     pub fn drop_expired_records(&mut self, now: UnixTime) -> usize {
         self.records.drop_expired(now)
     }
--- a/crates/claims/cloverfold_claims_core/src/retry_budget.rs
+++ b/crates/claims/cloverfold_claims_core/src/retry_budget.rs
@@ -1,8 +1,6 @@
-//! A bound on retries as a share of what succeeds.
-//!
-//! Owns the tokens of one process.
+//! A retry budget, which limits retries to a share of the successes.
 
-/// Tokens that retries spend and successes earn, so that retries cannot multiply a failure.
+/// Token bucket that successes fill and retries empty, so that retries cannot amplify an outage.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
     tokens: f64,
@@ -11,7 +9,7 @@
 }
 
 impl RetryBudget {
-    /// Builds a full budget that allows `share` retries per success and `capacity` at once.
+    /// Builds a full budget of `capacity` retries that earns `share` retries per success.
     pub fn new(share: f64, capacity: f64) -> Self {
         Self {
             tokens: capacity,
@@ -20,12 +18,12 @@
         }
     }
 
-    /// Adds the tokens that one success earns.
+    /// Adds the tokens of one success.
     pub fn record_success(&mut self) {
         self.tokens = (self.tokens + self.earned_per_success).min(self.capacity);
     }
 
-    /// Takes one retry out of the budget; returns whether there was one.
+    /// Spends one retry; returns whether the budget allows it.
     pub fn take_retry(&mut self) -> bool {
         let is_allowed = self.tokens >= 1.0;
         if is_allowed {
--- a/crates/claims/cloverfold_claims_core/src/task_progress.rs
+++ b/crates/claims/cloverfold_claims_core/src/task_progress.rs
@@ -1,40 +1,39 @@
-//! One task of a job as its driver follows it from place to place.
+//! Status and placements of one task of a job.
 //!
-//! Owns the task's status, its present place and its earlier ones. Does not decide when a task moves; that is
-//! [`crate::JobProgress`], which relies on this file for the bound on moves and for never choosing a place twice.
+//! [`crate::JobProgress`] decides when a task moves; this module limits the moves and never chooses a placement twice.
 
 use crate::job_events::JobAction;
 use crate::{Placement, TaskIndex};
 
-/// How often one task may be moved before its job fails. Chosen, not measured.
+/// How often one task may move before its job fails.
 const MAX_MOVES: usize = 3;
 
-/// The status of one task, as far as its driver knows it.
+/// Status of one task as its driver knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TaskStatus {
-    /// It was assigned to its place.
+    /// Assigned to its placement.
     Assigned,
-    /// Its place was asked to release it.
+    /// The driver asked the placement to release it.
     Releasing,
-    /// It ended with this result.
+    /// Completed with this result.
     Done(Vec<u8>),
-    /// No place has started it and none ever will.
+    /// No placement has started it or ever will.
     NeverStarted,
-    /// It started, or may have, and brought no result.
+    /// It may have started, and there is no result.
     Lost,
 }
 
-/// The place and status of one task.
+/// Placement and status of one task.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskProgress {
     pub(crate) place: Placement,
     pub(crate) status: TaskStatus,
-    /// Places that released the task, none of which will ever start it.
+    /// Earlier placements of the task.
     previous_places: Vec<Placement>,
 }
 
 impl TaskProgress {
-    /// Returns a task that is assigned to the place that the claim names.
+    /// Returns a task that is assigned to its placement in the claim.
     pub(crate) fn new(place: Placement) -> Self {
         Self {
             place,
@@ -48,12 +47,12 @@
         matches!(self.status, TaskStatus::Assigned | TaskStatus::Releasing)
     }
 
-    /// Returns whether a place has had the task, or has it now.
+    /// Returns whether a placement has or had the task.
     pub(crate) fn has_visited(&self, place: Placement) -> bool {
         self.place == place || self.previous_places.contains(&place)
     }
 
-    /// Asks the present place to run the task, or to pass it on if it has not been moved too often.
+    /// Returns the assignment to the current placement, which may forward the task while its moves are within the limit.
     pub(crate) fn assign(&self, task: TaskIndex) -> JobAction {
         JobAction::Assign {
             task,
@@ -67,14 +66,14 @@
         }
     }
 
-    /// Moves the task to a place that has not had it.
+    /// Moves the task to a new placement.
     pub(crate) fn move_to(&mut self, place: Placement, status: TaskStatus) {
         self.previous_places.push(self.place);
         self.place = place;
         self.status = status;
     }
 
-    /// Chooses the first place that has not had the task, unless it has been moved [`MAX_MOVES`] times.
+    /// Returns the first placement that has not had the task, or `None` after [`MAX_MOVES`] moves.
     pub(crate) fn choose_next(&self, places: &[Placement]) -> Option<Placement> {
         if self.previous_places.len() >= MAX_MOVES {
             return None;
