--- a/crates/claims/cloverfold_claims_core/tests/claims.rs
+++ b/crates/claims/cloverfold_claims_core/tests/claims.rs
@@ -1,4 +1,5 @@
-//! Agreement on claims under lost, repeated and reordered messages and forgetful restarts.
+//! Guards against two chosen claims for one key under lost, duplicated and reordered messages and under restarts that
+//! lose all votes.
 
 #![allow(clippy::unwrap_used, clippy::needless_pass_by_value)]
 
@@ -17,7 +18,7 @@
 const RETENTION: Duration = Duration::from_secs(600);
 const PAGE_LIMIT: usize = 10;
 
-/// One step of a schedule; numbers choose among what there is.
+/// One step of a schedule; numbers are reduced modulo the available packets or guards.
 #[derive(Clone, Debug)]
 enum Action {
     Propose { guard: usize, is_fast: bool },
@@ -25,7 +26,7 @@
     Repeat(usize),
     Drop(usize),
     Restart(usize),
-    AskRecovery(usize),
+    RequestRecovery(usize),
 }
 
 #[derive(Clone, Debug)]
@@ -40,11 +41,11 @@
         reply: ReplicaReply,
     },
     Recover {
-        asking: Placement,
+        requester: Placement,
         to: usize,
     },
     Page {
-        asking: Placement,
+        requester: Placement,
         source: GuardId,
         page: RecoveryPage,
     },
@@ -53,7 +54,7 @@
 struct ActiveProposer {
     owner: Placement,
     proposer: Proposer,
-    is_over: bool,
+    is_finished: bool,
 }
 
 struct World {
@@ -72,7 +73,7 @@
     }
 }
 
-/// A claim that differs for every proposer.
+/// Returns a claim that is unique to a proposer.
 fn make_claim(number: usize) -> Claim {
     Claim {
         digest: [number as u8; 16],
@@ -90,15 +91,18 @@
         rack: "rack".into(),
     });
     let cell = Cell::new(locations.collect(), size);
-    let lives: Vec<Placement> = (1..=size as GuardId)
+    let first_incarnations: Vec<Placement> = (1..=size as GuardId)
         .map(|guard| Placement {
             guard,
             incarnation: 1,
         })
         .collect();
-    let mut replicas: Vec<ClaimReplica> = lives.iter().map(|own| new_replica(*own)).collect();
+    let mut replicas: Vec<ClaimReplica> = first_incarnations
+        .iter()
+        .map(|own| new_replica(*own))
+        .collect();
     for replica in &mut replicas {
-        assert!(replica.bootstrap(&lives));
+        assert!(replica.bootstrap(&first_incarnations));
     }
     World {
         group: cell.choose_replica_group(&KEY),
@@ -138,7 +142,7 @@
                 }
             }
             Action::Restart(guard) => self.restart(guard % self.replicas.len()),
-            Action::AskRecovery(guard) => self.ask_recovery(guard % self.replicas.len()),
+            Action::RequestRecovery(guard) => self.request_recovery(guard % self.replicas.len()),
         }
     }
 
@@ -172,7 +176,7 @@
         self.proposers.push(ActiveProposer {
             owner,
             proposer,
-            is_over: false,
+            is_finished: false,
         });
         self.send_to_all(number, &request);
     }
@@ -198,23 +202,25 @@
                 let reply = self.replicas[to].handle(&submission(), &self.group, request, NOW);
                 self.packets.push(Packet::Reply { proposer, reply });
             }
-            Packet::Reply { proposer, reply } => self.absorb(proposer, reply),
-            Packet::Recover { asking, to } => {
+            Packet::Reply { proposer, reply } => self.handle_reply(proposer, reply),
+            Packet::Recover { requester, to } => {
                 let source = self.replicas[to].placement().guard;
-                let page = self.replicas[to].serve_page(asking, None, PAGE_LIMIT, &self.cell);
+                let page = self.replicas[to].serve_page(requester, None, PAGE_LIMIT, &self.cell);
                 self.packets.push(Packet::Page {
-                    asking,
+                    requester,
                     source,
                     page,
                 });
             }
             Packet::Page {
-                asking,
+                requester,
                 source,
                 page,
             } => {
-                let replica = &mut self.replicas[usize::from(asking.guard) - 1];
-                if replica.placement() == asking && page.known_incarnation == asking.incarnation {
+                let replica = &mut self.replicas[usize::from(requester.guard) - 1];
+                if replica.placement() == requester
+                    && page.known_incarnation == requester.incarnation
+                {
                     let standing = page.standing.clone();
                     replica.merge_page(source, standing, page);
                     replica.mark_whole_after_copy(&self.cell);
@@ -223,27 +229,27 @@
         }
     }
 
-    fn absorb(&mut self, number: usize, reply: ReplicaReply) {
+    fn handle_reply(&mut self, number: usize, reply: ReplicaReply) {
         let active = &mut self.proposers[number];
-        let life = self.replicas[usize::from(active.owner.guard) - 1].placement();
-        if active.is_over || life != active.owner {
+        let current = self.replicas[usize::from(active.owner.guard) - 1].placement();
+        if active.is_finished || current != active.owner {
             return;
         }
         match active.proposer.handle_reply(reply) {
             ProposerStep::Wait | ProposerStep::Expired => {}
             ProposerStep::Send(request) => self.send_to_all(number, &request),
             ProposerStep::Chosen(claim) => {
-                active.is_over = true;
+                active.is_finished = true;
                 self.chosen.push(claim);
             }
             ProposerStep::Preempted { round } => {
-                active.is_over = true;
-                self.propose_again(active_owner(life), round);
+                active.is_finished = true;
+                self.propose_next_round(guard_index(current), round);
             }
         }
     }
 
-    fn propose_again(&mut self, guard: usize, round: u32) {
+    fn propose_next_round(&mut self, guard: usize, round: u32) {
         const LAST_ROUND: u32 = 8;
         if round > LAST_ROUND {
             return;
@@ -262,18 +268,18 @@
         self.replicas[guard] = new_replica(own);
     }
 
-    fn ask_recovery(&mut self, guard: usize) {
-        let asking = self.replicas[guard].placement();
+    fn request_recovery(&mut self, guard: usize) {
+        let requester = self.replicas[guard].placement();
         for to in 0..self.replicas.len() {
             if to != guard {
-                self.packets.push(Packet::Recover { asking, to });
+                self.packets.push(Packet::Recover { requester, to });
             }
         }
     }
 }
 
-fn active_owner(life: Placement) -> usize {
-    usize::from(life.guard) - 1
+fn guard_index(current: Placement) -> usize {
+    usize::from(current.guard) - 1
 }
 
 fn any_action() -> impl Strategy<Value = Action> {
@@ -284,11 +290,11 @@
         2 => any::<usize>().prop_map(Action::Repeat),
         1 => any::<usize>().prop_map(Action::Drop),
         1 => (0..8_usize).prop_map(Action::Restart),
-        2 => (0..8_usize).prop_map(Action::AskRecovery),
+        2 => (0..8_usize).prop_map(Action::RequestRecovery),
     ]
 }
 
-/// The same schedules at every run; `PROPTEST_RNG_SEED` draws others.
+/// Uses a fixed seed, which `PROPTEST_RNG_SEED` overrides.
 fn fixed_schedules(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -320,7 +326,7 @@
 }
 
 #[test]
-fn a_whole_group_agrees_in_one_round_trip_of_its_first_choice() {
+fn a_bootstrapped_group_agrees_in_one_round_trip_of_the_preferred_proposer() {
     let mut world = make_world(3);
     let first = usize::from(world.group[0]) - 1;
 
@@ -338,7 +344,7 @@
 }
 
 #[test]
-fn two_fast_attempts_of_one_life_cannot_both_stand() {
+fn an_incarnation_proposes_a_key_only_once_in_the_fast_round() {
     let mut world = make_world(3);
     let first = usize::from(world.group[0]) - 1;
     let group = world.group.clone();
@@ -352,7 +358,7 @@
 }
 
 #[test]
-fn a_vote_of_an_ended_life_is_not_counted() {
+fn a_vote_of_an_ended_incarnation_is_not_counted() {
     let mut world = make_world(3);
     let own = world.replicas[0].placement();
     let mut proposer = Proposer::with_prepare_phase(world.group.clone(), own, 1, 0, make_claim(0));
@@ -362,28 +368,28 @@
         world.replicas[guard].handle(&submission(), &group, request.clone(), NOW)
     };
 
-    let forgotten = vote(&mut world, 1);
+    let lost_vote = vote(&mut world, 1);
     world.restart(1);
-    let asking = world.replicas[1].placement();
+    let requester = world.replicas[1].placement();
     let cell = world.cell.clone();
-    world.replicas[2].serve_page(asking, None, PAGE_LIMIT, &cell);
-    let knowing = vote(&mut world, 2);
+    world.replicas[2].serve_page(requester, None, PAGE_LIMIT, &cell);
+    let current_vote = vote(&mut world, 2);
 
-    assert_eq!(proposer.handle_reply(forgotten), ProposerStep::Wait);
-    assert_eq!(proposer.handle_reply(knowing), ProposerStep::Wait);
+    assert_eq!(proposer.handle_reply(lost_vote), ProposerStep::Wait);
+    assert_eq!(proposer.handle_reply(current_vote), ProposerStep::Wait);
 }
 
 #[test]
 fn a_restarted_member_votes_only_after_copying_from_enough_others() {
     let mut world = make_world(3);
     world.restart(0);
-    let asking = world.replicas[0].placement();
+    let requester = world.replicas[0].placement();
     let cell = world.cell.clone();
     let group = world.group.clone();
     let mut can_vote = vec![world.replicas[0].can_vote(&group)];
 
     for source in [1, 2] {
-        let page = world.replicas[source].serve_page(asking, None, PAGE_LIMIT, &cell);
+        let page = world.replicas[source].serve_page(requester, None, PAGE_LIMIT, &cell);
         let standing = page.standing.clone();
         world.replicas[0].merge_page(source as GuardId + 1, standing, page);
         can_vote.push(world.replicas[0].can_vote(&group));
--- a/crates/claims/cloverfold_claims_core/tests/guard_table.rs
+++ b/crates/claims/cloverfold_claims_core/tests/guard_table.rs
@@ -1,4 +1,4 @@
-//! What a process knows of guards through others.
+//! Guards against stale reports and double-counted tasks in the guard table.
 
 use std::time::Duration;
 
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn a_report_that_is_passed_on_keeps_its_age() {
+fn a_forwarded_report_keeps_its_age() {
     let mut first = GuardTable::default();
     let mut second = GuardTable::default();
     first.record_report(report(1, 0), at(0));
 
-    for passed_on in first.reports(at(1_500)) {
-        second.record_report(passed_on, at(1_500));
+    for forwarded in first.reports(at(1_500)) {
+        second.record_report(forwarded, at(1_500));
     }
 
     assert_eq!(second.list_candidates(at(1_600), REPORT_TIMEOUT).len(), 1);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_suspected_guard_gets_nothing_until_it_reports_anew() {
+fn a_suspected_guard_is_excluded_until_a_newer_report() {
     let mut table = GuardTable::default();
     table.record_report(report(1, 0), at(0));
     table.suspect(1, at(5));
@@ -56,15 +56,15 @@
 }
 
 #[test]
-fn a_suspected_guard_gets_nothing_for_an_older_report_that_is_passed_on() {
+fn a_forwarded_older_report_does_not_end_a_suspicion() {
     let mut first = GuardTable::default();
     let mut second = GuardTable::default();
     first.record_report(report(2, 0), at(100));
     second.record_report(report(1, 0), at(0));
     second.suspect(1, at(600));
 
-    for passed_on in first.reports(at(700)) {
-        second.record_report(passed_on, at(700));
+    for forwarded in first.reports(at(700)) {
+        second.record_report(forwarded, at(700));
     }
     let suspected = second.list_candidates(at(700), REPORT_TIMEOUT).len();
     second.record_report(report(3, 0), at(800));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_restart_ends_the_suspicion_of_the_incarnation_before() {
+fn a_restart_ends_the_suspicion_of_the_earlier_incarnation() {
     let mut table = GuardTable::default();
     table.record_report(report(1, 0), at(0));
     table.suspect(1, at(500));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn own_tasks_are_counted_once_and_foreign_ones_are_added() {
+fn own_tasks_are_counted_once_and_those_of_others_are_added() {
     let mut table = GuardTable::default();
     table.add_in_flight(1);
     table.add_in_flight(1);
@@ -100,6 +100,6 @@
     table.remove_in_flight(1);
     table.remove_in_flight(1);
 
-    assert_eq!(load, 6, "three foreign tasks and three own");
+    assert_eq!(load, 6, "three tasks of others and three own");
     assert_eq!(table.list_candidates(at(0), REPORT_TIMEOUT)[0].load, 3);
 }
--- a/crates/claims/cloverfold_claims_core/tests/jobs.rs
+++ b/crates/claims/cloverfold_claims_core/tests/jobs.rs
@@ -1,4 +1,5 @@
-//! Jobs driven by several coordinators over fences that crash, leave and refuse.
+//! Guards against second starts and wrong outcomes when several coordinators drive a job over guards that crash, drain
+//! and refuse tasks.
 
 #![allow(clippy::unwrap_used, clippy::needless_pass_by_value)]
 
@@ -33,9 +34,9 @@
     Start(usize),
     Finish(usize, bool),
     Crash(usize),
-    Leave(usize),
-    LoseSight(usize),
-    AskAgain(usize),
+    Drain(usize),
+    ReportLost(usize),
+    RepeatAssign(usize),
 }
 
 #[derive(Clone, Debug)]
@@ -47,7 +48,7 @@
 struct World {
     claim: Claim,
     fences: Vec<Fence<()>>,
-    lives: Vec<Placement>,
+    placements: Vec<Placement>,
     running: Vec<Vec<TaskId>>,
     drivers: Vec<JobProgress>,
     answers: Vec<Vec<Outcome>>,
@@ -58,7 +59,7 @@
 }
 
 fn make_world() -> World {
-    let lives: Vec<Placement> = (0..GUARDS)
+    let placements: Vec<Placement> = (0..GUARDS)
         .map(|index| Placement {
             guard: index as u16,
             incarnation: 1,
@@ -68,15 +69,15 @@
         claim: Claim {
             digest: [0; 16],
             submitted_at: NOW,
-            placements: lives.clone(),
+            placements: placements.clone(),
             tasks: (0..TASKS).map(|task| task % GUARDS as u16).collect(),
             refusal: None,
         },
-        fences: lives
+        fences: placements
             .iter()
-            .map(|life| Fence::new(life.incarnation, LIMITS))
+            .map(|placement| Fence::new(placement.incarnation, LIMITS))
             .collect(),
-        lives,
+        placements,
         running: vec![Vec::new(); GUARDS],
         drivers: Vec::new(),
         answers: Vec::new(),
@@ -118,9 +119,9 @@
             Action::Start(guard) => self.start(guard % GUARDS),
             Action::Finish(guard, is_good) => self.finish(guard % GUARDS, *is_good),
             Action::Crash(guard) => self.crash(guard % GUARDS),
-            Action::Leave(guard) => self.leave(guard % GUARDS),
-            Action::LoseSight(number) => self.lose_sight(*number),
-            Action::AskAgain(number) => self.ask_again(*number),
+            Action::Drain(guard) => self.drain(guard % GUARDS),
+            Action::ReportLost(number) => self.report_lost(*number),
+            Action::RepeatAssign(number) => self.repeat_assign(*number),
         }
     }
 
@@ -151,7 +152,7 @@
         match packet {
             Packet::Event { driver, event } => {
                 self.turn += 1;
-                let mut places = self.lives.clone();
+                let mut places = self.placements.clone();
                 places.rotate_left(self.turn % GUARDS);
                 let mut take_retry = || true;
                 let mut context = EventContext {
@@ -186,7 +187,7 @@
                     },
                 );
                 if let ReleaseResult::Released(to) = verdict
-                    && place == self.lives[guard]
+                    && place == self.placements[guard]
                 {
                     self.notify(guard, task, &TaskEnd::Released(to));
                 }
@@ -204,9 +205,9 @@
         may_pass_on: bool,
     ) {
         self.turn += 1;
-        let other = self.lives[self.turn % GUARDS];
+        let other = self.placements[self.turn % GUARDS];
         let is_other = other.guard != place.guard && !previous_guards.contains(&other.guard);
-        let pass_to = (may_pass_on && is_other).then_some(other);
+        let forward_to = (may_pass_on && is_other).then_some(other);
         let guard = usize::from(place.guard);
         let queued = QueuedTask {
             id: task_id(task),
@@ -219,7 +220,7 @@
             keep_until: LATER,
             payload: (),
         };
-        match self.fences[guard].assign(place.incarnation, queued, pass_to, NOW) {
+        match self.fences[guard].assign(place.incarnation, queued, forward_to, NOW) {
             AssignResult::WrongIncarnation(_) => {
                 self.send_event(driver, JobEvent::PlacementLost { task, place });
             }
@@ -240,9 +241,9 @@
         self.packets.push(Packet::Event { driver, event });
     }
 
-    /// Tells the drivers that watch a task how it ended at a guard.
+    /// Reports the end of a task at a guard to the drivers that watch it.
     fn notify(&mut self, guard: usize, task: TaskIndex, end: &TaskEnd) {
-        let place = self.lives[guard];
+        let place = self.placements[guard];
         for driver in 0..self.drivers.len() {
             if self.watching.remove(&(driver, task, place)) {
                 let end = end.clone();
@@ -277,19 +278,19 @@
     }
 
     fn crash(&mut self, guard: usize) {
-        self.lives[guard].incarnation += 1;
-        self.fences[guard] = Fence::new(self.lives[guard].incarnation, LIMITS);
+        self.placements[guard].incarnation += 1;
+        self.fences[guard] = Fence::new(self.placements[guard].incarnation, LIMITS);
         self.running[guard].clear();
     }
 
-    fn leave(&mut self, guard: usize) {
+    fn drain(&mut self, guard: usize) {
         for id in self.fences[guard].begin_drain() {
             self.notify(guard, id.index, &TaskEnd::Returned(ReasonCode::Leaving));
         }
     }
 
-    /// A driver takes a place for lost, rightly or not.
-    fn lose_sight(&mut self, number: usize) {
+    /// Reports a placement as lost to a driver, even if it is still running.
+    fn report_lost(&mut self, number: usize) {
         let watching: Vec<_> = self.watching.iter().copied().collect();
         if !watching.is_empty() {
             let (driver, task, place) = watching[number % watching.len()];
@@ -297,8 +298,8 @@
         }
     }
 
-    /// A driver sends an assignment again after a lost connection.
-    fn ask_again(&mut self, number: usize) {
+    /// Repeats an assignment, as a driver does after a lost connection.
+    fn repeat_assign(&mut self, number: usize) {
         let watching: Vec<_> = self.watching.iter().copied().collect();
         if !watching.is_empty() {
             let (driver, task, place) = watching[number % watching.len()];
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Lets everything that is under way happen.
+    /// Delivers all packets and runs all tasks to completion.
     fn settle(&mut self) {
         for round in 0..200 {
             while !self.packets.is_empty() {
@@ -336,13 +337,13 @@
         3 => (0..GUARDS, prop::bool::weighted(0.9))
             .prop_map(|(guard, is_good)| Action::Finish(guard, is_good)),
         1 => (0..GUARDS).prop_map(Action::Crash),
-        1 => (0..GUARDS).prop_map(Action::Leave),
-        1 => any::<usize>().prop_map(Action::LoseSight),
-        1 => any::<usize>().prop_map(Action::AskAgain),
+        1 => (0..GUARDS).prop_map(Action::Drain),
+        1 => any::<usize>().prop_map(Action::ReportLost),
+        1 => any::<usize>().prop_map(Action::RepeatAssign),
     ]
 }
 
-/// The same schedules at every run; `PROPTEST_RNG_SEED` draws others.
+/// Uses a fixed seed, which `PROPTEST_RNG_SEED` overrides.
 fn fixed_schedules(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -356,7 +357,7 @@
     #![proptest_config(fixed_schedules(6_000))]
 
     #[test]
-    fn no_task_starts_twice_and_every_answer_is_true(
+    fn no_task_starts_twice_and_every_outcome_is_correct(
         actions in prop::collection::vec(any_action(), 1..140),
     ) {
         let mut world = make_world();
@@ -402,10 +403,10 @@
 }
 
 #[test]
-fn tasks_that_no_place_keeps_are_refused_as_not_run() {
+fn a_job_that_every_guard_refuses_is_not_run() {
     let mut world = make_world();
     for guard in 0..GUARDS {
-        world.leave(guard);
+        world.drain(guard);
     }
     world.drive();
 
--- a/crates/claims/cloverfold_claims_core/tests/queueing.rs
+++ b/crates/claims/cloverfold_claims_core/tests/queueing.rs
@@ -1,4 +1,4 @@
-//! The queue's shares and the choice of places.
+//! Guards against unfair queue shares, idle slots, poor placement and retries beyond the budget.
 
 use std::time::Duration;
 
@@ -9,7 +9,6 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same cases at every run.
 const SEED: u64 = 20_261_202;
 
 fn flow(workspace: usize) -> Flow {
@@ -28,23 +27,23 @@
 
     #[test]
     fn backlogged_flows_share_by_weight(weights in prop::collection::vec(1_u32..8, 2..6)) {
-        const TAKEN: usize = 2_000;
+        const POPPED: usize = 2_000;
         let mut queue = FairQueue::default();
         for (workspace, weight) in weights.iter().enumerate() {
-            for _ in 0..TAKEN {
+            for _ in 0..POPPED {
                 queue.push(flow(workspace), f64::from(*weight), 1.0, workspace);
             }
         }
 
         let mut counts = vec![0_f64; weights.len()];
-        for _ in 0..TAKEN {
+        for _ in 0..POPPED {
             counts[queue.pop().expect("the flows are backlogged")] += 1.0;
         }
 
         let total: u32 = weights.iter().sum();
         for (count, weight) in counts.iter().zip(&weights) {
-            let due = TAKEN as f64 * f64::from(*weight) / f64::from(total);
-            prop_assert!((count - due).abs() <= 0.05 * due + 1.0, "{counts:?} for {weights:?}");
+            let expected = POPPED as f64 * f64::from(*weight) / f64::from(total);
+            prop_assert!((count - expected).abs() <= 0.05 * expected + 1.0, "{counts:?} for {weights:?}");
         }
     }
 
@@ -86,14 +85,14 @@
         let sum: u32 = weights[..sizes.len()].iter().sum();
         for workspace in 0..sizes.len() {
             let share = f64::from(weights[workspace]) / f64::from(sum);
-            let due = ADMITTED_TASKS as f64 * share;
-            let allowed = 0.05 * due + 12.0;
-            prop_assert!((tasks[workspace] - due).abs() <= allowed, "{tasks:?} {weights:?} {sizes:?}");
+            let expected = ADMITTED_TASKS as f64 * share;
+            let allowed = 0.05 * expected + 12.0;
+            prop_assert!((tasks[workspace] - expected).abs() <= allowed, "{tasks:?} {weights:?} {sizes:?}");
         }
     }
 
     #[test]
-    fn a_fence_with_a_free_slot_starts_what_waits(
+    fn a_fence_with_a_free_slot_starts_queued_tasks(
         steps in prop::collection::vec((0..3_u8, 0..40_u16), 1..120),
         slots in 1..4_usize,
     ) {
@@ -130,12 +129,12 @@
             }
             prop_assert_eq!(fence.running(), running.len());
             prop_assert!(fence.running() <= slots && fence.queued() <= limits.queue);
-            prop_assert!(fence.running() == slots || fence.queued() == 0, "a slot idles");
+            prop_assert!(fence.running() == slots || fence.queued() == 0, "a slot is idle");
         }
     }
 
     #[test]
-    fn a_group_spreads_over_halls_and_moves_only_with_its_members(
+    fn a_group_spreads_over_data_halls_and_changes_only_with_its_members(
         key in any::<[u8; 16]>(),
         lost in 0..11_usize,
     ) {
@@ -188,7 +187,7 @@
     }
 
     #[test]
-    fn retries_stay_within_their_share(successes in 0..500_u32, wanted in 0..500_u32) {
+    fn retries_stay_within_the_budget(successes in 0..500_u32, wanted in 0..500_u32) {
         const SHARE: f64 = 0.1;
         const CAPACITY: f64 = 20.0;
         let mut budget = RetryBudget::new(SHARE, CAPACITY);
