--- a/crates/tools/cloverfold_solo/src/error.rs
+++ b/crates/tools/cloverfold_solo/src/error.rs
@@ -1,6 +1,4 @@
-//! The errors of the solo system.
-//!
-//! Owns nothing; the start and the measurement of the system return them.
+//! Errors of starting and measuring a solo system.
 
 use cloverfold_claim::FoundError;
 use cloverfold_claims_process::ProcessError;
@@ -8,16 +6,16 @@
 use cloverfold_net::KeyError;
 use cloverfold_settings::SettingsError;
 
-/// Why the solo system could not start or be measured.
+/// Errors of starting or measuring a solo system.
 #[derive(Debug, thiserror::Error)]
 pub enum SoloError {
-    /// Files or sockets could not be made.
+    /// Files or sockets could not be created.
     #[error("the solo system cannot be set up: {0}")]
     System(#[from] std::io::Error),
-    /// Keys could not be made.
+    /// Keys could not be generated.
     #[error(transparent)]
     Key(#[from] KeyError),
-    /// The settings that were made are wrong.
+    /// The generated settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// A process could not start.
@@ -26,7 +24,7 @@
     /// The cell could not be founded.
     #[error(transparent)]
     Found(#[from] FoundError),
-    /// The load could not be run or a page not be read.
+    /// The load could not be run, or a metrics page could not be read.
     #[error(transparent)]
     Load(#[from] LoadError),
     /// A process, or the lead, did not become ready in time.
--- a/crates/tools/cloverfold_solo/src/installation.rs
+++ b/crates/tools/cloverfold_solo/src/installation.rs
@@ -1,6 +1,4 @@
-//! The keys and settings files of a small claims installation in one folder.
-//!
-//! Owns the files. Relies on `cloverfold_net` for the keys and on the settings packages for the check.
+//! Generates the keys and settings files of a small claims installation in one folder.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -14,29 +12,29 @@
 
 use crate::error::SoloError;
 
-/// Name of the one service of an installation made here.
+/// Name of the only service of a generated installation.
 pub const SERVICE: &str = "sample";
-/// Name of the operator that its keys are made for.
+/// Name of the operator that gets a key.
 pub const OPERATOR: &str = "operator-solo";
 
-/// Data halls that the guards are spread over: as many as a claim has replicas.
+/// Number of data halls of the guards, one per replica of a claim.
 const DATA_HALLS: usize = 3;
-/// Boxes in one rack of a data hall. Chosen, not measured.
+/// Number of boxes per rack of a data hall.
 const BOXES_PER_RACK: usize = 3;
-/// Guards that hold each claim where there are enough.
+/// Number of guards that hold each claim, if there are enough.
 const REPLICAS: usize = 3;
 
 /// A workspace of an installation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoloWorkspace {
-    /// Its name and key.
+    /// Name and key of the workspace.
     pub caller: CallerKey,
-    /// Its weight.
+    /// Weight of the workspace.
     pub weight: f64,
 }
 
 impl SoloWorkspace {
-    /// Builds a workspace of weight 1 whose key is `<name>-key`.
+    /// Creates a workspace of weight 1 with the key `<name>-key`.
     pub fn named(name: &str) -> Self {
         Self {
             caller: CallerKey {
@@ -51,13 +49,13 @@
 /// The addresses of one guard and its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GuardAddresses {
-    /// Where others reach it.
+    /// The address at which other processes reach the guard.
     pub public: SocketAddr,
-    /// Where it listens for them.
+    /// The address at which the guard listens for peers.
     pub peer: SocketAddr,
-    /// Where it serves HTTP.
+    /// The address at which the guard serves HTTP.
     pub http: SocketAddr,
-    /// Where its target is.
+    /// The address of the target.
     pub target: SocketAddr,
 }
 
@@ -68,11 +66,11 @@
 }
 
 impl Installation {
-    /// Makes keys for the numbers of guards and entries in a folder.
+    /// Generates keys for the given numbers of guards and entries in a folder.
     ///
     /// # Errors
     ///
-    /// Returns which file could not be written.
+    /// Returns an error that names the file that could not be written.
     pub fn create(folder: &Path, guards: usize, entries: usize) -> Result<Self, SoloError> {
         let guards = (1..=guards).map(|id| format!("guard-{id}"));
         let entries = (1..=entries).map(|id| format!("entry-{id}"));
@@ -89,23 +87,23 @@
         self.folder.join("keys")
     }
 
-    /// Returns the cell's file.
+    /// Returns the path of the cell's settings file.
     pub fn cell_file(&self) -> PathBuf {
         self.folder.join("cell.jsonc")
     }
 
-    /// Writes the cell's file for guards at these public addresses; `extra` overrides fields.
+    /// Writes the cell's settings for guards at these public addresses; `extra` overrides fields.
     ///
     /// # Errors
     ///
-    /// Returns the system's error, or the faults that `extra` causes.
+    /// Returns the system's error, or an error if `extra` makes the settings invalid.
     pub fn write_cell(
         &self,
         guards: &[SocketAddr],
         workspaces: &[SoloWorkspace],
         extra: Value,
     ) -> Result<CellSettings, SoloError> {
-        let place = |(index, address): (usize, &SocketAddr)| {
+        let describe_guard = |(index, address): (usize, &SocketAddr)| {
             json!({
                 "id": index + 1,
                 "hall": format!("hall-{}", index % DATA_HALLS + 1),
@@ -113,18 +111,18 @@
                 "address": address,
             })
         };
-        let workspace = |one: &SoloWorkspace| {
+        let describe_workspace = |workspace: &SoloWorkspace| {
             json!({
-                "name": one.caller.workspace,
-                "key_sha256": hash_caller_key(&one.caller.key),
-                "weight": one.weight,
+                "name": workspace.caller.workspace,
+                "key_sha256": hash_caller_key(&workspace.caller.key),
+                "weight": workspace.weight,
             })
         };
         let cell = json!({
             "replicas": if guards.len() < REPLICAS { 1 } else { REPLICAS },
-            "guards": guards.iter().enumerate().map(place).collect::<Vec<_>>(),
+            "guards": guards.iter().enumerate().map(describe_guard).collect::<Vec<_>>(),
             "services": [{ "name": SERVICE }],
-            "customers": workspaces.iter().map(workspace).collect::<Vec<_>>(),
+            "customers": workspaces.iter().map(describe_workspace).collect::<Vec<_>>(),
         });
         self.write_file("cell.jsonc", cell, extra)?;
         Ok(read_settings(&self.cell_file())?)
--- a/crates/tools/cloverfold_solo/src/lib.rs
+++ b/crates/tools/cloverfold_solo/src/lib.rs
@@ -1,8 +1,7 @@
-//! A whole claims installation in one process, for newcomers and measurements.
+//! A complete claims installation in one process, for trying it out and for measurements.
 //!
-//! [`SoloSystem`] makes keys and settings in a temporary folder and starts targets, guards and entries as
-//! tasks of this process, over the same sockets and protocols as separate processes. Owns the folder and the
-//! processes. Relies on `cloverfold_claims_process` to start them, so that they are the same as elsewhere.
+//! [`SoloSystem`] generates keys and settings in a temporary folder and starts targets, guards and entries as tasks of this process. They
+//! use the same start functions, sockets and protocols as separate processes.
 
 mod error;
 mod installation;
--- a/crates/tools/cloverfold_solo/src/measure.rs
+++ b/crates/tools/cloverfold_solo/src/measure.rs
@@ -1,6 +1,4 @@
-//! Measurement of a solo system under load.
-//!
-//! Owns no state. Relies on `cloverfold_load` for the load and the report.
+//! Measures a solo system under load.
 
 use std::time::Duration;
 
@@ -12,38 +10,38 @@
 use crate::installation::SERVICE;
 use crate::system::SoloSystem;
 
-/// Wait after the last answer until all counts are in the metrics. Chosen, not measured.
-const SETTLE: Duration = Duration::from_millis(300);
+/// Delay after the last answer, in which the metrics become complete.
+const METRICS_DELAY: Duration = Duration::from_millis(300);
 
-/// The result of a load.
+/// The result of a load run.
 #[derive(Clone, Debug)]
 pub struct Measurement {
-    /// Answers by workspace.
+    /// Response times and outcomes by workspace.
     pub load: LoadReport,
-    /// Messages by kind.
+    /// Counts of wasted messages and of requests.
     pub waste: WasteReport,
 }
 
 /// Load on a solo system.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SoloLoad {
-    /// Share of the system's slots, 0 to 1, spread evenly over its workspaces.
+    /// Mean utilization of the system's slots, 0 to 1, at the same rate for every workspace.
     pub share: f64,
-    /// Factor on the rate of the first workspace.
+    /// Factor that multiplies the rate of the first workspace.
     pub overload: f64,
-    /// Least and most tasks of a job.
+    /// Minimum and maximum number of tasks of a job.
     pub job_size: (usize, usize),
-    /// How long jobs arrive.
+    /// Time during which jobs arrive.
     pub length: Duration,
-    /// Seed of the arrivals.
+    /// Random seed of the arrivals, sizes and durations.
     pub seed: u64,
 }
 
-/// Runs a load on a system and measures it.
+/// Runs a load on a system and measures the system.
 ///
 /// # Errors
 ///
-/// Returns that the load could not be run or that a metrics page could not be read.
+/// Returns an error if the load could not be run or a metrics page could not be read.
 pub async fn measure_load(system: &SoloSystem, load: &SoloLoad) -> Result<Measurement, SoloError> {
     let plan = build_plan(system, load);
     let client = CallerClient::new()?;
@@ -51,7 +49,7 @@
     let before = read_metrics(&client, &processes).await?;
     let starts_before = system.count_starts();
     let report = run_load(&plan).await?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(METRICS_DELAY).await;
     let after = read_metrics(&client, &processes).await?;
     let starts = system.count_starts() - starts_before;
     let waste = WasteReport::gather(&after.since(&before), starts, report.total().useful_tasks);
--- a/crates/tools/cloverfold_solo/src/ports.rs
+++ b/crates/tools/cloverfold_solo/src/ports.rs
@@ -1,23 +1,23 @@
-//! Free addresses on this box, for tests and measurements.
+//! Finds free addresses on this box, for tests and measurements.
 //!
-//! Owns the place of the next port in this process. Relies on other processes to leave the port alone until it is used.
+//! A port is not reserved: another process may bind it before it is used.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// First port to try. With [`PORT_COUNT`] it stays below 32768, where Linux begins to draw ports for outgoing connections, so that none
-/// is taken between the choice and its use.
+/// First port to try. All candidates are below 32768, the start of the ephemeral port range of Linux, so that no outgoing connection
+/// takes a port between its choice and its use.
 const FIRST_PORT: u16 = 11_000;
-/// How many ports there are to try.
+/// Number of candidate ports.
 const PORT_COUNT: u16 = 20_000;
-/// Distance of the first ports of processes with neighbouring numbers; prime, so that they spread over all ports.
+/// Distance between the first candidates of processes with consecutive process ids; prime, so that they spread over all ports.
 const PROCESS_STRIDE: u32 = 997;
 
-/// Place of the next port to try; each process begins somewhere else.
-static NEXT_PLACE: AtomicU16 = AtomicU16::new(0);
+/// Index of the next candidate, relative to the first candidate of this process.
+static NEXT_CANDIDATE: AtomicU16 = AtomicU16::new(0);
 
-/// Finds addresses whose ports are free for TCP and UDP; no two calls in one process return the same.
+/// Finds loopback addresses whose ports are free for TCP and UDP. Calls in one process do not return the same address again.
 ///
 /// # Errors
 ///
@@ -29,9 +29,10 @@
 fn find_free_address() -> io::Result<SocketAddr> {
     let offset = (std::process::id() % u32::from(PORT_COUNT)) as u16;
     for _ in 0..PORT_COUNT {
-        let place = NEXT_PLACE.fetch_add(1, Ordering::Relaxed) % PORT_COUNT;
-        let place = (u32::from(place) + u32::from(offset) * PROCESS_STRIDE) % u32::from(PORT_COUNT);
-        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT + place as u16));
+        let candidate = NEXT_CANDIDATE.fetch_add(1, Ordering::Relaxed) % PORT_COUNT;
+        let candidate =
+            (u32::from(candidate) + u32::from(offset) * PROCESS_STRIDE) % u32::from(PORT_COUNT);
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT + candidate as u16));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             return Ok(address);
         }
--- a/crates/tools/cloverfold_solo/src/system.rs
+++ b/crates/tools/cloverfold_solo/src/system.rs
@@ -1,6 +1,4 @@
-//! Start and stop of all roles in one process.
-//!
-//! Owns the folder, the targets and the processes of the system. Relies on `installation` for their settings.
+//! Starts and stops all processes of a claims installation as tasks of this process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -23,14 +21,14 @@
 use crate::installation::{GuardAddresses, Installation, OPERATOR, SoloWorkspace};
 use crate::ports::find_free_addresses;
 
-/// How long the system may take to become ready. Chosen, not measured.
+/// Timeout for the system to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often readiness is asked for. Chosen, not measured.
-const READY_POLL: Duration = Duration::from_millis(20);
-/// How long the planned stop of one process may take. Chosen, not measured.
+/// Polling interval for readiness.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of the planned stop of one process.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Size of a solo system.
+/// Configuration of a solo system.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoloConfig {
     /// Number of guards, each with a target.
@@ -41,11 +39,11 @@
     pub entries: usize,
     /// The workspaces.
     pub workspaces: Vec<SoloWorkspace>,
-    /// How tasks are placed, as in the cell's settings.
+    /// Placement of tasks, as in the cell's settings.
     pub placement: &'static str,
     /// Whether one guard coordinates all jobs.
     pub has_lead: bool,
-    /// In which order waiting work goes, as in the cell's settings.
+    /// Order of queued work, as in the cell's settings.
     pub queueing: &'static str,
 }
 
@@ -64,7 +62,7 @@
     }
 }
 
-/// A running system; dropping it ends its processes and removes its files.
+/// A running system. Dropping it stops its processes and removes its files.
 pub struct SoloSystem {
     folder: TempDir,
     installation: Installation,
@@ -75,11 +73,11 @@
 }
 
 impl SoloSystem {
-    /// Starts all roles and waits until they are ready.
+    /// Starts all processes and waits until they are ready.
     ///
     /// # Errors
     ///
-    /// Returns which part could not start or did not become ready.
+    /// Returns an error if a part could not start or did not become ready.
     pub async fn start(config: SoloConfig) -> Result<Self, SoloError> {
         let folder = tempfile::tempdir()?;
         let installation = Installation::create(folder.path(), config.guards, config.entries)?;
@@ -93,18 +91,18 @@
         };
         system.start_targets().await?;
         let cell = system.start_guards().await?;
-        system.found(&cell).await?;
+        system.found_cell(&cell).await?;
         system.start_entries().await?;
         system.wait_ready().await?;
         Ok(system)
     }
 
-    /// Returns the folder with keys and settings.
+    /// Returns the folder with the keys and settings.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Returns the size of the system.
+    /// Returns the configuration of the system.
     pub fn config(&self) -> &SoloConfig {
         &self.config
     }
@@ -114,24 +112,24 @@
         &self.targets
     }
 
-    /// Lists the callers' addresses.
+    /// Lists the addresses of the entries.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(Running::http_address).collect()
     }
 
-    /// Lists the addresses of all metrics pages.
+    /// Lists the addresses of the metrics pages of all processes.
     pub fn metrics_addresses(&self) -> Vec<SocketAddr> {
         let processes = self.entries.iter().chain(&self.guards);
         processes.map(Running::http_address).collect()
     }
 
-    /// Returns the number of starts at all targets.
+    /// Returns the total number of starts at all targets.
     pub fn count_starts(&self) -> u64 {
         let journals = self.targets.iter().map(SampleTarget::journal);
         journals.map(|journal| journal.count_starts() as u64).sum()
     }
 
-    /// Stops entries, then guards; returns whether all ended in time.
+    /// Stops entries, then guards; returns whether all of them drained in time.
     pub async fn stop(self) -> bool {
         stop_all(self.entries).await && stop_all(self.guards).await
     }
@@ -146,7 +144,7 @@
 
     async fn start_guards(&mut self) -> Result<CellSettings, SoloError> {
         let peers = find_free_addresses(self.config.guards)?;
-        let https = find_free_addresses(self.config.guards)?;
+        let http_addresses = find_free_addresses(self.config.guards)?;
         let extra = json!({
             "placement": self.config.placement,
             "has_lead": self.config.has_lead,
@@ -159,7 +157,7 @@
             let addresses = GuardAddresses {
                 public: peers[index],
                 peer: peers[index],
-                http: https[index],
+                http: http_addresses[index],
                 target: target.address(),
             };
             let slots = self.config.slots;
@@ -172,7 +170,7 @@
         Ok(cell)
     }
 
-    async fn found(&self, cell: &CellSettings) -> Result<(), SoloError> {
+    async fn found_cell(&self, cell: &CellSettings) -> Result<(), SoloError> {
         let network = open_operator_network(&self.installation.key_folder(), OPERATOR)?;
         found_cell(&network, &list_guard_addresses(cell)).await?;
         network.close().await;
@@ -180,8 +178,8 @@
     }
 
     async fn start_entries(&mut self) -> Result<(), SoloError> {
-        let https = find_free_addresses(self.config.entries)?;
-        for (index, http) in https.into_iter().enumerate() {
+        let http_addresses = find_free_addresses(self.config.entries)?;
+        for (index, http) in http_addresses.into_iter().enumerate() {
             let file = self.installation.write_entry(index + 1, http, json!({}))?;
             self.entries
                 .push(start_entry(EntrySettings::read(&file)?).await?);
@@ -197,20 +195,20 @@
                 if Instant::now() > until {
                     return Err(SoloError::NotReady(address.to_string()));
                 }
-                tokio::time::sleep(READY_POLL).await;
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         }
-        while self.config.has_lead && !self.is_led(&client).await? {
+        while self.config.has_lead && !self.has_acting_lead(&client).await? {
             if Instant::now() > until {
                 return Err(SoloError::NotReady("the lead".into()));
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Returns whether every process has the first guard as the acting lead.
-    async fn is_led(&self, client: &CallerClient) -> Result<bool, SoloError> {
+    /// Returns whether every process reports the first guard, whose id is 1, as the acting lead.
+    async fn has_acting_lead(&self, client: &CallerClient) -> Result<bool, SoloError> {
         let processes = self.metrics_addresses();
         let metrics = read_metrics(client, &processes).await?;
         Ok(metrics.sum_of("cloverfold_acting_lead") as usize == processes.len())
