--- a/crates/tools/cloverfold_target/src/journal.rs
+++ b/crates/tools/cloverfold_target/src/journal.rs
@@ -1,31 +1,29 @@
-//! The record of every start at a target.
-//!
-//! Owns the starts of one target. Relies on the target to record each start and end.
+//! The journal of all starts at a target.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// One start as the target saw it.
+/// One start of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartRecord {
     /// `<submission>/<index>`.
     pub task: String,
-    /// When it started.
+    /// Time of the start.
     pub started_at: Instant,
-    /// When it ended, if it did.
+    /// Time of the end, if the task has ended.
     pub ended_at: Option<Instant>,
     /// Body of the task.
     pub body: Vec<u8>,
 }
 
-/// The starts at a target in their order; clones share one record.
+/// The starts at a target in order. Clones share one journal.
 #[derive(Clone, Debug, Default)]
 pub struct Journal {
     starts: Arc<Mutex<Vec<StartRecord>>>,
 }
 
 impl Journal {
-    /// Records a start and returns its number.
+    /// Records a start and returns its index.
     pub fn record_start(&self, task: &str, body: &[u8]) -> usize {
         let mut starts = self.lock();
         starts.push(StartRecord {
@@ -37,14 +35,14 @@
         starts.len() - 1
     }
 
-    /// Records the end of the start with this number.
-    pub fn record_end(&self, number: usize) {
-        if let Some(start) = self.lock().get_mut(number) {
+    /// Records the end of the start with this index.
+    pub fn record_end(&self, index: usize) {
+        if let Some(start) = self.lock().get_mut(index) {
             start.ended_at = Some(Instant::now());
         }
     }
 
-    /// Lists all starts, as the system tests check.
+    /// Lists all starts.
     pub fn list_starts(&self) -> Vec<StartRecord> {
         self.lock().clone()
     }
--- a/crates/tools/cloverfold_target/src/lib.rs
+++ b/crates/tools/cloverfold_target/src/lib.rs
@@ -1,9 +1,7 @@
-//! A sample target that journals every start.
+//! A sample target that records every start in a journal.
 //!
-//! It speaks the protocol of `docs/TARGETS.md` and does what each task's body asks of it: run for a time, then
-//! succeed or fail. Tests and measurements count starts in its journal, so that a task that started twice is seen
-//! at the target and not in the system's own counts. Owns its journal and the tasks that were cancelled; relies on
-//! no other package of ours.
+//! The target implements the HTTP protocol for targets. Each task runs for the time in its body, then succeeds or fails as the body says.
+//! Tests and measurements count starts in the journal, which is independent of the counters of the system under test.
 //!
 //! ```
 //! # let runtime = tokio::runtime::Runtime::new().unwrap();
--- a/crates/tools/cloverfold_target/src/target.rs
+++ b/crates/tools/cloverfold_target/src/target.rs
@@ -1,6 +1,4 @@
 //! The HTTP server of the sample target.
-//!
-//! Owns the journal and the cancelled tasks of one target. Relies on `volo-http`.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,7 +19,7 @@
 use crate::journal::Journal;
 use crate::task::SampleTask;
 
-/// A running sample target; it stops when dropped.
+/// A running sample target, which stops when it is dropped.
 pub struct SampleTarget {
     address: SocketAddr,
     state: Arc<TargetState>,
@@ -30,12 +28,12 @@
 
 struct TargetState {
     journal: Journal,
-    /// Names of the tasks that were cancelled, running or not.
+    /// Names of the cancelled tasks, whether or not they were running.
     cancelled: watch::Sender<BTreeSet<String>>,
 }
 
 impl SampleTarget {
-    /// Starts to serve on an address; port 0 lets the system choose.
+    /// Starts serving on an address; port 0 lets the system choose a port.
     ///
     /// # Errors
     ///
@@ -49,7 +47,7 @@
         });
         let server = Server::new(build_routes(&state)).http1_only();
         let server = tokio::spawn(async move {
-            // The server ends only with the target; an error before shows at the guard, which gets no answer.
+            // The server runs until the target is dropped. An earlier error shows as missing answers at the guard.
             let _ = server.run(DefaultIncoming::from(listener)).await;
         });
         Ok(Self {
@@ -59,17 +57,17 @@
         })
     }
 
-    /// Returns the address that is served.
+    /// Returns the address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the record of starts.
+    /// Returns the journal of starts.
     pub fn journal(&self) -> &Journal {
         &self.state.journal
     }
 
-    /// Lists the tasks that were cancelled, as the system tests check.
+    /// Lists the cancelled tasks.
     pub fn list_cancelled(&self) -> Vec<String> {
         self.state.cancelled.borrow().iter().cloned().collect()
     }
@@ -82,31 +80,31 @@
 }
 
 fn build_routes(state: &Arc<TargetState>) -> Router {
-    let starting = state.clone();
-    let cancelling = state.clone();
-    let counting = state.clone();
+    let start_state = state.clone();
+    let cancel_state = state.clone();
+    let usage_state = state.clone();
     Router::new()
         .route(
             "/v1/tasks/{submission}/{index}",
-            post(move |req: Request| run_task(starting.clone(), req))
-                .delete(move |req: Request| cancel_task(cancelling.clone(), req)),
+            post(move |req: Request| run_task(start_state.clone(), req))
+                .delete(move |req: Request| cancel_task(cancel_state.clone(), req)),
         )
         .route(
             "/v1/usage",
             get(move || {
-                let starts = counting.journal.count_starts();
+                let starts = usage_state.journal.count_starts();
                 async move { format!("{{\"starts\":{starts}}}") }
             }),
         )
 }
 
-/// Returns `<submission>/<index>` of a request.
-fn name_task(req: &Request) -> String {
+/// Returns the task name `<submission>/<index>` from the path of a request.
+fn task_name(req: &Request) -> String {
     req.uri().path().trim_start_matches("/v1/tasks/").to_owned()
 }
 
 async fn cancel_task(state: Arc<TargetState>, req: Request) -> StatusCode {
-    let task = name_task(&req);
+    let task = task_name(&req);
     state.cancelled.send_modify(|tasks| {
         tasks.insert(task);
     });
@@ -115,35 +113,35 @@
 
 async fn wait_cancelled(state: &TargetState, task: &str) {
     let mut rx = state.cancelled.subscribe();
-    // The only error is that the sender is gone; it lives in the state that is borrowed here.
+    // Cannot fail: the borrowed state owns the sender.
     let _ = rx.wait_for(|tasks| tasks.contains(task)).await;
 }
 
-/// Records the start, runs as long as the body asks and answers as it asks; 409 for a task that is cancelled meanwhile.
+/// Records the start, runs for the duration in the body, and answers as the body says, or with 409 if the task is cancelled.
 async fn run_task(state: Arc<TargetState>, req: Request) -> (StatusCode, String) {
-    let task = name_task(&req);
+    let task = task_name(&req);
     let Ok(body) = req.into_body().collect().await else {
         return (StatusCode::BAD_REQUEST, "the body broke off".into());
     };
     let body = body.to_bytes();
-    let began = Instant::now();
-    let number = state.journal.record_start(&task, &body);
+    let started = Instant::now();
+    let index = state.journal.record_start(&task, &body);
     let Ok(sample) = serde_json::from_slice::<SampleTask>(&body) else {
         return (StatusCode::UNPROCESSABLE_ENTITY, "not a sample task".into());
     };
-    let length = Duration::from_millis(sample.duration_ms);
+    let duration = Duration::from_millis(sample.duration_ms);
     let is_cancelled = tokio::select! {
-        () = sleep(length) => false,
+        () = sleep(duration) => false,
         () = wait_cancelled(&state, &task) => true,
     };
-    state.journal.record_end(number);
+    state.journal.record_end(index);
     if is_cancelled {
         return (StatusCode::CONFLICT, "cancelled".into());
     }
     if sample.fails {
         return (StatusCode::INTERNAL_SERVER_ERROR, "asked to fail".into());
     }
-    let ran_us = began.elapsed().as_micros() as u64;
+    let ran_us = started.elapsed().as_micros() as u64;
     let result = serde_json::json!({ "task": task, "echo": sample.echo, "ran_us": ran_us });
     (StatusCode::OK, result.to_string())
 }
--- a/crates/tools/cloverfold_target/src/task.rs
+++ b/crates/tools/cloverfold_target/src/task.rs
@@ -1,6 +1,4 @@
 //! The body of a task for the sample target.
-//!
-//! Owns nothing. Tests and the load write it, the target reads it.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,10 +6,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SampleTask {
-    /// How long the task runs, in milliseconds.
+    /// Duration of the task, in milliseconds.
     pub duration_ms: u64,
-    /// Answer with a failure at the end.
+    /// Whether the task fails at its end.
     pub fails: bool,
-    /// Whatever the caller wants back in the result.
+    /// Arbitrary value that the result returns to the caller.
     pub echo: serde_json::Value,
 }
