--- a/crates/tools/cloverfold_load/src/client.rs
+++ b/crates/tools/cloverfold_load/src/client.rs
@@ -1,6 +1,4 @@
-//! A client of the HTTP interface of an entry, and of metrics pages.
-//!
-//! Owns pooled connections. Relies on `docs/API.md` for paths, headers and bodies.
+//! An HTTP client for entries and metrics pages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,12 +10,12 @@
 use volo_http::body::Body;
 use volo_http::client::{Client, ClientBuilder};
 
-/// Idle connections that are kept to one address. Chosen, not measured.
+/// Maximum idle connections per address.
 const POOL_SIZE: usize = 512;
-/// How long a connection may take to open. Chosen, not measured.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The name and key with which a caller proves its workspace.
+/// The workspace name and key that authenticate a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerKey {
     /// Name of the workspace.
@@ -26,69 +24,69 @@
     pub key: String,
 }
 
-/// A job as it is submitted.
+/// A job submission.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct JobRequest {
-    /// Service to run at.
+    /// Service that runs the tasks.
     pub service: String,
     /// Bodies of the tasks.
     pub tasks: Vec<serde_json::Value>,
     /// `never` or `allowed`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub repeat: Option<&'static str>,
-    /// Deadline from the arrival, in milliseconds.
+    /// Time from the arrival to the deadline, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// Time of the first submission under the key.
+    /// Unix time of the first submission under the idempotency key, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub first_submitted_unix_ms: Option<u64>,
-    /// Key under which the job may be submitted again.
+    /// Idempotency key, under which the job may be submitted again.
     #[serde(skip)]
     pub idempotency_key: Option<String>,
 }
 
-/// The answer to a submission or to a query.
+/// The answer to a submission or a query.
 #[derive(Clone, Debug, Deserialize)]
 pub struct JobAnswer {
     /// HTTP status.
     #[serde(skip)]
     pub status: StatusCode,
-    /// `complete`, `failed`, `not_run` or `unknown`, or the state of a job that is not over.
+    /// `complete`, `failed`, `not_run` or `unknown`, or the state of an unfinished job.
     pub outcome: String,
     /// Idempotency key of the submission.
     pub key: Option<String>,
-    /// Results of a complete job.
+    /// Task results of a complete job.
     pub results: Option<Vec<serde_json::Value>>,
     /// The error of a job that is not complete.
     pub error: Option<serde_json::Value>,
 }
 
 impl JobAnswer {
-    /// Returns the code of the error, as `docs/API.md` lists them, if there is one.
+    /// Returns the error code, if there is one.
     pub fn error_code(&self) -> Option<&str> {
         self.error.as_ref()?.get("code")?.as_str()
     }
 }
 
-/// Why a call has no readable answer.
+/// Errors of a call without a readable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// The connection failed or broke.
     #[error("no answer: {0}")]
     Connection(String),
-    /// The body is not one that the interface documents.
+    /// The body does not match the interface.
     #[error("the answer cannot be read: {0}")]
     Answer(String),
 }
 
-/// A client with pooled connections; clones share the pool.
+/// A client with a connection pool. Clones share the pool.
 #[derive(Clone)]
 pub struct CallerClient {
     client: Client<Body>,
 }
 
 impl CallerClient {
-    /// Builds a client.
+    /// Creates a client.
     ///
     /// # Errors
     ///
@@ -108,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// Returns that the connection broke or that the answer cannot be read.
+    /// Returns an error if the connection breaks or the answer cannot be read.
     pub async fn submit(
         &self,
         entry: SocketAddr,
@@ -120,11 +118,11 @@
         self.submit_raw(entry, caller, key, body.into()).await
     }
 
-    /// Submits any body, valid or not.
+    /// Submits an arbitrary body, which may be invalid.
     ///
     /// # Errors
     ///
-    /// Returns that the connection broke or that the answer cannot be read.
+    /// Returns an error if the connection breaks or the answer cannot be read.
     pub async fn submit_raw(
         &self,
         entry: SocketAddr,
@@ -144,11 +142,11 @@
         read_answer(response.map_err(|e| LoadError::Connection(e.to_string()))?).await
     }
 
-    /// Asks for the state of a submission.
+    /// Queries the state of a submission.
     ///
     /// # Errors
     ///
-    /// Returns that the connection broke or that the answer cannot be read.
+    /// Returns an error if the connection breaks or the answer cannot be read.
     pub async fn query(
         &self,
         entry: SocketAddr,
@@ -170,7 +168,7 @@
     ///
     /// # Errors
     ///
-    /// Returns that the connection broke.
+    /// Returns an error if the connection breaks.
     pub async fn get_text(
         &self,
         address: SocketAddr,
--- a/crates/tools/cloverfold_load/src/lib.rs
+++ b/crates/tools/cloverfold_load/src/lib.rs
@@ -1,9 +1,8 @@
-//! Open-loop load on a claims installation, and its report.
+//! Open-loop load generator for a claims installation, and its report.
 //!
-//! Arrivals follow a schedule that does not wait for answers, so that a slow system cannot hide its slowness.
-//! Each response time is divided by the ideal: the duration of the job's longest task. `cloverfold solo`, the
-//! benches and the system tests use it; a leased installation is measured by the platform's own bench. Owns the
-//! connections to entries; relies on the public interface (`docs/API.md`) and on the metrics pages only.
+//! Arrivals follow a schedule that does not wait for answers, which avoids coordinated omission: a slow system gets no fewer requests.
+//! The report divides each response time by the ideal, which is the duration of the job's longest task. The load generator uses only the
+//! public HTTP interface and the metrics pages.
 
 mod client;
 mod metrics_reader;
--- a/crates/tools/cloverfold_load/src/metrics_reader.rs
+++ b/crates/tools/cloverfold_load/src/metrics_reader.rs
@@ -1,32 +1,30 @@
 //! Sums of counters and gauges over the metrics pages of several processes.
-//!
-//! Owns the sums of one reading. Relies on the text format of the pages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::client::{CallerClient, LoadError};
 
-/// Counters and gauges by name and labels, added up over processes.
+/// Sums of counters and gauges over processes, by name and labels.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MetricsTotals {
     sums: BTreeMap<String, f64>,
 }
 
 impl MetricsTotals {
-    /// Returns the sum of one series, 0 if no page has it, as in `cloverfold_peer_requests_total{message="claim"}`.
+    /// Returns the sum of one series such as `cloverfold_peer_requests_total{message="claim"}`, or 0 if no page has it.
     pub fn sum_of(&self, series: &str) -> f64 {
         self.sums.get(series).copied().unwrap_or(0.0)
     }
 
-    /// Returns the sum over all series of one name.
+    /// Returns the sum over all series with a name.
     pub fn sum_of_name(&self, name: &str) -> f64 {
         let of_name = |series: &str| series.split('{').next() == Some(name);
         let sums = self.sums.iter().filter(|(series, _)| of_name(series));
         sums.map(|(_, value)| value).sum()
     }
 
-    /// Lists the series of one name.
+    /// Lists the series with a name.
     pub fn list_series(&self, name: &str) -> Vec<(&str, f64)> {
         let of_name = |series: &str| series.split('{').next() == Some(name);
         let sums = self.sums.iter().filter(|(series, _)| of_name(series));
@@ -34,7 +32,7 @@
             .collect()
     }
 
-    /// Returns the differences to an earlier reading.
+    /// Returns the differences from an earlier reading.
     pub fn since(&self, earlier: &Self) -> Self {
         let differences = self
             .sums
@@ -58,11 +56,11 @@
     }
 }
 
-/// Reads and adds up the metrics of processes.
+/// Reads the metrics pages of processes and adds them up.
 ///
 /// # Errors
 ///
-/// Returns the first page's error; the others are not read then.
+/// Returns the error of the first page that cannot be read; later pages are not read.
 pub async fn read_metrics(
     client: &CallerClient,
     processes: &[SocketAddr],
--- a/crates/tools/cloverfold_load/src/plan.rs
+++ b/crates/tools/cloverfold_load/src/plan.rs
@@ -1,46 +1,44 @@
-//! Plans of load: who submits how much for how long.
-//!
-//! Owns no state. Relies on `run` to carry a plan out.
+//! Load plans: callers, rates, sizes and durations.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::client::CallerKey;
 
-/// Shortest task of an even load. Chosen, not measured.
-const SHORTEST_TASK: Duration = Duration::from_millis(50);
-/// Longest task of an even load. Chosen, not measured.
-const LONGEST_TASK: Duration = Duration::from_millis(500);
-/// Time from the start that an even load leaves out of the report. Chosen, not measured.
+/// Shortest task of a uniform load.
+const MIN_TASK_DURATION: Duration = Duration::from_millis(50);
+/// Longest task of a uniform load.
+const MAX_TASK_DURATION: Duration = Duration::from_millis(500);
+/// Time from the start that the report of a uniform load excludes.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// One workspace's part of the load.
+/// The load of one workspace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadWorkspace {
-    /// Who submits.
+    /// The caller that submits the jobs.
     pub caller: CallerKey,
-    /// Mean jobs per second; the gaps are exponential.
+    /// Mean jobs per second of a Poisson process.
     pub jobs_per_s: f64,
-    /// Least and most tasks of a job; all sizes are equally likely.
+    /// Minimum and maximum number of tasks of a job; all sizes are equally likely.
     pub job_size: (usize, usize),
 }
 
-/// A run of load.
+/// A complete load plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadPlan {
-    /// Entries, used in turn.
+    /// Entries, used round-robin.
     pub entries: Vec<SocketAddr>,
-    /// Service to run at.
+    /// Service that runs the tasks.
     pub service: String,
     /// The workspaces.
     pub workspaces: Vec<LoadWorkspace>,
-    /// Shortest and longest duration of a task; all whole milliseconds are equally likely.
+    /// Minimum and maximum duration of a task; all whole milliseconds are equally likely.
     pub task_duration: (Duration, Duration),
-    /// How long jobs arrive.
+    /// Time during which jobs arrive.
     pub length: Duration,
-    /// Jobs that arrive within this time from the start are left out of the report.
+    /// Time from the start during which arriving jobs are excluded from the report.
     pub warm_up: Duration,
-    /// Seed of the arrivals, sizes and durations.
+    /// Random seed of the arrivals, sizes and durations.
     pub seed: u64,
 }
 
@@ -51,35 +49,35 @@
     }
 }
 
-/// Load on a system as a share of its slots, spread evenly over workspaces, of tasks of 50 to 500 ms.
+/// A load at the same rate for every workspace, sized as a share of the system's slots. Tasks take 50 to 500 ms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UniformLoad {
-    /// Entries, used in turn.
+    /// Entries, used round-robin.
     pub entries: Vec<SocketAddr>,
     /// The workspaces that submit.
     pub callers: Vec<CallerKey>,
-    /// Service to run at.
+    /// Service that runs the tasks.
     pub service: String,
     /// Slots of the system.
     pub slots: usize,
-    /// Mean share of the slots that the load occupies, 0 to 1.
+    /// Mean utilization of the slots, 0 to 1.
     pub share: f64,
-    /// Least and most tasks of a job.
+    /// Minimum and maximum number of tasks of a job.
     pub job_size: (usize, usize),
-    /// How long jobs arrive.
+    /// Time during which jobs arrive.
     pub length: Duration,
-    /// Seed of the arrivals, sizes and durations.
+    /// Random seed of the arrivals, sizes and durations.
     pub seed: u64,
 }
 
 impl UniformLoad {
-    /// Makes a plan in which every workspace submits at the same rate.
+    /// Returns a plan in which every workspace submits at the same rate.
     pub fn into_plan(self) -> LoadPlan {
         let mut plan = LoadPlan {
             entries: self.entries,
             service: self.service,
             workspaces: Vec::new(),
-            task_duration: (SHORTEST_TASK, LONGEST_TASK),
+            task_duration: (MIN_TASK_DURATION, MAX_TASK_DURATION),
             length: self.length,
             warm_up: WARM_UP,
             seed: self.seed,
--- a/crates/tools/cloverfold_load/src/report.rs
+++ b/crates/tools/cloverfold_load/src/report.rs
@@ -1,6 +1,4 @@
-//! The report of a run of load: response times, outcomes and wasted messages.
-//!
-//! Owns the histograms of one run. Relies on the metrics pages and the targets' journals for the count of messages.
+//! The report of a load run: response times, outcomes and wasted messages.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,16 +8,16 @@
 
 use crate::metrics_reader::MetricsTotals;
 
-/// Outcome of a job that ran as asked.
+/// Outcome of a job that completed.
 const COMPLETE: &str = "complete";
-/// Units of the histograms in a ratio of 1: ratios are kept in thousandths.
+/// Histogram units per ratio of 1.
 const RATIO_SCALE: f64 = 1_000.0;
-/// Largest ratio that is told apart, in thousandths; larger ones count as this.
-const LARGEST_RATIO: u64 = 10_000_000;
-/// Precision of the histograms, in decimal digits.
+/// Largest recorded ratio, in thousandths; larger ones saturate.
+const MAX_RATIO: u64 = 10_000_000;
+/// Precision of the histograms, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// One job, answered or not.
+/// The result of one job, which may have no answer.
 pub(crate) struct Sample {
     pub(crate) workspace: usize,
     pub(crate) is_counted: bool,
@@ -38,13 +36,13 @@
     pub outcomes: BTreeMap<String, u64>,
     /// Tasks of complete jobs.
     pub useful_tasks: u64,
-    /// `response / ideal` of complete jobs, in thousandths.
+    /// Ratio of response time to ideal time of complete jobs, in thousandths.
     ratios: Histogram<u64>,
 }
 
 impl WorkspaceReport {
     fn new(workspace: String) -> Self {
-        let ratios = Histogram::new_with_max(LARGEST_RATIO, SIGNIFICANT_DIGITS);
+        let ratios = Histogram::new_with_max(MAX_RATIO, SIGNIFICANT_DIGITS);
         Self {
             workspace,
             outcomes: BTreeMap::new(),
@@ -53,17 +51,17 @@
         }
     }
 
-    /// Returns a quantile of `response / ideal`.
+    /// Returns a quantile of the ratio of response time to ideal time.
     pub fn ratio_at(&self, quantile: f64) -> f64 {
         self.ratios.value_at_quantile(quantile) as f64 / RATIO_SCALE
     }
 
-    /// Returns the largest `response / ideal`.
+    /// Returns the largest ratio of response time to ideal time.
     pub fn largest_ratio(&self) -> f64 {
         self.ratios.max() as f64 / RATIO_SCALE
     }
 
-    /// Returns the number of jobs that were counted.
+    /// Returns the number of counted jobs, which excludes the warm-up.
     pub fn jobs(&self) -> u64 {
         self.outcomes.values().sum()
     }
@@ -91,12 +89,12 @@
     }
 }
 
-/// The report of a run of load, by workspace.
+/// The report of a load run, by workspace.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
     /// The workspaces.
     pub workspaces: Vec<WorkspaceReport>,
-    /// How long the run took, to its last answer.
+    /// Duration of the run up to its last answer.
     pub length: Duration,
 }
 
@@ -151,25 +149,25 @@
     }
 }
 
-/// Messages that were not needed for a complete job, and all requests between processes.
+/// Counts of messages that did not contribute to a complete job, and of all requests between processes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WasteReport {
     /// Starts at targets whose job completed.
     pub useful_starts: u64,
     /// Starts at targets whose job did not complete.
     pub wasted_sends: u64,
-    /// Assignments sent again, tasks that a guard passed on, and tasks asked back.
+    /// Repeated assignments, moved tasks and released tasks.
     pub wasted_calls: u64,
-    /// Submissions sent to a further guard, and tasks tried again.
+    /// Submissions rerouted to another guard, and task retries.
     pub retries: u64,
-    /// Requests sent only to learn of load; always 0, since reports of load are part of other messages.
+    /// Requests that only probe load; always 0, because other messages carry the load reports.
     pub probes: u64,
-    /// Requests between processes by message.
+    /// Requests between processes by message kind.
     pub requests: Vec<(String, u64)>,
 }
 
 impl WasteReport {
-    /// Builds the report from the processes' metrics and the number of starts in the targets' journals.
+    /// Creates the report from the metrics of the processes and the number of starts in the targets' journals.
     pub fn gather(metrics: &MetricsTotals, starts: u64, useful_starts: u64) -> Self {
         let count = |name: &str| metrics.sum_of_name(name) as u64;
         let requests = metrics.list_series("cloverfold_peer_requests_total");
@@ -189,7 +187,7 @@
         }
     }
 
-    /// Returns the wasted messages per useful start; per 1 if there is none.
+    /// Returns the wasted messages per useful start, or their number if there is none.
     pub fn waste_per_start(&self) -> f64 {
         let wasted = self.wasted_sends + self.wasted_calls + self.retries + self.probes;
         wasted as f64 / self.useful_starts.max(1) as f64
--- a/crates/tools/cloverfold_load/src/run.rs
+++ b/crates/tools/cloverfold_load/src/run.rs
@@ -1,6 +1,4 @@
-//! Carries out a plan of load and gathers the answers.
-//!
-//! Owns the tasks of one run. Relies on `client` for the calls and on `report` for the sums.
+//! Executes a load plan and collects the answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,66 +14,68 @@
 use crate::plan::{LoadPlan, LoadWorkspace};
 use crate::report::{LoadReport, Sample};
 
-/// Outcome of a job without an answer, in the report.
+/// Outcome in the report of a job without an answer.
 const NO_ANSWER: &str = "no_answer";
-/// Answers that may wait to be recorded. Chosen, not measured; a full queue delays nothing that is measured.
-const SAMPLE_QUEUE: usize = 4_096;
+/// Capacity of the channel of results. A full channel does not affect measured times.
+const SAMPLE_CHANNEL_CAPACITY: usize = 4_096;
 
-/// Submits all jobs of a plan and waits for every answer.
+/// Submits all jobs of a plan and waits for all answers.
 ///
 /// # Errors
 ///
-/// Returns that the client cannot be built; failed requests are part of the report.
+/// Returns an error if the client cannot be created. Failed requests are part of the report.
 pub async fn run_load(plan: &LoadPlan) -> Result<LoadReport, LoadError> {
     let client = CallerClient::new()?;
     let plan = Arc::new(plan.clone());
-    let (tx, mut samples) = mpsc::channel(SAMPLE_QUEUE);
-    let began = Instant::now();
+    let (tx, mut samples) = mpsc::channel(SAMPLE_CHANNEL_CAPACITY);
+    let started = Instant::now();
     for index in 0..plan.workspaces.len() {
-        tokio::spawn(submit_as_workspace(
+        tokio::spawn(submit_workspace_jobs(
             plan.clone(),
             index,
             client.clone(),
-            began,
+            started,
             tx.clone(),
         ));
     }
     drop(tx);
     let names = plan.workspaces.iter();
-    let names = names.map(|one| one.caller.workspace.clone()).collect();
+    let names = names
+        .map(|workspace| workspace.caller.workspace.clone())
+        .collect();
     let mut report = LoadReport::new(names);
     while let Some(sample) = samples.recv().await {
         report.record(&sample);
     }
-    report.length = began.elapsed();
+    report.length = started.elapsed();
     Ok(report)
 }
 
-/// Submits one workspace's jobs on schedule, whether or not earlier ones are answered.
-async fn submit_as_workspace(
+/// Submits the jobs of one workspace on schedule, without waiting for earlier answers.
+async fn submit_workspace_jobs(
     plan: Arc<LoadPlan>,
     index: usize,
     client: CallerClient,
-    began: Instant,
+    started: Instant,
     tx: mpsc::Sender<Sample>,
 ) {
     let mut rng = StdRng::seed_from_u64(plan.seed.wrapping_add(index as u64));
     let workspace = &plan.workspaces[index];
     let mut at = Duration::ZERO;
-    let mut turn = index;
+    let mut next_entry = index;
     loop {
-        at += draw_gap(&mut rng, workspace.jobs_per_s);
+        at += sample_arrival_gap(&mut rng, workspace.jobs_per_s);
         if at >= plan.length {
             return;
         }
         let arrival = Arrival {
             workspace: index,
             is_counted: at >= plan.warm_up,
-            due: began + at,
-            entry: plan.entries[turn % plan.entries.len()],
+            due: started + at,
+            entry: plan.entries[next_entry % plan.entries.len()],
         };
-        turn += 1;
-        let job = draw_job(&mut rng, &plan, workspace);
+        next_entry += 1;
+        let job = generate_job(&mut rng, &plan, workspace);
         sleep_until(arrival.due).await;
         tokio::spawn(submit_one(
             plan.clone(),
@@ -87,7 +87,7 @@
     }
 }
 
-/// When and where a job is to be submitted.
+/// The scheduled time and the entry of a submission.
 struct Arrival {
     workspace: usize,
     is_counted: bool,
@@ -95,8 +95,8 @@
     entry: SocketAddr,
 }
 
-/// A job and the duration that its longest task asks for.
-struct DrawnJob {
+/// A generated job and the requested duration of its longest task.
+struct GeneratedJob {
     request: JobRequest,
     longest: Duration,
 }
@@ -105,7 +105,7 @@
     plan: Arc<LoadPlan>,
     client: CallerClient,
     arrival: Arrival,
-    job: DrawnJob,
+    job: GeneratedJob,
     tx: mpsc::Sender<Sample>,
 ) {
     let caller = &plan.workspaces[arrival.workspace].caller;
@@ -114,32 +114,32 @@
         workspace: arrival.workspace,
         is_counted: arrival.is_counted,
         tasks: job.request.tasks.len(),
-        // From the time at which the job was due, so that a late start counts as waiting.
+        // Measured from the scheduled time, so that a late submission counts as waiting.
         response: arrival.due.elapsed(),
         ideal: answer.as_ref().map_or(job.longest, find_longest_run),
-        // Which error it was does not matter to the report: it counts jobs without an answer.
+        // The report counts jobs without an answer and does not distinguish errors.
         outcome: answer.map_or_else(|_| NO_ANSWER.into(), |answer| answer.outcome),
     };
-    // The only error is that the report is gone; it waits for every submission unless the run was dropped.
+    // An error means that the run was dropped: otherwise the receiver waits for every submission.
     let _ = tx.send(sample).await;
 }
 
-/// Returns how long the longest task really ran, by the targets' results: their timers are late by up to 2 ms.
+/// Returns the actual duration of the longest task according to the results, because the targets' timers are up to 2 ms late.
 fn find_longest_run(answer: &JobAnswer) -> Duration {
     let results = answer.results.iter().flatten();
     let runs = results.filter_map(|result| result.get("ran_us")?.as_u64());
     runs.max().map_or(Duration::ZERO, Duration::from_micros)
 }
 
-/// Draws the gap to the next arrival of a Poisson process.
-fn draw_gap(rng: &mut StdRng, per_s: f64) -> Duration {
+/// Returns a random time to the next arrival of a Poisson process.
+fn sample_arrival_gap(rng: &mut StdRng, rate_per_s: f64) -> Duration {
     let uniform: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
-    Duration::from_secs_f64(-uniform.ln() / per_s)
+    Duration::from_secs_f64(-uniform.ln() / rate_per_s)
 }
 
-fn draw_job(rng: &mut StdRng, plan: &LoadPlan, workspace: &LoadWorkspace) -> DrawnJob {
-    let (least, most) = workspace.job_size;
-    let size = rng.random_range(least..=most);
+fn generate_job(rng: &mut StdRng, plan: &LoadPlan, workspace: &LoadWorkspace) -> GeneratedJob {
+    let (min_tasks, max_tasks) = workspace.job_size;
+    let size = rng.random_range(min_tasks..=max_tasks);
     let (shortest, longest) = plan.task_duration;
     let mut job_longest = 0;
     let mut tasks = Vec::with_capacity(size);
@@ -149,7 +149,7 @@
         job_longest = job_longest.max(duration_ms);
         tasks.push(json!({ "duration_ms": duration_ms }));
     }
-    DrawnJob {
+    GeneratedJob {
         request: JobRequest {
             service: plan.service.clone(),
             tasks,
