--- a/crates/tools/cloverfold_faults/src/faults.rs
+++ b/crates/tools/cloverfold_faults/src/faults.rs
@@ -1,22 +1,22 @@
 //! The faults that a proxy injects, by the source of a packet.
 //!
-//! Owns the table of a proxy. Relies on the system's random source: runs are not repeatable.
+//! Faults use the system's random source, so runs are not reproducible.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Faults on a link, both ways.
+/// Faults on a link in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
     /// Delay of each packet.
     pub delay: Duration,
-    /// Upper bound of a further delay that is drawn for each packet, which reorders packets.
+    /// Upper bound of an additional random delay of each packet, which reorders packets.
     pub jitter: Duration,
-    /// Share of packets that are lost, 0 to 1.
+    /// Probability that a packet is lost, 0 to 1.
     pub loss: f64,
-    /// Share of packets that are delivered twice, 0 to 1.
+    /// Probability that a packet is delivered twice, 0 to 1.
     pub duplication: f64,
     /// Drops packets and stalls streams without an error at either end.
     pub is_blackholed: bool,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Draws the delay of each copy of a packet; empty when it is lost.
-    pub(crate) fn draw_arrivals(&self) -> Vec<Duration> {
+    /// Returns random delays for the copies of a packet; empty if the packet is lost.
+    pub(crate) fn sample_delays(&self) -> Vec<Duration> {
         if self.is_blackholed || rand::random::<f64>() < self.loss {
             return Vec::new();
         }
@@ -49,23 +49,23 @@
 
 #[derive(Debug, Default)]
 struct Rules {
-    general: Faults,
+    default_faults: Faults,
     by_source: HashMap<SocketAddr, Faults>,
 }
 
-/// The present faults of a proxy; clones share one table.
+/// The current faults of a proxy. Clones share one table.
 #[derive(Clone, Debug, Default)]
 pub struct FaultTable {
     rules: Arc<Mutex<Rules>>,
 }
 
 impl FaultTable {
-    /// Sets the faults of all sources that have none of their own.
+    /// Sets the faults of all sources without their own faults.
     pub fn set(&self, faults: Faults) {
-        self.lock().general = faults;
+        self.lock().default_faults = faults;
     }
 
-    /// Sets the faults between one source and what is behind the proxy.
+    /// Sets the faults between one source and the process behind the proxy.
     pub fn set_for(&self, source: SocketAddr, faults: Faults) {
         self.lock().by_source.insert(source, faults);
     }
@@ -82,7 +82,7 @@
             .by_source
             .get(&source)
             .copied()
-            .unwrap_or(rules.general)
+            .unwrap_or(rules.default_faults)
     }
 
     fn lock(&self) -> MutexGuard<'_, Rules> {
--- a/crates/tools/cloverfold_faults/src/lib.rs
+++ b/crates/tools/cloverfold_faults/src/lib.rs
@@ -1,9 +1,8 @@
-//! A proxy for TCP and UDP that injects faults in tests.
+//! TCP and UDP proxies that inject faults in tests.
 //!
-//! Put a [`UdpProxy`] or [`TcpProxy`] before a process, give its address to others, and set [`Faults`] while the
-//! system runs: delay, jitter that reorders, loss, duplication, silence and cuts. A [`LinkProxy`] stands at a given address, tells who
-//! opened a connection, and cuts one way. Owns the sockets of each proxy and the table of its
-//! faults. Relies on the process behind the proxy for everything else; faults are drawn without a seed.
+//! Put a [`UdpProxy`] or a [`TcpProxy`] in front of a process, give its address to the other processes, and set [`Faults`] while the system
+//! runs: delay, jitter that reorders packets, loss, duplication, black holes and closed connections. A [`LinkProxy`] listens on a given
+//! address, identifies the dialing side of each connection, and can block a single direction. Faults are random without a seed.
 //!
 //! ```
 //! # let runtime = tokio::runtime::Runtime::new().unwrap();
--- a/crates/tools/cloverfold_faults/src/link_proxy.rs
+++ b/crates/tools/cloverfold_faults/src/link_proxy.rs
@@ -1,6 +1,6 @@
-//! A proxy for TCP that tells who opened a connection, and cuts one way.
+//! A TCP proxy that identifies the dialing side of a connection and can block a single direction.
 //!
-//! Owns its listener and connections. Relies on the caller's function to name the side that dialed by the first bytes that it sends.
+//! A function of the caller identifies the dialing side by the first bytes that it sends.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Most bytes that are read at once. Chosen, not measured.
-const CHUNK: usize = 16 * 1024;
-/// How often a held direction looks whether it may go on. Chosen, not measured.
-const HOLD_POLL: Duration = Duration::from_millis(5);
-/// Connections that may wait to be accepted. Chosen, not measured.
+/// Size of the read buffer, in bytes.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Interval at which a blocked direction checks its faults again.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 256;
 
-/// Who opened a connection.
+/// The name of the side that opened a connection.
 pub type DialerName = String;
 /// Identifies the dialing side by the first bytes that it sent; `None` if they do not identify it.
 pub type IdentifyDialer = fn(&[u8]) -> Option<DialerName>;
@@ -29,7 +29,7 @@
 /// Faults between one dialing side and the process behind a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFaults {
-    /// Delay of what is read at once.
+    /// Delay of each read.
     pub delay: Duration,
     /// Holds back the bytes from the dialing side, without an error at either end.
     pub blocks_to_upstream: bool,
@@ -50,21 +50,21 @@
 
 #[derive(Debug, Default)]
 struct Rules {
-    general: LinkFaults,
+    default_faults: LinkFaults,
     by_dialer: HashMap<DialerName, LinkFaults>,
 }
 
-/// What happens to connections that are open at a moment.
+/// Counters of the faults that apply to all connections that are open at that time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Breaks {
+struct ConnectionEvents {
     resets: u64,
-    silences: u64,
+    blackholes: u64,
 }
 
-/// Forwards connections to one process from an address of its own; stops when dropped.
+/// Forwards connections from its own address to one process until it is dropped.
 pub struct LinkProxy {
     shared: Arc<Shared>,
-    breaks: watch::Sender<Breaks>,
+    events: watch::Sender<ConnectionEvents>,
     task: JoinHandle<()>,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl LinkProxy {
-    /// Starts to forward from `address` to `upstream`.
+    /// Starts forwarding from `address` to `upstream`.
     ///
     /// # Errors
     ///
@@ -94,21 +94,21 @@
             identify_dialer,
             rules: Mutex::default(),
         });
-        let breaks = watch::Sender::new(Breaks::default());
-        let task = tokio::spawn(accept_all(listener, shared.clone(), breaks.clone()));
+        let events = watch::Sender::new(ConnectionEvents::default());
+        let task = tokio::spawn(accept_all(listener, shared.clone(), events.clone()));
         Ok(Self {
             shared,
-            breaks,
+            events,
             task,
         })
     }
 
-    /// Sets the faults of all connections, beside those of single dialing sides.
+    /// Sets the faults of all connections, in addition to those of single dialing sides.
     pub fn set(&self, faults: LinkFaults) {
-        self.shared.lock().general = faults;
+        self.shared.lock().default_faults = faults;
     }
 
-    /// Sets the faults of connections that this side has opened.
+    /// Sets the faults of the connections that one side has opened.
     pub fn set_for(&self, dialer: &str, faults: LinkFaults) {
         self.shared
             .lock()
@@ -116,19 +116,19 @@
             .insert(dialer.to_owned(), faults);
     }
 
-    /// Removes all faults; connections that went silent for good stay so.
+    /// Removes all faults. Connections that were open during [`Self::blackhole_connections`] remain without traffic.
     pub fn clear(&self) {
         *self.shared.lock() = Rules::default();
     }
 
     /// Resets all connections that are open now.
     pub fn reset_connections(&self) {
-        self.breaks.send_modify(|breaks| breaks.resets += 1);
+        self.events.send_modify(|events| events.resets += 1);
     }
 
     /// Drops all further traffic on the connections that are open now, without an error at either end. New connections work.
     pub fn blackhole_connections(&self) {
-        self.breaks.send_modify(|breaks| breaks.silences += 1);
+        self.events.send_modify(|events| events.blackholes += 1);
     }
 }
 
@@ -146,131 +146,147 @@
 
     fn find(&self, dialer: Option<&str>) -> LinkFaults {
         let rules = self.lock();
-        let own = dialer.and_then(|dialer| rules.by_dialer.get(dialer));
-        rules.general.combine(own.copied().unwrap_or_default())
+        let own_faults = dialer.and_then(|dialer| rules.by_dialer.get(dialer));
+        rules
+            .default_faults
+            .combine(own_faults.copied().unwrap_or_default())
     }
 }
 
-/// Which way bytes go.
+/// The direction of the forwarded bytes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    There,
-    Back,
+    ToUpstream,
+    ToDialer,
 }
 
-async fn accept_all(listener: TcpListener, shared: Arc<Shared>, breaks: watch::Sender<Breaks>) {
+async fn accept_all(
+    listener: TcpListener,
+    shared: Arc<Shared>,
+    events: watch::Sender<ConnectionEvents>,
+) {
     loop {
-        // A lack of descriptors passes; the dialing side tries again.
-        let Ok((front, _)) = listener.accept().await else {
-            sleep(HOLD_POLL).await;
+        // A lack of file descriptors is temporary, and the dialing side retries.
+        let Ok((client, _)) = listener.accept().await else {
+            sleep(POLL_INTERVAL).await;
             continue;
         };
-        tokio::spawn(forward(front, shared.clone(), breaks.subscribe()));
+        tokio::spawn(forward(client, shared.clone(), events.subscribe()));
     }
 }
 
-/// Forwards one connection until it ends or is broken.
-async fn forward(front: TcpStream, shared: Arc<Shared>, mut breaks: watch::Receiver<Breaks>) {
-    let Ok(back) = TcpStream::connect(shared.upstream).await else {
-        // The process behind the proxy does not listen, so the dialing side sees a reset, as it would without a proxy.
-        let _ = front.set_zero_linger();
+/// Forwards one connection until it ends or is reset.
+async fn forward(
+    client: TcpStream,
+    shared: Arc<Shared>,
+    mut events: watch::Receiver<ConnectionEvents>,
+) {
+    let Ok(server) = TcpStream::connect(shared.upstream).await else {
+        // The process behind the proxy does not listen. Resets the dialing side, as the process itself would.
+        let _ = client.set_zero_linger();
         return;
     };
-    for stream in [&front, &back] {
+    for stream in [&client, &server] {
         // A failure only costs latency.
         let _ = stream.set_nodelay(true);
     }
-    let before = *breaks.borrow_and_update();
+    let initial = *events.borrow_and_update();
     let dialer = Mutex::new(None);
-    let (mut front_rx, mut front_tx) = front.into_split();
-    let (mut back_rx, mut back_tx) = back.into_split();
+    let (mut client_rx, mut client_tx) = client.into_split();
+    let (mut server_rx, mut server_tx) = server.into_split();
     let outcome = {
-        let there = copy(
-            &mut front_rx,
-            &mut back_tx,
+        let to_server = copy(
+            &mut client_rx,
+            &mut server_tx,
             &shared,
             &dialer,
-            Direction::There,
+            Direction::ToUpstream,
         );
-        let back_again = copy(
-            &mut back_rx,
-            &mut front_tx,
+        let to_client = copy(
+            &mut server_rx,
+            &mut client_tx,
             &shared,
             &dialer,
-            Direction::Back,
+            Direction::ToDialer,
         );
         tokio::select! {
-            copied = async { tokio::try_join!(there, back_again) } => copied.map(|_| ()),
-            _ = breaks.changed() => {
-                // After a silence both ends stay open until the proxy resets them; an error means that the proxy is gone.
-                let _ = breaks.wait_for(|now| now.resets != before.resets).await;
-                Err(Broken)
+            copied = async { tokio::try_join!(to_server, to_client) } => copied.map(|_| ()),
+            _ = events.changed() => {
+                // Keeps both ends open without traffic until the proxy resets them; an error means that the proxy was dropped.
+                let _ = events.wait_for(|now| now.resets != initial.resets).await;
+                Err(ConnectionReset)
             }
         }
     };
-    if outcome == Err(Broken) {
-        // A connection that has ended already needs no reset.
-        let _ = front_tx.as_ref().set_zero_linger();
-        let _ = back_tx.as_ref().set_zero_linger();
+    if outcome == Err(ConnectionReset) {
+        // An error means that the connection has already ended.
+        let _ = client_tx.as_ref().set_zero_linger();
+        let _ = server_tx.as_ref().set_zero_linger();
     }
 }
 
-/// A connection that ends by a reset at both sides.
+/// The connection ends with a reset at both sides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Broken;
+struct ConnectionReset;
 
-/// Copies one direction; holds what was read while the faults say so.
+/// Copies one direction, and holds back bytes while the faults block it.
 async fn copy(
     rx: &mut OwnedReadHalf,
     tx: &mut OwnedWriteHalf,
     shared: &Shared,
     dialer: &Mutex<Option<DialerName>>,
     direction: Direction,
-) -> Result<(), Broken> {
-    let mut buf = vec![0; CHUNK];
+) -> Result<(), ConnectionReset> {
+    let mut buf = vec![0; READ_BUFFER_BYTES];
     let mut is_first = true;
     loop {
         let Ok(len) = rx.read(&mut buf).await else {
-            // A cut holds up a reset as well.
-            hold(shared, dialer, direction).await;
-            return Err(Broken);
+            // A blocked direction delays a reset as well.
+            apply_faults(shared, dialer, direction).await;
+            return Err(ConnectionReset);
         };
         if len == 0 {
             break;
         }
-        if is_first && direction == Direction::There {
+        if is_first && direction == Direction::ToUpstream {
             *lock(dialer) = (shared.identify_dialer)(&buf[..len]);
         }
         is_first = false;
-        let was_held = hold(shared, dialer, direction).await;
-        // What a cut held up is lost if its sender has reset the connection meanwhile.
-        if was_held && is_reset(rx) {
-            return Err(Broken);
+        let was_blocked = apply_faults(shared, dialer, direction).await;
+        // Bytes that were held back are lost if their sender reset the connection in the meantime.
+        if was_blocked && is_reset(rx) {
+            return Err(ConnectionReset);
         }
-        tx.write_all(&buf[..len]).await.map_err(|_| Broken)?;
+        tx.write_all(&buf[..len])
+            .await
+            .map_err(|_| ConnectionReset)?;
     }
-    hold(shared, dialer, direction).await;
-    // An error means that the other side has closed already, which is what shutting down asks for.
+    apply_faults(shared, dialer, direction).await;
+    // An error means that the other side has already closed the connection.
     let _ = tx.shutdown().await;
     Ok(())
 }
 
-/// Waits for the delay and while the direction is held; returns whether it was held.
-async fn hold(shared: &Shared, dialer: &Mutex<Option<DialerName>>, direction: Direction) -> bool {
-    let mut was_held = false;
+/// Waits while the direction is blocked, then for the delay; returns whether the direction was blocked.
+async fn apply_faults(
+    shared: &Shared,
+    dialer: &Mutex<Option<DialerName>>,
+    direction: Direction,
+) -> bool {
+    let mut was_blocked = false;
     loop {
         let name = lock(dialer).clone();
         let faults = shared.find(name.as_deref());
-        let is_held = match direction {
-            Direction::There => faults.blocks_to_upstream,
-            Direction::Back => faults.blocks_to_dialer,
+        let is_blocked = match direction {
+            Direction::ToUpstream => faults.blocks_to_upstream,
+            Direction::ToDialer => faults.blocks_to_dialer,
         };
-        if !is_held {
+        if !is_blocked {
             sleep(faults.delay).await;
-            return was_held;
+            return was_blocked;
         }
-        was_held = true;
-        sleep(HOLD_POLL).await;
+        was_blocked = true;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/tools/cloverfold_faults/src/tcp_proxy.rs
+++ b/crates/tools/cloverfold_faults/src/tcp_proxy.rs
@@ -1,6 +1,4 @@
-//! The proxy for TCP.
-//!
-//! Owns its listener and connections. Relies on the fault table for delay and silence.
+//! A TCP proxy that delays, stalls and closes connections.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -13,24 +11,24 @@
 
 use crate::faults::{FaultTable, Faults};
 
-/// Most bytes that are read at once. Chosen, not measured.
-const CHUNK: usize = 16 * 1024;
-/// How often a silent stream checks whether the silence is over. Chosen, not measured.
-const SILENCE_POLL: Duration = Duration::from_millis(5);
+/// Size of the read buffer, in bytes.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Interval at which a stalled stream checks its faults again.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Forwards connections to one process; stops when dropped.
+/// Forwards connections to one process until it is dropped.
 ///
-/// Delay and silence hold for byte streams; loss, jitter and duplication do not.
+/// Only delays and black holes apply to byte streams; loss, jitter and duplication do not.
 pub struct TcpProxy {
     address: SocketAddr,
     faults: FaultTable,
-    cuts: watch::Sender<u64>,
-    silences: watch::Sender<u64>,
+    closes: watch::Sender<u64>,
+    blackholes: watch::Sender<u64>,
     task: JoinHandle<()>,
 }
 
 impl TcpProxy {
-    /// Starts to forward to `upstream` from an address that the system chooses.
+    /// Starts forwarding to `upstream` from an address that the system chooses.
     ///
     /// # Errors
     ///
@@ -39,20 +37,20 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let faults = FaultTable::default();
-        let cuts = watch::Sender::new(0);
-        let silences = watch::Sender::new(0);
+        let closes = watch::Sender::new(0);
+        let blackholes = watch::Sender::new(0);
         let forwarding = Forwarding {
             upstream,
             faults: faults.clone(),
-            cuts: cuts.clone(),
-            silences: silences.clone(),
+            closes: closes.clone(),
+            blackholes: blackholes.clone(),
         };
         let task = tokio::spawn(accept_all(listener, forwarding));
         Ok(Self {
             address,
             faults,
-            cuts,
-            silences,
+            closes,
+            blackholes,
             task,
         })
     }
@@ -69,12 +67,12 @@
 
     /// Drops all further traffic on the connections that are open now, without an error at either end. New connections work.
     pub fn blackhole_connections(&self) {
-        self.silences.send_modify(|silences| *silences += 1);
+        self.blackholes.send_modify(|blackholes| *blackholes += 1);
     }
 
     /// Closes all connections that are open now.
     pub fn close_connections(&self) {
-        self.cuts.send_modify(|cuts| *cuts += 1);
+        self.closes.send_modify(|closes| *closes += 1);
     }
 }
 
@@ -85,64 +83,64 @@
     }
 }
 
-/// How connections are forwarded.
+/// The configuration of the forwarded connections.
 #[derive(Clone)]
 struct Forwarding {
     upstream: SocketAddr,
     faults: FaultTable,
-    cuts: watch::Sender<u64>,
-    silences: watch::Sender<u64>,
+    closes: watch::Sender<u64>,
+    blackholes: watch::Sender<u64>,
 }
 
 async fn accept_all(listener: TcpListener, forwarding: Forwarding) {
-    while let Ok((front, source)) = listener.accept().await {
-        tokio::spawn(forward(front, source, forwarding.clone()));
+    while let Ok((client, source)) = listener.accept().await {
+        tokio::spawn(forward(client, source, forwarding.clone()));
     }
 }
 
-/// Forwards a connection until it ends or is cut.
-async fn forward(mut front: TcpStream, source: SocketAddr, forwarding: Forwarding) {
-    let mut cut = forwarding.cuts.subscribe();
-    let mut silenced = forwarding.silences.subscribe();
-    let Ok(mut back) = TcpStream::connect(forwarding.upstream).await else {
+/// Forwards a connection until it ends or is closed by the proxy.
+async fn forward(mut client: TcpStream, source: SocketAddr, forwarding: Forwarding) {
+    let mut closed = forwarding.closes.subscribe();
+    let mut blackholed = forwarding.blackholes.subscribe();
+    let Ok(mut server) = TcpStream::connect(forwarding.upstream).await else {
         return;
     };
     let faults = forwarding.faults;
-    let (front_rx, front_tx) = front.split();
-    let (back_rx, back_tx) = back.split();
-    let there = copy_with_faults(front_rx, back_tx, source, faults.clone());
-    let back_again = copy_with_faults(back_rx, front_tx, source, faults);
-    let is_silenced = tokio::select! {
-        _ = cut.changed() => false,
-        _ = silenced.changed() => true,
-        _ = async { tokio::join!(there, back_again) } => false,
+    let (client_rx, client_tx) = client.split();
+    let (server_rx, server_tx) = server.split();
+    let to_server = copy_with_faults(client_rx, server_tx, source, faults.clone());
+    let to_client = copy_with_faults(server_rx, client_tx, source, faults);
+    let is_blackholed = tokio::select! {
+        _ = closed.changed() => false,
+        _ = blackholed.changed() => true,
+        _ = async { tokio::join!(to_server, to_client) } => false,
     };
-    if is_silenced {
-        // Both ends stay open until the proxy cuts them. It fails only with the proxy, which cuts them too.
-        let _ = cut.changed().await;
+    if is_blackholed {
+        // Keeps both ends open without traffic until the proxy closes them. An error means that the proxy was dropped.
+        let _ = closed.changed().await;
     }
 }
 
-/// Copies one direction of a connection; holds what was read while the source is silenced.
+/// Copies one direction of a connection, and holds back bytes while the source is blackholed.
 async fn copy_with_faults(
     mut rx: ReadHalf<'_>,
     mut tx: WriteHalf<'_>,
     source: SocketAddr,
     faults: FaultTable,
 ) {
-    let mut buf = vec![0; CHUNK];
+    let mut buf = vec![0; READ_BUFFER_BYTES];
     while let Ok(len) = rx.read(&mut buf).await {
         if len == 0 {
             break;
         }
         while faults.find(source).is_blackholed {
-            sleep(SILENCE_POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
         sleep(faults.find(source).delay).await;
         if tx.write_all(&buf[..len]).await.is_err() {
             return;
         }
     }
-    // An error means that the other side has closed already, which is what shutting down asks for.
+    // An error means that the other side has already closed the connection.
     let _ = tx.shutdown().await;
 }
--- a/crates/tools/cloverfold_faults/src/udp_proxy.rs
+++ b/crates/tools/cloverfold_faults/src/udp_proxy.rs
@@ -1,6 +1,4 @@
-//! The proxy for UDP.
-//!
-//! Owns its front socket and one socket for each source. Relies on the fault table for what happens to a datagram.
+//! A UDP proxy that delays, reorders, drops and duplicates datagrams.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,10 +10,10 @@
 
 use crate::faults::{FaultTable, Faults};
 
-/// Buffer for a datagram, in bytes; none is longer.
+/// Size of the datagram buffer, in bytes; no datagram is longer.
 const MAX_DATAGRAM: usize = 65_536;
 
-/// Forwards datagrams to one process; stops when dropped.
+/// Forwards datagrams to one process until it is dropped.
 pub struct UdpProxy {
     address: SocketAddr,
     faults: FaultTable,
@@ -23,7 +21,7 @@
 }
 
 impl UdpProxy {
-    /// Starts to forward to `upstream` from an address that the system chooses.
+    /// Starts forwarding to `upstream` from an address that the system chooses.
     ///
     /// # Errors
     ///
@@ -32,8 +30,8 @@
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = socket.local_addr()?;
         let faults = FaultTable::default();
-        let front = Arc::new(socket);
-        let task = tokio::spawn(forward_all(front, upstream, faults.clone()));
+        let client_socket = Arc::new(socket);
+        let task = tokio::spawn(forward_requests(client_socket, upstream, faults.clone()));
         Ok(Self {
             address,
             faults,
@@ -51,7 +49,7 @@
         &self.faults
     }
 
-    /// Sets the faults of all sources that have none of their own.
+    /// Sets the faults of all sources without their own faults.
     pub fn set(&self, faults: Faults) {
         self.faults.set(faults);
     }
@@ -63,61 +61,66 @@
     }
 }
 
-/// Forwards datagrams to the process, each source through a socket of its own so that answers return to it.
-async fn forward_all(front: Arc<UdpSocket>, upstream: SocketAddr, faults: FaultTable) {
+/// Forwards datagrams to the process, with one socket per source so that replies return to the source.
+async fn forward_requests(client_socket: Arc<UdpSocket>, upstream: SocketAddr, faults: FaultTable) {
     let mut sources: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
-    let mut returns = JoinSet::new();
+    let mut reply_tasks = JoinSet::new();
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
-        let Ok((len, source)) = front.recv_from(&mut buf).await else {
+        let Ok((len, source)) = client_socket.recv_from(&mut buf).await else {
             continue;
         };
-        let back = match sources.get(&source) {
-            Some(back) => back.clone(),
+        let server_socket = match sources.get(&source) {
+            Some(server_socket) => server_socket.clone(),
             None => {
-                let Ok(back) = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await else {
+                let Ok(server_socket) = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await else {
                     continue;
                 };
-                let back = Arc::new(back);
-                sources.insert(source, back.clone());
-                let (front, faults) = (front.clone(), faults.clone());
-                returns.spawn(return_all(front, back.clone(), source, faults));
-                back
+                let server_socket = Arc::new(server_socket);
+                sources.insert(source, server_socket.clone());
+                let (client_socket, faults) = (client_socket.clone(), faults.clone());
+                reply_tasks.spawn(forward_replies(
+                    client_socket,
+                    server_socket.clone(),
+                    source,
+                    faults,
+                ));
+                server_socket
             }
         };
-        pass_on(&back, upstream, &buf[..len], faults.find(source)).await;
+        send_copies(&server_socket, upstream, &buf[..len], faults.find(source)).await;
     }
 }
 
-/// Forwards what the process sends back to one source.
-async fn return_all(
-    front: Arc<UdpSocket>,
-    back: Arc<UdpSocket>,
+/// Forwards the replies of the process to one source.
+async fn forward_replies(
+    client_socket: Arc<UdpSocket>,
+    server_socket: Arc<UdpSocket>,
     source: SocketAddr,
     faults: FaultTable,
 ) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
-        // The error reports an earlier datagram that was refused; later ones may be received.
-        let Ok((len, _)) = back.recv_from(&mut buf).await else {
+        // The error belongs to an earlier datagram that was refused; the socket remains usable.
+        let Ok((len, _)) = server_socket.recv_from(&mut buf).await else {
             continue;
         };
-        pass_on(&front, source, &buf[..len], faults.find(source)).await;
+        send_copies(&client_socket, source, &buf[..len], faults.find(source)).await;
     }
 }
 
 /// Sends each copy of a datagram that the faults let through.
-async fn pass_on(socket: &Arc<UdpSocket>, to: SocketAddr, datagram: &[u8], faults: Faults) {
-    for arrival in faults.draw_arrivals() {
-        if arrival.is_zero() {
-            // A lost datagram is no error of a proxy for UDP: the sender has to bear losses anyway.
+async fn send_copies(socket: &Arc<UdpSocket>, to: SocketAddr, datagram: &[u8], faults: Faults) {
+    for delay in faults.sample_delays() {
+        if delay.is_zero() {
+            // UDP does not guarantee delivery, so the proxy ignores a failed send.
             let _ = socket.send_to(datagram, to).await;
             continue;
         }
         let socket = socket.clone();
         let datagram = datagram.to_vec();
         tokio::spawn(async move {
-            sleep(arrival).await;
+            sleep(delay).await;
             // As above.
             let _ = socket.send_to(&datagram, to).await;
         });
