--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -52,14 +52,14 @@
 /// How one attempt to agree on a claim ended.
 enum AttemptEnd {
     Chosen(Claim),
-    Outbid { round: u32 },
+    Preempted { round: u32 },
     Expired,
     NoQuorum,
 }
 
 impl Claims {
     /// Returns the guard and incarnation that hold these claims.
-    pub fn own(&self) -> Placement {
+    pub fn placement(&self) -> Placement {
         self.inner.own
     }
 
@@ -92,7 +92,7 @@
             match self.run_attempt(submission, &group, proposer).await {
                 AttemptEnd::Chosen(claim) => return Ok(claim),
                 AttemptEnd::Expired => return Err(ClaimError::Expired),
-                AttemptEnd::Outbid { round: next } => round = round.max(next),
+                AttemptEnd::Preempted { round: next } => round = round.max(next),
                 AttemptEnd::NoQuorum => {}
             }
             sleep(draw_backoff(attempt)).await;
@@ -145,7 +145,7 @@
 
     fn prepared_proposer(&self, group: &[GuardId], round: u32, wanted: Claim) -> Proposer {
         let attempt = self.next_attempt();
-        Proposer::prepared(group.to_vec(), self.inner.own, round, attempt, wanted)
+        Proposer::with_prepare_phase(group.to_vec(), self.inner.own, round, attempt, wanted)
     }
 
     fn next_attempt(&self) -> u64 {
@@ -166,11 +166,11 @@
                 let Some(reply) = replies.recv().await else {
                     return AttemptEnd::NoQuorum;
                 };
-                match proposer.absorb(reply) {
+                match proposer.handle_reply(reply) {
                     ProposerStep::Wait => {}
                     ProposerStep::Send(next) => break next,
                     ProposerStep::Chosen(claim) => return AttemptEnd::Chosen(claim),
-                    ProposerStep::Outbid { round } => return AttemptEnd::Outbid { round },
+                    ProposerStep::Preempted { round } => return AttemptEnd::Preempted { round },
                     ProposerStep::Expired => return AttemptEnd::Expired,
                 }
             };
@@ -191,7 +191,7 @@
             let call = ClaimCall {
                 submission,
                 request: request.clone(),
-                guard_report: self.inner.membership.own_report(),
+                guard_report: self.inner.membership.local_report(),
             };
             let tx = tx.clone();
             let guard = *guard;
@@ -213,7 +213,7 @@
         let address = self.inner.directory.address_of(guard)?;
         match self.inner.network.call(address, &call, CALL_TIMEOUT).await {
             Ok(answer) => {
-                self.inner.membership.absorb(answer.guard_report);
+                self.inner.membership.record_reports(answer.guard_report);
                 Some(answer.reply)
             }
             Err(cause) => {
@@ -225,9 +225,9 @@
 
     /// Answers another guard's request.
     pub(crate) async fn serve(&self, call: ClaimCall) -> ClaimAnswer {
-        self.inner.membership.absorb(call.guard_report);
+        self.inner.membership.record_reports(call.guard_report);
         let reply = self.handle(call).await;
-        let guard_report = self.inner.membership.own_report();
+        let guard_report = self.inner.membership.local_report();
         ClaimAnswer {
             reply,
             guard_report,
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -1,7 +1,7 @@
 //! Registers the replica with a guard: its handlers, background tasks, readiness check and gauge.
 //!
 //! Creates the [`ClaimReplica`] on the control thread and owns nothing afterwards; the state belongs to [`Claims`]. Relies on
-//! the membership plugin, which adds [`Directory`], [`Membership`] and [`OwnState`] before.
+//! the membership plugin, which adds [`Directory`], [`Membership`] and [`LocalState`] before.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -11,36 +11,38 @@
 use cloverfold_base::unix_now;
 use cloverfold_claims_core::{CLOCK_MARGIN, ClaimReplica, Placement};
 use cloverfold_claims_settings::CellSettings;
-use cloverfold_membership::{Directory, Membership, OwnState};
+use cloverfold_membership::{Directory, LocalState, Membership};
 use cloverfold_net::{Peer, PeerRole};
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::time::sleep;
 
 use crate::claims::{Claims, Inner};
-use crate::messages::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
+use crate::messages::{
+    BootstrapCall, ClaimCall, RecoverCall, RecoveryStateCall, RecoveryStateReport,
+};
 use crate::recovery::PAGE_LIMIT;
 
 /// How often the readiness check and the gauge are brought up to date. Chosen, not measured.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Adds [`Claims`]; needs [`CellSettings`], [`Directory`], [`Membership`] and [`OwnState`].
+/// Adds [`Claims`]; needs [`CellSettings`], [`Directory`], [`Membership`] and [`LocalState`].
 pub struct ClaimPlugin {
     /// The guard that this process is.
-    pub own: Placement,
+    pub placement: Placement,
 }
 
 impl Plugin for ClaimPlugin {
     fn build(self, app: &mut App) -> Result<(), BuildError> {
         let cell = app.resource::<CellSettings>()?;
-        let replica = ClaimReplica::new(self.own, unix_now(), cell.retention, CLOCK_MARGIN);
+        let replica = ClaimReplica::new(self.placement, unix_now(), cell.retention, CLOCK_MARGIN);
         let claims = Claims {
             inner: Arc::new(Inner {
-                own: self.own,
+                own: self.placement,
                 cell: cell.build_cell(),
                 directory: app.resource::<Directory>()?,
                 network: app.network(),
                 membership: (*app.resource::<Membership>()?).clone(),
-                replica: app.control().own(replica),
+                replica: app.control().manage(replica),
                 attempts: AtomicU64::new(0),
             }),
         };
@@ -81,14 +83,14 @@
     let served = claims.clone();
     app.router().register(
         &[PeerRole::Operator],
-        move |_peer: Peer, _call: StandingCall| {
+        move |_peer: Peer, _call: RecoveryStateCall| {
             let claims = served.clone();
             async move {
                 let replica = &claims.inner.replica;
                 replica
-                    .with(|replica| StandingReport {
-                        own: replica.own(),
-                        standing: replica.standing().clone(),
+                    .with(|replica| RecoveryStateReport {
+                        own: replica.placement(),
+                        standing: replica.recovery_state().clone(),
                         records: replica.record_count() as u64,
                     })
                     .await
@@ -96,22 +98,24 @@
         },
     );
     let served = claims.clone();
-    app.router()
-        .register(&[PeerRole::Operator], move |peer: Peer, call: FoundCall| {
+    app.router().register(
+        &[PeerRole::Operator],
+        move |peer: Peer, call: BootstrapCall| {
             let claims = served.clone();
             async move {
                 log::info!(operator = peer.name; "the cell is being founded");
                 let replica = &claims.inner.replica;
                 replica
-                    .with(move |replica| replica.found(&call.incarnations))
+                    .with(move |replica| replica.bootstrap(&call.incarnations))
                     .await
             }
-        });
+        },
+    );
 }
 
 /// Keeps the readiness check and the gauge up to date, until the process ends.
 fn register_state(app: &mut App, claims: &Claims) -> Result<(), BuildError> {
-    let own = app.resource::<OwnState>()?;
+    let own = app.resource::<LocalState>()?;
     let records = Gauge::<i64>::default();
     app.registry().register(
         "claim_records",
--- a/crates/claims/cloverfold_execute/src/plugin.rs
+++ b/crates/claims/cloverfold_execute/src/plugin.rs
@@ -1,12 +1,12 @@
 //! Registers the execution of tasks with a guard: its handlers, background tasks and drain step.
 //!
 //! Creates the [`Execution`] on the control thread and the client of the target, and owns nothing afterwards. Relies on the
-//! membership plugin, which adds [`Membership`] and [`OwnState`] before.
+//! membership plugin, which adds [`Membership`] and [`LocalState`] before.
 
 use cloverfold_app::{App, BuildError, Plugin};
 use cloverfold_claims_core::{FenceLimits, Placement};
 use cloverfold_claims_settings::{CellSettings, GuardSettings};
-use cloverfold_membership::{Membership, OwnState};
+use cloverfold_membership::{LocalState, Membership};
 use cloverfold_net::{Peer, PeerRole, ReplySink};
 
 use crate::execution::Execution;
@@ -15,10 +15,10 @@
 use crate::target_client::TargetClient;
 use crate::task_runner::TaskRunner;
 
-/// Runs tasks at the target; needs [`CellSettings`], [`GuardSettings`], [`Membership`] and [`OwnState`].
+/// Runs tasks at the target; needs [`CellSettings`], [`GuardSettings`], [`Membership`] and [`LocalState`].
 pub struct ExecutePlugin {
     /// The guard that this process is.
-    pub own: Placement,
+    pub placement: Placement,
 }
 
 impl Plugin for ExecutePlugin {
@@ -37,17 +37,17 @@
         let settings = app.resource::<GuardSettings>()?;
         let cell = app.resource::<CellSettings>()?;
         let target = TargetClient::new(&settings.target)
-            .map_err(|e| BuildError::Unfit(format!("target: {e}")))?;
+            .map_err(|e| BuildError::InvalidSetting(format!("target: {e}")))?;
         let limits = FenceLimits {
             slots: settings.target.slots,
             queue: settings.queue_limit,
             answer_retention: cell.answer_retention,
         };
-        let load = app.resource::<OwnState>()?;
-        let execution = Execution::new(self.own.incarnation, limits, load);
+        let load = app.resource::<LocalState>()?;
+        let execution = Execution::new(self.placement.incarnation, limits, load);
         let membership = app.resource::<Membership>()?;
         Ok(TaskRunner {
-            execution: app.control().own(execution),
+            execution: app.control().manage(execution),
             target,
             membership: (*membership).clone(),
             cell,
--- a/crates/claims/cloverfold_execute/src/task_runner.rs
+++ b/crates/claims/cloverfold_execute/src/task_runner.rs
@@ -10,7 +10,7 @@
 use cloverfold_app::ThreadState;
 use cloverfold_base::unix_now;
 use cloverfold_claims_core::{
-    Candidate, Placement, QueuedTask, ReasonCode, ReleaseVerdict, TaskEnd, TaskId, format_key,
+    Candidate, Placement, QueuedTask, ReasonCode, ReleaseResult, TaskEnd, TaskId, format_key,
 };
 use cloverfold_claims_settings::CellSettings;
 use cloverfold_membership::Membership;
@@ -43,7 +43,7 @@
 impl TaskRunner {
     /// Handles an assignment until each of its tasks has ended here or was passed on.
     pub(crate) async fn handle_assign(self, assign: Assign, mut sink: ReplySink) {
-        self.membership.absorb(assign.guard_report);
+        self.membership.record_reports(assign.guard_report);
         let flow = self.cell.flow_of(&assign.service, &assign.workspace);
         let weight = self.cell.weight_of(&assign.workspace);
         let others = self.list_others(assign.place).await;
@@ -65,7 +65,7 @@
         while let Some(batch) = receive_batch(&mut reports).await {
             let reply = AssignReply::Ended {
                 reports: batch,
-                guard_report: self.membership.own_report(),
+                guard_report: self.membership.local_report(),
             };
             if !sink.send(&reply).await {
                 return;
@@ -92,13 +92,13 @@
             .execution
             .with(move |execution| execution.release(&release))
             .await;
-        if verdict == ReleaseVerdict::Started && is_given_up {
+        if verdict == ReleaseResult::Started && is_given_up {
             let target = self.target.clone();
             tokio::spawn(async move { target.cancel(&id).await });
         }
         ReleaseReply {
             verdict,
-            guard_report: self.membership.own_report(),
+            guard_report: self.membership.local_report(),
         }
     }
 
@@ -132,7 +132,7 @@
             sleep(COLLECT_INTERVAL).await;
             let now = unix_now();
             self.execution
-                .post(move |execution| execution.collect_expired(now));
+                .post(move |execution| execution.drop_expired(now));
         }
     }
 
@@ -148,7 +148,7 @@
 
     /// Returns what waits, ends what runs, and answers coordinators until none asks any more.
     pub(crate) async fn drain(self) {
-        self.execution.with(Execution::begin_leaving).await;
+        self.execution.with(Execution::begin_drain).await;
         let is_drained = |execution: &mut Execution| execution.is_drained();
         while !self.execution.with(is_drained).await {
             sleep(DRAIN_POLL).await;
--- a/crates/tools/cloverfold_solo/src/error.rs
+++ b/crates/tools/cloverfold_solo/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of starting and measuring a solo system.
 
-use cloverfold_claim::FoundError;
+use cloverfold_claim::BootstrapError;
 use cloverfold_claims_process::ProcessError;
 use cloverfold_load::LoadError;
 use cloverfold_net::KeyError;
@@ -23,7 +23,7 @@
     Process(#[from] ProcessError),
     /// The cell could not be founded.
     #[error(transparent)]
-    Found(#[from] FoundError),
+    Found(#[from] BootstrapError),
     /// The load could not be run, or a metrics page could not be read.
     #[error(transparent)]
     Load(#[from] LoadError),
--- a/crates/tools/cloverfold_solo/src/system.rs
+++ b/crates/tools/cloverfold_solo/src/system.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use cloverfold_app::Running;
-use cloverfold_claim::found_cell;
+use cloverfold_app::RunningApp;
+use cloverfold_claim::bootstrap_cell;
 use cloverfold_claims_process::{
     list_guard_addresses, open_operator_network, start_entry, start_guard,
 };
@@ -68,8 +68,8 @@
     installation: Installation,
     config: SoloConfig,
     targets: Vec<SampleTarget>,
-    guards: Vec<Running>,
-    entries: Vec<Running>,
+    guards: Vec<RunningApp>,
+    entries: Vec<RunningApp>,
 }
 
 impl SoloSystem {
@@ -114,13 +114,13 @@
 
     /// Lists the addresses of the entries.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
-        self.entries.iter().map(Running::http_address).collect()
+        self.entries.iter().map(RunningApp::http_address).collect()
     }
 
     /// Lists the addresses of the metrics pages of all processes.
     pub fn metrics_addresses(&self) -> Vec<SocketAddr> {
         let processes = self.entries.iter().chain(&self.guards);
-        processes.map(Running::http_address).collect()
+        processes.map(RunningApp::http_address).collect()
     }
 
     /// Returns the total number of starts at all targets.
@@ -172,7 +172,7 @@
 
     async fn found_cell(&self, cell: &CellSettings) -> Result<(), SoloError> {
         let network = open_operator_network(&self.installation.key_folder(), OPERATOR)?;
-        found_cell(&network, &list_guard_addresses(cell)).await?;
+        bootstrap_cell(&network, &list_guard_addresses(cell)).await?;
         network.close().await;
         Ok(())
     }
@@ -215,7 +215,7 @@
     }
 }
 
-async fn stop_all(processes: Vec<Running>) -> bool {
+async fn stop_all(processes: Vec<RunningApp>) -> bool {
     let mut stops = JoinSet::new();
     for process in processes {
         stops.spawn(process.stop(STOP_TIMEOUT));
