--- a/crates/tools/cloverfold_solo/src/error.rs
+++ b/crates/tools/cloverfold_solo/src/error.rs
@@ -21,9 +21,9 @@
     /// A process could not start.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The cell could not be founded.
+    /// The cell could not be bootstrapped.
     #[error(transparent)]
-    Found(#[from] BootstrapError),
+    Bootstrap(#[from] BootstrapError),
     /// The load could not be run, or a metrics page could not be read.
     #[error(transparent)]
     Load(#[from] LoadError),
--- a/crates/tools/cloverfold_solo/src/system.rs
+++ b/crates/tools/cloverfold_solo/src/system.rs
@@ -91,7 +91,7 @@
         };
         system.start_targets().await?;
         let cell = system.start_guards().await?;
-        system.found_cell(&cell).await?;
+        system.bootstrap_cell(&cell).await?;
         system.start_entries().await?;
         system.wait_ready().await?;
         Ok(system)
@@ -170,7 +170,7 @@
         Ok(cell)
     }
 
-    async fn found_cell(&self, cell: &CellSettings) -> Result<(), SoloError> {
+    async fn bootstrap_cell(&self, cell: &CellSettings) -> Result<(), SoloError> {
         let network = open_operator_network(&self.installation.key_folder(), OPERATOR)?;
         bootstrap_cell(&network, &list_guard_addresses(cell)).await?;
         network.close().await;
