--- a/crates/claims/cloverfold_claim/src/bootstrap.rs
+++ b/crates/claims/cloverfold_claim/src/bootstrap.rs
@@ -1,8 +1,7 @@
-//! The operator's founding of a cell.
+//! Bootstrap of a cell by the operator.
 //!
-//! A guard cannot tell its first start from a restart: it has no disk. So it votes on nothing until its memory covers
-//! what it may have forgotten, and at the very first start the operator declares, once, that there is nothing to
-//! forget. Owns nothing; it calls every guard of the cell.
+//! A guard keeps its votes in memory only and cannot tell its first start from a restart, so it does not vote until it
+//! has recovered. On the first start of the cell the operator declares once that no guard has ever voted.
 
 use std::time::Duration;
 
@@ -11,37 +10,37 @@
 
 use crate::messages::{BootstrapCall, RecoveryStateCall, RecoveryStateReport};
 
-/// Longest wait for one guard's answer. Chosen, not measured.
+/// Timeout of one guard's answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a cell was not founded.
+/// Why a cell was not bootstrapped.
 #[derive(Debug, thiserror::Error)]
 pub enum BootstrapError {
-    /// A guard did not answer; founding needs every guard.
+    /// A guard did not answer; the bootstrap needs every guard.
     #[error("{guard} did not answer ({cause}); start every guard of the cell, then found it again")]
     Unreachable {
         /// Name of the guard.
         guard: String,
-        /// What happened.
+        /// Error of the call.
         cause: CallError,
     },
-    /// Guards are in service, so the cell was founded before.
+    /// A guard has complete claim records, so the cell was bootstrapped before.
     #[error(
         "the cell was founded before ({0} is whole); a restarted guard recovers by itself, and after \
          the loss of a majority the cell serves again when the retention has passed"
     )]
     FoundedBefore(String),
-    /// A guard restarted meanwhile.
+    /// A guard restarted during the bootstrap.
     #[error("{0} restarted meanwhile and will recover by itself from the others")]
     Restarted(String),
 }
 
-/// Declares that no guard of the cell has ever voted, so that all serve at once.
+/// Declares that no guard of the cell has ever voted, so that all of them serve immediately.
 ///
 /// # Errors
 ///
-/// Returns which guard did not answer, is whole already, or restarted meanwhile. Guards that were told before it
-/// stay whole; the rest recover from them.
+/// Returns the guard that did not answer, had complete records before, or restarted meanwhile. Guards that were
+/// bootstrapped before the error keep serving.
 pub async fn bootstrap_cell(
     network: &Network,
     guards: &[PeerAddress],
@@ -68,11 +67,11 @@
     Ok(reports)
 }
 
-/// Asks every guard for its standing.
+/// Reads the recovery state of every guard.
 ///
 /// # Errors
 ///
-/// Names the first guard that does not answer.
+/// Returns the first guard that does not answer.
 pub async fn read_recovery_states(
     network: &Network,
     guards: &[PeerAddress],
--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -1,7 +1,7 @@
-//! Agreement on a claim with the other replicas of its key.
+//! Consensus on a claim among the replicas of its key.
 //!
-//! [`Claims`] owns this guard's replica (on the control thread) and the number of its attempts. The decisions are those
-//! of [`Proposer`] and [`ClaimReplica`]; the requests between them go over [`Network`].
+//! [`Claims`] sends the requests of [`Proposer`] to the [`ClaimReplica`] of each member over [`Network`]. This guard's
+//! replica runs on the control thread.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,18 +21,18 @@
 use crate::error::ClaimError;
 use crate::messages::{ClaimAnswer, ClaimCall};
 
-/// Longest wait for one replica's reply. Chosen, not measured.
+/// Timeout of one replica's reply.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Attempts to agree on a claim before the submission is answered without one. Chosen, not measured.
+/// Proposals before [`Claims::agree`] gives up.
 const MAX_ATTEMPTS: u32 = 6;
-/// Shortest pause between two attempts. Chosen, not measured.
+/// Shortest backoff between two proposals.
 const MIN_BACKOFF: Duration = Duration::from_millis(1);
-/// The pause is drawn below this, doubled for each attempt, above [`MIN_BACKOFF`]. Chosen, not measured.
+/// Upper bound of the first random backoff beyond [`MIN_BACKOFF`]; it doubles with each attempt.
 const BACKOFF_BASE: Duration = Duration::from_millis(10);
-/// Doublings after which the pause no longer grows. Chosen, not measured.
+/// Doublings after which the backoff no longer grows.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// This guard's replica and its way to the others.
+/// This guard's replica and its connections to the other replicas.
 #[derive(Clone)]
 pub struct Claims {
     pub(crate) inner: Arc<Inner>,
@@ -45,12 +45,12 @@
     pub(crate) network: Network,
     pub(crate) membership: Membership,
     pub(crate) replica: ThreadState<ClaimReplica>,
-    /// Number of the next attempt of this incarnation.
+    /// Number of the next proposal in this incarnation.
     pub(crate) attempts: AtomicU64,
 }
 
-/// How one attempt to agree on a claim ended.
-enum AttemptEnd {
+/// Result of one proposal.
+enum ProposalResult {
     Chosen(Claim),
     Preempted { round: u32 },
     Expired,
@@ -58,17 +58,17 @@
 }
 
 impl Claims {
-    /// Returns the guard and incarnation that hold these claims.
+    /// Returns this guard and its incarnation.
     pub fn placement(&self) -> Placement {
         self.inner.own
     }
 
-    /// Returns the guards that hold a key, first choice first.
+    /// Returns the replica group of a key, the preferred proposer first.
     pub fn group_of(&self, key: &SubmissionKey) -> Vec<GuardId> {
         self.inner.cell.choose_replica_group(key)
     }
 
-    /// Returns whether this guard may coordinate a key's job: as a member of its group it must be able to vote.
+    /// Returns whether this guard may coordinate a key's job; a member of the key's group must be able to vote.
     pub async fn can_coordinate(&self, key: &SubmissionKey) -> bool {
         let group = self.group_of(key);
         if !group.contains(&self.inner.own.guard) {
@@ -78,22 +78,22 @@
         replica.with(move |replica| replica.can_vote(&group)).await
     }
 
-    /// Has the group of the key agree on a claim; it may be one that another guard proposed earlier.
+    /// Proposes a claim and returns the chosen one, which another guard may have proposed.
     ///
     /// # Errors
     ///
-    /// Returns whether no majority could vote or the key is past its retention. After [`ClaimError::NoQuorum`] the
-    /// claim may still have been agreed on.
+    /// Returns [`ClaimError::Expired`] if the key is past its retention, and [`ClaimError::NoQuorum`] if no majority
+    /// answered in time; the claim may be chosen nevertheless.
     pub async fn agree(&self, submission: Submission, wanted: Claim) -> Result<Claim, ClaimError> {
         let group = self.group_of(&submission.key);
         let mut proposer = self.first_proposer(&submission, &group, &wanted).await;
         let mut round = 1;
         for attempt in 0..MAX_ATTEMPTS {
             match self.run_attempt(submission, &group, proposer).await {
-                AttemptEnd::Chosen(claim) => return Ok(claim),
-                AttemptEnd::Expired => return Err(ClaimError::Expired),
-                AttemptEnd::Preempted { round: next } => round = round.max(next),
-                AttemptEnd::NoQuorum => {}
+                ProposalResult::Chosen(claim) => return Ok(claim),
+                ProposalResult::Expired => return Err(ClaimError::Expired),
+                ProposalResult::Preempted { round: next } => round = round.max(next),
+                ProposalResult::NoQuorum => {}
             }
             sleep(draw_backoff(attempt)).await;
             proposer = self.prepared_proposer(&group, round, wanted.clone());
@@ -102,7 +102,7 @@
         Err(ClaimError::NoQuorum)
     }
 
-    /// Reads what a majority of the group has accepted for a key.
+    /// Reads the newest claim that a majority of the group has accepted for a key.
     ///
     /// # Errors
     ///
@@ -124,8 +124,8 @@
         Err(ClaimError::NoQuorum)
     }
 
-    /// Returns the proposer of the first attempt, which skips the prepare phase if this guard is the first choice
-    /// and holds nothing of the key.
+    /// Returns the first proposer, which skips the prepare phase if this guard is the preferred proposer and has no
+    /// record of the key.
     async fn first_proposer(
         &self,
         submission: &Submission,
@@ -152,33 +152,35 @@
         self.inner.attempts.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Runs one attempt through its phases.
+    /// Runs the phases of one proposal.
     async fn run_attempt(
         &self,
         submission: Submission,
         group: &[GuardId],
         mut proposer: Proposer,
-    ) -> AttemptEnd {
+    ) -> ProposalResult {
         let mut request = proposer.request();
         loop {
             let mut replies = self.send_to_group(submission, group, &request);
             let next = loop {
                 let Some(reply) = replies.recv().await else {
-                    return AttemptEnd::NoQuorum;
+                    return ProposalResult::NoQuorum;
                 };
                 match proposer.handle_reply(reply) {
                     ProposerStep::Wait => {}
                     ProposerStep::Send(next) => break next,
-                    ProposerStep::Chosen(claim) => return AttemptEnd::Chosen(claim),
-                    ProposerStep::Preempted { round } => return AttemptEnd::Preempted { round },
-                    ProposerStep::Expired => return AttemptEnd::Expired,
+                    ProposerStep::Chosen(claim) => return ProposalResult::Chosen(claim),
+                    ProposerStep::Preempted { round } => {
+                        return ProposalResult::Preempted { round };
+                    }
+                    ProposerStep::Expired => return ProposalResult::Expired,
                 }
             };
             request = next;
         }
     }
 
-    /// Sends a request to every member; the channel ends when each has answered or failed to.
+    /// Sends a request to every member; the channel closes once each call has succeeded or failed.
     fn send_to_group(
         &self,
         submission: Submission,
@@ -196,8 +198,8 @@
             let tx = tx.clone();
             let guard = *guard;
             tokio::spawn(async move {
-                if let Some(reply) = claims.ask(guard, call).await {
-                    // The attempt may be decided already; a late reply is not needed then.
+                if let Some(reply) = claims.call_replica(guard, call).await {
+                    // The receiver is gone once the phase is decided; late replies are not needed.
                     let _ = tx.send(reply).await;
                 }
             });
@@ -205,8 +207,8 @@
         rx
     }
 
-    /// Asks one replica; `None` if it did not reply.
-    async fn ask(&self, guard: GuardId, call: ClaimCall) -> Option<ReplicaReply> {
+    /// Calls one replica; returns `None` if it did not reply.
+    async fn call_replica(&self, guard: GuardId, call: ClaimCall) -> Option<ReplicaReply> {
         if guard == self.inner.own.guard {
             return Some(self.handle(call).await);
         }
@@ -217,13 +219,13 @@
                 Some(answer.reply)
             }
             Err(cause) => {
-                log::debug!("claim call: {cause}");
+                log::debug!("claim call failed: {cause}");
                 None
             }
         }
     }
 
-    /// Answers another guard's request.
+    /// Handles another guard's request.
     pub(crate) async fn serve(&self, call: ClaimCall) -> ClaimAnswer {
         self.inner.membership.record_reports(call.guard_report);
         let reply = self.handle(call).await;
@@ -234,7 +236,7 @@
         }
     }
 
-    /// Answers a request as this guard's replica.
+    /// Handles a request at this guard's replica.
     pub(crate) async fn handle(&self, call: ClaimCall) -> ReplicaReply {
         let group = self.group_of(&call.submission.key);
         let now = unix_now();
@@ -245,7 +247,7 @@
     }
 }
 
-/// Draws the pause after an attempt; attempts count from 0.
+/// Returns the random backoff after an attempt, counted from 0.
 fn draw_backoff(attempt: u32) -> Duration {
     let ceiling = BACKOFF_BASE.as_millis() as u64 * (1 << attempt.min(MAX_DOUBLINGS));
     MIN_BACKOFF + Duration::from_millis(random_u64() % ceiling)
--- a/crates/claims/cloverfold_claim/src/error.rs
+++ b/crates/claims/cloverfold_claim/src/error.rs
@@ -1,12 +1,9 @@
-//! Errors of the agreement on a claim.
-//!
-//! For the callers of [`crate::Claims::agree`], which then answer the submission without a claim. Owns no state and relies
-//! on nothing.
+//! Errors of consensus on a claim.
 
-/// Why [`crate::Claims::agree`] brought no claim.
+/// Why [`crate::Claims::agree`] or [`crate::Claims::read`] failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimError {
-    /// Too few members of the replica group answered or may vote.
+    /// Too few members of the replica group answered and may vote.
     #[error("too few replicas of the key can vote")]
     NoQuorum,
     /// The key is past its retention.
--- a/crates/claims/cloverfold_claim/src/lib.rs
+++ b/crates/claims/cloverfold_claim/src/lib.rs
@@ -1,16 +1,14 @@
-//! Replicated claims: one plan per submission.
+//! Replicated claims: consensus on one claim for each submission.
 //!
-//! [`Claims::agree`] has the replica group of a key agree on a claim before any task starts. A restarted guard recovers
-//! in the background, and votes only where it can have forgotten nothing (see
-//! [`cloverfold_claims_core::ClaimReplica`], which owns the records and decides).
-//!
-//! Relies on `cloverfold_membership` for the addresses of the guards and on `cloverfold_net` for the requests.
+//! [`Claims::agree`] runs consensus in the replica group of a key before any task starts. A restarted guard recovers
+//! in the background and votes only in groups in which it has recovered its votes. The protocol is in
+//! [`cloverfold_claims_core::ClaimReplica`]; this crate sends its messages.
 //!
 //! ```no_run
 //! # async fn show(claims: cloverfold_claim::Claims, submission: cloverfold_claims_core::Submission,
 //! #     wanted: cloverfold_claims_core::Claim) -> Result<(), cloverfold_claim::ClaimError> {
 //! let agreed = claims.agree(submission, wanted).await?;
-//! println!("{} tasks have their places", agreed.tasks.len());
+//! println!("{} tasks are placed", agreed.tasks.len());
 //! # Ok(())
 //! # }
 //! ```
--- a/crates/claims/cloverfold_claim/src/messages.rs
+++ b/crates/claims/cloverfold_claim/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between replicas, and from an operator to a replica.
 //!
-//! Encoded with postcard, by the order of fields and variants.
+//! The postcard encoding depends on the order of fields and variants.
 
 use cloverfold_claims_core::{
     ClaimRequest, GuardReport, Placement, RecoveryPage, RecoveryState, ReplicaReply, Submission,
@@ -12,11 +12,11 @@
 /// A request to one replica of a key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClaimCall {
-    /// Which submission it concerns.
+    /// The submission.
     pub submission: Submission,
-    /// What is asked.
+    /// The request.
     pub request: ClaimRequest,
-    /// The sender's newest report, sent along to save a message.
+    /// The sender's newest report, included to save a message.
     pub guard_report: Option<GuardReport>,
 }
 
@@ -35,12 +35,12 @@
     type Reply = ClaimAnswer;
 }
 
-/// Asks for the records that a restarted guard shares with the receiver.
+/// Requests a page of the records that the receiver shares with a restarted guard.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecoverCall {
-    /// The asking guard in its new incarnation.
+    /// The requesting guard and its new incarnation.
     pub asking: Placement,
-    /// The last key of the page before.
+    /// The last key of the previous page.
     pub after: Option<SubmissionKey>,
 }
 
@@ -50,18 +50,18 @@
     type Reply = RecoveryPage;
 }
 
-/// Asks a replica for its standing.
+/// Requests the recovery state of a replica.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecoveryStateCall;
 
-/// The standing of a replica.
+/// Recovery state of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecoveryStateReport {
-    /// The replica in its present incarnation.
+    /// The replica and its current incarnation.
     pub own: Placement,
-    /// Its standing.
+    /// Its recovery state.
     pub standing: RecoveryState,
-    /// Number of records it holds.
+    /// Number of its records.
     pub records: u64,
 }
 
@@ -71,7 +71,7 @@
     type Reply = RecoveryStateReport;
 }
 
-/// Declares the named incarnations to be the first of their guards.
+/// Declares that these incarnations are the first of their guards.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BootstrapCall {
     /// The guards with their incarnations.
@@ -81,6 +81,6 @@
 impl Message for BootstrapCall {
     const KIND: u16 = 13;
     const NAME: &'static str = "found";
-    /// Whether the replica is whole afterwards.
+    /// Whether the replica's records are complete afterwards.
     type Reply = bool;
 }
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -1,7 +1,4 @@
-//! Registers the replica with a guard: its handlers, background tasks, readiness check and gauge.
-//!
-//! Creates the [`ClaimReplica`] on the control thread and owns nothing afterwards; the state belongs to [`Claims`]. Relies on
-//! the membership plugin, which adds [`Directory`], [`Membership`] and [`LocalState`] before.
+//! Plugin that adds the claim replica to a guard: its handlers, background tasks, readiness check and gauge.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -22,12 +19,12 @@
 };
 use crate::recovery::PAGE_LIMIT;
 
-/// How often the readiness check and the gauge are brought up to date. Chosen, not measured.
-const GAUGE_INTERVAL: Duration = Duration::from_millis(200);
+/// How often the readiness state and the gauge are updated.
+const STATE_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Adds [`Claims`]; needs [`CellSettings`], [`Directory`], [`Membership`] and [`LocalState`].
 pub struct ClaimPlugin {
-    /// The guard that this process is.
+    /// This guard and its incarnation.
     pub placement: Placement,
 }
 
@@ -103,7 +100,7 @@
         move |peer: Peer, call: BootstrapCall| {
             let claims = served.clone();
             async move {
-                log::info!(operator = peer.name; "the cell is being founded");
+                log::info!(operator = peer.name; "bootstrapping the cell");
                 let replica = &claims.inner.replica;
                 replica
                     .with(move |replica| replica.bootstrap(&call.incarnations))
@@ -113,7 +110,7 @@
     );
 }
 
-/// Keeps the readiness check and the gauge up to date, until the process ends.
+/// Registers the readiness check and the gauge, and the task that updates them.
 fn register_state(app: &mut App, claims: &Claims) -> Result<(), BuildError> {
     let own = app.resource::<LocalState>()?;
     let records = Gauge::<i64>::default();
@@ -137,7 +134,7 @@
             let replica = &claims.inner.replica;
             let count = replica.with(|replica| replica.record_count()).await;
             records.set(count as i64);
-            sleep(GAUGE_INTERVAL).await;
+            sleep(STATE_UPDATE_INTERVAL).await;
         }
     });
     Ok(())
--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -1,6 +1,4 @@
-//! Recovery of a restarted replica from the other members of its groups.
-//!
-//! Copies the records of the other guards page by page until the replica is whole. Owns nothing of its own.
+//! Recovery of a restarted replica, which copies the records of the other guards page by page.
 
 use std::time::Duration;
 
@@ -14,38 +12,38 @@
 use crate::claims::Claims;
 use crate::messages::RecoverCall;
 
-/// Longest wait for one page. Chosen, not measured.
+/// Timeout of one page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Pause after the first round of copying; doubled after each further one. Chosen, not measured.
-const FIRST_RETRY: Duration = Duration::from_millis(100);
-/// Longest pause between two rounds. Chosen, not measured.
-const LAST_RETRY: Duration = Duration::from_secs(2);
-/// Up to so many milliseconds are added to each pause. Chosen, not measured.
+/// Backoff after the first round of copying; it doubles with each round.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest backoff between two rounds.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Upper bound of the random time added to each backoff, in milliseconds.
 const JITTER_MS: u64 = 100;
-/// How often expired records are dropped. Chosen, not measured.
+/// How often expired records are dropped.
 const PURGE_INTERVAL: Duration = Duration::from_secs(2);
-/// Records on one page. Chosen, not measured.
+/// Records per page.
 pub(crate) const PAGE_LIMIT: usize = 1_000;
 
 impl Claims {
-    /// Copies from the other guards until this replica is whole.
+    /// Copies the other guards until this replica's records are complete.
     pub(crate) async fn recover(self, lifecycle: Lifecycle) {
-        let mut retry_after = FIRST_RETRY;
+        let mut backoff = MIN_BACKOFF;
         while lifecycle.phase() != Phase::Stopped && !self.is_whole().await {
             let mut copies = JoinSet::new();
             for source in self.missing_sources().await {
                 copies.spawn(self.clone().copy_from(source));
             }
             copies.join_all().await;
-            self.settle_standing().await;
+            self.update_recovery_state().await;
             let jitter = Duration::from_millis(random_u64() % JITTER_MS);
-            sleep(retry_after + jitter).await;
-            retry_after = (retry_after * 2).min(LAST_RETRY);
+            sleep(backoff + jitter).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
-        log::info!(guard = self.placement().guard; "the replica is whole");
+        log::info!(guard = self.placement().guard; "recovery ended");
     }
 
-    /// Drops records that are past their retention, until the process ends.
+    /// Drops expired records until the process ends.
     pub(crate) async fn purge(self) {
         loop {
             sleep(PURGE_INTERVAL).await;
@@ -56,7 +54,7 @@
         }
     }
 
-    /// Returns whether the replica can have forgotten nothing.
+    /// Returns whether the replica's records are complete.
     pub async fn is_whole(&self) -> bool {
         let replica = &self.inner.replica;
         replica
@@ -72,7 +70,7 @@
             .await
     }
 
-    async fn settle_standing(&self) {
+    async fn update_recovery_state(&self) {
         let cell = self.inner.cell.clone();
         let now = unix_now();
         self.inner
@@ -86,7 +84,7 @@
 
     async fn copy_from(self, source: GuardId) {
         if let Err(cause) = self.copy_pages(source).await {
-            log::debug!(source = source; "recovery: {cause}");
+            log::debug!(source = source; "recovery from a guard failed: {cause}");
         }
     }
 
@@ -104,10 +102,10 @@
             let network = &self.inner.network;
             let page = network.call(address, &call, PAGE_TIMEOUT).await?;
             if page.known_incarnation > self.inner.own.incarnation {
-                // Peers ignore votes of an incarnation that is older than the newest they know.
+                // Peers ignore the votes of an incarnation older than the newest one they know.
                 log::error!(
                     guard = self.inner.own.guard;
-                    "peers know a later life of this guard: its clock went back; restart it later"
+                    "peers know a later incarnation of this guard because its clock went back; restart it later"
                 );
                 return Ok(());
             }
@@ -116,10 +114,10 @@
                 .clone();
             let has_more = page.has_more;
             call.after = page.records.last().map(|(key, _)| *key);
-            let absorb = move |replica: &mut ClaimReplica| {
+            let merge = move |replica: &mut ClaimReplica| {
                 replica.merge_page(source, standing, page);
             };
-            self.inner.replica.with(absorb).await;
+            self.inner.replica.with(merge).await;
             if !has_more {
                 return Ok(());
             }
