--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -1,7 +1,7 @@
-//! The fence together with the coordinators that wait for its tasks.
+//! The fence and the coordinators that wait for its tasks.
 //!
-//! [`Execution`] owns the fence and is used only on the control thread, so that each decision sees the state that the
-//! one before left. It starts nothing itself: it returns the tasks that [`crate::task_runner::TaskRunner`] is to start.
+//! [`Execution`] runs only on the control thread, which serializes its decisions. It returns the tasks to start to
+//! [`crate::task_runner::TaskRunner`].
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,28 +18,28 @@
 
 use crate::messages::{Assign, AssignedTask, Release, TaskReport};
 
-/// A leaving guard answers coordinators until none has asked for this long.
+/// A draining guard exits only after no coordinator has sent a request for this long.
 ///
-/// A task that is returned runs elsewhere only after its release was answered here; without an answer the
-/// job fails with `guard_lost`. The time has to cover what a coordinator may need for an assignment that it
-/// placed before it learnt of the stop, and for the release after it. Chosen, not measured.
-const DRAIN_QUIET: Duration = Duration::from_secs(1);
+/// A returned task runs elsewhere only after this guard has answered its release; without an answer the job fails with
+/// `guard_lost`. The time covers an assignment that a coordinator sent before it learned of the drain, and the
+/// following release.
+const DRAIN_QUIET_PERIOD: Duration = Duration::from_secs(1);
 
-/// The tasks of this guard and who is told of their ends.
+/// The tasks of this guard and the coordinators that wait for their ends.
 pub(crate) struct Execution {
     fence: Fence<Bytes>,
-    /// Coordinators that wait for a task; each channel has room for all tasks that it was made for.
+    /// Coordinators that wait for a task; each channel has capacity for all tasks of its assignment.
     watchers: HashMap<TaskId, Vec<mpsc::Sender<TaskReport>>>,
     load: Arc<LocalState>,
-    /// When a coordinator last assigned or released tasks here, or when the guard began to leave.
+    /// Time of the last assignment or release, or of the start of the drain.
     last_request_at: Instant,
 }
 
-/// What the guard is to do after an assignment.
+/// Result of an assignment.
 pub(crate) enum Assigned {
     /// The assignment was for another incarnation.
     WrongIncarnation(Incarnation),
-    /// Ends come through the channel; these tasks start now.
+    /// The channel receives the report of each task; the caller starts `starts`.
     Accepted {
         reports: mpsc::Receiver<TaskReport>,
         starts: Vec<QueuedTask<Bytes>>,
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Returns whether a leaving guard has nothing left that runs or that a coordinator may still ask for.
+    /// Returns whether no task runs and no coordinator has sent a request for the quiet period.
     pub(crate) fn is_drained(&self) -> bool {
-        self.fence.running() == 0 && self.last_request_at.elapsed() >= DRAIN_QUIET
+        self.fence.running() == 0 && self.last_request_at.elapsed() >= DRAIN_QUIET_PERIOD
     }
 
-    /// Queues the tasks of an assignment and starts those that have a slot.
+    /// Queues the tasks of an assignment and returns those to start.
     ///
-    /// `others` are guards that tasks without a free slot here may be passed on to.
+    /// Tasks without a free slot here may be forwarded to `others`.
     pub(crate) fn assign(
         &mut self,
         assign: Assign,
@@ -84,7 +84,7 @@
                 key,
                 index: task.index,
             };
-            let pass_to = self.choose_next_place(&task, &mut others);
+            let forward_to = self.choose_forward_target(&task, &mut others);
             let queued = QueuedTask {
                 id,
                 flow: flow.clone(),
@@ -94,7 +94,7 @@
                 payload: Bytes::from(task.payload),
             };
             let incarnation = assign.place.incarnation;
-            match self.fence.assign(incarnation, queued, pass_to, now) {
+            match self.fence.assign(incarnation, queued, forward_to, now) {
                 AssignResult::WrongIncarnation(own) => return Assigned::WrongIncarnation(own),
                 AssignResult::Known(TaskState::Ended(end)) => report(&tx, id, end),
                 AssignResult::Refused(reason) => report(&tx, id, TaskEnd::Returned(reason)),
@@ -103,12 +103,12 @@
                 }
             }
         }
-        let starts = self.start_waiting(now);
+        let starts = self.start_queued(now);
         Assigned::Accepted { reports, starts }
     }
 
-    /// Chooses the guard that a task goes to if it would have to wait here and may be passed on.
-    fn choose_next_place(
+    /// Returns the placement to forward a task to if it would have to wait here and may be forwarded.
+    fn choose_forward_target(
         &self,
         task: &AssignedTask,
         others: &mut [Candidate],
@@ -119,7 +119,7 @@
         choose_free_placement(others, &task.previous_guards, random_below)
     }
 
-    /// Records how a task ended and returns what starts in its place.
+    /// Records the end of a task and returns the tasks to start in the free slot.
     pub(crate) fn finish(
         &mut self,
         id: &TaskId,
@@ -128,7 +128,7 @@
     ) -> Vec<QueuedTask<Bytes>> {
         self.fence.finish(id, end.clone(), now);
         self.notify(id, end);
-        self.start_waiting(now)
+        self.start_queued(now)
     }
 
     /// Releases a task that has not started.
@@ -151,7 +151,7 @@
         verdict
     }
 
-    /// Returns all queued tasks to their coordinators, because the guard leaves.
+    /// Returns all queued tasks to their coordinators and stops starting tasks.
     pub(crate) fn begin_drain(&mut self) {
         self.last_request_at = Instant::now();
         for id in self.fence.begin_drain() {
@@ -160,7 +160,7 @@
         self.publish_load();
     }
 
-    /// Drops results and entries that are past their time, and watchers that have gone.
+    /// Drops expired results and entries, and watchers whose channel is closed.
     pub(crate) fn drop_expired(&mut self, now: UnixTime) {
         self.fence.drop_expired(now);
         self.watchers.retain(|_, watchers| {
@@ -169,7 +169,7 @@
         });
     }
 
-    fn start_waiting(&mut self, now: UnixTime) -> Vec<QueuedTask<Bytes>> {
+    fn start_queued(&mut self, now: UnixTime) -> Vec<QueuedTask<Bytes>> {
         let mut returned = Vec::new();
         let mut starts = Vec::new();
         while let Some(task) = self.fence.start_next(now, &mut returned) {
@@ -182,27 +182,27 @@
         starts
     }
 
-    /// Tells the coordinators that wait for a task that it ended here.
+    /// Reports the end of a task to the coordinators that wait for it.
     fn notify(&mut self, id: &TaskId, end: &TaskEnd) {
-        // A task that nobody watches has no entry.
+        // A task without watchers has no entry.
         for tx in self.watchers.remove(id).unwrap_or_default() {
             report(&tx, *id, end.clone());
         }
     }
 
-    /// Shows the load to the reports that this guard sends.
+    /// Updates the load in this guard's reports.
     fn publish_load(&self) {
         self.load
             .set_load(self.fence.running(), self.fence.queued());
     }
 }
 
-/// Reports the end of a task to a coordinator.
+/// Sends the end of a task to one coordinator.
 fn report(tx: &mpsc::Sender<TaskReport>, id: TaskId, end: TaskEnd) {
     let report = TaskReport {
         index: id.index,
         end,
     };
-    // The channel has room for each task of its assignment, and a coordinator that has gone needs no report.
+    // The channel has capacity for each task of its assignment, so the only error is that the coordinator is gone.
     let _ = tx.try_send(report);
 }
--- a/crates/claims/cloverfold_execute/src/lib.rs
+++ b/crates/claims/cloverfold_execute/src/lib.rs
@@ -1,10 +1,7 @@
-//! The start fence, the queue and the HTTP client of one target.
+//! Execution of tasks at one target: the start fence, the task queue and the HTTP client.
 //!
-//! Coordinators send [`Assign`] and are told how each task ended; [`Release`] asks for a task that has not started.
-//! The decisions are those of [`cloverfold_claims_core::Fence`]; this package carries them out at the target.
-//!
-//! Owns the fence of this guard and the connections to its target. Relies on `cloverfold_membership` for the load of
-//! other guards, which a task may be passed on to.
+//! A coordinator sends [`Assign`] and receives a report for each task that ended; [`Release`] takes back a task that has
+//! not started. [`cloverfold_claims_core::Fence`] decides what starts; this crate starts it at the target.
 
 mod execution;
 mod messages;
--- a/crates/claims/cloverfold_execute/src/messages.rs
+++ b/crates/claims/cloverfold_execute/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages from a coordinator to the guard of a target.
 //!
-//! Encoded with postcard, by the order of fields and variants.
+//! The postcard encoding depends on the order of fields and variants.
 
 use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
@@ -15,18 +15,18 @@
 pub struct AssignedTask {
     /// Index of the task in the job.
     pub index: TaskIndex,
-    /// What the target is given.
+    /// Request body for the target.
     pub payload: Vec<u8>,
     /// Guards that had the task before.
     pub previous_guards: Vec<GuardId>,
-    /// Whether the guard may pass the task on rather than let it wait.
+    /// Whether the guard may forward a task that would have to wait.
     pub may_pass_on: bool,
 }
 
-/// Assigns tasks of one job to a guard, or asks again for their ends.
+/// Assigns tasks of one job to a guard; a repeated assignment reports how known tasks ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Assign {
-    /// The guard and its incarnation that is meant.
+    /// The addressed guard and its incarnation.
     pub place: Placement,
     /// Key of the submission.
     pub key: SubmissionKey,
@@ -34,58 +34,58 @@
     pub workspace: WorkspaceId,
     /// Service that runs the tasks.
     pub service: ServiceId,
-    /// No start at or after this time.
+    /// No task starts at or after this time.
     pub deadline: UnixTime,
-    /// Until when the fence must remember the tasks.
+    /// Until when the fence must keep entries for the tasks.
     pub keep_until: UnixTime,
     /// The tasks.
     pub tasks: Vec<AssignedTask>,
-    /// The coordinator's newest report, sent along to save a message.
+    /// The coordinator's newest report, included to save a message.
     pub guard_report: Option<GuardReport>,
 }
 
 impl Message for Assign {
     const KIND: u16 = 20;
     const NAME: &'static str = "assign";
-    /// Several replies, until every task has ended here.
+    /// One or more replies, until every task has ended at the guard.
     type Reply = AssignReply;
 }
 
-/// How one task ended at the guard.
+/// End of one task at the guard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// Index of the task in the job.
     pub index: TaskIndex,
-    /// How it ended here.
+    /// How the task ended.
     pub end: TaskEnd,
 }
 
 /// One of the replies to an [`Assign`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum AssignReply {
-    /// Tasks that ended since the reply before, and the guard's load now.
+    /// Tasks that ended since the previous reply.
     Ended {
-        /// The tasks.
+        /// The ended tasks.
         reports: Vec<TaskReport>,
         /// The guard's newest report.
         guard_report: Option<GuardReport>,
     },
-    /// The assignment was meant for another incarnation of the guard; nothing was done.
+    /// The assignment was for another incarnation of the guard and had no effect.
     WrongIncarnation(Incarnation),
 }
 
 /// Asks a guard to release a task that has not started.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Release {
-    /// The guard and its incarnation that is meant.
+    /// The addressed guard and its incarnation.
     pub place: Placement,
     /// Key of the submission.
     pub key: SubmissionKey,
     /// Index of the task in the job.
     pub index: TaskIndex,
-    /// Where the task goes; `None` gives it up.
+    /// The next placement of the task; `None` abandons it.
     pub to: Option<Placement>,
-    /// Until when the fence must remember the task.
+    /// Until when the fence must keep an entry for the task.
     pub keep_until: UnixTime,
 }
 
@@ -98,7 +98,7 @@
 /// The answer to a [`Release`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReleaseReply {
-    /// The verdict.
+    /// Result of the release.
     pub verdict: ReleaseResult,
     /// The guard's newest report.
     pub guard_report: Option<GuardReport>,
--- a/crates/claims/cloverfold_execute/src/metrics.rs
+++ b/crates/claims/cloverfold_execute/src/metrics.rs
@@ -1,20 +1,17 @@
-//! Metrics of the execution of tasks.
-//!
-//! Owns the counters of this guard and the target's own count of starts beside them, so that the two can be compared. Relies
-//! on the task runner to set them.
+//! Metrics of task execution, with the target's own count of starts for comparison.
 
 use cloverfold_app::App;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 
-/// Counts of what happened at the target.
+/// Counts of tasks at the target.
 #[derive(Clone, Default)]
 pub(crate) struct ExecuteMetrics {
     /// Tasks sent to the target.
     pub(crate) starts: Counter,
-    /// Tasks that did not end well at the target.
+    /// Tasks that failed or were not started at the target.
     pub(crate) failures: Counter,
-    /// Starts as the target itself counts them.
+    /// Starts according to the target.
     pub(crate) reported_starts: Gauge<i64>,
 }
 
--- a/crates/claims/cloverfold_execute/src/plugin.rs
+++ b/crates/claims/cloverfold_execute/src/plugin.rs
@@ -1,7 +1,4 @@
-//! Registers the execution of tasks with a guard: its handlers, background tasks and drain step.
-//!
-//! Creates the [`Execution`] on the control thread and the client of the target, and owns nothing afterwards. Relies on the
-//! membership plugin, which adds [`Membership`] and [`LocalState`] before.
+//! Plugin that adds the execution of tasks to a guard: its handlers, background tasks and drain step.
 
 use cloverfold_app::{App, BuildError, Plugin};
 use cloverfold_claims_core::{FenceLimits, Placement};
@@ -17,7 +14,7 @@
 
 /// Runs tasks at the target; needs [`CellSettings`], [`GuardSettings`], [`Membership`] and [`LocalState`].
 pub struct ExecutePlugin {
-    /// The guard that this process is.
+    /// This guard and its incarnation.
     pub placement: Placement,
 }
 
@@ -26,8 +23,8 @@
         let runner = self.build_runner(app)?;
         register_handlers(app, &runner);
         app.add_drain_step(runner.clone().drain());
-        app.add_task(runner.clone().follow_usage());
-        app.add_task(runner.collect());
+        app.add_task(runner.clone().poll_usage());
+        app.add_task(runner.purge());
         Ok(())
     }
 }
--- a/crates/claims/cloverfold_execute/src/target_client.rs
+++ b/crates/claims/cloverfold_execute/src/target_client.rs
@@ -1,6 +1,4 @@
-//! The guard's side of the HTTP protocol with its target; see `docs/TARGETS.md`.
-//!
-//! Owns the pooled connections to the target and bounds how many requests use them at once.
+//! HTTP client of a target, with pooled connections and a limit on concurrent requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,54 +14,54 @@
 use volo_http::body::Body;
 use volo_http::client::{Client, ClientBuilder};
 
-/// Largest result of a task, in bytes. Chosen, not measured.
+/// Largest result of a task, in bytes.
 const MAX_RESULT_LEN: usize = 1024 * 1024;
-/// An idle connection is dropped after this, before a usual server closes it under a request. Chosen, not measured.
+/// Idle connections are closed after this time, which is shorter than the idle timeout of most servers.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest wait for a connection. Chosen, not measured.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for the answer to a cancellation. Chosen, not measured.
+/// Timeout of a cancellation.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for a usage report. Chosen, not measured.
+/// Timeout of a usage report.
 const USAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest usage report, in bytes. Chosen, not measured.
+/// Largest usage report, in bytes.
 const MAX_USAGE_LEN: usize = 64 * 1024;
 
-/// Header with which a target proves that it did not start a task.
+/// Response header with which a target declares that it did not start a task.
 const NOT_STARTED_HEADER: &str = "cloverfold-not-started";
 
-/// What a target answers to a start.
+/// Answer of a target to a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetAnswer {
-    /// The task ended well with this result.
+    /// The task succeeded with this result.
     Done(Vec<u8>),
-    /// The target answered that it did not start the task.
+    /// The target did not start the task.
     NotStarted,
-    /// The task failed; carries the status and the beginning of the body.
+    /// The task failed; contains the status and the start of the body.
     Failed(String),
 }
 
-/// Why a start brought no answer; the task may have run.
+/// Why a request got no answer; a started task may have run.
 #[derive(Debug, thiserror::Error)]
 pub enum TargetError {
-    /// The request cannot be built: a mistake in the settings.
+    /// The HTTP client cannot be built from the settings.
     #[error("the client cannot be built: {0}")]
     Build(String),
     /// The connection broke or could not be opened.
     #[error("the target did not answer: {0}")]
     Connection(String),
-    /// The task ran longer than it may.
+    /// The task exceeded its timeout.
     #[error("the target did not answer within {0:?}")]
     Timeout(Duration),
-    /// The result is larger than a result may be, or broke off.
+    /// The result is too large or incomplete.
     #[error("the result could not be read: {0}")]
     Result(String),
 }
 
-/// What a target reports as used.
+/// Usage report of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct TargetUsage {
-    /// Tasks that it has started since its own start.
+    /// Tasks that the target has started since its own start.
     pub starts: u64,
 }
 
@@ -82,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`TargetError::Build`] with the cause of the library.
+    /// Returns [`TargetError::Build`] with the library's error.
     pub fn new(settings: &TargetSettings) -> Result<Self, TargetError> {
         let mut builder = ClientBuilder::new();
         builder
@@ -103,28 +101,28 @@
 
     /// Starts a task and waits for its end.
     ///
-    /// The request is sent once; a connection that breaks is never tried again, since the task may run.
+    /// The request is sent only once: after a broken connection the task may be running.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer; whether the task ran is then unknown.
+    /// Returns why there is no answer; the task may have run.
     pub async fn start(&self, id: &TaskId, payload: Bytes) -> Result<TargetAnswer, TargetError> {
         let exchange = self.exchange(Method::POST, id, payload);
         let answer = tokio::time::timeout(self.timeout, exchange).await;
         answer.unwrap_or(Err(TargetError::Timeout(self.timeout)))
     }
 
-    /// Asks the target to stop a task, where it can.
+    /// Asks the target to stop a task, if it supports that.
     pub async fn cancel(&self, id: &TaskId) {
         if !self.can_cancel {
             return;
         }
         let exchange = self.exchange(Method::DELETE, id, Bytes::new());
-        // A cancellation only saves work, so a failed one needs no handling.
+        // A cancellation only saves work, so its failure is ignored.
         let _ = tokio::time::timeout(CANCEL_TIMEOUT, exchange).await;
     }
 
-    /// Asks the target what it has used; `None` if it has no such report or does not answer.
+    /// Reads the target's usage report; returns `None` if it has none or does not answer.
     pub async fn read_usage(&self) -> Option<TargetUsage> {
         let _permit = self.connections.acquire().await;
         let request = self
@@ -160,13 +158,17 @@
         let is_marked_unstarted = response.headers().contains_key(NOT_STARTED_HEADER);
         let body = Limited::new(response.into_body(), MAX_RESULT_LEN).collect();
         let body = body.await.map_err(|e| TargetError::Result(e.to_string()))?;
-        Ok(judge_answer(status, is_marked_unstarted, &body.to_bytes()))
+        Ok(classify_answer(
+            status,
+            is_marked_unstarted,
+            &body.to_bytes(),
+        ))
     }
 }
 
-/// Reads the kind of an answer from its status and headers.
-fn judge_answer(status: StatusCode, is_marked_unstarted: bool, body: &Bytes) -> TargetAnswer {
-    /// Bytes of a failed answer's body that its message shows.
+/// Classifies an answer by its status and headers.
+fn classify_answer(status: StatusCode, is_marked_unstarted: bool, body: &Bytes) -> TargetAnswer {
+    /// Bytes of the body that the message of a failed answer contains.
     const SHOWN_LEN: usize = 200;
     if status.is_success() {
         TargetAnswer::Done(body.to_vec())
--- a/crates/claims/cloverfold_execute/src/task_runner.rs
+++ b/crates/claims/cloverfold_execute/src/task_runner.rs
@@ -1,7 +1,6 @@
-//! Carries out what the fence decides: answers coordinators and starts tasks at the target.
+//! Starts the tasks that the fence admits at the target and answers coordinators.
 //!
-//! Owns nothing of its own: the state is in [`Execution`] on the control thread, the connections are in
-//! [`TargetClient`].
+//! The state is in [`Execution`] on the control thread.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,12 +22,12 @@
 use crate::metrics::ExecuteMetrics;
 use crate::target_client::{TargetAnswer, TargetClient, TargetError};
 
-/// How often expired results and entries are dropped. Chosen, not measured.
-const COLLECT_INTERVAL: Duration = Duration::from_secs(1);
-/// How often the target is asked for its own count of starts. Chosen, not measured.
+/// How often expired results and entries are dropped.
+const PURGE_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the usage report of the target is read.
 const USAGE_INTERVAL: Duration = Duration::from_secs(5);
-/// How often a draining guard looks whether its tasks have ended. Chosen, not measured.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// How often a draining guard checks whether its tasks have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs the tasks of one guard; shared by all handlers.
 #[derive(Clone)]
@@ -41,7 +40,7 @@
 }
 
 impl TaskRunner {
-    /// Handles an assignment until each of its tasks has ended here or was passed on.
+    /// Handles an assignment until each of its tasks has ended here or was forwarded.
     pub(crate) async fn handle_assign(self, assign: Assign, mut sink: ReplySink) {
         self.membership.record_reports(assign.guard_report);
         let flow = self.cell.flow_of(&assign.service, &assign.workspace);
@@ -74,25 +73,25 @@
         sink.finish().await;
     }
 
-    /// Lists the other guards that accept work.
+    /// Returns the other guards that accept work.
     async fn list_others(&self, own: Placement) -> Vec<Candidate> {
         let mut others = self.membership.list_candidates().await;
         others.retain(|candidate| candidate.placement.guard != own.guard);
         others
     }
 
-    /// Handles a release; a task that runs is cancelled if its job is given up.
+    /// Handles a release; cancels a started task if the coordinator abandons it.
     pub(crate) async fn handle_release(self, release: Release) -> ReleaseReply {
         let id = TaskId {
             key: release.key,
             index: release.index,
         };
-        let is_given_up = release.to.is_none();
+        let is_abandoned = release.to.is_none();
         let verdict = self
             .execution
             .with(move |execution| execution.release(&release))
             .await;
-        if verdict == ReleaseResult::Started && is_given_up {
+        if verdict == ReleaseResult::Started && is_abandoned {
             let target = self.target.clone();
             tokio::spawn(async move { target.cancel(&id).await });
         }
@@ -108,15 +107,15 @@
         }
     }
 
-    /// Runs a task at the target, records its end and starts what has a slot then.
+    /// Runs a task at the target, records its end and starts the next tasks.
     async fn run_task(self, task: QueuedTask<Bytes>) {
         self.metrics.starts.inc();
         let id = task.id;
-        let end = judge_end(self.target.start(&id, task.payload).await);
+        let end = task_end(self.target.start(&id, task.payload).await);
         if !matches!(end, TaskEnd::Done(_)) {
             self.metrics.failures.inc();
             let key = format_key(&id.key);
-            log::warn!(key = key, task = id.index; "a task did not end well: {end:?}");
+            log::warn!(key = key, task = id.index; "a task failed or was not started: {end:?}");
         }
         let now = unix_now();
         let starts = self
@@ -126,18 +125,18 @@
         self.spawn_starts(starts);
     }
 
-    /// Drops what is past its time, until the process ends.
-    pub(crate) async fn collect(self) {
+    /// Drops expired results and entries until the process ends.
+    pub(crate) async fn purge(self) {
         loop {
-            sleep(COLLECT_INTERVAL).await;
+            sleep(PURGE_INTERVAL).await;
             let now = unix_now();
             self.execution
                 .post(move |execution| execution.drop_expired(now));
         }
     }
 
-    /// Publishes what the target reports as used, until the process ends.
-    pub(crate) async fn follow_usage(self) {
+    /// Copies the target's usage reports to the metrics until the process ends.
+    pub(crate) async fn poll_usage(self) {
         loop {
             if let Some(usage) = self.target.read_usage().await {
                 self.metrics.reported_starts.set(usage.starts as i64);
@@ -146,17 +145,17 @@
         }
     }
 
-    /// Returns what waits, ends what runs, and answers coordinators until none asks any more.
+    /// Returns queued tasks, waits for running ones, and answers coordinators until none sends a request.
     pub(crate) async fn drain(self) {
         self.execution.with(Execution::begin_drain).await;
         let is_drained = |execution: &mut Execution| execution.is_drained();
         while !self.execution.with(is_drained).await {
-            sleep(DRAIN_POLL).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Waits for one report and adds those that are there already; `None` when all have come.
+/// Waits for a report and adds those already in the channel; returns `None` when all have arrived.
 async fn receive_batch(reports: &mut mpsc::Receiver<TaskReport>) -> Option<Vec<TaskReport>> {
     let mut batch = vec![reports.recv().await?];
     while let Ok(report) = reports.try_recv() {
@@ -165,8 +164,8 @@
     Some(batch)
 }
 
-/// Decides how a task ended from what its target answered.
-fn judge_end(answer: Result<TargetAnswer, TargetError>) -> TaskEnd {
+/// Returns how a task ended according to the answer of its target.
+fn task_end(answer: Result<TargetAnswer, TargetError>) -> TaskEnd {
     match answer {
         Ok(TargetAnswer::Done(result)) => TaskEnd::Done(result),
         Ok(TargetAnswer::NotStarted) => TaskEnd::Returned(ReasonCode::QueueFull),
@@ -174,7 +173,7 @@
             reason: ReasonCode::TargetFailed,
             detail,
         },
-        // The task may have run, so it cannot be returned as unstarted.
+        // The task may have run, so it must not be returned as unstarted.
         Err(cause) => TaskEnd::Failed {
             reason: ReasonCode::TargetLost,
             detail: cause.to_string(),
