--- a/crates/claims/cloverfold_coordinate/src/admitter.rs
+++ b/crates/claims/cloverfold_coordinate/src/admitter.rs
@@ -1,7 +1,6 @@
-//! Queues jobs until the cell has slots for them.
+//! Queues jobs until [`cloverfold_claims_core::Admission`] admits them.
 //!
-//! Owns the queue ([`JobQueue`], on the control thread). Relies on [`Membership`] for the slots of the cell, and on
-//! [`cloverfold_claims_core::Admission`] for the decisions.
+//! The queue ([`JobQueue`]) is on the control thread; [`Membership`] provides the free slots of the cell.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,10 +14,10 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::timeout;
 
-/// Tasks of jobs that may wait at one coordinator. Chosen, not measured.
-const WAITING_LIMIT: usize = 20_000;
-/// How often queued jobs are looked at without any known change. Chosen, not measured.
-const IDLE_INTERVAL: Duration = Duration::from_millis(50);
+/// Tasks of jobs that may be queued at one coordinator.
+const QUEUED_TASKS_LIMIT: usize = 20_000;
+/// How often admission is retried without a notification.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Queued jobs and the callers that wait for them.
 #[derive(Default)]
@@ -27,23 +26,23 @@
     waiters: HashMap<TicketId, oneshot::Sender<Grant>>,
 }
 
-/// Slots for a job, given back as its tasks end.
+/// Slots of an admitted job.
 pub(crate) struct Grant {
-    /// One charge for each task; none when no guard accepts work.
-    pub(crate) charges: Vec<InFlightTask>,
-    /// Counts the job's tasks to its flow.
-    pub(crate) flow_charge: FlowCharge,
+    /// The placed tasks; empty when no guard accepts work.
+    pub(crate) in_flight: Vec<InFlightTask>,
+    /// The job's tasks in its flow.
+    pub(crate) flow_usage: FlowUsage,
 }
 
-/// The tasks of an admitted job, counted to its flow until dropped.
-pub(crate) struct FlowCharge {
+/// Counts the tasks of an admitted job in its flow until it is dropped.
+pub(crate) struct FlowUsage {
     queue: ThreadState<JobQueue>,
     flow: Flow,
     tasks: usize,
 }
 
-impl FlowCharge {
-    /// Counts one task less.
+impl FlowUsage {
+    /// Releases one ended task.
     pub(crate) fn release_one(&mut self) {
         self.release(1);
     }
@@ -56,7 +55,7 @@
     }
 }
 
-impl Drop for FlowCharge {
+impl Drop for FlowUsage {
     fn drop(&mut self) {
         if self.tasks > 0 {
             self.release(self.tasks);
@@ -64,14 +63,14 @@
     }
 }
 
-/// Admits jobs in fair order as slots come free.
+/// Admits jobs in fair order as slots become free.
 #[derive(Clone)]
 pub(crate) struct Admitter {
     queue: ThreadState<JobQueue>,
     membership: Membership,
     policy: PlacementPolicy,
     arrived: Arc<Notify>,
-    /// Number of queued jobs, kept beside the queue so that an empty one costs no visit to the control thread.
+    /// Number of queued jobs, so that an empty queue needs no call to the control thread.
     waiting: Arc<AtomicUsize>,
     next_ticket: Arc<AtomicU64>,
 }
@@ -92,11 +91,11 @@
         }
     }
 
-    /// Waits for slots for a job, at most until its deadline.
+    /// Waits until a job is admitted or its deadline passes.
     ///
     /// # Errors
     ///
-    /// Returns [`ReasonCode::QueueFull`] or [`ReasonCode::DeadlinePassed`]; nothing was started.
+    /// Returns [`ReasonCode::QueueFull`] or [`ReasonCode::DeadlinePassed`].
     pub(crate) async fn admit(
         &self,
         flow: Flow,
@@ -117,18 +116,18 @@
         if let Ok(Ok(grant)) = timeout(remaining, &mut rx).await {
             return Ok(grant);
         }
-        self.withdraw(id).await;
-        // The grant may have come between the deadline and the withdrawal.
+        self.cancel(id).await;
+        // The grant may have arrived between the deadline and the cancellation.
         rx.try_recv().map_err(|_| ReasonCode::DeadlinePassed)
     }
 
-    /// Queues a job; returns where its grant comes.
+    /// Queues a job; returns the receiver of its grant.
     async fn push(&self, ticket: Ticket) -> Result<oneshot::Receiver<Grant>, ReasonCode> {
         let (tx, rx) = oneshot::channel();
         let waiting = self.waiting.clone();
         let push = move |queue: &mut JobQueue| {
             let id = ticket.id;
-            queue.admission.push(ticket, WAITING_LIMIT)?;
+            queue.admission.push(ticket, QUEUED_TASKS_LIMIT)?;
             waiting.fetch_add(1, Ordering::AcqRel);
             queue.waiters.insert(id, tx);
             Ok(rx)
@@ -136,31 +135,31 @@
         self.queue.with(push).await
     }
 
-    /// Removes a job from the queue, if it still waits.
-    async fn withdraw(&self, id: TicketId) {
+    /// Removes a job from the queue, if it is still queued.
+    async fn cancel(&self, id: TicketId) {
         let waiting = self.waiting.clone();
-        let withdraw = move |queue: &mut JobQueue| {
+        let cancel = move |queue: &mut JobQueue| {
             if queue.admission.cancel(id) {
                 waiting.fetch_sub(1, Ordering::AcqRel);
             }
             queue.waiters.remove(&id);
         };
-        self.queue.with(withdraw).await;
+        self.queue.with(cancel).await;
     }
 
-    /// Admits jobs until the process ends. Only one task does, so that no slot is given twice.
+    /// Admits jobs until the process ends. Only one async task runs this, so that no slot is granted twice.
     pub(crate) async fn run(self) {
         loop {
             tokio::select! {
                 () = self.arrived.notified() => {}
                 () = self.membership.wait_for_change() => {}
-                () = tokio::time::sleep(IDLE_INTERVAL) => {}
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
             while self.admit_one().await {}
         }
     }
 
-    /// Admits the next job that may have slots now; returns whether there was one.
+    /// Admits the next job, if there is one for the free slots; returns whether it did.
     async fn admit_one(&self) -> bool {
         if self.waiting.load(Ordering::Acquire) == 0 {
             return false;
@@ -176,17 +175,17 @@
         let Some((ticket, waiter)) = self.queue.with(admit).await else {
             return false;
         };
-        let flow_charge = FlowCharge {
+        let flow_usage = FlowUsage {
             queue: self.queue.clone(),
             flow: ticket.flow,
             tasks: ticket.tasks,
         };
-        let charges = self.membership.place_tasks(self.policy, ticket.tasks).await;
+        let in_flight = self.membership.place_tasks(self.policy, ticket.tasks).await;
         if let Some(waiter) = waiter {
-            // A caller that has gone drops the grant, which gives the slots back.
+            // If the caller is gone, the grant is dropped, which frees the slots.
             let _ = waiter.send(Grant {
-                charges,
-                flow_charge,
+                in_flight,
+                flow_usage,
             });
         }
         true
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -1,7 +1,7 @@
-//! Keeps an assignment going over lost connections, until its tasks have ended or their place is lost.
+//! Assigns tasks to a guard and repeats the assignment over lost connections, until the tasks have ended or the
+//! placement is lost.
 //!
-//! An assignment owns the tasks that have not ended at its place, with their charges. It reports to the job's driver by
-//! [`JobEvent`]s and relies on the place's fence to answer a repeated assignment with what became of each task.
+//! A repeated assignment is idempotent: the guard's fence answers it with the state of each task.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,49 +18,47 @@
 use crate::job_context::JobContext;
 use crate::messages::Submit;
 
-/// A place that cannot be reached for this long counts as lost. Chosen, not measured
-/// (docs/design/5-membership.md).
-const PATIENCE: Duration = Duration::from_secs(4);
-/// Longest wait for the answer to one release. Chosen, not measured.
+/// A placement that is unreachable for this long counts as lost.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Timeout of one release.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause before a repeated assignment or release: this long and up to as much again, drawn at random. Chosen, not
-/// measured.
+/// Shortest backoff before a repeated assignment or release; up to as much is added at random.
 const BACKOFF: Duration = Duration::from_millis(60);
 
-/// What assignments of one job share.
+/// Context that the assignments and releases of one job share.
 #[derive(Clone)]
 pub(crate) struct JobLink {
-    /// Whether this guard coordinates all jobs, and so knows where slots are free.
+    /// Whether this guard leads the cell and therefore knows where slots are free.
     pub(crate) is_lead: bool,
     pub(crate) context: Arc<JobContext>,
     pub(crate) submit: Arc<Submit>,
     pub(crate) events: mpsc::Sender<JobEvent>,
 }
 
-/// A task on its way to a place.
+/// A task of an assignment.
 pub(crate) struct PlacedTask {
-    /// Counts the task at its place until it has ended there.
-    pub(crate) _charge: InFlightTask,
+    /// Counts the task as in flight until it has ended at its placement.
+    pub(crate) _in_flight: InFlightTask,
     pub(crate) index: TaskIndex,
     /// Guards that had the task before.
     pub(crate) previous_guards: Vec<GuardId>,
-    /// Whether the place may pass the task on.
+    /// Whether the placement may forward the task.
     pub(crate) may_pass_on: bool,
 }
 
-/// Tasks that have not ended at their place, by number.
+/// Tasks that have not ended at their placement, by index.
 type OpenTasks = BTreeMap<TaskIndex, PlacedTask>;
 
-/// Why an assignment brings no more reports.
+/// Why an assignment was interrupted.
 enum Interruption {
-    /// The incarnation that was meant has ended.
+    /// The guard has a newer incarnation.
     Superseded,
-    /// The connection broke; the assignment can be asked for again.
-    Link(String),
+    /// The connection broke; the assignment can be repeated.
+    Connection(String),
 }
 
 impl JobLink {
-    /// Assigns tasks to a place and reports how each ends.
+    /// Assigns tasks to a placement and reports how each ends.
     pub(crate) async fn run_assignment(self, place: Placement, tasks: Vec<PlacedTask>) {
         let mut open: OpenTasks = tasks.into_iter().map(|task| (task.index, task)).collect();
         let mut reached_at = Instant::now();
@@ -80,10 +78,10 @@
             match interruption {
                 None => {}
                 Some(Interruption::Superseded) => break,
-                Some(Interruption::Link(cause)) => {
+                Some(Interruption::Connection(cause)) => {
                     self.context.membership.suspect(place.guard);
-                    log::debug!(guard = place.guard; "assignment: {cause}");
-                    if reached_at.elapsed() > PATIENCE {
+                    log::debug!(guard = place.guard; "an assignment was interrupted: {cause}");
+                    if reached_at.elapsed() > UNREACHABLE_TIMEOUT {
                         break;
                     }
                     sleep(draw_backoff()).await;
@@ -95,7 +93,7 @@
         }
     }
 
-    /// Sends the assignment once and reads its replies until they end; `None` when every task has ended.
+    /// Sends the assignment once and reads its replies; returns `None` when every task has ended.
     async fn follow_assignment(
         &self,
         place: Placement,
@@ -115,7 +113,9 @@
             match replies.next().await {
                 Err(cause) => return Some(interruption_of(&cause)),
                 Ok(None) if open.is_empty() => return None,
-                Ok(None) => return Some(Interruption::Link("the replies ended early".into())),
+                Ok(None) => {
+                    return Some(Interruption::Connection("the replies ended early".into()));
+                }
                 Ok(Some(AssignReply::WrongIncarnation(_))) => {
                     return Some(Interruption::Superseded);
                 }
@@ -162,11 +162,11 @@
     }
 
     async fn send(&self, event: JobEvent) {
-        // The driver stops listening once the job is answered; later events are not needed.
+        // The receiver is gone once the job is answered; later events are not needed.
         let _ = self.events.send(event).await;
     }
 
-    /// Asks a place to release a task and reports the verdict.
+    /// Asks a placement to release a task and reports the result.
     pub(crate) async fn run_release(
         self,
         task: TaskIndex,
@@ -197,9 +197,9 @@
                     };
                     return self.send(event).await;
                 }
-                Err(cause) => log::debug!(guard = place.guard; "release: {cause}"),
+                Err(cause) => log::debug!(guard = place.guard; "a release failed: {cause}"),
             }
-            if since.elapsed() > PATIENCE {
+            if since.elapsed() > UNREACHABLE_TIMEOUT {
                 return self.send(JobEvent::PlacementLost { task, place }).await;
             }
             sleep(draw_backoff()).await;
@@ -208,7 +208,7 @@
 }
 
 fn interruption_of(cause: &CallError) -> Interruption {
-    Interruption::Link(cause.to_string())
+    Interruption::Connection(cause.to_string())
 }
 
 fn draw_backoff() -> Duration {
--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -1,6 +1,4 @@
-//! Handles submissions and queries, and keeps the answers of jobs.
-//!
-//! Owns the jobs driven here ([`Jobs`], on the control thread). Relies on [`drive_job`] to run one job to its answer.
+//! Handles submissions and queries, and keeps the answers of jobs ([`Jobs`], on the control thread).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,15 +10,15 @@
 
 use crate::driver::drive_job;
 use crate::job_context::JobContext;
-use crate::jobs::{AnswerReceiver, AnswerSender, JobAnswer, Jobs, Joining};
+use crate::jobs::{AnswerReceiver, AnswerSender, JobAnswer, Jobs, JoinResult};
 use crate::messages::{JobState, Query, QueryReply, Submit, SubmitReply, SubmitResult};
 
-/// How often expired answers are dropped. Chosen, not measured.
-const COLLECT_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a draining guard looks whether its jobs are answered. Chosen, not measured.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// How often expired answers are dropped.
+const PURGE_INTERVAL: Duration = Duration::from_secs(1);
+/// How often a draining guard checks whether its jobs are answered.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Coordinates the jobs that this guard was asked for.
+/// Coordinates the jobs that entries submit to this guard.
 #[derive(Clone)]
 pub struct Coordinator {
     pub(crate) context: Arc<JobContext>,
@@ -29,11 +27,11 @@
 }
 
 impl Coordinator {
-    /// Answers a submission: joins its job if that is known here, else drives it.
+    /// Answers a submission: joins its job if this guard has it, otherwise runs it.
     pub(crate) async fn handle_submit(self, submit: Submit) -> SubmitReply {
         let key = submit.submission.key;
         let attempt = submit.attempt;
-        let verdict = self.decide_submit(submit).await;
+        let verdict = self.join_or_run(submit).await;
         SubmitReply {
             key,
             attempt,
@@ -41,35 +39,35 @@
         }
     }
 
-    async fn decide_submit(&self, submit: Submit) -> SubmitResult {
+    async fn join_or_run(&self, submit: Submit) -> SubmitResult {
         let key = submit.submission.key;
         let is_sole_attempt = submit.is_sole_attempt;
         if !self.context.claims.can_coordinate(&key).await {
             return SubmitResult::NotHere(ReasonCode::NoQuorum);
         }
-        let may_begin = self.lifecycle.phase() == Phase::Serving;
+        let may_start = self.lifecycle.phase() == Phase::Serving;
         let digest = submit.digest;
         let jobs = &self.jobs;
-        let joining = jobs
-            .with(move |jobs| jobs.join_or_begin(key, digest, may_begin))
+        let joined = jobs
+            .with(move |jobs| jobs.join_or_start(key, digest, may_start))
             .await;
-        let rx = match joining {
+        let rx = match joined {
             None => return SubmitResult::NotHere(ReasonCode::Leaving),
-            Some(Joining::Conflict) => {
+            Some(JoinResult::Conflict) => {
                 let detail = "the idempotency key was used before with another body; use a new key";
                 let outcome = Outcome::not_run(ReasonCode::KeyConflict, detail, None);
                 return SubmitResult::Answered(outcome);
             }
-            Some(Joining::Known(rx)) => rx,
-            Some(Joining::Begun(tx)) => {
+            Some(JoinResult::Joined(rx)) => rx,
+            Some(JoinResult::Started(tx)) => {
                 let rx = tx.subscribe();
                 tokio::spawn(self.clone().run_job(submit, tx));
                 rx
             }
         };
         match wait_for_answer(rx).await {
-            // Another guard may have had the submission, so what this one alone knows proves nothing.
-            Some(answer) if answer.rests_on_sole_attempt && !is_sole_attempt => {
+            // Another guard may have the submission, so an answer that assumes the opposite is not valid.
+            Some(answer) if answer.assumes_sole_attempt && !is_sole_attempt => {
                 SubmitResult::NotHere(ReasonCode::Unavailable)
             }
             Some(answer) => SubmitResult::Answered(answer.outcome.clone()),
@@ -77,7 +75,7 @@
         }
     }
 
-    /// Drives a job, and keeps and publishes its answer.
+    /// Runs a job, then stores and publishes its answer.
     async fn run_job(self, submit: Submit, tx: AnswerSender) {
         let key = submit.submission.key;
         let answer = drive_job(self.context.clone(), submit).await;
@@ -89,11 +87,11 @@
         self.jobs
             .with(move |jobs| jobs.finish(key, &kept, now, retention))
             .await;
-        // All callers may have gone; the answer is kept for those that ask again.
+        // All callers may be gone; later requests get the stored answer.
         tx.send_replace(Some(Arc::new(answer)));
     }
 
-    /// Answers what is known of a submission.
+    /// Returns the state of a submission.
     pub(crate) async fn handle_query(self, query: Query) -> QueryReply {
         let key = query.key;
         let state = self.find_state(key).await;
@@ -121,24 +119,24 @@
                 },
             },
             Ok(None) => JobState::NotSeen,
-            // Which replicas failed to answer was logged by the claim calls.
+            // The claim calls have logged which replicas failed.
             Err(_) => JobState::CannotTell,
         }
     }
 
-    /// Drops answers that are past their time, until the process ends.
-    pub(crate) async fn collect(self) {
+    /// Drops expired answers until the process ends.
+    pub(crate) async fn purge(self) {
         loop {
-            sleep(COLLECT_INTERVAL).await;
+            sleep(PURGE_INTERVAL).await;
             let now = unix_now();
-            self.jobs.post(move |jobs| jobs.collect_expired(now));
+            self.jobs.post(move |jobs| jobs.drop_expired(now));
         }
     }
 
-    /// Waits until every job that this guard drives is answered.
+    /// Waits until every job of this guard is answered.
     pub(crate) async fn drain(self) {
         while self.jobs.with(|jobs| jobs.running()).await > 0 {
-            sleep(DRAIN_POLL).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
@@ -151,7 +149,7 @@
     }
 }
 
-/// Waits for the answer of a job; `None` if its driver ended without one.
+/// Waits for the answer of a job; returns `None` if its driver ended without one.
 async fn wait_for_answer(mut rx: AnswerReceiver) -> Option<Arc<JobAnswer>> {
     let answer = rx.wait_for(Option::is_some).await.ok()?;
     answer.clone()
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -1,7 +1,6 @@
-//! Runs one job: agrees on its claim, carries out its progress, and returns its answer.
+//! Runs one job: proposes its claim, executes the actions of [`JobProgress`], and returns its answer.
 //!
-//! [`Driver`] owns the progress of one job and its event queue. The decisions are those of [`JobProgress`];
-//! assignments and releases run as tasks of their own ([`JobLink`]) and report by events.
+//! Assignments and releases run as separate async tasks ([`JobLink`]) and report events to the [`Driver`].
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,16 +15,16 @@
 use cloverfold_membership::InFlightTask;
 use tokio::sync::mpsc;
 
-use crate::admitter::{FlowCharge, Grant};
+use crate::admitter::{FlowUsage, Grant};
 use crate::assignment::{JobLink, PlacedTask};
 use crate::job_context::JobContext;
 use crate::job_plan::{JobPlan, plan_job};
 use crate::jobs::JobAnswer;
 use crate::messages::Submit;
 
-/// Events that may wait for the driver; a sender waits when the queue is full. Chosen, not measured.
-const EVENT_QUEUE: usize = 256;
-/// When a caller is told to retry after a refusal because no target was free. Chosen, not measured.
+/// Capacity of the driver's event channel; a sender waits while the channel is full.
+const EVENT_QUEUE_CAPACITY: usize = 256;
+/// When a caller should retry after a refusal because no target was free.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Runs a job to its answer.
@@ -33,20 +32,20 @@
     let is_sole_attempt = submit.is_sole_attempt;
     let JobPlan { wanted, grant } = plan_job(&context, &submit).await;
     if is_sole_attempt && let Some(reason) = wanted.refusal {
-        // No other guard has the submission, so this one can answer that nothing runs.
-        return JobAnswer::of_sole_attempt(refuse(reason));
+        // No other guard has the submission, so a refusal needs no claim.
+        return JobAnswer::for_sole_attempt(refuse(reason));
     }
     match context.claims.agree(submit.submission, wanted).await {
         Ok(claim) if claim.digest != submit.digest => {
-            JobAnswer::proved(refuse(ReasonCode::KeyConflict))
+            JobAnswer::unconditional(refuse(ReasonCode::KeyConflict))
         }
-        Ok(claim) => JobAnswer::proved(match claim.refusal {
+        Ok(claim) => JobAnswer::unconditional(match claim.refusal {
             Some(reason) => refuse(reason),
             None => drive_claim(context, submit, &claim, grant).await,
         }),
-        // Without a claim nothing was assigned here, and no other guard has the submission.
-        Err(_) if is_sole_attempt => JobAnswer::of_sole_attempt(refuse(ReasonCode::NoQuorum)),
-        Err(cause) => JobAnswer::proved(explain_no_claim(cause)),
+        // Without a claim this guard assigned no task, and no other guard has the submission.
+        Err(_) if is_sole_attempt => JobAnswer::for_sole_attempt(refuse(ReasonCode::NoQuorum)),
+        Err(cause) => JobAnswer::unconditional(unknown_claim(cause)),
     }
 }
 
@@ -66,8 +65,8 @@
     Outcome::not_run(reason, detail, retry_after)
 }
 
-/// Returns the outcome of a job whose claim could not be agreed on.
-fn explain_no_claim(cause: ClaimError) -> Outcome {
+/// Returns the outcome of a job whose claim is unknown.
+fn unknown_claim(cause: ClaimError) -> Outcome {
     let reason = match cause {
         ClaimError::Expired => ReasonCode::KeyExpired,
         ClaimError::NoQuorum => ReasonCode::NoQuorum,
@@ -75,7 +74,7 @@
     Outcome::unknown(reason, format!("{cause}, so nobody can say what was run"))
 }
 
-/// Assigns the tasks of an agreed claim and follows them to the job's answer.
+/// Runs the tasks of a chosen claim and returns the job's outcome.
 async fn drive_claim(
     context: Arc<JobContext>,
     submit: Submit,
@@ -83,11 +82,11 @@
     grant: Option<Grant>,
 ) -> Outcome {
     let (progress, actions) = JobProgress::begin(claim, submit.repeat);
-    let (charges, flow_charge) = match grant {
-        Some(grant) => (grant.charges, Some(grant.flow_charge)),
+    let (in_flight, flow_usage) = match grant {
+        Some(grant) => (grant.in_flight, Some(grant.flow_usage)),
         None => (Vec::new(), None),
     };
-    let (tx, events) = mpsc::channel(EVENT_QUEUE);
+    let (tx, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let link = JobLink {
         is_lead: context.is_acting_lead().await,
         context,
@@ -98,40 +97,40 @@
         link,
         progress,
         events,
-        flow_charge,
+        flow_usage,
     };
-    driver.run(actions, PlannedCharges::new(charges)).await
+    driver.run(actions, PlannedTasks::new(in_flight)).await
 }
 
-/// Charges of the claim that was proposed, by task; the claim agreed on may name other places.
-struct PlannedCharges(Vec<Option<InFlightTask>>);
+/// In-flight tasks of the proposed claim, by index; the chosen claim may have other placements.
+struct PlannedTasks(Vec<Option<InFlightTask>>);
 
-impl PlannedCharges {
-    fn new(charges: Vec<InFlightTask>) -> Self {
-        Self(charges.into_iter().map(Some).collect())
+impl PlannedTasks {
+    fn new(in_flight: Vec<InFlightTask>) -> Self {
+        Self(in_flight.into_iter().map(Some).collect())
     }
 
-    /// Removes the charge of a task, if it was planned at this place.
+    /// Removes and returns a task if it was planned at this placement.
     fn take(&mut self, task: TaskIndex, place: Placement) -> Option<InFlightTask> {
         let planned = self.0.get_mut(usize::from(task))?.take()?;
         (planned.placement() == place).then_some(planned)
     }
 }
 
-/// Drives one job whose claim was agreed on.
+/// Runs one job whose claim is chosen.
 struct Driver {
     link: JobLink,
     progress: JobProgress,
     events: mpsc::Receiver<JobEvent>,
-    /// Counts the job's tasks to its flow, if this guard admitted the job.
-    flow_charge: Option<FlowCharge>,
+    /// Slots of the job in its flow, if this guard admitted the job.
+    flow_usage: Option<FlowUsage>,
 }
 
 impl Driver {
-    /// Carries out actions and handles events until the job is answered.
-    async fn run(mut self, first: Vec<JobAction>, mut planned: PlannedCharges) -> Outcome {
-        let mut answer = self.carry_out(first, &mut planned);
-        // Charges at places that the claim does not name are given back.
+    /// Executes actions and handles events until the job is answered.
+    async fn run(mut self, first: Vec<JobAction>, mut planned: PlannedTasks) -> Outcome {
+        let mut answer = self.execute_actions(first, &mut planned);
+        // Releases the planned tasks whose placement is not in the chosen claim.
         drop(planned);
         loop {
             if let Some(outcome) = answer {
@@ -140,17 +139,17 @@
             let Some(event) = self.events.recv().await else {
                 return Outcome::unknown(ReasonCode::Unavailable, "the coordinator is stopping");
             };
-            let actions = self.absorb(event).await;
-            answer = self.carry_out(actions, &mut PlannedCharges::new(Vec::new()));
+            let actions = self.handle_event(event).await;
+            answer = self.execute_actions(actions, &mut PlannedTasks::new(Vec::new()));
         }
     }
 
-    async fn absorb(&mut self, event: JobEvent) -> Vec<JobAction> {
+    async fn handle_event(&mut self, event: JobEvent) -> Vec<JobAction> {
         let places = if is_done(&event) {
             self.record_done();
             Vec::new()
         } else {
-            self.list_next_places().await
+            self.list_next_placements().await
         };
         let context = self.link.context.clone();
         let mut take_retry = || context.take_retry();
@@ -162,20 +161,24 @@
     }
 
     fn record_done(&mut self) {
-        if let Some(flow_charge) = &mut self.flow_charge {
-            flow_charge.release_one();
+        if let Some(flow_usage) = &mut self.flow_usage {
+            flow_usage.release_one();
         }
         self.link.context.record_success();
     }
 
-    /// Lists where a task can go that did not stay at its place, best first.
-    async fn list_next_places(&self) -> Vec<Placement> {
+    /// Returns the placements for a task that has to move, best first.
+    async fn list_next_placements(&self) -> Vec<Placement> {
         let mut candidates = self.link.context.membership.list_candidates().await;
         rank_by_load(&mut candidates, random_below)
     }
 
-    /// Starts the assignments and releases that the progress asks for; returns the answer if it is among the actions.
-    fn carry_out(&self, actions: Vec<JobAction>, planned: &mut PlannedCharges) -> Option<Outcome> {
+    /// Starts the assignments and releases among the actions; returns the job's outcome if it is among them.
+    fn execute_actions(
+        &self,
+        actions: Vec<JobAction>,
+        planned: &mut PlannedTasks,
+    ) -> Option<Outcome> {
         let link = &self.link;
         let mut batches: BTreeMap<Placement, Vec<PlacedTask>> = BTreeMap::new();
         let mut answer = None;
@@ -192,7 +195,7 @@
                     }
                     let planned = planned.take(task, place);
                     let placed = PlacedTask {
-                        _charge: planned
+                        _in_flight: planned
                             .unwrap_or_else(|| link.context.membership.track_in_flight(place)),
                         index: task,
                         previous_guards,
--- a/crates/claims/cloverfold_coordinate/src/job_context.rs
+++ b/crates/claims/cloverfold_coordinate/src/job_context.rs
@@ -1,7 +1,4 @@
 //! Services and state that all jobs of one guard share.
-//!
-//! Passed to the plan, the driver and the assignments of each job. Owns the retry budget of the process; the other fields are
-//! handles to services that the plugin has set up. Relies on [`Membership`] for who leads and on [`Claims`] for the own guard.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -15,7 +12,7 @@
 use crate::admitter::Admitter;
 use crate::metrics::CoordinateMetrics;
 
-/// The services that a job's driver and its assignments use, and the retry budget of the process.
+/// Services for the drivers and assignments of jobs, and the retry budget of the process.
 pub(crate) struct JobContext {
     pub(crate) admitter: Admitter,
     pub(crate) claims: Claims,
@@ -28,18 +25,18 @@
 }
 
 impl JobContext {
-    /// Returns whether this guard coordinates all jobs of the cell now.
+    /// Returns whether this guard currently leads the cell.
     pub(crate) async fn is_acting_lead(&self) -> bool {
         let lead = self.membership.find_acting_lead().await;
         lead == Some(self.claims.placement().guard)
     }
 
-    /// Returns until when fences must remember the tasks of a submission.
+    /// Returns until when fences must keep entries for the tasks of a submission.
     pub(crate) fn keep_until(&self, submission: &Submission) -> UnixTime {
         submission.submitted_at + self.cell.retention * 2
     }
 
-    /// Takes one retry out of the budget; returns whether there was one.
+    /// Spends one retry; returns whether the budget allows it.
     pub(crate) fn take_retry(&self) -> bool {
         let budget = self.retry_budget.lock();
         let is_allowed = budget.unwrap_or_else(PoisonError::into_inner).take_retry();
@@ -49,7 +46,7 @@
         is_allowed
     }
 
-    /// Adds the share of a retry that a successful task earns.
+    /// Adds the tokens of a successful task to the retry budget.
     pub(crate) fn record_success(&self) {
         let budget = self.retry_budget.lock();
         budget
--- a/crates/claims/cloverfold_coordinate/src/job_plan.rs
+++ b/crates/claims/cloverfold_coordinate/src/job_plan.rs
@@ -1,7 +1,6 @@
 //! Plans a job: waits for slots and proposes where each task runs.
 //!
-//! The plan is a proposal; the claim that the replicas agree on may be another guard's. Owns nothing: the slots belong to the
-//! [`Grant`] that the plan returns. Relies on the admitter for slots and on the cell's settings for weights.
+//! The plan is only a proposal; the replicas may choose the claim of another guard.
 
 use std::collections::BTreeMap;
 
@@ -13,15 +12,15 @@
 use crate::job_context::JobContext;
 use crate::messages::Submit;
 
-/// A claim that this guard proposes, with the slots for its tasks.
+/// A claim for this guard to propose, with the slots of its tasks.
 pub(crate) struct JobPlan {
-    /// The claim to propose; with a refusal if nothing can run.
+    /// The claim to propose; it contains a refusal if the job was not admitted.
     pub(crate) wanted: Claim,
-    /// The slots, unless the claim is a refusal.
+    /// The slots, or `None` for a refusal.
     pub(crate) grant: Option<Grant>,
 }
 
-/// Waits for slots and chooses where each task runs, or decides that nothing can run.
+/// Waits for slots and chooses where each task runs, or plans a refusal.
 pub(crate) async fn plan_job(context: &JobContext, submit: &Submit) -> JobPlan {
     let mut wanted = Claim {
         digest: submit.digest,
@@ -32,7 +31,7 @@
     };
     match admit_job(context, submit).await {
         Ok(grant) => {
-            fill_places(&mut wanted, &grant.charges);
+            fill_placements(&mut wanted, &grant.in_flight);
             JobPlan {
                 wanted,
                 grant: Some(grant),
@@ -59,18 +58,18 @@
         .admitter
         .admit(flow, weight, submit.tasks.len(), submit.deadline)
         .await?;
-    if grant.charges.is_empty() {
+    if grant.in_flight.is_empty() {
         return Err(ReasonCode::Unavailable);
     }
     Ok(grant)
 }
 
-/// Names the place of each task in a claim.
-fn fill_places(claim: &mut Claim, charges: &[InFlightTask]) {
+/// Sets the placement of each task in a claim.
+fn fill_placements(claim: &mut Claim, in_flight: &[InFlightTask]) {
     let mut index_of = BTreeMap::new();
-    for charge in charges {
-        let index = *index_of.entry(charge.placement()).or_insert_with(|| {
-            claim.placements.push(charge.placement());
+    for task in in_flight {
+        let index = *index_of.entry(task.placement()).or_insert_with(|| {
+            claim.placements.push(task.placement());
             claim.placements.len() as u16 - 1
         });
         claim.tasks.push(index);
--- a/crates/claims/cloverfold_coordinate/src/jobs.rs
+++ b/crates/claims/cloverfold_coordinate/src/jobs.rs
@@ -1,6 +1,4 @@
-//! The jobs that this guard drives, and the answers that it keeps.
-//!
-//! A plain value that lives on the control thread of [`crate::Coordinator`].
+//! The running jobs of this guard and the stored answers.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -10,44 +8,44 @@
 use cloverfold_claims_core::{BodyDigest, Outcome, SubmissionKey};
 use tokio::sync::watch;
 
-/// Bytes of results that are kept for callers that ask again. Chosen, not measured.
-const ANSWER_MEMORY: usize = 8 * 1024 * 1024;
-/// Bytes that one kept answer counts beside its results. Chosen, not measured.
+/// Memory limit of the stored answers, in bytes.
+const ANSWER_MEMORY_LIMIT: usize = 8 * 1024 * 1024;
+/// Bytes that a stored answer counts beyond its results.
 const ANSWER_OVERHEAD: usize = 256;
 
 /// Receives the answer of a job.
 pub(crate) type AnswerReceiver = watch::Receiver<Option<Arc<JobAnswer>>>;
-/// Where the driver of a job publishes its answer.
+/// Publishes the answer of a job.
 pub(crate) type AnswerSender = watch::Sender<Option<Arc<JobAnswer>>>;
 
-/// The answer of a job, and what proves it.
+/// The answer of a job, and the condition under which it is valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct JobAnswer {
-    /// What the caller is told.
+    /// Outcome for the caller.
     pub(crate) outcome: Outcome,
-    /// Whether it holds only if no other guard had the submission.
-    pub(crate) rests_on_sole_attempt: bool,
+    /// Whether the answer is valid only if no other guard has the submission.
+    pub(crate) assumes_sole_attempt: bool,
 }
 
 impl JobAnswer {
-    /// Returns an answer that rests on the group's claim, or that nothing is known.
-    pub(crate) fn proved(outcome: Outcome) -> Self {
+    /// Returns an answer that is valid whichever guards have the submission.
+    pub(crate) fn unconditional(outcome: Outcome) -> Self {
         Self {
             outcome,
-            rests_on_sole_attempt: false,
+            assumes_sole_attempt: false,
         }
     }
 
-    /// Returns an answer that rests on no other guard having had the submission.
-    pub(crate) fn of_sole_attempt(outcome: Outcome) -> Self {
+    /// Returns an answer that is valid only if no other guard has the submission.
+    pub(crate) fn for_sole_attempt(outcome: Outcome) -> Self {
         Self {
             outcome,
-            rests_on_sole_attempt: true,
+            assumes_sole_attempt: true,
         }
     }
 }
 
-/// Jobs by key.
+/// Jobs and stored answers by key.
 #[derive(Debug, Default)]
 pub(crate) struct Jobs {
     slots: HashMap<SubmissionKey, JobSlot>,
@@ -69,42 +67,42 @@
     len: usize,
 }
 
-/// How a request relates to the jobs known here.
-pub(crate) enum Joining {
-    /// The job runs or is answered here.
-    Known(AnswerReceiver),
-    /// The caller drives the job now.
-    Begun(AnswerSender),
-    /// The key belongs to another body.
+/// Result of joining or starting a job.
+pub(crate) enum JoinResult {
+    /// The job is running or answered.
+    Joined(AnswerReceiver),
+    /// The caller must run the job.
+    Started(AnswerSender),
+    /// The key was used with another body.
     Conflict,
 }
 
 impl Jobs {
-    /// Joins a job, or begins to drive it when `may_begin`; `None` when it may not.
-    pub(crate) fn join_or_begin(
+    /// Joins a job, or starts it if `may_start`; returns `None` if there is no job and it may not start.
+    pub(crate) fn join_or_start(
         &mut self,
         key: SubmissionKey,
         digest: BodyDigest,
-        may_begin: bool,
-    ) -> Option<Joining> {
+        may_start: bool,
+    ) -> Option<JoinResult> {
         if let Some(slot) = self.slots.get(&key) {
             let is_same = slot.digest == digest;
             return Some(if is_same {
-                Joining::Known(slot.rx.clone())
+                JoinResult::Joined(slot.rx.clone())
             } else {
-                Joining::Conflict
+                JoinResult::Conflict
             });
         }
-        if !may_begin {
+        if !may_start {
             return None;
         }
         let (tx, rx) = watch::channel(None);
         self.slots.insert(key, JobSlot { digest, rx });
         self.running += 1;
-        Some(Joining::Begun(tx))
+        Some(JoinResult::Started(tx))
     }
 
-    /// Returns the answer or the progress of a job that is known here.
+    /// Returns the receiver of a job's answer, if the job is running or its answer is stored.
     pub(crate) fn find(&self, key: &SubmissionKey) -> Option<AnswerReceiver> {
         self.slots.get(key).map(|slot| slot.rx.clone())
     }
@@ -114,7 +112,7 @@
         self.running
     }
 
-    /// Records that a job is answered; an answer that proves nothing is not kept, so that the job can be tried again.
+    /// Records the answer of a job; an unknown or conditional answer is not stored, so that the job can be retried.
     pub(crate) fn finish(
         &mut self,
         key: SubmissionKey,
@@ -124,24 +122,24 @@
     ) {
         self.running -= 1;
         let outcome = &answer.outcome;
-        if answer.rests_on_sole_attempt || matches!(outcome, Outcome::Unknown { .. }) {
+        if answer.assumes_sole_attempt || matches!(outcome, Outcome::Unknown { .. }) {
             self.slots.remove(&key);
             return;
         }
-        let len = measure_outcome(outcome);
+        let len = stored_size(outcome);
         let until = now + retention;
         self.kept.push_back(KeptAnswer { key, until, len });
         self.kept_len += len;
-        self.collect_expired(now);
+        self.drop_expired(now);
     }
 
-    /// Drops answers past their time, and the oldest beyond the memory set aside.
-    pub(crate) fn collect_expired(&mut self, now: UnixTime) {
-        let is_over = |kept: &mut KeptAnswer| kept.until <= now;
-        while let Some(kept) = self.kept.pop_front_if(is_over) {
+    /// Drops expired answers, and the oldest ones beyond the memory limit.
+    pub(crate) fn drop_expired(&mut self, now: UnixTime) {
+        let is_expired = |kept: &mut KeptAnswer| kept.until <= now;
+        while let Some(kept) = self.kept.pop_front_if(is_expired) {
             self.drop_answer(&kept);
         }
-        while self.kept_len > ANSWER_MEMORY
+        while self.kept_len > ANSWER_MEMORY_LIMIT
             && let Some(kept) = self.kept.pop_front()
         {
             self.drop_answer(&kept);
@@ -154,8 +152,8 @@
     }
 }
 
-/// Returns the bytes that a kept answer counts.
-fn measure_outcome(outcome: &Outcome) -> usize {
+/// Returns the size of a stored answer, in bytes.
+fn stored_size(outcome: &Outcome) -> usize {
     let results = match outcome {
         Outcome::Complete { results } => results.iter().map(Vec::len).sum(),
         _ => 0,
--- a/crates/claims/cloverfold_coordinate/src/messages.rs
+++ b/crates/claims/cloverfold_coordinate/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages from an entry to the coordinator of a job.
 //!
-//! Encoded with postcard, by the order of fields and variants.
+//! The postcard encoding depends on the order of fields and variants.
 
 use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
@@ -9,15 +9,14 @@
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
 
-/// Asks a guard to run a job, or to join it if it runs already.
+/// Asks a guard to run a job, or to join it if it is running already.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Submit {
-    /// Key and age of the submission.
+    /// Key and time of the submission.
     pub submission: Submission,
-    /// Number of this request, which its answer repeats.
+    /// Request identifier, which the reply repeats.
     pub attempt: u64,
-    /// Whether no other guard can have this submission: the entry made the key itself, and no earlier try
-    /// was lost.
+    /// Whether no other guard can have this submission: the entry generated the key, and no earlier request was lost.
     pub is_sole_attempt: bool,
     /// Workspace that submits.
     pub workspace: WorkspaceId,
@@ -25,11 +24,11 @@
     pub service: ServiceId,
     /// Hash of the body.
     pub digest: BodyDigest,
-    /// No start at or after this time.
+    /// No task starts at or after this time.
     pub deadline: UnixTime,
-    /// Whether a task may start again after its first start was lost.
+    /// Whether a task may be started again after its guard or target was lost.
     pub repeat: Repeat,
-    /// What each task gives to the target.
+    /// Request body of each task for the target.
     pub tasks: Vec<Vec<u8>>,
 }
 
@@ -39,27 +38,27 @@
     type Reply = SubmitReply;
 }
 
-/// The answer to a [`Submit`], bound to it by key and attempt.
+/// The answer to a [`Submit`], matched to it by key and attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmitReply {
-    /// Key of the submission that is answered.
+    /// Key of the submission.
     pub key: SubmissionKey,
-    /// Number of the request that is answered.
+    /// Identifier of the request.
     pub attempt: u64,
-    /// The answer.
+    /// Result of the submission.
     pub verdict: SubmitResult,
 }
 
-/// The guard's verdict on a [`Submit`].
+/// Result of a [`Submit`] at one guard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmitResult {
-    /// The job's answer.
+    /// Outcome of the job.
     Answered(Outcome),
-    /// This guard did nothing with the request; another may run it.
+    /// This guard does not answer the request; another guard may.
     NotHere(ReasonCode),
 }
 
-/// Asks what is known of a submission.
+/// Requests the state of a submission.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Query {
     /// Key of the submission.
@@ -72,31 +71,31 @@
     type Reply = QueryReply;
 }
 
-/// What a guard knows of a submission.
+/// State of a submission according to one guard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueryReply {
     /// Key of the submission.
     pub key: SubmissionKey,
-    /// Its state.
+    /// State of the submission.
     pub state: JobState,
 }
 
-/// State of a submission as far as one guard can tell.
+/// State of a submission as one guard knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// It is being driven here.
+    /// This guard is running the job.
     Running,
-    /// It is over, with this answer.
+    /// The job ended with this outcome.
     Answered(Outcome),
-    /// A majority holds a claim for it, with this many tasks.
+    /// A majority has a claim for it.
     Claimed {
         /// Number of tasks.
         tasks: u32,
     },
-    /// A majority agreed that nothing runs under this key.
+    /// A majority agreed to refuse the submission.
     Refused(ReasonCode),
-    /// No majority holds a claim for it now.
+    /// A majority has no claim for it.
     NotSeen,
-    /// This guard cannot tell.
+    /// Too few replicas answered.
     CannotTell,
 }
--- a/crates/claims/cloverfold_coordinate/src/metrics.rs
+++ b/crates/claims/cloverfold_coordinate/src/metrics.rs
@@ -1,7 +1,6 @@
 //! Metrics of coordinated jobs.
 //!
-//! Owns the counters, all since the start of the process. Relies on the coordinator, the driver, the assignments and the job
-//! context to count. Names and help texts are part of the interface to operators and stay as they are.
+//! Operators rely on the names and help texts, so these are stable.
 
 use cloverfold_app::App;
 use cloverfold_claims_core::Outcome;
@@ -15,17 +14,17 @@
     outcome: &'static str,
 }
 
-/// Counts of jobs and of messages beyond the first for a task.
+/// Counts of jobs, and of repeated, moved, released and retried tasks.
 #[derive(Clone, Default)]
 pub(crate) struct CoordinateMetrics {
     jobs: Family<OutcomeLabel, Counter>,
-    /// Assignments sent again after a lost connection.
+    /// Assignments repeated after a lost connection.
     pub(crate) repeated_assigns: Counter,
-    /// Assignments of tasks that another guard had passed on.
+    /// Assignments of tasks that had another placement before.
     pub(crate) moves: Counter,
-    /// Releases asked for.
+    /// Requested releases.
     pub(crate) releases: Counter,
-    /// Tasks started again after their first start was lost.
+    /// Tasks retried after their guard or target was lost.
     pub(crate) retries: Counter,
 }
 
--- a/crates/claims/cloverfold_coordinate/src/plugin.rs
+++ b/crates/claims/cloverfold_coordinate/src/plugin.rs
@@ -1,7 +1,4 @@
-//! Registers the coordinator with a guard: its handlers, background tasks and drain step.
-//!
-//! Creates the queue and the table of jobs on the control thread and owns nothing afterwards. Relies on the claim and
-//! membership plugins, which add [`Claims`], [`Membership`] and [`Directory`] before.
+//! Plugin that adds the coordinator to a guard: its handlers, background tasks and drain step.
 
 use std::sync::{Arc, Mutex};
 
@@ -19,9 +16,9 @@
 use crate::messages::{Query, Submit};
 use crate::metrics::CoordinateMetrics;
 
-/// Retries that one success pays for. Chosen, not measured.
+/// Retries that one success earns.
 const RETRY_SHARE: f64 = 0.1;
-/// Retries that may be saved up. Chosen, not measured.
+/// Retries that the budget can accumulate.
 const RETRY_CAPACITY: f64 = 20.0;
 
 /// Adds [`Coordinator`]; needs [`Claims`], [`Membership`], [`Directory`] and [`CellSettings`].
@@ -39,7 +36,7 @@
         app.insert_resource(coordinator.clone());
         register_handlers(app, &coordinator);
         app.add_drain_step(coordinator.clone().drain());
-        app.add_task(coordinator.collect());
+        app.add_task(coordinator.purge());
         Ok(())
     }
 }
