--- a/crates/claims/cloverfold_membership/src/directory.rs
+++ b/crates/claims/cloverfold_membership/src/directory.rs
@@ -1,7 +1,6 @@
-//! The addresses of the cell's guards, as its settings list them.
+//! The addresses of the cell's guards, from its settings.
 //!
-//! Used by every package that sends requests to guards. Owns the addresses and the order in which guards lead; neither changes
-//! while the process runs. Relies on [`CellSettings`]; whether a guard is alive is a question for [`crate::Membership`].
+//! [`crate::Membership`] tells which guards are alive.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +8,16 @@
 use cloverfold_claims_settings::CellSettings;
 use cloverfold_net::PeerAddress;
 
-/// Where each guard of the cell is reached.
+/// Addresses of the cell's guards, and the order in which they lead.
 #[derive(Clone, Debug)]
 pub struct Directory {
-    /// Guards in the order in which they act as the lead.
+    /// Guards in the order in which they take over the lead.
     pub(crate) lead_order: Vec<GuardId>,
     addresses: BTreeMap<GuardId, PeerAddress>,
 }
 
 impl Directory {
-    /// Builds the directory of the cell's settings.
+    /// Builds the directory from the cell's settings.
     pub fn new(cell: &CellSettings) -> Self {
         let addresses = cell.guards.iter().map(|place| {
             let address = PeerAddress {
@@ -33,12 +32,12 @@
         }
     }
 
-    /// Returns where a guard is reached.
+    /// Returns the address of a guard.
     pub fn address_of(&self, guard: GuardId) -> Option<&PeerAddress> {
         self.addresses.get(&guard)
     }
 
-    /// Lists the guards.
+    /// Returns the guards of the cell.
     pub fn guards(&self) -> impl Iterator<Item = GuardId> + '_ {
         self.addresses.keys().copied()
     }
--- a/crates/claims/cloverfold_membership/src/gossip.rs
+++ b/crates/claims/cloverfold_membership/src/gossip.rs
@@ -1,7 +1,6 @@
 //! Heartbeats between the processes of a cell.
 //!
-//! A process sends what it knows to the acting lead and records what that knows. Owns nothing but its turn; the reports
-//! are in [`Membership`]. Reasons: docs/design/5-membership.md.
+//! A process sends the reports that it knows to the acting lead and records those in the reply in [`Membership`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,18 +17,16 @@
 use crate::messages::Heartbeat;
 use crate::metrics::MembershipMetrics;
 
-/// Time between two heartbeats of a process; 400 and not 500 ms so that a dead lead is missed sooner
-/// (docs/CAPACITY.md).
+/// Time between two heartbeats of a process; bounds the detection time of a dead lead.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// Longest wait for the answer to a heartbeat; then its guard is suspected. Chosen, not measured.
+/// Timeout of a heartbeat, after which its guard is suspected.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Guards that a process sends each heartbeat to while it knows no lead. Chosen, not measured.
+/// Random guards that get each heartbeat while no lead is known.
 const FANOUT: usize = 2;
-/// One heartbeat in so many also goes to a guard drawn at random, so that reports also pass beside the lead. Chosen,
-/// not measured.
-const SIDE_INTERVAL: u32 = 8;
+/// One in this many heartbeats also goes to a random guard, so that reports spread without the lead.
+const RANDOM_PEER_INTERVAL: u32 = 8;
 
-/// Exchanges reports with other guards, until the process ends.
+/// Exchanges reports with the guards of the cell.
 #[derive(Clone)]
 pub(crate) struct Gossip {
     pub(crate) state: Arc<LocalState>,
@@ -37,7 +34,7 @@
     pub(crate) network: Network,
     pub(crate) directory: Arc<Directory>,
     pub(crate) membership: Membership,
-    /// The guard that this process is, if it is one.
+    /// This guard, if the process is one.
     pub(crate) own: Option<GuardId>,
 }
 
@@ -50,7 +47,7 @@
         while lifecycle.phase() != Phase::Stopped {
             let is_whole = self.state.is_whole();
             if is_whole && !was_whole {
-                // From now on this guard can lead, which all processes should learn at the same time.
+                // This guard can lead now, which all processes should learn at the same time.
                 self.clone().announce_phase().await;
             }
             was_whole = is_whole;
@@ -70,16 +67,15 @@
         self.metrics.acting_lead.set(lead.map_or(0, i64::from));
     }
 
-    /// Chooses the guards that get the next heartbeat: the acting lead, which answers with what it knows of all, or
-    /// some at random while no lead is known.
+    /// Returns the guards that get the next heartbeat: the acting lead, or random ones while no lead is known.
     async fn choose_peers(&self, turn: u32) -> Vec<GuardId> {
-        let side = usize::from(turn.is_multiple_of(SIDE_INTERVAL));
+        let random_count = usize::from(turn.is_multiple_of(RANDOM_PEER_INTERVAL));
         let lead = self.membership.find_acting_lead().await;
         match lead {
             None => self.draw_peers(FANOUT),
-            Some(lead) if Some(lead) == self.own => self.draw_peers(side),
+            Some(lead) if Some(lead) == self.own => self.draw_peers(random_count),
             Some(lead) => {
-                let mut peers = self.draw_peers(side);
+                let mut peers = self.draw_peers(random_count);
                 peers.retain(|peer| *peer != lead);
                 peers.push(lead);
                 peers
@@ -87,7 +83,8 @@
         }
     }
 
-    /// Tells every peer at once, so that a joining guard gets work, and a leaving one none, within seconds.
+    /// Sends this guard's reports to every peer immediately, so that a joining guard gets work and a draining one gets
+    /// none.
     pub(crate) async fn announce_phase(self) {
         if self.own.is_none() {
             return;
@@ -129,8 +126,8 @@
         match reply {
             Ok(reports) => self.membership.record_reports(reports),
             Err(cause) => {
-                log::debug!(guard = guard; "heartbeat: {cause}");
-                // The next report that it makes, by whatever way that comes, ends the suspicion.
+                log::debug!(guard = guard; "a heartbeat failed: {cause}");
+                // The next report that the guard makes ends the suspicion, whichever process forwards it.
                 self.membership.suspect(guard);
             }
         }
--- a/crates/claims/cloverfold_membership/src/lib.rs
+++ b/crates/claims/cloverfold_membership/src/lib.rs
@@ -1,11 +1,8 @@
-//! Heartbeats, incarnations and load of the guards in a cell.
+//! Membership of a cell: heartbeats, failure detection, and the load of each guard.
 //!
-//! Each process sends heartbeats to the acting lead and gets what the lead knows of all guards; reports are also sent
-//! along with the messages that tasks need anyway. [`Membership`] answers which guards accept work now and which of
-//! them leads.
-//!
-//! Owns the newest report of each guard, and the tasks that this process has in flight there. Relies on the cell's
-//! settings for the list of guards; nothing here adds or removes one.
+//! Each process exchanges heartbeats with the acting lead, which replies with the reports of all guards. Messages about
+//! claims and tasks also contain reports. [`Membership`] returns which guards accept work and which of them leads. The
+//! set of guards is fixed by the cell's settings.
 //!
 //! ```no_run
 //! # async fn show(membership: cloverfold_membership::Membership) {
--- a/crates/claims/cloverfold_membership/src/local_state.rs
+++ b/crates/claims/cloverfold_membership/src/local_state.rs
@@ -1,6 +1,4 @@
-//! What a guard reports of itself.
-//!
-//! [`LocalState`] is written by the packages that run tasks and hold claims, and read for each report.
+//! The state that a guard reports to the other processes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -9,7 +7,7 @@
 use cloverfold_app::{Lifecycle, Phase};
 use cloverfold_claims_core::{GuardPhase, GuardReport, Placement};
 
-/// State of this guard, kept up to date by the packages that run tasks and hold claims.
+/// State of this guard, which the crates that run tasks and replicate claims update.
 #[derive(Debug, Default)]
 pub struct LocalState {
     is_whole: AtomicBool,
@@ -18,24 +16,24 @@
 }
 
 impl LocalState {
-    /// Records whether this guard's memory of claims is whole.
+    /// Sets whether this guard's claim records are complete.
     pub fn set_whole(&self, is_whole: bool) {
         self.is_whole.store(is_whole, Ordering::Relaxed);
     }
 
-    /// Returns whether this guard's memory of claims is whole.
+    /// Returns whether this guard's claim records are complete.
     pub fn is_whole(&self) -> bool {
         self.is_whole.load(Ordering::Relaxed)
     }
 
-    /// Records the present load, in tasks.
+    /// Sets the current load, in tasks.
     pub fn set_load(&self, running: usize, queued: usize) {
         self.running.store(running as u32, Ordering::Relaxed);
         self.queued.store(queued as u32, Ordering::Relaxed);
     }
 }
 
-/// The guard that this process is, as its reports describe it.
+/// Source of this guard's reports.
 #[derive(Debug)]
 pub(crate) struct LocalGuard {
     pub(crate) placement: Placement,
@@ -46,7 +44,7 @@
 }
 
 impl LocalGuard {
-    /// Makes a fresh report.
+    /// Returns a new report.
     pub(crate) fn report(&self) -> GuardReport {
         let phase = match self.lifecycle.phase() {
             Phase::Serving => GuardPhase::Live,
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -1,7 +1,6 @@
-//! What this process knows of the cell's guards.
+//! This process's view of the cell's guards.
 //!
-//! [`Membership`] owns the table of reports and of tasks in flight ([`GuardTable`], on the control thread). Relies on
-//! [`crate::MembershipPlugin`]'s heartbeats, and on messages that carry reports, to keep it up to date.
+//! Heartbeats and other messages with reports update the [`GuardTable`], which is on the control thread.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,11 +16,10 @@
 use crate::directory::Directory;
 use crate::local_state::LocalGuard;
 
-/// A guard that has not reported for this long gets no new task. Chosen, not measured: four heartbeats
-/// (docs/design/5-membership.md).
+/// A guard that has not reported for this long gets no new task; four heartbeat intervals.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// A task that this process has at a place; dropped when the task has ended there.
+/// Counts a task as in flight at its placement until it is dropped.
 pub struct InFlightTask {
     place: Placement,
     table: ThreadState<GuardTable>,
@@ -29,7 +27,7 @@
 }
 
 impl InFlightTask {
-    /// Returns the place.
+    /// Returns the placement of the task.
     pub fn placement(&self) -> Placement {
         self.place
     }
@@ -46,7 +44,7 @@
     }
 }
 
-/// Shared knowledge of the cell's guards.
+/// Shared handle to the state of the cell's guards.
 #[derive(Clone)]
 pub struct Membership {
     started: Instant,
@@ -76,14 +74,14 @@
         }
     }
 
-    /// Makes a fresh report of this guard; `None` in a process that is not a guard.
+    /// Returns a new report of this guard, or `None` in a process that is not a guard.
     pub fn local_report(&self) -> Option<GuardReport> {
         self.own.as_ref().map(|own| own.report())
     }
 
-    /// Records reports, from heartbeats or from messages that carried them.
+    /// Records reports from heartbeats and other messages.
     ///
-    /// The connection to a guard that has restarted is closed, since nothing answers on it.
+    /// Closes the connection to a guard that has restarted, because its old process no longer answers.
     pub fn record_reports(&self, reports: impl IntoIterator<Item = GuardReport>) {
         let reports: Vec<GuardReport> = reports.into_iter().collect();
         if reports.is_empty() {
@@ -108,7 +106,7 @@
         });
     }
 
-    /// Runs a decision on the table, after recording this guard's present state in it.
+    /// Records a new report of this guard and runs a closure on the table.
     async fn with_table<R, F>(&self, decide: F) -> R
     where
         R: Send + 'static,
@@ -126,43 +124,43 @@
             .await
     }
 
-    /// Lists what is known of every guard, this one freshly.
+    /// Returns the newest report of every guard.
     pub async fn list_reports(&self) -> Vec<GuardReport> {
         self.with_table(|table, now| table.reports(now)).await
     }
 
-    /// Lists the guards that accept work, with their load.
+    /// Returns the guards that accept work, with their load.
     pub async fn list_candidates(&self) -> Vec<Candidate> {
         self.with_table(|table, now| table.list_candidates(now, REPORT_TIMEOUT))
             .await
     }
 
-    /// Counts the slots of the guards that accept work.
+    /// Returns the slots of the guards that accept work.
     pub async fn count_capacity(&self) -> Capacity {
         self.with_table(|table, now| table.count_capacity(now, REPORT_TIMEOUT))
             .await
     }
 
-    /// Waits until a task of this process may have ended or a guard's state may have changed.
+    /// Waits until a task of this process has ended or reports have arrived.
     pub async fn wait_for_change(&self) {
         self.changed.notified().await;
     }
 
-    /// Places tasks by the cell's policy, one charge for each.
+    /// Places tasks with the given policy and counts them as in flight.
     pub async fn place_tasks(&self, policy: PlacementPolicy, count: usize) -> Vec<InFlightTask> {
         let place = move |table: &mut GuardTable, now| {
             table.place_tasks(policy, count, now, REPORT_TIMEOUT, random_below)
         };
         let places = self.with_table(place).await;
-        let charge = |place| InFlightTask {
+        let track = |place| InFlightTask {
             place,
             table: self.table.clone(),
             changed: self.changed.clone(),
         };
-        places.into_iter().map(charge).collect()
+        places.into_iter().map(track).collect()
     }
 
-    /// Counts a task that this process sends to a place, until the charge is dropped.
+    /// Counts a task as in flight at a placement until the returned value is dropped.
     pub fn track_in_flight(&self, place: Placement) -> InFlightTask {
         self.table
             .post(move |table| table.add_in_flight(place.guard));
@@ -173,17 +171,17 @@
         }
     }
 
-    /// Records that a guard could not be reached, so that it gets no new task until it makes a further report.
+    /// Marks an unreachable guard as suspected; it gets no new task until it makes a new report.
     pub fn suspect(&self, guard: GuardId) {
         let now = self.started.elapsed();
         self.table.post(move |table| table.suspect(guard, now));
     }
 
-    /// Waits until a later incarnation of a place's guard is known.
+    /// Waits until a later incarnation of the placement's guard is known.
     pub async fn wait_for_restart(&self, place: Placement) {
         let mut rx = self.restarts.subscribe();
         while !self.is_superseded(place).await {
-            // The sender is part of `self`, so waiting cannot fail.
+            // `self` keeps the sender alive, so this cannot fail.
             let _ = rx.changed().await;
         }
     }
@@ -196,14 +194,14 @@
         self.table.with(find).await
     }
 
-    /// Finds the guard that coordinates the cell's jobs now: the lead, or the next that accepts work.
+    /// Returns the acting lead: the first guard in the lead order that accepts work and has complete claim records.
     pub async fn find_acting_lead(&self) -> Option<GuardId> {
         let order = self.directory.lead_order.clone();
         self.with_table(move |table, now| table.find_lead(&order, now, REPORT_TIMEOUT))
             .await
     }
 
-    /// Lists those of the given guards that accept work and have reported lately, in their order.
+    /// Returns those of the given guards that accept work, in the given order.
     pub async fn filter_usable(&self, guards: Vec<GuardId>) -> Vec<GuardId> {
         let candidates = self.list_candidates().await;
         let is_usable =
--- a/crates/claims/cloverfold_membership/src/messages.rs
+++ b/crates/claims/cloverfold_membership/src/messages.rs
@@ -1,15 +1,15 @@
-//! Messages between processes about the guards of their cell.
+//! Membership messages.
 //!
-//! Encoded with postcard, by the order of fields.
+//! The postcard encoding depends on the order of fields.
 
 use cloverfold_claims_core::GuardReport;
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
 
-/// What the sender knows of the cell's guards; answered with what the receiver knows.
+/// Sends the reports that the sender knows; the reply contains those that the receiver knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The newest report of each guard that the sender knows.
+    /// The newest known report of each guard.
     pub reports: Vec<GuardReport>,
 }
 
@@ -19,7 +19,7 @@
     type Reply = Vec<GuardReport>;
 }
 
-/// Tells a guard to stop as planned: it accepts no new work, ends what is in flight, and exits.
+/// Tells a guard to drain: it accepts no new work, finishes its tasks in flight, and exits.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Leave;
 
--- a/crates/claims/cloverfold_membership/src/metrics.rs
+++ b/crates/claims/cloverfold_membership/src/metrics.rs
@@ -1,6 +1,4 @@
 //! Metrics of a process's view of its cell.
-//!
-//! Owns two gauges, which show the view of this process alone. Relies on the heartbeats' task to set them after each turn.
 
 use cloverfold_app::App;
 use prometheus_client::metrics::gauge::Gauge;
@@ -8,9 +6,9 @@
 /// Gauges of this process's view of the guards.
 #[derive(Clone, Default)]
 pub(crate) struct MembershipMetrics {
-    /// Guards that this process takes to be able to work.
+    /// Guards that accept work, according to this process.
     pub(crate) live: Gauge<i64>,
-    /// Number of the guard that this process takes to be the acting lead; 0 for none.
+    /// The acting lead, according to this process; 0 if there is none.
     pub(crate) acting_lead: Gauge<i64>,
 }
 
--- a/crates/claims/cloverfold_membership/src/plugin.rs
+++ b/crates/claims/cloverfold_membership/src/plugin.rs
@@ -1,7 +1,4 @@
-//! Registers heartbeats with a process: its handlers, background task and drain step.
-//!
-//! Creates [`Membership`], [`Directory`] and [`LocalState`], on which the plugins of the other packages rely, and owns nothing
-//! afterwards. Relies on [`CellSettings`] being added before.
+//! Plugin that adds membership to a process: its handlers, heartbeats and drain step.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -20,7 +17,7 @@
 
 /// Adds [`Membership`], [`Directory`] and [`LocalState`]; needs [`CellSettings`].
 pub struct MembershipPlugin {
-    /// The guard that this process is and its number of slots, if it is one.
+    /// This guard and its number of slots, if the process is a guard.
     pub local_guard: Option<(Placement, u32)>,
 }
 
@@ -75,7 +72,7 @@
     let lifecycle = app.lifecycle();
     app.router()
         .register(&[PeerRole::Operator], move |peer: Peer, _leave: Leave| {
-            log::info!(operator = peer.name; "told to leave");
+            log::info!(operator = peer.name; "draining at the request of an operator");
             lifecycle.advance_to(Phase::Draining);
             async {}
         });
