--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -1,7 +1,7 @@
-//! Requests and replies between guards, and between entries and guards, of the claims mode, against their recorded bytes.
+//! Requests and replies among entries and guards of a claims installation, compared with their recorded bytes.
 //!
-//! A fixture is the number of the message (`u16`, little endian) and the body in postcard, for requests and replies
-//! alike; the bytes that `cloverfold_net` puts around bodies are not in it.
+//! A fixture consists of the message number (`u16`, little endian) and the postcard body, for both requests and replies. It excludes the
+//! framing of `cloverfold_net`.
 
 #![allow(clippy::unwrap_used)]
 
@@ -30,29 +30,29 @@
 use crate::samples::{Sample, each_variant, one, several, wrap};
 use crate::support::{assert_recorded, assert_same_debug, fixture_path, read_or_record};
 
-/// The reply to a [`ClaimCall`], which its crate doesn't name.
+/// The reply to a [`ClaimCall`], whose type `cloverfold_claim` does not export.
 type ClaimAnswer = <ClaimCall as Message>::Reply;
 
-/// Where these fixtures are, below `fixtures/`.
+/// Folder of these fixtures, relative to `fixtures/`.
 const DIRECTORY: &str = "claims-messages";
 
 /// Length of a message's number, in bytes.
 const KIND_LEN: usize = 2;
 
-/// Returns the name of a fixture below `fixtures/`.
+/// Returns the path of a fixture, relative to `fixtures/`.
 fn file_name(name: &str) -> String {
     format!("{DIRECTORY}/{name}.bin")
 }
 
-/// Encodes a message's number and a body of it.
+/// Encodes the number of a message and a request or reply body.
 fn to_bytes<M: Message>(body: &impl Serialize) -> Vec<u8> {
     let number = M::KIND.to_le_bytes().to_vec();
     postcard::to_extend(body, number).unwrap()
 }
 
-/// Asserts that a body is encoded as it was recorded; returns what the recorded bytes are decoded to.
+/// Asserts that a body encodes to the recorded bytes, and returns the value decoded from them.
 ///
-/// All bytes must be used up, and encoding the decoded value again must give the same bytes.
+/// Decoding must consume all bytes, and encoding the decoded value must give the same bytes again.
 fn decode_recorded<M: Message, T: Serialize + DeserializeOwned>(name: &str, body: &T) -> T {
     let file = file_name(name);
     let bytes = to_bytes::<M>(body);
@@ -61,14 +61,18 @@
 
     let recorded = read_or_record(&file, &bytes);
     let (number, encoded) = recorded.split_at(KIND_LEN);
-    assert_eq!(number, M::KIND.to_le_bytes(), "{name}: the number");
+    assert_eq!(number, M::KIND.to_le_bytes(), "{name}: the message number");
     let (decoded, rest): (T, &[u8]) = postcard::take_from_bytes(encoded).unwrap();
-    assert!(rest.is_empty(), "{name}: bytes are left over");
-    assert_eq!(to_bytes::<M>(&decoded), recorded, "{name}: encoded again");
+    assert!(rest.is_empty(), "{name}: trailing bytes");
+    assert_eq!(
+        to_bytes::<M>(&decoded),
+        recorded,
+        "{name}: re-encoded bytes"
+    );
     decoded
 }
 
-/// Asserts that requests are as recorded both ways; none of them has equality.
+/// Asserts that requests encode to and decode from their recorded bytes; no request type has `PartialEq`.
 fn assert_requests<M: Message + Debug>(requests: &[Sample<M>]) {
     for (name, request) in requests {
         let decoded = decode_recorded::<M, M>(name, request);
@@ -76,8 +80,8 @@
     }
 }
 
-/// Asserts that replies with equality are as recorded both ways.
-fn assert_equal_replies<M: Message>(replies: &[Sample<M::Reply>])
+/// Asserts that replies with `PartialEq` encode to and decode from their recorded bytes.
+fn assert_replies<M: Message>(replies: &[Sample<M::Reply>])
 where
     M::Reply: Debug + PartialEq,
 {
@@ -87,8 +91,8 @@
     }
 }
 
-/// Asserts that replies without equality are as recorded both ways.
-fn assert_same_replies<M: Message>(replies: &[Sample<M::Reply>])
+/// Asserts that replies without `PartialEq` encode to and decode from their recorded bytes.
+fn assert_replies_by_debug<M: Message>(replies: &[Sample<M::Reply>])
 where
     M::Reply: Debug,
 {
@@ -100,11 +104,11 @@
 
 /// Returns a key whose bytes all differ.
 fn key(first: u8) -> SubmissionKey {
-    std::array::from_fn(|at| first + at as u8)
+    std::array::from_fn(|index| first + index as u8)
 }
 
-/// Returns a life of a guard.
-fn place(guard: u16) -> Placement {
+/// Returns a guard with one of its incarnations.
+fn placement(guard: u16) -> Placement {
     Placement {
         guard,
         incarnation: 1_790_000_000_000 + u64::from(guard),
@@ -116,10 +120,10 @@
     Duration::new(1_790_000_000, nanos)
 }
 
-/// Returns what a guard says of itself.
+/// Returns a guard's report on itself.
 fn report(guard: u16, phase: GuardPhase, is_whole: bool) -> GuardReport {
     GuardReport {
-        placement: place(guard),
+        placement: placement(guard),
         sequence: 70_001,
         phase,
         is_whole,
@@ -130,12 +134,12 @@
     }
 }
 
-/// Returns the state of a sender that rides along.
+/// Returns the report that a sender attaches to its messages.
 fn guard_report() -> Option<GuardReport> {
     Some(report(9, GuardPhase::Live, true))
 }
 
-/// Returns a ballot whose numbers differ from each other.
+/// Returns a ballot with distinct field values.
 fn ballot(round: u32) -> Ballot {
     Ballot {
         round,
@@ -145,12 +149,12 @@
     }
 }
 
-/// Returns a claim for three tasks at two places.
+/// Returns a claim for three tasks on two guards.
 fn claim(refusal: Option<ReasonCode>) -> Claim {
     Claim {
         digest: key(0x40),
         submitted_at: time(41),
-        placements: vec![place(42), place(430)],
+        placements: vec![placement(42), placement(430)],
         tasks: vec![0, 1, 300],
         refusal,
     }
@@ -172,13 +176,13 @@
     }
 }
 
-/// Returns the lives known of some guards.
-fn lives(guards: &[u16]) -> Incarnations {
-    let mut known = Incarnations::default();
+/// Returns the known incarnations of some guards.
+fn incarnations(guards: &[u16]) -> Incarnations {
+    let mut incarnations = Incarnations::default();
     for guard in guards {
-        known.record(*guard, place(*guard).incarnation);
+        incarnations.record(*guard, placement(*guard).incarnation);
     }
-    known
+    incarnations
 }
 
 fn guard_phases() -> Vec<Sample<GuardPhase>> {
@@ -294,7 +298,7 @@
         TaskEnd::Failed { .. } => wrap("failed", reason_codes(), failed),
         TaskEnd::Returned(_) => wrap("returned", reason_codes(), TaskEnd::Returned),
         TaskEnd::Released(_) => several([
-            ("released", TaskEnd::Released(Some(place(51)))),
+            ("released", TaskEnd::Released(Some(placement(51)))),
             ("released-nowhere", TaskEnd::Released(None)),
         ]),
     })
@@ -303,7 +307,7 @@
 fn release_verdicts() -> Vec<Sample<ReleaseVerdict>> {
     each_variant!(ReleaseVerdict {
         ReleaseVerdict::Released(_) => several([
-            ("released", ReleaseVerdict::Released(Some(place(52)))),
+            ("released", ReleaseVerdict::Released(Some(placement(52)))),
             ("released-nowhere", ReleaseVerdict::Released(None)),
         ]),
         ReleaseVerdict::Started => one("started", ReleaseVerdict::Started),
@@ -332,7 +336,7 @@
     })
 }
 
-/// Lists reports of guards in every phase, each alone, together, and none.
+/// Lists reports of guards: one of each phase, all of them together, and none.
 fn report_lists(word: &str) -> Vec<Sample<Vec<GuardReport>>> {
     let all: Vec<GuardReport> = guard_phases()
         .into_iter()
@@ -385,25 +389,25 @@
 fn claim_answers() -> Vec<Sample<ClaimAnswer>> {
     let answer = |known, body, guard_report| ClaimAnswer {
         reply: ReplicaReply {
-            from: place(81),
+            from: placement(81),
             known,
             body,
         },
         guard_report,
     };
     let mut all = wrap("claim-reply", claim_replies(), |body| {
-        answer(lives(&[82, 830, 84]), body, guard_report())
+        answer(incarnations(&[82, 830, 84]), body, guard_report())
     });
     all.extend(one(
         "claim-reply-no-lives-no-member",
-        answer(lives(&[]), ClaimReply::NotVoting, None),
+        answer(incarnations(&[]), ClaimReply::NotVoting, None),
     ));
     all
 }
 
 fn recover_requests() -> Vec<Sample<RecoverCall>> {
     let call = |after| RecoverCall {
-        asking: place(85),
+        asking: placement(85),
         after,
     };
     several([
@@ -412,7 +416,7 @@
     ])
 }
 
-/// Returns records of replicas: nothing accepted, a claim, a refusal.
+/// Returns replica records without a claim, with a claim, and with a refused claim.
 fn records() -> Vec<(SubmissionKey, ReplicaRecord)> {
     let record = |accepted, nanos| ReplicaRecord {
         promised: ballot(87),
@@ -439,7 +443,7 @@
     });
     let last = page(Standing::Whole, Vec::new(), false);
     all.extend(one("recover-reply-last", last));
-    // A claim refused for each reason, so that stored reasons are covered too.
+    // A claim refused for each reason covers the stored reasons too.
     all.extend(wrap("recover-reply-refused", reason_codes(), |reason| {
         let record = ReplicaRecord {
             promised: ballot(89),
@@ -457,7 +461,7 @@
 
 fn standing_replies() -> Vec<Sample<StandingReport>> {
     wrap("standing-reply", standings(), |standing| StandingReport {
-        own: place(91),
+        own: placement(91),
         standing,
         records: 70_092,
     })
@@ -466,7 +470,7 @@
 fn found_requests() -> Vec<Sample<FoundCall>> {
     let call = |incarnations| FoundCall { incarnations };
     several([
-        ("found-request", call(vec![place(93), place(940)])),
+        ("found-request", call(vec![placement(93), placement(940)])),
         ("found-request-none", call(Vec::new())),
     ])
 }
@@ -478,7 +482,7 @@
     ])
 }
 
-/// Returns two tasks that differ in every field.
+/// Returns two tasks with distinct field values.
 fn assigned_tasks() -> Vec<AssignedTask> {
     vec![
         AssignedTask {
@@ -498,7 +502,7 @@
 
 fn assign_requests() -> Vec<Sample<Assign>> {
     let assign = |tasks, guard_report| Assign {
-        place: place(98),
+        place: placement(98),
         key: key(0x99),
         workspace: "pharmacy-7".to_owned(),
         service: "sorter".to_owned(),
@@ -542,14 +546,14 @@
 
 fn release_requests() -> Vec<Sample<Release>> {
     let release = |to| Release {
-        place: place(105),
+        place: placement(105),
         key: key(0x6a),
         index: 1_070,
         to,
         keep_until: time(108),
     };
     several([
-        ("release-request", release(Some(place(109)))),
+        ("release-request", release(Some(placement(109)))),
         ("release-request-nowhere", release(None)),
     ])
 }
@@ -607,7 +611,7 @@
     })
 }
 
-/// Returns the names in some lists of samples.
+/// Returns the names of some samples.
 fn names_of<T>(samples: &[Sample<T>]) -> Vec<String> {
     samples.iter().map(|(name, _)| name.clone()).collect()
 }
@@ -639,13 +643,13 @@
     lists.concat()
 }
 
-/// Returns the number and the name of a message.
+/// Returns the number and the name of a message type.
 fn kind_of<M: Message>() -> (u16, &'static str) {
     (M::KIND, M::NAME)
 }
 
 #[test]
-fn messages_have_their_numbers_and_names() {
+fn message_numbers_and_names_never_change() {
     assert_eq!(kind_of::<Heartbeat>(), (1, "heartbeat"));
     assert_eq!(kind_of::<Leave>(), (2, "leave"));
     assert_eq!(kind_of::<ClaimCall>(), (10, "claim"));
@@ -661,61 +665,61 @@
 #[test]
 fn heartbeats_are_as_recorded() {
     assert_requests::<Heartbeat>(&heartbeat_requests());
-    assert_equal_replies::<Heartbeat>(&heartbeat_replies());
+    assert_replies::<Heartbeat>(&heartbeat_replies());
 }
 
 #[test]
 fn leaves_are_as_recorded() {
     assert_requests::<Leave>(&leave_requests());
-    assert_equal_replies::<Leave>(&leave_replies());
+    assert_replies::<Leave>(&leave_replies());
 }
 
 #[test]
 fn claims_are_as_recorded() {
     assert_requests::<ClaimCall>(&claim_calls());
-    assert_same_replies::<ClaimCall>(&claim_answers());
+    assert_replies_by_debug::<ClaimCall>(&claim_answers());
 }
 
 #[test]
 fn recoveries_are_as_recorded() {
     assert_requests::<RecoverCall>(&recover_requests());
-    assert_equal_replies::<RecoverCall>(&recover_replies());
+    assert_replies::<RecoverCall>(&recover_replies());
 }
 
 #[test]
 fn standings_are_as_recorded() {
     assert_requests::<StandingCall>(&standing_requests());
-    assert_equal_replies::<StandingCall>(&standing_replies());
+    assert_replies::<StandingCall>(&standing_replies());
 }
 
 #[test]
 fn foundings_are_as_recorded() {
     assert_requests::<FoundCall>(&found_requests());
-    assert_equal_replies::<FoundCall>(&found_replies());
+    assert_replies::<FoundCall>(&found_replies());
 }
 
 #[test]
 fn assignments_are_as_recorded() {
     assert_requests::<Assign>(&assign_requests());
-    assert_same_replies::<Assign>(&assign_replies());
+    assert_replies_by_debug::<Assign>(&assign_replies());
 }
 
 #[test]
 fn releases_are_as_recorded() {
     assert_requests::<Release>(&release_requests());
-    assert_same_replies::<Release>(&release_replies());
+    assert_replies_by_debug::<Release>(&release_replies());
 }
 
 #[test]
 fn submissions_are_as_recorded() {
     assert_requests::<Submit>(&submit_requests());
-    assert_equal_replies::<Submit>(&submit_replies());
+    assert_replies::<Submit>(&submit_replies());
 }
 
 #[test]
 fn queries_are_as_recorded() {
     assert_requests::<Query>(&query_requests());
-    assert_equal_replies::<Query>(&query_replies());
+    assert_replies::<Query>(&query_replies());
 }
 
 #[test]
@@ -732,6 +736,6 @@
 
     for file in fs::read_dir(fixture_path(DIRECTORY)).unwrap() {
         let name = file.unwrap().file_name().into_string().unwrap();
-        assert!(known.contains(&name), "{name} is of no sample");
+        assert!(known.contains(&name), "{name} has no sample");
     }
 }
--- a/compatibility/tests/control_disk.rs
+++ b/compatibility/tests/control_disk.rs
@@ -1,7 +1,7 @@
-//! What a control process stores: the records of its replica, and the commands and states within them.
+//! The data that a control process stores: the records of its replica, with the commands and states in them.
 //!
-//! Each fixture `control-disk/*.log` is a whole `replica.log` as [`Store::append`] writes it. Each `*.bin` is one value as it
-//! stands in an entry's command or in a snapshot's state.
+//! Each fixture `control-disk/*.log` is a whole `replica.log` as [`Store::append`] writes it. Each `*.bin` is one encoded value, as in
+//! the command of an entry or the state of a snapshot.
 
 #![allow(clippy::unwrap_used)]
 
@@ -28,14 +28,14 @@
 const HISTORY: &str = "control-disk/history.log";
 const TORN_HISTORY: &str = "control-disk/history-torn-tail.log";
 
-/// Records that are appended to an empty store, and what the store holds then.
+/// Records to append to an empty store, and the state that the store recovers afterwards.
 struct LogCase {
     fixture: &'static str,
     records: Vec<Record>,
     expected: RecoveredState,
 }
 
-/// Returns the fixture of a record's kind. A new variant or field stops the build here: name a fixture for it and add a case to
+/// Returns the fixture for a kind of record. A new variant or field fails the build here and needs a fixture and a case in
 /// [`log_cases`].
 fn fixture_of(record: &Record) -> &'static str {
     match record {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Returns the fixture of a decision with this outcome. A new variant stops the build here: name a fixture for it and add it to
+/// Returns the fixture for an audit record with this outcome. A new variant fails the build here and needs a fixture and an entry in
 /// [`outcomes`].
 fn fixture_of_outcome(outcome: ProposalOutcome) -> &'static str {
     match outcome {
@@ -103,12 +103,12 @@
     }
 }
 
-/// Returns the members without the last of three.
+/// Returns the three members without the last one.
 fn two_members() -> Members {
     three_members().without(u64::MAX)
 }
 
-fn offer(version: u64, text: &str) -> Proposal {
+fn proposal(version: u64, text: &str) -> Proposal {
     Proposal {
         configuration: StoredConfiguration {
             version,
@@ -119,22 +119,22 @@
     }
 }
 
-/// Returns offers that come to every outcome, one after the other.
-fn offers() -> [Proposal; 5] {
+/// Returns proposals that together produce every outcome.
+fn proposals() -> [Proposal; 5] {
     [
-        offer(1, r#"{"Version":1}"#),
-        offer(300, r#"{"Version":300}"#),
-        offer(300, r#"{"Version":300}"#),
-        offer(2, r#"{"Version":2}"#),
-        offer(300, r#"{"Version":300,"Routes":[]}"#),
+        proposal(1, r#"{"Version":1}"#),
+        proposal(300, r#"{"Version":300}"#),
+        proposal(300, r#"{"Version":300}"#),
+        proposal(2, r#"{"Version":2}"#),
+        proposal(300, r#"{"Version":300,"Routes":[]}"#),
     ]
 }
 
-/// Returns the state after these offers.
-fn state_after(offers: &[Proposal]) -> ConfigurationState {
+/// Returns the state after these proposals.
+fn state_after(proposals: &[Proposal]) -> ConfigurationState {
     let mut state = ConfigurationState::default();
-    for offer in offers {
-        state.apply(offer.clone());
+    for proposal in proposals {
+        state.apply(proposal.clone());
     }
     state
 }
@@ -164,8 +164,8 @@
     }
 }
 
-fn command(index: u64, term: u64, offer: &Proposal) -> Entry {
-    entry(index, term, Payload::Command(encode(offer)))
+fn command(index: u64, term: u64, proposal: &Proposal) -> Entry {
+    entry(index, term, Payload::Command(encode(proposal)))
 }
 
 fn snapshot() -> Snapshot {
@@ -173,7 +173,7 @@
         index: 70_000,
         term: 300,
         members: three_members(),
-        state: state_after(&offers()).encode(),
+        state: state_after(&proposals()).encode(),
     }
 }
 
@@ -218,7 +218,7 @@
             },
         ),
         of_entry(entry(70_000, 300, Payload::Empty)),
-        of_entry(command(70_000, 300, &offers()[1])),
+        of_entry(command(70_000, 300, &proposals()[1])),
         of_entry(entry(70_000, 300, Payload::Members(three_members()))),
         (
             vec![Record::Truncate { from: 70_000 }],
@@ -247,11 +247,11 @@
     cases.into_iter().map(name).collect()
 }
 
-/// Returns the batches of a replica that founds a group, is elected, takes offers, changes the members, loses an entry to a later
-/// leader and replaces the log's beginning by a snapshot.
+/// Returns the batches of a replica that bootstraps a group, is elected, accepts proposals, changes the members, truncates an entry that
+/// conflicts with a later leader, and compacts the log into a snapshot.
 fn history_batches() -> Vec<Vec<Record>> {
     let hard_state = |term, voted_for| Record::HardState { term, voted_for };
-    let [first, second, repeated, ..] = offers();
+    let [first, second, repeated, ..] = proposals();
     vec![
         vec![Record::Identity {
             id: 300,
@@ -275,7 +275,7 @@
         vec![
             Record::Commit { index: 3 },
             Record::Entry(entry(4, 2, Payload::Members(two_members()))),
-            Record::Entry(command(5, 2, &offer(9, "never committed"))),
+            Record::Entry(command(5, 2, &proposal(9, "never committed"))),
         ],
         vec![hard_state(3, None), Record::Truncate { from: 5 }],
         vec![
@@ -295,19 +295,19 @@
     ]
 }
 
-/// Returns the last snapshot of the history.
+/// Returns the last snapshot in the history.
 fn history_snapshot() -> Snapshot {
     Snapshot {
         index: 5,
         term: 3,
         members: two_members(),
-        state: state_after(&offers()[..1]).encode(),
+        state: state_after(&proposals()[..1]).encode(),
     }
 }
 
-/// Returns what a store holds after the history.
+/// Returns the state that a store recovers from the history.
 fn history_state() -> RecoveredState {
-    let [_, second, repeated, ..] = offers();
+    let [_, second, repeated, ..] = proposals();
     RecoveredState {
         identity: Some(DiskIdentity {
             id: 300,
@@ -325,7 +325,7 @@
     }
 }
 
-/// Appends batches to an empty store and returns its file.
+/// Appends batches to an empty store and returns the bytes of its log.
 fn write_log(batches: &[Vec<Record>]) -> Vec<u8> {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = Store::open(folder.path()).unwrap();
@@ -335,11 +335,11 @@
     read_log(folder.path())
 }
 
-/// Returns the history with half of a further record behind it.
+/// Returns the history followed by half of another record.
 fn write_torn_history() -> Vec<u8> {
     let mut bytes = write_log(&history_batches());
-    let further = write_log(&[vec![Record::Entry(command(9, 3, &offers()[3]))]]);
-    bytes.extend_from_slice(&further[..further.len() / 2]);
+    let next_entry = write_log(&[vec![Record::Entry(command(9, 3, &proposals()[3]))]]);
+    bytes.extend_from_slice(&next_entry[..next_entry.len() / 2]);
     bytes
 }
 
@@ -347,14 +347,14 @@
     fs::read(folder.join(LOG_FILE)).unwrap()
 }
 
-/// Puts a copy of a recorded file into a folder of its own, where a store looks for it.
+/// Copies a recorded file to a new folder, from which a store can open it.
 fn copy_log(recorded: &[u8]) -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     fs::write(folder.path().join(LOG_FILE), recorded).unwrap();
     folder
 }
 
-/// Asserts that a value is encoded to the recorded bytes and decoded from them.
+/// Asserts that a value encodes to the recorded bytes and decodes from them.
 fn assert_value_recorded<T>(fixture: &str, value: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -366,15 +366,16 @@
     assert_eq!(&postcard::from_bytes::<T>(&recorded).unwrap(), value);
 }
 
-/// Asserts that there is a sample of each variant of an enum: their numbers rise from 0 without a gap, and no variant has the next.
+/// Asserts that there is a sample of each variant of an enum: the variant indices of the samples run from 0 without a gap, and the next
+/// index does not decode.
 fn assert_all_variants<T: Serialize + DeserializeOwned>(samples: &[T]) {
-    let numbers: BTreeSet<u8> = samples.iter().map(|sample| encode(sample)[0]).collect();
-    let next = numbers.len() as u8;
-    // Zeros are sound values of nearly every type.
+    let indices: BTreeSet<u8> = samples.iter().map(|sample| encode(sample)[0]).collect();
+    let next = indices.len() as u8;
+    // Zeros decode as valid values of nearly every type.
     let mut unknown = vec![next];
     unknown.resize(256, 0);
 
-    assert!(numbers.into_iter().eq(0..next), "a variant has no sample");
+    assert!(indices.into_iter().eq(0..next), "a variant has no sample");
     assert!(
         postcard::from_bytes::<T>(&unknown).is_err(),
         "variant {next} has no sample"
@@ -399,13 +400,17 @@
         let (_store, state) = Store::open(folder.path()).unwrap();
 
         assert_eq!(state, case.expected, "{}", case.fixture);
-        let kept = read_log(folder.path());
-        assert_eq!(kept, recorded, "{}: something is cut off", case.fixture);
+        let log_after_open = read_log(folder.path());
+        assert_eq!(
+            log_after_open, recorded,
+            "{}: the log was truncated",
+            case.fixture
+        );
     }
 }
 
 #[test]
-fn each_case_has_a_file_of_its_own_with_one_kind_of_record() {
+fn each_case_has_its_own_fixture_with_one_kind_of_record() {
     let cases = log_cases();
 
     let fixtures: BTreeSet<&str> = cases.iter().map(|case| case.fixture).collect();
@@ -443,18 +448,18 @@
 }
 
 #[test]
-fn a_recorded_history_is_read_whole() {
+fn a_recorded_history_is_recovered_completely() {
     let recorded = read_or_record(HISTORY, &write_log(&history_batches()));
     let folder = copy_log(&recorded);
 
     let (_store, state) = Store::open(folder.path()).unwrap();
 
     assert_eq!(state, history_state());
-    assert_eq!(read_log(folder.path()), recorded, "something is cut off");
+    assert_eq!(read_log(folder.path()), recorded, "the log was truncated");
 }
 
 #[test]
-fn a_recorded_torn_tail_is_cut_off() {
+fn a_recorded_torn_tail_is_truncated() {
     let whole = read_or_record(HISTORY, &write_log(&history_batches()));
     let torn = read_or_record(TORN_HISTORY, &write_torn_history());
     let folder = copy_log(&torn);
@@ -467,58 +472,58 @@
 }
 
 #[test]
-fn a_recorded_history_is_appended_to() {
+fn a_store_appends_to_a_recorded_history() {
     let recorded = read_or_record(TORN_HISTORY, &write_torn_history());
     let folder = copy_log(&recorded);
     let (mut store, mut expected) = Store::open(folder.path()).unwrap();
-    let further = command(9, 3, &offers()[3]);
+    let next_entry = command(9, 3, &proposals()[3]);
 
-    store.append(&[Record::Entry(further.clone())]).unwrap();
+    store.append(&[Record::Entry(next_entry.clone())]).unwrap();
 
-    expected.entries.push(further);
+    expected.entries.push(next_entry);
     let (_store, state) = Store::open(folder.path()).unwrap();
     assert_eq!(state, expected);
 }
 
 #[test]
-fn the_configuration_is_worked_out_from_a_recorded_history() {
+fn the_configuration_is_recovered_from_a_recorded_history() {
     let recorded = read_or_record(HISTORY, &write_log(&history_batches()));
     let folder = copy_log(&recorded);
-    let (_store, held) = Store::open(folder.path()).unwrap();
+    let (_store, recovered) = Store::open(folder.path()).unwrap();
 
-    let mut state = ConfigurationState::decode(&held.snapshot.state).unwrap();
-    for entry in &held.entries {
+    let mut state = ConfigurationState::decode(&recovered.snapshot.state).unwrap();
+    for entry in &recovered.entries {
         if let Payload::Command(command) = &entry.payload {
             state.apply(postcard::from_bytes::<Proposal>(command).unwrap());
         }
     }
 
-    assert_eq!(state, state_after(&offers()[..3]));
+    assert_eq!(state, state_after(&proposals()[..3]));
 }
 
 #[test]
-fn offers_are_encoded_as_recorded() {
+fn proposals_are_encoded_as_recorded() {
     let without_text = Proposal {
         configuration: StoredConfiguration {
             version: u64::MAX,
             text: [].into(),
         },
-        ..offer(0, "")
+        ..proposal(0, "")
     };
 
-    assert_value_recorded("control-disk/offer.bin", &offers()[1]);
+    assert_value_recorded("control-disk/offer.bin", &proposals()[1]);
     assert_value_recorded("control-disk/offer-without-text.bin", &without_text);
 }
 
 #[test]
 fn stored_configurations_are_encoded_as_recorded() {
-    let stored = offers()[1].configuration.clone();
+    let stored = proposals()[1].configuration.clone();
 
     assert_value_recorded("control-disk/stored-configuration.bin", &stored);
 }
 
 #[test]
-fn decisions_are_encoded_as_recorded() {
+fn audit_records_are_encoded_as_recorded() {
     for outcome in outcomes() {
         assert_value_recorded(fixture_of_outcome(outcome), &audit_record(outcome));
     }
@@ -528,7 +533,7 @@
 fn states_are_encoded_as_recorded() {
     let cases = [
         ("control-disk/state-new.bin", ConfigurationState::default()),
-        ("control-disk/state.bin", state_after(&offers())),
+        ("control-disk/state.bin", state_after(&proposals())),
     ];
     for (fixture, state) in cases {
         let bytes = state.encode();
@@ -540,8 +545,11 @@
 }
 
 #[test]
-fn the_recorded_state_shows_each_decision() {
-    let recorded = read_or_record("control-disk/state.bin", &state_after(&offers()).encode());
+fn the_recorded_state_contains_each_audit_record() {
+    let recorded = read_or_record(
+        "control-disk/state.bin",
+        &state_after(&proposals()).encode(),
+    );
 
     let state = ConfigurationState::decode(&recorded).unwrap();
 
@@ -557,7 +565,7 @@
         (300, 300, ProposalOutcome::Conflicting),
     ];
     assert_eq!(decisions, expected);
-    assert_eq!(state.current(), Some(&offers()[1].configuration));
+    assert_eq!(state.current(), Some(&proposals()[1].configuration));
 }
 
 #[test]
--- a/compatibility/tests/control_evacuations.rs
+++ b/compatibility/tests/control_evacuations.rs
@@ -1,4 +1,4 @@
-//! What a control process stores of evacuations, against its recorded bytes, and what builds before them make of it.
+//! Evacuations as a control process stores them, compared with recorded bytes and as older builds decode them.
 
 #![allow(clippy::unwrap_used)]
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Returns orders that come to every outcome, one after the other.
+/// Returns orders that together produce every outcome.
 fn orders() -> [EvacuationOrder; 5] {
     [
         order(1, "hall-a", HallChange::Evacuate, 0),
@@ -44,7 +44,7 @@
     ]
 }
 
-/// Returns a state with a configuration and after these orders.
+/// Returns a state with a configuration after these orders.
 fn state_after(orders: &[EvacuationOrder]) -> ReplicatedState {
     let mut state = ReplicatedState::default();
     state.configuration.apply(proposal());
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn proposals_and_states_without_evacuations_are_stored_as_before() {
+fn proposals_and_states_without_evacuations_keep_their_encoding() {
     let recorded = std::fs::read(fixture_path("control-disk/offer.bin")).unwrap();
     let state = std::fs::read(fixture_path("control-disk/state.bin")).unwrap();
 
@@ -98,19 +98,19 @@
 }
 
 #[test]
-fn a_build_before_evacuations_passes_over_an_order_and_reads_the_configuration_of_a_state() {
+fn an_older_build_skips_an_order_and_decodes_the_configuration_of_a_state() {
     let command = Command::Evacuation(orders()[0].clone());
     let state = state_after(&orders());
 
-    let as_proposal = postcard::from_bytes::<Proposal>(&command.encode().unwrap());
-    let as_old_state = ConfigurationState::decode(&state.encode());
+    let old_command = postcard::from_bytes::<Proposal>(&command.encode().unwrap());
+    let old_state = ConfigurationState::decode(&state.encode());
 
-    assert!(as_proposal.is_err(), "{as_proposal:?}");
-    assert_eq!(as_old_state.unwrap(), state.configuration);
+    assert!(old_command.is_err(), "{old_command:?}");
+    assert_eq!(old_state.unwrap(), state.configuration);
 }
 
 #[test]
-fn cut_off_or_foreign_commands_are_errors() {
+fn truncated_commands_are_errors() {
     let bytes = Command::Evacuation(orders()[0].clone()).encode().unwrap();
 
     for len in 0..bytes.len() {
--- a/compatibility/tests/control_later_state.rs
+++ b/compatibility/tests/control_later_state.rs
@@ -1,4 +1,4 @@
-//! What a control process stores of the groups that keep jobs and of upkeep, and what builds before them make of it.
+//! Groups of kept jobs and upkeep as a control process stores them, compared with recorded bytes and as older builds decode them.
 
 #![allow(clippy::unwrap_used)]
 
@@ -50,7 +50,7 @@
     }
 }
 
-fn wave() -> UpkeepCommand {
+fn wave_command() -> UpkeepCommand {
     UpkeepCommand::Order(order())
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns a state with a configuration and the groups that keep jobs.
+/// Returns a state with a configuration and groups of kept jobs.
 fn state_with_groups() -> ReplicatedState {
     let mut state = ReplicatedState::default();
     state.configuration.apply(proposal());
@@ -80,7 +80,10 @@
             "control-disk/job-groups-command.bin",
             Command::JobGroups(groups()),
         ),
-        ("control-disk/wave-command.bin", Command::Upkeep(wave())),
+        (
+            "control-disk/wave-command.bin",
+            Command::Upkeep(wave_command()),
+        ),
     ];
     for (fixture, command) in cases {
         let bytes = command.clone().encode().unwrap();
@@ -145,7 +148,7 @@
 }
 
 #[test]
-fn builds_before_the_groups_read_what_they_know_of_a_state() {
+fn older_builds_decode_the_parts_of_a_state_that_they_know() {
     let mut state = state_with_groups();
     state.evacuations.apply(evacuation(), 70_000);
     let bytes = state.encode();
@@ -159,8 +162,11 @@
 }
 
 #[test]
-fn a_build_before_the_groups_passes_over_a_command() {
-    for command in [Command::JobGroups(groups()), Command::Upkeep(wave())] {
+fn an_older_build_skips_commands_that_it_does_not_know() {
+    for command in [
+        Command::JobGroups(groups()),
+        Command::Upkeep(wave_command()),
+    ] {
         let bytes = command.encode().unwrap();
 
         assert!(postcard::from_bytes::<Proposal>(&bytes).is_err());
--- a/compatibility/tests/control_peers.rs
+++ b/compatibility/tests/control_peers.rs
@@ -1,4 +1,4 @@
-//! The file in which a control process remembers entries and guards, against its recorded bytes.
+//! The file in which a control process stores entries and guards, compared with its recorded bytes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn remembered_peers_are_written_as_recorded_and_read() {
+fn stored_peers_are_encoded_and_decoded_as_recorded() {
     let bytes = postcard::to_stdvec(&peers()).unwrap();
 
     assert_recorded(FIXTURE, &bytes);
--- a/compatibility/tests/kept_jobs.rs
+++ b/compatibility/tests/kept_jobs.rs
@@ -1,4 +1,4 @@
-//! What the groups that keep jobs store: the commands of an entry, the table in a snapshot, and a whole store of a replica.
+//! The stored data of the groups of kept jobs: log commands, the job table in a snapshot, and the whole store of a replica.
 
 #![allow(clippy::unwrap_used)]
 
@@ -34,9 +34,9 @@
     }
 }
 
-/// Returns one command of each kind. A new variant stops the build here: add it at the end, in a fixture of its own.
+/// Returns commands of every kind. A new variant fails the build here and needs a fixture of its own, so that this one does not change.
 fn commands() -> Vec<JobCommand> {
-    let known = |command: &JobCommand| match command {
+    let assert_known = |command: &JobCommand| match command {
         JobCommand::Submit(_)
         | JobCommand::RecordEnds(_)
         | JobCommand::Cancel(_)
@@ -48,7 +48,7 @@
         end("job-8", 1, 1_048_578, EndOutcome::Failed),
         end("job-9", 0, 1_048_579, EndOutcome::Done),
     ];
-    let assignee = JobReassignment {
+    let reassignment = JobReassignment {
         job: "job-8".into(),
         after: 1,
         driver: 10_000,
@@ -61,13 +61,13 @@
         JobCommand::RecordEnds(ends),
         JobCommand::Cancel("job-10".into()),
         JobCommand::Expire(1),
-        JobCommand::Assign(vec![assignee]),
+        JobCommand::Assign(vec![reassignment]),
     ];
-    commands.iter().for_each(known);
+    commands.iter().for_each(assert_known);
     commands
 }
 
-/// Returns the table after all commands: jobs that are open, in progress, handed on, ended, forgotten.
+/// Returns the table after all commands, with jobs in different states.
 fn table() -> JobTable {
     let mut table = JobTable::default();
     for command in commands() {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_commands_of_an_entry_are_encoded_as_recorded() {
+fn log_commands_are_encoded_as_recorded() {
     let fixture = "kept-jobs/commands.bin";
     let bytes = postcard::to_stdvec(&commands()).unwrap();
 
@@ -137,8 +137,8 @@
     let path = folder.path().join("replica.log");
 
     assert_recorded(fixture, &fs::read(&path).unwrap());
-    let written = read_or_record(fixture, &fs::read(&path).unwrap());
-    fs::write(&path, written).unwrap();
+    let recorded = read_or_record(fixture, &fs::read(&path).unwrap());
+    fs::write(&path, recorded).unwrap();
     let (_, recovered) = Store::open(folder.path()).unwrap();
 
     assert_eq!(recovered.snapshot, snapshot);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_job_is_always_in_the_same_group() {
+fn the_group_of_a_job_never_changes() {
     let groups = ["job-8", "job-9", "job-10", "job-11"].map(|job| group_of(job, 16));
 
     assert_recorded("kept-jobs/groups.bin", &groups.map(|group| group as u8));
--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -1,4 +1,4 @@
-//! Link frames of every message between entries, guards and control processes, against their recorded bytes.
+//! Link frames of every message among entries, guards and control processes, compared with their recorded bytes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -35,13 +35,13 @@
 use crate::samples::{Sample, each_variant, one, several, wrap};
 use crate::support::{assert_recorded, fixture_path, read_or_record};
 
-/// Where these fixtures are, below `fixtures/`.
+/// Folder of these fixtures, relative to `fixtures/`.
 const DIRECTORY: &str = "leased-messages";
 
-/// A frame without a message.
-const SIGN_OF_LIFE: &str = "sign-of-life";
+/// Fixture of a link heartbeat, a frame without a message.
+const HEARTBEAT_FIXTURE: &str = "sign-of-life";
 
-/// Returns the name of a fixture below `fixtures/`.
+/// Returns the path of a fixture, relative to `fixtures/`.
 fn file_name(name: &str) -> String {
     format!("{DIRECTORY}/{name}.bin")
 }
@@ -53,7 +53,7 @@
     frame
 }
 
-/// Asserts that a message is encoded as it was recorded, and that the recorded frame is decoded to it and used up.
+/// Asserts that a message encodes to the recorded frame, and that decoding the frame returns the message and consumes all bytes.
 fn assert_frame(name: &str, message: &PeerMessage) {
     let file = file_name(name);
     let frame = to_frame(message);
@@ -63,27 +63,27 @@
     let mut recorded = BytesMut::from(&read_or_record(&file, &frame)[..]);
     let decoded: Option<PeerMessage> = decode_frame(&mut recorded).unwrap();
     assert_eq!(decoded.as_ref(), Some(message), "{name}");
-    assert!(recorded.is_empty(), "{name}: bytes are left over");
+    assert!(recorded.is_empty(), "{name}: trailing bytes");
 }
 
-/// Asserts the same of each sample.
+/// Asserts that each sample encodes to and decodes from its recorded frame.
 fn assert_frames(messages: &[Sample<PeerMessage>]) {
     for (name, message) in messages {
         assert_frame(name, message);
     }
 }
 
-/// Returns an IPv4 address that ends in a number.
+/// Returns an IPv4 address with the given last octet.
 fn v4(last: u8, port: u16) -> SocketAddr {
     SocketAddr::from(([10, 20, 30, last], port))
 }
 
-/// Returns an IPv6 address that ends in a number.
+/// Returns an IPv6 address with the given last segment.
 fn v6(last: u16, port: u16) -> SocketAddr {
     SocketAddr::from(([0xfd00, 0x1234, 0, 0, 0, 0, 0x56, last], port))
 }
 
-/// Returns amounts that differ from each other, one of them negative.
+/// Returns resources with distinct amounts, one of them negative.
 fn resources(base: i64) -> Resources {
     Resources {
         cpu_milli: base * 1_000 + 1,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Returns a room whose numbers differ from each other.
+/// Returns a free capacity with distinct field values.
 fn free_capacity(base: i64) -> FreeCapacity {
     FreeCapacity {
         free: resources(base),
@@ -101,7 +101,7 @@
     }
 }
 
-/// Returns a task whose numbers differ from each other.
+/// Returns a task ID with distinct field values.
 fn task(job: &str) -> TaskId {
     TaskId {
         job: job.to_owned(),
@@ -111,7 +111,7 @@
     }
 }
 
-/// Returns an assignment whose numbers differ from each other.
+/// Returns an assignment with distinct field values.
 fn assignment() -> Assignment {
     Assignment {
         task: task("order-41"),
@@ -146,7 +146,7 @@
     }
 }
 
-/// Returns a configuration; its text needn't be valid here.
+/// Returns a configuration, whose text need not be valid here.
 fn configuration(version: u64, text: &[u8]) -> StoredConfiguration {
     StoredConfiguration {
         version,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Returns an append of some entries.
+/// Returns an `AppendEntries` message.
 fn append(entries: Vec<Entry>) -> Message {
     Message::Append(AppendEntries {
         term: 21,
@@ -178,7 +178,6 @@
     })
 }
 
-/// Returns an entry of the log.
 fn entry(index: u64, payload: Payload) -> Entry {
     Entry {
         index,
@@ -395,7 +394,7 @@
     all
 }
 
-/// Returns an introduction as builds make it that know of evacuations.
+/// Returns a `Hello` with the details that builds since evacuations send.
 fn detailed_hello() -> PeerMessage {
     PeerMessage::Hello(Hello {
         name: "process-56".to_owned(),
@@ -438,14 +437,14 @@
     wrap("evacuation-order", changes, message)
 }
 
-fn holdings() -> Vec<Sample<PeerMessage>> {
-    let holding = |has_quorum| PeerMessage::VersionNotice {
+fn version_notices() -> Vec<Sample<PeerMessage>> {
+    let notice = |has_quorum| PeerMessage::VersionNotice {
         version: 61_000,
         has_quorum,
     };
     several([
-        ("holding-fresh", holding(true)),
-        ("holding-not-fresh", holding(false)),
+        ("holding-fresh", notice(true)),
+        ("holding-not-fresh", notice(false)),
     ])
 }
 
@@ -475,13 +474,13 @@
     ])
 }
 
-fn offers() -> Vec<Sample<PeerMessage>> {
-    let offer = Proposal {
+fn proposals() -> Vec<Sample<PeerMessage>> {
+    let proposal = Proposal {
         configuration: configuration(68_000, b"text of an offer"),
         source: "control-3".to_owned(),
         received_at: Duration::new(1_790_000_000, 123_456_789),
     };
-    one("offer", PeerMessage::Proposal(offer))
+    one("offer", PeerMessage::Proposal(proposal))
 }
 
 fn read_replies() -> Vec<Sample<PeerMessage>> {
@@ -503,13 +502,13 @@
         PeerMessage::Hello(_) => hellos(),
         PeerMessage::ToRunner(_) => wrap("to-runner", dispatcher_messages(), PeerMessage::ToRunner),
         PeerMessage::ToDispatcher(_) => wrap("to-dispatcher", runner_messages(), PeerMessage::ToDispatcher),
-        PeerMessage::VersionNotice { .. } => holdings(),
+        PeerMessage::VersionNotice { .. } => version_notices(),
         PeerMessage::Fetch => one("fetch", PeerMessage::Fetch),
         PeerMessage::Configuration(_) => configurations(),
         PeerMessage::Directory(_) => directories(),
         PeerMessage::Invite { .. } => invites(),
         PeerMessage::Consensus(_) => wrap("consensus", consensus_messages(), PeerMessage::Consensus),
-        PeerMessage::Proposal(_) => offers(),
+        PeerMessage::Proposal(_) => proposals(),
         PeerMessage::Read { .. } => one("read", read),
         PeerMessage::ReadReply { .. } => read_replies(),
         PeerMessage::Goodbye => one("goodbye", PeerMessage::Goodbye),
@@ -693,11 +692,11 @@
     wrap("upkeep", commands, PeerMessage::UpkeepCommand)
 }
 
-/// Returns the samples whose names begin with a word.
-fn messages_named(word: &str) -> Vec<Sample<PeerMessage>> {
+/// Returns the samples whose names begin with a prefix.
+fn messages_named(prefix: &str) -> Vec<Sample<PeerMessage>> {
     let mut messages = peer_messages();
-    messages.retain(|(name, _)| name.starts_with(word));
-    assert!(!messages.is_empty(), "no message is named {word}");
+    messages.retain(|(name, _)| name.starts_with(prefix));
+    assert!(!messages.is_empty(), "no message name starts with {prefix}");
     messages
 }
 
@@ -723,15 +722,15 @@
 
 #[test]
 fn every_message_about_the_configuration_is_as_recorded() {
-    for word in ["holding", "fetch", "configuration", "offer", "read"] {
-        assert_frames(&messages_named(word));
+    for prefix in ["holding", "fetch", "configuration", "offer", "read"] {
+        assert_frames(&messages_named(prefix));
     }
 }
 
 #[test]
 fn every_message_about_addresses_is_as_recorded() {
-    for word in ["directory", "invite", "goodbye", "dial-controls"] {
-        assert_frames(&messages_named(word));
+    for prefix in ["directory", "invite", "goodbye", "dial-controls"] {
+        assert_frames(&messages_named(prefix));
     }
 }
 
@@ -742,27 +741,27 @@
 
 #[test]
 fn every_message_about_kept_jobs_is_as_recorded() {
-    for word in ["job-groups", "job-call", "job-reply", "job-consensus"] {
-        assert_frames(&messages_named(word));
+    for prefix in ["job-groups", "job-call", "job-reply", "job-consensus"] {
+        assert_frames(&messages_named(prefix));
     }
 }
 
 #[test]
 fn every_message_about_upkeep_and_usual_speeds_is_as_recorded() {
-    for word in ["upkeep", "hold-target", "remembered-speed"] {
-        assert_frames(&messages_named(word));
+    for prefix in ["upkeep", "hold-target", "remembered-speed"] {
+        assert_frames(&messages_named(prefix));
     }
 }
 
 #[test]
-fn every_message_of_the_list_is_as_recorded() {
+fn every_message_is_as_recorded() {
     assert_frames(&peer_messages());
 }
 
 #[test]
-fn a_recorded_sign_of_life_is_passed_over() {
-    // Only the link itself writes signs of life, so just the reading of one is tested here.
-    let file = file_name(SIGN_OF_LIFE);
+fn a_recorded_heartbeat_is_skipped() {
+    // Only the link itself writes heartbeats, so this tests only the decoding.
+    let file = file_name(HEARTBEAT_FIXTURE);
     let hello = &messages_named("hello-entry")[0].1;
     let mut bytes = BytesMut::from(&read_or_record(&file, &[0; 4])[..]);
     bytes.extend_from_slice(&to_frame(hello));
@@ -787,10 +786,10 @@
         .iter()
         .map(|(name, _)| format!("{name}.bin"))
         .collect();
-    known.insert(format!("{SIGN_OF_LIFE}.bin"));
+    known.insert(format!("{HEARTBEAT_FIXTURE}.bin"));
 
     for file in fs::read_dir(fixture_path(DIRECTORY)).unwrap() {
         let name = file.unwrap().file_name().into_string().unwrap();
-        assert!(known.contains(&name), "{name} is of no sample");
+        assert!(known.contains(&name), "{name} has no sample");
     }
 }
--- a/compatibility/tests/older_builds.rs
+++ b/compatibility/tests/older_builds.rs
@@ -1,4 +1,4 @@
-//! What a build before evacuations makes of an introduction of this build, and this build of one of its own.
+//! `Hello` messages between this build and builds that predate evacuations.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,7 +17,7 @@
     BytesMut::from(&std::fs::read(path).unwrap()[..])
 }
 
-/// The first fields of an introduction, which are all that builds before evacuations know.
+/// The fields of a `Hello` that builds before evacuations decode.
 #[derive(Debug, PartialEq, Deserialize)]
 struct OldHello {
     name: String,
@@ -26,14 +26,14 @@
     version: u64,
 }
 
-/// The only variant of a message that this test decodes as an older build does.
+/// The message type of an older build, reduced to the variant under test.
 #[derive(Debug, PartialEq, Deserialize)]
 enum OldMessage {
     Hello(OldHello),
 }
 
 #[test]
-fn a_build_before_evacuations_reads_an_introduction_with_details() {
+fn an_older_build_decodes_a_hello_with_details() {
     let mut frame = read_frame("hello-details");
 
     let decoded: Option<OldMessage> = decode_frame(&mut frame).unwrap();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_introduction_of_a_build_before_evacuations_has_no_details() {
+fn a_hello_of_an_older_build_has_no_details() {
     let mut frame = read_frame("hello-guard");
 
     let decoded: Option<PeerMessage> = decode_frame(&mut frame).unwrap();
--- a/compatibility/tests/support/mod.rs
+++ b/compatibility/tests/support/mod.rs
@@ -6,21 +6,21 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// When this variable is set, a fixture file that is missing is written. A file that exists is never changed.
+/// If this variable is set, a missing fixture file is written. An existing file is never changed.
 const RECORD_VARIABLE: &str = "CLOVERFOLD_RECORD_FIXTURES";
 
-/// Returns the path of a fixture, given below `fixtures/`.
+/// Returns the path of a fixture, given its name relative to `fixtures/`.
 pub fn fixture_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("fixtures")
         .join(name)
 }
 
-/// Reads a fixture; records `bytes` first if it is missing and recording was asked for.
+/// Reads a fixture. If the file is missing and recording is enabled, writes `bytes` to it first.
 ///
 /// # Panics
 ///
-/// If the file is missing and recording was not asked for.
+/// If the file is missing and recording is disabled.
 pub fn read_or_record(name: &str, bytes: &[u8]) -> Vec<u8> {
     let path = fixture_path(name);
     if !path.exists() && std::env::var_os(RECORD_VARIABLE).is_some() {
@@ -30,13 +30,13 @@
     fs::read(&path).unwrap_or_else(|cause| panic!("{}: {cause}", path.display()))
 }
 
-/// Asserts that the present code encodes a value to the recorded bytes.
+/// Asserts that the current code encodes a value to the recorded bytes.
 pub fn assert_recorded(name: &str, bytes: &[u8]) {
     let recorded = read_or_record(name, bytes);
     assert_eq!(bytes, recorded, "{name}: the encoding has changed");
 }
 
-/// Asserts that a decoded value prints like the value that was recorded, for types that have no equality.
+/// Asserts that a decoded value has the same `Debug` output as the recorded value, for types without `PartialEq`.
 pub fn assert_same_debug<T: Debug>(name: &str, decoded: &T, expected: &T) {
     let (decoded, expected) = (format!("{decoded:?}"), format!("{expected:?}"));
     assert_eq!(decoded, expected, "{name}: the decoding has changed");
--- a/compatibility/tests/support/samples.rs
+++ b/compatibility/tests/support/samples.rs
@@ -2,15 +2,15 @@
 
 #![allow(dead_code)]
 
-/// The name of a fixture, without its extension, and the value in it.
+/// The name of a fixture, without its extension, and its value.
 pub type Sample<T> = (String, T);
 
-/// Names one sample.
+/// Returns a list of one named sample.
 pub fn one<T>(name: &str, value: T) -> Vec<Sample<T>> {
     vec![(name.to_owned(), value)]
 }
 
-/// Names some samples.
+/// Returns a list of named samples.
 pub fn several<T, const N: usize>(samples: [(&str, T); N]) -> Vec<Sample<T>> {
     let named = samples.into_iter();
     named
@@ -18,19 +18,19 @@
         .collect()
 }
 
-/// Builds a larger value around each sample; the name gets a word in front.
-pub fn wrap<T, U>(word: &str, samples: Vec<Sample<T>>, build: impl Fn(T) -> U) -> Vec<Sample<U>> {
+/// Wraps the value of each sample with `build` and prefixes its name.
+pub fn wrap<T, U>(prefix: &str, samples: Vec<Sample<T>>, build: impl Fn(T) -> U) -> Vec<Sample<U>> {
     let parts = samples.into_iter();
     parts
-        .map(|(name, part)| (format!("{word}-{name}"), build(part)))
+        .map(|(name, part)| (format!("{prefix}-{name}"), build(part)))
         .collect()
 }
 
-/// Returns the samples of one variant.
+/// Checks and returns the samples of one variant.
 ///
 /// # Panics
 ///
-/// If there is none, or one of another variant.
+/// If there is no sample, or a sample of another variant.
 pub fn samples_of_variant<T>(
     variant: &str,
     samples: Vec<Sample<T>>,
@@ -38,15 +38,15 @@
 ) -> Vec<Sample<T>> {
     assert!(!samples.is_empty(), "{variant} has no sample");
     for (name, value) in &samples {
-        assert!(is_variant(value), "{name} is no sample of {variant}");
+        assert!(is_variant(value), "{name} is not a sample of {variant}");
     }
     samples
 }
 
-/// Lists the samples of every variant of an enum, one line a variant.
+/// Lists the samples of every variant of an enum, with one line for each variant.
 ///
-/// The lines also make up a match, so a new variant stops the test from compiling until it has a line; and a line whose
-/// samples are of another variant, or none, stops the test.
+/// The lines also form a `match`, so the test does not compile until a new variant has a line. A line without samples, or with a sample
+/// of another variant, panics.
 macro_rules! each_variant {
     ($type:ty { $($variant:pat => $samples:expr,)+ }) => {{
         let _cover_all = |value: &$type| match value {
