--- a/benches/benches/capacity.rs
+++ b/benches/benches/capacity.rs
@@ -1,6 +1,6 @@
-//! What real processes spend at several sizes of a cell: processor time, memory and bytes.
+//! Measures processor time, memory and network traffic of the processes of a claims installation, for several numbers of guards.
 //!
-//! Prints the first table of `docs/CAPACITY.md`. Relies on release binaries that were built before.
+//! Needs release binaries, which must have been built before.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,17 +12,14 @@
 use tokio::time::sleep;
 
 const ENTRIES: usize = 3;
-/// Length of each run.
-const LENGTH: Duration = Duration::from_secs(8);
-/// Numbers of guards.
-const SIZES: [usize; 4] = [5, 11, 22, 44];
-/// Wait until the gauges of bytes, updated every 500 ms by `cloverfold_app`, hold all that was sent.
+const RUN_LENGTH: Duration = Duration::from_secs(8);
+const GUARD_COUNTS: [usize; 4] = [5, 11, 22, 44];
+/// Longer than the 500 ms at which `cloverfold_app` updates the gauges of sent and received bytes.
 const GAUGES_DELAY: Duration = Duration::from_millis(600);
 
-/// Load of one run.
 struct Load {
     name: &'static str,
-    /// Share of all slots.
+    /// Load as a share of all slots.
     share: f64,
     job_size: (usize, usize),
 }
@@ -45,15 +42,15 @@
     },
 ];
 
-/// What one process had used at a point in time.
+/// Usage and metrics of one process at a point in time.
 struct Snapshot {
     usage: Usage,
     metrics: MetricsTotals,
 }
 
-/// What the processes of one role used during a run, added up.
+/// Usage of all processes of one role during a run.
 #[derive(Default)]
-struct RoleSum {
+struct RoleUsage {
     processes: f64,
     processor_s: f64,
     resident_mib: f64,
@@ -64,14 +61,14 @@
 
 #[tokio::main]
 async fn main() -> Result<()> {
-    // The test runner lists benches with a flag that asks for no run.
+    // The test runner passes `--list` to list benches without running them.
     if std::env::args().any(|arg| arg == "--list") {
         return Ok(());
     }
     println!(
         "guards  load                  role   starts/s  cpu %   cpu us/start  MiB    KiB/s out  KiB/s in  p50    p99"
     );
-    for guards in SIZES {
+    for guards in GUARD_COUNTS {
         let system = ProcessSystem::start(guards, ENTRIES).await?;
         for load in &LOADS {
             measure(&system, load).await?;
@@ -82,7 +79,7 @@
 
 async fn measure(system: &ProcessSystem, load: &Load) -> Result<()> {
     let before = take_snapshots(system).await?;
-    let ratios = put_load_on(system, load).await?;
+    let ratios = generate_load(system, load).await?;
     let after = take_snapshots(system).await?;
     let starts: f64 = before
         .iter()
@@ -90,15 +87,15 @@
         .map(|(before, after)| after.count_since(before, "cloverfold_task_starts_total"))
         .sum();
     for role in [Role::Lead, Role::Guard, Role::Entry] {
-        let sum = sum_role(system, role, &before, &after);
+        let sum = sum_role_usage(system, role, &before, &after);
         print_row(system, load, role, &sum, starts, &ratios);
     }
     Ok(())
 }
 
-async fn put_load_on(system: &ProcessSystem, load: &Load) -> Result<String> {
+async fn generate_load(system: &ProcessSystem, load: &Load) -> Result<String> {
     if load.share == 0.0 {
-        sleep(LENGTH).await;
+        sleep(RUN_LENGTH).await;
         return Ok("-      -".into());
     }
     let report = run_load(&build_plan(system, load)).await?;
@@ -118,7 +115,7 @@
         slots: system.slots(),
         share: load.share,
         job_size: load.job_size,
-        length: LENGTH,
+        length: RUN_LENGTH,
         seed: 1,
     };
     uniform.into_plan()
@@ -128,10 +125,10 @@
     sleep(GAUGES_DELAY).await;
     let mut snapshots = Vec::new();
     for (_, pid, http) in system.list_processes() {
-        let pages: [SocketAddr; 1] = [http];
+        let addresses: [SocketAddr; 1] = [http];
         snapshots.push(Snapshot {
             usage: read_usage(pid)?,
-            metrics: read_metrics(system.client(), &pages).await?,
+            metrics: read_metrics(system.client(), &addresses).await?,
         });
     }
     Ok(snapshots)
@@ -143,16 +140,16 @@
     }
 }
 
-fn sum_role(
+fn sum_role_usage(
     system: &ProcessSystem,
     role: Role,
     before: &[Snapshot],
     after: &[Snapshot],
-) -> RoleSum {
+) -> RoleUsage {
     const KIB: f64 = 1024.0;
-    let mut sum = RoleSum::default();
-    for (index, (own, _, _)) in system.list_processes().into_iter().enumerate() {
-        if own != role {
+    let mut sum = RoleUsage::default();
+    for (index, (process_role, _, _)) in system.list_processes().into_iter().enumerate() {
+        if process_role != role {
             continue;
         }
         let (before, after) = (&before[index], &after[index]);
@@ -167,16 +164,18 @@
     sum
 }
 
-/// Prints the mean of a role's processes; starts are those that the role's work is in proportion to.
+/// Prints the mean of a role's processes.
+///
+/// The starts are those that cause the role's work: all starts for the lead, a guard's own starts, and an entry's share of all starts.
 fn print_row(
     system: &ProcessSystem,
     load: &Load,
     role: Role,
-    sum: &RoleSum,
+    sum: &RoleUsage,
     all_starts: f64,
     ratios: &str,
 ) {
-    let length = LENGTH.as_secs_f64();
+    let run_s = RUN_LENGTH.as_secs_f64();
     let starts = match role {
         Role::Lead => all_starts,
         Role::Guard => sum.starts / sum.processes,
@@ -193,11 +192,11 @@
         system.guards(),
         load.name,
         format!("{role:?}"),
-        starts / length,
-        processor_s / length * 100.0,
+        starts / run_s,
+        processor_s / run_s * 100.0,
         per_start,
         sum.resident_mib / sum.processes,
-        sum.kib_sent / sum.processes / length,
-        sum.kib_received / sum.processes / length,
+        sum.kib_sent / sum.processes / run_s,
+        sum.kib_received / sum.processes / run_s,
     );
 }
--- a/benches/benches/decisions.rs
+++ b/benches/benches/decisions.rs
@@ -1,6 +1,6 @@
-//! How the time of one decision grows with the number of boxes.
+//! Measures how the time of one scheduling decision grows with the number of boxes.
 //!
-//! Prints the second table of `docs/CAPACITY.md`. Relies on `cloverfold_claims_core` only: no process is started.
+//! Calls `cloverfold_claims_core` directly and starts no process.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -10,65 +10,64 @@
     PlacementPolicy, Ticket,
 };
 
-const BOXES: [usize; 4] = [10, 100, 1_000, 8_000];
-/// Workspaces that submit, as at the size of `docs/CAPACITY.md`.
-const TEAMS: usize = 120;
-/// Decisions of which the mean is shown.
+const BOX_COUNTS: [usize; 4] = [10, 100, 1_000, 8_000];
+const WORKSPACES: usize = 120;
+/// Number of decisions for each mean.
 const ROUNDS: u32 = 200;
-/// Time of all decisions.
+/// Current time for all decisions.
 const NOW: Duration = Duration::from_secs(1);
-/// Age at which a report counts as stale; all reports here are younger.
-const SILENCE: Duration = Duration::from_secs(2);
+/// Age at which a report is stale. All reports here are younger.
+const STALE_AFTER: Duration = Duration::from_secs(2);
 
 fn main() {
-    // The test runner lists benches with a flag that asks for no run.
+    // The test runner passes `--list` to list benches without running them.
     if std::env::args().any(|arg| arg == "--list") {
         return;
     }
     println!(
         "boxes   choose group us   place 1 task us   place 100 tasks us   admit 1 of 120 teams us"
     );
-    for boxes in BOXES {
+    for boxes in BOX_COUNTS {
         let cell = make_cell(boxes);
-        let group = time(|round| {
+        let group = measure_mean(|round| {
             black_box(cell.choose_replica_group(&[round as u8; 16]));
         });
         let mut table = make_table(boxes);
-        let place_one = time(|round| place(&mut table, 1, round));
-        let place_many = time(|round| place(&mut table, 100, round));
+        let place_one = measure_mean(|round| place(&mut table, 1, round));
+        let place_many = measure_mean(|round| place(&mut table, 100, round));
         let mut admission = make_admission();
         let capacity = Capacity {
             free: boxes * 8,
             total: boxes * 8,
             backlog: 0,
         };
-        let admit = time(|round| {
+        let admit = measure_mean(|round| {
             black_box(admission.admit_next(capacity));
             admission
                 .push(make_ticket(u64::from(round) + 10_000), usize::MAX)
-                .unwrap_or_else(|_| unreachable!("the limit is never met"));
+                .unwrap_or_else(|_| unreachable!("the queue has no limit"));
         });
         println!(
             "{boxes:<7} {:>15.1}   {:>15.1}   {:>18.1}   {:>23.1}",
-            micros(group),
-            micros(place_one),
-            micros(place_many),
-            micros(admit),
+            to_micros(group),
+            to_micros(place_one),
+            to_micros(place_many),
+            to_micros(admit),
         );
     }
 }
 
 /// Returns the mean time of a decision.
-fn time(mut decide: impl FnMut(u32)) -> Duration {
-    let began = Instant::now();
+fn measure_mean(mut decide: impl FnMut(u32)) -> Duration {
+    let started_at = Instant::now();
     for round in 0..ROUNDS {
         decide(round);
     }
-    began.elapsed() / ROUNDS
+    started_at.elapsed() / ROUNDS
 }
 
-fn micros(span: Duration) -> f64 {
-    span.as_secs_f64() * 1e6
+fn to_micros(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e6
 }
 
 fn make_cell(boxes: usize) -> Cell {
@@ -104,7 +103,7 @@
 fn place(table: &mut GuardTable, count: usize, round: u32) {
     let policy = PlacementPolicy::LeastLoaded;
     let draw = |bound: usize| round as usize % bound;
-    for place in table.place(policy, count, NOW, SILENCE, draw) {
+    for place in table.place(policy, count, NOW, STALE_AFTER, draw) {
         table.discharge(place.guard);
     }
 }
@@ -114,7 +113,7 @@
         id,
         flow: Flow {
             service: "sms".into(),
-            workspace: format!("team-{}", id as usize % TEAMS),
+            workspace: format!("team-{}", id as usize % WORKSPACES),
         },
         weight: 1.0,
         tasks: 4,
@@ -126,7 +125,7 @@
     for id in 0..1_000 {
         admission
             .push(make_ticket(id), usize::MAX)
-            .unwrap_or_else(|_| unreachable!("the limit is never met"));
+            .unwrap_or_else(|_| unreachable!("the queue has no limit"));
     }
     admission
 }
--- a/benches/benches/dispatch.rs
+++ b/benches/benches/dispatch.rs
@@ -1,7 +1,6 @@
-//! What one best-effort job costs the decisions of an entry and of a guard.
+//! Measures the processor time of one best-effort job in a dispatcher with many targets, and of one run in a runner.
 //!
-//! Prints the mean time for one job at a dispatcher with many targets, waiting jobs included, and for one run at a runner. Relies on
-//! `cloverfold_lease` only: no process is started. Compare two builds by running both in turn.
+//! Calls `cloverfold_lease` directly and starts no process. To compare two builds, run them alternately.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -15,11 +14,11 @@
 };
 
 const TARGETS: SessionId = 64;
-/// Jobs that wait while others are served.
+/// Number of jobs that wait while others are served.
 const BACKLOG: usize = 200;
 const JOBS: u32 = 1_000;
-/// Of so many repeats the fastest is shown: others are disturbed by other processes.
-const REPEATS: usize = 120;
+/// Number of repetitions. Only the fastest counts, since other processes slow some of them down.
+const REPETITIONS: usize = 120;
 const DEMAND: Resources = Resources {
     cpu_milli: 2_000,
     memory_mb: 64,
@@ -32,13 +31,13 @@
 };
 
 fn main() {
-    // The test runner lists benches with a flag that asks for no run.
+    // The test runner passes `--list` to list benches without running them.
     if std::env::args().any(|arg| arg == "--list") {
         return;
     }
     let job = fastest(|| serve_jobs(0));
     let job_behind_backlog = fastest(|| serve_jobs(BACKLOG));
-    let run = fastest(carry_out_runs);
+    let run = fastest(execute_runs);
     println!("dispatcher, one job of 2 tasks, {TARGETS} targets: {job:.3} us");
     println!("the same with {BACKLOG} jobs waiting: {job_behind_backlog:.3} us");
     println!("runner, one run: {run:.3} us");
@@ -46,7 +45,7 @@
 
 /// Returns the shortest of several means, in microseconds.
 fn fastest(mut measure: impl FnMut() -> Duration) -> f64 {
-    let times = (0..REPEATS).map(|_| measure().as_secs_f64() * 1e6);
+    let times = (0..REPETITIONS).map(|_| measure().as_secs_f64() * 1e6);
     times.fold(f64::INFINITY, f64::min)
 }
 
@@ -87,7 +86,7 @@
     }
 }
 
-/// Returns a dispatcher whose targets are empty.
+/// Returns a dispatcher with idle targets.
 fn make_dispatcher() -> Dispatcher {
     let mut dispatcher = Dispatcher::new(Timings::default(), HealthLimits::default(), 1);
     dispatcher.tick(at(1));
@@ -121,7 +120,7 @@
     assignments.collect()
 }
 
-/// Serves jobs one after the other behind a backlog that fits nowhere, and returns the mean time for one.
+/// Serves jobs one after the other while a backlog waits that fits no target, and returns the mean time for one job.
 fn serve_jobs(backlog: usize) -> Duration {
     let mut dispatcher = make_dispatcher();
     for number in 0..backlog {
@@ -132,7 +131,7 @@
         dispatcher.submit(large, at(1));
     }
     dispatcher.take_actions();
-    let began = Instant::now();
+    let started_at = Instant::now();
     for number in 0..JOBS {
         dispatcher.submit(job(number as usize), at(2));
         for (session, assignment) in take_assignments(&mut dispatcher) {
@@ -147,11 +146,11 @@
         }
         black_box(dispatcher.take_actions());
     }
-    began.elapsed() / JOBS
+    started_at.elapsed() / JOBS
 }
 
-/// Carries out runs one after the other and returns the mean time for one.
-fn carry_out_runs() -> Duration {
+/// Executes runs one after the other and returns the mean time for one run.
+fn execute_runs() -> Duration {
     let mut runner = Runner::new(Timings::default(), 1_000);
     runner.register(
         TargetRegistration {
@@ -171,17 +170,17 @@
     );
     let order = runner.plan_renewal(at(1));
     if let Some(order) = order {
-        runner.receive_renewal_answer(&order, listed(vec![]), at(1));
+        runner.receive_renewal_answer(&order, listed_answer(vec![]), at(1));
     }
     runner.open_session(7, at(1));
-    let began = Instant::now();
+    let started_at = Instant::now();
     for number in 1..=JOBS {
-        carry_out_run(&mut runner, u64::from(number));
+        execute_run(&mut runner, u64::from(number));
     }
-    began.elapsed() / JOBS
+    started_at.elapsed() / JOBS
 }
 
-fn listed(ended: Vec<EndedRun>) -> RenewalAnswer {
+fn listed_answer(ended: Vec<EndedRun>) -> RenewalAnswer {
     RenewalAnswer::Listed {
         start_time: None,
         clock: 50_001,
@@ -190,7 +189,7 @@
     }
 }
 
-fn carry_out_run(runner: &mut Runner, number: u64) {
+fn execute_run(runner: &mut Runner, number: u64) {
     let task = TaskId {
         job: format!("job-{number}"),
         repetition: 0,
@@ -220,7 +219,7 @@
         cause: EndCause::Done,
     };
     if let Some(order) = runner.plan_renewal(at(2)) {
-        runner.receive_renewal_answer(&order, listed(vec![end]), at(2));
+        runner.receive_renewal_answer(&order, listed_answer(vec![end]), at(2));
     }
     black_box(runner.take_actions());
 }
--- a/benches/benches/kept_groups.rs
+++ b/benches/benches/kept_groups.rs
@@ -1,8 +1,8 @@
-//! How fast groups accept kept jobs, for one, two and four groups.
+//! Measures how fast one, two and four groups accept kept jobs.
 //!
-//! Starts three control processes on loopback addresses, with data folders below the folder for temporary files, and callers that each
-//! submit one job after the other. Prints the time from a submission to its acceptance, and accepted jobs a second; shows the sync
-//! time of the same disk beside them. Relies on real processes and links; nothing is simulated.
+//! Starts three control processes on loopback addresses, with data folders in the folder for temporary files, and callers that each
+//! submit one job after the other over a real link. Prints the time from a submission to its acceptance and the accepted jobs per
+//! second, with the sync time of the same disk for comparison.
 
 use std::fs::File;
 use std::io::Write;
@@ -26,17 +26,16 @@
 
 const CONTROLS: u8 = 3;
 const GROUPS: [u32; 3] = [1, 2, 4];
-/// Callers at each control process.
+/// Callers for each control process.
 const CALLERS: [u32; 3] = [1, 16, 64];
-/// Bytes of a job: in the middle of what is expected.
+/// Size of a typical job.
 const BODY_BYTES: usize = 600;
-/// How long jobs are submitted.
-const SPAN: Duration = Duration::from_secs(4);
-/// How long a reply is waited for; it counts as none after that.
-const PATIENCE: Duration = Duration::from_secs(2);
+const RUN_LENGTH: Duration = Duration::from_secs(4);
+/// Time after which a job counts as unanswered.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn main() -> Result<()> {
-    // The test runner lists benches with a flag that asks for no run.
+    // The test runner passes `--list` to list benches without running them.
     if std::env::args().any(|arg| arg == "--list") {
         return Ok(());
     }
@@ -47,7 +46,7 @@
     let folder = tempfile::tempdir()?;
     println!(
         "one sync of 600 bytes: {} us (median)",
-        time_sync(folder.path())?
+        measure_sync(folder.path())?
     );
     println!("groups   callers   p50 us   p99 us   jobs/s   without a reply");
     for groups in GROUPS {
@@ -58,24 +57,24 @@
     Ok(())
 }
 
-/// Returns the median time in which this disk syncs a record.
-fn time_sync(folder: &Path) -> Result<u128> {
+/// Returns the median time to write and sync one record on this disk, in microseconds.
+fn measure_sync(folder: &Path) -> Result<u128> {
     let mut file = File::create(folder.join("sync"))?;
     let mut times = Vec::new();
     for _ in 0..200 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         file.write_all(&[7; BODY_BYTES])?;
         file.sync_data()?;
-        times.push(begun.elapsed().as_micros());
+        times.push(started_at.elapsed().as_micros());
     }
     times.sort_unstable();
     Ok(times[times.len() / 2])
 }
 
-/// Measures one installation.
+/// Measures one installation and prints its row.
 async fn measure(groups: u32, callers: u32) -> Result<()> {
     let folder = tempfile::tempdir()?;
-    let (first, port) = draw_addresses(groups, callers)?;
+    let (first, port) = choose_addresses(groups, callers)?;
     let address = |index: u8| {
         let last = first.octets()[3] + index;
         let [a, b, c, _] = first.octets();
@@ -92,26 +91,26 @@
         running.push(tokio::spawn(submit_all(number, control, groups)));
     }
     let mut times = Vec::new();
-    let mut missing = 0;
+    let mut unaccepted = 0;
     for caller in running {
-        let (accepted, unanswered) = caller.await??;
+        let (accepted, caller_unaccepted) = caller.await??;
         times.extend(accepted);
-        missing += unanswered;
+        unaccepted += caller_unaccepted;
     }
     times.sort_unstable();
     let at = |permille: usize| times.get(times.len() * permille / 1_000).copied();
     println!(
-        "{groups:>6} {:>9} {:>8} {:>8} {:>8} {missing:>17}",
+        "{groups:>6} {:>9} {:>8} {:>8} {:>8} {unaccepted:>17}",
         callers * u32::from(CONTROLS),
         at(500).unwrap_or_default(),
         at(990).unwrap_or_default(),
-        times.len() as u64 / SPAN.as_secs(),
+        times.len() as u64 / RUN_LENGTH.as_secs(),
     );
     Ok(())
 }
 
-/// Draws addresses for an installation of its own.
-fn draw_addresses(groups: u32, callers: u32) -> Result<(Ipv4Addr, u16)> {
+/// Returns the first address and the port of an installation, which no other installation of this bench uses.
+fn choose_addresses(groups: u32, callers: u32) -> Result<(Ipv4Addr, u16)> {
     let process = std::process::id();
     let first = Ipv4Addr::new(
         127,
@@ -148,7 +147,7 @@
     Ok(start_control(&settings, Arc::new(Platform::default()))?)
 }
 
-/// A link to a control process.
+/// A caller with a link to a control process.
 struct Caller {
     sender: LinkSender<PeerMessage>,
     events: mpsc::Receiver<LinkEvent<PeerMessage>>,
@@ -160,7 +159,10 @@
         let (tx, mut events) = mpsc::channel(1_024);
         let dialer = Dialer::start(control, DialBackoff::default(), tx);
         loop {
-            let event = events.recv().await.ok_or_else(|| eyre!("no link"))?;
+            let event = events
+                .recv()
+                .await
+                .ok_or_else(|| eyre!("the dialer stopped before it opened a link"))?;
             if let LinkEvent::Opened { sender, .. } = event {
                 sender.send(&PeerMessage::Hello(Hello {
                     name: format!("caller-{number}"),
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Submits a job; returns what became of it, or `None` without a reply in time.
+    /// Submits a job and returns the reply, or `None` if there is none in time.
     async fn submit(&mut self, token: u64, id: &str, groups: u32) -> Option<JobReply> {
         let submission = JobSubmission {
             id: id.into(),
@@ -194,7 +196,7 @@
         let call = JobCall::Submit(submission);
         let message = JobCallMessage { token, group, call };
         self.sender.send(&PeerMessage::JobCall(message));
-        timeout(PATIENCE, self.receive(token)).await.ok()?
+        timeout(REPLY_TIMEOUT, self.receive(token)).await.ok()?
     }
 
     async fn receive(&mut self, token: u64) -> Option<JobReply> {
@@ -209,11 +211,11 @@
     }
 }
 
-/// Submits jobs one after the other; returns the times until they were accepted, and how many got no reply.
+/// Submits jobs one after the other. Returns the times until acceptance in microseconds, and the number of jobs that were not accepted.
 async fn submit_all(number: u32, control: SocketAddr, groups: u32) -> Result<(Vec<u128>, u32)> {
     let mut caller = Caller::connect(number, control).await?;
     let mut token = 0;
-    // Until the groups have leaders.
+    // Waits until each group has a leader.
     for group in 0..groups {
         loop {
             token += 1;
@@ -226,19 +228,19 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
-    let until = Instant::now() + SPAN;
+    let deadline = Instant::now() + RUN_LENGTH;
     let mut times = Vec::new();
-    let mut missing = 0;
-    while Instant::now() < until {
+    let mut unaccepted = 0;
+    while Instant::now() < deadline {
         token += 1;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let id = format!("job-{number}-{token}");
         match caller.submit(token, &id, groups).await {
             Some(JobReply::Submitted(SubmitOutcome::Accepted(_) | SubmitOutcome::Known)) => {
-                times.push(begun.elapsed().as_micros());
+                times.push(started_at.elapsed().as_micros());
             }
-            _ => missing += 1,
+            _ => unaccepted += 1,
         }
     }
-    Ok((times, missing))
+    Ok((times, unaccepted))
 }
--- a/benches/src/lib.rs
+++ b/benches/src/lib.rs
@@ -1,11 +1,13 @@
-//! Measurements of the claims installation that are repeated by hand; not part of the tests.
+//! Benchmarks that are run by hand and are not part of the tests.
 //!
-//! - `cargo bench -p cloverfold_benches --bench decisions` times the pure decisions over the number of boxes (`docs/CAPACITY.md`).
-//! - `cargo build --release && cargo bench -p cloverfold_benches --bench capacity` measures what real processes spend at several sizes
-//!   (`docs/CAPACITY.md`).
+//! - `cargo bench -p cloverfold_benches --bench decisions` measures single scheduling decisions against the number of boxes.
+//! - `cargo build --release && cargo bench -p cloverfold_benches --bench capacity` measures the resource usage of the processes of claims
+//!   installations of several sizes.
+//! - `cargo bench -p cloverfold_benches --bench dispatch` measures what a best-effort job costs a dispatcher and a runner.
+//! - `cargo bench -p cloverfold_benches --bench kept_groups` measures how fast groups accept kept jobs.
 //!
-//! Owns the processes that a bench starts. Relies on `cloverfold_solo` for keys and settings and on `cloverfold_load` for the load. A
-//! leased installation is measured by the platform's own bench.
+//! This library starts the processes for `capacity` and reads their resource usage. The bench of the platform measures a whole leased
+//! installation.
 
 mod process_system;
 mod usage;
--- a/benches/src/process_system.rs
+++ b/benches/src/process_system.rs
@@ -1,6 +1,6 @@
-//! A claims installation of real processes on this box, with sample targets in the bench's own process.
+//! A claims installation of real processes on this box, with sample targets in the process of the bench.
 //!
-//! Owns the processes, the targets and the folder of their settings; all end with it. Relies on release binaries that were built before.
+//! Needs release binaries, which must have been built before.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -18,15 +18,13 @@
 use tempfile::TempDir;
 use tokio::time::sleep;
 
-/// How long the system may take to become ready. Chosen, not measured.
+/// Longest wait until the system is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often a page is asked whether its process is ready. Chosen, not measured.
-const PAGE_POLL: Duration = Duration::from_millis(20);
-/// How often the guards are asked whether they know each other; each time reads a page of every guard. Chosen, not measured.
-const MEMBERS_POLL: Duration = Duration::from_millis(100);
-/// Slots of each target.
-const SLOTS: usize = 8;
-/// Names of the workspaces that submit.
+const PAGE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Longer than [`PAGE_POLL_INTERVAL`], since each poll reads the metrics of every guard.
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const SLOTS_PER_TARGET: usize = 8;
+/// Names of the workspaces that submit jobs.
 const WORKSPACES: [&str; 4] = ["pharmacy", "clinic", "station", "depot"];
 
 /// Role of a process.
@@ -48,13 +46,13 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // An error means that it has ended by itself.
+        // An error means that the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Running processes; all are ended when it is dropped.
+/// A running installation. Dropping it kills the processes and deletes their settings.
 pub struct ProcessSystem {
     _folder: TempDir,
     targets: Vec<SampleTarget>,
@@ -64,11 +62,11 @@
 }
 
 impl ProcessSystem {
-    /// Starts guards and entries and waits until they are ready and all guards know each other.
+    /// Starts guards and entries, founds the cell and waits until all are ready and every guard counts all guards as live.
     ///
     /// # Errors
     ///
-    /// Returns what could not start or become ready; the release binaries must have been built.
+    /// Returns an error if a process does not start or become ready in time, or if the release binaries have not been built.
     pub async fn start(guards: usize, entries: usize) -> Result<Self> {
         let folder = tempfile::tempdir()?;
         let installation = Installation::create(folder.path(), guards, entries)?;
@@ -81,14 +79,14 @@
         };
         let cell = system.start_guards(&installation).await?;
         system.start_entries(&installation, entries)?;
-        system.wait_pages("/healthz").await?;
-        found(&installation, &cell).await?;
-        system.wait_pages("/readyz").await?;
-        system.wait_acquainted().await?;
+        system.wait_until_pages_are_ok("/healthz").await?;
+        found_installation(&installation, &cell).await?;
+        system.wait_until_pages_are_ok("/readyz").await?;
+        system.wait_until_all_live().await?;
         Ok(system)
     }
 
-    /// Writes the cell's file and starts a target and a guard for each place in it.
+    /// Writes the cell's file and starts a target and a guard for each guard in it.
     async fn start_guards(&mut self, installation: &Installation) -> Result<CellSettings> {
         let peers = find_free_addresses(self.guards)?;
         let workspaces: Vec<_> = WORKSPACES
@@ -105,7 +103,8 @@
                 http,
                 target: target.address(),
             };
-            let file = installation.write_guard(index + 1, &addresses, SLOTS, json!({}))?;
+            let file =
+                installation.write_guard(index + 1, &addresses, SLOTS_PER_TARGET, json!({}))?;
             let role = if index == 0 { Role::Lead } else { Role::Guard };
             let process = spawn(role, "cloverfold-guard", &[file.as_path()], http)?;
             self.processes.push(process);
@@ -129,12 +128,12 @@
         self.guards
     }
 
-    /// Returns the number of slots.
+    /// Returns the number of slots of all targets.
     pub fn slots(&self) -> usize {
-        self.guards * SLOTS
+        self.guards * SLOTS_PER_TARGET
     }
 
-    /// Lists the workspaces that submit.
+    /// Returns the names and keys of the workspaces that submit jobs.
     pub fn callers(&self) -> Vec<CallerKey> {
         let workspaces = WORKSPACES.iter();
         workspaces
@@ -142,51 +141,58 @@
             .collect()
     }
 
-    /// Lists the callers' addresses.
+    /// Returns the addresses at which entries serve callers.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
-        let entries = self.processes.iter().filter(|one| one.role == Role::Entry);
-        entries.map(|one| one.http).collect()
+        let entries = self
+            .processes
+            .iter()
+            .filter(|process| process.role == Role::Entry);
+        entries.map(|process| process.http).collect()
     }
 
-    /// Lists role, process number and metrics address of each process.
+    /// Returns the role, process ID and HTTP address of each process.
     pub fn list_processes(&self) -> Vec<(Role, u32, SocketAddr)> {
         let processes = self.processes.iter();
         processes
-            .map(|one| (one.role, one.child.id(), one.http))
+            .map(|process| (process.role, process.child.id(), process.http))
             .collect()
     }
 
-    /// Returns the client that reads pages.
+    /// Returns the client that reads metrics.
     pub fn client(&self) -> &CallerClient {
         &self.client
     }
 
-    /// Waits until a page of every process answers 200.
-    async fn wait_pages(&self, path: &str) -> Result<()> {
-        let until = Instant::now() + READY_TIMEOUT;
+    /// Waits until every process answers a path with status 200.
+    async fn wait_until_pages_are_ok(&self, path: &str) -> Result<()> {
+        let deadline = Instant::now() + READY_TIMEOUT;
         for process in &self.processes {
             let is_ready = async || {
                 let page = self.client.get_text(process.http, path).await;
                 page.is_ok_and(|(status, _)| status == 200)
             };
             while !is_ready().await {
-                if Instant::now() > until {
-                    bail!("{:?} at {} shows no {path}", process.role, process.http);
+                if Instant::now() > deadline {
+                    bail!(
+                        "{:?} at {} is not ready: {path}",
+                        process.role,
+                        process.http
+                    );
                 }
-                sleep(PAGE_POLL).await;
+                sleep(PAGE_POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Waits until every guard counts every other as live.
-    async fn wait_acquainted(&self) -> Result<()> {
-        let until = Instant::now() + READY_TIMEOUT;
+    /// Waits until every guard counts all guards as live.
+    async fn wait_until_all_live(&self) -> Result<()> {
+        let deadline = Instant::now() + READY_TIMEOUT;
         let guards: Vec<_> = self
             .processes
             .iter()
-            .filter(|one| one.role != Role::Entry)
-            .map(|one| one.http)
+            .filter(|process| process.role != Role::Entry)
+            .map(|process| process.http)
             .collect();
         let expected = (self.guards * self.guards) as f64;
         loop {
@@ -194,16 +200,16 @@
             if metrics.sum_of("cloverfold_members_live") >= expected {
                 return Ok(());
             }
-            if Instant::now() > until {
-                bail!("the guards do not all know each other");
+            if Instant::now() > deadline {
+                bail!("some guards do not count all guards as live");
             }
-            sleep(MEMBERS_POLL).await;
+            sleep(MEMBERS_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Founds the cell, as an operator does once all guards have started.
-async fn found(installation: &Installation, cell: &CellSettings) -> Result<()> {
+/// Founds the cell, as an operator does after all guards have started.
+async fn found_installation(installation: &Installation, cell: &CellSettings) -> Result<()> {
     let network = open_operator_network(&installation.key_folder(), OPERATOR)?;
     found_cell(&network, &list_guard_addresses(cell)).await?;
     network.close().await;
@@ -219,10 +225,10 @@
     Ok(Process { role, http, child })
 }
 
-/// Finds a binary in the folder above the one of the bench's own executable.
+/// Returns the path of a binary in the parent of the folder of the bench's executable.
 fn find_binary(name: &str) -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let folder = own.parent().and_then(Path::parent);
+    let executable = std::env::current_exe()?;
+    let folder = executable.parent().and_then(Path::parent);
     let binary = folder.unwrap_or(Path::new("")).join(name);
     if !binary.exists() {
         bail!("{name} is not built; run `cargo build --release` first");
--- a/benches/src/usage.rs
+++ b/benches/src/usage.rs
@@ -1,24 +1,22 @@
-//! The processor time and memory of a process, as the system accounts for them.
-//!
-//! Owns no state. Relies on Linux's `/proc`.
+//! The processor time and memory of a process, read from `/proc` on Linux.
 
 use std::time::Duration;
 
 use eyre::{Result, eyre};
 
-/// Unit of processor time in `/proc/PID/stat`: Linux shows hundredths of a second (`USER_HZ`).
-const TICK: Duration = Duration::from_millis(10);
-/// Place of the user time in `/proc/PID/stat`, counted from 0 after the command's name.
-const USER_FIELD: usize = 11;
-/// Place of the system time, counted likewise.
-const SYSTEM_FIELD: usize = 12;
+/// Unit of processor time in `/proc/PID/stat` (`USER_HZ`).
+const CLOCK_TICK: Duration = Duration::from_millis(10);
+/// Index of the user time in `/proc/PID/stat`, counted from 0 after the command name.
+const USER_TIME_FIELD: usize = 11;
+/// Index of the system time, counted in the same way.
+const SYSTEM_TIME_FIELD: usize = 12;
 
 /// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// User and system time since its start.
+    /// User and system time since the start of the process.
     pub processor: Duration,
-    /// Resident memory now, in KiB.
+    /// Current resident memory, in KiB.
     pub resident_kib: u64,
 }
 
@@ -26,21 +24,22 @@
 ///
 /// # Errors
 ///
-/// Returns that the process is gone or that the system's pages have another form.
+/// Returns an error if the process has exited or if the files in `/proc` have an unexpected format.
 pub fn read_usage(pid: u32) -> Result<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let (_, fields) = stat
         .rsplit_once(") ")
-        .ok_or_else(|| eyre!("stat of {pid}"))?;
+        .ok_or_else(|| eyre!("unexpected format of /proc/{pid}/stat"))?;
     let fields: Vec<&str> = fields.split(' ').collect();
-    let ticks: u32 = fields[USER_FIELD].parse::<u32>()? + fields[SYSTEM_FIELD].parse::<u32>()?;
+    let ticks: u32 =
+        fields[USER_TIME_FIELD].parse::<u32>()? + fields[SYSTEM_TIME_FIELD].parse::<u32>()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let resident = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .ok_or_else(|| eyre!("status of {pid}"))?;
+        .ok_or_else(|| eyre!("no VmRSS line in /proc/{pid}/status"))?;
     Ok(Usage {
-        processor: TICK * ticks,
+        processor: CLOCK_TICK * ticks,
         resident_kib: resident.trim().trim_end_matches(" kB").parse()?,
     })
 }
