--- a/benches/benches/decisions.rs
+++ b/benches/benches/decisions.rs
@@ -95,7 +95,7 @@
             slots: 8,
             age: Duration::ZERO,
         };
-        table.absorb(report, NOW);
+        table.record_report(report, NOW);
     }
     table
 }
@@ -103,8 +103,8 @@
 fn place(table: &mut GuardTable, count: usize, round: u32) {
     let policy = PlacementPolicy::LeastLoaded;
     let draw = |bound: usize| round as usize % bound;
-    for place in table.place(policy, count, NOW, STALE_AFTER, draw) {
-        table.discharge(place.guard);
+    for placement in table.place_tasks(policy, count, NOW, STALE_AFTER, draw) {
+        table.remove_in_flight(placement.guard);
     }
 }
 
--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -14,13 +14,15 @@
 use std::fs;
 use std::time::Duration;
 
-use cloverfold_claim::{ClaimCall, FoundCall, RecoverCall, StandingCall, StandingReport};
+use cloverfold_claim::{
+    BootstrapCall, ClaimCall, RecoverCall, RecoveryStateCall, RecoveryStateReport,
+};
 use cloverfold_claims_core::{
     Accepted, Ballot, Claim, ClaimReply, ClaimRequest, GuardPhase, GuardReport, Incarnations,
-    Outcome, Placement, ReasonCode, RecoveryPage, ReleaseVerdict, Repeat, ReplicaRecord,
-    ReplicaReply, Standing, Submission, SubmissionKey, TaskEnd,
+    Outcome, Placement, ReasonCode, RecoveryPage, RecoveryState, ReleaseResult, Repeat,
+    ReplicaRecord, ReplicaReply, Submission, SubmissionKey, TaskEnd,
 };
-use cloverfold_coordinate::{JobState, Query, QueryReply, Submit, SubmitReply, Verdict};
+use cloverfold_coordinate::{JobState, Query, QueryReply, Submit, SubmitReply, SubmitResult};
 use cloverfold_execute::{Assign, AssignReply, AssignedTask, Release, ReleaseReply, TaskReport};
 use cloverfold_membership::{Heartbeat, Leave};
 use cloverfold_net::Message;
@@ -217,13 +219,13 @@
     })
 }
 
-fn standings() -> Vec<Sample<Standing>> {
-    let recovering = |sources: &[u16]| Standing::Recovering {
+fn standings() -> Vec<Sample<RecoveryState>> {
+    let recovering = |sources: &[u16]| RecoveryState::Recovering {
         whole_sources: sources.iter().copied().collect(),
     };
-    each_variant!(Standing {
-        Standing::Whole => one("whole", Standing::Whole),
-        Standing::Recovering { .. } => several([
+    each_variant!(RecoveryState {
+        RecoveryState::Whole => one("whole", RecoveryState::Whole),
+        RecoveryState::Recovering { .. } => several([
             ("recovering", recovering(&[21, 2_200])),
             ("recovering-no-source", recovering(&[])),
         ]),
@@ -304,24 +306,24 @@
     })
 }
 
-fn release_verdicts() -> Vec<Sample<ReleaseVerdict>> {
-    each_variant!(ReleaseVerdict {
-        ReleaseVerdict::Released(_) => several([
-            ("released", ReleaseVerdict::Released(Some(placement(52)))),
-            ("released-nowhere", ReleaseVerdict::Released(None)),
+fn release_verdicts() -> Vec<Sample<ReleaseResult>> {
+    each_variant!(ReleaseResult {
+        ReleaseResult::Released(_) => several([
+            ("released", ReleaseResult::Released(Some(placement(52)))),
+            ("released-nowhere", ReleaseResult::Released(None)),
         ]),
-        ReleaseVerdict::Started => one("started", ReleaseVerdict::Started),
-        ReleaseVerdict::WrongIncarnation(_) => one(
+        ReleaseResult::Started => one("started", ReleaseResult::Started),
+        ReleaseResult::WrongIncarnation(_) => one(
             "wrong-incarnation",
-            ReleaseVerdict::WrongIncarnation(1_790_000_000_053),
+            ReleaseResult::WrongIncarnation(1_790_000_000_053),
         ),
     })
 }
 
-fn verdicts() -> Vec<Sample<Verdict>> {
-    each_variant!(Verdict {
-        Verdict::Answered(_) => wrap("answered", outcomes(), Verdict::Answered),
-        Verdict::NotHere(_) => wrap("not-here", reason_codes(), Verdict::NotHere),
+fn verdicts() -> Vec<Sample<SubmitResult>> {
+    each_variant!(SubmitResult {
+        SubmitResult::Answered(_) => wrap("answered", outcomes(), SubmitResult::Answered),
+        SubmitResult::NotHere(_) => wrap("not-here", reason_codes(), SubmitResult::NotHere),
     })
 }
 
@@ -441,7 +443,7 @@
     let mut all = wrap("recover-reply", standings(), |standing| {
         page(standing, records(), true)
     });
-    let last = page(Standing::Whole, Vec::new(), false);
+    let last = page(RecoveryState::Whole, Vec::new(), false);
     all.extend(one("recover-reply-last", last));
     // A claim refused for each reason covers the stored reasons too.
     all.extend(wrap("recover-reply-refused", reason_codes(), |reason| {
@@ -450,25 +452,27 @@
             accepted: Some(accepted(Some(reason))),
             submitted_at: time(90),
         };
-        page(Standing::Whole, vec![(key(0x26), record)], false)
+        page(RecoveryState::Whole, vec![(key(0x26), record)], false)
     }));
     all
 }
 
-fn standing_requests() -> Vec<Sample<StandingCall>> {
-    one("standing-request", StandingCall)
+fn standing_requests() -> Vec<Sample<RecoveryStateCall>> {
+    one("standing-request", RecoveryStateCall)
 }
 
-fn standing_replies() -> Vec<Sample<StandingReport>> {
-    wrap("standing-reply", standings(), |standing| StandingReport {
-        own: placement(91),
-        standing,
-        records: 70_092,
+fn standing_replies() -> Vec<Sample<RecoveryStateReport>> {
+    wrap("standing-reply", standings(), |standing| {
+        RecoveryStateReport {
+            own: placement(91),
+            standing,
+            records: 70_092,
+        }
     })
 }
 
-fn found_requests() -> Vec<Sample<FoundCall>> {
-    let call = |incarnations| FoundCall { incarnations };
+fn found_requests() -> Vec<Sample<BootstrapCall>> {
+    let call = |incarnations| BootstrapCall { incarnations };
     several([
         ("found-request", call(vec![placement(93), placement(940)])),
         ("found-request-none", call(Vec::new())),
@@ -566,7 +570,7 @@
     let mut all = wrap("release-reply", release_verdicts(), |verdict| {
         reply(verdict, guard_report())
     });
-    let alone = reply(ReleaseVerdict::Started, None);
+    let alone = reply(ReleaseResult::Started, None);
     all.extend(one("release-reply-no-member", alone));
     all
 }
@@ -654,8 +658,8 @@
     assert_eq!(kind_of::<Leave>(), (2, "leave"));
     assert_eq!(kind_of::<ClaimCall>(), (10, "claim"));
     assert_eq!(kind_of::<RecoverCall>(), (11, "recover"));
-    assert_eq!(kind_of::<StandingCall>(), (12, "standing"));
-    assert_eq!(kind_of::<FoundCall>(), (13, "found"));
+    assert_eq!(kind_of::<RecoveryStateCall>(), (12, "standing"));
+    assert_eq!(kind_of::<BootstrapCall>(), (13, "found"));
     assert_eq!(kind_of::<Assign>(), (20, "assign"));
     assert_eq!(kind_of::<Release>(), (21, "release"));
     assert_eq!(kind_of::<Submit>(), (30, "submit"));
@@ -688,14 +692,14 @@
 
 #[test]
 fn standings_are_as_recorded() {
-    assert_requests::<StandingCall>(&standing_requests());
-    assert_replies::<StandingCall>(&standing_replies());
+    assert_requests::<RecoveryStateCall>(&standing_requests());
+    assert_replies::<RecoveryStateCall>(&standing_replies());
 }
 
 #[test]
 fn foundings_are_as_recorded() {
-    assert_requests::<FoundCall>(&found_requests());
-    assert_replies::<FoundCall>(&found_replies());
+    assert_requests::<BootstrapCall>(&found_requests());
+    assert_replies::<BootstrapCall>(&found_replies());
 }
 
 #[test]
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -10,10 +10,10 @@
 use cloverfold_base::random_below;
 use cloverfold_claim::ClaimError;
 use cloverfold_claims_core::{
-    Claim, JobAction, JobEvent, JobOptions, JobProgress, Outcome, Placement, ReasonCode, TaskEnd,
+    Claim, EventContext, JobAction, JobEvent, JobProgress, Outcome, Placement, ReasonCode, TaskEnd,
     TaskIndex, rank_by_load,
 };
-use cloverfold_membership::Charge;
+use cloverfold_membership::InFlightTask;
 use tokio::sync::mpsc;
 
 use crate::admitter::{FlowCharge, Grant};
@@ -104,17 +104,17 @@
 }
 
 /// Charges of the claim that was proposed, by task; the claim agreed on may name other places.
-struct PlannedCharges(Vec<Option<Charge>>);
+struct PlannedCharges(Vec<Option<InFlightTask>>);
 
 impl PlannedCharges {
-    fn new(charges: Vec<Charge>) -> Self {
+    fn new(charges: Vec<InFlightTask>) -> Self {
         Self(charges.into_iter().map(Some).collect())
     }
 
     /// Removes the charge of a task, if it was planned at this place.
-    fn take(&mut self, task: TaskIndex, place: Placement) -> Option<Charge> {
+    fn take(&mut self, task: TaskIndex, place: Placement) -> Option<InFlightTask> {
         let planned = self.0.get_mut(usize::from(task))?.take()?;
-        (planned.place() == place).then_some(planned)
+        (planned.placement() == place).then_some(planned)
     }
 }
 
@@ -154,11 +154,11 @@
         };
         let context = self.link.context.clone();
         let mut take_retry = || context.take_retry();
-        let mut options = JobOptions {
+        let mut event_context = EventContext {
             places,
             take_retry: &mut take_retry,
         };
-        self.progress.absorb(event, &mut options)
+        self.progress.handle_event(event, &mut event_context)
     }
 
     fn record_done(&mut self) {
@@ -192,7 +192,8 @@
                     }
                     let planned = planned.take(task, place);
                     let placed = PlacedTask {
-                        _charge: planned.unwrap_or_else(|| link.context.membership.charge(place)),
+                        _charge: planned
+                            .unwrap_or_else(|| link.context.membership.track_in_flight(place)),
                         index: task,
                         previous_guards,
                         may_pass_on: may_pass_on && !link.is_lead,
--- a/crates/claims/cloverfold_entry/src/routing.rs
+++ b/crates/claims/cloverfold_entry/src/routing.rs
@@ -11,7 +11,7 @@
 use cloverfold_claims_core::{
     Cell, GuardId, Outcome, ReasonCode, SubmissionKey, derive_submission_key, format_key,
 };
-use cloverfold_coordinate::{JobState, Query, Submit, SubmitReply, Verdict};
+use cloverfold_coordinate::{JobState, Query, Submit, SubmitReply, SubmitResult};
 use cloverfold_membership::{Directory, Membership};
 use cloverfold_net::{CallError, Network};
 use tokio::time::sleep;
@@ -87,7 +87,7 @@
             let group = self
                 .cell
                 .choose_replica_group(&derive_submission_key(workspace, &key));
-            let usable = self.membership.keep_usable(group.clone()).await;
+            let usable = self.membership.filter_usable(group.clone()).await;
             if usable.len() == group.len() {
                 break;
             }
@@ -102,7 +102,7 @@
         let group = self.cell.choose_replica_group(key);
         let mut ordered: Vec<GuardId> = Vec::new();
         ordered.extend(self.membership.find_acting_lead().await);
-        ordered.extend(self.membership.keep_usable(group.clone()).await);
+        ordered.extend(self.membership.filter_usable(group.clone()).await);
         ordered.extend(group);
         let mut seen = BTreeSet::new();
         ordered.retain(|guard| seen.insert(*guard));
@@ -122,8 +122,8 @@
                 Attempt::Lost
             }
             Ok(reply) => match reply.verdict {
-                Verdict::Answered(outcome) => Attempt::Answered(outcome),
-                Verdict::NotHere(reason) => {
+                SubmitResult::Answered(outcome) => Attempt::Answered(outcome),
+                SubmitResult::NotHere(reason) => {
                     log::debug!(key = key, guard = guard; "not taken: {}", reason.as_str());
                     Attempt::NotAccepted
                 }
