--- a/benches/src/process_system.rs
+++ b/benches/src/process_system.rs
@@ -62,7 +62,7 @@
 }
 
 impl ProcessSystem {
-    /// Starts guards and entries, founds the cell and waits until all are ready and every guard counts all guards as live.
+    /// Starts guards and entries, bootstraps the cell and waits until all are ready and every guard counts all guards as live.
     ///
     /// # Errors
     ///
@@ -80,7 +80,7 @@
         let cell = system.start_guards(&installation).await?;
         system.start_entries(&installation, entries)?;
         system.wait_until_pages_are_ok("/healthz").await?;
-        found_installation(&installation, &cell).await?;
+        bootstrap(&installation, &cell).await?;
         system.wait_until_pages_are_ok("/readyz").await?;
         system.wait_until_all_live().await?;
         Ok(system)
@@ -208,8 +208,8 @@
     }
 }
 
-/// Founds the cell, as an operator does after all guards have started.
-async fn found_installation(installation: &Installation, cell: &CellSettings) -> Result<()> {
+/// Bootstraps the cell, as an operator does after all guards have started.
+async fn bootstrap(installation: &Installation, cell: &CellSettings) -> Result<()> {
     let network = open_operator_network(&installation.key_folder(), OPERATOR)?;
     bootstrap_cell(&network, &list_guard_addresses(cell)).await?;
     network.close().await;
--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -219,7 +219,7 @@
     })
 }
 
-fn standings() -> Vec<Sample<RecoveryState>> {
+fn recovery_states() -> Vec<Sample<RecoveryState>> {
     let recovering = |sources: &[u16]| RecoveryState::Recovering {
         whole_sources: sources.iter().copied().collect(),
     };
@@ -306,7 +306,7 @@
     })
 }
 
-fn release_verdicts() -> Vec<Sample<ReleaseResult>> {
+fn release_results() -> Vec<Sample<ReleaseResult>> {
     each_variant!(ReleaseResult {
         ReleaseResult::Released(_) => several([
             ("released", ReleaseResult::Released(Some(placement(52)))),
@@ -320,7 +320,7 @@
     })
 }
 
-fn verdicts() -> Vec<Sample<SubmitResult>> {
+fn submit_results() -> Vec<Sample<SubmitResult>> {
     each_variant!(SubmitResult {
         SubmitResult::Answered(_) => wrap("answered", outcomes(), SubmitResult::Answered),
         SubmitResult::NotHere(_) => wrap("not-here", reason_codes(), SubmitResult::NotHere),
@@ -440,7 +440,7 @@
         records,
         has_more,
     };
-    let mut all = wrap("recover-reply", standings(), |standing| {
+    let mut all = wrap("recover-reply", recovery_states(), |standing| {
         page(standing, records(), true)
     });
     let last = page(RecoveryState::Whole, Vec::new(), false);
@@ -457,12 +457,12 @@
     all
 }
 
-fn standing_requests() -> Vec<Sample<RecoveryStateCall>> {
+fn recovery_state_requests() -> Vec<Sample<RecoveryStateCall>> {
     one("standing-request", RecoveryStateCall)
 }
 
-fn standing_replies() -> Vec<Sample<RecoveryStateReport>> {
-    wrap("standing-reply", standings(), |standing| {
+fn recovery_state_replies() -> Vec<Sample<RecoveryStateReport>> {
+    wrap("standing-reply", recovery_states(), |standing| {
         RecoveryStateReport {
             own: placement(91),
             standing,
@@ -471,7 +471,7 @@
     })
 }
 
-fn found_requests() -> Vec<Sample<BootstrapCall>> {
+fn bootstrap_requests() -> Vec<Sample<BootstrapCall>> {
     let call = |incarnations| BootstrapCall { incarnations };
     several([
         ("found-request", call(vec![placement(93), placement(940)])),
@@ -479,7 +479,7 @@
     ])
 }
 
-fn found_replies() -> Vec<Sample<bool>> {
+fn bootstrap_replies() -> Vec<Sample<bool>> {
     several([
         ("found-reply-whole", true),
         ("found-reply-not-whole", false),
@@ -567,7 +567,7 @@
         verdict,
         guard_report,
     };
-    let mut all = wrap("release-reply", release_verdicts(), |verdict| {
+    let mut all = wrap("release-reply", release_results(), |verdict| {
         reply(verdict, guard_report())
     });
     let alone = reply(ReleaseResult::Started, None);
@@ -597,7 +597,7 @@
 }
 
 fn submit_replies() -> Vec<Sample<SubmitReply>> {
-    wrap("submit-reply", verdicts(), |verdict| SubmitReply {
+    wrap("submit-reply", submit_results(), |verdict| SubmitReply {
         key: key(0x71),
         attempt: 70_114,
         verdict,
@@ -631,10 +631,10 @@
         names_of(&claim_answers()),
         names_of(&recover_requests()),
         names_of(&recover_replies()),
-        names_of(&standing_requests()),
-        names_of(&standing_replies()),
-        names_of(&found_requests()),
-        names_of(&found_replies()),
+        names_of(&recovery_state_requests()),
+        names_of(&recovery_state_replies()),
+        names_of(&bootstrap_requests()),
+        names_of(&bootstrap_replies()),
         names_of(&assign_requests()),
         names_of(&assign_replies()),
         names_of(&release_requests()),
@@ -691,15 +691,15 @@
 }
 
 #[test]
-fn standings_are_as_recorded() {
-    assert_requests::<RecoveryStateCall>(&standing_requests());
-    assert_replies::<RecoveryStateCall>(&standing_replies());
+fn recovery_states_are_as_recorded() {
+    assert_requests::<RecoveryStateCall>(&recovery_state_requests());
+    assert_replies::<RecoveryStateCall>(&recovery_state_replies());
 }
 
 #[test]
-fn foundings_are_as_recorded() {
-    assert_requests::<BootstrapCall>(&found_requests());
-    assert_replies::<BootstrapCall>(&found_replies());
+fn bootstraps_are_as_recorded() {
+    assert_requests::<BootstrapCall>(&bootstrap_requests());
+    assert_replies::<BootstrapCall>(&bootstrap_replies());
 }
 
 #[test]
--- a/crates/cloverfold/src/bin/cloverfold/found.rs
+++ b/crates/cloverfold/src/bin/cloverfold/found.rs
@@ -1,4 +1,4 @@
-//! `cloverfold found`: founds (bootstraps) a cell of a claims installation.
+//! `cloverfold found`: bootstraps a cell of a claims installation.
 
 use std::path::PathBuf;
 
@@ -27,8 +27,8 @@
     pub(crate) fn run(self) -> Result<()> {
         let guards = read_guards(&self.cell)?;
         run_as_operator(&self.keys, &self.name, async |network| {
-            let founded = bootstrap_cell(network, &guards).await?;
-            println!("the cell is founded with {} guards", founded.len());
+            let bootstrapped = bootstrap_cell(network, &guards).await?;
+            println!("the cell is founded with {} guards", bootstrapped.len());
             Ok(())
         })
     }
--- a/crates/cloverfold/src/bin/cloverfold/status.rs
+++ b/crates/cloverfold/src/bin/cloverfold/status.rs
@@ -29,19 +29,19 @@
     pub(crate) fn run(self) -> Result<()> {
         let guards = read_guards(&self.cell)?;
         run_as_operator(&self.keys, &self.name, async |network| {
-            print_standings(network, &guards).await;
+            print_recovery_states(network, &guards).await;
             Ok(())
         })
     }
 }
 
 /// Prints a row for each guard, with the error in place of the state if the guard does not answer.
-async fn print_standings(network: &Network, guards: &[PeerAddress]) {
+async fn print_recovery_states(network: &Network, guards: &[PeerAddress]) {
     println!("{:<12} {:<22} {:<18} claims", "guard", "address", "memory");
     for guard in guards {
         let report = network.call(guard, &RecoveryStateCall, CALL_TIMEOUT).await;
         let (memory, claims) = match report {
-            Ok(report) => (describe(&report.standing), report.records.to_string()),
+            Ok(report) => (describe_state(&report.standing), report.records.to_string()),
             Err(cause) => (cause.to_string(), "-".into()),
         };
         println!(
@@ -51,8 +51,8 @@
     }
 }
 
-fn describe(standing: &RecoveryState) -> String {
-    match standing {
+fn describe_state(state: &RecoveryState) -> String {
+    match state {
         RecoveryState::Whole => "whole".into(),
         RecoveryState::Recovering { whole_sources } => {
             format!("recovering from {}", whole_sources.len())
--- a/crates/cloverfold/tests/system/cluster.rs
+++ b/crates/cloverfold/tests/system/cluster.rs
@@ -71,16 +71,16 @@
 }
 
 impl Cluster {
-    /// Starts a cluster and founds it.
+    /// Starts a cluster and bootstraps its cell.
     pub async fn start(config: ClusterConfig) -> Self {
-        let mut cluster = Self::start_unfounded(config).await;
-        cluster.found().await;
+        let mut cluster = Self::start_without_bootstrap(config).await;
+        cluster.bootstrap().await;
         cluster.wait_until_ready().await;
         cluster
     }
 
-    /// Starts a cluster that has not been founded, so that its guards do not vote yet.
-    pub async fn start_unfounded(config: ClusterConfig) -> Self {
+    /// Starts a cluster without bootstrapping its cell, so that its guards do not vote yet.
+    pub async fn start_without_bootstrap(config: ClusterConfig) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let installation =
             Installation::create(folder.path(), config.guards, config.entries).unwrap();
@@ -171,8 +171,8 @@
         json!({ "log": { "level": "debug", "file": file } })
     }
 
-    /// Founds the cell, as the operator's command does, once every guard answers requests.
-    pub async fn found(&mut self) {
+    /// Bootstraps the cell, as the command `found` does, once every guard answers requests.
+    pub async fn bootstrap(&mut self) {
         self.wait_until_all_live().await;
         let network = open_operator_network(&self.installation.key_folder(), OPERATOR).unwrap();
         bootstrap_cell(&network, &list_guard_addresses(&self.cell))
--- a/crates/cloverfold/tests/system/whole_path.rs
+++ b/crates/cloverfold/tests/system/whole_path.rs
@@ -99,13 +99,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_runs_before_the_cell_is_founded() {
-    let mut cluster = Cluster::start_unfounded(ClusterConfig::default()).await;
+async fn nothing_runs_before_the_cell_is_bootstrapped() {
+    let mut cluster = Cluster::start_without_bootstrap(ClusterConfig::default()).await;
     let job = TestJob::new("early", 2, 20);
     let other = TestJob::new("later", 2, 20);
 
     let early = cluster.submit(0, &job).await;
-    cluster.found().await;
+    cluster.bootstrap().await;
     cluster.wait_until_ready().await;
     let later = cluster.submit(0, &other).await.unwrap();
 
