--- a/crates/tools/cloverfold_soak/src/checker/planned_stops.rs
+++ b/crates/tools/cloverfold_soak/src/checker/planned_stops.rs
@@ -9,9 +9,9 @@
 };
 
 /// A connection lost within this time after the exit of an entry counts as interrupted by its stop.
-const ENTRY_CUT_WINDOW: Duration = Duration::from_secs(1);
+const ENTRY_STOP_WINDOW: Duration = Duration::from_secs(1);
 /// The same for the runs of a guard, which lapse only when their lease expires.
-const GUARD_CUT_WINDOW: Duration = Duration::from_millis(1_300);
+const GUARD_STOP_WINDOW: Duration = Duration::from_millis(1_300);
 
 /// A guard that takes at least this long to stop has reached its drain timeout and may abandon runs.
 const GUARD_DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
@@ -46,7 +46,7 @@
     stop: &PlannedStop,
     entry: usize,
 ) -> Vec<Violation> {
-    let Some((from, until)) = find_stop_window(history, bounds, stop, ENTRY_CUT_WINDOW) else {
+    let Some((from, until)) = find_stop_window(history, bounds, stop, ENTRY_STOP_WINDOW) else {
         return Vec::new();
     };
     let attempts = history.attempts.iter();
@@ -82,7 +82,7 @@
     stop: &PlannedStop,
     guard: usize,
 ) -> Vec<Violation> {
-    let Some((from, until)) = find_stop_window(history, bounds, stop, GUARD_CUT_WINDOW) else {
+    let Some((from, until)) = find_stop_window(history, bounds, stop, GUARD_STOP_WINDOW) else {
         return Vec::new();
     };
     let exited_at = stop.exited_at.unwrap_or(until);
--- a/crates/tools/cloverfold_soak/src/plan/file.rs
+++ b/crates/tools/cloverfold_soak/src/plan/file.rs
@@ -10,13 +10,13 @@
 pub enum PlanFileError {
     /// The file cannot be read or written.
     #[error("{0}: {1}")]
-    File(String, std::io::Error),
+    Io(String, std::io::Error),
     /// The file does not contain a plan.
     #[error("{0}: {1}")]
-    Form(String, serde_json::Error),
+    Json(String, serde_json::Error),
     /// The plan refers to a process that does not exist.
     #[error("{0}: {1}")]
-    Content(String, &'static str),
+    InvalidReference(String, &'static str),
 }
 
 /// Reads a plan from a file.
@@ -26,11 +26,11 @@
 /// Returns an error if the file cannot be read or does not contain a valid plan.
 pub fn read_plan(file: &Path) -> Result<Plan, PlanFileError> {
     let name = || file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|cause| PlanFileError::File(name(), cause))?;
+    let text = std::fs::read_to_string(file).map_err(|cause| PlanFileError::Io(name(), cause))?;
     let plan: Plan =
-        serde_json::from_str(&text).map_err(|cause| PlanFileError::Form(name(), cause))?;
+        serde_json::from_str(&text).map_err(|cause| PlanFileError::Json(name(), cause))?;
     match find_invalid_reference(&plan) {
-        Some(reference) => Err(PlanFileError::Content(name(), reference)),
+        Some(reference) => Err(PlanFileError::InvalidReference(name(), reference)),
         None => Ok(plan),
     }
 }
@@ -74,6 +74,6 @@
 pub fn write_plan(plan: &Plan, file: &Path) -> Result<(), PlanFileError> {
     let name = || file.display().to_string();
     let text =
-        serde_json::to_string_pretty(plan).map_err(|cause| PlanFileError::Form(name(), cause))?;
-    std::fs::write(file, text).map_err(|cause| PlanFileError::File(name(), cause))
+        serde_json::to_string_pretty(plan).map_err(|cause| PlanFileError::Json(name(), cause))?;
+    std::fs::write(file, text).map_err(|cause| PlanFileError::Io(name(), cause))
 }
--- a/crates/tools/cloverfold_soak/src/plan/generate_faults.rs
+++ b/crates/tools/cloverfold_soak/src/plan/generate_faults.rs
@@ -124,10 +124,10 @@
                 _ => matches!(process, Process::Control(_)) && self.rng.random_bool(0.5),
             })
             .collect();
-        let alone = self.choose_process();
+        let isolated = self.choose_process();
         let is_in_side = |index: usize, process: Process| {
             if kind == 1 {
-                process == alone
+                process == isolated
             } else {
                 side_flags[index]
             }
@@ -185,12 +185,12 @@
 }
 
 fn includes_disk_loss(fault: &Fault) -> bool {
-    let loses_all = matches!(
+    let kills_all_and_loses_disk = matches!(
         fault,
         Fault::KillAll {
             lost_disk: Some(_),
             ..
         }
     );
-    loses_all || matches!(fault, Fault::LoseDisk { .. })
+    kills_all_and_loses_disk || matches!(fault, Fault::LoseDisk { .. })
 }
--- a/crates/tools/cloverfold_soak/src/run/faults.rs
+++ b/crates/tools/cloverfold_soak/src/run/faults.rs
@@ -92,9 +92,9 @@
     lasts: Millis,
 ) {
     let disturbance = begin_disturbance(installation, processes, false);
-    let links = installation.links.begin(fault);
+    let fault_id = installation.links.begin_fault(fault);
     sleep(millis(lasts)).await;
-    installation.links.end(links);
+    installation.links.end_fault(fault_id);
     installation.recorder.end_disturbance(disturbance);
 }
 
--- a/crates/tools/cloverfold_soak/src/run/findings.rs
+++ b/crates/tools/cloverfold_soak/src/run/findings.rs
@@ -18,10 +18,10 @@
 pub enum FindingsError {
     /// A file cannot be written.
     #[error("{0}: {1}")]
-    File(String, std::io::Error),
+    Io(String, std::io::Error),
     /// The history or the violations cannot be serialized.
     #[error("cannot serialize the findings: {0}")]
-    Form(#[from] serde_json::Error),
+    Json(#[from] serde_json::Error),
     /// The plan cannot be written.
     #[error(transparent)]
     Plan(#[from] PlanFileError),
@@ -47,12 +47,11 @@
     };
     let around = folder.join("around.log");
     write_lines_around(&report.log_offsets, first.at, &around)
-        .map_err(|cause| FindingsError::File(around.display().to_string(), cause))
+        .map_err(|cause| FindingsError::Io(around.display().to_string(), cause))
 }
 
 fn write_text(file: &Path, text: &str) -> Result<(), FindingsError> {
-    std::fs::write(file, text)
-        .map_err(|cause| FindingsError::File(file.display().to_string(), cause))
+    std::fs::write(file, text).map_err(|cause| FindingsError::Io(file.display().to_string(), cause))
 }
 
 /// Copies the lines around a time from each log.
--- a/crates/tools/cloverfold_soak/src/run/installation.rs
+++ b/crates/tools/cloverfold_soak/src/run/installation.rs
@@ -116,14 +116,14 @@
         let until = Instant::now() + START_TIMEOUT;
         operators::send_until_acknowledged(self, 0, FIRST_VERSION).await;
         if self.newest_acknowledged().is_none() {
-            return Err(SoakError::NotServing(
+            return Err(SoakError::NotReady(
                 "the first configuration was not acknowledged",
             ));
         }
         self.is_bootstrapped.store(true, Ordering::Relaxed);
         while !self.are_entries_ready().await {
             if Instant::now() > until {
-                return Err(SoakError::NotServing("an entry is not ready"));
+                return Err(SoakError::NotReady("an entry is not ready"));
             }
             sleep(START_POLL_INTERVAL).await;
             // The checker counts the time bounds of an acknowledgement from the start of the history.
@@ -215,8 +215,8 @@
         let history = self.recorder.lock();
         let orders = history.configuration_orders.iter();
         let acknowledged = orders.filter(|order| {
-            let is_taken = matches!(order.answer, Some((_, OrderAnswer::Acknowledged)));
-            order.is_valid && is_taken
+            let is_acknowledged = matches!(order.answer, Some((_, OrderAnswer::Acknowledged)));
+            order.is_valid && is_acknowledged
         });
         acknowledged.map(|order| order.version).max()
     }
@@ -228,7 +228,7 @@
         orders.any(|order| order.version == version && order.is_valid)
     }
 
-    /// Reserves a data hall for one operator until the guard is dropped; returns `None` if the hall is already reserved.
+    /// Reserves a data hall for one operator until the reservation is dropped; returns `None` if the hall is already reserved.
     pub(crate) fn reserve_hall(&self, hall: &str) -> Option<HallReservation<'_>> {
         let mut halls = self
             .reserved_halls
@@ -260,7 +260,7 @@
     (0..GUARD_COUNT).map(start).collect()
 }
 
-/// Reserves a data hall for one operator until it is dropped.
+/// The reservation of a data hall, which ends on drop.
 pub(crate) struct HallReservation<'a> {
     halls: &'a Mutex<HashSet<String>>,
     hall: String,
--- a/crates/tools/cloverfold_soak/src/run/links.rs
+++ b/crates/tools/cloverfold_soak/src/run/links.rs
@@ -107,7 +107,7 @@
     }
 
     /// Starts a fault; returns its id.
-    pub(crate) fn begin(&self, fault: LinkFault) -> u64 {
+    pub(crate) fn begin_fault(&self, fault: LinkFault) -> u64 {
         let mut active = self.active.lock().unwrap_or_else(PoisonError::into_inner);
         let id = active.next_id;
         active.next_id += 1;
@@ -116,7 +116,7 @@
         id
     }
 
-    pub(crate) fn end(&self, id: u64) {
+    pub(crate) fn end_fault(&self, id: u64) {
         let mut active = self.active.lock().unwrap_or_else(PoisonError::into_inner);
         active.faults.remove(&id);
         self.apply(&active.faults);
--- a/crates/tools/cloverfold_soak/src/run/mod.rs
+++ b/crates/tools/cloverfold_soak/src/run/mod.rs
@@ -42,7 +42,7 @@
     Io(String, std::io::Error),
     /// The installation did not become ready.
     #[error("the installation did not become ready: {0}")]
-    NotServing(&'static str),
+    NotReady(&'static str),
 }
 
 /// The result of a soak.
--- a/crates/tools/cloverfold_soak/src/run/observers.rs
+++ b/crates/tools/cloverfold_soak/src/run/observers.rs
@@ -26,13 +26,13 @@
 /// Timeout of a readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_millis(400);
 /// An entry that fails this many readiness checks in a row gets no new callers.
-const MAX_FAILED_CHECKS: u32 = 2;
+const FAILURE_THRESHOLD: u32 = 2;
 /// Interval of the probes of an entry and of the reads at a control process.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(300);
 /// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Interval of the checks for unexpected exits.
-const EXIT_INTERVAL: Duration = Duration::from_millis(100);
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Spawns all observers.
 pub(crate) fn spawn_observers(installation: &Arc<Installation>, tasks: &mut JoinSet<()>) {
@@ -60,7 +60,7 @@
             Ok(Some((StatusCode::OK, _)))
         );
         failed_checks = if is_ready { 0 } else { failed_checks + 1 };
-        installation.ready[entry].store(failed_checks < MAX_FAILED_CHECKS, Ordering::Relaxed);
+        installation.ready[entry].store(failed_checks < FAILURE_THRESHOLD, Ordering::Relaxed);
         sleep(READINESS_INTERVAL).await;
     }
 }
@@ -159,7 +159,7 @@
 /// Records unexpected exits and restarts the processes.
 async fn watch_exits(installation: Arc<Installation>) {
     loop {
-        sleep(EXIT_INTERVAL).await;
+        sleep(EXIT_CHECK_INTERVAL).await;
         for process in installation.restart_exited() {
             let at = installation.recorder.now();
             let exit = UnexpectedExit { process, at };
--- a/crates/tools/cloverfold_soak/src/run/snapshot.rs
+++ b/crates/tools/cloverfold_soak/src/run/snapshot.rs
@@ -24,7 +24,7 @@
                 is_late: run.is_late,
                 end: run
                     .end
-                    .map(|(at, end)| (self.recorder.elapsed_at(at), read_end(end))),
+                    .map(|(at, end)| (self.recorder.elapsed_at(at), convert_end(end))),
             });
             history.runs.extend(runs);
         }
@@ -42,7 +42,7 @@
     }
 }
 
-fn read_end(end: RunEndCause) -> RunEnd {
+fn convert_end(end: RunEndCause) -> RunEnd {
     match end {
         RunEndCause::Done => RunEnd::Done,
         RunEndCause::Failed => RunEnd::Failed,
