--- a/crates/claims/cloverfold_claim/src/found.rs
+++ b/crates/claims/cloverfold_claim/src/bootstrap.rs
@@ -1,60 +1,59 @@
-//! The operator's founding of a cell.
+//! Bootstrap of a cell by the operator.
 //!
-//! A guard cannot tell its first start from a restart: it has no disk. So it votes on nothing until its memory covers
-//! what it may have forgotten, and at the very first start the operator declares, once, that there is nothing to
-//! forget. Owns nothing; it calls every guard of the cell.
+//! A guard keeps its votes in memory only and cannot tell its first start from a restart, so it does not vote until it
+//! has recovered. On the first start of the cell the operator declares once that no guard has ever voted.
 
 use std::time::Duration;
 
-use cloverfold_claims_core::Standing;
+use cloverfold_claims_core::RecoveryState;
 use cloverfold_net::{CallError, Network, PeerAddress};
 
-use crate::messages::{FoundCall, StandingCall, StandingReport};
+use crate::messages::{BootstrapCall, RecoveryStateCall, RecoveryStateReport};
 
-/// Longest wait for one guard's answer. Chosen, not measured.
+/// Timeout of one guard's answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a cell was not founded.
+/// Why a cell was not bootstrapped.
 #[derive(Debug, thiserror::Error)]
-pub enum FoundError {
-    /// A guard did not answer; founding needs every guard.
+pub enum BootstrapError {
+    /// A guard did not answer; the bootstrap needs every guard.
     #[error("{guard} did not answer ({cause}); start every guard of the cell, then found it again")]
     Unreachable {
         /// Name of the guard.
         guard: String,
-        /// What happened.
+        /// Error of the call.
         cause: CallError,
     },
-    /// Guards are in service, so the cell was founded before.
+    /// A guard has complete claim records, so the cell was bootstrapped before.
     #[error(
         "the cell was founded before ({0} is whole); a restarted guard recovers by itself, and after \
          the loss of a majority the cell serves again when the retention has passed"
     )]
     FoundedBefore(String),
-    /// A guard restarted meanwhile.
+    /// A guard restarted during the bootstrap.
     #[error("{0} restarted meanwhile and will recover by itself from the others")]
     Restarted(String),
 }
 
-/// Declares that no guard of the cell has ever voted, so that all serve at once.
+/// Declares that no guard of the cell has ever voted, so that all of them serve immediately.
 ///
 /// # Errors
 ///
-/// Returns which guard did not answer, is whole already, or restarted meanwhile. Guards that were told before it
-/// stay whole; the rest recover from them.
-pub async fn found_cell(
+/// Returns the guard that did not answer, had complete records before, or restarted meanwhile. Guards that were
+/// bootstrapped before the error keep serving.
+pub async fn bootstrap_cell(
     network: &Network,
     guards: &[PeerAddress],
-) -> Result<Vec<StandingReport>, FoundError> {
-    let reports = read_standings(network, guards).await?;
+) -> Result<Vec<RecoveryStateReport>, BootstrapError> {
+    let reports = read_recovery_states(network, guards).await?;
     for (guard, report) in guards.iter().zip(&reports) {
-        if report.standing == Standing::Whole {
-            return Err(FoundError::FoundedBefore(guard.name.clone()));
+        if report.standing == RecoveryState::Whole {
+            return Err(BootstrapError::FoundedBefore(guard.name.clone()));
         }
     }
     let incarnations: Vec<_> = reports.iter().map(|report| report.own).collect();
     for guard in guards {
-        let call = FoundCall {
+        let call = BootstrapCall {
             incarnations: incarnations.clone(),
         };
         let is_whole = network
@@ -62,25 +61,25 @@
             .await
             .map_err(|cause| unreachable_guard(guard, cause))?;
         if !is_whole {
-            return Err(FoundError::Restarted(guard.name.clone()));
+            return Err(BootstrapError::Restarted(guard.name.clone()));
         }
     }
     Ok(reports)
 }
 
-/// Asks every guard for its standing.
+/// Reads the recovery state of every guard.
 ///
 /// # Errors
 ///
-/// Names the first guard that does not answer.
-pub async fn read_standings(
+/// Returns the first guard that does not answer.
+pub async fn read_recovery_states(
     network: &Network,
     guards: &[PeerAddress],
-) -> Result<Vec<StandingReport>, FoundError> {
+) -> Result<Vec<RecoveryStateReport>, BootstrapError> {
     let mut reports = Vec::with_capacity(guards.len());
     for guard in guards {
         let report = network
-            .call(guard, &StandingCall, CALL_TIMEOUT)
+            .call(guard, &RecoveryStateCall, CALL_TIMEOUT)
             .await
             .map_err(|cause| unreachable_guard(guard, cause))?;
         reports.push(report);
@@ -88,8 +87,8 @@
     Ok(reports)
 }
 
-fn unreachable_guard(guard: &PeerAddress, cause: CallError) -> FoundError {
-    FoundError::Unreachable {
+fn unreachable_guard(guard: &PeerAddress, cause: CallError) -> BootstrapError {
+    BootstrapError::Unreachable {
         guard: guard.name.clone(),
         cause,
     }
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -1,27 +1,24 @@
-//! Progress of one job, from its claim to its answer.
+//! State machine of one job, from its claim to its outcome.
 //!
-//! [`JobProgress`] decides when a task is moved, repeated or released, and what the caller is told; its driver
-//! sends what the [`JobAction`]s ask for and reports [`JobEvent`]s. Several drivers may run one job at a time, on
-//! several guards: a task starts where its fence lets it start, whichever driver asks.
-//!
-//! Owns what one driver knows of each task. Relies on the fences of the guards ([`crate::Fence`]) for the proof
-//! that a task has not started.
+//! [`JobProgress`] decides when a task moves, is retried or is released, and what the outcome is. Its driver executes
+//! the [`JobAction`]s and reports [`JobEvent`]s. Several guards may drive one job concurrently: the fence of each guard
+//! ([`crate::Fence`]) keeps each task to one start and proves that a task has not started.
 
 use crate::claim::Claim;
-use crate::fence::{ReleaseVerdict, TaskEnd};
-use crate::job_events::{JobAction, JobEvent, JobOptions};
+use crate::fence::{ReleaseResult, TaskEnd};
+use crate::job_events::{EventContext, JobAction, JobEvent};
 use crate::outcome::{Outcome, ReasonCode, Repeat};
 use crate::task_progress::{TaskProgress, TaskStatus};
 use crate::{Placement, TaskIndex};
 
-/// Why the job will not complete.
+/// First failure of a job.
 #[derive(Clone, Debug)]
 struct Failure {
     reason: ReasonCode,
     detail: String,
 }
 
-/// State of one driver of a job.
+/// What one driver knows of a job.
 #[derive(Clone, Debug)]
 pub struct JobProgress {
     repeat: Repeat,
@@ -31,7 +28,7 @@
 }
 
 impl JobProgress {
-    /// Begins to drive a claim; returns the progress and the first assignments.
+    /// Starts a job from its claim; returns its state and the first assignments.
     pub fn begin(claim: &Claim, repeat: Repeat) -> (Self, Vec<JobAction>) {
         let places =
             (0..claim.tasks.len() as TaskIndex).filter_map(|task| claim.placement_of(task));
@@ -47,94 +44,98 @@
         (progress, actions)
     }
 
-    /// Returns the number of tasks that are done.
+    /// Returns the number of completed tasks.
     pub fn done_count(&self) -> usize {
         let is_done = |task: &&TaskProgress| matches!(task.status, TaskStatus::Done(_));
         self.tasks.iter().filter(is_done).count()
     }
 
-    /// Handles an event; returns what the driver is to send.
-    pub fn absorb(&mut self, event: JobEvent, options: &mut JobOptions<'_>) -> Vec<JobAction> {
+    /// Handles an event; returns the actions for the driver.
+    pub fn handle_event(
+        &mut self,
+        event: JobEvent,
+        context: &mut EventContext<'_>,
+    ) -> Vec<JobAction> {
         let mut actions = Vec::new();
         if self.is_answered {
             return actions;
         }
         let (task, place) = event.origin();
-        if self.is_at(task, place) {
-            self.absorb_at(task, event, options, &mut actions);
+        if self.is_open_at(task, place) {
+            self.handle_event_at(task, event, context, &mut actions);
         }
         self.answer_if_decided(&mut actions);
         actions
     }
 
-    fn absorb_at(
+    fn handle_event_at(
         &mut self,
         task: TaskIndex,
         event: JobEvent,
-        options: &mut JobOptions<'_>,
+        context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
         match event {
-            JobEvent::Ended { end, .. } => self.absorb_end(task, end, options, actions),
-            JobEvent::Verdict { verdict, .. } => {
-                self.absorb_verdict(task, verdict, options, actions);
+            JobEvent::Ended { end, .. } => self.handle_end(task, end, context, actions),
+            JobEvent::ReleaseAnswered { verdict, .. } => {
+                self.handle_release_result(task, verdict, context, actions);
             }
-            JobEvent::PlaceLost { place, .. } => {
+            JobEvent::PlacementLost { place, .. } => {
                 let detail = lost_detail(place);
-                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, options, actions);
+                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, context, actions);
             }
         }
     }
 
-    /// Returns whether an open task is at a place; events of other places and of ended tasks are ignored.
-    fn is_at(&self, task: TaskIndex, place: Placement) -> bool {
+    /// Returns whether a task is open at a placement; events of ended tasks and of other placements are ignored.
+    fn is_open_at(&self, task: TaskIndex, place: Placement) -> bool {
         let progress = self.tasks.get(usize::from(task));
         progress.is_some_and(|progress| progress.is_open() && progress.place == place)
     }
 
-    fn absorb_end(
+    fn handle_end(
         &mut self,
         task: TaskIndex,
         end: TaskEnd,
-        options: &mut JobOptions<'_>,
+        context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
         match end {
             TaskEnd::Done(result) => self.task_mut(task).status = TaskStatus::Done(result),
             TaskEnd::Failed { reason, detail } => {
-                self.repeat_or_fail(task, reason, &detail, options, actions);
+                self.repeat_or_fail(task, reason, &detail, context, actions);
             }
-            TaskEnd::Returned(reason) => self.move_or_fail(task, reason, options, actions),
+            TaskEnd::Returned(reason) => self.move_or_fail(task, reason, context, actions),
             TaskEnd::Released(place) => self.follow_release(task, place, actions),
         }
     }
 
-    fn absorb_verdict(
+    fn handle_release_result(
         &mut self,
         task: TaskIndex,
-        verdict: ReleaseVerdict,
-        options: &mut JobOptions<'_>,
+        verdict: ReleaseResult,
+        context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
         let place = self.task_mut(task).place;
         match verdict {
-            ReleaseVerdict::Released(to) => self.follow_release(task, to, actions),
-            ReleaseVerdict::Started if self.failure.is_some() => {
+            ReleaseResult::Released(to) => self.follow_release(task, to, actions),
+            ReleaseResult::Started if self.failure.is_some() => {
                 self.task_mut(task).status = TaskStatus::Lost;
             }
-            ReleaseVerdict::Started => {
+            ReleaseResult::Started => {
                 let progress = self.task_mut(task);
                 progress.status = TaskStatus::Assigned;
                 actions.push(progress.assign(task));
             }
-            ReleaseVerdict::WrongIncarnation(_) => {
+            ReleaseResult::WrongIncarnation(_) => {
                 let detail = lost_detail(place);
-                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, options, actions);
+                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, context, actions);
             }
         }
     }
 
-    /// Follows a task to the place that it was released to.
+    /// Assigns a released task to its next placement.
     fn follow_release(
         &mut self,
         task: TaskIndex,
@@ -149,7 +150,7 @@
             return;
         };
         if progress.has_visited(place) {
-            // Each place on the way has passed the task on to the next, so none will ever start it.
+            // Every placement since then has released the task to the next one, so none will ever start it.
             progress.status = TaskStatus::NeverStarted;
             self.fail_job(ReasonCode::Unavailable, "no place kept a task", actions);
         } else if is_failing {
@@ -162,21 +163,21 @@
         }
     }
 
-    /// Moves a task that its place returned unstarted to the next place; without one the job fails.
+    /// Moves a task that was returned unstarted, or fails the job if there is no next placement.
     ///
-    /// The place is asked to release the task first, which fences it there.
+    /// The current placement must release the task first, which fences it there.
     fn move_or_fail(
         &mut self,
         task: TaskIndex,
         reason: ReasonCode,
-        options: &mut JobOptions<'_>,
+        context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
         let progress = self.task_mut(task);
         let place = progress.place;
         progress.status = TaskStatus::Releasing;
         let can_move = reason != ReasonCode::DeadlinePassed;
-        let to = progress.choose_next(&options.places).filter(|_| can_move);
+        let to = progress.choose_next(&context.places).filter(|_| can_move);
         if to.is_none() || self.failure.is_some() {
             self.task_mut(task).status = TaskStatus::Assigned;
             self.fail_job(reason, "a task could not be placed", actions);
@@ -185,18 +186,18 @@
         actions.push(JobAction::Release { task, place, to });
     }
 
-    /// Repeats a task whose start was lost, where that is allowed; else the job fails.
+    /// Retries a task that may have started if the job and the retry budget allow it, otherwise fails the job.
     fn repeat_or_fail(
         &mut self,
         task: TaskIndex,
         reason: ReasonCode,
         detail: &str,
-        options: &mut JobOptions<'_>,
+        context: &mut EventContext<'_>,
         actions: &mut Vec<JobAction>,
     ) {
-        if self.can_repeat(reason)
-            && let Some(place) = self.task_mut(task).choose_next(&options.places)
-            && (options.take_retry)()
+        if self.can_retry(reason)
+            && let Some(place) = self.task_mut(task).choose_next(&context.places)
+            && (context.take_retry)()
         {
             let progress = self.task_mut(task);
             progress.move_to(place, TaskStatus::Assigned);
@@ -207,13 +208,13 @@
         self.fail_job(reason, detail, actions);
     }
 
-    /// A task is repeated only where its workspace allows it and its place, not the task itself, failed.
-    fn can_repeat(&self, reason: ReasonCode) -> bool {
-        let is_place_at_fault = matches!(reason, ReasonCode::GuardLost | ReasonCode::TargetLost);
-        self.repeat == Repeat::Allowed && is_place_at_fault && self.failure.is_none()
+    /// Returns whether the job allows retries and the guard or target was lost, as opposed to a failure of the task.
+    fn can_retry(&self, reason: ReasonCode) -> bool {
+        let is_placement_lost = matches!(reason, ReasonCode::GuardLost | ReasonCode::TargetLost);
+        self.repeat == Repeat::Allowed && is_placement_lost && self.failure.is_none()
     }
 
-    /// Records the first failure and asks for the release of every task that is still assigned.
+    /// Records the first failure and releases every task that is still assigned.
     fn fail_job(&mut self, reason: ReasonCode, detail: &str, actions: &mut Vec<JobAction>) {
         if self.failure.is_none() {
             let detail = detail.to_owned();
@@ -232,17 +233,17 @@
     }
 
     fn answer_if_decided(&mut self, actions: &mut Vec<JobAction>) {
-        if let Some(outcome) = self.decide() {
+        if let Some(outcome) = self.decide_outcome() {
             self.is_answered = true;
             actions.push(JobAction::Answer(outcome));
         }
     }
 
-    /// Decides the answer, once what is known allows one.
+    /// Returns the outcome once it is decided.
     ///
-    /// A failed job is answered as soon as one task may have run; that nothing ran is only answered when every
-    /// task is proved not to have started.
-    fn decide(&mut self) -> Option<Outcome> {
+    /// A failed job is `Failed` as soon as one task may have run. It is `NotRun` only if every task is proved not to
+    /// have started.
+    fn decide_outcome(&mut self) -> Option<Outcome> {
         let Some(failure) = &self.failure else {
             return self.take_results();
         };
--- a/crates/claims/cloverfold_claims_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -1,12 +1,12 @@
-//! All decisions of a claims installation: no I/O and no clock of its own.
+//! The protocol logic of a claims installation, without I/O or a clock.
 //!
-//! - Agreement on one [`Claim`] a submission: [`Proposer`], [`ClaimReplica`].
+//! - Consensus on one [`Claim`] for each submission: [`Proposer`], [`ClaimReplica`].
 //! - Admission and placement at the lead: [`Admission`], [`GuardTable`], [`choose_placements`].
 //! - Starting a task at most once: [`Fence`].
-//! - Moving, repeating and answering: [`JobProgress`], [`RetryBudget`].
+//! - Moving and retrying tasks, and the outcome of a job: [`JobProgress`], [`RetryBudget`].
 //!
-//! Everything is a plain value with functions over explicit state, so that each decision can be tested without a
-//! network. Times and random numbers are arguments. The other packages of the installation carry the decisions out.
+//! All types are plain state machines that can be tested without a network: times and random numbers are arguments.
+//! The other crates of the installation perform the I/O.
 //!
 //! ```
 //! use cloverfold_claims_core::{Cell, Location, derive_submission_key};
@@ -19,7 +19,6 @@
 
 mod admission;
 mod cell;
-mod choice;
 mod claim;
 mod claim_records;
 mod fair_queue;
@@ -30,22 +29,22 @@
 mod job;
 mod job_events;
 mod outcome;
+mod placement_policy;
 mod proposer;
+mod recovery_state;
 mod replica;
 mod retry_budget;
-mod standing;
 mod task_progress;
 
 pub use admission::{Admission, Capacity, Ticket, TicketId};
 pub use cell::{Cell, Location, quorum_of};
-pub use choice::{Candidate, PlacementPolicy, choose_free_place, choose_placements, rank_by_load};
 pub use claim::{
     Accepted, Ballot, CLOCK_MARGIN, Claim, ClaimReply, ClaimRequest, ReplicaReply, Submission,
 };
 pub use claim_records::ReplicaRecord;
 pub use fair_queue::{FairQueue, Flow};
 pub use fence::{
-    AssignVerdict, Fence, FenceLimits, QueuedTask, ReleaseVerdict, TaskEnd, TaskId, TaskState,
+    AssignResult, Fence, FenceLimits, QueuedTask, ReleaseResult, TaskEnd, TaskId, TaskState,
 };
 pub use guard_table::{GuardPhase, GuardReport, GuardTable};
 pub use ids::{
@@ -54,9 +53,12 @@
 };
 pub use incarnations::Incarnations;
 pub use job::JobProgress;
-pub use job_events::{JobAction, JobEvent, JobOptions};
+pub use job_events::{EventContext, JobAction, JobEvent};
 pub use outcome::{Outcome, ReasonCode, Repeat};
+pub use placement_policy::{
+    Candidate, PlacementPolicy, choose_free_placement, choose_placements, rank_by_load,
+};
 pub use proposer::{Proposer, ProposerStep};
+pub use recovery_state::{RecoveryPage, RecoveryState};
 pub use replica::ClaimReplica;
 pub use retry_budget::RetryBudget;
-pub use standing::{RecoveryPage, Standing};
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -1,7 +1,6 @@
-//! What this process knows of the cell's guards.
+//! This process's view of the cell's guards.
 //!
-//! [`Membership`] owns the table of reports and of tasks in flight ([`GuardTable`], on the control thread). Relies on
-//! [`crate::MembershipPlugin`]'s heartbeats, and on messages that carry reports, to keep it up to date.
+//! Heartbeats and other messages with reports update the [`GuardTable`], which is on the control thread.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,38 +14,37 @@
 use tokio::sync::{Notify, watch};
 
 use crate::directory::Directory;
-use crate::own_state::OwnGuard;
+use crate::local_state::LocalGuard;
 
-/// A guard that has not reported for this long gets no new task. Chosen, not measured: four heartbeats
-/// (docs/design/5-membership.md).
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_600);
+/// A guard that has not reported for this long gets no new task; four heartbeat intervals.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// A task that this process has at a place; dropped when the task has ended there.
-pub struct Charge {
+/// Counts a task as in flight at its placement until it is dropped.
+pub struct InFlightTask {
     place: Placement,
     table: ThreadState<GuardTable>,
     changed: Arc<Notify>,
 }
 
-impl Charge {
-    /// Returns the place.
-    pub fn place(&self) -> Placement {
+impl InFlightTask {
+    /// Returns the placement of the task.
+    pub fn placement(&self) -> Placement {
         self.place
     }
 }
 
-impl Drop for Charge {
+impl Drop for InFlightTask {
     fn drop(&mut self) {
         let guard = self.place.guard;
         let changed = self.changed.clone();
         self.table.post(move |table| {
-            table.discharge(guard);
+            table.remove_in_flight(guard);
             changed.notify_one();
         });
     }
 }
 
-/// Shared knowledge of the cell's guards.
+/// Shared handle to the state of the cell's guards.
 #[derive(Clone)]
 pub struct Membership {
     started: Instant,
@@ -55,7 +53,7 @@
     directory: Arc<Directory>,
     changed: Arc<Notify>,
     restarts: watch::Sender<()>,
-    own: Option<Arc<OwnGuard>>,
+    own: Option<Arc<LocalGuard>>,
 }
 
 impl Membership {
@@ -63,11 +61,11 @@
         control: &ControlThread,
         network: Network,
         directory: Arc<Directory>,
-        own: Option<Arc<OwnGuard>>,
+        own: Option<Arc<LocalGuard>>,
     ) -> Self {
         Self {
             started: Instant::now(),
-            table: control.own(GuardTable::default()),
+            table: control.manage(GuardTable::default()),
             network,
             directory,
             changed: Arc::default(),
@@ -76,15 +74,15 @@
         }
     }
 
-    /// Makes a fresh report of this guard; `None` in a process that is not a guard.
-    pub fn own_report(&self) -> Option<GuardReport> {
+    /// Returns a new report of this guard, or `None` in a process that is not a guard.
+    pub fn local_report(&self) -> Option<GuardReport> {
         self.own.as_ref().map(|own| own.report())
     }
 
-    /// Records reports, from heartbeats or from messages that carried them.
+    /// Records reports from heartbeats and other messages.
     ///
-    /// The connection to a guard that has restarted is closed, since nothing answers on it.
-    pub fn absorb(&self, reports: impl IntoIterator<Item = GuardReport>) {
+    /// Closes the connection to a guard that has restarted, because its old process no longer answers.
+    pub fn record_reports(&self, reports: impl IntoIterator<Item = GuardReport>) {
         let reports: Vec<GuardReport> = reports.into_iter().collect();
         if reports.is_empty() {
             return;
@@ -98,7 +96,7 @@
             changed.notify_one();
             for report in reports {
                 let guard = report.placement.guard;
-                if table.absorb(report, now)
+                if table.record_report(report, now)
                     && let Some(address) = directory.address_of(guard)
                 {
                     network.forget_connection(address);
@@ -108,81 +106,82 @@
         });
     }
 
-    /// Runs a decision on the table, after recording this guard's present state in it.
+    /// Records a new report of this guard and runs a closure on the table.
     async fn with_table<R, F>(&self, decide: F) -> R
     where
         R: Send + 'static,
         F: FnOnce(&mut GuardTable, Duration) -> R + Send + 'static,
     {
-        let own = self.own_report();
+        let own = self.local_report();
         let now = self.started.elapsed();
         self.table
             .with(move |table| {
                 if let Some(own) = own {
-                    table.absorb(own, now);
+                    table.record_report(own, now);
                 }
                 decide(table, now)
             })
             .await
     }
 
-    /// Lists what is known of every guard, this one freshly.
+    /// Returns the newest report of every guard.
     pub async fn list_reports(&self) -> Vec<GuardReport> {
         self.with_table(|table, now| table.reports(now)).await
     }
 
-    /// Lists the guards that accept work, with their load.
+    /// Returns the guards that accept work, with their load.
     pub async fn list_candidates(&self) -> Vec<Candidate> {
-        self.with_table(|table, now| table.list_candidates(now, SILENCE_LIMIT))
+        self.with_table(|table, now| table.list_candidates(now, REPORT_TIMEOUT))
             .await
     }
 
-    /// Counts the slots of the guards that accept work.
+    /// Returns the slots of the guards that accept work.
     pub async fn count_capacity(&self) -> Capacity {
-        self.with_table(|table, now| table.count_capacity(now, SILENCE_LIMIT))
+        self.with_table(|table, now| table.count_capacity(now, REPORT_TIMEOUT))
             .await
     }
 
-    /// Waits until a task of this process may have ended or a guard's state may have changed.
+    /// Waits until a task of this process has ended or reports have arrived.
     pub async fn wait_for_change(&self) {
         self.changed.notified().await;
     }
 
-    /// Places tasks by the cell's policy, one charge for each.
-    pub async fn place_tasks(&self, policy: PlacementPolicy, count: usize) -> Vec<Charge> {
+    /// Places tasks with the given policy and counts them as in flight.
+    pub async fn place_tasks(&self, policy: PlacementPolicy, count: usize) -> Vec<InFlightTask> {
         let place = move |table: &mut GuardTable, now| {
-            table.place(policy, count, now, SILENCE_LIMIT, random_below)
+            table.place_tasks(policy, count, now, REPORT_TIMEOUT, random_below)
         };
         let places = self.with_table(place).await;
-        let charge = |place| Charge {
+        let track = |place| InFlightTask {
             place,
             table: self.table.clone(),
             changed: self.changed.clone(),
         };
-        places.into_iter().map(charge).collect()
+        places.into_iter().map(track).collect()
     }
 
-    /// Counts a task that this process sends to a place, until the charge is dropped.
-    pub fn charge(&self, place: Placement) -> Charge {
-        self.table.post(move |table| table.charge(place.guard));
-        Charge {
+    /// Counts a task as in flight at a placement until the returned value is dropped.
+    pub fn track_in_flight(&self, place: Placement) -> InFlightTask {
+        self.table
+            .post(move |table| table.add_in_flight(place.guard));
+        InFlightTask {
             place,
             table: self.table.clone(),
             changed: self.changed.clone(),
         }
     }
 
-    /// Records that a guard could not be reached, so that it gets no new task until it makes a further report.
+    /// Marks an unreachable guard as suspected; it gets no new task until it makes a new report.
     pub fn suspect(&self, guard: GuardId) {
         let now = self.started.elapsed();
         self.table.post(move |table| table.suspect(guard, now));
     }
 
-    /// Waits until a later incarnation of a place's guard is known.
+    /// Waits until a later incarnation of the placement's guard is known.
     pub async fn wait_for_restart(&self, place: Placement) {
         let mut rx = self.restarts.subscribe();
         while !self.is_superseded(place).await {
-            // The sender is part of `self`, so waiting cannot fail.
+            // `self` keeps the sender alive, so this cannot fail.
             let _ = rx.changed().await;
         }
     }
@@ -195,15 +194,15 @@
         self.table.with(find).await
     }
 
-    /// Finds the guard that coordinates the cell's jobs now: the lead, or the next that accepts work.
+    /// Returns the acting lead: the first guard in the lead order that accepts work and has complete claim records.
     pub async fn find_acting_lead(&self) -> Option<GuardId> {
         let order = self.directory.lead_order.clone();
-        self.with_table(move |table, now| table.find_lead(&order, now, SILENCE_LIMIT))
+        self.with_table(move |table, now| table.find_lead(&order, now, REPORT_TIMEOUT))
             .await
     }
 
-    /// Lists those of the given guards that accept work and have reported lately, in their order.
-    pub async fn keep_usable(&self, guards: Vec<GuardId>) -> Vec<GuardId> {
+    /// Returns those of the given guards that accept work, in the given order.
+    pub async fn filter_usable(&self, guards: Vec<GuardId>) -> Vec<GuardId> {
         let candidates = self.list_candidates().await;
         let is_usable =
             |guard: &GuardId| candidates.iter().any(|one| one.placement.guard == *guard);
--- a/crates/cloverfold/src/bin/cloverfold/keys.rs
+++ b/crates/cloverfold/src/bin/cloverfold/keys.rs
@@ -1,6 +1,4 @@
-//! `cloverfold keys`: makes the keys of the processes of a claims installation.
-//!
-//! Owns nothing after the files are written. Relies on `cloverfold_net` for the keys.
+//! `cloverfold keys`: generates certificates and private keys for the processes of a claims installation.
 
 use std::path::PathBuf;
 
@@ -26,7 +24,7 @@
             bail!("name at least one process, as in: cloverfold keys guard-1 entry-1 operator-1");
         }
         for name in &self.names {
-            if PeerRole::of_name(name).is_none() {
+            if PeerRole::from_name(name).is_none() {
                 bail!("{name}: must begin with guard-, entry- or operator-");
             }
         }
--- a/crates/cloverfold/src/bin/cloverfold/status.rs
+++ b/crates/cloverfold/src/bin/cloverfold/status.rs
@@ -1,12 +1,10 @@
 //! `cloverfold status`: shows the claim records of each guard of a claims installation.
-//!
-//! Owns nothing. Relies on `cloverfold_claim` for the message and on `operator` for the calls.
 
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use cloverfold_claim::StandingCall;
-use cloverfold_claims_core::Standing;
+use cloverfold_claim::RecoveryStateCall;
+use cloverfold_claims_core::RecoveryState;
 use cloverfold_net::{Network, PeerAddress};
 use eyre::Result;
 
@@ -31,19 +29,19 @@
     pub(crate) fn run(self) -> Result<()> {
         let guards = read_guards(&self.cell)?;
         run_as_operator(&self.keys, &self.name, async |network| {
-            print_standings(network, &guards).await;
+            print_recovery_states(network, &guards).await;
             Ok(())
         })
     }
 }
 
-/// Prints a row for each guard; one that does not answer shows the cause instead.
-async fn print_standings(network: &Network, guards: &[PeerAddress]) {
+/// Prints a row for each guard, with the error in place of the state if the guard does not answer.
+async fn print_recovery_states(network: &Network, guards: &[PeerAddress]) {
     println!("{:<12} {:<22} {:<18} claims", "guard", "address", "memory");
     for guard in guards {
-        let report = network.call(guard, &StandingCall, CALL_TIMEOUT).await;
+        let report = network.call(guard, &RecoveryStateCall, CALL_TIMEOUT).await;
         let (memory, claims) = match report {
-            Ok(report) => (describe(&report.standing), report.records.to_string()),
+            Ok(report) => (describe_state(&report.standing), report.records.to_string()),
             Err(cause) => (cause.to_string(), "-".into()),
         };
         println!(
@@ -53,10 +51,10 @@
     }
 }
 
-fn describe(standing: &Standing) -> String {
-    match standing {
-        Standing::Whole => "whole".into(),
-        Standing::Recovering { whole_sources } => {
+fn describe_state(state: &RecoveryState) -> String {
+    match state {
+        RecoveryState::Whole => "whole".into(),
+        RecoveryState::Recovering { whole_sources } => {
             format!("recovering from {}", whole_sources.len())
         }
     }
