--- a/crates/claims/cloverfold_entry/src/answer.rs
+++ b/crates/claims/cloverfold_entry/src/answer.rs
@@ -1,6 +1,4 @@
 //! The answers to callers: status, headers and JSON body.
-//!
-//! The names in the body are part of the interface (`docs/API.md`).
 
 use std::time::Duration;
 
@@ -18,43 +16,43 @@
 pub struct AnswerBody {
     /// `complete`, `failed`, `not_run`, `unknown`; for a state also `running`, `claimed` or `not_seen`.
     pub outcome: &'static str,
-    /// Key to ask again with.
+    /// Key for a query of the job's state.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// One result for each task, in the order of the tasks.
+    /// One result for each task, in task order.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub results: Option<Vec<Box<RawValue>>>,
-    /// Why the outcome is not `complete`.
+    /// The error, if the outcome is not `complete`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub error: Option<ErrorBody>,
 }
 
-/// Cause of an answer that is not `complete`.
+/// Error of an answer that is not `complete`.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody {
     /// Stable code.
     pub code: &'static str,
-    /// One sentence for a person.
+    /// Human-readable message.
     pub message: String,
-    /// The field or header at fault, if it is one.
+    /// The invalid field or header, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// When to retry, in milliseconds, where that can help.
+    /// When to retry, in milliseconds, if a retry can succeed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// Answer to a request, with the status and headers that go with its body.
+/// Answer to a request: status, body and connection handling.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
     pub(crate) body: AnswerBody,
-    /// Whether the connection is closed after the answer, so that the caller's pool opens one elsewhere.
+    /// Whether to close the connection after the answer, so that the caller connects to another entry.
     pub(crate) closes_connection: bool,
 }
 
 impl Answer {
-    /// Builds the answer to a refused request, for which nothing was done.
+    /// Builds the answer to a refused request, which had no effect.
     pub(crate) fn from_refusal(refusal: Refusal) -> Self {
         let error = ErrorBody {
             code: refusal.code,
@@ -165,12 +163,12 @@
     }
 }
 
-/// Returns a result as JSON; one that is not JSON, against the targets' protocol, becomes a string.
+/// Returns a result as JSON; a result that is not valid JSON becomes a string.
 fn wrap_result(result: &[u8]) -> Box<RawValue> {
     let text = String::from_utf8_lossy(result).into_owned();
     RawValue::from_string(text.clone()).unwrap_or_else(|_| {
         let quoted = serde_json::Value::String(text).to_string();
-        // A quoted string is always JSON, so the default is never used.
+        // A quoted string is always valid JSON, so the default is never used.
         RawValue::from_string(quoted).unwrap_or_default()
     })
 }
--- a/crates/claims/cloverfold_entry/src/api.rs
+++ b/crates/claims/cloverfold_entry/src/api.rs
@@ -1,6 +1,6 @@
-//! Handlers of the callers' routes.
+//! Handlers of the HTTP routes for callers.
 //!
-//! [`Api`] owns the number of requests in flight, which bounds new ones and which a planned stop waits for.
+//! [`Api`] counts the requests in flight to limit new ones and to wait for them during a drain.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -24,18 +24,18 @@
     CheckedSubmission, Refusal, RequestHeaders, SubmissionLimits, check_submission,
 };
 
-/// Path of submissions; the state of one job is below it.
+/// Path of submissions; the path of a job appends its key.
 pub(crate) const JOBS_PATH: &str = "/v1/jobs";
-/// Header that names the caller's key.
+/// Header with the caller's idempotency key.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-/// How often a draining entry looks whether its requests are answered. Chosen, not measured.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// When a caller is told to retry at a full entry, in milliseconds. Chosen, not measured.
+/// How often a draining entry checks whether its requests are answered.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// When a caller should retry at an overloaded entry, in milliseconds.
 const BUSY_RETRY_MS: u64 = 500;
-/// Time between the end of a handler and the arrival of its answer at the caller. Chosen, not measured.
-const ANSWER_FLUSH: Duration = Duration::from_millis(200);
+/// Time for the last answers to reach their callers after their handlers have ended.
+const ANSWER_FLUSH_DELAY: Duration = Duration::from_millis(200);
 
-/// What the handlers share.
+/// Shared state of the handlers.
 pub(crate) struct Api {
     pub(crate) settings: Arc<EntrySettings>,
     pub(crate) cell: Arc<CellSettings>,
@@ -46,9 +46,9 @@
 }
 
 /// Counts a request as in flight until it is dropped.
-struct InFlight<'a>(&'a Api);
+struct InFlightRequest<'a>(&'a Api);
 
-impl<'a> InFlight<'a> {
+impl<'a> InFlightRequest<'a> {
     fn begin(api: &'a Api) -> Self {
         let count = api.in_flight.fetch_add(1, Ordering::AcqRel) + 1;
         api.metrics.in_flight.set(count as i64);
@@ -56,7 +56,7 @@
     }
 }
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightRequest<'_> {
     fn drop(&mut self) {
         let count = self.0.in_flight.fetch_sub(1, Ordering::AcqRel) - 1;
         self.0.metrics.in_flight.set(count as i64);
@@ -66,19 +66,19 @@
 impl Api {
     /// Handles `POST /v1/jobs`.
     pub(crate) async fn submit_job(self: Arc<Self>, req: Request) -> Answer {
-        let _in_flight = InFlight::begin(&self);
-        let began = Instant::now();
+        let _in_flight = InFlightRequest::begin(&self);
+        let started_at = Instant::now();
         let mut answer = match self.run_submission(req).await {
             Ok(answer) => answer,
             Err(refusal) => Answer::from_refusal(refusal),
         };
         answer.closes_connection = self.lifecycle.phase() != Phase::Serving;
         self.metrics
-            .record_answer(answer.body.outcome, began.elapsed());
+            .record_answer(answer.body.outcome, started_at.elapsed());
         answer
     }
 
-    /// Checks a submission and has it run.
+    /// Validates a submission and sends it to a coordinator.
     async fn run_submission(&self, req: Request) -> Result<Answer, Refusal> {
         let (parts, body) = req.into_parts();
         let workspace = authenticate(&self.cell, &parts.headers)?;
@@ -94,7 +94,7 @@
             default_deadline: self.settings.default_deadline,
             max_deadline: self.settings.max_deadline,
         };
-        let fresh = self.routing.draw_fresh_key(&workspace.name).await;
+        let fresh = self.routing.generate_key(&workspace.name).await;
         let now = unix_now();
         let checked = check_submission(&workspace.name, &headers, &body, fresh, limits, now)?;
         if self.cell.find_service(&checked.service).is_none() {
@@ -112,7 +112,7 @@
         Ok(Answer::from_outcome(outcome, key))
     }
 
-    /// Reads a body within the limits of size and time.
+    /// Reads a body within the size limit and the read timeout.
     async fn read_body(&self, body: volo_http::body::Body) -> Result<bytes::Bytes, Refusal> {
         let limited = Limited::new(body, self.settings.max_body).collect();
         let Ok(read) = timeout(self.settings.read_timeout, limited).await else {
@@ -158,21 +158,21 @@
     async fn find_job(&self, req: &Request) -> Result<Answer, Refusal> {
         let workspace = authenticate(&self.cell, req.headers())?;
         let path = req.uri().path();
-        // The route has a last part, so the default is never used.
+        // The route always has a last segment, so the default is never used.
         let caller_key = path.rsplit('/').next().unwrap_or_default().to_owned();
         let key = derive_submission_key(&workspace.name, &caller_key);
         let state = self.routing.query(key).await;
         Ok(describe_state(state, caller_key))
     }
 
-    /// Serves until the load balancer has noticed the stop, then waits for the requests in flight.
+    /// Keeps serving until the load balancer has noticed the drain, then waits for the requests in flight.
     pub(crate) async fn drain(self: Arc<Self>) {
         self.lifecycle.wait_for(Phase::Draining).await;
         sleep(self.settings.linger).await;
         while self.in_flight.load(Ordering::Acquire) > 0 {
-            sleep(DRAIN_POLL).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
-        sleep(ANSWER_FLUSH).await;
+        sleep(ANSWER_FLUSH_DELAY).await;
     }
 }
 
@@ -190,7 +190,7 @@
     }
 }
 
-/// Refuses a submission of a full entry; only under a key that the entry made itself has certainly nothing run.
+/// Refuses a submission at an overloaded entry; the outcome is `not_run` only for a key that the entry generated.
 fn answer_busy(checked: &CheckedSubmission) -> Answer {
     let error = ErrorBody {
         code: "entry_busy",
--- a/crates/claims/cloverfold_entry/src/auth.rs
+++ b/crates/claims/cloverfold_entry/src/auth.rs
@@ -1,16 +1,14 @@
-//! Which workspace a caller belongs to.
-//!
-//! Owns nothing: workspaces and the hashes of their keys are in the cell's settings.
+//! Authentication of callers by the keys of their workspaces.
 
 use cloverfold_claims_settings::{CellSettings, WorkspaceSettings, verify_caller_key};
 use http::{HeaderMap, StatusCode};
 
 use crate::submission::Refusal;
 
-/// Header that names the workspace; on the wire it keeps its first name.
+/// Header with the name of the workspace, which the public API calls a customer.
 pub(crate) const WORKSPACE_HEADER: &str = "cloverfold-customer";
 
-/// Finds the workspace whose key the headers carry.
+/// Returns the workspace of a request with a valid key.
 ///
 /// # Errors
 ///
@@ -26,7 +24,7 @@
             "name the customer in Cloverfold-Customer and its key in Authorization: Bearer …",
         ));
     };
-    // The same message for an unknown name and a wrong key, so that callers cannot find out which names exist.
+    // The message is the same for an unknown name and a wrong key, so that callers cannot enumerate names.
     let wrong = "the customer or its key is wrong";
     let workspace = cell
         .find_workspace(name)
@@ -38,7 +36,7 @@
     }
 }
 
-/// Returns a header's value, if it is there and ASCII text.
+/// Returns the value of a header, if it is present and visible ASCII.
 pub(crate) fn read_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/claims/cloverfold_entry/src/lib.rs
+++ b/crates/claims/cloverfold_entry/src/lib.rs
@@ -1,11 +1,7 @@
-//! The HTTP interface for callers.
+//! The HTTP API for callers.
 //!
-//! An entry checks a submission, finds the guards that hold its key and waits for the whole answer. It keeps no state of
-//! jobs: when it dies, the same submission through another entry finds the same job. The interface is described in
-//! `docs/API.md`.
-//!
-//! Owns only the number of requests in flight. Relies on `cloverfold_membership` for the guards that accept work, and on
-//! `cloverfold_coordinate` at the guards for everything else.
+//! An entry validates a submission, sends it to a guard that may coordinate it, and waits for the outcome. It keeps no
+//! state of jobs: after a failure, the same submission through another entry joins the same job.
 
 mod answer;
 mod api;
--- a/crates/claims/cloverfold_entry/src/metrics.rs
+++ b/crates/claims/cloverfold_entry/src/metrics.rs
@@ -1,7 +1,6 @@
 //! Metrics of the answers to callers.
 //!
-//! Owns the counters, the gauge and the histogram of one entry. Relies on the callers' handlers and on the routing of
-//! submissions to count. Names and help texts are part of the interface to operators and stay as they are.
+//! Operators rely on the names and help texts, so these are stable.
 
 use std::time::Duration;
 
@@ -12,11 +11,11 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 
-/// Upper bound of the first bucket of answer times, in seconds. Chosen, not measured.
+/// Upper bound of the first bucket of answer times, in seconds.
 const FIRST_BUCKET: f64 = 0.005;
-/// Factor from the bound of one bucket to the next. Chosen, not measured.
+/// Ratio between the upper bounds of consecutive buckets.
 const BUCKET_FACTOR: f64 = 2.0;
-/// Number of buckets; the last ends at 41 s.
+/// Number of buckets; the last upper bound is 41 s.
 const BUCKETS: u16 = 14;
 
 /// Label that names the outcome of an answer.
@@ -25,14 +24,14 @@
     outcome: &'static str,
 }
 
-/// Counts and times of answers to callers.
+/// Counts and latencies of answers to callers.
 #[derive(Clone)]
 pub(crate) struct EntryMetrics {
     answers: Family<AnswerLabel, Counter>,
     seconds: Histogram,
-    /// Requests that wait for their answer.
+    /// Requests in flight.
     pub(crate) in_flight: Gauge<i64>,
-    /// Submissions sent to a further guard.
+    /// Submissions that were sent to another guard after the first.
     pub(crate) reroutes: Counter,
 }
 
@@ -69,7 +68,7 @@
         metrics
     }
 
-    /// Counts an answer and its time from the request.
+    /// Records an answer and its latency.
     pub(crate) fn record_answer(&self, outcome: &'static str, elapsed: Duration) {
         self.answers.get_or_create(&AnswerLabel { outcome }).inc();
         self.seconds.observe(elapsed.as_secs_f64());
--- a/crates/claims/cloverfold_entry/src/plugin.rs
+++ b/crates/claims/cloverfold_entry/src/plugin.rs
@@ -1,7 +1,4 @@
-//! Registers the callers' interface with an entry: its HTTP routes and its drain step.
-//!
-//! Creates the [`Api`] and the [`JobRouting`] and owns nothing afterwards. Relies on the membership plugin, which adds
-//! [`Membership`] and [`Directory`] before.
+//! Plugin that adds the HTTP API for callers to an entry: its routes and drain step.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -45,15 +42,15 @@
 }
 
 fn build_routes(api: &Arc<Api>) -> Router {
-    let submitting = api.clone();
-    let showing = api.clone();
+    let submit_api = api.clone();
+    let show_api = api.clone();
     Router::new()
         .route(
             JOBS_PATH,
-            post(move |req: Request| submitting.clone().submit_job(req)),
+            post(move |req: Request| submit_api.clone().submit_job(req)),
         )
         .route(
             format!("{JOBS_PATH}/{{key}}"),
-            get(move |req: Request| showing.clone().show_job(req)),
+            get(move |req: Request| show_api.clone().show_job(req)),
         )
 }
--- a/crates/claims/cloverfold_entry/src/routing.rs
+++ b/crates/claims/cloverfold_entry/src/routing.rs
@@ -1,7 +1,6 @@
 //! Routes submissions and queries to the guards that may coordinate them.
 //!
-//! Owns nothing. Relies on [`Membership`] for the acting lead and the guards that accept work; a wrong view of them costs a
-//! further attempt and cannot start a task twice.
+//! An outdated view of the membership costs another attempt but cannot start a task twice.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,21 +17,20 @@
 
 use crate::metrics::EntryMetrics;
 
-/// How often all guards that may coordinate a key are tried. Chosen, not measured.
-const ROUNDS: u32 = 3;
-/// The pause before round `n`, counted from 0, is drawn from half to one and a half times this doubled `n` times.
-/// Chosen, not measured.
-const ROUND_PAUSE: Duration = Duration::from_millis(150);
-/// Doublings after which the pause no longer grows. Chosen, not measured.
+/// How often all guards that may coordinate a key are tried.
+const MAX_ROUNDS: u32 = 3;
+/// The mean backoff before round `n` is this, doubled `n` times; each is random between half and one and a half of it.
+const BACKOFF_BASE: Duration = Duration::from_millis(150);
+/// Doublings after which the backoff no longer grows.
 const MAX_DOUBLINGS: u32 = 4;
-/// Longest wait for one guard's answer to a query. Chosen, not measured.
+/// Timeout of a query to one guard.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long after its deadline a job may still be running its last tasks. Chosen, not measured.
-const ANSWER_GRACE: Duration = Duration::from_secs(60);
-/// When a caller is told to retry after no guard accepted the submission. Chosen, not measured.
+/// How long after its deadline a job may still be running its last tasks.
+const ANSWER_GRACE_PERIOD: Duration = Duration::from_secs(60);
+/// When a caller should retry after no guard accepted the submission.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Finds coordinators for keys and exchanges requests with them.
+/// Selects coordinators for keys and sends requests to them.
 #[derive(Clone)]
 pub(crate) struct JobRouting {
     pub(crate) cell: Cell,
@@ -42,26 +40,26 @@
     pub(crate) metrics: EntryMetrics,
 }
 
-/// The result of one attempt at one guard.
-enum Attempt {
+/// Result of sending a submission to one guard.
+enum AttemptResult {
     Answered(Outcome),
-    /// The guard did nothing with the submission.
+    /// The guard does not run the job.
     NotAccepted,
-    /// The guard may run the job.
+    /// The reply was lost; the guard may be running the job.
     Lost,
 }
 
 impl JobRouting {
-    /// Sends a submission to the guards that may coordinate it in turn until one answers.
+    /// Sends a submission to the guards that may coordinate it, one after the other, until one answers.
     ///
-    /// Going to the next guard cannot start a task twice: the group agrees on one claim for the key, and a
-    /// second coordinator joins the tasks where they are.
+    /// A retry at another guard cannot start a task twice: the group agrees on one claim for the key, and a second
+    /// coordinator joins the tasks where they are.
     pub(crate) async fn submit(&self, mut submit: Submit) -> Outcome {
         let key = submit.submission.key;
         let mut is_first = true;
-        for round in 0..ROUNDS {
+        for round in 0..MAX_ROUNDS {
             if round > 0 {
-                sleep(draw_pause(round)).await;
+                sleep(draw_backoff(round)).await;
             }
             for guard in self.order_coordinators(&key).await {
                 if !is_first {
@@ -69,21 +67,21 @@
                 }
                 is_first = false;
                 match self.try_guard(guard, &submit).await {
-                    Attempt::Answered(outcome) => return outcome,
-                    Attempt::NotAccepted => {}
-                    Attempt::Lost => submit.is_sole_attempt = false,
+                    AttemptResult::Answered(outcome) => return outcome,
+                    AttemptResult::NotAccepted => {}
+                    AttemptResult::Lost => submit.is_sole_attempt = false,
                 }
             }
         }
         conclude_without_answer(!submit.is_sole_attempt)
     }
 
-    /// Draws a key for a caller that names none, if possible one whose whole group accepts work now.
-    pub(crate) async fn draw_fresh_key(&self, workspace: &str) -> String {
-        /// Further keys that are drawn for a better one. Chosen, not measured.
-        const DRAWS: usize = 8;
+    /// Generates a key for a caller without one, if possible one whose replica group entirely accepts work.
+    pub(crate) async fn generate_key(&self, workspace: &str) -> String {
+        /// Attempts to generate a better key.
+        const MAX_DRAWS: usize = 8;
         let mut key = draw_key();
-        for _ in 0..DRAWS {
+        for _ in 0..MAX_DRAWS {
             let group = self
                 .cell
                 .choose_replica_group(&derive_submission_key(workspace, &key));
@@ -96,8 +94,8 @@
         key
     }
 
-    /// Orders who may coordinate a key: the acting lead, then the key's group by rank, with those that
-    /// are not known to accept work last.
+    /// Returns the guards that may coordinate a key, in the order to try them: the acting lead, the usable members of the
+    /// key's group by rank, then its other members.
     async fn order_coordinators(&self, key: &SubmissionKey) -> Vec<GuardId> {
         let group = self.cell.choose_replica_group(key);
         let mut ordered: Vec<GuardId> = Vec::new();
@@ -109,36 +107,38 @@
         ordered
     }
 
-    async fn try_guard(&self, guard: GuardId, submit: &Submit) -> Attempt {
+    async fn try_guard(&self, guard: GuardId, submit: &Submit) -> AttemptResult {
         let Some(address) = self.directory.address_of(guard) else {
-            return Attempt::NotAccepted;
+            return AttemptResult::NotAccepted;
         };
-        let timeout = submit.deadline.saturating_sub(unix_now()) + ANSWER_GRACE;
+        let timeout = submit.deadline.saturating_sub(unix_now()) + ANSWER_GRACE_PERIOD;
         let reply = self.network.call(address, submit, timeout).await;
         let key = format_key(&submit.submission.key);
         match reply {
-            Ok(reply) if !is_bound_to(&reply, submit) => {
-                log::error!(key = key, guard = guard; "an answer belongs to another request");
-                Attempt::Lost
+            Ok(reply) if !is_reply_to(&reply, submit) => {
+                log::error!(key = key, guard = guard; "a reply belongs to another request");
+                AttemptResult::Lost
             }
             Ok(reply) => match reply.verdict {
-                SubmitResult::Answered(outcome) => Attempt::Answered(outcome),
+                SubmitResult::Answered(outcome) => AttemptResult::Answered(outcome),
                 SubmitResult::NotHere(reason) => {
-                    log::debug!(key = key, guard = guard; "not taken: {}", reason.as_str());
-                    Attempt::NotAccepted
+                    log::debug!(key = key, guard = guard; "a guard did not accept a submission: {}", reason.as_str());
+                    AttemptResult::NotAccepted
                 }
             },
             Err(cause) => {
-                log::warn!(key = key, guard = guard; "a submission brought no answer: {cause}");
+                log::warn!(key = key, guard = guard; "a guard did not answer a submission: {cause}");
                 match cause {
-                    CallError::NotSent { .. } | CallError::Refused { .. } => Attempt::NotAccepted,
-                    CallError::Lost { .. } => Attempt::Lost,
+                    CallError::NotSent { .. } | CallError::Refused { .. } => {
+                        AttemptResult::NotAccepted
+                    }
+                    CallError::Lost { .. } => AttemptResult::Lost,
                 }
             }
         }
     }
 
-    /// Asks the guards what is known of a key; the first that runs or answered the job decides.
+    /// Queries the guards for the state of a job until one is running it or has its answer.
     pub(crate) async fn query(&self, key: SubmissionKey) -> JobState {
         let mut best = JobState::CannotTell;
         for guard in self.order_coordinators(&key).await {
@@ -149,7 +149,7 @@
             let reply = match self.network.call(address, &query, QUERY_TIMEOUT).await {
                 Ok(reply) => reply,
                 Err(cause) => {
-                    log::debug!(key = format_key(&key), guard = guard; "query: {cause}");
+                    log::debug!(key = format_key(&key), guard = guard; "a query failed: {cause}");
                     continue;
                 }
             };
@@ -167,12 +167,12 @@
     format!("{:016x}{:016x}", random_u64(), random_u64())
 }
 
-/// Returns whether a reply answers this request; a late or crossed one must never reach another.
-fn is_bound_to(reply: &SubmitReply, submit: &Submit) -> bool {
+/// Returns whether a reply answers this request, so that a caller never gets the answer to another one.
+fn is_reply_to(reply: &SubmitReply, submit: &Submit) -> bool {
     reply.key == submit.submission.key && reply.attempt == submit.attempt
 }
 
-/// Returns the outcome when no guard answered: unknown if one of them may run the job.
+/// Returns the outcome when no guard answered: unknown if one of them may be running the job.
 fn conclude_without_answer(may_have_run: bool) -> Outcome {
     let detail = "no guard that holds the key gave an answer";
     if may_have_run {
@@ -182,8 +182,8 @@
     }
 }
 
-/// Draws the pause before a round; rounds count from 0.
-fn draw_pause(round: u32) -> Duration {
-    let base = ROUND_PAUSE.as_millis() as u64 * (1 << round.min(MAX_DOUBLINGS));
+/// Returns the random backoff before a round, counted from 0.
+fn draw_backoff(round: u32) -> Duration {
+    let base = BACKOFF_BASE.as_millis() as u64 * (1 << round.min(MAX_DOUBLINGS));
     Duration::from_millis(base / 2 + random_u64() % base)
 }
--- a/crates/claims/cloverfold_entry/src/submission.rs
+++ b/crates/claims/cloverfold_entry/src/submission.rs
@@ -1,7 +1,4 @@
-//! Checks of a caller's submission.
-//!
-//! Owns nothing; the limits are in the entry's settings. A submission that passes has a key, an age and a deadline and
-//! can be sent to a coordinator as it is.
+//! Validation of a caller's submission.
 
 use std::time::Duration;
 
@@ -11,42 +8,42 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Most tasks of one job. Chosen, not measured; the size that docs/CAPACITY.md plans for.
+/// Most tasks of one job.
 pub const MAX_TASKS: usize = 1_900;
-/// Longest idempotency key, in bytes. Chosen, not measured.
+/// Longest idempotency key, in bytes.
 const MAX_KEY_LEN: usize = 128;
 
-/// Bounds from the entry's settings.
+/// Limits from the entry's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubmissionLimits {
-    /// Deadline of a submission that names none, from its arrival.
+    /// Deadline of a submission without one, counted from its arrival.
     pub default_deadline: Duration,
-    /// Longest deadline, from the arrival.
+    /// Longest deadline, counted from the arrival.
     pub max_deadline: Duration,
 }
 
-/// Headers of a submission that matter to its check.
+/// Headers of a submission that are validated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHeaders {
-    /// The caller's `Idempotency-Key`.
+    /// Value of `Idempotency-Key`.
     pub idempotency_key: Option<String>,
 }
 
-/// A request that is refused before anything was done for it.
+/// Refusal of a request that had no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Status of the answer.
+    /// HTTP status of the answer.
     pub status: StatusCode,
-    /// Stable code of the cause.
+    /// Stable error code.
     pub code: &'static str,
-    /// The field or header at fault, if it is one.
+    /// The invalid field or header, if there is one.
     pub field: Option<String>,
-    /// What is wrong and what would be right.
+    /// What is wrong and how to fix it.
     pub message: String,
 }
 
 impl Refusal {
-    /// Builds a refusal of a field with status 400.
+    /// Builds the refusal of a field, with status 400.
     pub(crate) fn of_field(code: &'static str, field: &str, message: impl Into<String>) -> Self {
         Self {
             status: StatusCode::BAD_REQUEST,
@@ -57,24 +54,24 @@
     }
 }
 
-/// A submission that can be sent to a coordinator.
+/// A valid submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckedSubmission {
-    /// Key as the caller knows it.
+    /// Idempotency key in the answer to the caller.
     pub caller_key: String,
-    /// Whether the entry made the key.
+    /// Whether the entry generated the key.
     pub is_fresh_key: bool,
-    /// Key and age.
+    /// Hashed key and time of the submission.
     pub submission: Submission,
-    /// Service to run at.
+    /// Service that runs the tasks.
     pub service: String,
     /// Hash of the body.
     pub digest: BodyDigest,
-    /// No start at or after this time.
+    /// No task starts at or after this time.
     pub deadline: UnixTime,
-    /// Whether a task may be repeated.
+    /// Whether a task may be started again after its guard or target was lost.
     pub repeat: Repeat,
-    /// What each task gives to the target.
+    /// Request body of each task for the target.
     pub tasks: Vec<Vec<u8>>,
 }
 
@@ -91,13 +88,13 @@
     first_submitted_unix_ms: Option<u64>,
 }
 
-/// Checks a submission's headers and body.
+/// Validates the headers and the body of a submission.
 ///
-/// `fresh_key` is used where the caller names no key.
+/// `fresh_key` is the key of a submission without one.
 ///
 /// # Errors
 ///
-/// Returns a refusal that names the field and the fix.
+/// Returns a refusal with the invalid field and how to fix it.
 pub fn check_submission(
     workspace: &str,
     headers: &RequestHeaders,
@@ -153,7 +150,7 @@
     Ok(parsed)
 }
 
-/// Names a field, where the error is about one and not about the whole body.
+/// Returns the path of the invalid field, or `None` if the error concerns the whole body.
 fn name_field(path: &serde_path_to_error::Path) -> Option<String> {
     const NO_FIELD: [&str; 2] = [".", "?"];
     let name = path.to_string();
@@ -183,7 +180,7 @@
     Ok(key.to_owned())
 }
 
-/// Finds the time of the first submission, which a caller's key needs: the key is known for the retention after it.
+/// Returns the time of the first submission, from which the key's retention counts; required with a caller's key.
 fn find_submitted_at(
     body: &JobBody<'_>,
     is_fresh_key: bool,
@@ -207,7 +204,7 @@
     Ok(given)
 }
 
-/// Finds the deadline, from the body or by default.
+/// Returns the deadline from the body, or the default one.
 fn find_deadline(
     body: &JobBody<'_>,
     limits: SubmissionLimits,
@@ -239,7 +236,7 @@
     Ok(deadline)
 }
 
-/// Hashes what has to be equal in all submissions under one key; the deadline may differ between them.
+/// Hashes the parts that must be equal in all submissions under one key; the deadline may differ.
 fn digest_body(service: &str, repeat: Repeat, tasks: &[Vec<u8>]) -> BodyDigest {
     let repeat: &[u8] = match repeat {
         Repeat::Never => b"never",
