--- a/crates/claims/cloverfold_net/src/config.rs
+++ b/crates/claims/cloverfold_net/src/config.rs
@@ -1,7 +1,6 @@
-//! Bounds and times of the connections between processes.
+//! Limits and timeouts of the connections between processes.
 //!
-//! Owns the default values and no state. Relies on the transport library to enforce the bounds of one connection;
-//! [`crate::Network`] enforces `unused_timeout`, `connect_timeout` and `requests`.
+//! [`crate::Network`] enforces `unused_timeout`, `connect_timeout` and `requests`; `quinn` enforces the others.
 
 use std::time::Duration;
 
@@ -9,39 +8,35 @@
 
 use crate::error::NetError;
 
-/// 1.8 s and not 2.5 s, so that a dead lead is detected sooner (docs/MEASUREMENTS.md, the lead killed, round 2).
+/// Bounds the detection time of a dead lead.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// 600 ms and not 800 ms, so that a dead lead is detected sooner (docs/CAPACITY.md); a third of [`IDLE_TIMEOUT`].
+/// A third of [`IDLE_TIMEOUT`].
 const KEEP_ALIVE: Duration = Duration::from_millis(600);
-/// Set among savings that were measured together (docs/MEASUREMENTS.md, "What processes spend").
 const UNUSED_TIMEOUT: Duration = Duration::from_secs(5);
-/// Chosen, not measured.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// With the library's 333 ms assignments waited up to 1 s behind a handshake (docs/MEASUREMENTS.md, round 4).
+/// Below the library's default, because a lost first packet delays a handshake by three times this.
 const INITIAL_RTT: Duration = Duration::from_millis(20);
-/// Chosen, not measured.
 const STREAMS_PER_PEER: u32 = 1_024;
-/// Chosen, not measured.
 const REQUESTS: usize = 16_384;
-/// Bytes of one stream that a peer may send before they are read. Chosen, not measured.
+/// Bytes of one stream that a peer may send before they are read.
 const STREAM_WINDOW: u32 = 1024 * 1024;
 
-/// Bounds and times of the connections between processes.
+/// Limits and timeouts of the connections between processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NetworkConfig {
-    /// A connection without any packet for this long counts as lost.
+    /// A connection that receives no packet for this long counts as lost.
     pub idle_timeout: Duration,
-    /// How often an idle connection is kept alive.
+    /// Interval of keep-alive packets on an idle connection.
     pub keep_alive: Duration,
     /// A connection that no request has used for this long is closed.
     pub unused_timeout: Duration,
-    /// How long a new connection may take.
+    /// Timeout of a handshake.
     pub connect_timeout: Duration,
-    /// Round trip that a new connection assumes; a lost first packet is sent again after three times as long.
+    /// Assumed round-trip time of a new connection; a lost first packet is resent after three times this.
     pub initial_rtt: Duration,
-    /// Requests that one peer may have open here.
+    /// Concurrent requests that this process handles for one peer.
     pub streams_per_peer: u32,
-    /// Requests that all peers together may have open here.
+    /// Concurrent requests that this process handles for all peers together.
     pub requests: usize,
 }
 
@@ -60,7 +55,7 @@
 }
 
 impl NetworkConfig {
-    /// Builds the library's settings of a connection.
+    /// Builds the transport configuration of `quinn`.
     ///
     /// # Errors
     ///
--- a/crates/claims/cloverfold_net/src/connections.rs
+++ b/crates/claims/cloverfold_net/src/connections.rs
@@ -1,7 +1,4 @@
-//! The connections that this process has opened to its peers, one for each peer.
-//!
-//! Owns the connections and the times of their last use. Opens none itself: relies on [`crate::Network`] for handshakes and for
-//! the calls that close unused connections. Connections that peers have opened are not kept here.
+//! The outgoing connections of this process, one for each peer.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,15 +9,15 @@
 
 use crate::peer::PeerAddress;
 
-/// Code with which this process closes a connection that it opened.
+/// Error code with which this process closes a connection that it opened.
 const CLOSED_BY_CALLER: VarInt = VarInt::from_u32(2);
 
-/// A connection to a peer, or the handshake that callers wait for.
+/// A connection to a peer, or the handshake for which callers wait.
 #[derive(Clone)]
 pub(crate) struct ConnectionCell {
     pub(crate) connection: Arc<OnceCell<Connection>>,
     used_at: Instant,
-    /// Held by each request that waits for replies.
+    /// Cloned by each request that waits for replies.
     pub(crate) in_use: Arc<()>,
 }
 
@@ -58,7 +55,7 @@
 }
 
 impl Connections {
-    /// Returns the peer's connection or the place for a new one, where callers wait for one handshake.
+    /// Returns the cell of the peer's connection, in which concurrent callers share one handshake.
     pub(crate) fn cell_of(&self, peer: &PeerAddress) -> ConnectionCell {
         let mut by_peer = self.lock();
         let cell = by_peer.entry(peer.clone()).or_default();
@@ -89,7 +86,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<PeerAddress, ConnectionCell>> {
-        // A panic leaves the map whole, so a poisoned lock is used on.
+        // A panic leaves the map consistent, so a poisoned lock is still usable.
         self.by_peer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/claims/cloverfold_net/src/error.rs
+++ b/crates/claims/cloverfold_net/src/error.rs
@@ -1,14 +1,14 @@
 //! Errors of the transport between processes.
 //!
-//! [`CallError`] separates requests that certainly were not handled from those that may have been; callers rely on this
-//! when they send a request again. Owns no state.
+//! [`CallError`] distinguishes requests that were certainly not handled, and are safe to retry, from those that may
+//! have been handled.
 
 use std::fmt::Display;
 use std::path::PathBuf;
 
 use crate::peer::PeerAddress;
 
-/// Why a request to a peer brought no reply.
+/// Why a request to a peer got no reply.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The request certainly did not reach the peer's handler.
@@ -16,15 +16,15 @@
     NotSent {
         /// Name of the peer.
         peer: String,
-        /// What stood in the way.
+        /// The error.
         cause: String,
     },
-    /// The request may have been handled, but its reply did not come.
+    /// The request may have been handled, but there was no reply.
     #[error("reply of {peer} was lost: {cause}")]
     Lost {
         /// Name of the peer.
         peer: String,
-        /// What happened.
+        /// The error.
         cause: String,
     },
     /// The peer refused the request without handling it.
@@ -32,7 +32,7 @@
     Refused {
         /// Name of the peer.
         peer: String,
-        /// Its reason.
+        /// The status in the reply.
         cause: String,
     },
 }
@@ -61,7 +61,7 @@
     /// A key file is missing or unusable.
     #[error(transparent)]
     Key(#[from] KeyError),
-    /// The address cannot be listened on.
+    /// The process cannot listen on the address.
     #[error("cannot listen on UDP {address}: {cause}")]
     Listen {
         /// The address from the settings.
@@ -69,28 +69,28 @@
         /// The system's error.
         cause: std::io::Error,
     },
-    /// The certificates do not fit together.
+    /// The TLS or transport configuration is invalid.
     #[error("the certificates cannot be used: {0}")]
     Tls(String),
 }
 
-/// Why key files could not be read or made.
+/// Why key files could not be read or created.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// A file could not be read, written or understood.
+    /// A file could not be read, written or parsed.
     #[error("key file {path}: {cause}")]
     File {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error.
         cause: String,
     },
-    /// A certificate could not be made.
+    /// A certificate could not be created.
     #[error("cannot make a certificate for {name}: {cause}")]
     Make {
-        /// Whose certificate.
+        /// Name in the certificate.
         name: String,
-        /// What is wrong.
+        /// The error.
         cause: String,
     },
 }
--- a/crates/claims/cloverfold_net/src/frame.rs
+++ b/crates/claims/cloverfold_net/src/frame.rs
@@ -1,28 +1,28 @@
-//! Layout of requests and replies on a QUIC stream.
+//! Wire format of requests and replies on a QUIC stream.
 //!
-//! A request is `version: u8, kind: u16 LE, body` up to the end of the stream. A reply is `status: u8`
-//! and then any number of `length: u32 LE, body`. Bodies are encoded by `postcard`.
+//! A request is `version: u8, kind: u16 LE, body` up to the end of the stream. The reply stream is `status: u8`
+//! followed by any number of `length: u32 LE, body`. Bodies are encoded with `postcard`.
 
 use quinn::{RecvStream, SendStream};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Version of the protocol between processes; a peer with another one is refused.
+/// Version of the protocol between processes; requests with another version are refused.
 pub(crate) const PROTOCOL_VERSION: u8 = 1;
 
-/// Largest request or reply body, in bytes. Chosen, not measured.
+/// Largest request or reply, in bytes.
 pub const MAX_MESSAGE_LEN: usize = 8 * 1024 * 1024;
 
 /// Length of a request's header, in bytes.
 const HEADER_LEN: usize = 3;
 
-/// First byte of a reply.
+/// First byte of a reply stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum Status {
     /// Replies follow.
     Ok = 0,
-    /// The peer speaks another version.
+    /// The versions of the protocol differ.
     WrongVersion = 1,
     /// The peer has no handler for this message.
     UnknownKind = 2,
@@ -30,12 +30,12 @@
     BadBody = 3,
     /// The sender's role may not send this message.
     Forbidden = 4,
-    /// The peer handles as many requests as it may.
+    /// The peer has reached its limit of concurrent requests.
     Busy = 5,
 }
 
 impl Status {
-    /// Reads a status byte, if it is one.
+    /// Returns the status of a byte, or `None` if the byte is unknown.
     pub(crate) fn from_byte(byte: u8) -> Option<Self> {
         let all = [
             Self::Ok,
@@ -53,7 +53,7 @@
 pub(crate) struct RequestFrame<'a> {
     /// Number of the message.
     pub(crate) kind: u16,
-    /// Its encoded body.
+    /// Encoded body.
     pub(crate) body: &'a [u8],
 }
 
@@ -81,7 +81,7 @@
     Ok(RequestFrame { kind, body })
 }
 
-/// Writes one reply body with its length, after the status where it is the first.
+/// Writes one reply body with its length, preceded by the status before the first body.
 pub(crate) async fn write_reply<T: Serialize>(
     tx: &mut SendStream,
     status: Option<Status>,
@@ -98,7 +98,7 @@
     tx.write_all(&buf).await.map_err(|e| e.to_string())
 }
 
-/// Reads one reply body; `None` at the proper end of the stream.
+/// Reads one reply body; returns `None` at the end of the stream.
 pub(crate) async fn read_reply<T: DeserializeOwned>(
     rx: &mut RecvStream,
 ) -> Result<Option<T>, String> {
--- a/crates/claims/cloverfold_net/src/keys.rs
+++ b/crates/claims/cloverfold_net/src/keys.rs
@@ -1,6 +1,4 @@
-//! Key files of the processes of one installation: an authority and a certificate for each process.
-//!
-//! Owns nothing; the files belong to the operator.
+//! Key files of one installation: a certificate authority and a certificate for each process.
 
 use std::fs;
 use std::io::Write;
@@ -17,22 +15,22 @@
 /// Base name of the authority's files in a key folder.
 pub const AUTHORITY_NAME: &str = "authority";
 
-/// Only the owner may read a private key.
+/// File mode of a private key: only the owner may read it.
 const PRIVATE_FILE_MODE: u32 = 0o600;
 
-/// The three files that a process needs to prove itself and check its peers.
+/// The three files with which a process authenticates itself and its peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
-    /// Certificate of the authority that signed every process's certificate.
+    /// Certificate of the authority that signs the certificates of all processes.
     pub authority: PathBuf,
     /// The process's own certificate.
     pub certificate: PathBuf,
-    /// The private key of that certificate.
+    /// Private key of the process's certificate.
     pub private_key: PathBuf,
 }
 
 impl KeyFiles {
-    /// Returns the files of a process in a folder made by [`make_key_set`].
+    /// Returns the files of a process in a folder that [`make_key_set`] created.
     pub fn in_folder(folder: &Path, name: &str) -> Self {
         Self {
             authority: folder.join(format!("{AUTHORITY_NAME}.pem")),
@@ -42,14 +40,14 @@
     }
 }
 
-/// Makes certificates and keys for the named processes in a folder.
+/// Creates certificates and keys for the named processes in a folder.
 ///
-/// An authority that is already in the folder is used again, so that processes can be added later; the files
-/// of a name that are already there are left as they are.
+/// Uses the authority in the folder if there is one, so that processes can be added later. Existing files of a process
+/// are not changed.
 ///
 /// # Errors
 ///
-/// Returns which file could not be read or written, or for which name no certificate could be made.
+/// Returns the file that could not be read or written, or the name for which no certificate could be created.
 pub fn make_key_set(folder: &Path, names: &[String]) -> Result<(), KeyError> {
     fs::create_dir_all(folder).map_err(|e| file_error(folder, &e))?;
     let issuer = load_or_make_authority(folder)?;
--- a/crates/claims/cloverfold_net/src/lib.rs
+++ b/crates/claims/cloverfold_net/src/lib.rs
@@ -1,9 +1,8 @@
 //! Mutually authenticated QUIC requests between the processes of a claims installation.
 //!
-//! A package defines a [`Message`] with its number and reply type, registers a handler for it in a
-//! [`Router`], and sends it with [`Network::call`]. Each request has a QUIC stream of its own, so a late
-//! or crossed answer cannot reach another request. Both ends prove who they are with certificates of the
-//! same authority ([`make_key_set`]).
+//! A crate defines a [`Message`] with its number and reply type, registers a handler for it in a [`Router`], and sends
+//! it with [`Network::call`]. Each request has its own QUIC stream, so a late reply cannot reach another request. Both
+//! ends authenticate with certificates of the same authority ([`make_key_set`]).
 //!
 //! ```
 //! use cloverfold_net::{Message, PeerRole, Router};
--- a/crates/claims/cloverfold_net/src/metrics.rs
+++ b/crates/claims/cloverfold_net/src/metrics.rs
@@ -1,21 +1,20 @@
-//! Counts of messages and bytes between processes.
+//! Metrics of requests between processes.
 //!
-//! Owns the counters of one endpoint since the start of the process. Relies on [`crate::Network`] to count. Bytes here are
-//! those of requests alone; the bytes of whole connections are in `traffic`.
+//! The bytes are those of requests only; `traffic` counts the bytes of whole connections.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-/// Label that names a kind of message.
+/// Label with the name of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct MessageLabel {
     /// Name of the message.
     pub message: String,
 }
 
-/// Counters of what a process sends to its peers.
+/// Counters of the requests that a process sends to its peers.
 #[derive(Clone, Debug, Default)]
 pub struct NetMetrics {
     requests: Family<MessageLabel, Counter>,
@@ -68,7 +67,7 @@
         self.lost.get_or_create(&label).inc();
     }
 
-    /// Counts a connection that is being opened.
+    /// Counts a handshake that was started.
     pub(crate) fn count_handshake(&self) {
         self.handshakes.inc();
     }
--- a/crates/claims/cloverfold_net/src/network.rs
+++ b/crates/claims/cloverfold_net/src/network.rs
@@ -1,7 +1,4 @@
-//! The QUIC endpoint of a process: it serves the process's router and calls its peers.
-//!
-//! [`Network`] owns the endpoint, the connections that it opened ([`Connections`]) and the permits for requests that are
-//! handled here. Relies on the router for the handlers and on certificates of one authority at both ends.
+//! The QUIC endpoint of a process, which serves the process's router and calls its peers.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -24,12 +21,12 @@
 use crate::tls::load_tls_configs;
 use crate::traffic::{Traffic, TrafficCounter};
 
-/// Code with which an endpoint that stops closes its connections.
+/// Error code with which a stopping endpoint closes its connections.
 const STOPPED: VarInt = VarInt::from_u32(0);
-/// Longest wait for peers to acknowledge what was sent before the endpoint closes. Chosen, not measured.
-const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for the connections to close cleanly when the endpoint stops.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The endpoint, shared by all parts of a process.
+/// Shared handle to the endpoint of a process.
 #[derive(Clone)]
 pub struct Network {
     inner: Arc<Inner>,
@@ -39,18 +36,18 @@
     endpoint: Endpoint,
     config: NetworkConfig,
     metrics: NetMetrics,
-    /// One for each request that may be handled at once.
+    /// One permit for each request that may be handled concurrently.
     permits: Arc<Semaphore>,
     connections: Connections,
     traffic: TrafficCounter,
 }
 
 impl Network {
-    /// Opens the endpoint at an address; must be called within a runtime.
+    /// Opens the endpoint at an address; must be called within a Tokio runtime.
     ///
     /// # Errors
     ///
-    /// Returns which key file is unusable, or that the address cannot be listened on.
+    /// Returns the invalid key file, or the error of listening on the address.
     pub fn bind(
         address: SocketAddr,
         keys: &KeyFiles,
@@ -87,7 +84,7 @@
         })
     }
 
-    /// Returns the address that is listened on.
+    /// Returns the local address of the endpoint.
     ///
     /// # Errors
     ///
@@ -120,30 +117,30 @@
         }
     }
 
-    /// Closes the connection to a peer that is known to have restarted, so that no request waits for it.
+    /// Closes the connection to a peer that has restarted, so that no request waits for a reply on it.
     pub fn forget_connection(&self, peer: &PeerAddress) {
         self.inner.connections.close(peer, b"the peer restarted");
     }
 
-    /// Waits until every request that is being handled has been answered and the answer has arrived.
+    /// Waits until every request in progress has been handled and its replies have arrived.
     ///
-    /// New requests are refused meanwhile.
+    /// New requests are refused as soon as the wait begins.
     pub async fn wait_for_handlers(&self) {
         let all = u32::try_from(self.inner.config.requests).unwrap_or(u32::MAX);
-        // The semaphore is never closed, and holding the permits keeps later requests out.
+        // The semaphore is never closed. Forgetting the permits keeps refusing new requests.
         if let Ok(permits) = self.inner.permits.acquire_many(all).await {
             permits.forget();
         }
     }
 
-    /// Closes all connections, after what was sent has had a moment to arrive.
+    /// Closes all connections and waits for them to end, up to a timeout.
     pub async fn close(&self) {
         self.inner.endpoint.close(STOPPED, b"stopped");
-        // A peer that is gone never acknowledges; after the timeout its connection is dropped as it is.
-        let _ = tokio::time::timeout(FLUSH_TIMEOUT, self.inner.endpoint.wait_idle()).await;
+        // An unreachable peer never acknowledges; its connection is dropped after the timeout.
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.inner.endpoint.wait_idle()).await;
     }
 
-    /// Sends a request and waits for its one reply, at most `timeout`.
+    /// Sends a request with a single reply and waits for the reply, at most for `timeout`.
     ///
     /// # Errors
     ///
@@ -168,7 +165,7 @@
         outcome
     }
 
-    /// Sends a request whose replies are read one by one.
+    /// Sends a request with a stream of replies.
     ///
     /// # Errors
     ///
@@ -194,14 +191,14 @@
         tx.write_all(&buf)
             .await
             .map_err(|e| CallError::lost(peer, &e))?;
-        // Only a stream that is already gone cannot be finished, which reading its replies shows.
+        // An error means that the stream is closed, which reading the replies reports.
         let _ = tx.finish();
         Ok(Replies::new(rx, peer.clone(), cell.in_use))
     }
 
-    /// Closes connections that no request has used for a while, until the endpoint is closed.
+    /// Periodically closes connections that no request has used for `unused_timeout`.
     ///
-    /// Each open connection costs keep-alives at both ends.
+    /// Each open connection costs keep-alive packets at both ends.
     pub async fn close_unused_connections(self) {
         let limit = self.inner.config.unused_timeout;
         loop {
--- a/crates/claims/cloverfold_net/src/peer.rs
+++ b/crates/claims/cloverfold_net/src/peer.rs
@@ -1,11 +1,10 @@
-//! Names, roles and addresses of the processes at the other end.
+//! Names, roles and addresses of peers.
 //!
-//! A peer's role decides which requests it may send. Owns no state. Relies on the certificates that the installation's
-//! authority signs: a name in one begins with the role.
+//! The role is the prefix of the name in the peer's certificate and decides which requests the peer may send.
 
 use std::net::SocketAddr;
 
-/// What a process does; its certificate's name begins with the role.
+/// Role of a process, which is the prefix of the name in its certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerRole {
     /// Named `entry-…`.
@@ -17,7 +16,7 @@
 }
 
 impl PeerRole {
-    /// Reads the role out of a process's name.
+    /// Returns the role in the prefix of a process's name.
     pub fn from_name(name: &str) -> Option<Self> {
         match name.split_once('-')?.0 {
             "entry" => Some(Self::Entry),
@@ -28,16 +27,16 @@
     }
 }
 
-/// A process that sent a request, as its certificate names it.
+/// Identity of a process that sent a request, from its certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Name in the certificate.
     pub name: String,
-    /// Role that the name begins with.
+    /// Role in the prefix of the name.
     pub role: PeerRole,
 }
 
-/// Where a process is reached and what its certificate must name.
+/// Address of a process, and the name that its certificate must have.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerAddress {
     /// Name in the certificate.
--- a/crates/claims/cloverfold_net/src/replies.rs
+++ b/crates/claims/cloverfold_net/src/replies.rs
@@ -1,7 +1,4 @@
-//! The replies to one request, as its sender reads them.
-//!
-//! Owns the receiving half of the request's stream, and keeps the connection marked as in use until it is dropped. Relies on
-//! `frame` for the layout; takes no decision on whether a request is sent again.
+//! The stream of replies to one request.
 
 use std::marker::PhantomData;
 use std::sync::Arc;
@@ -13,18 +10,18 @@
 use crate::message::Message;
 use crate::peer::PeerAddress;
 
-/// The replies to one request.
+/// The stream of replies to one request; keeps the connection open until it is dropped.
 pub struct Replies<M> {
     rx: RecvStream,
     peer: PeerAddress,
     is_open: bool,
-    /// Keeps the connection from being closed as unused.
+    /// Prevents the connection from being closed as unused.
     _in_use: Arc<()>,
     reply: PhantomData<fn() -> M>,
 }
 
 impl<M: Message> Replies<M> {
-    /// Reads the replies that come on a stream.
+    /// Creates the stream of replies on a receive stream.
     pub(crate) fn new(rx: RecvStream, peer: PeerAddress, in_use: Arc<()>) -> Self {
         Self {
             rx,
@@ -35,11 +32,11 @@
         }
     }
 
-    /// Waits for the next reply; `None` when the peer has sent its last.
+    /// Waits for the next reply; returns `None` after the last one.
     ///
     /// # Errors
     ///
-    /// Returns [`CallError::Refused`] if the peer refused the request, [`CallError::Lost`] if its replies broke off.
+    /// Returns [`CallError::Refused`] if the peer refused the request, and [`CallError::Lost`] if the stream broke.
     pub async fn next(&mut self) -> Result<Option<M::Reply>, CallError> {
         if !self.is_open {
             self.read_status().await?;
--- a/crates/claims/cloverfold_net/src/router.rs
+++ b/crates/claims/cloverfold_net/src/router.rs
@@ -1,6 +1,4 @@
-//! Dispatch of received requests to their handlers.
-//!
-//! [`Router`] owns the handlers by the number of their message, with the roles of the peers that may send it.
+//! Dispatch of received requests to their handlers, with a check of the peer's role.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -17,22 +15,22 @@
 type HandlerFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 type HandlerFn = dyn Fn(Peer, &[u8], ReplySink) -> Result<HandlerFuture, Refusal> + Send + Sync;
 
-/// A request that no handler accepted, with the stream for the refusal.
+/// Refusal of a request, with the stream for its status.
 pub(crate) struct Refusal {
     status: Status,
     sink: ReplySink,
 }
 
-/// The handler of one message.
+/// The handler of one message and the roles that may send it.
 struct Route {
     roles: Vec<PeerRole>,
     handler: Arc<HandlerFn>,
 }
 
-/// Where a handler writes its replies.
+/// Stream on which a handler sends its replies.
 pub struct ReplySink {
     tx: SendStream,
-    /// Sent before the first reply, together with it.
+    /// Status to send with the first reply.
     pending_status: Option<Status>,
 }
 
@@ -56,7 +54,7 @@
         }
     }
 
-    /// Ends the replies and waits until they have arrived; without it the peer sees the stream break off.
+    /// Finishes the stream and waits until the peer has received it; without this the peer sees a lost reply.
     pub async fn finish(mut self) {
         if let Some(status) = self.pending_status.take()
             && !self.write_status(status).await
@@ -64,7 +62,7 @@
             return;
         }
         if self.tx.finish().is_ok() {
-            // An error means that the connection is gone, which the peer notices by itself.
+            // An error means that the connection is closed, which the peer detects itself.
             let _ = self.tx.stopped().await;
         }
     }
@@ -87,11 +85,11 @@
 }
 
 impl Router {
-    /// Registers a handler with one reply for each request.
+    /// Registers a handler that returns a single reply.
     ///
     /// # Panics
     ///
-    /// Panics when another message with the same number is registered: a mistake in the program.
+    /// Panics if a message with the same number is registered already.
     pub fn register<M, F, Fut>(&mut self, roles: &[PeerRole], handler: F)
     where
         M: Message,
@@ -111,11 +109,11 @@
         });
     }
 
-    /// Registers a handler that sends its replies itself.
+    /// Registers a handler that sends a stream of replies.
     ///
     /// # Panics
     ///
-    /// Panics when another message with the same number is registered: a mistake in the program.
+    /// Panics if a message with the same number is registered already.
     pub fn register_streaming<M, F, Fut>(&mut self, roles: &[PeerRole], handler: F)
     where
         M: Message,
@@ -166,7 +164,7 @@
     }
 }
 
-/// Tells the peer that its request was not handled.
+/// Sends the peer the status with which its request is refused.
 pub(crate) async fn refuse(status: Status, mut sink: ReplySink) {
     log::warn!("a request from a peer was refused: {status:?}");
     sink.pending_status = Some(status);
--- a/crates/claims/cloverfold_net/src/serving.rs
+++ b/crates/claims/cloverfold_net/src/serving.rs
@@ -1,7 +1,4 @@
-//! Serves the requests of one connection.
-//!
-//! Owns the connection while it is open, and a permit for each request until it is handled. Relies on `tls` for the peer's
-//! identity, on [`Router`] for the handlers, and on the caller for the number of permits, which all connections share.
+//! Serves the requests of incoming connections.
 
 use std::sync::Arc;
 
@@ -13,10 +10,10 @@
 use crate::router::{ReplySink, Router, refuse};
 use crate::tls::identify_peer;
 
-/// Code with which a connection of a peer without a role is closed.
+/// Error code with which the connection of a peer without a role is closed.
 const REFUSED_PEER: VarInt = VarInt::from_u32(1);
 
-/// Serves the requests of one connection until it is closed; each holds a permit until it is handled.
+/// Serves the requests of one connection until it is closed; each request holds one of the shared permits.
 pub(crate) async fn serve_connection(
     connection: Connection,
     router: Arc<Router>,
--- a/crates/claims/cloverfold_net/src/tls.rs
+++ b/crates/claims/cloverfold_net/src/tls.rs
@@ -1,7 +1,6 @@
-//! TLS settings: both ends show a certificate of the installation's authority.
+//! Mutual TLS with certificates of the installation's authority.
 //!
-//! Reads the key files once, at the start of the process, and owns nothing afterwards. Relies on `rustls` to verify
-//! certificates; a peer's name and role are taken only from a certificate that it has verified.
+//! A peer's name and role come only from a certificate that `rustls` has verified.
 
 use std::sync::Arc;
 
@@ -16,10 +15,10 @@
 use crate::keys::{KeyFiles, file_error};
 use crate::peer::{Peer, PeerRole};
 
-/// Protocol name in the handshake; a peer with another one is refused.
+/// ALPN protocol name; a handshake with another one fails.
 const APPLICATION_PROTOCOL: &[u8] = b"cloverfold/1";
 
-/// The TLS side of an endpoint, as server and as client.
+/// TLS configurations of an endpoint.
 pub(crate) struct TlsConfigs {
     pub(crate) server: QuicServerConfig,
     pub(crate) client: QuicClientConfig,
@@ -32,7 +31,7 @@
     key: PrivateKeyDer<'static>,
 }
 
-/// Reads the key files and builds both sides' settings.
+/// Reads the key files and builds the server and client configurations.
 pub(crate) fn load_tls_configs(files: &KeyFiles) -> Result<TlsConfigs, NetError> {
     let credentials = load_credentials(files)?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -96,7 +95,7 @@
     NetError::Tls(e.to_string())
 }
 
-/// Reads the peer's name and role from its certificate.
+/// Returns the peer's name and role from its certificate.
 pub(crate) fn identify_peer(connection: &quinn::Connection) -> Option<Peer> {
     let identity = connection.peer_identity()?;
     let chain = identity.downcast::<Vec<CertificateDer<'static>>>().ok()?;
--- a/crates/claims/cloverfold_net/src/traffic.rs
+++ b/crates/claims/cloverfold_net/src/traffic.rs
@@ -1,13 +1,10 @@
-//! Counts of the bytes of all connections, as the transport library sees them.
-//!
-//! Owns a handle to each connection until it is found closed, and the sum of the closed ones. Relies on [`crate::Network`] to
-//! report each new connection, and on `quinn` for the counts.
+//! Byte counts of all connections, from the statistics of `quinn`.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use quinn::Connection;
 
-/// Bytes in UDP datagrams, headers below UDP not counted.
+/// Bytes of UDP payload.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Bytes sent.
@@ -24,7 +21,7 @@
     }
 }
 
-/// Bytes of all connections since the start, both those that are open and those that are closed.
+/// Counts the bytes of all open and closed connections.
 #[derive(Default)]
 pub(crate) struct TrafficCounter {
     state: Mutex<CounterState>,
@@ -33,12 +30,12 @@
 #[derive(Default)]
 struct CounterState {
     open: Vec<Connection>,
-    /// Bytes of the connections that are closed.
+    /// Bytes of the closed connections.
     closed: Traffic,
 }
 
 impl TrafficCounter {
-    /// Counts a new connection from now on.
+    /// Adds a new connection to the count.
     pub(crate) fn track(&self, connection: Connection) {
         self.lock().open.push(connection);
     }
@@ -59,7 +56,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, CounterState> {
-        // A panic leaves the counts whole, so a poisoned lock is used on.
+        // A panic leaves the counts consistent, so a poisoned lock is still usable.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/claims/cloverfold_net/tests/requests.rs
+++ b/crates/claims/cloverfold_net/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests between processes, and those that are refused.
+//! Guards against requests that reach the wrong handler or an unauthenticated peer, and against exposed private keys.
 
 #![allow(clippy::unwrap_used)]
 
@@ -35,19 +35,19 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Unheard;
+struct Unregistered;
 
-impl Message for Unheard {
+impl Message for Unregistered {
     const KIND: u16 = 3;
     const NAME: &'static str = "unheard";
     type Reply = ();
 }
 
-/// The number of [`Count`] with a body that is none.
+/// Has the number of [`Count`] but a body that does not decode as one.
 #[derive(Serialize, Deserialize)]
-struct Garbled;
+struct Malformed;
 
-impl Message for Garbled {
+impl Message for Malformed {
     const KIND: u16 = 1;
     const NAME: &'static str = "garbled";
     type Reply = u32;
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn several_replies_come_in_order_and_end() {
+async fn replies_arrive_in_order_until_the_end() {
     let folder = tempfile::tempdir().unwrap();
     let (_server, address) = serve(folder.path());
     let client = bind(folder.path(), "entry-1");
@@ -103,22 +103,22 @@
 }
 
 #[tokio::test]
-async fn what_no_handler_may_take_is_refused() {
+async fn requests_without_a_permitted_handler_are_refused() {
     let folder = tempfile::tempdir().unwrap();
     let (_server, address) = serve(folder.path());
     let client = bind(folder.path(), "entry-1");
 
     let restricted = client.call(&address, &Restricted, TIMEOUT).await;
-    let unheard = client.call(&address, &Unheard, TIMEOUT).await;
-    let garbled = client.call(&address, &Garbled, TIMEOUT).await;
+    let unregistered = client.call(&address, &Unregistered, TIMEOUT).await;
+    let malformed = client.call(&address, &Malformed, TIMEOUT).await;
 
     assert!(matches!(restricted, Err(CallError::Refused { .. })));
-    assert!(matches!(unheard, Err(CallError::Refused { .. })));
-    assert!(matches!(garbled, Err(CallError::Refused { .. })));
+    assert!(matches!(unregistered, Err(CallError::Refused { .. })));
+    assert!(matches!(malformed, Err(CallError::Refused { .. })));
 }
 
 #[tokio::test]
-async fn a_peer_of_another_authority_is_not_spoken_to() {
+async fn a_peer_of_another_authority_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let other_folder = tempfile::tempdir().unwrap();
     let (_server, address) = serve(folder.path());
@@ -130,7 +130,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_under_another_name_is_not_spoken_to() {
+async fn a_peer_with_another_name_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let (_server, mut address) = serve(folder.path());
     let client = bind(folder.path(), "entry-1");
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn a_request_to_nobody_was_certainly_not_sent() {
+async fn a_request_to_a_closed_endpoint_is_not_sent() {
     let folder = tempfile::tempdir().unwrap();
     let (server, address) = serve(folder.path());
     let client = bind(folder.path(), "entry-1");
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn keys_can_be_added_and_private_ones_are_private() {
+fn keys_can_be_added_and_private_keys_have_owner_only_permissions() {
     use std::os::unix::fs::PermissionsExt;
 
     let folder = tempfile::tempdir().unwrap();
