--- a/crates/claims/cloverfold_app/src/app.rs
+++ b/crates/claims/cloverfold_app/src/app.rs
@@ -1,7 +1,4 @@
-//! A process that is built from plugins.
-//!
-//! Owns what the plugins register until the process starts; `running` owns the process from then on. Relies on `ops_http` to serve HTTP
-//! and on `control` for the thread that owns control state.
+//! The builder of a process from plugins.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,17 +16,17 @@
 use crate::running::{BoxedFuture, RunningApp};
 use crate::traffic::TrafficGauges;
 
-/// A capability that registers itself with a process.
+/// A unit of functionality that adds itself to an [`App`].
 pub trait Plugin {
-    /// Registers the capability's resources, handlers, metrics, tasks and drain steps.
+    /// Adds the plugin's resources, handlers, metrics, tasks and drain steps.
     ///
     /// # Errors
     ///
-    /// Returns which resource of an earlier plugin is missing, or which setting does not fit.
+    /// Returns the missing resource of an earlier plugin, or the invalid setting.
     fn build(self, app: &mut App) -> Result<(), BuildError>;
 }
 
-/// A process that is being built.
+/// Builder of a process.
 pub struct App {
     name: String,
     network: Network,
@@ -45,11 +42,11 @@
 }
 
 impl App {
-    /// Begins a process; the name shows in its logs.
+    /// Creates a process with the name that its log lines contain.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the control thread cannot be started.
+    /// Returns the operating system's error if the control thread cannot be started.
     pub fn new(name: &str, network: Network) -> Result<Self, BuildError> {
         let control = ControlThread::start(name).map_err(|cause| BuildError::System {
             what: "starting the control thread".into(),
@@ -74,7 +71,7 @@
         })
     }
 
-    /// Adds a capability.
+    /// Adds a plugin.
     ///
     /// # Errors
     ///
@@ -84,24 +81,24 @@
         Ok(self)
     }
 
-    /// Shares a value with later plugins.
+    /// Adds a shared value for later plugins.
     pub fn insert_resource<T: Send + Sync + 'static>(&mut self, value: T) -> Arc<T> {
         let value = Arc::new(value);
         self.resources.insert(value.clone());
         value
     }
 
-    /// Finds a value that an earlier plugin shares.
+    /// Returns a shared value of an earlier plugin.
     ///
     /// # Errors
     ///
-    /// Returns the name of a type that no plugin added so far provides.
+    /// Returns the name of the type if no earlier plugin provides it.
     pub fn resource<T: Send + Sync + 'static>(&self) -> Result<Arc<T>, BuildError> {
         let missing = BuildError::MissingResource(std::any::type_name::<T>());
         self.resources.get::<T>().ok_or(missing)
     }
 
-    /// Returns the endpoint to other processes.
+    /// Returns the network endpoint to other processes.
     pub fn network(&self) -> Network {
         self.network.clone()
     }
@@ -111,17 +108,17 @@
         self.control.clone()
     }
 
-    /// Returns the process's life cycle.
+    /// Returns the lifecycle of the process.
     pub fn lifecycle(&self) -> Lifecycle {
         self.lifecycle.clone()
     }
 
-    /// Returns the router to register message handlers in.
+    /// Returns the router of the message handlers.
     pub fn router(&mut self) -> &mut Router {
         &mut self.router
     }
 
-    /// Returns the registry to add metrics to.
+    /// Returns the metrics registry.
     pub fn registry(&mut self) -> &mut Registry {
         &mut self.registry
     }
@@ -132,7 +129,7 @@
         self.http_routes = held.merge(routes);
     }
 
-    /// Adds a check that returns why the process is not ready, if it is not.
+    /// Adds a readiness check, which returns the reason if the process is not ready.
     pub fn add_ready_check<F>(&mut self, check: F)
     where
         F: Fn() -> Result<(), String> + Send + Sync + 'static,
@@ -140,12 +137,12 @@
         self.ready_checks.push(Box::new(check));
     }
 
-    /// Adds a background task; it is aborted when the process has stopped.
+    /// Adds a background task, which is aborted when the process has stopped.
     pub fn add_task(&mut self, task: impl Future<Output = ()> + Send + 'static) {
         self.tasks.push(Box::pin(task));
     }
 
-    /// Adds a step that a planned stop waits for; all steps run concurrently.
+    /// Adds a step that a drain waits for; all steps run concurrently.
     pub fn add_drain_step(&mut self, step: impl Future<Output = ()> + Send + 'static) {
         self.drain_steps.push(Box::pin(step));
     }
@@ -154,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the HTTP address cannot be listened on.
+    /// Returns the operating system's error if the process cannot listen on the HTTP address.
     pub async fn start(self, http_address: SocketAddr) -> Result<RunningApp, BuildError> {
         let listen_error = |cause| BuildError::System {
             what: format!("http_address {http_address}"),
--- a/crates/claims/cloverfold_app/src/control.rs
+++ b/crates/claims/cloverfold_app/src/control.rs
@@ -1,8 +1,6 @@
-//! The control thread, which owns a process's control state.
+//! The control thread, which serializes access to the control state of a process.
 //!
-//! Decisions run here one after the other, so that none needs a lock of its own; traffic runs on the
-//! threads of the runtime and sends closures here. Owns the states that [`ControlThread::manage`] was given.
-//! Relies on decisions not to block.
+//! The threads of the runtime handle traffic and send closures to the control thread. The closures must not block.
 
 use std::sync::{Arc, Mutex, PoisonError, mpsc};
 use std::thread;
@@ -11,16 +9,16 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Handle of the control thread.
+/// Handle to the control thread.
 #[derive(Clone)]
 pub struct ControlThread {
     tx: mpsc::Sender<Job>,
 }
 
-/// A state that only the control thread touches.
+/// State that only the control thread accesses.
 pub struct ThreadState<S> {
     control: ControlThread,
-    /// Never contended: it only shows the compiler what the control thread guarantees.
+    /// Never contended; the mutex only makes the exclusive access of the control thread visible to the compiler.
     state: Arc<Mutex<S>>,
 }
 
@@ -33,7 +31,7 @@
     }
 }
 
-/// Aborts the process when the control thread panics: its state can no longer be trusted.
+/// Aborts the process when the control thread panics, because its state may be inconsistent.
 struct AbortOnPanic;
 
 impl Drop for AbortOnPanic {
@@ -45,11 +43,11 @@
 }
 
 impl ControlThread {
-    /// Starts the control thread; it ends with the last handle.
+    /// Starts the control thread, which ends when the last handle is dropped.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the thread cannot be started.
+    /// Returns the operating system's error if the thread cannot be started.
     pub fn start(process: &str) -> std::io::Result<Self> {
         let (tx, rx) = mpsc::channel::<Job>();
         let builder = thread::Builder::new().name(format!("{process}-control"));
@@ -62,7 +60,7 @@
         Ok(Self { tx })
     }
 
-    /// Puts a state under the control thread.
+    /// Moves a state to the control thread.
     pub fn manage<S: Send + 'static>(&self, state: S) -> ThreadState<S> {
         ThreadState {
             control: self.clone(),
@@ -72,35 +70,35 @@
 }
 
 impl<S: Send + 'static> ThreadState<S> {
-    /// Runs a decision on the control thread and returns what it decided.
+    /// Runs a closure on the control thread and returns its result.
     ///
     /// # Panics
     ///
-    /// Panics only after the control thread has panicked, which aborts the process anyway.
-    pub async fn with<R, F>(&self, decide: F) -> R
+    /// Panics only after a panic of the control thread, which aborts the process anyway.
+    pub async fn with<R, F>(&self, f: F) -> R
     where
         R: Send + 'static,
         F: FnOnce(&mut S) -> R + Send + 'static,
     {
         let (tx, rx) = oneshot::channel();
         self.post(move |state| {
-            // The only error is that the caller was cancelled; the decision stands all the same.
-            let _ = tx.send(decide(state));
+            // The only error is that the caller was cancelled; the closure has run nevertheless.
+            let _ = tx.send(f(state));
         });
         rx.await.expect("the control thread outlives its handles")
     }
 
-    /// Runs a decision on the control thread without waiting for it.
-    pub fn post<F>(&self, decide: F)
+    /// Runs a closure on the control thread without waiting for it.
+    pub fn post<F>(&self, f: F)
     where
         F: FnOnce(&mut S) + Send + 'static,
     {
         let state = self.state.clone();
         let job = Box::new(move || {
             let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
-            decide(&mut state);
+            f(&mut state);
         });
-        // The only error is that the thread has ended; it ends with the last handle, and this is one.
+        // This cannot fail, because the thread ends only with the last handle and `self` has one.
         let _ = self.control.tx.send(job);
     }
 }
--- a/crates/claims/cloverfold_app/src/error.rs
+++ b/crates/claims/cloverfold_app/src/error.rs
@@ -1,6 +1,4 @@
-//! The errors of building and running a process.
-//!
-//! Owns nothing; plugins and `App` return them.
+//! Errors of building and running a process.
 
 /// Why a process could not be built or started.
 #[derive(Debug, thiserror::Error)]
@@ -8,15 +6,15 @@
     /// No plugin added earlier provides this type.
     #[error("no plugin added so far provides {0}")]
     MissingResource(&'static str),
-    /// A value from the settings does not fit the rest.
+    /// A setting is invalid.
     #[error("{0}")]
     InvalidSetting(String),
-    /// The system refused something.
+    /// An operation of the operating system failed.
     #[error("{what}: {cause}")]
     System {
-        /// What was attempted.
+        /// The operation.
         what: String,
-        /// The system's error.
+        /// The operating system's error.
         cause: std::io::Error,
     },
 }
--- a/crates/claims/cloverfold_app/src/lib.rs
+++ b/crates/claims/cloverfold_app/src/lib.rs
@@ -1,9 +1,7 @@
-//! Plugin registry and life cycle shared by the processes of a claims installation.
+//! Plugin registry and lifecycle of the processes of a claims installation.
 //!
-//! A process is an [`App`] to which each capability adds itself as a [`Plugin`]: its resources, message
-//! handlers, metrics, background tasks, readiness checks and drain steps. The binaries only choose plugins.
-//! [`App::start`] returns a [`RunningApp`] process and [`RunningApp::stop`] drains it. Owns the control thread, the
-//! metrics registry and the life cycle of a process. Relies on `cloverfold_net` for messages between processes.
+//! A process is an [`App`]. Each [`Plugin`] adds resources, message handlers, metrics, background tasks, readiness checks
+//! and drain steps to it. [`App::start`] returns a [`RunningApp`], which [`RunningApp::stop`] drains.
 //!
 //! ```
 //! use cloverfold_app::{App, BuildError, Plugin};
--- a/crates/claims/cloverfold_app/src/lifecycle.rs
+++ b/crates/claims/cloverfold_app/src/lifecycle.rs
@@ -1,21 +1,19 @@
-//! The life cycle of a process: serving, draining, stopped.
-//!
-//! Owns the present phase; clones share it. Relies on `running` to advance it.
+//! The lifecycle of a process: serving, draining, stopped.
 
 use tokio::sync::watch;
 
-/// Phase of a process; it only advances.
+/// Lifecycle phase of a process, which only advances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It accepts work.
+    /// Accepts work.
     Serving,
-    /// It accepts no new work and finishes what it has.
+    /// Accepts no new work and finishes its work in flight.
     Draining,
-    /// It has stopped.
+    /// Has stopped.
     Stopped,
 }
 
-/// The present phase, which every capability can follow.
+/// Shared handle to the current phase.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     tx: watch::Sender<Phase>,
@@ -30,12 +28,12 @@
 }
 
 impl Lifecycle {
-    /// Returns the present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.tx.borrow()
     }
 
-    /// Moves to a later phase; an earlier one changes nothing.
+    /// Advances to a phase; an earlier phase has no effect.
     pub fn advance_to(&self, phase: Phase) {
         self.tx.send_if_modified(|held| {
             let is_later = phase > *held;
@@ -44,10 +42,10 @@
         });
     }
 
-    /// Waits until the process is at least in the given phase.
+    /// Waits until the process has reached a phase.
     pub async fn wait_for(&self, phase: Phase) {
         let mut rx = self.tx.subscribe();
-        // The sender lives as long as `self`, so waiting cannot fail.
+        // `self` keeps the sender alive, so this cannot fail.
         let _ = rx.wait_for(|held| *held >= phase).await;
     }
 }
--- a/crates/claims/cloverfold_app/src/ops_http.rs
+++ b/crates/claims/cloverfold_app/src/ops_http.rs
@@ -1,6 +1,4 @@
-//! The HTTP server of a claims process, with the pages `/healthz`, `/readyz` and `/metrics`.
-//!
-//! Owns the process's metrics registry and its readiness checks. Relies on `volo-http` and on the life cycle to know when to stop.
+//! The HTTP server of a claims process, with `/healthz`, `/readyz` and `/metrics`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,13 +14,13 @@
 
 use crate::lifecycle::{Lifecycle, Phase};
 
-/// Content type of the metrics page.
+/// Content type of `/metrics`.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Returns why the process is not ready, if it is not.
+/// Readiness check, which returns the reason if the process is not ready.
 pub(crate) type ReadyCheck = Box<dyn Fn() -> Result<(), String> + Send + Sync>;
 
-/// The state that the operations routes show.
+/// State of the operations routes.
 pub(crate) struct OpsState {
     lifecycle: Lifecycle,
     registry: Registry,
@@ -30,7 +28,7 @@
 }
 
 impl OpsState {
-    /// Gathers the state of a process.
+    /// Creates the state from the parts of a process.
     pub(crate) fn new(
         lifecycle: Lifecycle,
         registry: Registry,
@@ -43,8 +41,8 @@
         }
     }
 
-    /// Returns why the process should get no new work, if there is a reason.
-    pub(crate) fn find_unreadiness(&self) -> Option<String> {
+    /// Returns the reason why the process is not ready, if it is not.
+    pub(crate) fn unready_reason(&self) -> Option<String> {
         if self.lifecycle.phase() != Phase::Serving {
             return Some("the process is stopping".into());
         }
@@ -52,7 +50,7 @@
     }
 
     fn answer_readiness(&self) -> (StatusCode, String) {
-        match self.find_unreadiness() {
+        match self.unready_reason() {
             None => (StatusCode::OK, "ready\n".to_owned()),
             Some(why) => (StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
         }
@@ -91,7 +89,7 @@
         )
 }
 
-/// A listening HTTP server that has not started to serve.
+/// An HTTP server that listens but does not serve yet.
 pub(crate) struct HttpServer {
     listener: TcpListener,
 }
@@ -101,17 +99,17 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the operating system's error.
     pub(crate) async fn bind(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         Ok(Self { listener })
     }
 
-    /// Returns the address that is listened on.
+    /// Returns the local address of the server.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the operating system's error.
     pub(crate) fn address(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
@@ -121,7 +119,7 @@
         let hook = lifecycle.clone();
         let server = Server::new(routes)
             .http1_only()
-            // Without a hook of ours `volo` stops at the first SIGTERM; the server must go on until the process has drained.
+            // Without a hook `volo` stops at the first SIGTERM, but the server must run until the process has drained.
             .register_shutdown_hook(move || {
                 Box::pin(async move { hook.wait_for(Phase::Stopped).await })
             });
--- a/crates/claims/cloverfold_app/src/resources.rs
+++ b/crates/claims/cloverfold_app/src/resources.rs
@@ -1,6 +1,4 @@
-//! Values that the plugins of a process share, found by their type.
-//!
-//! Owns a reference to each value. Relies on nothing else.
+//! Values that the plugins of a process share, keyed by type.
 
 use std::any::{Any, TypeId};
 use std::collections::HashMap;
@@ -13,12 +11,12 @@
 }
 
 impl Resources {
-    /// Adds a value, in place of an earlier one of the same type.
+    /// Adds a value, which replaces an earlier one of the same type.
     pub(crate) fn insert<T: Send + Sync + 'static>(&mut self, value: Arc<T>) {
         self.values.insert(TypeId::of::<T>(), value);
     }
 
-    /// Finds the value of a type.
+    /// Returns the value of a type.
     pub(crate) fn get<T: Send + Sync + 'static>(&self) -> Option<Arc<T>> {
         let value = self.values.get(&TypeId::of::<T>())?;
         value.clone().downcast::<T>().ok()
--- a/crates/claims/cloverfold_app/src/running.rs
+++ b/crates/claims/cloverfold_app/src/running.rs
@@ -1,6 +1,4 @@
-//! A process that serves, and its planned stop.
-//!
-//! Owns the tasks and the endpoint of the process. Relies on the drain steps of its plugins to finish what is in flight.
+//! A running process and its drain.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -16,7 +14,7 @@
 /// A background task or a drain step.
 pub(crate) type BoxedFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// A process that serves; dropping it aborts its tasks.
+/// A running process; dropping it aborts its tasks.
 pub struct RunningApp {
     pub(crate) name: String,
     pub(crate) http_address: SocketAddr,
@@ -28,21 +26,21 @@
 }
 
 impl RunningApp {
-    /// Returns the address of the HTTP interface.
+    /// Returns the address of the HTTP server.
     pub fn http_address(&self) -> SocketAddr {
         self.http_address
     }
 
-    /// Returns the endpoint to other processes.
+    /// Returns the network endpoint to other processes.
     pub fn network(&self) -> &Network {
         &self.network
     }
 
-    /// Waits for SIGTERM, SIGINT or an operator's `leave`, then stops as [`RunningApp::stop`] does.
+    /// Waits for SIGTERM, SIGINT or an operator's `leave` message, then calls [`RunningApp::stop`].
     ///
     /// # Errors
     ///
-    /// Returns the system's error if a signal handler cannot be installed.
+    /// Returns the operating system's error if a signal handler cannot be installed.
     pub async fn run_until_signal(self, drain_timeout: Duration) -> Result<bool, BuildError> {
         let signal_error = |cause| BuildError::System {
             what: "listening for signals".into(),
@@ -58,8 +56,7 @@
         Ok(self.stop(drain_timeout).await)
     }
 
-    /// Accepts no new work, waits for the drain steps and message handlers, then closes; returns whether they ended within
-    /// `drain_timeout`.
+    /// Drains and stops the process; returns whether the drain steps and message handlers ended within `drain_timeout`.
     pub async fn stop(self, drain_timeout: Duration) -> bool {
         log::info!(process = self.name; "draining");
         self.lifecycle.advance_to(Phase::Draining);
@@ -74,7 +71,7 @@
         };
         let is_drained = tokio::time::timeout(drain_timeout, draining).await.is_ok();
         if !is_drained {
-            log::error!(process = self.name; "the drain timed out; what is left is given up");
+            log::error!(process = self.name; "the drain timed out; abandoning the remaining work");
         }
         self.lifecycle.advance_to(Phase::Stopped);
         self.network.close().await;
--- a/crates/claims/cloverfold_app/src/traffic.rs
+++ b/crates/claims/cloverfold_app/src/traffic.rs
@@ -1,6 +1,4 @@
-//! Gauges of the bytes between processes.
-//!
-//! Owns the gauges. Relies on the endpoint for the counts.
+//! Gauges of the bytes sent to and received from other processes.
 
 use std::time::Duration;
 
@@ -9,7 +7,7 @@
 use prometheus_client::registry::Registry;
 use tokio::time::sleep;
 
-/// How often the gauges are updated. Chosen, not measured.
+/// How often the gauges are updated.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Bytes sent and received since the start.
