--- a/crates/claims/cloverfold_claims_process/src/endpoint.rs
+++ b/crates/claims/cloverfold_claims_process/src/endpoint.rs
@@ -1,13 +1,11 @@
-//! The endpoint at which a process reaches other processes and is reached.
-//!
-//! Owns nothing: the endpoint belongs to the process. Relies on `cloverfold_net`.
+//! The network endpoint of a process.
 
 use std::net::SocketAddr;
 
 use cloverfold_net::{KeyFiles, NetError, Network, NetworkConfig};
 use cloverfold_settings::KeySettings;
 
-/// Opens the endpoint with the keys of the settings; must be called within a runtime.
+/// Opens the endpoint with the keys in the settings; must be called within a Tokio runtime.
 pub(crate) fn open_network(address: SocketAddr, keys: &KeySettings) -> Result<Network, NetError> {
     let files = KeyFiles {
         authority: keys.authority.clone(),
--- a/crates/claims/cloverfold_claims_process/src/entry.rs
+++ b/crates/claims/cloverfold_claims_process/src/entry.rs
@@ -1,6 +1,4 @@
-//! The start of an entry.
-//!
-//! Owns nothing: the running process goes to the caller. Relies on the plugins of membership and of the entry.
+//! Starts an entry.
 
 use cloverfold_app::{App, RunningApp};
 use cloverfold_claims_settings::{CellSettings, EntrySettings};
@@ -15,7 +13,7 @@
 ///
 /// # Errors
 ///
-/// Returns which file, address or key is unusable.
+/// Returns the error of the settings, the network endpoint or a plugin.
 pub async fn start_entry(settings: EntrySettings) -> Result<RunningApp, ProcessError> {
     let cell: CellSettings = read_settings(&settings.cell)?;
     let network = open_network(settings.peer_address, &settings.keys)?;
--- a/crates/claims/cloverfold_claims_process/src/error.rs
+++ b/crates/claims/cloverfold_claims_process/src/error.rs
@@ -1,6 +1,4 @@
-//! The errors of starting a process.
-//!
-//! Owns nothing; starts of processes and operators' endpoints return them.
+//! Errors of starting a process.
 
 use cloverfold_app::BuildError;
 use cloverfold_net::NetError;
@@ -9,16 +7,16 @@
 /// Why a process could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// A settings file is unusable.
+    /// A settings file is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The endpoint to other processes could not be opened.
+    /// The network endpoint could not be opened.
     #[error(transparent)]
     Net(#[from] NetError),
-    /// The process could not be built from its plugins, or the system refused something.
+    /// The process could not be built or started.
     #[error(transparent)]
     Build(#[from] BuildError),
-    /// The cell's file does not name this guard.
+    /// The cell's file does not contain this guard.
     #[error("id: the cell's file names no guard {0}; add it there or correct the id")]
     UnknownGuard(u16),
 }
--- a/crates/claims/cloverfold_claims_process/src/guard.rs
+++ b/crates/claims/cloverfold_claims_process/src/guard.rs
@@ -1,6 +1,4 @@
-//! The start of a guard.
-//!
-//! Owns nothing: the running process goes to the caller. Relies on the plugins of membership, claims, execution and coordination.
+//! Starts a guard.
 
 use cloverfold_app::{App, RunningApp};
 use cloverfold_base::unix_now;
@@ -15,11 +13,12 @@
 use crate::endpoint::open_network;
 use crate::error::ProcessError;
 
-/// Starts a guard; its incarnation is the time of the start in microseconds, so that a restarted guard has a greater one.
+/// Starts a guard; its incarnation is the current time in microseconds, so that a restarted guard has a larger one.
 ///
 /// # Errors
 ///
-/// Returns which file, address or key is unusable, or that the cell's file does not name the guard.
+/// Returns [`ProcessError::UnknownGuard`] if the cell's file does not contain the guard, otherwise the error of the
+/// settings, the network endpoint or a plugin.
 pub async fn start_guard(settings: GuardSettings) -> Result<RunningApp, ProcessError> {
     let cell: CellSettings = read_settings(&settings.cell)?;
     if !cell.guards.iter().any(|place| place.id == settings.id) {
--- a/crates/claims/cloverfold_claims_process/src/lib.rs
+++ b/crates/claims/cloverfold_claims_process/src/lib.rs
@@ -1,7 +1,4 @@
 //! Builds the guards and entries of a claims installation from their plugins.
-//!
-//! The binaries and the solo system start their processes here, so that they are the same everywhere. Owns no state. Relies on the
-//! package of each plugin for what it does.
 
 mod endpoint;
 mod entry;
--- a/crates/claims/cloverfold_claims_process/src/operator.rs
+++ b/crates/claims/cloverfold_claims_process/src/operator.rs
@@ -1,6 +1,4 @@
-//! An operator's endpoint, and the addresses of a cell's guards.
-//!
-//! Owns nothing: the endpoint belongs to the command. Relies on `cloverfold_net` and on the cell's settings.
+//! The network endpoint of an operator, and the addresses of a cell's guards.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -10,11 +8,11 @@
 
 use crate::error::ProcessError;
 
-/// Opens an endpoint with an operator's keys; must be called within a runtime.
+/// Opens an endpoint with an operator's keys; must be called within a Tokio runtime.
 ///
 /// # Errors
 ///
-/// Returns which key file is unusable.
+/// Returns the error of the key files or of the endpoint.
 pub fn open_operator_network(folder: &Path, name: &str) -> Result<Network, ProcessError> {
     let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
     let keys = KeyFiles::in_folder(folder, name);
@@ -22,7 +20,7 @@
     Ok(Network::bind(any, &keys, config, Default::default())?)
 }
 
-/// Lists the names and addresses of a cell's guards.
+/// Returns the names and addresses of a cell's guards.
 pub fn list_guard_addresses(cell: &CellSettings) -> Vec<PeerAddress> {
     let guards = cell.guards.iter();
     guards
