--- a/crates/claims/cloverfold_claims_settings/src/cell.rs
+++ b/crates/claims/cloverfold_claims_settings/src/cell.rs
@@ -1,6 +1,4 @@
-//! The file that all processes of a cell share: guards, services and workspaces.
-//!
-//! Owns its defaults and checks, and the hash form of a workspace's key. Relies on `cloverfold_claims_core` for the types of decisions.
+//! The settings that all processes of a cell share: guards, services and workspaces.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,47 +12,47 @@
 
 /// Length of a SHA-256 hash, in bytes.
 const KEY_HASH_LEN: usize = 32;
-/// Sizes of a replica group: odd, so that each tolerates as many losses as the next even one.
+/// Allowed sizes of a replica group; an even size tolerates no more losses than the next smaller odd one.
 const ALLOWED_REPLICAS: [usize; 3] = [1, 3, 5];
-/// Default size of a replica group: the smallest that tolerates the loss of one guard.
+/// Default size of a replica group, the smallest that tolerates the loss of one guard.
 const REPLICAS: usize = 3;
-/// Default time for which keys and answers are kept. Chosen, not measured; `docs/design/1-submissions.md` weighs why there is one.
+/// Default retention of keys and answers.
 const RETENTION: Duration = Duration::from_secs(600);
-/// Shortest time for which keys may be kept. Chosen, not measured.
+/// Shortest retention of keys.
 const MIN_RETENTION: Duration = Duration::from_secs(1);
-/// Weight of a workspace that sets none.
+/// Weight of a workspace without one.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// Guards, services and workspaces of one cell.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CellSettings {
-    /// How many guards hold each claim: 1, 3 or 5.
+    /// How many guards replicate each claim: 1, 3 or 5.
     #[serde(default = "default_replicas")]
     pub replicas: usize,
-    /// For how long after its first submission a key is known; `retention_ms` in the file.
+    /// How long a key is kept after its first submission; `retention_ms` in the file.
     #[serde(
         rename = "retention_ms",
         default = "default_retention",
         deserialize_with = "deserialize_millis"
     )]
     pub retention: Duration,
-    /// For how long answers and results are kept; `answer_retention_ms` in the file.
+    /// How long answers and results are kept; `answer_retention_ms` in the file.
     #[serde(
         rename = "answer_retention_ms",
         default = "default_retention",
         deserialize_with = "deserialize_millis"
     )]
     pub answer_retention: Duration,
-    /// The guard that coordinates all jobs while it serves; the first of the list where none is named.
+    /// The guard that coordinates all jobs while it is available; the first guard by default.
     pub lead: Option<GuardId>,
-    /// Whether one guard leads; without, keys are spread over all guards.
+    /// Whether one guard leads; without a lead, keys are spread over all guards.
     #[serde(default = "default_has_lead")]
     pub has_lead: bool,
-    /// How tasks are placed.
+    /// Policy that places tasks.
     #[serde(default)]
     pub placement: PlacementPolicy,
-    /// In which order waiting work goes.
+    /// Order of queued work.
     #[serde(default)]
     pub queueing: Queueing,
     /// The guards.
@@ -66,33 +64,33 @@
     pub workspaces: Vec<WorkspaceSettings>,
 }
 
-/// In which order waiting work goes.
+/// Order of queued work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Queueing {
-    /// In proportion to the workspaces' weights.
+    /// Weighted fair queueing by workspace.
     #[default]
     Fair,
-    /// In the order of arrival, as a baseline.
+    /// Order of arrival, as a baseline.
     Fifo,
 }
 
-/// One guard and where it is reached.
+/// Location and address of one guard.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GuardPlace {
-    /// Number of the guard, unique in the cell; its certificate names `guard-<id>`.
+    /// Number of the guard, unique in the cell; the name in its certificate is `guard-<id>`.
     pub id: GuardId,
     /// Name of the data hall; `hall` in the file.
     #[serde(rename = "hall")]
     pub data_hall: String,
     /// Name of the rack.
     pub rack: String,
-    /// UDP address at which other processes reach it.
+    /// UDP address for other processes.
     pub address: SocketAddr,
 }
 
-/// A service that tasks can be submitted for.
+/// A service that runs tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSettings {
@@ -108,7 +106,7 @@
     pub name: String,
     /// SHA-256 of the workspace's key, in hexadecimal.
     pub key_sha256: String,
-    /// Share of the slots relative to other workspaces when all wait.
+    /// Weight of the workspace in fair queueing.
     #[serde(default = "default_weight")]
     pub weight: f64,
 }
@@ -130,7 +128,7 @@
 }
 
 impl CellSettings {
-    /// Builds the cell that the decisions work with.
+    /// Builds the [`Cell`] of these settings.
     pub fn build_cell(&self) -> Cell {
         let locate = |place: &GuardPlace| Location {
             guard: place.id,
@@ -144,13 +142,13 @@
         }
     }
 
-    /// Returns the guard that coordinates all jobs while it serves, if the cell has one.
+    /// Returns the guard that coordinates all jobs while it is available, if the cell has one.
     pub fn find_lead(&self) -> Option<GuardId> {
         let first = self.guards.first().map(|place| place.id);
         self.lead.or(first).filter(|_| self.has_lead)
     }
 
-    /// Lists the guards in the order in which they lead: each while all before it are down. Empty without a lead.
+    /// Returns the guards in the order in which they take over the lead; empty without a lead.
     pub fn list_lead_order(&self) -> Vec<GuardId> {
         let Some(lead) = self.find_lead() else {
             return Vec::new();
@@ -160,14 +158,14 @@
         std::iter::once(lead).chain(others).collect()
     }
 
-    /// Returns the flow in which a workspace's work at a service waits.
+    /// Returns the flow of a workspace's work at a service.
     pub fn flow_of(&self, service: &str, workspace: &str) -> Flow {
         match self.queueing {
             Queueing::Fair => Flow {
                 service: service.into(),
                 workspace: workspace.into(),
             },
-            // One flow for all is a queue in the order of arrival.
+            // A single flow is served in order of arrival.
             Queueing::Fifo => Flow {
                 service: String::new(),
                 workspace: String::new(),
@@ -185,12 +183,12 @@
         }
     }
 
-    /// Finds a workspace by name.
+    /// Returns the workspace of a name.
     pub fn find_workspace(&self, name: &str) -> Option<&WorkspaceSettings> {
         self.workspaces.iter().find(|one| one.name == name)
     }
 
-    /// Finds a service by name.
+    /// Returns the service of a name.
     pub fn find_service(&self, name: &str) -> Option<&ServiceSettings> {
         self.services.iter().find(|one| one.name == name)
     }
@@ -285,13 +283,13 @@
     }
 }
 
-/// Hashes a caller's key into the form that settings hold.
+/// Hashes a caller's key for [`WorkspaceSettings::key_sha256`].
 pub fn hash_caller_key(key: &str) -> String {
     let hash = Sha256::digest(key.as_bytes());
     hash.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Returns whether a key is the workspace's, in a time that does not depend on where they differ.
+/// Returns whether a key belongs to the workspace, in constant time.
 pub fn verify_caller_key(workspace: &WorkspaceSettings, key: &str) -> bool {
     let Some(expected) = decode_key_hash(&workspace.key_sha256) else {
         return false;
--- a/crates/claims/cloverfold_claims_settings/src/entry.rs
+++ b/crates/claims/cloverfold_claims_settings/src/entry.rs
@@ -1,6 +1,4 @@
 //! Settings of an entry of a claims installation.
-//!
-//! Owns their defaults and checks. Relies on `cloverfold_settings` for reading the file.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,75 +11,75 @@
 
 use crate::guard::default_drain_timeout;
 
-/// Default longest body of a submission, in bytes. Chosen, not measured.
+/// Default longest body of a submission, in bytes.
 const MAX_BODY: usize = 4 * 1024 * 1024;
-/// Default time for a caller to send its request. Chosen, not measured.
+/// Default timeout of receiving a body.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Deadline of a submission that names none, from its arrival. Chosen, not measured.
+/// Deadline of a submission without one, counted from its arrival.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// Default longest deadline that a submission may name, from its arrival. Chosen, not measured.
+/// Default longest deadline of a submission, counted from its arrival.
 const MAX_DEADLINE: Duration = Duration::from_secs(120);
-/// Default number of submissions that may wait for their answer at an entry. Chosen, not measured.
+/// Default limit of submissions in flight at an entry.
 const IN_FLIGHT: usize = 4_096;
-/// Default time that a stopping entry goes on serving. Chosen, not measured.
+/// Default time for which a draining entry keeps serving.
 const LINGER: Duration = Duration::from_secs(1);
 
 /// Settings of one `cloverfold entry`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Name of this process, `entry-…`, as in its certificate.
+    /// Name of this process in its certificate, `entry-…`.
     pub name: String,
     /// The cell's file; relative to this file.
     pub cell: PathBuf,
-    /// UDP address to reach guards from; port 0 lets the system choose.
+    /// Local UDP address for requests to guards; the operating system chooses the port if it is 0.
     pub peer_address: SocketAddr,
-    /// TCP address to serve callers on.
+    /// TCP address of the HTTP server.
     pub http_address: SocketAddr,
     /// The process's keys.
     pub keys: KeySettings,
     /// Longest body of a submission, in bytes.
     #[serde(default = "default_max_body")]
     pub max_body: usize,
-    /// How long a caller may take to send its request; `read_timeout_ms` in the file.
+    /// Timeout of receiving a body; `read_timeout_ms` in the file.
     #[serde(
         rename = "read_timeout_ms",
         default = "default_read_timeout",
         deserialize_with = "deserialize_millis"
     )]
     pub read_timeout: Duration,
-    /// Deadline of a submission that names none, from its arrival; `default_deadline_ms` in the file.
+    /// Deadline of a submission without one, counted from its arrival; `default_deadline_ms` in the file.
     #[serde(
         rename = "default_deadline_ms",
         default = "default_deadline",
         deserialize_with = "deserialize_millis"
     )]
     pub default_deadline: Duration,
-    /// Longest deadline that a submission may name, from its arrival; `max_deadline_ms` in the file.
+    /// Longest deadline of a submission, counted from its arrival; `max_deadline_ms` in the file.
     #[serde(
         rename = "max_deadline_ms",
         default = "default_max_deadline",
         deserialize_with = "deserialize_millis"
     )]
     pub max_deadline: Duration,
-    /// Submissions that may wait for their answer here.
+    /// Limit of submissions in flight.
     #[serde(default = "default_in_flight")]
     pub in_flight: usize,
-    /// How long a planned stop may take before the submissions that are left are abandoned; `drain_ms` in the file.
+    /// Timeout of a drain, after which the remaining submissions are abandoned; `drain_ms` in the file.
     #[serde(
         rename = "drain_ms",
         default = "default_drain_timeout",
         deserialize_with = "deserialize_millis"
     )]
     pub drain_timeout: Duration,
-    /// How long a stopping entry goes on serving, so that the balancer can notice; `linger_ms` in the file.
+    /// How long a draining entry keeps serving, so that the load balancer can notice; `linger_ms` in the file.
     #[serde(
         rename = "linger_ms",
         default = "default_linger",
         deserialize_with = "deserialize_millis"
     )]
     pub linger: Duration,
-    /// Where log lines go.
+    /// Destination of log lines.
     #[serde(default)]
     pub log: LogSettings,
 }
--- a/crates/claims/cloverfold_claims_settings/src/guard.rs
+++ b/crates/claims/cloverfold_claims_settings/src/guard.rs
@@ -1,6 +1,4 @@
-//! Settings of a guard of a claims installation, and of the target beside it.
-//!
-//! Owns their defaults and checks. Relies on `cloverfold_settings` for reading the file.
+//! Settings of a guard of a claims installation and of its target.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,64 +10,64 @@
 };
 use serde::Deserialize;
 
-/// Default number of tasks that may wait at a guard. Chosen, not measured.
+/// Default limit of queued tasks at a guard.
 const QUEUE_LIMIT: usize = 512;
-/// Default time that a planned stop may take. Chosen, not measured.
+/// Default timeout of a drain.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// Default number of tasks that may run at a target at once. Chosen, not measured.
+/// Default number of tasks that may run at a target concurrently.
 const SLOTS: usize = 8;
-/// Default number of connections that may be open to a target. Chosen, not measured.
+/// Default limit of connections to a target.
 const CONNECTIONS: usize = 64;
-/// Default time that a task may run before it counts as lost. Chosen, not measured.
+/// Default timeout of a task, after which it counts as lost.
 const TASK_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Settings of one `cloverfold-guard`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GuardSettings {
-    /// Number of this guard, as in the cell's file.
+    /// Number of this guard in the cell's file.
     pub id: GuardId,
     /// The cell's file; relative to this file.
     pub cell: PathBuf,
     /// UDP address to listen on for other processes.
     pub peer_address: SocketAddr,
-    /// TCP address to serve health, readiness and metrics on.
+    /// TCP address of the HTTP server for health, readiness and metrics.
     pub http_address: SocketAddr,
     /// The process's keys.
     pub keys: KeySettings,
-    /// The target beside this guard.
+    /// The target of this guard.
     pub target: TargetSettings,
-    /// Tasks that may wait here.
+    /// Limit of queued tasks.
     #[serde(default = "default_queue_limit")]
     pub queue_limit: usize,
-    /// How long a planned stop may take before the tasks that are left are abandoned; `drain_ms` in the file.
+    /// Timeout of a drain, after which the remaining tasks are abandoned; `drain_ms` in the file.
     #[serde(
         rename = "drain_ms",
         default = "default_drain_timeout",
         deserialize_with = "deserialize_millis"
     )]
     pub drain_timeout: Duration,
-    /// Where log lines go.
+    /// Destination of log lines.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// The target that a guard starts tasks at.
+/// The target at which a guard starts tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSettings {
-    /// TCP address of the target's HTTP interface.
+    /// TCP address of the target's HTTP server.
     pub address: SocketAddr,
-    /// Tasks that may run at once.
+    /// Tasks that may run concurrently.
     #[serde(default = "default_slots")]
     pub slots: usize,
-    /// Connections that may be open to the target.
+    /// Limit of connections to the target.
     #[serde(default = "default_connections")]
     pub connections: usize,
     /// Whether the target can cancel a running task.
     #[serde(default)]
     pub can_cancel: bool,
-    /// How long a task may run before it counts as lost; `task_timeout_ms` in the file.
+    /// Timeout of a task, after which it counts as lost; `task_timeout_ms` in the file.
     #[serde(
         rename = "task_timeout_ms",
         default = "default_task_timeout",
--- a/crates/claims/cloverfold_claims_settings/src/lib.rs
+++ b/crates/claims/cloverfold_claims_settings/src/lib.rs
@@ -1,7 +1,6 @@
-//! Settings of the processes of a claims installation: entry and guard, and the cell's file that they share.
+//! Settings of the entries and guards of a claims installation.
 //!
-//! The guards, services and workspaces that all processes share stand in one [`CellSettings`] file. Owns the checks of values. Relies on
-//! `cloverfold_settings` for reading files and placing faults.
+//! All processes of a cell share one [`CellSettings`] file with its guards, services and workspaces.
 //!
 //! ```
 //! use cloverfold_claims_settings::CellSettings;
