--- a/benches/benches/dispatch.rs
+++ b/benches/benches/dispatch.rs
@@ -1,4 +1,4 @@
-//! Measures the processor time of one best-effort job in a dispatcher with many targets, and of one run in a runner.
+//! Measures the time that a dispatcher with many targets takes for one best-effort job, and a runner for one run.
 //!
 //! Calls `cloverfold_lease` directly and starts no process. To compare two builds, run them alternately.
 
@@ -78,7 +78,7 @@
     }
 }
 
-fn free(free: Resources) -> FreeCapacity {
+fn free_capacity(free: Resources) -> FreeCapacity {
     FreeCapacity {
         free,
         assignments_seen: u64::MAX,
@@ -94,7 +94,7 @@
         dispatcher.open_session(session, &format!("runner-{session}"), at(1));
         let heartbeat = RunnerMessage::Heartbeat {
             clock: at(1),
-            free_capacity: free(CAPACITY),
+            free_capacity: free_capacity(CAPACITY),
         };
         dispatcher.receive(session, heartbeat, at(1));
         let target = TargetDescription {
@@ -140,7 +140,7 @@
                 run: assignment.run,
                 outcome: RunOutcome::Done,
                 ran_ms: 100,
-                free_capacity: free(CAPACITY),
+                free_capacity: free_capacity(CAPACITY),
             };
             dispatcher.receive(session, ended, at(2));
         }
--- a/benches/benches/kept_groups.rs
+++ b/benches/benches/kept_groups.rs
@@ -28,7 +28,7 @@
 const GROUPS: [u32; 3] = [1, 2, 4];
 /// Callers for each control process.
 const CALLERS: [u32; 3] = [1, 16, 64];
-/// Size of a typical job.
+/// Body size of a typical job.
 const BODY_BYTES: usize = 600;
 const RUN_LENGTH: Duration = Duration::from_secs(4);
 /// Time after which a job counts as unanswered.
@@ -98,12 +98,12 @@
         unaccepted += caller_unaccepted;
     }
     times.sort_unstable();
-    let at = |permille: usize| times.get(times.len() * permille / 1_000).copied();
+    let quantile = |permille: usize| times.get(times.len() * permille / 1_000).copied();
     println!(
         "{groups:>6} {:>9} {:>8} {:>8} {:>8} {unaccepted:>17}",
         callers * u32::from(CONTROLS),
-        at(500).unwrap_or_default(),
-        at(990).unwrap_or_default(),
+        quantile(500).unwrap_or_default(),
+        quantile(990).unwrap_or_default(),
         times.len() as u64 / RUN_LENGTH.as_secs(),
     );
     Ok(())
--- a/benches/src/lib.rs
+++ b/benches/src/lib.rs
@@ -3,7 +3,7 @@
 //! - `cargo bench -p cloverfold_benches --bench decisions` measures single scheduling decisions against the number of boxes.
 //! - `cargo build --release && cargo bench -p cloverfold_benches --bench capacity` measures the resource usage of the processes of claims
 //!   installations of several sizes.
-//! - `cargo bench -p cloverfold_benches --bench dispatch` measures what a best-effort job costs a dispatcher and a runner.
+//! - `cargo bench -p cloverfold_benches --bench dispatch` measures the time for a best-effort job in a dispatcher and a runner.
 //! - `cargo bench -p cloverfold_benches --bench kept_groups` measures how fast groups accept kept jobs.
 //!
 //! This library starts the processes for `capacity` and reads their resource usage. The bench of the platform measures a whole leased
--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -339,17 +339,17 @@
 }
 
 /// Lists reports of guards: one of each phase, all of them together, and none.
-fn report_lists(word: &str) -> Vec<Sample<Vec<GuardReport>>> {
+fn report_lists(prefix: &str) -> Vec<Sample<Vec<GuardReport>>> {
     let all: Vec<GuardReport> = guard_phases()
         .into_iter()
         .zip(71..)
         .map(|((_, phase), guard)| report(guard, phase, guard % 2 == 0))
         .collect();
-    let mut lists = wrap(word, guard_phases(), |phase| {
+    let mut lists = wrap(prefix, guard_phases(), |phase| {
         vec![report(700, phase, false)]
     });
-    lists.push((format!("{word}-every-phase"), all));
-    lists.push((format!("{word}-none"), Vec::new()));
+    lists.push((format!("{prefix}-every-phase"), all));
+    lists.push((format!("{prefix}-none"), Vec::new()));
     lists
 }
 
--- a/crates/cloverfold/src/bin/cloverfold/check.rs
+++ b/crates/cloverfold/src/bin/cloverfold/check.rs
@@ -1,6 +1,6 @@
 //! `cloverfold check`: checks a settings file and starts nothing.
 //!
-//! The settings packages check the file. Without `--role`, the role of the file is inferred from its field names.
+//! The settings packages check the file. Without `--role`, the command infers the role of the file from its field names.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/cloverfold/src/bin/cloverfold/control_client.rs
+++ b/crates/cloverfold/src/bin/cloverfold/control_client.rs
@@ -15,7 +15,7 @@
 /// Timeout of a request to one control process.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Sends requests to the first control process that answers.
+/// A client that tries several control processes in turn.
 pub(crate) struct ControlClient {
     addresses: Vec<SocketAddr>,
 }
@@ -36,9 +36,9 @@
         self.request(Method::GET, path, "").await
     }
 
-    /// Sends a request to one control process after the other until one answers with success or with a client error.
+    /// Sends a request to the control processes in turn until one answers with success or with a client error.
     ///
-    /// After any other status or a failed call it tries the next process; the last failure is the error if none is left.
+    /// After any other status or a failed call it tries the next process. If all fail, it returns the last failure as the error.
     pub(crate) async fn request(&self, method: Method, path: &str, body: &str) -> Result<String> {
         let http_client = HttpClient::default();
         let mut last = String::new();
--- a/crates/cloverfold/src/lib.rs
+++ b/crates/cloverfold/src/lib.rs
@@ -1,4 +1,4 @@
-//! Code shared by the programs `cloverfold` and `cloverfold-guard`: the runtime of claims processes and commands, and the exit report.
+//! Code shared by the programs `cloverfold` and `cloverfold-guard`: the runtime of claims processes and commands, and the exit code.
 
 mod outcome;
 mod runtime;
--- a/crates/cloverfold/src/outcome.rs
+++ b/crates/cloverfold/src/outcome.rs
@@ -4,7 +4,7 @@
 
 /// Prints the error of a failed program to standard error and returns the exit code.
 ///
-/// Each cause in the chain takes one line. Source locations are not printed, since the reader is an operator.
+/// Each cause in the chain takes one line. The output has no source locations, since the reader is an operator.
 pub fn report_outcome(outcome: eyre::Result<()>) -> ExitCode {
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/cloverfold/tests/kept_jobs_full_disk.rs
+++ b/crates/cloverfold/tests/kept_jobs_full_disk.rs
@@ -14,11 +14,11 @@
 use programs::addresses::BOXES;
 use programs::{Addresses, CLOVERFOLD, Program};
 
-/// Starts a control process with a file size limit of 512 or 1,024 KiB, depending on the shell's unit. SIGXFSZ is ignored so that a write
-/// beyond the limit fails instead of ending the process.
+/// Starts a control process with a file size limit of 512 or 1,024 KiB, depending on the shell's unit. Ignores SIGXFSZ so that a write beyond
+/// the limit fails instead of ending the process.
 const START_WITH_FILE_SIZE_LIMIT: &str = r#"trap "" XFSZ; ulimit -f 1024; exec "$0" control "$1""#;
 const GROUP: u32 = 0;
-/// Body of a job; some hundred of them fill the disk.
+/// Body of a job; a few hundred of them fill the disk.
 const BODY: [u8; 8_000] = [7; 8_000];
 
 fn start(folder: &Path, addresses: &Addresses, index: usize, is_limited: bool) -> Program {
--- a/crates/cloverfold/tests/system/guard_faults.rs
+++ b/crates/cloverfold/tests/system/guard_faults.rs
@@ -1,4 +1,4 @@
-//! Guards that are killed, restart and lose their memory.
+//! Guards that are killed, restart and lose their in-memory state.
 
 use serde_json::json;
 
