--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -49,8 +49,8 @@
     pub(crate) attempts: AtomicU64,
 }
 
-/// Result of one proposal.
-enum ProposalResult {
+/// End of one proposal.
+enum ProposalEnd {
     Chosen(Claim),
     Preempted { round: u32 },
     Expired,
@@ -90,10 +90,10 @@
         let mut round = 1;
         for attempt in 0..MAX_ATTEMPTS {
             match self.run_attempt(submission, &group, proposer).await {
-                ProposalResult::Chosen(claim) => return Ok(claim),
-                ProposalResult::Expired => return Err(ClaimError::Expired),
-                ProposalResult::Preempted { round: next } => round = round.max(next),
-                ProposalResult::NoQuorum => {}
+                ProposalEnd::Chosen(claim) => return Ok(claim),
+                ProposalEnd::Expired => return Err(ClaimError::Expired),
+                ProposalEnd::Preempted { round: next } => round = round.max(next),
+                ProposalEnd::NoQuorum => {}
             }
             sleep(draw_backoff(attempt)).await;
             proposer = self.prepared_proposer(&group, round, wanted.clone());
@@ -158,22 +158,22 @@
         submission: Submission,
         group: &[GuardId],
         mut proposer: Proposer,
-    ) -> ProposalResult {
+    ) -> ProposalEnd {
         let mut request = proposer.request();
         loop {
             let mut replies = self.send_to_group(submission, group, &request);
             let next = loop {
                 let Some(reply) = replies.recv().await else {
-                    return ProposalResult::NoQuorum;
+                    return ProposalEnd::NoQuorum;
                 };
                 match proposer.handle_reply(reply) {
                     ProposerStep::Wait => {}
                     ProposerStep::Send(next) => break next,
-                    ProposerStep::Chosen(claim) => return ProposalResult::Chosen(claim),
+                    ProposerStep::Chosen(claim) => return ProposalEnd::Chosen(claim),
                     ProposerStep::Preempted { round } => {
-                        return ProposalResult::Preempted { round };
+                        return ProposalEnd::Preempted { round };
                     }
-                    ProposerStep::Expired => return ProposalResult::Expired,
+                    ProposerStep::Expired => return ProposalEnd::Expired,
                 }
             };
             request = next;
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -54,7 +54,7 @@
     /// The guard has a newer incarnation.
     Superseded,
     /// The connection broke; the assignment can be repeated.
-    Connection(String),
+    Broken(String),
 }
 
 impl JobLink {
@@ -78,7 +78,7 @@
             match interruption {
                 None => {}
                 Some(Interruption::Superseded) => break,
-                Some(Interruption::Connection(cause)) => {
+                Some(Interruption::Broken(cause)) => {
                     self.context.membership.suspect(place.guard);
                     log::debug!(guard = place.guard; "an assignment was interrupted: {cause}");
                     if reached_at.elapsed() > UNREACHABLE_TIMEOUT {
@@ -114,7 +114,7 @@
                 Err(cause) => return Some(interruption_of(&cause)),
                 Ok(None) if open.is_empty() => return None,
                 Ok(None) => {
-                    return Some(Interruption::Connection("the replies ended early".into()));
+                    return Some(Interruption::Broken("the replies ended early".into()));
                 }
                 Ok(Some(AssignReply::WrongIncarnation(_))) => {
                     return Some(Interruption::Superseded);
@@ -208,7 +208,7 @@
 }
 
 fn interruption_of(cause: &CallError) -> Interruption {
-    Interruption::Connection(cause.to_string())
+    Interruption::Broken(cause.to_string())
 }
 
 fn draw_backoff() -> Duration {
