--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -170,9 +170,7 @@
                     ProposerStep::Wait => {}
                     ProposerStep::Send(next) => break next,
                     ProposerStep::Chosen(claim) => return ProposalEnd::Chosen(claim),
-                    ProposerStep::Preempted { round } => {
-                        return ProposalEnd::Preempted { round };
-                    }
+                    ProposerStep::Preempted { round } => return ProposalEnd::Preempted { round },
                     ProposerStep::Expired => return ProposalEnd::Expired,
                 }
             };
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -113,9 +113,7 @@
             match replies.next().await {
                 Err(cause) => return Some(interruption_of(&cause)),
                 Ok(None) if open.is_empty() => return None,
-                Ok(None) => {
-                    return Some(Interruption::Broken("the replies ended early".into()));
-                }
+                Ok(None) => return Some(Interruption::Broken("the replies ended early".into())),
                 Ok(Some(AssignReply::WrongIncarnation(_))) => {
                     return Some(Interruption::Superseded);
                 }
