--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -112,16 +112,16 @@
 
 /// Registers the readiness check and the gauge, and the task that updates them.
 fn register_state(app: &mut App, claims: &Claims) -> Result<(), BuildError> {
-    let own = app.resource::<LocalState>()?;
+    let local_state = app.resource::<LocalState>()?;
     let records = Gauge::<i64>::default();
     app.registry().register(
         "claim_records",
         "Claims held by this replica",
         records.clone(),
     );
-    let shown = own.clone();
+    let checked_state = local_state.clone();
     app.add_ready_check(move || {
-        if shown.is_whole() {
+        if checked_state.is_whole() {
             Ok(())
         } else {
             Err("the replica is recovering, or the cell has not been founded".into())
@@ -130,7 +130,7 @@
     let claims = claims.clone();
     app.add_task(async move {
         loop {
-            own.set_whole(claims.is_whole().await);
+            local_state.set_whole(claims.is_whole().await);
             let replica = &claims.inner.replica;
             let count = replica.with(|replica| replica.record_count()).await;
             records.set(count as i64);
--- a/crates/claims/cloverfold_claims_core/src/claim_records.rs
+++ b/crates/claims/cloverfold_claims_core/src/claim_records.rs
@@ -26,16 +26,16 @@
 
 /// How long records are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Keeping {
+pub(crate) struct RecordRetention {
     /// How long a key is kept after its first submission.
     pub(crate) retention: Duration,
     /// Tolerated clock skew.
     pub(crate) margin: Duration,
 }
 
-impl Keeping {
+impl RecordRetention {
     /// Returns how long a record is kept after its first submission, with the clock skew.
-    pub(crate) fn span(self) -> Duration {
+    pub(crate) fn total(self) -> Duration {
         self.retention + self.margin
     }
 }
@@ -43,15 +43,15 @@
 /// The records of one replica, in key order.
 #[derive(Clone, Debug)]
 pub(crate) struct Records {
-    keeping: Keeping,
+    record_retention: RecordRetention,
     by_key: BTreeMap<SubmissionKey, ReplicaRecord>,
 }
 
 impl Records {
     /// Creates an empty collection.
-    pub(crate) fn new(keeping: Keeping) -> Self {
+    pub(crate) fn new(record_retention: RecordRetention) -> Self {
         Self {
-            keeping,
+            record_retention,
             by_key: BTreeMap::new(),
         }
     }
@@ -77,7 +77,7 @@
     ) -> ClaimReply {
         let held = self.by_key.get(&submission.key);
         let is_new = held.is_none() && req != ClaimRequest::Read;
-        if is_new && now >= submission.submitted_at + self.keeping.retention {
+        if is_new && now >= submission.submitted_at + self.record_retention.retention {
             return ClaimReply::Expired;
         }
         match req {
@@ -164,7 +164,7 @@
     /// Drops the records past their retention and the clock skew; returns how many.
     pub(crate) fn drop_expired(&mut self, now: UnixTime) -> usize {
         let before = self.by_key.len();
-        let kept_for = self.keeping.span();
+        let kept_for = self.record_retention.total();
         self.by_key
             .retain(|_, record| now < record.submitted_at + kept_for);
         before - self.by_key.len()
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -82,7 +82,7 @@
             }
             JobEvent::PlacementLost { place, .. } => {
                 let detail = lost_detail(place);
-                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, context, actions);
+                self.retry_or_fail(task, ReasonCode::GuardLost, &detail, context, actions);
             }
         }
     }
@@ -103,7 +103,7 @@
         match end {
             TaskEnd::Done(result) => self.task_mut(task).status = TaskStatus::Done(result),
             TaskEnd::Failed { reason, detail } => {
-                self.repeat_or_fail(task, reason, &detail, context, actions);
+                self.retry_or_fail(task, reason, &detail, context, actions);
             }
             TaskEnd::Returned(reason) => self.move_or_fail(task, reason, context, actions),
             TaskEnd::Released(place) => self.follow_release(task, place, actions),
@@ -130,7 +130,7 @@
             }
             ReleaseResult::WrongIncarnation(_) => {
                 let detail = lost_detail(place);
-                self.repeat_or_fail(task, ReasonCode::GuardLost, &detail, context, actions);
+                self.retry_or_fail(task, ReasonCode::GuardLost, &detail, context, actions);
             }
         }
     }
@@ -187,7 +187,7 @@
     }
 
     /// Retries a task that may have started if the job and the retry budget allow it, otherwise fails the job.
-    fn repeat_or_fail(
+    fn retry_or_fail(
         &mut self,
         task: TaskIndex,
         reason: ReasonCode,
--- a/crates/claims/cloverfold_claims_core/src/replica.rs
+++ b/crates/claims/cloverfold_claims_core/src/replica.rs
@@ -15,7 +15,7 @@
 
 use crate::cell::Cell;
 use crate::claim::{Claim, ClaimReply, ClaimRequest, ReplicaReply, Submission};
-use crate::claim_records::{Keeping, Records};
+use crate::claim_records::{RecordRetention, Records};
 use crate::incarnations::Incarnations;
 use crate::proposer::Proposer;
 use crate::recovery_state::{RecoveryPage, RecoveryState, count_needed_sources};
@@ -26,7 +26,7 @@
 pub struct ClaimReplica {
     own: Placement,
     started_at: UnixTime,
-    keeping: Keeping,
+    record_retention: RecordRetention,
     recovery_state: RecoveryState,
     /// Recovery state that each copied source reported on its first page.
     sources: BTreeMap<GuardId, RecoveryState>,
@@ -47,17 +47,17 @@
     ) -> Self {
         let mut known = Incarnations::default();
         known.record(own.guard, own.incarnation);
-        let keeping = Keeping { retention, margin };
+        let record_retention = RecordRetention { retention, margin };
         Self {
             own,
             started_at,
-            keeping,
+            record_retention,
             recovery_state: RecoveryState::Recovering {
                 whole_sources: BTreeSet::new(),
             },
             sources: BTreeMap::new(),
             known,
-            records: Records::new(keeping),
+            records: Records::new(record_retention),
         }
     }
 
@@ -98,7 +98,7 @@
 
     /// Marks the records as complete once all votes of earlier incarnations are past their retention.
     pub fn mark_whole_after_retention(&mut self, now: UnixTime) {
-        let votes_expire_at = self.started_at + self.keeping.span();
+        let votes_expire_at = self.started_at + self.record_retention.total();
         if now >= votes_expire_at {
             self.recovery_state = RecoveryState::Whole;
         }
--- a/crates/claims/cloverfold_execute/src/execution.rs
+++ b/crates/claims/cloverfold_execute/src/execution.rs
@@ -30,7 +30,7 @@
     fence: Fence<Bytes>,
     /// Coordinators that wait for a task; each channel has capacity for all tasks of its assignment.
     watchers: HashMap<TaskId, Vec<mpsc::Sender<TaskReport>>>,
-    load: Arc<LocalState>,
+    local_state: Arc<LocalState>,
     /// Time of the last assignment or release, or of the start of the drain.
     last_request_at: Instant,
 }
@@ -50,12 +50,12 @@
     pub(crate) fn new(
         incarnation: Incarnation,
         limits: FenceLimits,
-        load: Arc<LocalState>,
+        local_state: Arc<LocalState>,
     ) -> Self {
         Self {
             fence: Fence::new(incarnation, limits),
             watchers: HashMap::new(),
-            load,
+            local_state,
             last_request_at: Instant::now(),
         }
     }
@@ -192,7 +192,7 @@
 
     /// Updates the load in this guard's reports.
     fn publish_load(&self) {
-        self.load
+        self.local_state
             .set_load(self.fence.running(), self.fence.queued());
     }
 }
--- a/crates/claims/cloverfold_execute/src/plugin.rs
+++ b/crates/claims/cloverfold_execute/src/plugin.rs
@@ -40,8 +40,8 @@
             queue: settings.queue_limit,
             answer_retention: cell.answer_retention,
         };
-        let load = app.resource::<LocalState>()?;
-        let execution = Execution::new(self.placement.incarnation, limits, load);
+        let local_state = app.resource::<LocalState>()?;
+        let execution = Execution::new(self.placement.incarnation, limits, local_state);
         let membership = app.resource::<Membership>()?;
         Ok(TaskRunner {
             execution: app.control().manage(execution),
--- a/crates/claims/cloverfold_membership/src/local_state.rs
+++ b/crates/claims/cloverfold_membership/src/local_state.rs
@@ -38,7 +38,7 @@
 pub(crate) struct LocalGuard {
     pub(crate) placement: Placement,
     pub(crate) slots: u32,
-    pub(crate) load: Arc<LocalState>,
+    pub(crate) local_state: Arc<LocalState>,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) sequence: AtomicU64,
 }
@@ -54,9 +54,9 @@
             placement: self.placement,
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
             phase,
-            is_whole: self.load.is_whole(),
-            running: self.load.running.load(Ordering::Relaxed),
-            queued: self.load.queued.load(Ordering::Relaxed),
+            is_whole: self.local_state.is_whole(),
+            running: self.local_state.running.load(Ordering::Relaxed),
+            queued: self.local_state.queued.load(Ordering::Relaxed),
             slots: self.slots,
             age: Duration::ZERO,
         }
--- a/crates/claims/cloverfold_membership/src/plugin.rs
+++ b/crates/claims/cloverfold_membership/src/plugin.rs
@@ -45,12 +45,16 @@
 }
 
 impl MembershipPlugin {
-    fn build_local_guard(&self, app: &App, load: &Arc<LocalState>) -> Option<Arc<LocalGuard>> {
+    fn build_local_guard(
+        &self,
+        app: &App,
+        local_state: &Arc<LocalState>,
+    ) -> Option<Arc<LocalGuard>> {
         let (placement, slots) = self.local_guard?;
         Some(Arc::new(LocalGuard {
             placement,
             slots,
-            load: load.clone(),
+            local_state: local_state.clone(),
             lifecycle: app.lifecycle(),
             sequence: AtomicU64::new(0),
         }))
