--- a/crates/leased/cloverfold_lease/src/dispatcher/actions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/actions.rs
@@ -18,8 +18,8 @@
     CloseSession(SessionId),
     /// Answer a submission.
     Answer(JobNumber, JobAnswer),
-    /// Hand a kept job back to its group, which knows its recorded progress: the end of a run was lost with a session.
-    HandBack(JobNumber),
+    /// Release a kept job to its group, which knows the recorded progress: the outcome of a run was lost with a session.
+    ReleaseJob(JobNumber),
     /// Note the end of a run of a kept job.
     ObserveEnd {
         /// The job.
--- a/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
@@ -42,7 +42,7 @@
     /// Returns why a job must be refused at its submission, or `None` if it is accepted.
     pub(super) fn find_refusal(&self, request: &JobRequest, now: Timestamp) -> Option<JobRefusal> {
         if self.is_draining {
-            return Some(JobRefusal::Leaving);
+            return Some(JobRefusal::Draining);
         }
         if self.catch_up.is_active(now) || is_starting(now) {
             return None;
--- a/crates/leased/cloverfold_lease/src/dispatcher/answers.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/answers.rs
@@ -12,8 +12,8 @@
     NoCapacity,
     /// No target of the service accepts work.
     NoTarget,
-    /// The process is draining.
-    Leaving,
+    /// The process is draining. Written `Leaving`.
+    Draining,
     /// The process was stalled, so the request may be outdated.
     Stalled,
 }
@@ -24,7 +24,7 @@
         match self {
             Self::NoCapacity => "NoRoom",
             Self::NoTarget => "NoTarget",
-            Self::Leaving => "Leaving",
+            Self::Draining => "Leaving",
             Self::Stalled => "Stalled",
         }
     }
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
@@ -32,7 +32,7 @@
     /// Returns why a kept job must be refused before it is submitted to its group, or `None` if it may be submitted.
     pub fn find_kept_refusal(&self, request: &JobRequest, now: Timestamp) -> Option<JobRefusal> {
         if self.is_draining {
-            return Some(JobRefusal::Leaving);
+            return Some(JobRefusal::Draining);
         }
         if !self.has_capable_targets(request, now) {
             return Some(JobRefusal::NoTarget);
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
@@ -7,8 +7,8 @@
 //!
 //! # Lost sessions
 //!
-//! When a session is lost with runs of a kept job, the job is handed back to its group once these runs have ended
-//! ([`DispatcherAction::HandBack`]), to be driven in another epoch. The runner may have recorded an end `Done` of which this dispatcher was
+//! When a session is lost with runs of a kept job, the job is released to its group once these runs have ended
+//! ([`DispatcherAction::ReleaseJob`]), to be driven in another epoch. The runner may have recorded an end `Done` of which this dispatcher was
 //! not told, and a task that is done must not start again. An epoch starts with everything that is recorded, and no end of an earlier epoch
 //! is recorded after that.
 //!
@@ -120,13 +120,14 @@
         self.close_job(number);
     }
 
-    /// Hands a kept job back to its group because a run of this task ended with an unknown outcome.
+    /// Releases a kept job to its group because a run of this task ended with an unknown outcome.
     ///
     /// The run may have been recorded as done, so the task is not run again in this epoch.
-    pub(super) fn hand_back(&mut self, position: TaskPosition) {
+    pub(super) fn release_job(&mut self, position: TaskPosition) {
         if let Some(task) = self.task_mut(position) {
             task.phase = TaskPhase::Unrecorded;
-            self.actions.push(DispatcherAction::HandBack(position.job));
+            self.actions
+                .push(DispatcherAction::ReleaseJob(position.job));
         }
     }
 
--- a/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
@@ -206,8 +206,8 @@
         }
     }
 
-    /// Queues a task of a lost session again. If its job is closed, its detached run is removed; if its job is kept, the job is handed
-    /// back.
+    /// Queues a task of a lost session again. If its job is closed, only its detached run is removed. If its job is kept, the job is
+    /// released to its group.
     fn release_task(&mut self, lost: &LostTask) {
         if self.detached_runs.get(&lost.id) == Some(&DetachedRun::Uncertain) {
             self.detached_runs.remove(&lost.id);
@@ -223,7 +223,7 @@
         {
             self.counts.lost += 1;
             if job.is_kept() {
-                self.hand_back(TaskPosition { job: number, index });
+                self.release_job(TaskPosition { job: number, index });
             } else {
                 self.queue_task(TaskPosition { job: number, index });
             }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
@@ -134,7 +134,7 @@
         [(
             _,
             JobAnswer::Refused {
-                cause: JobRefusal::Leaving,
+                cause: JobRefusal::Draining,
                 ..
             }
         )]
--- a/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
@@ -331,5 +331,5 @@
     fixture.dispatcher.begin_draining();
     let request = one_task_job("d");
     let refusal = fixture.dispatcher.find_kept_refusal(&request, fixture.now);
-    assert_eq!(refusal, Some(JobRefusal::Leaving));
+    assert_eq!(refusal, Some(JobRefusal::Draining));
 }
--- a/crates/leased/cloverfold_lease/tests/world/processes.rs
+++ b/crates/leased/cloverfold_lease/tests/world/processes.rs
@@ -126,7 +126,7 @@
                     run,
                     outcome,
                 } => self.observe_end(index, job, task, run, outcome),
-                DispatcherAction::HandBack(number) => self.release_kept_job(index, number),
+                DispatcherAction::ReleaseJob(number) => self.release_kept_job(index, number),
                 DispatcherAction::Answer(number, answer) => {
                     self.receive_answer(index, number, answer);
                 }
--- a/crates/leased/cloverfold_lease/tests/written_names.rs
+++ b/crates/leased/cloverfold_lease/tests/written_names.rs
@@ -48,7 +48,7 @@
     let names = [
         (JobRefusal::NoCapacity, "NoRoom"),
         (JobRefusal::NoTarget, "NoTarget"),
-        (JobRefusal::Leaving, "Leaving"),
+        (JobRefusal::Draining, "Leaving"),
         (JobRefusal::Stalled, "Stalled"),
     ];
 
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -283,7 +283,7 @@
                 run,
                 outcome,
             } => self.observe_end(job, task, run, outcome),
-            DispatcherAction::HandBack(number) => self.release_job(number),
+            DispatcherAction::ReleaseJob(number) => self.release_job(number),
         }
     }
 
