--- a/crates/leased/cloverfold_lease/src/runner/orders.rs
+++ b/crates/leased/cloverfold_lease/src/runner/orders.rs
@@ -68,9 +68,9 @@
     pub fencing_token: u64,
     /// Number of the newest acknowledged end; the target need not list it or earlier ones any more.
     pub last_acknowledged_end: u64,
-    /// How long the target may wait for an end before it answers (long polling).
-    pub wait: Duration,
-    /// Timeout of the call, including `wait`.
+    /// How long the target may hold the call open until a run ends (long polling).
+    pub poll_timeout: Duration,
+    /// Timeout of the call, including `poll_timeout`.
     pub timeout: Duration,
     /// When it was sent, on the runner's clock.
     pub sent_at: Timestamp,
--- a/crates/leased/cloverfold_lease/src/runner/renewal_pace.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewal_pace.rs
@@ -75,7 +75,7 @@
         if order.deadline.is_none() {
             return RenewalPause::fixed(UNANSWERED_PAUSE);
         }
-        let is_early = now < order.sent_at + order.wait / EARLY_WAIT_DIVISOR;
+        let is_early = now < order.sent_at + order.poll_timeout / EARLY_WAIT_DIVISOR;
         if has_new_end || !is_early {
             self.next = MIN_PAUSE;
         }
@@ -83,7 +83,7 @@
             return RenewalPause::default();
         }
         let pause = self.next;
-        self.next = (pause * 2).min(order.wait);
+        self.next = (pause * 2).min(order.poll_timeout);
         RenewalPause {
             shortest: MIN_PAUSE,
             longest: pause,
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -37,7 +37,7 @@
         let is_in_doubt = self.has_session_in_doubt(now);
         let target = self.target.as_ref()?;
         let may_extend = target.has_only_own_runs && !target.is_lease_withheld && !is_in_doubt;
-        let wait = if may_extend {
+        let poll_timeout = if may_extend {
             self.timings.renewal_poll_timeout
         } else {
             Duration::ZERO
@@ -55,8 +55,8 @@
             deadline,
             fencing_token: target.fencing_token,
             last_acknowledged_end: target.acknowledged_end(),
-            wait,
-            timeout: wait + self.timings.answer_margin,
+            poll_timeout,
+            timeout: poll_timeout + self.timings.answer_margin,
             sent_at: now,
         })
     }
@@ -72,7 +72,7 @@
             deadline: None,
             fencing_token: candidate.fencing_token,
             last_acknowledged_end: 0,
-            wait: Duration::ZERO,
+            poll_timeout: Duration::ZERO,
             timeout,
             sent_at: now,
         })
--- a/crates/tools/cloverfold_leased_solo/src/local_target.rs
+++ b/crates/tools/cloverfold_leased_solo/src/local_target.rs
@@ -133,7 +133,7 @@
         if !self.lock().renew(order, self.now()) {
             return RenewalAnswer::Fenced;
         }
-        self.wait_for_end(order.wait).await;
+        self.wait_for_end(order.poll_timeout).await;
         self.lock().list(self.start_time, self.now())
     }
 }
--- a/crates/tools/cloverfold_leased_solo/tests/local_target.rs
+++ b/crates/tools/cloverfold_leased_solo/tests/local_target.rs
@@ -58,7 +58,7 @@
         deadline: None,
         fencing_token: 7,
         last_acknowledged_end: 0,
-        wait: RENEWAL_WAIT,
+        poll_timeout: RENEWAL_WAIT,
         timeout: RENEWAL_WAIT,
         sent_at: Timestamp::ZERO,
     }
--- a/crates/tools/cloverfold_leased_solo/tests/target_state.rs
+++ b/crates/tools/cloverfold_leased_solo/tests/target_state.rs
@@ -48,7 +48,7 @@
         deadline,
         fencing_token: 7,
         last_acknowledged_end,
-        wait: Duration::ZERO,
+        poll_timeout: Duration::ZERO,
         timeout: Duration::from_millis(15),
         sent_at: Timestamp::ZERO,
     }
