--- a/crates/leased/cloverfold_control/src/operators/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/operators/upkeep.rs
@@ -187,10 +187,10 @@
     });
     if let Some(status) = state.wave_status(number) {
         described["holder"] = json!({
-            "down": status.down,
+            "down": status.unavailable,
             "at_once": status.at_once,
-            "next": status.next,
-            "waits": status.waits.map(|reason| reason.as_str()),
+            "next": status.draining,
+            "waits": status.wait_reason.map(|reason| reason.as_str()),
             "late_ms": status.late_by.map(|late| late.as_millis() as u64),
         });
     }
--- a/crates/leased/cloverfold_control/src/state/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep.rs
@@ -181,7 +181,7 @@
         let mut calls = Vec::new();
         for action in actions {
             match action {
-                SchedulerAction::BoxChosen((wave, name)) => {
+                SchedulerAction::BoxSelected((wave, name)) => {
                     log::info!(wave, name = name.as_str(); "selected the next box for upkeep; emptying it");
                 }
                 SchedulerAction::Propose(command) => {
--- a/crates/leased/cloverfold_control/src/upkeep_caller.rs
+++ b/crates/leased/cloverfold_control/src/upkeep_caller.rs
@@ -95,7 +95,7 @@
                 SchedulerAction::Propose(_)
                 | SchedulerAction::HoldTarget(_)
                 | SchedulerAction::QueryLoad(_)
-                | SchedulerAction::BoxChosen(_) => {}
+                | SchedulerAction::BoxSelected(_) => {}
             }
         }
     }
--- a/crates/leased/cloverfold_upkeep/src/lib.rs
+++ b/crates/leased/cloverfold_upkeep/src/lib.rs
@@ -29,7 +29,7 @@
 pub use calls::{MAX_CALL_DELAY, retry_backoff};
 pub use load::{TargetLoad, TargetLoads};
 pub use pace::{WavePace, plan_pace};
-pub use ranking::choose_next_box;
+pub use ranking::select_next_box;
 pub use request::{
     MAX_BOXES, MAX_NAME_BYTES, MAX_NAMES_BYTES, WaveFormat, WaveRequest, WaveRequestError,
 };
--- a/crates/leased/cloverfold_upkeep/src/ranking.rs
+++ b/crates/leased/cloverfold_upkeep/src/ranking.rs
@@ -53,7 +53,7 @@
 }
 
 /// Returns the best of the candidates that may go down now.
-pub fn choose_next_box<'a>(
+pub fn select_next_box<'a>(
     candidates: impl Iterator<Item = &'a ListedBox>,
     listed: &BTreeMap<BoxName, ListedBox>,
     down: &BTreeSet<BoxName>,
--- a/crates/leased/cloverfold_upkeep/src/scheduler.rs
+++ b/crates/leased/cloverfold_upkeep/src/scheduler.rs
@@ -5,7 +5,7 @@
 //!
 //! 1. A box that counts as down is called until its upkeep has begun, and then watched until it is up again (`down_boxes`).
 //! 2. While fewer boxes of the wave are down than its pace and its order allow, the next box is selected
-//!    ([`choose_next_box`](crate::choose_next_box)), its target is held for [`SchedulerTimings::drain_time`], and the call is announced in
+//!    ([`select_next_box`](crate::select_next_box)), its target is held for [`SchedulerTimings::drain_time`], and the call is announced in
 //!    the log.
 //! 3. A call is sent only after its announcement is applied, so that every later scheduler counts the box as down.
 //!
@@ -76,7 +76,7 @@
     /// Tell the guard to hold the target with this incarnation.
     HoldTarget(String),
     /// Log that this box is selected; its target is held from now on.
-    BoxChosen(WaveBox),
+    BoxSelected(WaveBox),
     /// Ask the guard for the load of the target with this incarnation.
     QueryLoad(String),
 }
--- a/crates/leased/cloverfold_upkeep/src/selection.rs
+++ b/crates/leased/cloverfold_upkeep/src/selection.rs
@@ -8,7 +8,7 @@
 use crate::draining::Draining;
 use crate::load::{can_wait, has_room, recent_load};
 use crate::pace::plan_pace;
-use crate::ranking::choose_next_box;
+use crate::ranking::select_next_box;
 use crate::scheduler::{SchedulerAction, SchedulerInput, UpkeepScheduler, WaveBox};
 use crate::state::{UpkeepState, Wave};
 use crate::wave::WaveNumber;
@@ -36,16 +36,17 @@
         let mut status = WaveStatus::new(pace, waiting);
         if waiting > 0 {
             let can_wait = can_wait(waiting, &wave.order, self.timings.cycle(), time_left);
-            status.waits = self.choose_boxes(number, wave, state, input, pace.at_once, can_wait);
+            status.wait_reason =
+                self.choose_boxes(number, wave, state, input, pace.at_once, can_wait);
         }
         let selected = self.draining.iter();
         let selected = selected.filter(|(_, draining)| draining.is_new(input.now));
         let selected = selected.filter(|((wave, _), _)| *wave == number);
-        actions.extend(selected.map(|(key, _)| SchedulerAction::BoxChosen(key.clone())));
+        actions.extend(selected.map(|(key, _)| SchedulerAction::BoxSelected(key.clone())));
         let down = self.unavailable_boxes(state);
-        status.down = wave.order.boxes.intersection(&down).count();
+        status.unavailable = wave.order.boxes.intersection(&down).count();
         let next = self.draining.keys().filter(|(wave, _)| *wave == number);
-        status.next = next.map(|(_, name)| name.clone()).collect();
+        status.draining = next.map(|(_, name)| name.clone()).collect();
         self.wave_statuses.insert(number, status);
     }
 
@@ -78,7 +79,7 @@
                 recent_load(listed, input.loads, input.now).is_some_and(|load| load.is_empty)
             };
             let boxes = &self.list.boxes;
-            let next = choose_next_box(up, boxes, &unavailable, input.evacuated, is_idle);
+            let next = select_next_box(up, boxes, &unavailable, input.evacuated, is_idle);
             let Some(next) = next else {
                 return Some(WaitReason::NoneReady);
             };
--- a/crates/leased/cloverfold_upkeep/src/wave_status.rs
+++ b/crates/leased/cloverfold_upkeep/src/wave_status.rs
@@ -36,15 +36,15 @@
     /// Number of boxes that wait for their upkeep.
     pub waiting: usize,
     /// Number of boxes that are or may be down, or are draining.
-    pub down: usize,
+    pub unavailable: usize,
     /// How many boxes may currently be down at once.
     pub at_once: u32,
     /// Expected delay of the last box beyond the span.
     pub late_by: Option<Duration>,
     /// The draining boxes.
-    pub next: Vec<BoxName>,
+    pub draining: Vec<BoxName>,
     /// The reason why no further box goes down, if any.
-    pub waits: Option<WaitReason>,
+    pub wait_reason: Option<WaitReason>,
 }
 
 impl WaveStatus {
--- a/crates/leased/cloverfold_upkeep/tests/holder.rs
+++ b/crates/leased/cloverfold_upkeep/tests/holder.rs
@@ -351,7 +351,7 @@
             SchedulerAction::Propose(command) => self.proposed.push(command),
             SchedulerAction::HoldTarget(_)
             | SchedulerAction::QueryLoad(_)
-            | SchedulerAction::BoxChosen(_) => {}
+            | SchedulerAction::BoxSelected(_) => {}
             SchedulerAction::ReadList if is_faulty && self.rng.below(4) == 0 => {
                 self.scheduler.record_list_failure(self.now, self.rng.0);
             }
--- a/crates/leased/cloverfold_upkeep/tests/loads.rs
+++ b/crates/leased/cloverfold_upkeep/tests/loads.rs
@@ -104,8 +104,8 @@
     take(&mut scheduler, &state, &known, &[], at(20));
     take(&mut other, &other_state, &known, &["hall-1"], at(20));
 
-    assert_eq!(scheduler.wave_statuses()[&1].next, ["box-2"]);
-    assert_eq!(other.wave_statuses()[&1].next, ["box-1"]);
+    assert_eq!(scheduler.wave_statuses()[&1].draining, ["box-2"]);
+    assert_eq!(other.wave_statuses()[&1].draining, ["box-1"]);
 }
 
 #[test]
@@ -117,13 +117,16 @@
     take(&mut patient, &state, &busy, &[], at(20));
     take(&mut short, &short_state, &busy, &[], at(20));
 
-    assert_eq!(patient.wave_statuses()[&1].waits, Some(WaitReason::NoRoom));
-    assert_eq!(patient.wave_statuses()[&1].down, 0);
-    assert_eq!(short.wave_statuses()[&1].down, 1);
+    assert_eq!(
+        patient.wave_statuses()[&1].wait_reason,
+        Some(WaitReason::NoRoom)
+    );
+    assert_eq!(patient.wave_statuses()[&1].unavailable, 0);
+    assert_eq!(short.wave_statuses()[&1].unavailable, 1);
     // The load has dropped.
     let calm = loads(&[8_000; 4], at(1_000));
     take(&mut patient, &state, &calm, &[], at(1_010));
-    assert_eq!(patient.wave_statuses()[&1].down, 1);
+    assert_eq!(patient.wave_statuses()[&1].unavailable, 1);
 }
 
 #[test]
@@ -133,7 +136,7 @@
 
     take(&mut scheduler, &state, &old, &[], at(4_000));
 
-    assert_eq!(scheduler.wave_statuses()[&1].down, 1);
+    assert_eq!(scheduler.wave_statuses()[&1].unavailable, 1);
 }
 
 #[test]
