--- a/crates/leased/cloverfold_kept_jobs/src/commands.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/commands.rs
@@ -61,7 +61,7 @@
     pub driver: DriverId,
 }
 
-/// A change of the table. The order of the variants is part of the disk format.
+/// A change to the table. The order of the variants is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobCommand {
     /// Accept a job.
--- a/crates/leased/cloverfold_kept_jobs/src/driver/callers.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/callers.rs
@@ -115,8 +115,8 @@
 
     /// Sends a call. The first attempt goes to the known leader, retries go through other control processes.
     pub(super) fn send(&mut self, group: GroupId, token: CallToken, call: JobCall, attempt: u32) {
-        let known = self.groups.get(group as usize);
-        let leader = known.and_then(|group| group.leader.clone());
+        let driver = self.groups.get(group as usize);
+        let leader = driver.and_then(|driver| driver.leader.clone());
         let route = CallRoute {
             leader: leader.filter(|_| attempt == 0),
             attempt,
--- a/crates/leased/cloverfold_kept_jobs/src/driver/group.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/group.rs
@@ -13,11 +13,10 @@
 use crate::ids::{DriverId, Epoch, JobId};
 use crate::timings::KeptJobTimings;
 
-/// Time for which an answered release is retained. A leader that is elected before the hand-over does not know of the release, and a
-/// hand-over can be delayed while no other driver accepts jobs.
+/// Time for which an answered release is retained. A leader that is elected before the handover does not know of the release, and a
+/// handover can be delayed while no other driver accepts jobs.
 const RELEASE_RETENTION: Duration = Duration::from_secs(600);
 
-/// State of a job that is driven here.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DrivenState {
     pub(super) epoch: Epoch,
@@ -26,7 +25,7 @@
     pub(super) finished: Option<Finished>,
 }
 
-/// The local end of a job.
+/// Completion of a job as far as this entry knows.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Finished {
     pub(super) at: Timestamp,
@@ -84,7 +83,6 @@
         known.is_none_or(|known| known < epoch)
     }
 
-    /// Returns whether a release is unanswered.
     pub(super) fn has_unanswered_release(&self) -> bool {
         self.retired
             .values()
@@ -119,7 +117,6 @@
         self.retired.retain(|_, retired| is_retained(retired));
     }
 
-    /// Returns the renewal to send.
     pub(super) fn build_renewal(&self, entry: &str, takes_jobs: bool) -> Renewal {
         let driving = self.driven.iter().map(|(job, driven)| DrivenJob {
             job: job.clone(),
--- a/crates/leased/cloverfold_kept_jobs/src/driver/lease.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/lease.rs
@@ -13,16 +13,15 @@
 
 use crate::calls::CallToken;
 
-/// An unanswered renewal.
 #[derive(Clone, Copy, Debug)]
 struct SentRenewal {
     token: CallToken,
     sent_at: Timestamp,
 }
 
-/// The lease of one driver.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DriverLease {
+    /// Unanswered renewals that can still extend the lease, oldest first.
     sent: VecDeque<SentRenewal>,
     valid_until: Option<Timestamp>,
 }
@@ -53,7 +52,6 @@
         self.sent.iter().any(|sent| sent.token == token)
     }
 
-    /// Returns whether the lease is valid.
     pub(super) fn is_valid(&self, now: Timestamp) -> bool {
         self.valid_until.is_some_and(|until| now < until)
     }
--- a/crates/leased/cloverfold_kept_jobs/src/driver/mod.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/mod.rs
@@ -1,7 +1,7 @@
 //! The entry's side: calls to the groups, and the jobs that it drives.
 //!
 //! An entry is a *driver* of each group under a lease (`lease`). It drives the jobs that it submitted and those that the leader assigns to
-//! it, and reports all of them in each renewal until the leader drops them. No job is driven here and elsewhere at once (`timings`).
+//! it, and reports all of them in each renewal until the leader drops them. No job is driven by two entries at once (`timings`).
 //!
 //! | event | effect |
 //! |---|---|
@@ -148,7 +148,7 @@
             .all(|group| group.driven.is_empty() && !group.has_unanswered_release())
     }
 
-    /// Carries out the due work. Call it every few tens of milliseconds.
+    /// Performs the work that is due, such as renewals, retries and expiries. Call it every few tens of milliseconds.
     pub fn tick(&mut self, now: Timestamp) {
         self.expire_leases(now);
         for group in &mut self.groups {
@@ -230,7 +230,7 @@
     fn accept_assignment(&mut self, index: usize, assignment: JobAssignment, now: Timestamp) {
         let group = &mut self.groups[index];
         if group.is_release_unknown_to_leader(&assignment.job, assignment.epoch, now) {
-            // The job ended here long ago, so it has no runs.
+            // The release was answered at least two lease periods ago, so the job has no runs left here.
             self.send_release(index, vec![(assignment.job, assignment.epoch, true)], now);
             return;
         }
--- a/crates/leased/cloverfold_kept_jobs/src/driver/observed_ends.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/observed_ends.rs
@@ -20,7 +20,6 @@
 /// Time for which an unanswered record is retried; as long as a finished job stays driven.
 const RECORD_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The reported ends, by job.
 #[derive(Debug, Default)]
 pub(super) struct ObservedEnds {
     by_job: BTreeMap<JobId, Vec<TaskEnd>>,
--- a/crates/leased/cloverfold_kept_jobs/src/driver/pending_calls.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/pending_calls.rs
@@ -21,13 +21,12 @@
 use crate::driver::actions::{CallAnswer, RefusalReason};
 use crate::groups::GroupId;
 
-/// Time after which an unanswered call is resent; more than three times the time of two disk syncs and four messages.
+/// Time after which an unanswered call is resent; more than three times the time of a commit (two disk syncs and four messages).
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Delay before a retry of a call that was refused because the group has no leader. An election takes up to 700 ms.
 const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Largest random extension of a delay, as a fraction of it, so that entries do not retry in lockstep.
+/// Maximum jitter added to a delay, as a fraction of it, so that entries do not retry in lockstep.
 const JITTER: f64 = 0.3;
-/// Largest number of pending calls.
 pub(super) const MAX_PENDING_CALLS: usize = 5_000;
 
 /// A call without a final answer.
@@ -41,26 +40,25 @@
     refused: u32,
     refusal: Option<RefusalReason>,
     next_send_at: Timestamp,
-    /// Time at which the caller is answered in any case; `None` for a call that is retried until it is answered.
+    /// Time at which the caller is answered at the latest; `None` for a call that is retried until it is answered.
     deadline: Option<Timestamp>,
 }
 
 impl PendingCall {
     /// Returns whether every copy was refused, so that none can take effect.
-    fn is_every_copy_refused(&self) -> bool {
+    fn are_all_copies_refused(&self) -> bool {
         self.refused >= self.sent
     }
 
     /// Returns the answer to the caller when the deadline passes.
     fn deadline_answer(&self) -> CallAnswer {
         match self.refusal {
-            Some(refusal) if self.is_every_copy_refused() => CallAnswer::Refused(refusal),
+            Some(refusal) if self.are_all_copies_refused() => CallAnswer::Refused(refusal),
             _ => CallAnswer::Unknown,
         }
     }
 }
 
-/// The pending calls of an entry.
 #[derive(Debug, Default)]
 pub(super) struct PendingCalls {
     calls: BTreeMap<CallToken, PendingCall>,
@@ -157,7 +155,7 @@
             pending.next_send_at = pending.next_send_at.min(retry_at);
             return None;
         }
-        if !pending.is_every_copy_refused() {
+        if !pending.are_all_copies_refused() {
             return None;
         }
         self.calls.remove(&token);
--- a/crates/leased/cloverfold_kept_jobs/src/driver/releases.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/driver/releases.rs
@@ -11,8 +11,8 @@
 use crate::groups::GroupId;
 use crate::ids::{Epoch, JobId};
 
-/// Time within which the leader should drop a finished job. It covers several retries of a guard's record and the election of a new leader,
-/// which takes up to 0.7 s.
+/// Time within which the leader should drop a finished job. It covers several retries of a guard's record and an election, which takes up
+/// to 0.7 s.
 const DROP_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Driver {
@@ -84,8 +84,8 @@
         let undropped: Vec<(JobId, bool)> = driven
             .filter_map(|(job, driven)| {
                 let finished = driven.finished?;
-                let is_over = now >= finished.at + DROP_TIMEOUT;
-                is_over.then(|| (job.clone(), finished.is_clean))
+                let is_timed_out = now >= finished.at + DROP_TIMEOUT;
+                is_timed_out.then(|| (job.clone(), finished.is_clean))
             })
             .collect();
         if !undropped.is_empty() {
--- a/crates/leased/cloverfold_kept_jobs/src/drivers.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/drivers.rs
@@ -8,10 +8,10 @@
 //! The reply to a renewal assigns the jobs that the driver should drive and did not report, and drops those that it reported and must not
 //! drive. `handover` decides which driver gets a job next.
 //!
-//! These expiry times are never early. A driver counts its lease from the sending of the renewal, which precedes its arrival. A renewal
-//! that an earlier leader answered was sent before this leader's election, since the quorum that confirmed the earlier leader had not
-//! elected this one yet. A newer driver of the same entry does not shorten the lease of the older one, because a delayed renewal can make
-//! the older driver look like the newer.
+//! The leader never considers a lease expired before its driver does. A driver counts its lease from the sending of the renewal, which
+//! precedes its arrival. A renewal that an earlier leader answered was sent before this leader's election, since the quorum that confirmed
+//! the earlier leader had not elected this one yet. A newer driver of the same entry does not shorten the lease of the older one, because
+//! renewals can arrive out of order, which makes the older driver appear to be the newer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,7 +23,7 @@
 use crate::table::JobTable;
 use crate::timings::KeptJobTimings;
 
-/// Largest total size of the job bodies in one reply, in bytes, so that a reply does not block the link. Further assignments follow with
+/// Maximum total size of the job bodies in one reply, in bytes, so that a reply does not block the link. Further assignments follow with
 /// the next renewal. The first assignment is always included.
 const MAX_ASSIGNMENT_BYTES: usize = 1024 * 1024;
 
@@ -52,7 +52,7 @@
     elected_at: Timestamp,
     pub(crate) drivers: BTreeMap<DriverId, DriverState>,
     pub(crate) released: BTreeMap<JobId, Release>,
-    /// Jobs whose hand-over is proposed but not committed.
+    /// Jobs whose handover is proposed but not committed.
     pub(crate) pending_handover: BTreeSet<JobId>,
 }
 
@@ -72,13 +72,13 @@
     pub fn renew(&mut self, renewal: Renewal, now: Timestamp) {
         let driving = renewal.driving.into_iter();
         let driving = driving.map(|reported| (reported.job, (reported.epoch, reported.has_begun)));
-        let known = DriverState {
+        let state = DriverState {
             entry: renewal.entry,
             renewed_at: now,
             takes_jobs: renewal.takes_jobs,
             driving: driving.collect(),
         };
-        self.drivers.insert(renewal.driver, known);
+        self.drivers.insert(renewal.driver, state);
     }
 
     /// Records the jobs that a driver releases. Jobs of another driver or epoch are ignored.
@@ -117,8 +117,8 @@
 
     /// Returns when the lease of a driver expires unless it is renewed.
     pub fn lease_expires_at(&self, driver: DriverId) -> Timestamp {
-        let known = self.drivers.get(&driver);
-        let since = known.map_or(self.elected_at, |known| known.renewed_at);
+        let state = self.drivers.get(&driver);
+        let since = state.map_or(self.elected_at, |state| state.renewed_at);
         since + self.timings.driver_lease
     }
 
@@ -129,8 +129,8 @@
 
     /// Returns the name of the entry of a driver that has renewed with this leader.
     pub fn entry_of(&self, driver: DriverId) -> Option<&str> {
-        let known = self.drivers.get(&driver)?;
-        Some(&known.entry)
+        let state = self.drivers.get(&driver)?;
+        Some(&state.entry)
     }
 
     /// Returns the reply to the last renewal of a driver.
@@ -140,10 +140,10 @@
             drive: Vec::new(),
             drop: Vec::new(),
         };
-        let Some(known) = self.drivers.get(&driver) else {
+        let Some(state) = self.drivers.get(&driver) else {
             return reply;
         };
-        for (job, (epoch, _)) in &known.driving {
+        for (job, (epoch, _)) in &state.driving {
             if !self.should_drive(table, driver, job, *epoch) {
                 reply.drop.push((job.clone(), *epoch));
             }
@@ -154,7 +154,7 @@
             let Some(open) = table.open().get(job) else {
                 continue;
             };
-            let reported = known.driving.get(job).map(|(epoch, _)| *epoch);
+            let reported = state.driving.get(job).map(|(epoch, _)| *epoch);
             if reported == Some(open.epoch()) || self.is_leaving_driver(job, open) {
                 continue;
             }
@@ -181,8 +181,8 @@
 
     /// Returns the phase of an open job: `Running` if a task has a recorded end or the driver reported a start, otherwise `Queued`.
     pub fn phase(&self, job: &str, open: &OpenJob) -> JobPhase {
-        let known = self.drivers.get(&open.driver());
-        let reported = known.and_then(|known| known.driving.get(job));
+        let state = self.drivers.get(&open.driver());
+        let reported = state.and_then(|state| state.driving.get(job));
         let has_begun = reported.is_some_and(|(epoch, begun)| *epoch == open.epoch() && *begun);
         if has_begun || !open.progress().is_empty() {
             JobPhase::Running
--- a/crates/leased/cloverfold_kept_jobs/src/groups.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/groups.rs
@@ -1,4 +1,4 @@
-//! The mapping of jobs to groups, and the replicas that the groups start with.
+//! The mapping of jobs to groups, and the initial replicas of the groups.
 //!
 //! A job belongs to the group given by the hash of its name, modulo the number of groups. That number is agreed on once in the log of the
 //! control processes and never changes, so every entry finds the group of a job without a lookup.
@@ -11,7 +11,7 @@
 /// Index of a group, from 0.
 pub type GroupId = u32;
 
-/// Largest number of groups in an installation.
+/// Maximum number of groups in an installation.
 pub const MAX_GROUPS: u32 = 16;
 
 /// The groups of an installation, as its control processes agreed on them. The order of the fields is part of the disk and wire formats.
--- a/crates/leased/cloverfold_kept_jobs/src/handover.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/handover.rs
@@ -1,8 +1,8 @@
-//! Hand-over of jobs from one driver to another.
+//! Handover of jobs from one driver to another.
 //!
 //! A job may be handed over once the runs of its driver have certainly ended:
 //! [`KeptJobTimings::run_termination_bound`](crate::KeptJobTimings::run_termination_bound) after the driver's lease has expired, or, if the
-//! driver released the job, as soon as none of its runs can be left. See `timings` for why no two runs of a task then overlap.
+//! driver released the job, once its runs have ended. See `timings` for why no two runs of a task then overlap.
 //!
 //! The job goes to a driver with a valid lease that accepts jobs and is the newest of its entry. Among these, the one with the fewest open
 //! jobs is chosen, including jobs of the same plan, which balances the load of a lost entry. Without such a driver the job waits.
@@ -17,13 +17,13 @@
 use crate::job::OpenJob;
 use crate::table::JobTable;
 
-/// Largest number of reassignments in one command, so that a command does not delay the log.
+/// Maximum number of reassignments in one command, so that a command does not delay the log.
 const MAX_REASSIGNMENTS_PER_COMMAND: usize = 256;
 /// Number of known drivers above which expired drivers without jobs are removed.
 const MAX_IDLE_DRIVERS: usize = 1_024;
 
 impl DriverTable {
-    /// Plans the hand-overs that are due. The jobs stay marked as pending until [`Self::complete_handover`] or [`Self::abort_handover`].
+    /// Plans the handovers that are due. The jobs stay marked as pending until [`Self::complete_handover`] or [`Self::abort_handover`].
     pub fn plan_handover(&mut self, table: &JobTable, now: Timestamp) -> Vec<JobReassignment> {
         self.remove_stale(table, now);
         let due = self.jobs_due_for_handover(table, now);
@@ -45,7 +45,7 @@
         planned
     }
 
-    /// Records that a hand-over is committed: the jobs have their new drivers, or have ended.
+    /// Records that a handover is committed: the jobs have their new drivers, or have ended.
     pub fn complete_handover<'a>(&mut self, jobs: impl IntoIterator<Item = &'a JobId>) {
         for job in jobs {
             self.pending_handover.remove(job);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Records that a hand-over was not proposed.
+    /// Records that a handover was not proposed.
     pub fn abort_handover<'a>(&mut self, jobs: impl IntoIterator<Item = &'a JobId>) {
         for job in jobs {
             self.pending_handover.remove(job);
@@ -100,14 +100,17 @@
     /// Returns the drivers that may receive jobs, with their numbers of open jobs.
     fn eligible_drivers(&self, table: &JobTable, now: Timestamp) -> BTreeMap<DriverId, usize> {
         let mut newest: BTreeMap<&str, (Timestamp, DriverId)> = BTreeMap::new();
-        for (&driver, known) in &self.drivers {
-            let seen = (known.renewed_at, driver);
-            let newest = newest.entry(&known.entry).or_insert(seen);
-            *newest = seen.max(*newest);
+        for (&driver, state) in &self.drivers {
+            let candidate = (state.renewed_at, driver);
+            let newest = newest.entry(&state.entry).or_insert(candidate);
+            *newest = candidate.max(*newest);
         }
         let mut eligible = BTreeMap::new();
         for (_, driver) in newest.into_values() {
-            let takes_jobs = self.drivers.get(&driver).is_some_and(|d| d.takes_jobs);
+            let takes_jobs = self
+                .drivers
+                .get(&driver)
+                .is_some_and(|state| state.takes_jobs);
             if takes_jobs && self.is_alive(driver, now) {
                 let jobs = table.by_driver().get(&driver);
                 eligible.insert(driver, jobs.map_or(0, BTreeSet::len));
@@ -126,8 +129,8 @@
             return;
         }
         let lease = self.timings.driver_lease;
-        self.drivers.retain(|driver, known| {
-            now < known.renewed_at + lease || table.by_driver().contains_key(driver)
+        self.drivers.retain(|driver, state| {
+            now < state.renewed_at + lease || table.by_driver().contains_key(driver)
         });
     }
 }
--- a/crates/leased/cloverfold_kept_jobs/src/ids.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/ids.rs
@@ -11,15 +11,15 @@
 /// Random identifier of an entry for one unbroken sequence of leases on one group. It is never reused after the lease lapses or the
 /// process ends.
 pub type DriverId = u64;
-/// Fencing number of a job's driver. It starts at 1 and rises with each hand-over.
+/// Fencing number of a job's driver. It starts at 1 and rises with each handover.
 pub type Epoch = u64;
 /// Sequence number of an ended job within its group, from 1.
 pub type EndSequence = u64;
 
-/// Run numbers of a task that are reserved for each epoch.
+/// Size of the range of run numbers that a task has in each epoch.
 pub const RUNS_PER_EPOCH: u64 = 1 << 20;
-/// Base of the run numbers of kept jobs. Best-effort runs are numbered by a clock in tenths of seconds and stay below it. Run numbers
-/// stay exact as 64-bit floating-point numbers even after 2^30 epochs.
+/// Base of the run numbers of kept jobs. Best-effort runs are numbered by a clock in tenths of a second and stay below it. Run numbers
+/// remain exact as 64-bit floating-point numbers even after 2^30 epochs.
 pub const FIRST_KEPT_RUN: u64 = 1 << 50;
 
 /// Returns the number of the first run of a task in an epoch. Targets order runs by number, so a run of a later epoch supersedes earlier
--- a/crates/leased/cloverfold_kept_jobs/src/job.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/job.rs
@@ -54,6 +54,7 @@
     driver: DriverId,
     /// Tasks with a recorded run end.
     progress: BTreeMap<TaskIndex, TaskProgress>,
+    /// Number of tasks that are done.
     done: TaskIndex,
     /// Failed runs of each task: at most `max_attempts` for each, since the job ends then.
     failed_runs: BTreeMap<TaskIndex, BTreeSet<u64>>,
@@ -73,7 +74,8 @@
 }
 
 impl EndedJob {
-    /// Decides on a run end that arrives after the job has ended. An end of an earlier epoch stays fenced, since the task may have rerun.
+    /// Returns the decision on a run end that arrives after the job has ended. An end of an earlier epoch stays fenced, since the task may
+    /// have rerun.
     pub fn decide_late_end(&self, end: &TaskEnd) -> EndDecision {
         if end.epoch == self.epoch {
             EndDecision::JobOver
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Decides on an end of another epoch. An end that was recorded in its own epoch is acknowledged again.
+    /// Returns the decision on an end of another epoch. An end that was recorded in its own epoch is acknowledged again.
     fn decide_end_of_other_epoch(&self, end: &TaskEnd) -> EndDecision {
         let runs = self.failed_runs.get(&end.task);
         let has_failed = runs.is_some_and(|runs| runs.contains(&end.run));
--- a/crates/leased/cloverfold_kept_jobs/src/lib.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/lib.rs
@@ -1,4 +1,4 @@
-//! Durable ("kept") jobs: a job that is accepted once is never lost, and repeated queries get the same answer.
+//! Durable ("kept") jobs: an accepted job is never lost, and repeated queries get the same answer.
 //!
 //! Jobs are partitioned over *groups* of replicas by a hash of their names ([`group_of`]). The control processes replicate the
 //! [`JobTable`] of each group in a log of its own. Nothing in this crate does I/O or reads a clock.
@@ -18,7 +18,7 @@
 //! | `groups` | the mapping of jobs to groups, and the initial replicas |
 //! | `driver` | the entry's side: calls, leases and driven jobs |
 //! | `recorder` | the guard's side: recording of run ends |
-//! | `timings` | the time bounds that make a hand-over safe |
+//! | `timings` | the time bounds that make a handover safe |
 
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/leased/cloverfold_kept_jobs/src/recorder.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/recorder.rs
@@ -4,7 +4,7 @@
 //! another control process each time, until the group has decided on it. Ends that arrive meanwhile go into the next batch, so the number
 //! of calls grows more slowly than the number of ends. Recording is idempotent, so retries are safe.
 //!
-//! The queue is bounded by the ends that the target retains.
+//! The queue normally holds no more ends than the target retains; [`MAX_QUEUED_ENDS`] bounds it in any case.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use crate::driver::CallRoute;
 use crate::groups::{GroupId, group_of};
 
-/// Time after which a batch without a decision is resent; more than twice the time of two disk syncs and four messages.
+/// Time after which a batch without a decision is resent; more than twice the time of a commit (two disk syncs and four messages).
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Largest number of ends in one batch; about 20 KB.
+/// Maximum number of ends in one batch; about 20 KB.
 const MAX_BATCH_ENDS: usize = 256;
-/// Largest number of queued ends over all groups, far above what one target retains. The oldest end is dropped when it is exceeded.
+/// Maximum number of queued ends over all groups, far above what one target retains. Above it, the oldest end is dropped.
 const MAX_QUEUED_ENDS: usize = 8_192;
 
 /// An action that the caller of a [`Recorder`] must carry out.
@@ -32,17 +32,15 @@
     Decided(TaskEnd, EndDecision),
 }
 
-/// A batch that is in flight.
 #[derive(Clone, Copy, Debug)]
 struct InFlightBatch {
     token: CallToken,
-    /// Number of ends in the batch, from the front of the queue.
+    /// Number of ends in the batch, taken from the front of the queue.
     ends: usize,
     attempts: u32,
     next_send_at: Timestamp,
 }
 
-/// The queued ends of one group.
 #[derive(Debug, Default)]
 struct GroupQueue {
     waiting: VecDeque<TaskEnd>,
--- a/crates/leased/cloverfold_kept_jobs/src/table.rs
+++ b/crates/leased/cloverfold_kept_jobs/src/table.rs
@@ -23,10 +23,9 @@
 use crate::ids::{DriverId, EndSequence, JobId};
 use crate::job::{EndedJob, OpenJob, TerminalState};
 
-/// Largest total size of the names, queues and bodies of a group's open jobs, in bytes. It bounds the memory of the process, and holds
-/// about 27,000 jobs of 1,200 bytes.
+/// Maximum total size of the names, queues and bodies of a group's open jobs, in bytes. It bounds the memory of the process.
 pub const MAX_OPEN_BYTES: usize = 32 * 1024 * 1024;
-/// Largest number of ended jobs that a group stores.
+/// Maximum number of ended jobs that a group stores.
 pub const MAX_ENDED_JOBS: usize = 256 * 1024;
 
 /// The jobs of a group. The order of the fields is part of the disk format.
@@ -117,8 +116,8 @@
     fn submit(&mut self, submission: JobSubmission) -> SubmitOutcome {
         let open = self.open.get(&submission.id);
         let open = open.map(|job| job.submission().digest);
-        let known = open.or_else(|| self.ended.get(&submission.id).map(|job| job.digest));
-        if let Some(digest) = known {
+        let stored = open.or_else(|| self.ended.get(&submission.id).map(|job| job.digest));
+        if let Some(digest) = stored {
             return if digest == submission.digest {
                 SubmitOutcome::Known
             } else {
--- a/crates/leased/cloverfold_kept_jobs/tests/driver.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/driver.rs
@@ -15,8 +15,8 @@
 
 const LEASE: u64 = 1_500;
 
-fn at(value: u64) -> Timestamp {
-    Timestamp::from_start(Duration::from_millis(value))
+fn at(millis: u64) -> Timestamp {
+    Timestamp::from_start(Duration::from_millis(millis))
 }
 
 fn new_job(id: &str) -> NewJob {
@@ -99,7 +99,7 @@
 }
 
 /// Returns a driver of one group with a lease from 400 ms on, and its identity.
-fn leased() -> (Driver, DriverId) {
+fn driver_with_lease() -> (Driver, DriverId) {
     let mut driver = Driver::new("entry-1", KeptJobTimings::default(), 5);
     driver.set_group_count(1, at(0));
     driver.tick(at(400));
@@ -119,8 +119,8 @@
 }
 
 /// Returns a driver that drives one accepted job, and its identity.
-fn driving(id: &str) -> (Driver, DriverId) {
-    let (mut driver, identity) = leased();
+fn driver_with_job(id: &str) -> (Driver, DriverId) {
+    let (mut driver, identity) = driver_with_lease();
     let token = submit(&mut driver, id, 410);
     let accepted = JobReply::Submitted(SubmitOutcome::Accepted(1));
     driver.receive(reply(token, accepted), at(430));
@@ -130,7 +130,7 @@
 
 #[test]
 fn an_accepted_job_is_driven_and_reported_in_renewals() {
-    let (mut driver, _) = leased();
+    let (mut driver, _) = driver_with_lease();
     let token = submit(&mut driver, "a", 410);
     let accepted = JobReply::Submitted(SubmitOutcome::Accepted(1));
 
@@ -164,7 +164,7 @@
 
 #[test]
 fn the_lease_starts_when_the_renewal_is_sent() {
-    let (mut driver, _) = driving("a");
+    let (mut driver, _) = driver_with_job("a");
 
     driver.expire_leases(at(400 + LEASE - 1));
     assert_eq!(stopped(&driver.take_actions()), []);
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_lapsed_lease_replaces_the_driver_identity() {
-    let (mut driver, before) = driving("a");
+    let (mut driver, before) = driver_with_job("a");
 
     driver.tick(at(3_000));
 
@@ -188,7 +188,7 @@
 
 #[test]
 fn an_unsolicited_reply_does_not_extend_the_lease() {
-    let (mut driver, identity) = driving("a");
+    let (mut driver, identity) = driver_with_job("a");
 
     driver.receive(reply(0, renewed(identity, vec![], vec![])), at(1_800));
     driver.expire_leases(at(400 + LEASE));
@@ -199,7 +199,7 @@
 
 #[test]
 fn an_unsolicited_assignment_takes_effect_only_after_a_renewal() {
-    let (mut driver, identity) = leased();
+    let (mut driver, identity) = driver_with_lease();
     let assignments = vec![assignment("b", 2)];
 
     driver.receive(
@@ -219,7 +219,7 @@
 
 #[test]
 fn an_unsolicited_drop_takes_effect_at_once() {
-    let (mut driver, identity) = driving("a");
+    let (mut driver, identity) = driver_with_job("a");
 
     driver.receive(reply(0, renewed(identity, vec![], vec![("a", 1)])), at(440));
 
@@ -229,7 +229,7 @@
 
 #[test]
 fn a_drop_of_another_epoch_has_no_effect() {
-    let (mut driver, identity) = driving("a");
+    let (mut driver, identity) = driver_with_job("a");
 
     driver.receive(reply(0, renewed(identity, vec![], vec![("a", 2)])), at(440));
 
@@ -238,7 +238,7 @@
 
 #[test]
 fn a_stale_reply_does_not_restart_a_dropped_job() {
-    let (mut driver, identity) = leased();
+    let (mut driver, identity) = driver_with_lease();
     let submission = submit(&mut driver, "a", 690);
     driver.tick(at(700));
     let (renewal, reported) = renewals(&driver.take_actions()).remove(0);
@@ -256,7 +256,7 @@
 
 #[test]
 fn an_overtaken_reply_starts_no_job() {
-    let (mut driver, identity) = leased();
+    let (mut driver, identity) = driver_with_lease();
     driver.tick(at(700));
     driver.tick(at(1_000));
     let sent = renewals(&driver.take_actions());
@@ -273,7 +273,7 @@
 
 #[test]
 fn a_job_assigned_by_a_renewal_answers_its_submission_and_starts_once() {
-    let (mut driver, identity) = leased();
+    let (mut driver, identity) = driver_with_lease();
     let token = submit(&mut driver, "a", 500);
     driver.tick(at(700));
     let (renewal, _) = renewals(&driver.take_actions()).remove(0);
@@ -290,7 +290,7 @@
 
 #[test]
 fn a_submission_accepted_for_an_expired_driver_is_answered_and_not_driven() {
-    let (mut driver, _) = leased();
+    let (mut driver, _) = driver_with_lease();
     let token = submit(&mut driver, "a", 1_800);
 
     let accepted = JobReply::Submitted(SubmitOutcome::Accepted(1));
@@ -303,7 +303,7 @@
 
 #[test]
 fn a_submission_is_refused_only_if_every_copy_was() {
-    let (mut driver, _) = leased();
+    let (mut driver, _) = driver_with_lease();
     let token = submit(&mut driver, "a", 410);
     let refused = JobReply::Refused(CallRefusal::Disk);
     driver.tick(at(800));
@@ -324,7 +324,7 @@
 
 #[test]
 fn a_submission_without_a_reply_is_unknown_after_its_deadline() {
-    let (mut driver, _) = leased();
+    let (mut driver, _) = driver_with_lease();
     let token = submit(&mut driver, "a", 410);
 
     driver.tick(at(2_909));
@@ -337,7 +337,7 @@
 
 #[test]
 fn a_call_refused_without_a_leader_is_retried() {
-    let (mut driver, _) = leased();
+    let (mut driver, _) = driver_with_lease();
     let token = driver.show("a", at(2_900), at(410));
     driver.take_actions();
     let refused = JobReply::Refused(CallRefusal::NoLeader);
@@ -355,7 +355,7 @@
 
 #[test]
 fn a_used_name_with_another_digest_is_a_conflict() {
-    let (mut driver, _) = leased();
+    let (mut driver, _) = driver_with_lease();
     let token = submit(&mut driver, "a", 410);
 
     let conflict = JobReply::Submitted(SubmitOutcome::Conflict);
@@ -368,7 +368,7 @@
 
 #[test]
 fn a_release_is_retried_until_it_is_answered() {
-    let (mut driver, _) = driving("a");
+    let (mut driver, _) = driver_with_job("a");
     let is_release = |message: &JobCallMessage| matches!(message.call, JobCall::Release { .. });
 
     driver.release(&[("a".into(), true)], at(440));
@@ -386,7 +386,7 @@
 
 #[test]
 fn a_released_job_is_not_driven_again_in_its_epoch() {
-    let (mut driver, identity) = driving("a");
+    let (mut driver, identity) = driver_with_job("a");
     driver.release(&[("a".into(), true)], at(440));
     driver.tick(at(700));
     let actions = driver.take_actions();
@@ -409,7 +409,7 @@
 
 #[test]
 fn a_release_is_resent_to_a_leader_that_does_not_know_it() {
-    let (mut driver, identity) = driving("a");
+    let (mut driver, identity) = driver_with_job("a");
     let is_release = |message: &&JobCallMessage| matches!(message.call, JobCall::Release { .. });
     driver.release(&[("a".into(), false)], at(440));
     let calls = sent(&driver.take_actions());
@@ -433,7 +433,7 @@
 
 #[test]
 fn a_draining_entry_releases_newly_assigned_jobs() {
-    let (mut driver, identity) = leased();
+    let (mut driver, identity) = driver_with_lease();
     driver.stop_taking_jobs();
     driver.tick(at(700));
     let (token, renewal) = renewals(&driver.take_actions()).remove(0);
@@ -453,7 +453,7 @@
 
 #[test]
 fn a_finished_job_stays_in_renewals_until_it_is_dropped() {
-    let (mut driver, identity) = driving("a");
+    let (mut driver, identity) = driver_with_job("a");
     driver.record_finished("a", 1, true, at(500));
     driver.tick(at(700));
     let (token, renewal) = renewals(&driver.take_actions()).remove(0);
@@ -470,7 +470,7 @@
 
 #[test]
 fn a_finished_job_that_is_not_dropped_is_released() {
-    let (mut driver, identity) = driving("a");
+    let (mut driver, identity) = driver_with_job("a");
     driver.record_finished("a", 1, true, at(500));
     let mut released = Vec::new();
     for tick in 0..200 {
@@ -511,7 +511,7 @@
 
 #[test]
 fn a_driver_records_the_ends_of_a_finished_job_that_no_guard_records() {
-    let (mut driver, _) = driving("a");
+    let (mut driver, _) = driver_with_job("a");
     driver.observe_end(end("a", 1));
     driver.observe_end(end("a", 2));
     driver.record_finished("a", 1, true, at(500));
@@ -539,7 +539,7 @@
 
 #[test]
 fn a_driver_records_no_end_of_a_dropped_job() {
-    let (mut driver, identity) = driving("a");
+    let (mut driver, identity) = driver_with_job("a");
     driver.observe_end(end("a", 1));
     driver.record_finished("a", 1, true, at(500));
     driver.receive(reply(0, renewed(identity, vec![], vec![("a", 1)])), at(530));
--- a/crates/leased/cloverfold_kept_jobs/tests/drivers.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/drivers.rs
@@ -1,4 +1,4 @@
-//! Driver table of a group leader: leases, hand-overs and replies to renewals.
+//! Driver table of a group leader: leases, handovers and replies to renewals.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,7 +17,7 @@
     DriverTable::new(KeptJobTimings::default(), ELECTED)
 }
 
-/// Returns the time from the last renewal of a driver to the hand-over of its jobs.
+/// Returns the time from the last renewal of a driver to the handover of its jobs.
 fn handover_delay() -> Duration {
     let timings = KeptJobTimings::default();
     timings.driver_lease + timings.run_termination_bound
@@ -82,7 +82,7 @@
     assert_eq!(drivers.plan_handover(&table, due), [reassignment("job", 2)]);
     assert!(
         drivers.plan_handover(&table, due).is_empty(),
-        "the hand-over is pending"
+        "the handover is pending"
     );
 }
 
--- a/crates/leased/cloverfold_kept_jobs/tests/recorder.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/recorder.rs
@@ -12,8 +12,8 @@
 };
 use proptest::prelude::*;
 
-fn at(value: u64) -> Timestamp {
-    Timestamp::from_start(Duration::from_millis(value))
+fn at(millis: u64) -> Timestamp {
+    Timestamp::from_start(Duration::from_millis(millis))
 }
 
 fn end(run: u64) -> TaskEnd {
--- a/crates/leased/cloverfold_kept_jobs/tests/table.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/table.rs
@@ -1,4 +1,4 @@
-//! Job table under random sequences of submissions, run ends, cancellations, hand-overs, expiries and restarts.
+//! Job table under random sequences of submissions, run ends, cancellations, handovers, expiries and restarts.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/leased/cloverfold_kept_jobs/tests/world/checker.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/checker.rs
@@ -38,7 +38,7 @@
         violations
     }
 
-    /// Returns acknowledged jobs that have not ended. A job must end once the faults have ceased.
+    /// Returns acknowledged jobs that have not ended. Every job must end once fault injection has stopped.
     fn find_lost_jobs(&self, table: &JobTable) -> Vec<String> {
         let acknowledged = self.accepted.union(&self.cancelled);
         let lost = acknowledged.filter(|job| table.ended(job).is_none());
--- a/crates/leased/cloverfold_kept_jobs/tests/world/entries.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/entries.rs
@@ -8,9 +8,8 @@
     TaskIndex,
 };
 
-use crate::draws::Rng;
+use crate::rng::Rng;
 
-/// State of a driven job.
 pub struct DrivenJobState {
     pub epoch: Epoch,
     pub tasks: TaskIndex,
@@ -32,7 +31,6 @@
     pub stopped_at: Option<Timestamp>,
 }
 
-/// An entry.
 pub struct Entry {
     pub name: String,
     pub driver: DriverId,
@@ -41,7 +39,7 @@
     /// Jobs that it dropped or released, with the epoch in which it must not drive them again.
     pub retired: BTreeSet<(JobId, Epoch)>,
     /// Send time of the newest answered renewal.
-    pub newest_answered: Option<Timestamp>,
+    pub newest_answered_at: Option<Timestamp>,
     pub runs: Vec<Run>,
     pub renewed_at: Timestamp,
     /// Time until which the entry sends no renewals.
@@ -56,7 +54,7 @@
             lease_until: None,
             driving: BTreeMap::new(),
             retired: BTreeSet::new(),
-            newest_answered: None,
+            newest_answered_at: None,
             runs: Vec::new(),
             renewed_at: Timestamp::ZERO,
             unreachable_until: Timestamp::ZERO,
@@ -67,7 +65,7 @@
         self.lease_until.is_some_and(|until| now < until)
     }
 
-    /// Ends the lease: the entry drives no job, and its runs end within the bound.
+    /// Ends the lease: the entry stops driving all jobs, and its runs end within the run termination bound.
     pub fn lose_lease(&mut self, rng: &mut Rng, now: Timestamp) {
         let bound = KeptJobTimings::default().run_termination_bound.as_millis() as u64;
         for run in &mut self.runs {
@@ -75,7 +73,7 @@
         }
         self.driving.clear();
         self.retired.clear();
-        self.newest_answered = None;
+        self.newest_answered_at = None;
         self.lease_until = None;
         self.driver = rng.id();
     }
@@ -116,7 +114,11 @@
 
     /// Drops a job that is driven in that epoch.
     pub fn drop_job(&mut self, job: &JobId, epoch: Epoch, now: Timestamp) {
-        if self.driving.get(job).is_some_and(|d| d.epoch == epoch) {
+        if self
+            .driving
+            .get(job)
+            .is_some_and(|driven| driven.epoch == epoch)
+        {
             self.driving.remove(job);
             self.retired.insert((job.clone(), epoch));
             let runs = self.runs.iter_mut().filter(|run| run.job == *job);
@@ -128,7 +130,10 @@
     pub fn start_runs(&mut self, rng: &mut Rng, now: Timestamp) {
         for (job, driven) in &mut self.driving {
             for task in 0..driven.tasks {
-                let is_running = self.runs.iter().any(|r| r.job == *job && r.task == task);
+                let is_running = self
+                    .runs
+                    .iter()
+                    .any(|run| run.job == *job && run.task == task);
                 if driven.done.contains(&task) || is_running || !rng.one_in(10) {
                     continue;
                 }
--- a/crates/leased/cloverfold_kept_jobs/tests/world/events.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/events.rs
@@ -5,9 +5,7 @@
     DriverId, JobId, JobSubmission, ReleasedJob, Renewal, RenewalReply, SubmitOutcome, TaskEnd,
 };
 
-/// Index of an entry.
 pub type EntryIndex = usize;
-/// Term of a leader.
 pub type Term = u64;
 
 /// A message that arrives at a process.
@@ -19,8 +17,8 @@
     Submitted(EntryIndex, DriverId, JobId, SubmitOutcome),
     /// At the leader: a renewal that an entry sent at this time.
     Renew(EntryIndex, Timestamp, Renewal),
-    /// At the leader: proof that it led when the renewal arrived.
-    Proved(Term, EntryIndex, Timestamp, DriverId),
+    /// At the leader: confirmation that it still led when the renewal arrived.
+    LeadershipConfirmed(Term, EntryIndex, Timestamp, DriverId),
     /// At the entry: the reply to the renewal that it sent at this time, or `None` if unsolicited.
     Renewed(EntryIndex, Option<Timestamp>, RenewalReply),
     /// At the leader: a driver releases a job.
--- a/crates/leased/cloverfold_kept_jobs/tests/world/simulation.rs
+++ b/crates/leased/cloverfold_kept_jobs/tests/world/simulation.rs
@@ -10,9 +10,9 @@
 };
 
 use crate::checker::{History, ObservedRun};
-use crate::draws::Rng;
 use crate::entries::{Entry, Run};
 use crate::events::{EntryIndex, Event, Term};
+use crate::rng::Rng;
 
 const STEP: Duration = Duration::from_millis(10);
 /// Time until which faults are injected: lost and late messages, and process failures.
@@ -21,9 +21,9 @@
 const ENTRIES: usize = 3;
 const JOBS: u64 = 12;
 
-/// Protocol error that the simulation makes, to test the checker.
+/// Protocol bug that the simulation reproduces, to test that the checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ProtocolBug {
     None,
     /// Run ends are recorded whatever their epoch.
     RecordStaleEnds,
@@ -54,7 +54,7 @@
 pub struct Simulation {
     now: Timestamp,
     rng: Rng,
-    fault: Fault,
+    bug: ProtocolBug,
     pub table: JobTable,
     term: Term,
     drivers: DriverTable,
@@ -67,16 +67,16 @@
     pub history: History,
 }
 
-fn timings(fault: Fault) -> KeptJobTimings {
+fn timings(bug: ProtocolBug) -> KeptJobTimings {
     let mut timings = KeptJobTimings::default();
-    if fault == Fault::NoHandoverDelay {
+    if bug == ProtocolBug::NoHandoverDelay {
         timings.run_termination_bound = Duration::ZERO;
     }
     timings
 }
 
 impl Simulation {
-    pub fn new(seed: u64, fault: Fault) -> Self {
+    pub fn new(seed: u64, bug: ProtocolBug) -> Self {
         let mut rng = Rng::new(seed);
         let entries = (0..ENTRIES).map(|index| Entry::new(index, &mut rng));
         let entries = entries.collect();
@@ -90,10 +90,10 @@
             callers: callers.collect(),
             now: Timestamp::ZERO,
             rng,
-            fault,
+            bug,
             table: JobTable::default(),
             term: 1,
-            drivers: DriverTable::new(timings(fault), Timestamp::ZERO),
+            drivers: DriverTable::new(timings(bug), Timestamp::ZERO),
             proposed: Vec::new(),
             entries,
             ends: Vec::new(),
@@ -158,7 +158,7 @@
             }
         }
         self.term += 1;
-        self.drivers = DriverTable::new(timings(self.fault), self.now);
+        self.drivers = DriverTable::new(timings(self.bug), self.now);
     }
 
     fn propose(&mut self, command: JobCommand, from: Option<EntryIndex>) {
@@ -175,7 +175,7 @@
         while self
             .proposed
             .first()
-            .is_some_and(|p| p.commit_at <= self.now)
+            .is_some_and(|proposed| proposed.commit_at <= self.now)
         {
             let proposed = self.proposed.remove(0);
             self.apply(proposed.command, proposed.from);
@@ -183,7 +183,9 @@
     }
 
     fn apply(&mut self, mut command: JobCommand, from: Option<EntryIndex>) {
-        if let (Fault::RecordStaleEnds, JobCommand::RecordEnds(ends)) = (self.fault, &mut command) {
+        if let (ProtocolBug::RecordStaleEnds, JobCommand::RecordEnds(ends)) =
+            (self.bug, &mut command)
+        {
             for end in ends {
                 let open = self.table.open().get(&end.job);
                 end.epoch = open.map_or(end.epoch, |open| open.epoch());
@@ -208,11 +210,11 @@
             (JobCommand::Assign(reassignments), CommandOutcome::Assigned(jobs)) => {
                 self.history.handovers += jobs.len() as u64;
                 self.drivers
-                    .complete_handover(reassignments.iter().map(|a| &a.job));
+                    .complete_handover(reassignments.iter().map(|reassignment| &reassignment.job));
                 for reassignment in reassignments.iter().filter(|a| jobs.contains(&a.job)) {
                     let open = self.table.open().get(&reassignment.job);
                     let assignment = open.map(|open| job_assignment(&reassignment.job, open));
-                    self.push(reassignment.driver, assignment);
+                    self.send_assignment(reassignment.driver, assignment);
                 }
             }
             _ => {}
@@ -252,7 +254,7 @@
     }
 
     /// Sends an unsolicited assignment to a driver.
-    fn push(&mut self, driver: u64, assignment: Option<JobAssignment>) {
+    fn send_assignment(&mut self, driver: u64, assignment: Option<JobAssignment>) {
         let name = self.drivers.entry_of(driver).map(str::to_owned);
         let index = self
             .entries
@@ -292,7 +294,7 @@
     fn receive(&mut self, event: Event) {
         match event {
             Event::Submit(index, job) => {
-                if self.fault == Fault::AnswerBeforeCommit {
+                if self.bug == ProtocolBug::AnswerBeforeCommit {
                     let reported = SubmitOutcome::Known;
                     self.send(Event::Submitted(
                         index,
@@ -304,22 +306,22 @@
                 self.propose(JobCommand::Submit(job), Some(index));
             }
             Event::Submitted(index, driver, job, outcome) => {
-                self.submitted(index, driver, &job, outcome);
+                self.receive_submitted(index, driver, &job, outcome);
             }
             Event::Renew(index, sent_at, renewal) => {
                 let driver = renewal.driver;
                 self.drivers.renew(renewal, self.now);
-                let proved_at = self.now + self.rng.millis(5, 100);
-                let proof = Event::Proved(self.term, index, sent_at, driver);
-                self.in_flight.push((proved_at, proof));
+                let confirmed_at = self.now + self.rng.millis(5, 100);
+                let confirmation = Event::LeadershipConfirmed(self.term, index, sent_at, driver);
+                self.in_flight.push((confirmed_at, confirmation));
             }
-            Event::Proved(term, index, sent_at, driver) => {
+            Event::LeadershipConfirmed(term, index, sent_at, driver) => {
                 if term == self.term {
                     let reply = self.drivers.renewal_reply(&self.table, driver);
                     self.send(Event::Renewed(index, Some(sent_at), reply));
                 }
             }
-            Event::Renewed(index, sent_at, reply) => self.renewed(index, sent_at, &reply),
+            Event::Renewed(index, sent_at, reply) => self.receive_renewed(index, sent_at, &reply),
             Event::Release(driver, job) => {
                 let now = self.now;
                 self.drivers.release(&self.table, driver, vec![job], now);
@@ -334,7 +336,13 @@
         }
     }
 
-    fn submitted(&mut self, index: EntryIndex, driver: u64, job: &JobId, outcome: SubmitOutcome) {
+    fn receive_submitted(
+        &mut self,
+        index: EntryIndex,
+        driver: u64,
+        job: &JobId,
+        outcome: SubmitOutcome,
+    ) {
         let now = self.now;
         let caller = self.callers.iter_mut().find(|caller| caller.job == *job);
         if let Some(caller) = caller {
@@ -361,7 +369,12 @@
             .retain(|caller| caller.job != *job || caller.cancels_at.is_some());
     }
 
-    fn renewed(&mut self, index: EntryIndex, sent_at: Option<Timestamp>, reply: &RenewalReply) {
+    fn receive_renewed(
+        &mut self,
+        index: EntryIndex,
+        sent_at: Option<Timestamp>,
+        reply: &RenewalReply,
+    ) {
         let now = self.now;
         let entry = &mut self.entries[index];
         let is_lapsed = entry.lease_until.is_some_and(|until| now >= until);
@@ -371,11 +384,11 @@
         for (job, epoch) in &reply.drop {
             entry.drop_job(job, *epoch, now);
         }
-        let is_overtaken = sent_at.is_some_and(|at| Some(at) <= entry.newest_answered);
+        let is_overtaken = sent_at.is_some_and(|at| Some(at) <= entry.newest_answered_at);
         let Some(sent_at) = sent_at.filter(|_| !is_overtaken) else {
             // An unsolicited assignment may be older than a drop, so only the reply to a renewal counts.
             entry.renewed_at = Timestamp::ZERO;
-            if self.fault == Fault::AcceptStaleAssignments {
+            if self.bug == ProtocolBug::AcceptStaleAssignments {
                 entry.retired.clear();
                 reply
                     .drive
@@ -384,7 +397,7 @@
             }
             return;
         };
-        entry.newest_answered = Some(sent_at);
+        entry.newest_answered_at = Some(sent_at);
         let until = sent_at + KeptJobTimings::default().driver_lease;
         entry.lease_until = entry.lease_until.max(Some(until));
         for assignment in &reply.drive {
@@ -429,12 +442,12 @@
             entry.start_runs(&mut self.rng, now);
         }
         if self.has_faults() && self.rng.one_in(150) {
-            self.release_one(index);
+            self.release_idle_job(index);
         }
     }
 
-    /// Releases a job without runs.
-    fn release_one(&mut self, index: EntryIndex) {
+    /// Releases the first driven job that has no runs.
+    fn release_idle_job(&mut self, index: EntryIndex) {
         let entry = &mut self.entries[index];
         let runs = &entry.runs;
         let idle = entry.driving.iter();
