--- a/crates/leased/cloverfold_upkeep/src/box_list.rs
+++ b/crates/leased/cloverfold_upkeep/src/box_list.rs
@@ -4,8 +4,8 @@
 //! [`MAX_LIST_AGE`]; and while a box is down, once its return is due and then every [`RETURN_POLL_INTERVAL`]. Failed readings are retried
 //! with exponential backoff.
 //!
-//! A box counts as gone once it is missing from at least [`GONE_READINGS`] successive readings over at least [`GONE_AFTER`]. The list lags,
-//! and a wave must not complete while a box that is still there has not begun its upkeep.
+//! A box counts as gone once it is missing from at least [`MIN_MISSING_READINGS`] successive readings over at least [`MIN_MISSING_TIME`].
+//! The list lags, and a wave must not complete while a box that is still there has not begun its upkeep.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::calls::retry_backoff;
 use crate::wave::BoxName;
 
-/// Largest age of a reading from which a box is selected.
+/// Maximum age of a reading from which a box is selected.
 const MAX_LIST_AGE: Duration = Duration::from_secs(5);
 /// Interval between readings while the return of a box is due.
 const RETURN_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Shortest time for which a box must be missing; twice the lag of the platform's list.
-const GONE_AFTER: Duration = Duration::from_secs(6);
-/// Smallest number of successive readings from which a box must be missing.
-const GONE_READINGS: u32 = 3;
+/// Minimum time for which a box must be missing to count as gone; twice the lag of the platform's list.
+const MIN_MISSING_TIME: Duration = Duration::from_secs(6);
+/// Minimum number of successive readings from which a box must be missing to count as gone.
+const MIN_MISSING_READINGS: u32 = 3;
 
 /// How long a box has been missing from the list.
 #[derive(Clone, Copy, Debug)]
@@ -77,12 +77,12 @@
         self.is_in_flight = true;
     }
 
-    /// Stores a complete reading that started at `started_at`. `awaited` are the boxes of open waves.
-    pub(crate) fn take<'a>(
+    /// Records a complete reading that started at `started_at`. `wave_boxes` are the boxes of open waves.
+    pub(crate) fn record_reading<'a>(
         &mut self,
         boxes: Vec<ListedBox>,
         started_at: Timestamp,
-        awaited: impl Iterator<Item = &'a BoxName>,
+        wave_boxes: impl Iterator<Item = &'a BoxName>,
     ) {
         self.is_in_flight = false;
         self.failures = 0;
@@ -91,9 +91,9 @@
             .into_iter()
             .map(|listed| (listed.name.clone(), listed));
         self.boxes = by_name.collect();
-        let before = std::mem::take(&mut self.missing);
-        for name in awaited.filter(|name| !self.boxes.contains_key(*name)) {
-            let missing = before.get(name);
+        let missing_before = std::mem::take(&mut self.missing);
+        for name in wave_boxes.filter(|name| !self.boxes.contains_key(*name)) {
+            let missing = missing_before.get(name);
             let counted = Missing {
                 since: missing.map_or(started_at, |missing| missing.since),
                 readings: missing.map_or(0, |missing| missing.readings) + 1,
@@ -102,8 +102,7 @@
         }
     }
 
-    /// Records that a reading failed.
-    pub(crate) fn record_failure(&mut self, now: Timestamp, random: u64) {
+    pub(crate) fn record_reading_failure(&mut self, now: Timestamp, random: u64) {
         self.is_in_flight = false;
         self.failures += 1;
         self.next_reading_at = now + retry_backoff(self.failures, random);
@@ -114,14 +113,14 @@
         self.missing.keys().any(|name| !self.is_gone(name))
     }
 
-    /// Returns whether a box has left the installation for good.
+    /// Returns whether a box counts as gone.
     pub(crate) fn is_gone(&self, name: &str) -> bool {
         let Some(missing) = self.missing.get(name) else {
             return false;
         };
         let is_long_enough = self
             .started_at
-            .is_some_and(|started| started >= missing.since + GONE_AFTER);
-        is_long_enough && missing.readings >= GONE_READINGS
+            .is_some_and(|started| started >= missing.since + MIN_MISSING_TIME);
+        is_long_enough && missing.readings >= MIN_MISSING_READINGS
     }
 }
--- a/crates/leased/cloverfold_upkeep/src/boxes.rs
+++ b/crates/leased/cloverfold_upkeep/src/boxes.rs
@@ -1,4 +1,4 @@
-//! The platform's interface for boxes: their list, and calls for their upkeep.
+//! The platform's interface for boxes: their list, and upkeep calls.
 //!
 //! The platform's adapter implements [`BoxInterface`] for the control processes.
 
@@ -59,7 +59,7 @@
     Failed(String),
 }
 
-/// A call for the upkeep of a box.
+/// An upkeep call for a box.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpkeepCall {
     /// Address of the platform's interface.
@@ -76,12 +76,12 @@
     pub timeout: Duration,
 }
 
-/// The outcome of a call for the upkeep of a box.
+/// The outcome of an upkeep call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// The upkeep has begun, by this call or an earlier one.
     Begun,
-    /// The platform certainly did not receive the call.
+    /// The platform did not receive the call.
     NotSent,
     /// The platform's rate limit for calls is exceeded; the call had no effect.
     TooMany,
@@ -126,6 +126,6 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<BoxPage, ListError>>;
 
-    /// Calls for the upkeep of a box.
+    /// Makes an upkeep call for a box.
     fn call_upkeep<'a>(&'a self, call: &'a UpkeepCall) -> BoxFuture<'a, CallOutcome>;
 }
--- a/crates/leased/cloverfold_upkeep/src/calls.rs
+++ b/crates/leased/cloverfold_upkeep/src/calls.rs
@@ -3,7 +3,7 @@
 //! | outcome | consequence |
 //! |---|---|
 //! | `Begun` | the upkeep has begun |
-//! | `NotSent`, `TooMany` | the call is retried; it certainly had no effect |
+//! | `NotSent`, `TooMany` | the call had no effect and is retried |
 //! | `Busy`, `NotOfWave`, `NoSuchBox` | retried if an earlier call may still take effect; otherwise the box waits and is called later |
 //! | `Unanswered` | the call may have taken effect or may still do so; it is retried until an answer arrives |
 //! | `Fenced` | this scheduler sends no further call |
@@ -25,7 +25,7 @@
 const FIRST_BACKOFF: Duration = Duration::from_millis(250);
 /// Longest backoff between two calls for a box.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// Time after which the platform certainly does not carry out an unanswered call any more.
+/// Time after which an unanswered call can no longer take effect.
 pub const MAX_CALL_DELAY: Duration = Duration::from_secs(30);
 
 /// Returns the backoff after a number of successive failures. `random` provides the jitter.
@@ -36,11 +36,11 @@
     capped - Duration::from_millis(random % jitter_ms)
 }
 
-/// Number of unsuccessful calls, about ten seconds of retries, after which the target is no longer held although a call may still take
-/// effect.
+/// Number of unsuccessful calls after which the target is no longer held, although a call may still take effect; about ten seconds of
+/// retries.
 const MAX_FAILURES_WITH_HOLD: u32 = 6;
 
-/// The certain result of the calls for a box.
+/// The definite result of the calls for a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallResult {
     /// The upkeep has begun.
--- a/crates/leased/cloverfold_upkeep/src/down_boxes.rs
+++ b/crates/leased/cloverfold_upkeep/src/down_boxes.rs
@@ -40,7 +40,7 @@
 }
 
 impl UpkeepScheduler {
-    /// Calls the announced boxes, checks whether boxes are up again, and detects boxes that have left.
+    /// Calls the boxes whose call is in the log, checks whether boxes are up again, and detects boxes that have left.
     pub(crate) fn advance_boxes(
         &mut self,
         number: WaveNumber,
--- a/crates/leased/cloverfold_upkeep/src/draining.rs
+++ b/crates/leased/cloverfold_upkeep/src/draining.rs
@@ -1,4 +1,4 @@
-//! Selected boxes that are draining: their targets are held, and their calls are announced once they are drained.
+//! Selected boxes that are draining: their targets are held, and their calls are proposed to the log once they are drained.
 //!
 //! A box is drained if it has no target, or if its guard reported after the start of the hold that nothing runs there. Otherwise it counts
 //! as drained after [`SchedulerTimings::drain_time`]. If its guard reported running work, it gets up to [`MAX_DRAIN_FACTOR`] times that,
@@ -17,9 +17,9 @@
 
 /// Interval between the load queries to guards while a box waits.
 const LOAD_QUERY_INTERVAL: Duration = Duration::from_secs(1);
-/// Time after the start of a hold from which load reports certainly reflect it; many times a network round trip.
+/// Time after the start of a hold from which load reports reflect it; many times a network round trip.
 const HOLD_SETTLE_TIME: Duration = Duration::from_millis(200);
-/// Multiple of the drain time for which a target with running work may be held.
+/// Maximum time for which a target with running work is held, as a multiple of the drain time.
 const MAX_DRAIN_FACTOR: u32 = 4;
 
 /// A selected box whose target is draining.
@@ -38,7 +38,7 @@
 }
 
 impl UpkeepScheduler {
-    /// Holds the targets of the selected boxes, and announces the calls for those that are drained.
+    /// Holds the targets of the selected boxes, and proposes the calls for those that are drained.
     pub(crate) fn drain_boxes(
         &mut self,
         number: WaveNumber,
--- a/crates/leased/cloverfold_upkeep/src/load.rs
+++ b/crates/leased/cloverfold_upkeep/src/load.rs
@@ -1,7 +1,7 @@
 //! Loads of targets, and whether a pool can spare a box.
 //!
 //! A pool can spare a box if the remaining boxes of the pool (up, not draining or down, and in no evacuated hall) have capacity for the
-//! current load with a tenth to spare. If fewer than half of the boxes have reported recently, the pool counts as having room.
+//! current load with a tenth to spare. If fewer than half of the boxes have reported recently, the pool counts as able to spare the box.
 //!
 //! A box that goes down at peak load takes capacity from callers. A wave waits for a lower load only as long as it can still finish in
 //! time ([`can_wait`]).
@@ -15,11 +15,11 @@
 use crate::pace::plan_pace;
 use crate::wave::{BoxName, WaveOrder};
 
-/// Largest share of a pool's capacity that may be in use without the box, in thousandths.
+/// Maximum share of a pool's capacity that may be in use without the box, in thousandths.
 const MAX_USED_PERMILLE: i64 = 900;
 /// A waiting wave keeps this fraction (1/n) of its span in reserve for lost answers and changes of the scheduler.
 const SLACK_DIVISOR: u32 = 4;
-/// Largest age of a load report; three times the interval of the load queries.
+/// Maximum age of a load report; three times the interval of the load queries.
 const MAX_LOAD_AGE: Duration = Duration::from_secs(3);
 
 /// Load of a target as reported by its guard.
@@ -49,7 +49,7 @@
 }
 
 /// Returns whether the pool of a box can spare it.
-pub(crate) fn has_room(
+pub(crate) fn has_spare_capacity(
     next: &ListedBox,
     listed: &BTreeMap<BoxName, ListedBox>,
     unavailable: &BTreeSet<BoxName>,
@@ -66,19 +66,19 @@
             && !unavailable.contains(&listed.name)
             && !evacuated.contains(&listed.hall)
     };
-    let (mut boxes, mut known, mut used, mut remaining) = (0, 0, 0, 0);
+    let (mut boxes, mut reported, mut used, mut remaining) = (0, 0, 0, 0);
     for listed in listed.values().filter(is_available) {
         boxes += 1;
         let Some(load) = recent_load(listed, loads, now) else {
             continue;
         };
-        known += 1;
+        reported += 1;
         used += load.capacity_milli - load.free_milli;
         if listed.name != next.name {
             remaining += load.capacity_milli;
         }
     }
-    2 * known < boxes || used * 1_000 <= remaining * MAX_USED_PERMILLE
+    2 * reported < boxes || used * 1_000 <= remaining * MAX_USED_PERMILLE
 }
 
 /// Returns whether all boxes can still begin in time if the wave waits for two cycles, with a quarter of its span to spare.
@@ -88,7 +88,7 @@
     cycle: Duration,
     time_left: Duration,
 ) -> bool {
-    let later = time_left.saturating_sub(2 * cycle + order.span / SLACK_DIVISOR);
-    let pace = plan_pace(waiting, order.most_down, cycle, later);
+    let time_left_after_wait = time_left.saturating_sub(2 * cycle + order.span / SLACK_DIVISOR);
+    let pace = plan_pace(waiting, order.most_down, cycle, time_left_after_wait);
     pace.late_by.is_none()
 }
--- a/crates/leased/cloverfold_upkeep/src/request.rs
+++ b/crates/leased/cloverfold_upkeep/src/request.rs
@@ -9,12 +9,12 @@
 
 use crate::wave::{BoxName, WaveNumber};
 
-/// Largest number of boxes in a wave; bounds the size of a log message.
+/// Maximum number of boxes in a wave; bounds the size of a log message.
 pub const MAX_BOXES: usize = 20_000;
-/// Longest name of a box, in bytes.
+/// Maximum length of a box name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Largest total length of a wave's box names, in bytes. A wave stores each name up to twice, and a snapshot with it must fit into one
+/// Maximum total length of a wave's box names, in bytes. A wave stores each name up to twice, and a snapshot with it must fit into one
 /// message.
 pub const MAX_NAMES_BYTES: usize = 256 * 1024;
 
@@ -56,7 +56,7 @@
     MalformedName,
     /// The box names are too long in total.
     #[error("the names of a wave's boxes have at most {MAX_NAMES_BYTES} bytes together, not {0}")]
-    TooLongNames(usize),
+    NamesTooLong(usize),
     /// The span is zero.
     #[error("the span of a wave is above 0")]
     NoSpan,
@@ -94,7 +94,7 @@
             ),
             (
                 names_bytes > MAX_NAMES_BYTES,
-                WaveRequestError::TooLongNames(names_bytes),
+                WaveRequestError::NamesTooLong(names_bytes),
             ),
             (self.span.is_zero(), WaveRequestError::NoSpan),
             (self.most_down == 0, WaveRequestError::NoneDown),
--- a/crates/leased/cloverfold_upkeep/src/scheduler.rs
+++ b/crates/leased/cloverfold_upkeep/src/scheduler.rs
@@ -5,9 +5,9 @@
 //!
 //! 1. A box that counts as down is called until its upkeep has begun, and then watched until it is up again (`down_boxes`).
 //! 2. While fewer boxes of the wave are down than its pace and its order allow, the next box is selected
-//!    ([`select_next_box`](crate::select_next_box)), its target is held for [`SchedulerTimings::drain_time`], and the call is announced in
+//!    ([`select_next_box`](crate::select_next_box)), its target is held for [`SchedulerTimings::drain_time`], and the call is proposed to
 //!    the log.
-//! 3. A call is sent only after its announcement is applied, so that every later scheduler counts the box as down.
+//! 3. A call is sent only after its log entry is applied, so that every later scheduler counts the box as down.
 //!
 //! A box in several waves goes down for one wave at a time and counts as down in all of them. A box that an earlier scheduler may have
 //! called is not called until [`SchedulerTimings::takeover_delay`] has passed since this one started.
@@ -42,18 +42,18 @@
 /// Key of a box in a wave.
 pub type WaveBox = (WaveNumber, BoxName);
 
-/// Time spans that the scheduler uses.
+/// Time parameters of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SchedulerTimings {
     /// Duration of a box's upkeep.
     pub maintenance: Duration,
     /// Time after its start during which a scheduler does not call boxes that an earlier one may have called.
     pub takeover_delay: Duration,
-    /// Largest lag of the platform's list.
+    /// Maximum lag of the platform's list.
     pub list_lag: Duration,
     /// Time for which a target is held before its box is called.
     pub drain_time: Duration,
-    /// Shortest interval between two calls.
+    /// Minimum interval between two calls.
     pub call_spacing: Duration,
 }
 
@@ -69,7 +69,7 @@
 pub enum SchedulerAction {
     /// Propose a command to the log.
     Propose(UpkeepCommand),
-    /// Call for the upkeep of a box if this process still leads, then call [`UpkeepScheduler::record_call_outcome`].
+    /// Make an upkeep call for a box if this process still leads, then call [`UpkeepScheduler::record_call_outcome`].
     Call(WaveBox),
     /// Read the whole list, then call [`UpkeepScheduler::record_list`] or [`UpkeepScheduler::record_list_failure`].
     ReadList,
@@ -193,13 +193,13 @@
         started_at: Timestamp,
     ) {
         let open = state.open_waves();
-        let awaited = open.flat_map(|(_, wave)| wave.order.boxes.iter());
-        self.list.take(boxes, started_at, awaited);
+        let wave_boxes = open.flat_map(|(_, wave)| wave.order.boxes.iter());
+        self.list.record_reading(boxes, started_at, wave_boxes);
     }
 
     /// Records that the list could not be read completely.
     pub fn record_list_failure(&mut self, now: Timestamp, random: u64) {
-        self.list.record_failure(now, random);
+        self.list.record_reading_failure(now, random);
     }
 
     /// Proposes a command for a box unless one was proposed recently.
--- a/crates/leased/cloverfold_upkeep/src/selection.rs
+++ b/crates/leased/cloverfold_upkeep/src/selection.rs
@@ -6,7 +6,7 @@
 
 use crate::boxes::{BoxStatus, ListedBox};
 use crate::draining::Draining;
-use crate::load::{can_wait, has_room, recent_load};
+use crate::load::{can_wait, has_spare_capacity, recent_load};
 use crate::pace::plan_pace;
 use crate::ranking::select_next_box;
 use crate::scheduler::{SchedulerAction, SchedulerInput, UpkeepScheduler, WaveBox};
@@ -37,7 +37,7 @@
         if waiting > 0 {
             let can_wait = can_wait(waiting, &wave.order, self.timings.cycle(), time_left);
             status.wait_reason =
-                self.choose_boxes(number, wave, state, input, pace.at_once, can_wait);
+                self.select_until_limit(number, wave, state, input, pace.at_once, can_wait);
         }
         let selected = self.draining.iter();
         let selected = selected.filter(|(_, draining)| draining.is_new(input.now));
@@ -51,7 +51,7 @@
     }
 
     /// Selects boxes until as many are unavailable as the pace allows. Returns the reason why no further one is selected.
-    fn choose_boxes(
+    fn select_until_limit(
         &mut self,
         number: WaveNumber,
         wave: &Wave,
@@ -84,7 +84,9 @@
                 return Some(WaitReason::NoneReady);
             };
             let (evacuated, loads) = (input.evacuated, input.loads);
-            if can_wait && !has_room(next, boxes, &unavailable, evacuated, loads, input.now) {
+            if can_wait
+                && !has_spare_capacity(next, boxes, &unavailable, evacuated, loads, input.now)
+            {
                 return Some(WaitReason::NoRoom);
             }
             let draining = Draining {
--- a/crates/leased/cloverfold_upkeep/src/state.rs
+++ b/crates/leased/cloverfold_upkeep/src/state.rs
@@ -21,9 +21,9 @@
 
 use crate::wave::{BoxName, UpkeepCommand, WaveNumber, WaveOrder};
 
-/// Largest number of audit records of a wave. The first record and the newest of the others are retained.
+/// Maximum number of audit records of a wave. The first record and the newest of the others are retained.
 const MAX_RECORDS_PER_WAVE: usize = 16;
-/// Largest total number of boxes in retained finished waves. Finished waves are retained to recognize resent orders; above this number,
+/// Maximum total number of boxes in retained finished waves. Finished waves are retained to recognize resent orders; above this number,
 /// those with the lowest numbers are dropped to bound the size of a snapshot.
 const MAX_RETAINED_BOXES: usize = 20_000;
 
@@ -83,12 +83,12 @@
 impl Wave {
     /// Returns whether the upkeep of every box has begun. Boxes that are gone are ignored.
     pub fn is_completed(&self) -> bool {
-        self.all(BoxPhase::has_begun)
+        self.all_boxes(BoxPhase::has_begun)
     }
 
     /// Returns whether every box is up again after its upkeep. Boxes that are gone are ignored.
     pub fn is_over(&self) -> bool {
-        self.all(BoxPhase::is_over)
+        self.all_boxes(BoxPhase::is_over)
     }
 
     /// Returns the boxes that were not called for upkeep, or whose calls were refused.
@@ -98,9 +98,9 @@
         self.order.boxes.iter().filter(is_waiting)
     }
 
-    fn all(&self, holds: fn(BoxPhase) -> bool) -> bool {
+    fn all_boxes(&self, predicate: fn(BoxPhase) -> bool) -> bool {
         let mut boxes = self.order.boxes.iter();
-        boxes.all(|name| self.phases.get(name).is_some_and(|phase| holds(*phase)))
+        boxes.all(|name| self.phases.get(name).is_some_and(|phase| predicate(*phase)))
     }
 }
 
@@ -177,7 +177,7 @@
     /// Returns the decision on an order with a known number; `None` if the number is unknown.
     pub fn order_outcome(&self, order: &WaveOrder) -> Option<WaveOutcome> {
         let known = self.waves.get(&order.wave)?;
-        if known.order.is_same_as(order) {
+        if known.order.has_same_content(order) {
             Some(WaveOutcome::Repeated)
         } else {
             Some(WaveOutcome::Conflicting)
--- a/crates/leased/cloverfold_upkeep/src/wave.rs
+++ b/crates/leased/cloverfold_upkeep/src/wave.rs
@@ -31,19 +31,19 @@
 }
 
 impl WaveOrder {
-    /// Returns whether another order asks for the same. The receiver and the time of receipt are ignored.
-    pub fn is_same_as(&self, other: &Self) -> bool {
-        let asks = |order: &Self| (order.wave, order.span, order.most_down);
-        asks(self) == asks(other) && self.boxes == other.boxes
+    /// Returns whether another order requests the same. The receiver and the time of receipt are ignored.
+    pub fn has_same_content(&self, other: &Self) -> bool {
+        let parameters = |order: &Self| (order.wave, order.span, order.most_down);
+        parameters(self) == parameters(other) && self.boxes == other.boxes
     }
 }
 
-/// A change of the state. The order of the variants is part of the disk format.
+/// A change to the state. The order of the variants is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpkeepCommand {
     /// Start a wave.
     Order(WaveOrder),
-    /// A call for the upkeep of a box is about to be sent and may take effect from now on.
+    /// An upkeep call for a box is about to be sent and may take effect from now on.
     Call {
         /// The wave.
         wave: WaveNumber,
@@ -71,7 +71,7 @@
         /// The box.
         name: BoxName,
     },
-    /// The calls for the upkeep of a box were refused and none can still take effect. The box is called again later.
+    /// The upkeep calls for a box were refused, and none can still take effect. The box is called again later.
     Refused {
         /// The wave.
         wave: WaveNumber,
--- a/crates/leased/cloverfold_upkeep/src/wave_status.rs
+++ b/crates/leased/cloverfold_upkeep/src/wave_status.rs
@@ -1,4 +1,4 @@
-//! Status of an open wave for operators and log lines. The scheduler fills it in.
+//! Status of an open wave for operators and log lines, as set by the scheduler.
 
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     pub at_once: u32,
     /// Expected delay of the last box beyond the span.
     pub late_by: Option<Duration>,
-    /// The draining boxes.
+    /// Boxes that are draining.
     pub draining: Vec<BoxName>,
     /// The reason why no further box goes down, if any.
     pub wait_reason: Option<WaitReason>,
--- a/crates/leased/cloverfold_upkeep/tests/gone_boxes.rs
+++ b/crates/leased/cloverfold_upkeep/tests/gone_boxes.rs
@@ -48,8 +48,8 @@
     (state, scheduler)
 }
 
-/// Returns the scheduler's actions and applies the proposed commands.
-fn take(
+/// Runs a scheduling step, applies the proposed commands and returns the actions.
+fn step(
     scheduler: &mut UpkeepScheduler,
     state: &mut UpkeepState,
     now: Timestamp,
@@ -77,8 +77,13 @@
     actions.iter().any(is_gone)
 }
 
-/// Records a list with these boxes at `now`.
-fn read(scheduler: &mut UpkeepScheduler, state: &UpkeepState, names: &[&str], now: Timestamp) {
+/// Records a reading of the list with these boxes at `now`.
+fn record_list(
+    scheduler: &mut UpkeepScheduler,
+    state: &UpkeepState,
+    names: &[&str],
+    now: Timestamp,
+) {
     let boxes = names.iter().map(|name| listed(name)).collect();
     scheduler.record_list(state, boxes, now);
 }
@@ -88,12 +93,12 @@
     let (mut state, mut scheduler) = start();
 
     for millis in [0, 3_000, 5_900] {
-        read(&mut scheduler, &state, &["box-0"], at(millis));
-        let actions = take(&mut scheduler, &mut state, at(millis + 10));
+        record_list(&mut scheduler, &state, &["box-0"], at(millis));
+        let actions = step(&mut scheduler, &mut state, at(millis + 10));
         assert!(!is_gone(&actions), "{millis}");
     }
-    read(&mut scheduler, &state, &["box-0"], at(6_000));
-    let actions = take(&mut scheduler, &mut state, at(6_010));
+    record_list(&mut scheduler, &state, &["box-0"], at(6_000));
+    let actions = step(&mut scheduler, &mut state, at(6_010));
 
     assert!(is_gone(&actions));
 }
@@ -101,13 +106,13 @@
 #[test]
 fn a_box_that_is_listed_again_restarts_the_count() {
     let (mut state, mut scheduler) = start();
-    read(&mut scheduler, &state, &["box-0"], at(0));
-    read(&mut scheduler, &state, &["box-0"], at(3_000));
-    read(&mut scheduler, &state, &["box-0", "box-1"], at(4_000));
+    record_list(&mut scheduler, &state, &["box-0"], at(0));
+    record_list(&mut scheduler, &state, &["box-0"], at(3_000));
+    record_list(&mut scheduler, &state, &["box-0", "box-1"], at(4_000));
 
-    read(&mut scheduler, &state, &["box-0"], at(7_000));
+    record_list(&mut scheduler, &state, &["box-0"], at(7_000));
 
-    let actions = take(&mut scheduler, &mut state, at(7_010));
+    let actions = step(&mut scheduler, &mut state, at(7_010));
     assert!(!is_gone(&actions));
 }
 
@@ -115,18 +120,18 @@
 fn a_listed_box_waits_after_a_no_such_box_answer() {
     let (mut state, mut scheduler) = start();
     let key = (1, "box-0".to_owned());
-    read(&mut scheduler, &state, &["box-0", "box-1"], at(0));
-    take(&mut scheduler, &mut state, at(0));
-    take(&mut scheduler, &mut state, at(10));
+    record_list(&mut scheduler, &state, &["box-0", "box-1"], at(0));
+    step(&mut scheduler, &mut state, at(0));
+    step(&mut scheduler, &mut state, at(10));
     scheduler.record_applied(&key);
-    let actions = take(&mut scheduler, &mut state, at(20));
+    let actions = step(&mut scheduler, &mut state, at(20));
     assert!(
         actions.contains(&SchedulerAction::Call(key.clone())),
         "{actions:?}"
     );
 
     scheduler.record_call_outcome(&key, CallOutcome::NoSuchBox, at(30), 1);
-    let actions = take(&mut scheduler, &mut state, at(40));
+    let actions = step(&mut scheduler, &mut state, at(40));
 
     assert!(!is_gone(&actions));
     let refused = UpkeepCommand::Refused {
--- a/crates/leased/cloverfold_upkeep/tests/holder.rs
+++ b/crates/leased/cloverfold_upkeep/tests/holder.rs
@@ -292,7 +292,7 @@
         }
         self.deliver();
         let evacuated = BTreeSet::new();
-        let loads = self.list_loads();
+        let loads = self.random_loads();
         let input = SchedulerInput {
             now: self.now,
             wall: self.now.since_start(),
@@ -305,7 +305,7 @@
     }
 
     /// Returns random load reports of the guards.
-    fn list_loads(&mut self) -> TargetLoads {
+    fn random_loads(&mut self) -> TargetLoads {
         let now = self.now;
         let mut loads = TargetLoads::new();
         for platform_box in self.platform.boxes.values() {
@@ -341,8 +341,8 @@
             self.scheduler
                 .record_call_outcome(&answer.key, answer.outcome, self.now, random);
         }
-        if let Some((began, boxes)) = self.reading.take() {
-            self.scheduler.record_list(&self.state, boxes, began);
+        if let Some((started_at, boxes)) = self.reading.take() {
+            self.scheduler.record_list(&self.state, boxes, started_at);
         }
     }
 
@@ -356,12 +356,12 @@
                 self.scheduler.record_list_failure(self.now, self.rng.0);
             }
             SchedulerAction::ReadList => {
-                let shown = self
+                let listed_at = self
                     .now
                     .saturating_duration_since(Timestamp::ZERO + self.lag);
-                let shown = Timestamp::from_start(shown);
+                let listed_at = Timestamp::from_start(listed_at);
                 let mut lists = self.platform.history.iter();
-                let list = lists.find(|(at, _)| *at >= shown).unwrap();
+                let list = lists.find(|(at, _)| *at >= listed_at).unwrap();
                 self.reading = Some((self.now, list.1.clone()));
             }
             SchedulerAction::Call(key) => {
--- a/crates/leased/cloverfold_upkeep/tests/loads.rs
+++ b/crates/leased/cloverfold_upkeep/tests/loads.rs
@@ -71,7 +71,7 @@
     (state, scheduler)
 }
 
-fn take(
+fn step(
     scheduler: &mut UpkeepScheduler,
     state: &UpkeepState,
     loads: &TargetLoads,
@@ -97,12 +97,12 @@
 
 #[test]
 fn an_idle_box_goes_first_unless_one_is_in_an_evacuated_hall() {
-    let known = loads(&[4_000, 4_000, 0, 4_000], at(10));
+    let reports = loads(&[4_000, 4_000, 0, 4_000], at(10));
     let (state, mut scheduler) = start(4, 600);
     let (other_state, mut other) = start(4, 600);
 
-    take(&mut scheduler, &state, &known, &[], at(20));
-    take(&mut other, &other_state, &known, &["hall-1"], at(20));
+    step(&mut scheduler, &state, &reports, &[], at(20));
+    step(&mut other, &other_state, &reports, &["hall-1"], at(20));
 
     assert_eq!(scheduler.wave_statuses()[&1].draining, ["box-2"]);
     assert_eq!(other.wave_statuses()[&1].draining, ["box-1"]);
@@ -111,22 +111,22 @@
 #[test]
 fn at_peak_load_a_wave_waits_only_while_it_can_finish_in_time() {
     let busy = loads(&[12_000; 4], at(10));
-    let (state, mut patient) = start(4, 600);
-    let (short_state, mut short) = start(4, 20);
+    let (state, mut long_wave) = start(4, 600);
+    let (short_state, mut short_wave) = start(4, 20);
 
-    take(&mut patient, &state, &busy, &[], at(20));
-    take(&mut short, &short_state, &busy, &[], at(20));
+    step(&mut long_wave, &state, &busy, &[], at(20));
+    step(&mut short_wave, &short_state, &busy, &[], at(20));
 
     assert_eq!(
-        patient.wave_statuses()[&1].wait_reason,
+        long_wave.wave_statuses()[&1].wait_reason,
         Some(WaitReason::NoRoom)
     );
-    assert_eq!(patient.wave_statuses()[&1].unavailable, 0);
-    assert_eq!(short.wave_statuses()[&1].unavailable, 1);
+    assert_eq!(long_wave.wave_statuses()[&1].unavailable, 0);
+    assert_eq!(short_wave.wave_statuses()[&1].unavailable, 1);
     // The load has dropped.
-    let calm = loads(&[8_000; 4], at(1_000));
-    take(&mut patient, &state, &calm, &[], at(1_010));
-    assert_eq!(patient.wave_statuses()[&1].unavailable, 1);
+    let light = loads(&[8_000; 4], at(1_000));
+    step(&mut long_wave, &state, &light, &[], at(1_010));
+    assert_eq!(long_wave.wave_statuses()[&1].unavailable, 1);
 }
 
 #[test]
@@ -134,7 +134,7 @@
     let old = loads(&[16_000; 4], at(10));
     let (state, mut scheduler) = start(4, 600);
 
-    take(&mut scheduler, &state, &old, &[], at(4_000));
+    step(&mut scheduler, &state, &old, &[], at(4_000));
 
     assert_eq!(scheduler.wave_statuses()[&1].unavailable, 1);
 }
@@ -142,15 +142,15 @@
 #[test]
 fn a_held_box_is_called_once_idle_and_gets_more_time_while_busy() {
     let (state, mut scheduler) = start(1, 600);
-    let nothing = BTreeMap::new();
+    let no_loads = BTreeMap::new();
     let busy_loads = |now| loads(&[4_000], now);
 
-    take(&mut scheduler, &state, &nothing, &[], at(0));
-    take(&mut scheduler, &state, &nothing, &[], at(0));
+    step(&mut scheduler, &state, &no_loads, &[], at(0));
+    step(&mut scheduler, &state, &no_loads, &[], at(0));
     // A report from before the hold took effect does not count.
-    let actions = take(&mut scheduler, &state, &loads(&[0], at(50)), &[], at(60));
+    let actions = step(&mut scheduler, &state, &loads(&[0], at(50)), &[], at(60));
     assert!(!is_called(&actions));
-    let actions = take(
+    let actions = step(
         &mut scheduler,
         &state,
         &busy_loads(at(1_400)),
@@ -158,7 +158,7 @@
         at(1_500),
     );
     assert!(!is_called(&actions), "the target is busy");
-    let actions = take(
+    let actions = step(
         &mut scheduler,
         &state,
         &loads(&[0], at(1_900)),
@@ -173,16 +173,16 @@
 fn a_held_box_that_stays_busy_is_called_after_the_longest_drain_time() {
     let (state, mut scheduler) = start(2, 600);
     let busy_loads = |now| loads(&[4_000, 4_000], now);
-    take(&mut scheduler, &state, &busy_loads(at(0)), &[], at(0));
+    step(&mut scheduler, &state, &busy_loads(at(0)), &[], at(0));
 
-    take(
+    step(
         &mut scheduler,
         &state,
         &busy_loads(at(3_900)),
         &[],
         at(3_900),
     );
-    let actions = take(
+    let actions = step(
         &mut scheduler,
         &state,
         &busy_loads(at(4_600)),
@@ -196,11 +196,11 @@
 #[test]
 fn a_held_box_without_load_reports_is_called_after_the_drain_time() {
     let (state, mut scheduler) = start(1, 600);
-    let nothing = BTreeMap::new();
-    take(&mut scheduler, &state, &nothing, &[], at(0));
+    let no_loads = BTreeMap::new();
+    step(&mut scheduler, &state, &no_loads, &[], at(0));
 
-    let early = take(&mut scheduler, &state, &nothing, &[], at(900));
-    let actions = take(&mut scheduler, &state, &nothing, &[], at(1_000));
+    let early = step(&mut scheduler, &state, &no_loads, &[], at(900));
+    let actions = step(&mut scheduler, &state, &no_loads, &[], at(1_000));
 
     assert!(!is_called(&early));
     assert!(is_called(&actions));
--- a/crates/leased/cloverfold_upkeep/tests/orders.rs
+++ b/crates/leased/cloverfold_upkeep/tests/orders.rs
@@ -84,7 +84,7 @@
     };
     assert!(matches!(
         long.validate()[..],
-        [WaveRequestError::TooLongNames(_)]
+        [WaveRequestError::NamesTooLong(_)]
     ));
 }
 
