--- a/crates/leased/cloverfold_consensus/src/replica/compaction.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/compaction.rs
@@ -3,12 +3,12 @@
 //! This bounds the memory, the file and the start time. A replica that lacks compacted entries receives the snapshot instead.
 
 use super::Replica;
-use crate::log_entries::{Entry, LogIndex, Payload, Snapshot};
+use crate::log_entries::{Entry, LogIndex, Payload, Snapshot, Term};
 use crate::members::Members;
 use crate::records::Record;
 
-/// Index and term of the bootstrap snapshot.
-const FIRST_INDEX: LogIndex = 1;
+const BOOTSTRAP_INDEX: LogIndex = 1;
+const BOOTSTRAP_TERM: Term = 1;
 
 impl Replica {
     /// Bootstraps a new group with the given members and state; does nothing if this replica already has a log.
@@ -20,8 +20,8 @@
             return;
         }
         let snapshot = Snapshot {
-            index: FIRST_INDEX,
-            term: FIRST_INDEX,
+            index: BOOTSTRAP_INDEX,
+            term: BOOTSTRAP_TERM,
             members,
             state,
         };
--- a/crates/leased/cloverfold_consensus/src/replica/follower.rs
+++ b/crates/leased/cloverfold_consensus/src/replica/follower.rs
@@ -51,8 +51,8 @@
             self.store_entry(entry);
         }
         self.follower_state.match_index = self.follower_state.match_index.max(last_new);
-        let known = append.commit.min(self.follower_state.match_index);
-        self.commit_to(known.min(self.log.last_index()));
+        let commit = append.commit.min(self.follower_state.match_index);
+        self.commit_to(commit.min(self.log.last_index()));
         self.acknowledge(from);
     }
 
--- a/crates/leased/cloverfold_consensus/tests/store.rs
+++ b/crates/leased/cloverfold_consensus/tests/store.rs
@@ -65,16 +65,16 @@
     let file = folder.path().join("replica.log");
     let (mut store, _) = Store::open(folder.path()).unwrap();
     store.append(&[entry(1)]).unwrap();
-    let sound = std::fs::metadata(&file).unwrap().len();
+    let valid_len = std::fs::metadata(&file).unwrap().len();
     store.append(&[entry(2)]).unwrap();
     drop(store);
     let whole = std::fs::read(&file).unwrap();
 
-    for len in sound as usize..whole.len() {
+    for len in valid_len as usize..whole.len() {
         let mut torn = whole[..len].to_vec();
         if let Some(last) = torn
             .get_mut(len.saturating_sub(1))
-            .filter(|_| len > sound as usize)
+            .filter(|_| len > valid_len as usize)
         {
             *last ^= 0x55;
         }
