--- a/crates/leased/cloverfold_configuration/src/recent.rs
+++ b/crates/leased/cloverfold_configuration/src/recent.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub struct RecentConfigurations {
     /// Oldest first; the last one is in force.
-    texts: VecDeque<StoredConfiguration>,
+    configurations: VecDeque<StoredConfiguration>,
     /// Cache of deltas from older versions to the one in force; `None` if the delta is not shorter than the whole text.
     deltas: HashMap<Version, Option<ConfigurationDelta>>,
 }
@@ -25,17 +25,20 @@
 impl RecentConfigurations {
     /// Records a configuration that came into force.
     pub fn record(&mut self, configuration: &StoredConfiguration) {
-        if self.texts.len() == HISTORY_LEN {
-            self.texts.pop_front();
+        if self.configurations.len() == HISTORY_LEN {
+            self.configurations.pop_front();
         }
-        self.texts.push_back(configuration.clone());
+        self.configurations.push_back(configuration.clone());
         self.deltas.clear();
     }
 
     /// Returns the delta from the version that another process has to the one in force; `None` if the whole text must be sent.
     pub fn delta_since(&mut self, known: Version) -> Option<&ConfigurationDelta> {
-        let older = self.texts.iter().find(|older| older.version == known)?;
-        let newest = self.texts.back()?;
+        let older = self
+            .configurations
+            .iter()
+            .find(|older| older.version == known)?;
+        let newest = self.configurations.back()?;
         let compare = || ConfigurationDelta::between(older, newest);
         self.deltas.entry(known).or_insert_with(compare).as_ref()
     }
--- a/crates/leased/cloverfold_configuration/src/validation.rs
+++ b/crates/leased/cloverfold_configuration/src/validation.rs
@@ -41,7 +41,7 @@
     },
     /// The timeout of a route is zero.
     #[error("route {route}: its timeout is 0; give it at least a millisecond")]
-    NoTimeout {
+    ZeroTimeout {
         /// Name of the route.
         route: String,
     },
@@ -71,7 +71,7 @@
 
 fn check_timeout(route: &Route) -> Option<ConfigurationError> {
     let is_zero = route.timeout.is_zero();
-    is_zero.then(|| ConfigurationError::NoTimeout {
+    is_zero.then(|| ConfigurationError::ZeroTimeout {
         route: route.name.clone(),
     })
 }
--- a/crates/leased/cloverfold_configuration/tests/configurations.rs
+++ b/crates/leased/cloverfold_configuration/tests/configurations.rs
@@ -61,7 +61,7 @@
             route: "a".into(),
             service: "print".into(),
         },
-        ConfigurationError::NoTimeout { route: "a".into() },
+        ConfigurationError::ZeroTimeout { route: "a".into() },
         ConfigurationError::DuplicateRoute {
             first: "b".into(),
             second: "c".into(),
