--- a/crates/common/cloverfold_base/src/clock.rs
+++ b/crates/common/cloverfold_base/src/clock.rs
@@ -32,9 +32,9 @@
     /// The start of the clock.
     pub const ZERO: Self = Self(Duration::ZERO);
 
-    /// Returns the point in time that is `span` after the start of the clock.
-    pub const fn from_start(span: Duration) -> Self {
-        Self(span)
+    /// Returns the point in time that is `duration` after the start of the clock.
+    pub const fn from_start(duration: Duration) -> Self {
+        Self(duration)
     }
 
     /// Returns the duration from the start of the clock to this point in time.
@@ -51,14 +51,14 @@
 impl Add<Duration> for Timestamp {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        Self(self.0 + span)
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0 + duration)
     }
 }
 
 impl AddAssign<Duration> for Timestamp {
-    fn add_assign(&mut self, span: Duration) {
-        self.0 += span;
+    fn add_assign(&mut self, duration: Duration) {
+        self.0 += duration;
     }
 }
 
@@ -68,8 +68,8 @@
     /// # Panics
     ///
     /// Panics if the result is before the start of the clock.
-    fn sub(self, span: Duration) -> Self {
-        Self(self.0 - span)
+    fn sub(self, duration: Duration) -> Self {
+        Self(self.0 - duration)
     }
 }
 
--- a/crates/common/cloverfold_base/src/suspension.rs
+++ b/crates/common/cloverfold_base/src/suspension.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionDetector {
     /// Offset that is already accounted for. A larger offset means that a suspension has occurred since.
-    accounted: Duration,
+    accounted_offset: Duration,
 }
 
 impl Default for SuspensionDetector {
@@ -48,7 +48,7 @@
     /// Creates a detector that reports suspensions after the reading `offset`.
     pub const fn new(offset: ClockOffset) -> Self {
         Self {
-            accounted: offset.upper_bound,
+            accounted_offset: offset.upper_bound,
         }
     }
 
@@ -60,12 +60,12 @@
 
     /// Evaluates a reading; returns the same as [`Self::poll`]. A suspension that an imprecise reading hides shows in a later one.
     pub fn observe(&mut self, offset: ClockOffset) -> Option<Duration> {
-        let span = offset.lower_bound.saturating_sub(self.accounted);
-        if span < MIN_SUSPENSION {
-            self.accounted = self.accounted.min(offset.upper_bound);
+        let duration = offset.lower_bound.saturating_sub(self.accounted_offset);
+        if duration < MIN_SUSPENSION {
+            self.accounted_offset = self.accounted_offset.min(offset.upper_bound);
             return None;
         }
-        self.accounted = offset.lower_bound;
-        Some(span)
+        self.accounted_offset = offset.lower_bound;
+        Some(duration)
     }
 }
--- a/crates/leased/cloverfold_lease/tests/world/stalls.rs
+++ b/crates/leased/cloverfold_lease/tests/world/stalls.rs
@@ -37,7 +37,7 @@
             if self.now < node.frozen_until {
                 continue;
             }
-            if let (Some(stall), Some(runner)) = (node.stalls.record_call(now), &mut node.runner) {
+            if let (Some(stall), Some(runner)) = (node.stalls.poll(now), &mut node.runner) {
                 runner.allow_for_stall(stall, now);
                 self.execute_runner_actions(index);
             }
@@ -50,9 +50,7 @@
             }
             let last_call_at = node.last_active_at;
             node.last_active_at = now;
-            if let (Some(stall), Some(dispatcher)) =
-                (node.stalls.record_call(now), &mut node.dispatcher)
-            {
+            if let (Some(stall), Some(dispatcher)) = (node.stalls.poll(now), &mut node.dispatcher) {
                 dispatcher.allow_for_stall(stall, now);
             }
             if is_request_outdated(last_call_at, now) {
--- a/crates/leased/cloverfold_lease/tests/world/suspensions.rs
+++ b/crates/leased/cloverfold_lease/tests/world/suspensions.rs
@@ -64,7 +64,7 @@
                 {
                     runner.allow_for_suspension(span);
                     // A suspension must not also be handled as a stall.
-                    let _ = node.stalls.record_call(node.clock.read(self.now));
+                    let _ = node.stalls.poll(node.clock.read(self.now));
                 }
                 if begins_suspension {
                     node.clock.suspended_since = Some(self.now);
--- a/crates/leased/cloverfold_leased_process/src/stalls.rs
+++ b/crates/leased/cloverfold_leased_process/src/stalls.rs
@@ -13,7 +13,7 @@
 impl StallMonitor {
     /// Returns the duration of a stall since the last call; `None` if there was none.
     pub fn poll(&mut self, now: Timestamp) -> Option<Duration> {
-        let stall = self.detector.record_call(now)?;
+        let stall = self.detector.poll(now)?;
         log::warn!(gap_ms = stall.as_millis() as u64; "process was stalled");
         Some(stall)
     }
