--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -18,7 +18,7 @@
     Dispatcher, DispatcherAction, DispatcherCounts, JobAnswer, JobNumber, JobRefusal, JobRequest,
     configuration_timeout, is_request_outdated,
 };
-use cloverfold_leased_process::{LeasedState, StallMonitor, SuspensionMonitor};
+use cloverfold_leased_process::{ProcessState, StallMonitor, SuspensionMonitor};
 use cloverfold_link::LinkEvent;
 use cloverfold_peer::{ControlLinks, Hello, KnownEvacuations, PeerLinks, PeerMessage, SentCounts};
 use tokio::sync::{oneshot, watch};
@@ -59,7 +59,7 @@
     was_ready: bool,
 }
 
-impl LeasedState for EntryState {
+impl ProcessState for EntryState {
     fn on_start(&mut self) {
         self.controls.dial();
     }
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -14,7 +14,7 @@
     IncarnationId, ProcessorUse, RenewalAnswer, RenewalOrder, RenewalPause, Runner, RunnerAction,
     RunnerCounts, RunnerMessage, SessionId, StartAnswer, StartOrder, UnavailableReason, UsualSpeed,
 };
-use cloverfold_leased_process::{LeasedState, StallMonitor, SuspensionMonitor};
+use cloverfold_leased_process::{ProcessState, StallMonitor, SuspensionMonitor};
 use cloverfold_link::LinkEvent;
 use cloverfold_peer::{
     ChosenEntries, ControlLinks, DialedPeers, Hello, KnownEvacuations, LinkDrains, PeerLinks,
@@ -57,7 +57,7 @@
     logged_reason: Option<UnavailableReason>,
 }
 
-impl LeasedState for GuardState {
+impl ProcessState for GuardState {
     fn on_start(&mut self) {
         self.controls.dial();
     }
--- a/crates/leased/cloverfold_leased_process/src/lib.rs
+++ b/crates/leased/cloverfold_leased_process/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use metrics::{MetricsBuilder, ProcessMetrics};
 pub use operations::serve_state_operations;
-pub use peer_port::{LeasedState, ListeningPeerPort, PeerPort, tick_interval};
+pub use peer_port::{ListeningPeerPort, PeerPort, ProcessState, tick_interval};
 pub use runtime::start_leased_runtime;
 pub use settings_watch::SettingsWatch;
 pub use shared::Shared;
--- a/crates/leased/cloverfold_leased_process/src/peer_port.rs
+++ b/crates/leased/cloverfold_leased_process/src/peer_port.rs
@@ -20,7 +20,7 @@
 const LINK_EVENT_CAPACITY: usize = 1_024;
 
 /// A process state that is driven by link events and ticks.
-pub trait LeasedState: Send + 'static {
+pub trait ProcessState: Send + 'static {
     /// Starts to dial; called once, within the runtime, before any other function.
     fn on_start(&mut self);
 
@@ -83,7 +83,7 @@
 
 impl ListeningPeerPort {
     /// Accepts links, and drives the state with their events and a tick at each interval of `tick`. The tasks end when `tasks` is dropped.
-    pub fn run<S: LeasedState>(self, state: Shared<S>, tick: Duration, tasks: &mut JoinSet<()>) {
+    pub fn run<S: ProcessState>(self, state: Shared<S>, tick: Duration, tasks: &mut JoinSet<()>) {
         let events_rx = self.accept(tasks);
         tasks.spawn(drive_state(state, tick, events_rx));
     }
@@ -103,7 +103,7 @@
     ticks
 }
 
-async fn drive_state<S: LeasedState>(
+async fn drive_state<S: ProcessState>(
     state: Shared<S>,
     tick: Duration,
     mut events_rx: mpsc::Receiver<LinkEvent<PeerMessage>>,
--- a/crates/leased/cloverfold_leased_process/src/suspensions.rs
+++ b/crates/leased/cloverfold_leased_process/src/suspensions.rs
@@ -27,10 +27,10 @@
 impl SuspensionMonitor {
     /// Returns a lower bound of the time for which the box was suspended since the last call; `None` if there was no suspension.
     pub fn poll(&mut self) -> Option<Duration> {
-        let span = self.detector.poll()?;
+        let duration = self.detector.poll()?;
         self.detected_count += 1;
-        log::warn!(suspended_ms = span.as_millis() as u64; "box was suspended");
-        Some(span)
+        log::warn!(suspended_ms = duration.as_millis() as u64; "box was suspended");
+        Some(duration)
     }
 
     /// Returns the number of suspensions since the start.
