--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -125,7 +125,7 @@
         };
         match hello.role {
             PeerRole::Entry => self.runner.close_session(link, now),
-            PeerRole::Control { .. } => self.chosen.remove_control(link),
+            PeerRole::Control { .. } => self.assigned_entries.remove_control(link),
             PeerRole::Guard => {}
         }
     }
@@ -175,15 +175,16 @@
 
     /// Dials the entries that a control process assigns, and the control processes.
     fn receive_directory(&mut self, link: LinkId, directory: Directory) {
-        self.chosen.set_entries(link, directory.entries);
-        for entry in self.chosen.assigned() {
+        self.assigned_entries
+            .set_assignment(link, directory.entries);
+        for entry in self.assigned_entries.entries() {
             self.entries.add(*entry);
         }
         self.controls.set_controls(directory.controls);
     }
 
     fn receive_invitation(&mut self, entry: SocketAddr) {
-        if self.chosen.accepts_invitation(entry) {
+        if self.assigned_entries.accepts_invitation(entry) {
             self.entries.add(entry);
         }
     }
@@ -194,9 +195,9 @@
         let entries = self.links.dialed_peers();
         let entries = entries.filter(|peer| peer.role == PeerRole::Entry);
         let connected = entries.map(|peer| peer.address).collect();
-        let dropped = self
-            .chosen
-            .list_unneeded(dialed.iter().copied(), &connected, now);
+        let dropped =
+            self.assigned_entries
+                .find_entries_to_drop(dialed.iter().copied(), &connected, now);
         if dropped.is_empty() && self.link_drains.is_empty() {
             return;
         }
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -17,7 +17,7 @@
 use cloverfold_leased_process::{ProcessState, StallMonitor, SuspensionMonitor};
 use cloverfold_link::LinkEvent;
 use cloverfold_peer::{
-    ChosenEntries, ControlLinks, DialedPeers, Hello, KnownEvacuations, LinkDrains, PeerLinks,
+    AssignedEntries, ControlLinks, DialedPeers, Hello, KnownEvacuations, LinkDrains, PeerLinks,
     PeerMessage, SentCounts, send_group_call,
 };
 use tokio::sync::{Notify, mpsc};
@@ -41,7 +41,7 @@
     links: PeerLinks,
     controls: ControlLinks,
     entries: DialedPeers,
-    chosen: ChosenEntries,
+    assigned_entries: AssignedEntries,
     link_drains: LinkDrains,
     recorder: Recorder,
     orders: mpsc::UnboundedSender<TargetOrder>,
@@ -100,7 +100,7 @@
             links: PeerLinks::default(),
             controls,
             entries,
-            chosen: ChosenEntries::default(),
+            assigned_entries: AssignedEntries::default(),
             link_drains: LinkDrains::default(),
             recorder: Recorder::default(),
             orders,
--- a/crates/leased/cloverfold_peer/src/chosen_entries.rs
+++ b/crates/leased/cloverfold_peer/src/assigned_entries.rs
@@ -1,4 +1,4 @@
-//! Selects which entries a guard keeps links to, and when it drops one.
+//! The entries that control processes assign to a guard, and when the guard drops one that is no longer assigned.
 //!
 //! Each control process assigns entries to a guard from its own view of the installation (`entry_subsets`). A process that has just
 //! started, or is partitioned, has an incomplete view. So a guard uses every entry that any connected control process assigns, and drops
@@ -20,7 +20,7 @@
 
 /// The entries that control processes have assigned to a guard.
 #[derive(Debug, Default)]
-pub struct ChosenEntries {
+pub struct AssignedEntries {
     /// Last assignment from each connected control process.
     by_control: HashMap<LinkId, BTreeSet<SocketAddr>>,
     /// Union of all assignments.
@@ -29,9 +29,13 @@
     unassigned_since: BTreeMap<SocketAddr, Timestamp>,
 }
 
-impl ChosenEntries {
+impl AssignedEntries {
     /// Records the entries that a control process assigns.
-    pub fn set_entries(&mut self, control: LinkId, entries: impl IntoIterator<Item = SocketAddr>) {
+    pub fn set_assignment(
+        &mut self,
+        control: LinkId,
+        entries: impl IntoIterator<Item = SocketAddr>,
+    ) {
         self.by_control
             .insert(control, entries.into_iter().collect());
         self.update_assigned();
@@ -49,7 +53,7 @@
     }
 
     /// Returns all assigned entries.
-    pub fn assigned(&self) -> &BTreeSet<SocketAddr> {
+    pub fn entries(&self) -> &BTreeSet<SocketAddr> {
         &self.assigned
     }
 
@@ -61,7 +65,7 @@
 
     /// Returns which of the dialed entries to drop: those that have been unassigned for [`DROP_DELAY`]. Returns none unless all assigned
     /// entries are connected, so that a control process with an incomplete view cannot leave this guard without entries.
-    pub fn list_unneeded(
+    pub fn find_entries_to_drop(
         &mut self,
         dialed: impl IntoIterator<Item = SocketAddr>,
         connected: &BTreeSet<SocketAddr>,
--- a/crates/leased/cloverfold_peer/src/addresses.rs
+++ b/crates/leased/cloverfold_peer/src/dialed_peers.rs
@@ -11,16 +11,16 @@
 /// A set of dialed peers, with one dialer for each address.
 #[derive(Debug)]
 pub struct DialedPeers {
-    own: SocketAddr,
+    own_address: SocketAddr,
     events: mpsc::Sender<LinkEvent<PeerMessage>>,
     dialers: HashMap<SocketAddr, Dialer>,
 }
 
 impl DialedPeers {
-    /// Creates an empty set whose links report to `events`. The set never dials `own`, the address of this process.
-    pub fn new(own: SocketAddr, events: mpsc::Sender<LinkEvent<PeerMessage>>) -> Self {
+    /// Creates an empty set whose links report to `events`. The set never dials `own_address`, the address of this process.
+    pub fn new(own_address: SocketAddr, events: mpsc::Sender<LinkEvent<PeerMessage>>) -> Self {
         Self {
-            own,
+            own_address,
             events,
             dialers: HashMap::new(),
         }
@@ -32,7 +32,7 @@
     ///
     /// Panics outside a tokio runtime.
     pub fn add(&mut self, address: SocketAddr) {
-        if address != self.own && !self.dialers.contains_key(&address) {
+        if address != self.own_address && !self.dialers.contains_key(&address) {
             let dialer = Dialer::start(address, DialBackoff::default(), self.events.clone());
             self.dialers.insert(address, dialer);
         }
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub struct ControlLinks {
     seeds: Vec<SocketAddr>,
-    known: Vec<SocketAddr>,
+    directory_controls: Vec<SocketAddr>,
     dialed: DialedPeers,
 }
 
@@ -78,7 +78,7 @@
     pub fn new(seeds: Vec<SocketAddr>, dialed: DialedPeers) -> Self {
         Self {
             seeds,
-            known: Vec::new(),
+            directory_controls: Vec::new(),
             dialed,
         }
     }
@@ -89,7 +89,7 @@
     ///
     /// Panics outside a tokio runtime.
     pub fn dial(&mut self) {
-        let mut selected = self.known.clone();
+        let mut selected = self.directory_controls.clone();
         selected.truncate(MAX_CONTROLS);
         for seed in &self.seeds {
             if selected.len() < MAX_CONTROLS && !selected.contains(seed) {
@@ -101,14 +101,14 @@
 
     /// Replaces the known control processes by those of a newer directory and dials them.
     pub fn set_controls(&mut self, controls: Vec<SocketAddr>) {
-        self.known = controls;
+        self.directory_controls = controls;
         self.dial();
     }
 
     /// Dials the control processes listed in the invitation of a restarted one, unless this process has already received a directory,
     /// which is more recent.
     pub fn accept_invitation(&mut self, controls: Vec<SocketAddr>) {
-        if self.known.is_empty() {
+        if self.directory_controls.is_empty() {
             log::info!(controls = controls.len(); "dialing control processes from an invitation");
             self.set_controls(controls);
         }
--- a/crates/leased/cloverfold_peer/src/entry_subsets.rs
+++ b/crates/leased/cloverfold_peer/src/entry_subsets.rs
@@ -83,7 +83,7 @@
 pub fn choose_entries(guards: &KnownGuards, entries: &BTreeSet<SocketAddr>) -> EntrySubsets {
     let entries: Vec<HashedAddress> = entries.iter().copied().map(HashedAddress::new).collect();
     let groups = group_by_service(guards).into_values();
-    let subsets = groups.map(|group| choose_in_group(&group, &entries));
+    let subsets = groups.map(|group| choose_for_service(&group, &entries));
     subsets.flatten().collect()
 }
 
@@ -91,12 +91,12 @@
 fn group_by_service(guards: &KnownGuards) -> BTreeMap<&str, Vec<HallGuard<'_>>> {
     let mut groups: BTreeMap<&str, Vec<HallGuard<'_>>> = BTreeMap::new();
     let mut unknown = Vec::new();
-    for (address, traits) in guards {
+    for (address, attributes) in guards {
         let guard = HallGuard {
-            hall: traits.data_hall.as_ref(),
+            hall: attributes.data_hall.as_ref(),
             guard: HashedAddress::new(*address),
         };
-        match &traits.service {
+        match &attributes.service {
             Some(service) => groups.entry(service).or_default().push(guard),
             None => unknown.push(guard),
         }
@@ -109,14 +109,14 @@
 }
 
 /// Returns the entries of each guard; all guards run the same service.
-fn choose_in_group(guards: &[HallGuard<'_>], entries: &[HashedAddress]) -> EntrySubsets {
+fn choose_for_service(guards: &[HallGuard<'_>], entries: &[HashedAddress]) -> EntrySubsets {
     let size = subset_size(guards.len(), entries.len());
     let mut links_before = 0;
     let mut chosen = EntrySubsets::new();
     for hall in group_by_hall(guards).into_values() {
         let links = hall.len() * size;
         let slots = EntrySlots::new(links_before, links, entries.len());
-        chosen.extend(choose_in_hall(&hall, entries, size, slots));
+        chosen.extend(choose_for_hall(&hall, entries, size, slots));
         links_before += links;
     }
     chosen
@@ -138,7 +138,7 @@
 }
 
 /// Returns the entries of each guard; all guards are in the same data hall.
-fn choose_in_hall(
+fn choose_for_hall(
     guards: &[HashedAddress],
     entries: &[HashedAddress],
     size: usize,
--- a/crates/leased/cloverfold_peer/src/lib.rs
+++ b/crates/leased/cloverfold_peer/src/lib.rs
@@ -2,15 +2,15 @@
 //!
 //! Entries and guards dial control processes: first the seeds from their settings, later those in the newest [`Directory`]. A control
 //! process assigns each guard a subset of the entries ([`choose_entries`]) and lists it in the guard's directory; the guard dials these
-//! entries ([`ChosenEntries`]). An entry sends an invitation to each guard that was connected before, so that both can reconnect while
+//! entries ([`AssignedEntries`]). An entry sends an invitation to each guard that was connected before, so that both can reconnect while
 //! no control process is reachable. A restarted control process invites the entries and guards that it stored ([`Invitations`]).
 //!
 //! Each process keeps its open links in [`PeerLinks`] and the addresses that it dials in [`DialedPeers`] and [`ControlLinks`].
 
 #![warn(clippy::disallowed_methods)]
 
-mod addresses;
-mod chosen_entries;
+mod assigned_entries;
+mod dialed_peers;
 mod entry_subsets;
 mod group_calls;
 mod known_evacuations;
@@ -21,8 +21,8 @@
 mod stored_peers;
 mod trailing;
 
-pub use addresses::{ControlLinks, DialedPeers};
-pub use chosen_entries::ChosenEntries;
+pub use assigned_entries::AssignedEntries;
+pub use dialed_peers::{ControlLinks, DialedPeers};
 pub use entry_subsets::{EntrySubsets, GuardAttributes, KnownGuards, choose_entries};
 pub use group_calls::{has_group_link, send_group_call};
 pub use known_evacuations::KnownEvacuations;
--- a/crates/leased/cloverfold_peer/src/messages.rs
+++ b/crates/leased/cloverfold_peer/src/messages.rs
@@ -95,20 +95,20 @@
 
     /// Returns whether the process supports the messages about evacuations.
     pub fn supports_evacuations(&self) -> bool {
-        self.reads(EVACUATIONS_SINCE)
+        self.supports(EVACUATIONS_SINCE)
     }
 
     /// Returns whether the process supports the messages about kept jobs, planned upkeep and target speeds.
     pub fn supports_kept_jobs(&self) -> bool {
-        self.reads(KEPT_JOBS_SINCE)
+        self.supports(KEPT_JOBS_SINCE)
     }
 
     /// Returns whether the process supports configuration deltas.
     pub fn supports_configuration_deltas(&self) -> bool {
-        self.reads(CONFIGURATION_DELTAS_SINCE)
+        self.supports(CONFIGURATION_DELTAS_SINCE)
     }
 
-    fn reads(&self, version: ProtocolVersion) -> bool {
+    fn supports(&self, version: ProtocolVersion) -> bool {
         let details = self.details.0.as_ref();
         details.is_some_and(|details| details.protocol >= version)
     }
--- a/crates/leased/cloverfold_peer/tests/chosen_entries.rs
+++ b/crates/leased/cloverfold_peer/tests/assigned_entries.rs
@@ -8,7 +8,7 @@
 
 use cloverfold_base::Timestamp;
 use cloverfold_link::LinkId;
-use cloverfold_peer::{ChosenEntries, LinkDrainStep, LinkDrains};
+use cloverfold_peer::{AssignedEntries, LinkDrainStep, LinkDrains};
 
 const CONTROL: LinkId = 1;
 const OTHER_CONTROL: LinkId = 2;
@@ -27,49 +27,51 @@
 }
 
 /// State of a guard after one control process has assigned entries 1 and 2.
-fn with_one_assignment() -> ChosenEntries {
-    let mut chosen = ChosenEntries::default();
-    chosen.set_entries(CONTROL, entries([1, 2]));
-    chosen
+fn with_one_assignment() -> AssignedEntries {
+    let mut assigned = AssignedEntries::default();
+    assigned.set_assignment(CONTROL, entries([1, 2]));
+    assigned
 }
 
 #[test]
 fn an_entry_is_assigned_if_any_control_process_assigns_it() {
-    let mut chosen = with_one_assignment();
+    let mut assigned = with_one_assignment();
 
-    chosen.set_entries(OTHER_CONTROL, entries([2, 3]));
+    assigned.set_assignment(OTHER_CONTROL, entries([2, 3]));
 
-    assert_eq!(*chosen.assigned(), entries([1, 2, 3]));
+    assert_eq!(*assigned.entries(), entries([1, 2, 3]));
 }
 
-/// Calls `list_unneeded` every 100 ms up to `until_ms` for a guard that is connected to all dialed entries; returns the last result.
-fn list_until(
-    chosen: &mut ChosenEntries,
+/// Calls `find_entries_to_drop` every 100 ms up to `until_ms` for a guard that is connected to all dialed entries; returns the last
+/// result.
+fn find_until(
+    assigned: &mut AssignedEntries,
     connected: &BTreeSet<SocketAddr>,
     from_ms: u64,
     until_ms: u64,
 ) -> BTreeSet<SocketAddr> {
     let times = (from_ms..=until_ms).step_by(100);
-    let dropped = times.map(|ms| chosen.list_unneeded(connected.clone(), connected, at(ms)));
+    let dropped =
+        times.map(|ms| assigned.find_entries_to_drop(connected.clone(), connected, at(ms)));
     dropped.last().unwrap()
 }
 
 #[test]
 fn the_last_assignment_holds_while_no_control_process_is_connected() {
-    let mut chosen = with_one_assignment();
+    let mut assigned = with_one_assignment();
 
-    chosen.remove_control(CONTROL);
+    assigned.remove_control(CONTROL);
 
-    assert_eq!(*chosen.assigned(), entries([1, 2]));
+    assert_eq!(*assigned.entries(), entries([1, 2]));
 }
 
 #[test]
 fn an_entry_is_dropped_after_three_seconds_without_an_assignment() {
-    let mut chosen = with_one_assignment();
+    let mut assigned = with_one_assignment();
     let connected = entries([1, 2, 4]);
 
-    let before = list_until(&mut chosen, &connected, 1_000, 3_900);
-    let after = list_until(&mut chosen, &connected, 4_000, 4_000);
+    let before = find_until(&mut assigned, &connected, 1_000, 3_900);
+    let after = find_until(&mut assigned, &connected, 4_000, 4_000);
 
     assert_eq!(before, entries([]));
     assert_eq!(after, entries([4]));
@@ -77,10 +79,10 @@
 
 #[test]
 fn no_entry_is_dropped_before_all_assigned_ones_are_connected() {
-    let mut chosen = with_one_assignment();
+    let mut assigned = with_one_assignment();
 
-    let without_one = list_until(&mut chosen, &entries([1, 4]), 1_000, 20_000);
-    let soon_after = list_until(&mut chosen, &entries([1, 2, 4]), 20_100, 23_000);
+    let without_one = find_until(&mut assigned, &entries([1, 4]), 1_000, 20_000);
+    let soon_after = find_until(&mut assigned, &entries([1, 2, 4]), 20_100, 23_000);
 
     assert_eq!(without_one, entries([]));
     assert_eq!(soon_after, entries([]));
@@ -88,25 +90,25 @@
 
 #[test]
 fn an_empty_assignment_makes_a_guard_drop_no_entry() {
-    let mut chosen = with_one_assignment();
+    let mut assigned = with_one_assignment();
 
-    chosen.set_entries(CONTROL, entries([]));
+    assigned.set_assignment(CONTROL, entries([]));
 
-    let dropped = list_until(&mut chosen, &entries([1, 2]), 1_000, 20_000);
+    let dropped = find_until(&mut assigned, &entries([1, 2]), 1_000, 20_000);
     assert_eq!(dropped, entries([]));
 }
 
 #[test]
 fn a_short_incomplete_assignment_drops_no_link() {
-    let mut chosen = with_one_assignment();
+    let mut assigned = with_one_assignment();
     let connected = entries([1, 2]);
-    chosen.set_entries(CONTROL, entries([2]));
-    let incomplete = list_until(&mut chosen, &connected, 1_000, 3_900);
+    assigned.set_assignment(CONTROL, entries([2]));
+    let incomplete = find_until(&mut assigned, &connected, 1_000, 3_900);
 
-    chosen.set_entries(CONTROL, entries([1, 2]));
-    let reassigned = list_until(&mut chosen, &connected, 4_000, 4_100);
-    chosen.set_entries(CONTROL, entries([2]));
-    let delay_restarted = list_until(&mut chosen, &connected, 4_200, 7_000);
+    assigned.set_assignment(CONTROL, entries([1, 2]));
+    let reassigned = find_until(&mut assigned, &connected, 4_000, 4_100);
+    assigned.set_assignment(CONTROL, entries([2]));
+    let delay_restarted = find_until(&mut assigned, &connected, 4_200, 7_000);
 
     assert_eq!(incomplete, entries([]));
     assert_eq!(reassigned, entries([]));
@@ -115,16 +117,16 @@
 
 #[test]
 fn an_invitation_from_an_unassigned_entry_is_accepted_only_without_control_processes() {
-    let mut chosen = ChosenEntries::default();
-    let before = chosen.accepts_invitation(entry(4));
+    let mut assigned = AssignedEntries::default();
+    let before = assigned.accepts_invitation(entry(4));
 
-    chosen.set_entries(CONTROL, entries([1]));
+    assigned.set_assignment(CONTROL, entries([1]));
 
     assert!(before);
-    assert!(!chosen.accepts_invitation(entry(4)));
-    assert!(chosen.accepts_invitation(entry(1)));
-    chosen.remove_control(CONTROL);
-    assert!(chosen.accepts_invitation(entry(4)));
+    assert!(!assigned.accepts_invitation(entry(4)));
+    assert!(assigned.accepts_invitation(entry(1)));
+    assigned.remove_control(CONTROL);
+    assert!(assigned.accepts_invitation(entry(4)));
 }
 
 #[test]
--- a/crates/leased/cloverfold_peer/tests/entry_subsets.rs
+++ b/crates/leased/cloverfold_peer/tests/entry_subsets.rs
@@ -43,11 +43,11 @@
                 (number / 250) as u8,
                 (number % 250) as u8,
             );
-            let traits = GuardAttributes {
+            let attributes = GuardAttributes {
                 data_hall: Some(format!("hall-{hall}")),
                 ..guard_of(Some("send"))
             };
-            guards.insert(SocketAddr::new(ip.into(), 7_720), traits);
+            guards.insert(SocketAddr::new(ip.into(), 7_720), attributes);
         }
     }
     guards
@@ -94,9 +94,9 @@
     for (guard_count, entry_count) in [(240, 51), (2_400, 510)] {
         let subsets = choose_entries(&guards(guard_count), &entries(entry_count));
 
-        let most = guards_by_entry(&subsets, &entries(entry_count));
+        let seen = guards_by_entry(&subsets, &entries(entry_count));
         assert!(subsets.values().all(|subset| subset.len() == 4));
-        assert!(most.iter().all(|&count| count <= 22), "{most:?}");
+        assert!(seen.iter().all(|&count| count <= 22), "{seen:?}");
     }
 }
 
