--- a/crates/common/cloverfold_http/src/operations.rs
+++ b/crates/common/cloverfold_http/src/operations.rs
@@ -81,7 +81,9 @@
             "/metrics" => plain_response(StatusCode::OK, write_metrics()),
             "/readyz" => match not_ready_reason() {
                 None => plain_response(StatusCode::OK, "ready\n"),
-                Some(why) => plain_response(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
+                Some(reason) => {
+                    plain_response(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n"))
+                }
             },
             _ => plain_response(StatusCode::NOT_FOUND, "no such page\n"),
         };
--- a/crates/common/cloverfold_http/src/server.rs
+++ b/crates/common/cloverfold_http/src/server.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cloverfold_link::tune_socket;
+use cloverfold_link::set_socket_options;
 use http::header::{CONNECTION, CONTENT_TYPE, HeaderValue};
 use http::{HeaderMap, Method, StatusCode, Uri};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -213,14 +213,14 @@
     H: Fn(Request) -> F + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    // Without this timeout, a client that vanishes while it reads a response would hold its connection and file descriptor forever.
-    tune_socket(&stream, limits.idle_timeout);
+    // Without this timeout, a client that disappears or stops reading a response would keep its connection and file descriptor open.
+    set_socket_options(&stream, limits.idle_timeout);
     let phase_rx = phase.clone();
     let service = service_fn(move |request: http::Request<Incoming>| {
         let handler = handler.clone();
         let phase_rx = phase_rx.clone();
         async move {
-            let mut response = answer(request, &limits, handler.as_ref()).await;
+            let mut response = handle_request(request, &limits, handler.as_ref()).await;
             ask_to_reconnect(&mut response, *phase_rx.borrow());
             Ok::<_, std::convert::Infallible>(response)
         }
@@ -253,7 +253,7 @@
 }
 
 /// Reads the body within the limits and runs the handler; refuses a body that exceeds a limit without running the handler.
-async fn answer<H, F>(
+async fn handle_request<H, F>(
     request: http::Request<Incoming>,
     limits: &HttpLimits,
     handler: &H,
--- a/crates/common/cloverfold_http/tests/server.rs
+++ b/crates/common/cloverfold_http/tests/server.rs
@@ -48,8 +48,8 @@
     }
 }
 
-async fn wait_for(count: &AtomicUsize, least: usize) {
-    while count.load(Ordering::SeqCst) < least {
+async fn wait_for(count: &AtomicUsize, min: usize) {
+    while count.load(Ordering::SeqCst) < min {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
@@ -79,7 +79,7 @@
     serve(listener, limits, handler).unwrap()
 }
 
-fn open() -> Arc<Semaphore> {
+fn open_gate() -> Arc<Semaphore> {
     Arc::new(Semaphore::new(100))
 }
 
@@ -99,9 +99,9 @@
 
 #[tokio::test]
 async fn a_request_is_answered_with_the_host_without_its_port() {
-    let serving = start(open(), HandlerCounts::default());
+    let server = start(open_gate(), HandlerCounts::default());
 
-    let (status, _, body) = post(&HttpClient::default(), serving.address(), "x")
+    let (status, _, body) = post(&HttpClient::default(), server.address(), "x")
         .await
         .unwrap();
 
@@ -110,13 +110,13 @@
 
 #[tokio::test]
 async fn a_body_that_is_too_long_or_too_slow_is_refused() {
-    let serving = start(open(), HandlerCounts::default());
+    let server = start(open_gate(), HandlerCounts::default());
     let long = "x".repeat(65);
-    let (status, ..) = post(&HttpClient::default(), serving.address(), &long)
+    let (status, ..) = post(&HttpClient::default(), server.address(), &long)
         .await
         .unwrap();
     assert_eq!(status, StatusCode::PAYLOAD_TOO_LARGE);
-    let mut slow = TcpStream::connect(serving.address()).await.unwrap();
+    let mut slow = TcpStream::connect(server.address()).await.unwrap();
     slow.write_all(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf")
         .await
         .unwrap();
@@ -129,8 +129,8 @@
 
 #[tokio::test]
 async fn a_connection_without_a_request_is_closed() {
-    let serving = start(open(), HandlerCounts::default());
-    let mut idle = TcpStream::connect(serving.address()).await.unwrap();
+    let server = start(open_gate(), HandlerCounts::default());
+    let mut idle = TcpStream::connect(server.address()).await.unwrap();
     idle.write_all(b"POST / HT").await.unwrap();
     let mut rest = Vec::new();
 
@@ -142,8 +142,8 @@
 #[tokio::test]
 async fn a_handler_is_dropped_when_its_client_disconnects() {
     let counts = HandlerCounts::default();
-    let serving = start(Arc::new(Semaphore::new(0)), counts.clone());
-    let mut client = TcpStream::connect(serving.address()).await.unwrap();
+    let server = start(Arc::new(Semaphore::new(0)), counts.clone());
+    let mut client = TcpStream::connect(server.address()).await.unwrap();
     client
         .write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         .await
@@ -159,19 +159,19 @@
 async fn a_graceful_shutdown_asks_clients_to_reconnect_and_finishes_requests_in_flight() {
     let gate = Arc::new(Semaphore::new(0));
     let counts = HandlerCounts::default();
-    let serving = start(gate.clone(), counts.clone());
-    let address = serving.address();
-    serving.advance(ShutdownPhase::Draining);
+    let server = start(gate.clone(), counts.clone());
+    let address = server.address();
+    server.advance(ShutdownPhase::Draining);
     let in_flight = tokio::spawn(async move { post(&HttpClient::default(), address, "x").await });
     counts.wait_started().await;
 
-    serving.advance(ShutdownPhase::Closing);
+    server.advance(ShutdownPhase::Closing);
     gate.add_permits(10);
 
     let (status, headers, _) = in_flight.await.unwrap().unwrap();
     assert_eq!(status, StatusCode::OK);
     assert_eq!(headers.get("connection").unwrap(), "close");
-    tokio::time::timeout(LONG_TIMEOUT, serving.wait_closed())
+    tokio::time::timeout(LONG_TIMEOUT, server.wait_closed())
         .await
         .unwrap();
     let refused = post(&HttpClient::default(), address, "x").await;
@@ -180,7 +180,7 @@
 
 #[tokio::test]
 async fn a_call_without_a_response_times_out_as_unanswered() {
-    let serving = start(Arc::new(Semaphore::new(0)), HandlerCounts::default());
+    let server = start(Arc::new(Semaphore::new(0)), HandlerCounts::default());
     let request = http::Request::builder()
         .uri("/")
         .header("Host", "a")
@@ -188,7 +188,7 @@
         .unwrap();
 
     let answer = HttpClient::default()
-        .call(serving.address(), request, Duration::from_millis(50))
+        .call(server.address(), request, Duration::from_millis(50))
         .await;
 
     assert!(matches!(answer, Err(HttpCallError::Unanswered(_))));
@@ -243,20 +243,20 @@
 async fn six_idle_connections() -> (ServerHandle, TcpProxy, Arc<HttpClient>) {
     let gate = Arc::new(Semaphore::new(0));
     let counts = HandlerCounts::default();
-    let serving = start(gate.clone(), counts.clone());
-    let proxy = TcpProxy::start(serving.address()).await.unwrap();
+    let server = start(gate.clone(), counts.clone());
+    let proxy = TcpProxy::start(server.address()).await.unwrap();
     let client = Arc::new(HttpClient::default());
     let answer_all = async {
         wait_for(&counts.started, 6).await;
         gate.add_permits(100);
     };
     open_idle_connections(&client, proxy.address(), 6, answer_all).await;
-    (serving, proxy, client)
+    (server, proxy, client)
 }
 
 #[tokio::test]
 async fn half_open_connections_cost_two_timeouts() {
-    let (_serving, proxy, client) = six_idle_connections().await;
+    let (_server, proxy, client) = six_idle_connections().await;
 
     proxy.blackhole_connections();
     let first = call_with_short_timeout(&client, proxy.address()).await;
@@ -322,17 +322,17 @@
 async fn a_client_that_stops_reading_a_response_is_disconnected() {
     let listener = cloverfold_link::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let long_answer = |_| async { plain_response(StatusCode::OK, "x".repeat(32 * 1024 * 1024)) };
-    let serving = serve(listener, limits, long_answer).unwrap();
-    let mut client = TcpStream::connect(serving.address()).await.unwrap();
+    let server = serve(listener, limits, long_answer).unwrap();
+    let mut client = TcpStream::connect(server.address()).await.unwrap();
     client
         .write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         .await
         .unwrap();
     client.read_u8().await.unwrap();
 
-    serving.advance(ShutdownPhase::Closing);
+    server.advance(ShutdownPhase::Closing);
 
-    tokio::time::timeout(LONG_TIMEOUT, serving.wait_closed())
+    tokio::time::timeout(LONG_TIMEOUT, server.wait_closed())
         .await
         .expect("the connection is closed, although the client still holds it");
     drop(client);
--- a/crates/common/cloverfold_link/src/dial.rs
+++ b/crates/common/cloverfold_link/src/dial.rs
@@ -14,7 +14,7 @@
 
 use crate::frame::encode_frame;
 use crate::link::{LinkEvent, run_link};
-use crate::socket::{USER_TIMEOUT, tune_socket};
+use crate::socket::{USER_TIMEOUT, set_socket_options};
 
 /// Timeout of [`send_once`].
 const SEND_ONCE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -85,7 +85,7 @@
 #[derive(Debug)]
 pub struct Dialer {
     /// Stops the task when dropped.
-    _alive: watch::Sender<()>,
+    _stop_tx: watch::Sender<()>,
 }
 
 impl Dialer {
@@ -102,9 +102,9 @@
     where
         M: Serialize + DeserializeOwned + Send + 'static,
     {
-        let (alive, stop) = watch::channel(());
-        tokio::spawn(run_dialer(address, backoff, events, stop));
-        Self { _alive: alive }
+        let (stop_tx, stop_rx) = watch::channel(());
+        tokio::spawn(run_dialer(address, backoff, events, stop_rx));
+        Self { _stop_tx: stop_tx }
     }
 }
 
@@ -112,7 +112,7 @@
     address: SocketAddr,
     backoff: DialBackoff,
     events: mpsc::Sender<LinkEvent<M>>,
-    stop: watch::Receiver<()>,
+    stop_rx: watch::Receiver<()>,
 ) where
     M: Serialize + DeserializeOwned + Send + 'static,
 {
@@ -121,12 +121,12 @@
         let attempt = backoff.attempt_after(failures);
         let connected = tokio::select! {
             connected = timeout(attempt.connect_timeout, TcpStream::connect(address)) => connected,
-            () = wait_until_dropped(stop.clone()) => return,
+            () = wait_until_dropped(stop_rx.clone()) => return,
         };
         match connected {
             Ok(Ok(stream)) => {
                 failures = 0;
-                let stopped = wait_until_dropped(stop.clone());
+                let stopped = wait_until_dropped(stop_rx.clone());
                 run_link(stream, address, true, &events, stopped).await;
             }
             // Not logged, because there are several attempts a second and the state logs which peers are connected.
@@ -134,14 +134,14 @@
         }
         tokio::select! {
             () = sleep(add_jitter(attempt.pause)) => {}
-            () = wait_until_dropped(stop.clone()) => return,
+            () = wait_until_dropped(stop_rx.clone()) => return,
         }
     }
 }
 
 /// Waits until the sender is dropped; it never sends a value.
-async fn wait_until_dropped(mut stop: watch::Receiver<()>) {
-    while stop.changed().await.is_ok() {}
+async fn wait_until_dropped(mut stop_rx: watch::Receiver<()>) {
+    while stop_rx.changed().await.is_ok() {}
 }
 
 /// Sends one message over a temporary connection.
@@ -153,7 +153,7 @@
 pub async fn send_once<M: Serialize>(address: SocketAddr, message: &M) -> std::io::Result<()> {
     let attempt = async {
         let mut stream = TcpStream::connect(address).await?;
-        tune_socket(&stream, USER_TIMEOUT);
+        set_socket_options(&stream, USER_TIMEOUT);
         let mut buf = BytesMut::new();
         encode_frame(message, &mut buf).map_err(std::io::Error::other)?;
         stream.write_all(&buf).await?;
--- a/crates/common/cloverfold_link/src/lib.rs
+++ b/crates/common/cloverfold_link/src/lib.rs
@@ -16,4 +16,4 @@
 pub use encoded::EncodedMessage;
 pub use frame::{FrameError, MAX_FRAME_LEN, decode_frame, encode_frame};
 pub use link::{LinkEvent, LinkId, LinkSender, accept_links};
-pub use socket::{listen, tune_socket};
+pub use socket::{listen, set_socket_options};
--- a/crates/common/cloverfold_link/src/link.rs
+++ b/crates/common/cloverfold_link/src/link.rs
@@ -18,7 +18,7 @@
 
 use crate::encoded::EncodedMessage;
 use crate::frame::{decode_frame, encode_heartbeat};
-use crate::socket::{USER_TIMEOUT, tune_socket};
+use crate::socket::{USER_TIMEOUT, set_socket_options};
 
 /// Capacity of the send queue of a link, in messages; further messages are dropped, and the first drop is logged.
 const SEND_QUEUE_MESSAGES: usize = 4_096;
@@ -156,7 +156,7 @@
     M: Serialize + DeserializeOwned + Send + 'static,
 {
     static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
-    tune_socket(&stream, USER_TIMEOUT);
+    set_socket_options(&stream, USER_TIMEOUT);
     let link = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
     let (reader, writer) = stream.into_split();
     let (tx, rx) = mpsc::channel(SEND_QUEUE_MESSAGES);
--- a/crates/common/cloverfold_link/src/socket.rs
+++ b/crates/common/cloverfold_link/src/socket.rs
@@ -28,13 +28,13 @@
 
 /// Disables Nagle's algorithm and sets how long sent bytes may stay unacknowledged, so that a half-open connection fails. Logs an option
 /// that the system rejects, which stays at its default.
-pub fn tune_socket(stream: &TcpStream, user_timeout: Duration) {
+pub fn set_socket_options(stream: &TcpStream, user_timeout: Duration) {
     let socket = SockRef::from(stream);
     let outcomes = [
         socket.set_tcp_nodelay(true),
         socket.set_tcp_user_timeout(Some(user_timeout)),
     ];
-    for refused in outcomes.into_iter().filter_map(Result::err) {
-        log::debug!("cannot set socket option: {refused}");
+    for cause in outcomes.into_iter().filter_map(Result::err) {
+        log::debug!("cannot set socket option: {cause}");
     }
 }
