--- a/crates/common/cloverfold_settings/src/common.rs
+++ b/crates/common/cloverfold_settings/src/common.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer};
 
-use crate::document::{SettingsError, Validate, read_settings};
+use crate::parse::{SettingsError, Validate, read_settings};
 
 /// Key files of a process; paths are relative to the settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
--- a/crates/common/cloverfold_settings/src/lib.rs
+++ b/crates/common/cloverfold_settings/src/lib.rs
@@ -7,11 +7,11 @@
 #![warn(clippy::disallowed_methods)]
 
 mod common;
-mod document;
+mod parse;
 
 pub use common::{
     KeySettings, LogLevel, LogSettings, LogStream, SettingsWithPaths, deserialize_millis,
 };
-pub use document::{
+pub use parse::{
     SettingsError, Validate, ValidationError, ValidationErrors, parse_settings, read_settings,
 };
--- a/crates/common/cloverfold_settings/tests/settings.rs
+++ b/crates/common/cloverfold_settings/tests/settings.rs
@@ -209,13 +209,13 @@
 
 #[test]
 fn only_the_right_key_is_accepted() {
-    let customer = WorkspaceSettings {
+    let workspace = WorkspaceSettings {
         name: "pharmacy".into(),
         key_sha256: hash_caller_key("right"),
         weight: 1.0,
     };
 
-    assert!(verify_caller_key(&customer, "right"));
-    assert!(!verify_caller_key(&customer, "wrong"));
-    assert!(!verify_caller_key(&customer, ""));
+    assert!(verify_caller_key(&workspace, "right"));
+    assert!(!verify_caller_key(&workspace, "wrong"));
+    assert!(!verify_caller_key(&workspace, ""));
 }
--- a/crates/common/cloverfold_telemetry/src/bounded_log.rs
+++ b/crates/common/cloverfold_telemetry/src/bounded_log.rs
@@ -14,22 +14,22 @@
 use log4rs::encode::writer::simple::SimpleWriter;
 
 /// Capacity of the queue, in lines; further lines are dropped.
-const QUEUE_LINES: usize = 2_048;
+const QUEUE_CAPACITY_LINES: usize = 2_048;
 /// How long the writer thread collects lines after the first one, so that a burst takes a single write.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 /// Window of the rate limit.
 const LIMIT_WINDOW: Duration = Duration::from_secs(1);
 /// Factor on the rate limit for warnings and errors.
-const PROBLEM_FACTOR: u32 = 2;
+const WARNING_LIMIT_FACTOR: u32 = 2;
 /// Initial buffer capacity for an encoded line, in bytes.
-const LINE_CAPACITY: usize = 256;
+const LINE_CAPACITY_BYTES: usize = 256;
 
 /// Number of lines dropped since the start of the process.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the number of log lines dropped since the start of the process, because of the rate limit or a full queue.
 pub fn dropped_line_count() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
 /// Queues encoded lines for the writer thread; drops lines over the rate limit.
@@ -64,7 +64,7 @@
 impl BoundedAppender {
     /// Starts the writer thread; `limit` is in lines per second.
     pub(crate) fn start(stream: LogStream, limit: u32) -> std::io::Result<Self> {
-        let (tx, rx) = mpsc::sync_channel(QUEUE_LINES);
+        let (tx, rx) = mpsc::sync_channel(QUEUE_CAPACITY_LINES);
         let builder = thread::Builder::new().name("log".into());
         builder.spawn(move || write_lines(&rx, stream))?;
         Ok(Self {
@@ -75,29 +75,31 @@
         })
     }
 
-    /// Counts a line and returns whether it is within the limit, which is [`PROBLEM_FACTOR`] times higher for warnings and errors.
+    /// Counts a line and returns whether it is within the limit. For warnings and errors the limit is [`WARNING_LIMIT_FACTOR`] times
+    /// higher.
     fn is_within_limit(&self, record: &Record<'_>) -> bool {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
         if window.started_at.elapsed() > LIMIT_WINDOW {
             *window = Window::start();
         }
         window.lines = window.lines.saturating_add(1);
-        let is_problem = record.level() <= log::Level::Warn;
+        let is_warning_or_error = record.level() <= log::Level::Warn;
         window.lines <= self.limit
-            || (is_problem && window.lines <= self.limit.saturating_mul(PROBLEM_FACTOR))
+            || (is_warning_or_error
+                && window.lines <= self.limit.saturating_mul(WARNING_LIMIT_FACTOR))
     }
 }
 
 impl Append for BoundedAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         if !self.is_within_limit(record) {
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
-        let mut line = SimpleWriter(Vec::with_capacity(LINE_CAPACITY));
+        let mut line = SimpleWriter(Vec::with_capacity(LINE_CAPACITY_BYTES));
         self.encoder.encode(&mut line, record)?;
         if self.tx.try_send(line.0).is_err() {
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
--- a/crates/common/cloverfold_telemetry/src/logging.rs
+++ b/crates/common/cloverfold_telemetry/src/logging.rs
@@ -11,9 +11,9 @@
 use crate::bounded_log::BoundedAppender;
 
 /// Name of the appender within `log4rs`; not part of the output.
-const APPENDER: &str = "lines";
+const APPENDER_NAME: &str = "lines";
 /// Libraries of which only errors are logged, regardless of the level in the settings.
-const QUIET_LIBRARIES: [&str; 6] = [
+const ERROR_ONLY_LIBRARIES: [&str; 6] = [
     "quinn",
     "quinn_proto",
     "rustls",
@@ -50,11 +50,11 @@
     let appender = build_appender(settings)?;
     let library = |name: &&str| Logger::builder().build(*name, LevelFilter::Error);
     let config = Config::builder()
-        .appender(Appender::builder().build(APPENDER, appender))
-        .loggers(QUIET_LIBRARIES.iter().map(library))
+        .appender(Appender::builder().build(APPENDER_NAME, appender))
+        .loggers(ERROR_ONLY_LIBRARIES.iter().map(library))
         .build(
             Root::builder()
-                .appender(APPENDER)
+                .appender(APPENDER_NAME)
                 .build(level_filter(settings.level)),
         )
         .map_err(|e| LoggingError::Start(e.to_string()))?;
--- a/crates/leased/cloverfold_leased_settings/src/control.rs
+++ b/crates/leased/cloverfold_leased_settings/src/control.rs
@@ -69,7 +69,7 @@
             "job_groups",
             "must be at most 16",
         );
-        self.check_halls(errors);
+        self.validate_halls(errors);
         if let Some(upkeep) = &self.upkeep {
             upkeep.validate(errors);
         }
@@ -90,7 +90,7 @@
         Duration::from_secs(self.status_s)
     }
 
-    fn check_halls(&self, errors: &mut ValidationErrors) {
+    fn validate_halls(&self, errors: &mut ValidationErrors) {
         let unrestricted = HallNames::default();
         let is_malformed = |hall: &DataHall| unrestricted.check(hall).is_err();
         errors.add_if(
--- a/crates/leased/cloverfold_leased_settings/src/guard.rs
+++ b/crates/leased/cloverfold_leased_settings/src/guard.rs
@@ -9,7 +9,7 @@
 use crate::lease::LeaseSettings;
 use crate::peer::PeerSettings;
 
-/// Settings of one `cloverfold-guard` with leases on its target's runs.
+/// Settings of one `cloverfold-guard --leased`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeasedGuardSettings {
--- a/crates/leased/cloverfold_leased_settings/src/upkeep.rs
+++ b/crates/leased/cloverfold_leased_settings/src/upkeep.rs
@@ -13,10 +13,10 @@
     /// Address at which the platform serves its list of boxes and accepts calls.
     pub address: SocketAddr,
     /// Rate limit of the platform for calls from all processes together, per second.
-    #[serde(default = "default_rate")]
+    #[serde(default = "default_rate_limit")]
     pub calls_per_second: f64,
     /// Rate limit of the platform for reads of a page of its list from all processes together, per second.
-    #[serde(default = "default_rate")]
+    #[serde(default = "default_rate_limit")]
     pub readings_per_second: f64,
     /// How long a box is down for its upkeep, in seconds.
     #[serde(default = "default_maintenance_s")]
@@ -36,7 +36,7 @@
 }
 
 /// Default of both rate limits, low enough for any platform.
-fn default_rate() -> f64 {
+fn default_rate_limit() -> f64 {
     10.0
 }
 
@@ -97,25 +97,25 @@
     }
 
     pub(crate) fn validate(&self, errors: &mut ValidationErrors) {
-        let is_rate = |rate: f64| (0.01..=1e6).contains(&rate);
-        let is_span = |seconds: f64| (0.0..=86_400.0).contains(&seconds);
+        let is_valid_rate = |rate: f64| (0.01..=1e6).contains(&rate);
+        let is_valid_duration = |seconds: f64| (0.0..=86_400.0).contains(&seconds);
         errors.add_if(
-            !is_rate(self.calls_per_second),
+            !is_valid_rate(self.calls_per_second),
             "upkeep.calls_per_second",
             "must be from 0.01 to 1000000",
         );
         errors.add_if(
-            !is_rate(self.readings_per_second),
+            !is_valid_rate(self.readings_per_second),
             "upkeep.readings_per_second",
             "must be from 0.01 to 1000000",
         );
         errors.add_if(
-            !is_span(self.maintenance_s),
+            !is_valid_duration(self.maintenance_s),
             "upkeep.maintenance_s",
             "must be from 0 to 86400",
         );
         errors.add_if(
-            !is_span(self.list_lag_s),
+            !is_valid_duration(self.list_lag_s),
             "upkeep.list_lag_s",
             "must be from 0 to 86400",
         );
