--- a/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/admission.rs
@@ -1,8 +1,8 @@
 //! Refusing and giving up jobs for reasons other than the end of a run.
 //!
 //! A job is refused only if none of its tasks has run or can still run, so that its caller may submit it again without wasting work.
-//! Otherwise it is given up. The name in parentheses is the cause in logs and answers; `NoRoom` is the written name of
-//! [`JobRefusal::NoCapacity`].
+//! Otherwise it is given up. The name in parentheses is the cause in logs and answers: `NoRoom` is the written name of
+//! [`JobRefusal::NoCapacity`] and `Leaving` that of [`JobRefusal::Draining`].
 //!
 //! At submission, a job is refused if
 //!
@@ -33,7 +33,6 @@
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::answers::{JobAnswer, JobRefusal};
 use crate::dispatcher::job::{Job, JobNumber};
-use crate::dispatcher::runner_session::RunnerSession;
 use crate::request::JobRequest;
 use crate::stall::JOB_STALL_LIMIT;
 use crate::startup::is_starting;
@@ -47,16 +46,10 @@
         if self.catch_up.is_active(now) || is_starting(now) {
             return None;
         }
-        let has_target = self.has_target(&request.service, now);
+        let has_target = self.has_target_for(&request.service, now);
         (!has_target).then_some(JobRefusal::NoTarget)
     }
 
-    /// Returns whether any target of a service accepts work.
-    fn has_target(&self, service: &str, now: Timestamp) -> bool {
-        let can_run = |runner: &RunnerSession| runner.accepts_work(now) && runner.serves(service);
-        self.sessions.values().any(can_run)
-    }
-
     /// Refuses a job at its submission.
     pub(super) fn refuse_at_once(
         &mut self,
@@ -108,7 +101,7 @@
     /// Returns the jobs whose give-up deadline has passed, or whose grace period is over while a task waits.
     fn list_expired(&self, now: Timestamp) -> Vec<JobNumber> {
         let is_over = |job: &Job| {
-            now >= job.deadlines.give_up || (job.is_past_grace(now) && job.has_waiting())
+            now >= job.deadlines.give_up || (job.is_past_grace(now) && job.has_waiting_tasks())
         };
         let open = self.jobs.iter();
         open.filter(|(_, job)| !job.is_kept() && is_over(job))
@@ -121,7 +114,7 @@
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
-        let cause = if self.has_target(&job.request.service, now) {
+        let cause = if self.has_target_for(&job.request.service, now) {
             JobRefusal::NoCapacity
         } else {
             JobRefusal::NoTarget
--- a/crates/leased/cloverfold_lease/src/dispatcher/closing.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/closing.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DetachedRun {
     /// The run is assigned to a runner, which will report its end.
-    At {
+    Assigned {
         /// The session with the runner.
         session: SessionId,
         /// The run.
@@ -27,7 +27,7 @@
     /// Returns the run that a task in this phase leaves behind when its job is closed, if any.
     fn from_phase(phase: TaskPhase) -> Option<Self> {
         match phase {
-            TaskPhase::Assigned { session, run, .. } => Some(Self::At { session, run }),
+            TaskPhase::Assigned { session, run, .. } => Some(Self::Assigned { session, run }),
             TaskPhase::Uncertain => Some(Self::Uncertain),
             TaskPhase::Blocked | TaskPhase::Waiting | TaskPhase::Unrecorded | TaskPhase::Done => {
                 None
--- a/crates/leased/cloverfold_lease/src/dispatcher/evacuation.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/evacuation.rs
@@ -1,8 +1,7 @@
 //! Exclusion of targets in evacuated data halls.
 //!
-//! No task is assigned to a target in an evacuated hall, whatever its runner announces. Runs that are in progress there continue. The
-//! runner would return such assignments anyway; checking here saves the round trip and also applies before the runner knows of the
-//! evacuation.
+//! No task is assigned to a target in an evacuated hall, even if its runner announces the target. Runs in progress there continue. The
+//! runner refuses such assignments too; this check saves the round trip and also applies before the runner knows of the evacuation.
 //!
 //! Waiting tasks need no special handling: the next pass places them on the remaining targets.
 
--- a/crates/leased/cloverfold_lease/src/dispatcher/job.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/job.rs
@@ -187,14 +187,14 @@
     }
 
     /// Returns whether any task waits to be assigned.
-    pub(crate) fn has_waiting(&self) -> bool {
+    pub(crate) fn has_waiting_tasks(&self) -> bool {
         self.tasks
             .iter()
             .any(|task| task.phase == TaskPhase::Waiting)
     }
 
     /// Returns the number of tasks that are not done.
-    pub(crate) fn count_open(&self) -> usize {
+    pub(crate) fn count_open_tasks(&self) -> usize {
         let tasks = self.tasks.iter();
         tasks.filter(|task| task.phase != TaskPhase::Done).count()
     }
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_admission.rs
@@ -50,7 +50,7 @@
 
     /// Returns whether each step has a target that accepts work and could run a task of the step when empty.
     fn has_capable_targets(&self, request: &JobRequest, now: Timestamp) -> bool {
-        self.has_target_of(&request.service, now)
+        self.has_target_for(&request.service, now)
             && request.steps.iter().all(|step| {
                 let mut runners = self.sessions.values();
                 runners.any(|runner| can_run_step(runner, request, step, now))
--- a/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/kept_jobs.rs
@@ -1,4 +1,4 @@
-//! Kept (durable) jobs: how the dispatcher starts and stops driving one, and how they wait.
+//! Kept (durable) jobs: how the dispatcher starts and stops driving one, and how they are queued.
 //!
 //! A kept job is placed like a repeatable one (`placement`, `precedence`, `late_runs`) but has no queue deadline and is never given up or
 //! cancelled here. It ends only through its runs or through [`Dispatcher::stop_driving`], which its driver calls. Its run numbers start at
@@ -8,9 +8,9 @@
 //! # Lost sessions
 //!
 //! When a session is lost with runs of a kept job, the job is released to its group once these runs have ended
-//! ([`DispatcherAction::ReleaseJob`]), to be driven in another epoch. The runner may have recorded an end `Done` of which this dispatcher was
-//! not told, and a task that is done must not start again. An epoch starts with everything that is recorded, and no end of an earlier epoch
-//! is recorded after that.
+//! ([`DispatcherAction::ReleaseJob`]), to be driven in another epoch. The runner may have recorded an end `Done` that was not reported to
+//! this dispatcher, and a task that is done must not start again. An epoch starts with everything that is recorded, and no end of an
+//! earlier epoch is recorded after that.
 //!
 //! # Skipped jobs
 //!
@@ -46,15 +46,15 @@
 
 /// Request of a kept job for which no target was found.
 #[derive(Debug)]
-struct BlockedShape {
+struct UnplacedRequest {
     service: String,
     priority: u32,
     step: StepRequest,
 }
 
-impl BlockedShape {
-    /// Returns whether this request would find no target either: it needs at least as much and is not more urgent.
-    fn also_blocks(&self, request: &JobRequest, step: &StepRequest) -> bool {
+impl UnplacedRequest {
+    /// Returns whether another request would find no target either, because it needs at least as much and is not more urgent.
+    fn implies_unplaceable(&self, request: &JobRequest, step: &StepRequest) -> bool {
         self.service == request.service
             && self.priority <= request.priority
             && self.step.required_label == step.required_label
@@ -65,21 +65,23 @@
 /// The kept jobs that found no target in one pass over the queue.
 #[derive(Debug, Default)]
 pub(super) struct BlockedKeptJobs {
+    /// Number of jobs that found no target.
     tried: usize,
-    shapes: Vec<BlockedShape>,
+    unplaced: Vec<UnplacedRequest>,
 }
 
 impl BlockedKeptJobs {
     fn blocks(&self, request: &JobRequest, step: &StepRequest) -> bool {
-        let mut shapes = self.shapes.iter();
-        self.tried >= MAX_TRIED_JOBS || shapes.any(|shape| shape.also_blocks(request, step))
+        let mut unplaced = self.unplaced.iter();
+        self.tried >= MAX_TRIED_JOBS
+            || unplaced.any(|other| other.implies_unplaceable(request, step))
     }
 
     fn record(&mut self, request: &JobRequest, step: &StepRequest) {
         self.tried += 1;
         // With a limit per target, the job may be blocked only by its own tasks, which does not affect others.
         if step.max_per_target.is_none() {
-            self.shapes.push(BlockedShape {
+            self.unplaced.push(UnplacedRequest {
                 service: request.service.clone(),
                 priority: request.priority,
                 step: step.clone(),
@@ -104,7 +106,7 @@
         self.open_jobs_by_name
             .insert(kept.request.id.clone(), number);
         let job = resume(kept, now);
-        if job.has_waiting() {
+        if job.has_waiting_tasks() {
             self.waiting.insert(job.queue_position(number));
         }
         self.jobs.insert(number, job);
@@ -205,7 +207,7 @@
         let Some(step) = next_step(job) else {
             return false;
         };
-        blocked.blocks(&job.request, step) || !self.has_target_of(&job.request.service, now)
+        blocked.blocks(&job.request, step) || !self.has_target_for(&job.request.service, now)
     }
 
     /// Records that a job found no target if it is kept; returns whether it is.
@@ -220,7 +222,7 @@
     }
 
     /// Returns whether any target of a service accepts work.
-    pub(super) fn has_target_of(&self, service: &str, now: Timestamp) -> bool {
+    pub(super) fn has_target_for(&self, service: &str, now: Timestamp) -> bool {
         let mut runners = self.sessions.values();
         runners.any(|runner| runner.accepts_work(now) && runner.serves(service))
     }
--- a/crates/leased/cloverfold_lease/src/dispatcher/late_runs.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/late_runs.rs
@@ -7,8 +7,8 @@
 //! - A run is a straggler if its target is slow and the run would end earlier if it restarted on another. It is withdrawn if a target that
 //!   is not slow can run its task now.
 //!
-//! The runner beside the target judges runs whose progress is visible. A run that advances is late because its estimate was wrong, and
-//! would end even later if it restarted, so it is not overdue.
+//! Runs whose progress is visible are monitored by the runner of the target. A run that makes progress but exceeds its estimate would end
+//! even later if it restarted, so it is not overdue.
 //!
 //! The slowness of targets comes from the reports of their runners.
 
@@ -62,11 +62,11 @@
     }
 
     /// Records a completed run; runs without an estimate are ignored.
-    pub(crate) fn record(&mut self, ran: Duration, estimate: Duration) {
+    pub(crate) fn record(&mut self, run_duration: Duration, estimate: Duration) {
         if estimate.is_zero() {
             return;
         }
-        let ratio = ran.as_secs_f64() / estimate.as_secs_f64();
+        let ratio = run_duration.as_secs_f64() / estimate.as_secs_f64();
         let ratio = ratio.clamp(MIN_RUN_RATIO, MAX_RUN_RATIO);
         self.0 += RATIO_WEIGHT * (ratio - self.0);
     }
@@ -159,7 +159,7 @@
         if !runner.is_speed_known() && is_overdue(expected_here, age) {
             return Some(LateRun::Overdue(session));
         }
-        let slowness = runner.slowness_against(self.duration_ratio.value());
+        let slowness = runner.relative_slowness(self.duration_ratio.value());
         is_straggler(expected, age, slowness).then_some(LateRun::Straggler)
     }
 
--- a/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/mod.rs
@@ -14,9 +14,9 @@
 //! - `placement`, `headroom`: which target a task is assigned to; `evacuation`: which data halls are excluded;
 //! - `run_ends`: what follows from the end of a run; `late_runs`: which runs take too long;
 //! - `sessions`, `runner_session`: what is known of runners, and when the runs of a lost session have ended;
-//! - `stall_recovery`: which conclusions are suspended after a stall of this process;
+//! - `stall_recovery`: which timeouts are suspended after a stall of this process;
 //! - `kept_jobs`: what is specific to kept jobs;
-//! - `closing`: runs that outlive their job; `reports`: decisions to be logged.
+//! - `closing`: how jobs are closed, and runs that continue after that; `reports`: decisions to be logged.
 //!
 //! The process calls [`Dispatcher::tick`] regularly, carries out the actions in order, and passes on every message and every closed link.
 
--- a/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/placement.rs
@@ -5,8 +5,9 @@
 //! 1. The candidates are the targets that accept work, serve the service, have the required label, have enough free capacity for the task
 //!    and its `headroom`, and have fewer tasks of its step than the limit per target ([`Dispatcher::list_candidates`]).
 //! 2. The candidates are narrowed to those with the preferred label, then to those that are not slow, then to those on which the task was
-//!    not unsuccessful before. Each filter is skipped if it would leave none ([`narrow`]).
-//! 3. Out of [`SAMPLE_SIZE`] random candidates, the one with the largest share of free processors is chosen ([`sample_emptiest`]).
+//!    not unsuccessful before. Each filter is skipped if it would leave none ([`retain_if_any`]).
+//! 3. Out of [`SAMPLE_SIZE`] randomly sampled candidates, the one with the largest share of free processors is chosen
+//!    ([`sample_least_loaded`]).
 //!
 //! The free capacity that runners report may be up to 20 ms old. The runner has the final decision and refuses an assignment for which it
 //! has no capacity.
@@ -47,22 +48,22 @@
 }
 
 /// Keeps the matching candidates, or all if none matches.
-fn narrow(candidates: &mut Vec<Candidate>, is_match: impl Fn(&Candidate) -> bool) {
+fn retain_if_any(candidates: &mut Vec<Candidate>, is_match: impl Fn(&Candidate) -> bool) {
     if candidates.iter().any(&is_match) {
         candidates.retain(is_match);
     }
 }
 
 /// Samples [`SAMPLE_SIZE`] times and returns the candidate with the largest free share.
-fn sample_emptiest(candidates: &[Candidate], rng: &mut SmallRng) -> Option<SessionId> {
-    let mut emptiest: Option<Candidate> = None;
+fn sample_least_loaded(candidates: &[Candidate], rng: &mut SmallRng) -> Option<SessionId> {
+    let mut least_loaded: Option<Candidate> = None;
     for _ in 0..SAMPLE_SIZE.min(candidates.len()) {
         let sampled = candidates[rng.random_range(0..candidates.len())];
-        if emptiest.is_none_or(|best| sampled.free_share > best.free_share) {
-            emptiest = Some(sampled);
+        if least_loaded.is_none_or(|best| sampled.free_share > best.free_share) {
+            least_loaded = Some(sampled);
         }
     }
-    emptiest.map(|candidate| candidate.session)
+    least_loaded.map(|candidate| candidate.session)
 }
 
 /// Returns the resources that must be free on a target to assign a task of this step there.
@@ -92,7 +93,7 @@
                 }
             }
             let job = self.jobs.get(&position.job);
-            if job.is_none_or(|job| !job.has_waiting()) {
+            if job.is_none_or(|job| !job.has_waiting_tasks()) {
                 self.waiting.remove(&position);
             }
         }
@@ -143,10 +144,10 @@
         let job = self.jobs.get(&position.job)?;
         let task = &job.tasks[position.index];
         let mut candidates: Vec<Candidate> = self.list_candidates(job, task, now).collect();
-        narrow(&mut candidates, |candidate| candidate.is_preferred);
-        narrow(&mut candidates, |candidate| !candidate.is_slow);
-        narrow(&mut candidates, |candidate| !candidate.is_avoided);
-        sample_emptiest(&candidates, &mut self.rng)
+        retain_if_any(&mut candidates, |candidate| candidate.is_preferred);
+        retain_if_any(&mut candidates, |candidate| !candidate.is_slow);
+        retain_if_any(&mut candidates, |candidate| !candidate.is_avoided);
+        sample_least_loaded(&candidates, &mut self.rng)
     }
 
     /// Returns whether a target that is not slow can run a task now.
@@ -223,7 +224,7 @@
 
     /// Starts the next run of a task on a target.
     fn assign(&mut self, position: TaskPosition, session: SessionId, now: Timestamp) {
-        let session_span = self.timings.session_timeout;
+        let session_timeout = self.timings.session_timeout;
         let Some(job) = self.jobs.get_mut(&position.job) else {
             return;
         };
@@ -248,7 +249,7 @@
             priority: job.request.priority,
             wait_ms: RUNNER_WAIT_MS,
             estimate_ms: estimate.as_millis() as u32,
-            valid_until: echoed + session_span,
+            valid_until: echoed + session_timeout,
         };
         let kept = job.epoch.map(|epoch| (epoch, position.index as u32));
         self.send_assignment(session, assignment, kept);
--- a/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/reports.rs
@@ -50,7 +50,7 @@
         self.report(DispatcherEvent::GivenUp {
             job: job.request.id.clone(),
             age: now.saturating_duration_since(job.submitted_at),
-            open_tasks: job.count_open(),
+            open_tasks: job.count_open_tasks(),
         });
     }
 
@@ -96,7 +96,7 @@
         self.report(DispatcherEvent::StragglerWithdrawn {
             task: task.id.clone(),
             run,
-            runner: runner.runner.clone(),
+            runner: runner.runner_name.clone(),
             age: now.saturating_duration_since(since),
             slowness_permille: runner.slowness_permille(),
             report_age: runner.report_age(now),
@@ -127,7 +127,7 @@
     fn runner_name(&self, session: SessionId) -> String {
         let runner = self.sessions.get(&session);
         runner
-            .map(|session| session.runner.clone())
+            .map(|session| session.runner_name.clone())
             .unwrap_or_default()
     }
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/resubmissions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/resubmissions.rs
@@ -1,9 +1,9 @@
 //! Detection of jobs that callers submit again after a lost answer and that have already missed their objective.
 //!
 //! After a power loss, every job whose answer was lost is resubmitted after [`Timings::resend_interval`](crate::Timings::resend_interval),
-//! in addition to the new jobs. The load doubles for that time, and resubmitted jobs may already have missed their objective. In order of
-//! arrival they would make jobs late that could still be on time. So a late resubmission is served after other jobs (`precedence`) and
-//! leaves headroom (`headroom`).
+//! in addition to the new jobs. The load doubles for that time, and resubmitted jobs may already have missed their objective. If they were
+//! served in order of arrival, new jobs would miss theirs too. So a late resubmission is served after other jobs (`precedence`) and leaves
+//! headroom (`headroom`).
 //!
 //! A caller that resubmits a job specifies a shorter timeout than other callers of its queue, by the time since its first attempt. A job
 //! counts as a resubmission if its timeout is shorter than usual by at least half a resend interval and by [`NOISE_FACTOR`] standard
@@ -50,7 +50,7 @@
     }
 
     /// Returns the timeout below which a job counts as a resubmission, or `None` without enough samples.
-    fn min_first_timeout(&self, resend_interval: Duration) -> Option<Duration> {
+    fn resubmission_threshold(&self, resend_interval: Duration) -> Option<Duration> {
         if self.recent.len() < MIN_SAMPLES {
             return None;
         }
@@ -95,7 +95,7 @@
     fn is_resubmission(&self, queue: &str, timeout: Duration) -> bool {
         let timeouts = self.timeouts.get(queue);
         let threshold =
-            timeouts.and_then(|timeouts| timeouts.min_first_timeout(self.resend_interval));
+            timeouts.and_then(|timeouts| timeouts.resubmission_threshold(self.resend_interval));
         threshold.is_some_and(|threshold| timeout < threshold)
     }
 }
--- a/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/run_ends.rs
@@ -26,17 +26,17 @@
 const STALE_RUN_STEP: u64 = 50;
 
 impl Dispatcher {
-    /// Handles the end of a run that lasted for `ran`, as reported by its runner.
+    /// Handles the end of a run, as reported by its runner.
     pub(super) fn handle_run_end(
         &mut self,
         session: SessionId,
         id: &TaskId,
         run: u64,
         outcome: RunOutcome,
-        ran: Duration,
+        run_duration: Duration,
         now: Timestamp,
     ) {
-        if self.detached_runs.get(id) == Some(&DetachedRun::At { session, run }) {
+        if self.detached_runs.get(id) == Some(&DetachedRun::Assigned { session, run }) {
             self.detached_runs.remove(id);
             return;
         }
@@ -51,7 +51,7 @@
         }
         self.observe_kept_end(position, run, outcome);
         match outcome {
-            RunOutcome::Done => self.handle_done(position, session, ran),
+            RunOutcome::Done => self.handle_done(position, session, run_duration),
             RunOutcome::Failed => self.handle_failed(position, session, now),
             RunOutcome::Stopped => self.queue_task(position),
             RunOutcome::Stuck => self.handle_stuck(position, session),
@@ -81,7 +81,7 @@
     }
 
     /// Marks a task as done, unblocks dependent steps, and completes the job after its last task.
-    fn handle_done(&mut self, position: TaskPosition, session: SessionId, ran: Duration) {
+    fn handle_done(&mut self, position: TaskPosition, session: SessionId, run_duration: Duration) {
         let Some(job) = self.jobs.get_mut(&position.job) else {
             return;
         };
@@ -89,10 +89,10 @@
         job.tasks[position.index].phase = TaskPhase::Done;
         job.unblock_steps();
         let is_done = job.is_done();
-        if job.has_waiting() {
+        if job.has_waiting_tasks() {
             self.waiting.insert(job.queue_position(position.job));
         }
-        self.duration_ratio.record(ran, estimate);
+        self.duration_ratio.record(run_duration, estimate);
         if let Some(runner) = self.sessions.get_mut(&session) {
             runner.health.record_success();
         }
--- a/crates/leased/cloverfold_lease/src/dispatcher/runner_session.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/runner_session.rs
@@ -13,14 +13,14 @@
 use crate::messages::{FreeCapacity, TargetDescription, UsualSpeed};
 use crate::resources::Resources;
 
-/// A target whose slowness exceeds that of all targets by this factor is used only if no other has free capacity.
+/// A target whose relative slowness exceeds this factor is used only if no other has free capacity.
 const SLOW_TARGET_FACTOR: f64 = 1.7;
 
 /// An open session with a runner.
 #[derive(Clone, Debug)]
 pub(crate) struct RunnerSession {
     /// Name of the runner's process, which is stable across restarts.
-    pub(crate) runner: String,
+    pub(crate) runner_name: String,
     /// The target, if the runner announced one that accepts work.
     pub(crate) description: Option<TargetDescription>,
     /// The latest report.
@@ -47,9 +47,9 @@
 
 impl RunnerSession {
     /// Returns a new session; its target receives no work before its first heartbeat and announcement.
-    pub(crate) fn new(runner: &str, health: TargetHealth, now: Timestamp) -> Self {
+    pub(crate) fn new(runner_name: &str, health: TargetHealth, now: Timestamp) -> Self {
         Self {
-            runner: runner.into(),
+            runner_name: runner_name.into(),
             description: None,
             free_capacity: FreeCapacity::default(),
             unreported: VecDeque::new(),
@@ -79,11 +79,11 @@
     pub(super) fn allow_for_stall(
         &mut self,
         stall: Duration,
-        session_span: Duration,
+        session_timeout: Duration,
         now: Timestamp,
     ) {
         self.last_message_at += stall;
-        self.may_be_expired |= now > self.last_echo_at + session_span;
+        self.may_be_expired |= now > self.last_echo_at + session_timeout;
     }
 
     /// Returns whether the target serves this service.
@@ -134,11 +134,11 @@
         self.free_capacity.slowness_permille != 0
     }
 
-    /// Returns the current slowness relative to `usual`, the ratio over all targets; 1 if unknown.
-    pub(crate) fn slowness_against(&self, usual: f64) -> f64 {
+    /// Returns the current slowness relative to the duration ratio over all targets; 1 if unknown.
+    pub(crate) fn relative_slowness(&self, overall_ratio: f64) -> f64 {
         match self.free_capacity.slowness_permille {
             0 => 1.0,
-            permille => f64::from(permille) / (1_000.0 * usual),
+            permille => f64::from(permille) / (1_000.0 * overall_ratio),
         }
     }
 
@@ -148,8 +148,8 @@
     }
 
     /// Returns whether the target should be used only if no other has free capacity.
-    pub(crate) fn is_slow(&self, usual: f64) -> bool {
-        self.slowness_against(usual) > SLOW_TARGET_FACTOR
+    pub(crate) fn is_slow(&self, overall_ratio: f64) -> bool {
+        self.relative_slowness(overall_ratio) > SLOW_TARGET_FACTOR
     }
 
     /// Returns the age of the latest message from the runner.
--- a/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/sessions.rs
@@ -25,7 +25,7 @@
 /// A closed session with runs that may not have ended.
 #[derive(Clone, Debug)]
 pub(crate) struct LostSession {
-    runner: String,
+    runner_name: String,
     /// Time at which all its runs have certainly ended.
     runs_ended_by: Timestamp,
     tasks: Vec<LostTask>,
@@ -43,13 +43,16 @@
     /// Opens a session with a runner.
     ///
     /// If the runner has an earlier session, the new one takes over the health of its target.
-    pub fn open_session(&mut self, session: SessionId, runner: &str, now: Timestamp) {
-        let earlier = self.sessions.values().find(|other| other.runner == runner);
+    pub fn open_session(&mut self, session: SessionId, runner_name: &str, now: Timestamp) {
+        let earlier = self
+            .sessions
+            .values()
+            .find(|other| other.runner_name == runner_name);
         let health = match earlier {
             Some(earlier) => earlier.health.clone(),
             None => TargetHealth::new(self.health_limits),
         };
-        let opened = RunnerSession::new(runner, health, now);
+        let opened = RunnerSession::new(runner_name, health, now);
         self.sessions.insert(session, opened);
     }
 
@@ -65,13 +68,13 @@
             return;
         }
         self.report(DispatcherEvent::SessionLost {
-            runner: closed.runner.clone(),
+            runner: closed.runner_name.clone(),
             runs: tasks.len(),
             jobs: list_job_names(&tasks),
             last_echo: now.saturating_duration_since(closed.last_echo_at),
         });
         self.lost_sessions.push(LostSession {
-            runner: closed.runner,
+            runner_name: closed.runner_name,
             runs_ended_by: closed.last_echo_at.min(now) + self.timings.run_end_bound(),
             tasks,
         });
@@ -99,7 +102,7 @@
     fn mark_detached_runs_uncertain(&mut self, session: SessionId) -> Vec<LostTask> {
         let mut lost = Vec::new();
         for (id, run) in &mut self.detached_runs {
-            if matches!(run, DetachedRun::At { session: s, .. } if *s == session) {
+            if matches!(run, DetachedRun::Assigned { session: s, .. } if *s == session) {
                 *run = DetachedRun::Uncertain;
                 lost.push(LostTask {
                     job: None,
@@ -139,8 +142,8 @@
                 free_capacity,
             } => {
                 runner.record_free_capacity(free_capacity);
-                let ran = Duration::from_millis(u64::from(ran_ms));
-                self.handle_run_end(session, &task, run, outcome, ran, now);
+                let run_duration = Duration::from_millis(u64::from(ran_ms));
+                self.handle_run_end(session, &task, run, outcome, run_duration, now);
             }
             RunnerMessage::UsualSpeed(speed) => runner.usual_speed = speed,
         }
@@ -159,8 +162,8 @@
             runner.health = TargetHealth::new(self.health_limits);
         }
         if is_announced {
-            let name = runner.runner.clone();
-            self.release_lost_sessions(|lost| lost.runner == name);
+            let name = runner.runner_name.clone();
+            self.release_lost_sessions(|lost| lost.runner_name == name);
         }
     }
 
@@ -169,7 +172,7 @@
         if let Some(target) = self.sessions.get_mut(&session)
             && target.health.record_failure(now)
         {
-            let runner = target.runner.clone();
+            let runner = target.runner_name.clone();
             self.counts.pauses += 1;
             self.report(DispatcherEvent::TargetPaused { runner });
         }
--- a/crates/leased/cloverfold_lease/src/dispatcher/shares.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/shares.rs
@@ -13,8 +13,7 @@
 
 /// Time after a submission during which a queue is active, even if none of its jobs was served.
 const ACTIVE_PERIOD: Duration = Duration::from_secs(2);
-/// Time constant of the exponential decay of allocations: long compared with the jobs of a burst, and short compared with the seconds after
-/// which the mix of requests changes.
+/// Time constant of the exponential decay of allocations: longer than a burst of jobs, shorter than changes of the request mix.
 const USAGE_DECAY: Duration = Duration::from_secs(1);
 
 /// Usage of an active queue.
--- a/crates/leased/cloverfold_lease/src/dispatcher/stall_recovery.rs
+++ b/crates/leased/cloverfold_lease/src/dispatcher/stall_recovery.rs
@@ -21,9 +21,9 @@
 impl Dispatcher {
     /// Compensates for a stall of this process; must be called before anything else after the stall.
     pub fn allow_for_stall(&mut self, stall: Duration, now: Timestamp) {
-        let session_span = self.timings.session_timeout;
+        let session_timeout = self.timings.session_timeout;
         for runner in self.sessions.values_mut() {
-            runner.allow_for_stall(stall, session_span, now);
+            runner.allow_for_stall(stall, session_timeout, now);
         }
         self.catch_up.begin(self.timings.heartbeat_interval, now);
     }
--- a/crates/leased/cloverfold_lease/src/health.rs
+++ b/crates/leased/cloverfold_lease/src/health.rs
@@ -5,7 +5,7 @@
 //! [`TargetHealth`] each: a dispatcher, for the results of its own runs, and the runner beside the target, for runs that make no progress,
 //! on behalf of all dispatchers.
 //!
-//! Callers record only results that are evidence about the target itself.
+//! Callers record only results that the target itself can have caused.
 
 use std::time::Duration;
 
--- a/crates/leased/cloverfold_lease/src/lib.rs
+++ b/crates/leased/cloverfold_lease/src/lib.rs
@@ -8,7 +8,7 @@
 //! - A [`Runner`], in a guard, executes runs on the target beside it. It tracks the target's capacity, starts and stops runs, renews the
 //!   target's lease, and stops the runs of expired sessions.
 //!
-//! # Life of a job
+//! # Job lifecycle
 //!
 //! 1. [`Dispatcher::submit`] refuses the job at once (`dispatcher/admission`) or queues it.
 //! 2. `dispatcher/placement` sends an [`Assignment`] to a runner. A job without an assignment at its queue deadline
@@ -20,7 +20,7 @@
 //!
 //! # Why two runs of a task never overlap
 //!
-//! Neither side stores anything or votes. The guarantee rests on time alone:
+//! Dispatchers and runners persist nothing and use no consensus. The guarantee depends on timeouts alone:
 //!
 //! - A dispatcher's *session* with a runner is valid for [`Timings::session_timeout`] after the runner's own clock reading that the
 //!   dispatcher echoed last. A runner stops the runs of an expired session.
@@ -30,7 +30,7 @@
 //!
 //! The module `timings` documents the underlying inequality.
 //!
-//! # How to drive it
+//! # Usage
 //!
 //! Each process owns one dispatcher or one runner. It passes in each message, each closed link and the time, calls `tick` every few tens of
 //! milliseconds, and carries out the actions that `take_actions` returns, in order. No call returns an error: failures are variants of
--- a/crates/leased/cloverfold_lease/src/messages.rs
+++ b/crates/leased/cloverfold_lease/src/messages.rs
@@ -208,7 +208,7 @@
 /// [`Self::without_evacuated`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunnerMessage {
-    /// Periodic sign of life, answered by an echo.
+    /// Periodic message that shows that the runner is alive. Answered by an echo.
     Heartbeat {
         /// Clock reading of the runner, to be echoed.
         clock: Timestamp,
--- a/crates/leased/cloverfold_lease/src/stall.rs
+++ b/crates/leased/cloverfold_lease/src/stall.rs
@@ -4,7 +4,8 @@
 //! reactions differ in cost:
 //!
 //! - [`STALL_THRESHOLD`](cloverfold_base::STALL_THRESHOLD), 100 ms: messages of peers may still be unread. Their silence during the stall
-//!   does not count, and nothing is concluded from it during a [`CatchUp`]. If this was unnecessary, a real failure is detected later.
+//!   does not count, and missing messages are not treated as failures during a [`CatchUp`]. If this was unnecessary, a real failure is
+//!   detected later.
 //! - [`JOB_STALL_LIMIT`], 700 ms: callers of open jobs, and of requests that arrived during the stall, may have resubmitted them elsewhere.
 //!   The dispatcher gives up all jobs (`Dispatcher::give_up_after_stall`), and the entry refuses requests ([`is_request_outdated`]). If
 //!   this was unnecessary, the work already done for them is lost, or they need another attempt.
@@ -16,10 +17,10 @@
 
 use cloverfold_base::Timestamp;
 
-/// Longest gap between two calls of a dispatcher that its open jobs survive.
+/// Maximum gap between two calls of a dispatcher; after a longer one it gives up its open jobs.
 ///
-/// After a longer gap, a caller may have disconnected unnoticed and resubmitted its job elsewhere. A task that is started for it now could
-/// run twice at the same time.
+/// A caller may then have disconnected unnoticed and resubmitted its job elsewhere. A task that is started for it now could run twice at
+/// the same time.
 pub const JOB_STALL_LIMIT: Duration = Duration::from_millis(700);
 
 /// Returns whether a request that is read now may be so old that its caller has resubmitted it elsewhere: the process has not ticked for
@@ -28,7 +29,7 @@
     now > last_tick_at + JOB_STALL_LIMIT
 }
 
-/// The period after a stall in which a process reads the messages that arrived meanwhile and draws no conclusions from missing ones.
+/// The period after a stall in which a process reads the messages that arrived meanwhile and does not treat missing ones as failures.
 ///
 /// It lasts for one heartbeat interval, in which every live peer is heard from. The next period begins at least one heartbeat interval
 /// after this one ends, so that a process that stalls repeatedly still detects failures.
--- a/crates/leased/cloverfold_lease/src/startup.rs
+++ b/crates/leased/cloverfold_lease/src/startup.rs
@@ -1,22 +1,22 @@
 //! How long a newly started entry holds requests while it connects to the rest of the installation.
 //!
-//! After a power loss all processes of an installation start at the same time. Callers reach an entry from its first millisecond, but it
-//! receives its configuration about 20 ms and its first guards about 40 ms later. Holding early requests avoids refusing them.
+//! After a power loss all processes of an installation start at the same time. Callers reach an entry before it has received its
+//! configuration and connected to its guards. Holding their requests for that time avoids refusing them.
 //!
 //! A request that arrives within [`STARTUP_PERIOD`] waits up to [`CONFIGURATION_TIMEOUT`] for the first configuration. Its job then
-//! waits for the first target as long as any job may wait to be placed (`deadlines`). Later requests are refused at once, since a missing
-//! configuration or target is then not a matter of startup.
+//! waits for the first target until its queue deadline (`deadlines`). Later requests are refused at once, since a missing configuration or
+//! target then indicates a failure.
 //!
-//! The clock starts with the process.
+//! [`Timestamp::ZERO`] is the start of the process.
 
 use std::time::Duration;
 
 use cloverfold_base::Timestamp;
 
-/// How long an entry counts as newly started. Longer than guards take to connect when all processes start at once, and much shorter than
-/// an outage of control processes or targets.
+/// How long an entry counts as newly started. Longer than guards take to connect when all processes start at once, and shorter than an
+/// outage of control processes or targets.
 pub const STARTUP_PERIOD: Duration = Duration::from_millis(500);
-/// How long a request waits for the first configuration. The first configuration typically arrives after about 20 ms.
+/// How long a request waits for the first configuration, which normally arrives earlier.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Returns whether the process is within its startup period.
--- a/crates/leased/cloverfold_lease/src/timings.rs
+++ b/crates/leased/cloverfold_lease/src/timings.rs
@@ -23,7 +23,7 @@
 
 /// Default of [`Timings::session_timeout`].
 pub const DEFAULT_SESSION_TIMEOUT: Duration = Duration::from_millis(500);
-/// Default of [`Timings::lease_duration`]. A shorter lease leaves less time for a delayed guard.
+/// Default of [`Timings::lease_duration`]. A shorter lease leaves a delayed guard less time to renew it.
 pub const DEFAULT_LEASE_DURATION: Duration = Duration::from_millis(650);
 /// Default of [`Timings::stop_timeout`].
 pub const DEFAULT_STOP_TIMEOUT: Duration = Duration::from_millis(50);
