--- a/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/admission.rs
@@ -6,12 +6,12 @@
     DispatcherAction, DispatcherMessage, JobAnswer, JobRefusal, JobRequest, Resources, StepRequest,
 };
 
-use crate::fixture::{CAPACITY, FULL, Fixture, job, long_step, ms, one_task_job, step};
+use crate::fixture::{CAPACITY, Fixture, NO_FREE_CPU, job, long_step, ms, one_task_job, step};
 
 #[test]
 fn a_job_without_an_assignment_within_a_quarter_of_its_latency_objective_is_refused() {
     let mut fixture = Fixture::new(1);
-    fixture.heartbeat(1, FULL, 0);
+    fixture.heartbeat(1, NO_FREE_CPU, 0);
     let number = fixture.submit(one_task_job("a"));
 
     // The latency objective is 1.6 x 100 + 60 = 220 ms; a quarter of it is 55 ms.
@@ -54,7 +54,7 @@
 #[test]
 fn a_job_of_a_recently_empty_queue_waits_for_a_quarter_of_its_latency_objective() {
     let mut fixture = Fixture::new(1);
-    fixture.heartbeat(1, FULL, 0);
+    fixture.heartbeat(1, NO_FREE_CPU, 0);
     fixture.submit(job_of_200_ms("a"));
 
     fixture.advance(80, &[1]);
@@ -70,7 +70,7 @@
 #[test]
 fn a_job_of_a_queue_that_is_never_empty_is_refused_after_a_tenth_of_its_latency_objective() {
     let mut fixture = Fixture::new(1);
-    fixture.heartbeat(1, FULL, 0);
+    fixture.heartbeat(1, NO_FREE_CPU, 0);
     for round in 0..6 {
         fixture.submit(job_of_200_ms(&format!("before-{round}")));
         fixture.advance(40, &[1]);
@@ -103,7 +103,7 @@
 #[test]
 fn a_refused_job_never_runs() {
     let mut fixture = Fixture::new(1);
-    fixture.heartbeat(1, FULL, 0);
+    fixture.heartbeat(1, NO_FREE_CPU, 0);
     fixture.submit(one_task_job("a"));
     fixture.advance(80, &[1]);
     assert_eq!(fixture.take_answers().len(), 1);
@@ -144,7 +144,7 @@
 #[test]
 fn after_a_long_stall_jobs_are_given_up_before_anything_is_assigned() {
     let mut fixture = Fixture::new(1);
-    fixture.heartbeat(1, FULL, 0);
+    fixture.heartbeat(1, NO_FREE_CPU, 0);
     let number = fixture.submit(one_task_job("a"));
     fixture.dispatcher.take_actions();
     fixture.now += ms(900);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/evacuation.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated data halls: nothing is assigned there, and waiting tasks go elsewhere.
+//! Evacuated data halls: no task is assigned there, and waiting tasks are assigned in the other halls.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::fixture::{CAPACITY, Fixture, job, one_task_job, step};
 
 /// Returns a fixture with sessions 1 and 2 in hall a, and 3 and 4 in hall b.
-fn two_halls() -> Fixture {
+fn fixture_with_two_halls() -> Fixture {
     let mut fixture = Fixture::new(4);
     for (session, hall) in [(1, "a"), (2, "a"), (3, "b"), (4, "b")] {
         fixture.dispatcher.set_data_hall(session, &hall.to_owned());
@@ -22,27 +22,27 @@
     fixture.dispatcher.set_evacuated_halls(&halls);
 }
 
-fn sessions(fixture: &mut Fixture) -> BTreeSet<SessionId> {
+fn assigned_sessions(fixture: &mut Fixture) -> BTreeSet<SessionId> {
     let assigned = fixture.take_assignments().into_iter();
     assigned.map(|(session, _)| session).collect()
 }
 
 #[test]
 fn nothing_is_assigned_in_an_evacuated_hall_even_if_its_runners_announce_targets() {
-    let mut fixture = two_halls();
+    let mut fixture = fixture_with_two_halls();
 
     evacuate(&mut fixture, &["a"]);
     fixture.announce_target(1, &["a"]);
     fixture.heartbeat(1, CAPACITY, 0);
     fixture.submit(job("wide", vec![step(12, vec![])]));
 
-    assert_eq!(sessions(&mut fixture), [3, 4].into());
+    assert_eq!(assigned_sessions(&mut fixture), [3, 4].into());
     assert_eq!(fixture.dispatcher.count_ready_targets(fixture.now), 2);
 }
 
 #[test]
 fn a_run_refused_because_of_an_evacuation_is_assigned_elsewhere_at_once() {
-    let mut fixture = two_halls();
+    let mut fixture = fixture_with_two_halls();
     evacuate(&mut fixture, &["b"]);
     fixture.submit(one_task_job("job"));
     let first = fixture.take_assignments().remove(0);
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn jobs_are_refused_at_once_where_all_halls_are_evacuated() {
-    let mut fixture = two_halls();
+fn jobs_are_refused_at_once_if_all_halls_are_evacuated() {
+    let mut fixture = fixture_with_two_halls();
     evacuate(&mut fixture, &["a", "b"]);
 
     let number = fixture.submit(one_task_job("job"));
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_runner_that_connects_during_an_evacuation_is_excluded() {
-    let mut fixture = two_halls();
+    let mut fixture = fixture_with_two_halls();
     evacuate(&mut fixture, &["a"]);
     fixture.dispatcher.close_session(1, fixture.now);
 
@@ -78,23 +78,23 @@
     fixture.announce_target(5, &["a"]);
     fixture.submit(job("wide", vec![step(12, vec![])]));
 
-    assert_eq!(sessions(&mut fixture), [3, 4].into());
+    assert_eq!(assigned_sessions(&mut fixture), [3, 4].into());
 }
 
 #[test]
 fn a_hall_receives_work_again_after_its_evacuation_ends() {
-    let mut fixture = two_halls();
+    let mut fixture = fixture_with_two_halls();
     evacuate(&mut fixture, &["a", "b"]);
 
     evacuate(&mut fixture, &["b"]);
     fixture.submit(one_task_job("job"));
 
-    assert!(sessions(&mut fixture).is_subset(&[1, 2].into()));
+    assert!(assigned_sessions(&mut fixture).is_subset(&[1, 2].into()));
 }
 
 #[test]
-fn runs_in_the_hall_are_not_withdrawn() {
-    let mut fixture = two_halls();
+fn runs_in_an_evacuated_hall_are_not_withdrawn() {
+    let mut fixture = fixture_with_two_halls();
     evacuate(&mut fixture, &["b"]);
     fixture.submit(one_task_job("job"));
     let run = fixture.take_assignments().remove(0);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/fixture.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with targets that accept work, driven by single messages.
+//! A dispatcher with targets that accept work; tests pass it one message at a time.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
     accelerators: 0,
 };
 
-/// Free capacity of a target without a free processor.
-pub const FULL: Resources = Resources {
+/// Free capacity of a target whose processors are all in use.
+pub const NO_FREE_CPU: Resources = Resources {
     cpu_milli: 0,
     ..CAPACITY
 };
@@ -93,8 +93,8 @@
 pub struct Fixture {
     pub dispatcher: Dispatcher,
     pub now: Timestamp,
-    /// The run that the test tracks.
-    pub run: Option<(SessionId, Assignment)>,
+    /// Run in progress of a test that runs one task at a time.
+    pub current_run: Option<(SessionId, Assignment)>,
 }
 
 impl Fixture {
@@ -104,7 +104,7 @@
         let mut fixture = Self {
             dispatcher,
             now: at(1_000),
-            run: None,
+            current_run: None,
         };
         fixture.dispatcher.tick(fixture.now);
         for session in 1..=targets {
@@ -174,13 +174,13 @@
         self.dispatcher.submit(request, self.now)
     }
 
-    /// Advances the time by `span` milliseconds, during which these runners send heartbeats and their targets are full.
-    pub fn advance(&mut self, span: u64, sessions: &[SessionId]) {
-        let until = self.now + ms(span);
+    /// Advances the time by `duration_ms`, during which these runners send heartbeats and their targets are full.
+    pub fn advance(&mut self, duration_ms: u64, sessions: &[SessionId]) {
+        let until = self.now + ms(duration_ms);
         while self.now < until {
             self.now += ms(20);
             for session in sessions {
-                self.heartbeat(*session, FULL, u64::MAX);
+                self.heartbeat(*session, NO_FREE_CPU, u64::MAX);
             }
             self.dispatcher.tick(self.now);
         }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/grace.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/grace_period.rs
@@ -1,8 +1,8 @@
 //! Jobs that continue after their grace period.
 
-use cloverfold_lease::{JobAnswer, JobRequest, RunOutcome};
+use cloverfold_lease::{JobAnswer, JobRequest, Resources, RunOutcome};
 
-use crate::fixture::{CAPACITY, FULL, Fixture, job, ms, one_task_job, step};
+use crate::fixture::{CAPACITY, Fixture, NO_FREE_CPU, job, ms, one_task_job, step};
 
 /// Returns a job whose grace period is three times its latency objective for twice its work, 1,140 ms, and whose caller waits longer.
 fn job_with_long_timeout(id: &str) -> JobRequest {
@@ -13,8 +13,8 @@
 }
 
 /// Advances the time, during which runners 1 and 2 are alive and report this free capacity.
-fn advance(fixture: &mut Fixture, span: u64, free: cloverfold_lease::Resources) {
-    let until = fixture.now + ms(span);
+fn advance(fixture: &mut Fixture, duration_ms: u64, free: Resources) {
+    let until = fixture.now + ms(duration_ms);
     while fixture.now < until {
         fixture.now += ms(20);
         for session in [1, 2] {
@@ -60,9 +60,9 @@
     let mut fixture = Fixture::new(2);
     let number = fixture.submit(job_with_long_timeout("a"));
     let run = fixture.take_assignments().remove(0);
-    advance(&mut fixture, 1_300, FULL);
+    advance(&mut fixture, 1_300, NO_FREE_CPU);
 
-    fixture.report_end_with_free(&run, RunOutcome::Lost, FULL);
+    fixture.report_end_with_free(&run, RunOutcome::Lost, NO_FREE_CPU);
     fixture.dispatcher.tick(fixture.now);
 
     assert_eq!(fixture.take_answers(), [(number, JobAnswer::GivenUp)]);
@@ -79,8 +79,8 @@
     let runs = fixture.take_assignments();
     for _ in 0..65 {
         fixture.now += ms(20);
-        fixture.heartbeat(1, FULL, u64::MAX);
-        fixture.report_free_capacity(1, FULL, 1_000);
+        fixture.heartbeat(1, NO_FREE_CPU, u64::MAX);
+        fixture.report_free_capacity(1, NO_FREE_CPU, 1_000);
         fixture.dispatcher.tick(fixture.now);
     }
     fixture.submit(one_task_job("new"));
--- a/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/kept_jobs.rs
@@ -1,4 +1,4 @@
-//! Kept jobs: driven with an epoch and recorded progress, never given up, and refused only before they are accepted.
+//! Kept jobs, which resume from recorded progress, are never given up, and can be refused only before they are accepted.
 
 use cloverfold_kept_jobs::{TaskProgress, first_run_of};
 use cloverfold_lease::{
@@ -6,7 +6,7 @@
     KeptAssignment, KeptJob, RunOutcome, RunRefusal, SessionId,
 };
 
-use crate::fixture::{CAPACITY, FULL, Fixture, job, ms, one_task_job, step};
+use crate::fixture::{CAPACITY, Fixture, NO_FREE_CPU, job, ms, one_task_job, step};
 
 /// Returns a dispatcher whose runners support kept jobs.
 fn fixture_with_kept_jobs(targets: SessionId) -> Fixture {
@@ -17,7 +17,7 @@
     fixture
 }
 
-fn kept(request: JobRequest, epoch: u64) -> KeptJob {
+fn kept_job(request: JobRequest, epoch: u64) -> KeptJob {
     KeptJob {
         request,
         epoch,
@@ -42,8 +42,8 @@
     kept_runs(fixture.dispatcher.take_actions())
 }
 
-fn run_of(kept: &(SessionId, KeptAssignment)) -> (SessionId, Assignment) {
-    (kept.0, kept.1.assignment.clone())
+fn run_of(kept_run: &(SessionId, KeptAssignment)) -> (SessionId, Assignment) {
+    (kept_run.0, kept_run.1.assignment.clone())
 }
 
 #[test]
@@ -51,22 +51,22 @@
     let mut fixture = fixture_with_kept_jobs(1);
     let steps = vec![step(1, vec![]), step(2, vec![])];
 
-    drive(&mut fixture, kept(job("a", steps), 3));
+    drive(&mut fixture, kept_job(job("a", steps), 3));
 
     let runs = take_kept_assignments(&mut fixture);
-    let places: Vec<u32> = runs.iter().map(|(_, run)| run.index_in_job).collect();
-    assert_eq!(places, [0, 1, 2]);
+    let indices: Vec<u32> = runs.iter().map(|(_, run)| run.index_in_job).collect();
+    assert_eq!(indices, [0, 1, 2]);
     assert!(runs.iter().all(|(_, run)| run.epoch == 3));
     let first = first_run_of(3);
     assert!(runs.iter().all(|(_, run)| run.assignment.run == first));
 }
 
 #[test]
-fn a_kept_job_goes_only_to_runners_that_record_its_ends() {
+fn a_kept_job_is_assigned_only_to_runners_that_record_its_ends() {
     let mut fixture = Fixture::new(2);
     fixture.dispatcher.set_supports_kept_jobs(2);
 
-    drive(&mut fixture, kept(job("a", vec![step(3, vec![])]), 1));
+    drive(&mut fixture, kept_job(job("a", vec![step(3, vec![])]), 1));
 
     let sessions: Vec<SessionId> = take_kept_assignments(&mut fixture)
         .iter()
@@ -88,7 +88,7 @@
 
     let resumed = KeptJob {
         progress,
-        ..kept(job("a", steps), 2)
+        ..kept_job(job("a", steps), 2)
     };
     let number = drive(&mut fixture, resumed);
 
@@ -109,7 +109,7 @@
     };
     let resumed = KeptJob {
         progress: vec![(0, failed_once)],
-        ..kept(one_task_job("a"), 2)
+        ..kept_job(one_task_job("a"), 2)
     };
     let number = drive(&mut fixture, resumed);
     let runs = take_kept_assignments(&mut fixture);
@@ -122,8 +122,8 @@
 #[test]
 fn a_kept_job_is_never_refused_or_given_up_while_it_waits() {
     let mut fixture = fixture_with_kept_jobs(1);
-    fixture.heartbeat(1, FULL, u64::MAX);
-    drive(&mut fixture, kept(one_task_job("a"), 1));
+    fixture.heartbeat(1, NO_FREE_CPU, u64::MAX);
+    drive(&mut fixture, kept_job(one_task_job("a"), 1));
     let best_effort = fixture.submit(one_task_job("b"));
 
     fixture.advance(60_000, &[1]);
@@ -136,9 +136,9 @@
 }
 
 #[test]
-fn a_stall_gives_up_no_kept_job() {
+fn a_kept_job_is_not_given_up_after_a_stall() {
     let mut fixture = fixture_with_kept_jobs(1);
-    let number = drive(&mut fixture, kept(one_task_job("a"), 1));
+    let number = drive(&mut fixture, kept_job(one_task_job("a"), 1));
     fixture.now += ms(1_200);
     fixture.dispatcher.tick(fixture.now);
 
@@ -149,13 +149,13 @@
 #[test]
 fn after_driving_stops_runs_are_withdrawn_and_block_their_tasks_until_they_end() {
     let mut fixture = fixture_with_kept_jobs(2);
-    let number = drive(&mut fixture, kept(one_task_job("a"), 1));
+    let number = drive(&mut fixture, kept_job(one_task_job("a"), 1));
     let runs = take_kept_assignments(&mut fixture);
 
     fixture.dispatcher.stop_driving(number);
     assert_eq!(fixture.take_withdrawals(), [runs[0].0]);
     assert!(fixture.dispatcher.has_detached_runs("a"));
-    drive(&mut fixture, kept(one_task_job("a"), 2));
+    drive(&mut fixture, kept_job(one_task_job("a"), 2));
     assert!(
         take_kept_assignments(&mut fixture).is_empty(),
         "the first run may be in progress"
@@ -170,7 +170,7 @@
 #[test]
 fn a_kept_job_is_not_cancelled_by_name_or_by_a_submission_with_the_same_name() {
     let mut fixture = fixture_with_kept_jobs(1);
-    let number = drive(&mut fixture, kept(one_task_job("a"), 1));
+    let number = drive(&mut fixture, kept_job(one_task_job("a"), 1));
 
     assert!(!fixture.dispatcher.cancel_named("a"));
     assert!(!fixture.dispatcher.is_open("a"));
@@ -183,7 +183,7 @@
 #[test]
 fn a_run_that_a_target_rejects_does_not_fail_a_kept_job() {
     let mut fixture = fixture_with_kept_jobs(1);
-    drive(&mut fixture, kept(one_task_job("a"), 1));
+    drive(&mut fixture, kept_job(one_task_job("a"), 1));
     let runs = take_kept_assignments(&mut fixture);
     let rejected = RunOutcome::NotStarted(RunRefusal::Rejected);
 
@@ -203,7 +203,7 @@
 #[test]
 fn the_estimate_of_a_kept_task_doubles_with_each_late_run() {
     let mut fixture = fixture_with_kept_jobs(2);
-    drive(&mut fixture, kept(one_task_job("a"), 1));
+    drive(&mut fixture, kept_job(one_task_job("a"), 1));
     let mut estimates = Vec::new();
     // A run is overdue after 2.6 times its estimate plus 120 ms.
     for _ in 0..600 {
@@ -215,7 +215,7 @@
         let actions = fixture.dispatcher.take_actions();
         for (session, run) in kept_runs(actions.clone()) {
             estimates.push(run.assignment.estimate_ms);
-            fixture.run = Some((session, run.assignment));
+            fixture.current_run = Some((session, run.assignment));
         }
         let is_withdrawal = |action: &DispatcherAction| {
             matches!(
@@ -224,7 +224,7 @@
             )
         };
         if actions.iter().any(is_withdrawal) {
-            let run = fixture.run.take().unwrap();
+            let run = fixture.current_run.take().unwrap();
             fixture.report_end(&run, RunOutcome::Stopped);
         }
     }
@@ -244,10 +244,10 @@
         let mut labelled = job(&format!("labelled-{number}"), vec![step(1, vec![])]);
         labelled.steps[0].required_label = Some("missing".into());
         labelled.priority = 0;
-        drive(&mut fixture, kept(elsewhere, 1));
-        drive(&mut fixture, kept(labelled, 1));
+        drive(&mut fixture, kept_job(elsewhere, 1));
+        drive(&mut fixture, kept_job(labelled, 1));
     }
-    drive(&mut fixture, kept(one_task_job("a"), 1));
+    drive(&mut fixture, kept_job(one_task_job("a"), 1));
     fixture.submit(one_task_job("b"));
 
     let actions = fixture.dispatcher.take_actions();
@@ -266,10 +266,10 @@
     let mut fixture = fixture_with_kept_jobs(1);
     let mut spread = job("spread", vec![step(3, vec![])]);
     spread.steps[0].max_per_target = Some(1);
-    drive(&mut fixture, kept(spread, 1));
+    drive(&mut fixture, kept_job(spread, 1));
     assert_eq!(take_kept_assignments(&mut fixture).len(), 1);
 
-    drive(&mut fixture, kept(one_task_job("a"), 1));
+    drive(&mut fixture, kept_job(one_task_job("a"), 1));
 
     assert_eq!(take_kept_assignments(&mut fixture).len(), 1);
 }
@@ -277,7 +277,7 @@
 #[test]
 fn a_kept_job_is_refused_if_the_backlog_exceeds_three_times_its_latency_objective() {
     let mut fixture = fixture_with_kept_jobs(1);
-    fixture.heartbeat(1, FULL, u64::MAX);
+    fixture.heartbeat(1, NO_FREE_CPU, u64::MAX);
     // On the target with 8 cores, 20 tasks of 0.2 core-seconds take 0.5 s. The latency objective is 220 ms.
     let refusal = |fixture: &Fixture| {
         let request = one_task_job("next");
@@ -285,13 +285,13 @@
     };
     assert_eq!(refusal(&fixture), None);
 
-    drive(&mut fixture, kept(job("a", vec![step(20, vec![])]), 1));
+    drive(&mut fixture, kept_job(job("a", vec![step(20, vec![])]), 1));
     assert_eq!(
         refusal(&fixture),
         None,
         "0.5 s of backlog and 0.1 s of its own work"
     );
-    drive(&mut fixture, kept(job("b", vec![step(20, vec![])]), 1));
+    drive(&mut fixture, kept_job(job("b", vec![step(20, vec![])]), 1));
 
     assert_eq!(refusal(&fixture), Some(JobRefusal::NoCapacity));
 }
@@ -299,12 +299,12 @@
 #[test]
 fn a_less_urgent_backlog_does_not_refuse_a_kept_job() {
     let mut fixture = fixture_with_kept_jobs(1);
-    fixture.heartbeat(1, FULL, u64::MAX);
+    fixture.heartbeat(1, NO_FREE_CPU, u64::MAX);
     let less_urgent = JobRequest {
         priority: 2,
         ..job("a", vec![step(400, vec![])])
     };
-    drive(&mut fixture, kept(less_urgent, 1));
+    drive(&mut fixture, kept_job(less_urgent, 1));
 
     let request = one_task_job("next");
     let refusal = fixture.dispatcher.find_kept_refusal(&request, fixture.now);
--- a/crates/leased/cloverfold_lease/tests/dispatcher/main.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/main.rs
@@ -1,18 +1,18 @@
-//! Rules of a dispatcher, one file for each topic.
+//! Tests of the dispatcher, one module per topic.
 
 #![allow(clippy::unwrap_used)]
 
 mod admission;
 mod evacuation;
 mod fixture;
-mod grace;
-mod judging;
+mod grace_period;
 mod kept_jobs;
-mod own_stall;
+mod pauses_and_withdrawals;
 mod placement;
-mod returned_callers;
+mod precedence;
+mod resubmissions;
 mod run_ends;
 mod sessions;
-mod shortage;
+mod stall_recovery;
 mod startup;
-mod unlike_boxes;
+mod usual_speed;
--- a/crates/leased/cloverfold_lease/tests/dispatcher/judging.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/pauses_and_withdrawals.rs
@@ -4,7 +4,7 @@
     DispatcherAction, DispatcherEvent, DispatcherMessage, JobRequest, RunOutcome,
 };
 
-use crate::fixture::{CAPACITY, FULL, Fixture, job, long_step, ms, one_task_job};
+use crate::fixture::{CAPACITY, Fixture, NO_FREE_CPU, job, long_step, ms, one_task_job};
 
 #[test]
 fn consecutive_failures_pause_a_target() {
@@ -46,7 +46,7 @@
 
     for _ in 0..30 {
         fixture.now += ms(20);
-        fixture.report_free_capacity(1, FULL, 1_000);
+        fixture.report_free_capacity(1, NO_FREE_CPU, 1_000);
         fixture.dispatcher.tick(fixture.now);
     }
 
@@ -65,8 +65,8 @@
     let fast = 3 - slow;
     fixture.now += ms(100);
 
-    fixture.report_free_capacity(slow, FULL, 5_000);
-    fixture.report_free_capacity(fast, FULL, 1_000);
+    fixture.report_free_capacity(slow, NO_FREE_CPU, 5_000);
+    fixture.report_free_capacity(fast, NO_FREE_CPU, 1_000);
     fixture.dispatcher.tick(fixture.now);
     assert!(
         fixture.take_withdrawals().is_empty(),
--- a/crates/leased/cloverfold_lease/tests/dispatcher/placement.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/placement.rs
@@ -2,12 +2,12 @@
 
 use cloverfold_lease::{JobRequest, Resources, SessionId, StepRequest};
 
-use crate::fixture::{CAPACITY, FULL, Fixture, job, one_task_job, step};
+use crate::fixture::{CAPACITY, Fixture, NO_FREE_CPU, job, one_task_job, step};
 
 #[test]
 fn the_most_urgent_job_is_placed_first() {
     let mut fixture = Fixture::new(1);
-    fixture.heartbeat(1, FULL, 0);
+    fixture.heartbeat(1, NO_FREE_CPU, 0);
     fixture.submit(one_task_job("late"));
     fixture.submit(JobRequest {
         priority: 0,
@@ -37,16 +37,19 @@
     let assigned = fixture.take_assignments();
 
     for session in 1..=3 {
-        let there = assigned
+        let assigned_count = assigned
             .iter()
             .filter(|(assigned_to, _)| *assigned_to == session)
             .count();
-        assert_eq!(there, 4, "a capacity of 8,000 holds four tasks of 2,000");
+        assert_eq!(
+            assigned_count, 4,
+            "a capacity of 8,000 holds four tasks of 2,000"
+        );
     }
 }
 
 #[test]
-fn a_task_goes_only_where_its_required_label_is() {
+fn a_task_is_assigned_only_to_targets_with_its_required_label() {
     let mut fixture = Fixture::new(2);
     fixture.announce_target(2, &["b"]);
     let labelled = StepRequest {
@@ -63,20 +66,20 @@
 }
 
 #[test]
-fn a_step_is_spread_over_targets() {
+fn the_limit_per_target_spreads_a_step_across_targets() {
     let mut fixture = Fixture::new(2);
     let spread = StepRequest {
         max_per_target: Some(1),
         ..step(3, vec![])
     };
     fixture.submit(job("spread", vec![spread]));
-    let mut places: Vec<SessionId> = fixture
+    let mut sessions: Vec<SessionId> = fixture
         .take_assignments()
         .iter()
         .map(|(session, _)| *session)
         .collect();
-    places.sort_unstable();
-    assert_eq!(places, [1, 2]);
+    sessions.sort_unstable();
+    assert_eq!(sessions, [1, 2]);
 }
 
 #[test]
--- a/crates/leased/cloverfold_lease/tests/dispatcher/shortage.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/precedence.rs
@@ -2,7 +2,7 @@
 
 use cloverfold_lease::{JobRequest, Resources, RunOutcome, StepRequest};
 
-use crate::fixture::{CAPACITY, DEMAND, FULL, Fixture, job, ms, step};
+use crate::fixture::{CAPACITY, DEMAND, Fixture, NO_FREE_CPU, job, ms, step};
 
 /// Returns a job of a queue with this priority.
 fn job_of(queue: &str, priority: u32, id: &str, tasks: u32) -> JobRequest {
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn a_queue_within_its_share_precedes_one_above_it_whatever_their_priorities() {
+fn a_queue_within_its_share_precedes_one_above_it_regardless_of_priority() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_of("busy", 0, "busy-1", 3));
-    fixture.heartbeat(1, FULL, u64::MAX);
+    fixture.heartbeat(1, NO_FREE_CPU, u64::MAX);
     fixture.submit(job_of("busy", 0, "busy-2", 1));
     fixture.submit(job_of("modest", 2, "modest-1", 1));
     fixture.dispatcher.take_actions();
@@ -54,7 +54,7 @@
         fixture.heartbeat(1, CAPACITY, u64::MAX);
         fixture.submit(job_of("modest", 2, &format!("modest-then-{round}"), 1));
     }
-    fixture.heartbeat(1, FULL, u64::MAX);
+    fixture.heartbeat(1, NO_FREE_CPU, u64::MAX);
     fixture.submit(job_of("modest", 2, "modest-2", 1));
     fixture.submit(job_of("busy", 0, "busy-2", 1));
     fixture.dispatcher.take_actions();
--- a/crates/leased/cloverfold_lease/tests/dispatcher/run_ends.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/run_ends.rs
@@ -4,7 +4,7 @@
 
 use cloverfold_lease::{JobAnswer, JobRefusal, JobRequest, RunOutcome, RunRefusal, StepRequest};
 
-use crate::fixture::{CAPACITY, FULL, Fixture, job, one_task_job, step};
+use crate::fixture::{CAPACITY, Fixture, NO_FREE_CPU, job, one_task_job, step};
 
 #[test]
 fn a_job_is_completed_when_all_tasks_of_all_steps_are_done() {
@@ -76,7 +76,7 @@
     );
 
     fixture.report_end(&run, RunOutcome::NotStarted(RunRefusal::NoCapacity));
-    fixture.heartbeat(1, FULL, u64::MAX);
+    fixture.heartbeat(1, NO_FREE_CPU, u64::MAX);
     fixture.dispatcher.tick(fixture.now);
 
     let answers = fixture.take_answers();
--- a/crates/leased/cloverfold_lease/tests/dispatcher/sessions.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/sessions.rs
@@ -1,4 +1,4 @@
-//! Tasks of lost sessions.
+//! Tasks whose session was lost.
 
 use cloverfold_lease::{JobAnswer, Timings};
 
@@ -13,13 +13,13 @@
     let echoed_at = fixture.now;
     fixture.dispatcher.close_session(run.0, fixture.now);
     let limit = Timings::default().run_end_bound();
-    let live = |fixture: &mut Fixture| {
+    let advance_with_heartbeat = |fixture: &mut Fixture| {
         fixture.now += ms(20);
         fixture.heartbeat(other, CAPACITY, u64::MAX);
         fixture.dispatcher.tick(fixture.now);
     };
     while fixture.now + ms(20) < echoed_at + limit {
-        live(&mut fixture);
+        advance_with_heartbeat(&mut fixture);
         assert!(
             fixture.take_assignments().is_empty(),
             "{:?} after the last echo",
@@ -27,8 +27,8 @@
         );
     }
 
-    live(&mut fixture);
-    live(&mut fixture);
+    advance_with_heartbeat(&mut fixture);
+    advance_with_heartbeat(&mut fixture);
 
     assert_eq!(fixture.take_assignments().len(), 1);
 }
--- a/crates/leased/cloverfold_lease/tests/dispatcher/own_stall.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/stall_recovery.rs
@@ -5,9 +5,11 @@
 use crate::fixture::{CAPACITY, Fixture, job, long_step, ms, one_task_job};
 
 /// Simulates a stall of the process that it detects afterwards.
-fn stall(fixture: &mut Fixture, span_ms: u64) {
-    fixture.now += ms(span_ms);
-    fixture.dispatcher.allow_for_stall(ms(span_ms), fixture.now);
+fn stall(fixture: &mut Fixture, duration_ms: u64) {
+    fixture.now += ms(duration_ms);
+    fixture
+        .dispatcher
+        .allow_for_stall(ms(duration_ms), fixture.now);
 }
 
 /// Ticks once immediately and then `ticks` times every 20 ms, without any messages from runners.
--- a/crates/leased/cloverfold_lease/tests/dispatcher/startup.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/startup.rs
@@ -13,7 +13,7 @@
     let mut fixture = Fixture {
         dispatcher,
         now,
-        run: None,
+        current_run: None,
     };
     fixture.dispatcher.tick(now);
     fixture
--- a/crates/leased/cloverfold_lease/tests/dispatcher/unlike_boxes.rs
+++ b/crates/leased/cloverfold_lease/tests/dispatcher/usual_speed.rs
@@ -1,4 +1,4 @@
-//! Runs on boxes that usually are slower or faster than others.
+//! Overdue runs on boxes that are usually slower or faster than others.
 
 use cloverfold_lease::{RunnerMessage, SessionId, UsualSpeed};
 
--- a/crates/leased/cloverfold_lease/tests/timings.rs
+++ b/crates/leased/cloverfold_lease/tests/timings.rs
@@ -1,4 +1,4 @@
-//! The inequality that prevents overlapping runs of a task.
+//! The inequality that prevents overlapping runs of a task, and the stall limit of jobs.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 
 // Guards against refusing requests that are no older than jobs that continue.
 #[test]
-fn requests_and_open_jobs_survive_the_same_stalls() {
+fn requests_and_open_jobs_have_the_same_stall_limit() {
     let last_tick_at = Timestamp::from_start(Duration::from_secs(1));
     let longest = last_tick_at + JOB_STALL_LIMIT;
 
