--- a/crates/leased/cloverfold_lease/src/runner/answers.rs
+++ b/crates/leased/cloverfold_lease/src/runner/answers.rs
@@ -24,7 +24,7 @@
     pub labels: Vec<String>,
     /// Whether it drains before a planned end.
     pub is_draining: bool,
-    /// Its steady clock when it sent this, in milliseconds.
+    /// Reading of its monotonic clock when it sent this, in milliseconds.
     pub clock: Option<TargetTime>,
     /// Increases with each registration of this incarnation.
     pub sequence: u64,
@@ -52,7 +52,7 @@
 }
 
 impl StartRefusal {
-    /// Returns its name in logs and answers, which is part of the external interface.
+    /// Returns the stable name that is used in logs and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Fenced => "Fenced",
@@ -93,7 +93,7 @@
 }
 
 impl fmt::Display for StartAnswer {
-    /// Writes the text used in logs, which is part of the external interface.
+    /// Writes the stable text that is used in logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Started { clock } => write!(f, "Started {{ clock: {clock} }}"),
--- a/crates/leased/cloverfold_lease/src/runner/assignment.rs
+++ b/crates/leased/cloverfold_lease/src/runner/assignment.rs
@@ -22,7 +22,7 @@
         now: Timestamp,
     ) {
         let Some(state) = self.sessions.get_mut(&session) else {
-            // The session is closed, so its dispatcher already counts the run as over.
+            // The session is closed, so its dispatcher already considers the run ended.
             return;
         };
         state.assignments_seen += 1;
@@ -65,8 +65,8 @@
 
     /// Returns why an assignment is refused, if there is a reason; the first that applies.
     ///
-    /// 1. `Expired`: its session is over, or it arrives after the end of the session as the dispatcher knew it (runner's clock). The
-    ///    dispatcher may already count its runs here as over.
+    /// 1. `Expired`: its session has expired, or it arrives after the end of the session as the dispatcher knew it (runner's clock). The
+    ///    dispatcher may already consider its runs here ended.
     /// 2. `Evacuated`: no task starts in the data hall.
     /// 3. `Draining` or `NoTarget`: the target accepts no work, see [`TargetIncarnation::find_unavailable_reason`].
     /// 4. `Draining`: this runner drains, or the target is held for upkeep.
@@ -78,7 +78,10 @@
         assignment: &Assignment,
         now: Timestamp,
     ) -> Option<RunRefusal> {
-        let is_valid = self.sessions.get(&session).is_some_and(|s| !s.is_over(now));
+        let is_valid = self
+            .sessions
+            .get(&session)
+            .is_some_and(|s| !s.has_expired(now));
         if !is_valid || now > assignment.valid_until {
             return Some(RunRefusal::Expired);
         }
@@ -88,7 +91,7 @@
         let Some(target) = self.target.as_ref().filter(|target| target.accepts_work()) else {
             return Some(self.refusal_without_target());
         };
-        if self.is_draining || self.is_held() {
+        if self.is_draining || self.is_target_held() {
             return Some(RunRefusal::Draining);
         }
         if self.runs.contains_key(&assignment.task) {
--- a/crates/leased/cloverfold_lease/src/runner/candidates.rs
+++ b/crates/leased/cloverfold_lease/src/runner/candidates.rs
@@ -7,7 +7,7 @@
 //!
 //! | answer | conclusion |
 //! |---|---|
-//! | a list of this incarnation, under another name than the target's | it is alive and replaces the target, whose runs are over |
+//! | a list of this incarnation, under another name than the target's | it is alive and replaces the target, whose runs have ended |
 //! | a list of this incarnation, under the target's name | it is alive; the target has restarted (`target_restart`) |
 //! | a list of another incarnation under its name | it is dead and ignored from now on |
 //! | a target of another name answers | it is dead and ignored from now on |
@@ -15,7 +15,7 @@
 //! | none | it is probed again until [`CANDIDATE_TTL`] after its newest registration |
 //!
 //! Until then the known target keeps its runs and its lease. Otherwise a registration that is delayed past a crash would make the dead
-//! incarnation the target: the runs of the live one would count as over and start a second time.
+//! incarnation the target: the runs of the live one would be considered ended and start a second time.
 //!
 //! This assumes one target at a time beside a runner, and targets that answer only to their own name.
 
@@ -53,7 +53,7 @@
 /// The candidates of one runner, ordered by their newest registration.
 #[derive(Debug, Default)]
 pub(super) struct Candidates {
-    known: Vec<Candidate>,
+    candidates: Vec<Candidate>,
 }
 
 impl Candidates {
@@ -79,31 +79,35 @@
                 probed_at: None,
             },
         };
-        self.known.push(candidate);
-        if self.known.len() > MAX_CANDIDATES {
-            self.known.remove(0);
+        self.candidates.push(candidate);
+        if self.candidates.len() > MAX_CANDIDATES {
+            self.candidates.remove(0);
         }
     }
 
     /// Returns the candidate to probe now, and records the probe.
     pub(super) fn take_due(&mut self, now: Timestamp) -> Option<&Candidate> {
-        self.known
+        self.candidates
             .retain(|candidate| now <= candidate.registered_at + CANDIDATE_TTL);
-        let due = self.known.iter_mut().find(|known| known.is_due(now))?;
+        let due = self
+            .candidates
+            .iter_mut()
+            .find(|candidate| candidate.is_due(now))?;
         due.probed_at = Some(now);
         Some(due)
     }
 
     pub(super) fn remove(&mut self, incarnation: &IncarnationId) -> Option<Candidate> {
-        let is_match = |known: &Candidate| known.registration.incarnation == *incarnation;
-        let index = self.known.iter().position(is_match)?;
-        Some(self.known.remove(index))
+        let is_match = |candidate: &Candidate| candidate.registration.incarnation == *incarnation;
+        let index = self.candidates.iter().position(is_match)?;
+        Some(self.candidates.remove(index))
     }
 
     /// Raises the fencing token of a candidate above the refused one.
     pub(super) fn raise_fencing_token(&mut self, incarnation: &IncarnationId, refused: u64) {
-        let mut known = self.known.iter_mut();
-        let matching = known.find(|known| known.registration.incarnation == *incarnation);
+        let mut candidates = self.candidates.iter_mut();
+        let matching =
+            candidates.find(|candidate| candidate.registration.incarnation == *incarnation);
         if let Some(candidate) = matching {
             candidate.fencing_token = candidate.fencing_token.max(refused + FENCING_TOKEN_STEP);
         }
--- a/crates/leased/cloverfold_lease/src/runner/counts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/counts.rs
@@ -36,7 +36,7 @@
 pub struct TargetCallCounts {
     /// Lease renewals.
     pub renewals: u64,
-    /// Renewals that the target answered well before the end of their wait because it had an end to list.
+    /// Renewals that the target answered well before the poll timeout because it had an end to list.
     pub answered_early: u64,
     /// Probes of candidate incarnations.
     pub probes: u64,
@@ -77,7 +77,7 @@
 }
 
 impl RegistrationVerdict {
-    /// Returns its name in logs and metrics, which is part of the external interface.
+    /// Returns the stable name that is used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Accepted => "taken",
--- a/crates/leased/cloverfold_lease/src/runner/ending.rs
+++ b/crates/leased/cloverfold_lease/src/runner/ending.rs
@@ -29,7 +29,7 @@
     /// - no start was sent, or the only start was refused;
     /// - the target reported the end;
     /// - the target's list leaves the run out, under the conditions of `outcome_of_unlisted_run`;
-    /// - the target's incarnation is over, or every lease that it may have has lapsed.
+    /// - the target's incarnation has ended, or every lease that it may have has lapsed.
     pub(super) fn end_run(&mut self, task: &TaskId, outcome: RunOutcome, now: Timestamp) {
         let Some(run) = self.runs.remove(task) else {
             return;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Ends every run because the target's incarnation is over or its lease has lapsed.
+    /// Ends every run because the target's incarnation has ended or its lease has lapsed.
     pub(super) fn end_all_runs(&mut self, now: Timestamp) {
         let tasks: Vec<TaskId> = self.runs.keys().cloned().collect();
         for task in tasks {
--- a/crates/leased/cloverfold_lease/src/runner/incarnation_id.rs
+++ b/crates/leased/cloverfold_lease/src/runner/incarnation_id.rs
@@ -18,7 +18,7 @@
 }
 
 impl IncarnationId {
-    /// Returns the incarnation that answered a call addressed to this one; an answer without a start time counts as from this one.
+    /// Returns the incarnation that answered a call addressed to this one; an answer without a start time is attributed to this one.
     pub(super) fn answered_by(&self, start_time: Option<StartTimeMs>) -> Self {
         Self {
             name: self.name.clone(),
@@ -27,7 +27,7 @@
     }
 
     /// Returns whether `reported` has this name but lacks the start time that this incarnation has.
-    pub(super) fn matches_untimed(&self, reported: &Self) -> bool {
+    pub(super) fn matches_without_start_time(&self, reported: &Self) -> bool {
         self.name == reported.name && self.start_time.is_some() && reported.start_time.is_none()
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/lapses.rs
+++ b/crates/leased/cloverfold_lease/src/runner/lapses.rs
@@ -5,8 +5,8 @@
 //! - while an end is held that only a lapse releases (`held_ends`);
 //! - while a kept run is still there [`KeptJobTimings::stop_grace`](cloverfold_kept_jobs::KeptJobTimings) after its first stop order.
 //!
-//! It has lapsed once every deadline that this runner has sent is over ([`TargetIncarnation::has_lease_lapsed`]), and so is the longest
-//! lease that an earlier process beside the target can have granted, counted from the first registration. Then all runs are over, and all
+//! It has lapsed once every deadline that this runner has sent has passed ([`TargetIncarnation::has_lease_lapsed`]), and also the longest
+//! lease that an earlier process beside the target can have granted, counted from the first registration. Then all runs have ended, and all
 //! held ends are released.
 //!
 //! Two guarantees rest on the lapse: a task starts again after the target has forgotten its end, and another entry takes over a kept
@@ -23,9 +23,9 @@
     /// Processes the decision of a job group on an end that [`RunnerAction::RecordEnd`] asked to record.
     pub fn receive_end_decision(&mut self, end: &TaskEnd, decision: EndDecision, now: Timestamp) {
         if let Some(target) = &mut self.target {
-            let held_before = target.acknowledged_end();
+            let acknowledged_before = target.acknowledged_end();
             target.held_ends.apply_decision(end, decision);
-            if target.acknowledged_end() > held_before {
+            if target.acknowledged_end() > acknowledged_before {
                 // Until the target may forget that end it answers every renewal at once, so the next end would be noticed later.
                 self.actions.push(RunnerAction::RenewNow);
             }
@@ -67,14 +67,14 @@
         target.held_ends.must_lapse() || runs.any(|run| run.is_stop_overdue(grace, now))
     }
 
-    /// Returns whether every lease that the target may have is certainly over.
+    /// Returns whether every lease that the target may have has certainly lapsed.
     pub(super) fn has_lease_lapsed(&self, now: Timestamp) -> bool {
         let target = self.target.as_ref();
-        let is_over = |target: &TargetIncarnation| target.has_lease_lapsed(&self.timings, now);
-        target.is_some_and(is_over) && self.has_earlier_lease_lapsed(now)
+        let has_lapsed = |target: &TargetIncarnation| target.has_lease_lapsed(&self.timings, now);
+        target.is_some_and(has_lapsed) && self.has_earlier_lease_lapsed(now)
     }
 
-    /// Returns whether every lease that an earlier process beside the target may have granted is over.
+    /// Returns whether every lease that an earlier process beside the target may have granted has lapsed.
     ///
     /// If the target reports its start time, that process may have used the clock of an earlier incarnation under the same name, so only
     /// the target's own limit bounds the lease.
--- a/crates/leased/cloverfold_lease/src/runner/listing.rs
+++ b/crates/leased/cloverfold_lease/src/runner/listing.rs
@@ -14,12 +14,12 @@
 impl Runner {
     /// Processes the ends that the target lists; ends that were processed before are ignored.
     pub(super) fn record_ends(&mut self, ended: Vec<EndedRun>, now: Timestamp) {
-        let listed = ended.len();
+        let listed_ends = ended.len();
         for end in ended {
             self.record_end(&end, now);
         }
         if let Some(target) = &mut self.target {
-            target.held_ends.require_lapse_if_full(listed);
+            target.held_ends.require_lapse_if_full(listed_ends);
         }
     }
 
@@ -65,17 +65,17 @@
         context: ListContext,
         now: Timestamp,
     ) {
-        for row in running {
-            self.record_listed_run(row, now);
+        for listed in running {
+            self.record_listed_run(listed, now);
         }
         self.end_unlisted_runs(running, context, now);
         self.stop_orphans(running);
     }
 
     /// Records a listed run: confirms its start and updates its progress.
-    fn record_listed_run(&mut self, row: &ListedRun, now: Timestamp) {
-        let run = self.runs.get_mut(&row.task);
-        let Some(run) = run.filter(|run| run.number == row.run) else {
+    fn record_listed_run(&mut self, listed: &ListedRun, now: Timestamp) {
+        let run = self.runs.get_mut(&listed.task);
+        let Some(run) = run.filter(|run| run.number == listed.run) else {
             return;
         };
         if run.confirm_start(now) {
@@ -84,10 +84,12 @@
         let Some(target) = &mut self.target else {
             return;
         };
-        if run.progress.record(row.progress, now) {
+        if run.progress.record(listed.progress, now) {
             target.performance.record_progress();
         }
-        let speed = run.progress.measure_speed(row.progress, run.estimate, now);
+        let speed = run
+            .progress
+            .measure_speed(listed.progress, run.estimate, now);
         if let Some(speed) = speed {
             target.performance.record_speed(run.sequence, speed, now);
         }
@@ -96,10 +98,10 @@
     /// Ends the runs that the list leaves out, if that makes their end certain.
     fn end_unlisted_runs(&mut self, running: &[ListedRun], context: ListContext, now: Timestamp) {
         let is_listed = |task: &TaskId, run: &Run| {
-            let is_same = |row: &ListedRun| row.run == run.number && row.task == *task;
+            let is_same = |listed: &ListedRun| listed.run == run.number && listed.task == *task;
             running.iter().any(is_same)
         };
-        let over: Vec<(TaskId, RunOutcome)> = self
+        let ended: Vec<(TaskId, RunOutcome)> = self
             .runs
             .iter()
             .filter(|(task, run)| !is_listed(task, run))
@@ -108,7 +110,7 @@
                 Some((task.clone(), outcome))
             })
             .collect();
-        for (task, outcome) in over {
+        for (task, outcome) in ended {
             self.end_run(&task, outcome, now);
         }
     }
@@ -117,11 +119,11 @@
     ///
     /// While there are any, the target gets no work and its lease is not extended.
     fn stop_orphans(&mut self, running: &[ListedRun]) {
-        let is_own = |row: &ListedRun| {
-            let run = self.runs.get(&row.task);
-            run.is_some_and(|run| run.number == row.run)
+        let is_own = |listed: &ListedRun| {
+            let run = self.runs.get(&listed.task);
+            run.is_some_and(|run| run.number == listed.run)
         };
-        let orphans: Vec<&ListedRun> = running.iter().filter(|row| !is_own(row)).collect();
+        let orphans: Vec<&ListedRun> = running.iter().filter(|listed| !is_own(listed)).collect();
         if let Some(target) = &mut self.target {
             target.has_only_own_runs = orphans.is_empty();
         }
--- a/crates/leased/cloverfold_lease/src/runner/mod.rs
+++ b/crates/leased/cloverfold_lease/src/runner/mod.rs
@@ -1,7 +1,7 @@
 //! The runner, which executes the assignments of dispatchers at one target.
 //!
 //! The guard process does the I/O around it. The runner accepts or refuses assignments, starts and stops runs, renews the target's lease,
-//! and reports ends. It persists nothing. The caller's clock must not go back, and the caller must call [`Runner::tick`] every few tens of
+//! and reports ends. It persists nothing. The caller must provide a monotonic clock and call [`Runner::tick`] every few tens of
 //! milliseconds.
 //!
 //! | decision | module |
@@ -91,7 +91,7 @@
 use run::Run;
 use session::Session;
 use target_incarnation::TargetIncarnation;
-use upkeep::HeldTarget;
+use upkeep::UpkeepHold;
 use usual_speed::UsualSpeedEstimator;
 
 /// Executes the assignments of dispatchers at the one target beside it.
@@ -121,7 +121,7 @@
     /// Whether the data hall is evacuated.
     is_evacuated: bool,
     /// Set while the target is held before the upkeep of the box.
-    held: Option<HeldTarget>,
+    upkeep_hold: Option<UpkeepHold>,
     counts: RunnerCounts,
     actions: Vec<RunnerAction>,
 }
@@ -148,7 +148,7 @@
             first_registration_at: None,
             is_draining: false,
             is_evacuated: false,
-            held: None,
+            upkeep_hold: None,
             counts: RunnerCounts::default(),
             actions: Vec::new(),
         }
@@ -197,7 +197,7 @@
         };
         let reason = target.find_unavailable_reason();
         let reason = reason.or(self.is_evacuated.then_some(UnavailableReason::Evacuated));
-        reason.or(self.is_held().then_some(UnavailableReason::Upkeep))
+        reason.or(self.is_target_held().then_some(UnavailableReason::Upkeep))
     }
 
     /// Begins draining: no further work is accepted, waiting runs are refused, and started runs go on.
@@ -218,12 +218,12 @@
         }
     }
 
-    /// Processes what is due; call it every few tens of milliseconds.
+    /// Processes timeouts, retries and periodic reports that are due; call it every few tens of milliseconds.
     pub fn tick(&mut self, now: Timestamp) {
         self.expire_sessions(now);
         self.check_responsiveness(now);
         self.end_target_pause(now);
-        self.end_hold(now);
+        self.expire_hold(now);
         self.expire_waiting(now);
         self.retry_unanswered_starts(now);
         self.retry_stops(now);
--- a/crates/leased/cloverfold_lease/src/runner/own_stall.rs
+++ b/crates/leased/cloverfold_lease/src/runner/own_stall.rs
@@ -50,6 +50,6 @@
     /// Returns whether a session has expired but is kept until the end of the catch-up.
     pub(super) fn has_session_in_doubt(&self, now: Timestamp) -> bool {
         let mut sessions = self.sessions.values();
-        self.catch_up.is_active(now) && sessions.any(|session| session.is_over(now))
+        self.catch_up.is_active(now) && sessions.any(|session| session.has_expired(now))
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/performance.rs
+++ b/crates/leased/cloverfold_lease/src/runner/performance.rs
@@ -1,7 +1,6 @@
 //! Decides whether a target is paused or on probation, and how slow it is.
 //!
-//! The judgement covers all runs at the target, whichever dispatcher they belong to. [`TargetHealth`] decides when a pause begins and how
-//! long it lasts.
+//! It considers the runs of all dispatchers. [`TargetHealth`] decides when a pause begins and how long it lasts.
 //!
 //! ```text
 //! offered ──stuck runs──> paused ──time──> on probation ──a run is done, or time──> offered
@@ -29,7 +28,7 @@
 /// Lower bound of the median speed, where 1 is as fast as estimated; it limits the slowness to 50.
 const MIN_SPEED: f64 = 0.02;
 
-/// Performance of a target, judged by its runs.
+/// Performance of a target, measured by its runs.
 #[derive(Clone, Debug)]
 pub(super) struct TargetPerformance {
     health: TargetHealth,
@@ -76,7 +75,7 @@
         self.reports_progress = true;
     }
 
-    /// Returns whether the target reports progress that it can be judged by.
+    /// Returns whether the target reports progress, so that stuck runs can be detected.
     pub(super) fn reports_progress(&self) -> bool {
         self.reports_progress
     }
--- a/crates/leased/cloverfold_lease/src/runner/progress.rs
+++ b/crates/leased/cloverfold_lease/src/runner/progress.rs
@@ -12,7 +12,7 @@
 /// Fraction of the estimated duration for which a longer run may show no progress: a target ten times slower than usual still advances by
 /// one percent in a tenth of the estimate.
 const STALL_FRACTION: f64 = 0.12;
-/// Minimum number of samples without progress, so that a runner that was itself stalled does not judge its target by one late list.
+/// Minimum number of samples without progress, so that one late list after a stall of the runner does not make a run stuck.
 const MIN_STALLED_SAMPLES: u32 = 3;
 
 /// Minimum span over which a speed is measured.
--- a/crates/leased/cloverfold_lease/src/runner/renewal_pace.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewal_pace.rs
@@ -2,9 +2,9 @@
 //!
 //! | answer | pause |
 //! |---|---|
-//! | a list, after the target has used about its full wait | none |
+//! | a list, after about the full poll timeout | none |
 //! | an early list with a new end | [`MIN_PAUSE`] |
-//! | an early list without a new end | twice the previous pause, up to the wait of a renewal; ends as soon as a held end is released |
+//! | an early list without a new end | twice the previous pause, up to the poll timeout; ends as soon as a held end is released |
 //! | a list, to a renewal that did not extend the lease | [`UNANSWERED_PAUSE`] |
 //! | none, or a refusal | [`UNANSWERED_PAUSE`], or [`UNAVAILABLE_PAUSE`] if the target accepts no work |
 //!
@@ -26,8 +26,8 @@
 /// Pause after an unanswered renewal to a target that accepts no work; longer, since each renewal may open a connection.
 const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(60);
 
-/// A list is early if it arrives within the wait of its renewal divided by this; the margin tolerates imprecise timers at the target.
-const EARLY_WAIT_DIVISOR: u32 = 2;
+/// A list is early if it arrives within the poll timeout divided by this; the margin tolerates imprecise timers at the target.
+const EARLY_LIST_DIVISOR: u32 = 2;
 
 /// Pause before the next renewal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -75,7 +75,7 @@
         if order.deadline.is_none() {
             return RenewalPause::fixed(UNANSWERED_PAUSE);
         }
-        let is_early = now < order.sent_at + order.poll_timeout / EARLY_WAIT_DIVISOR;
+        let is_early = now < order.sent_at + order.poll_timeout / EARLY_LIST_DIVISOR;
         if has_new_end || !is_early {
             self.next = MIN_PAUSE;
         }
--- a/crates/leased/cloverfold_lease/src/runner/renewals.rs
+++ b/crates/leased/cloverfold_lease/src/runner/renewals.rs
@@ -29,7 +29,7 @@
     /// Nor is it extended while it is withheld (`lapses`) or a session is in doubt (`own_stall`). The target answers such a renewal at once
     /// instead of waiting for an end.
     ///
-    /// The lease of an unresponsive target is not extended either: it may be gone, and its runs count as lost once the lease has lapsed.
+    /// The lease of an unresponsive target is not extended either: it may have died, and its runs are lost once the lease has lapsed.
     pub fn plan_renewal(&mut self, now: Timestamp) -> Option<RenewalOrder> {
         if let Some(probe) = self.plan_probe(now) {
             return Some(probe);
@@ -189,7 +189,7 @@
     /// Discards a candidate that is not alive.
     fn discard_candidate(&mut self, incarnation: &IncarnationId) {
         if self.candidates.remove(incarnation).is_some() {
-            self.remember_as_ended(incarnation.clone());
+            self.record_ended_incarnation(incarnation.clone());
             self.report_incarnation(incarnation.clone(), false);
         }
     }
--- a/crates/leased/cloverfold_lease/src/runner/reports.rs
+++ b/crates/leased/cloverfold_lease/src/runner/reports.rs
@@ -95,7 +95,7 @@
         let target = self.target.as_ref();
         let available = target
             .filter(|target| target.accepts_work() && !self.is_draining && !self.is_evacuated);
-        let available = available.filter(|_| !self.is_held());
+        let available = available.filter(|_| !self.is_target_held());
         for (id, session) in &mut self.sessions {
             let offered = available.filter(|_| !session.is_retired);
             let announcement = offered.map_or(Announcement::NoTarget, |target| {
--- a/crates/leased/cloverfold_lease/src/runner/run.rs
+++ b/crates/leased/cloverfold_lease/src/runner/run.rs
@@ -85,18 +85,18 @@
 /// The next step to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopStep {
-    /// Nothing was sent for it: it is over.
-    IsOver,
+    /// End the run at once: nothing was sent to the target.
+    EndNow,
     /// Send a stop.
     SendStop,
-    /// A stop was already sent; the first reason stands.
-    IsStopping,
+    /// Nothing: a stop was already sent, and its outcome stands.
+    AlreadyStopping,
 }
 
 /// One run of a task.
 #[derive(Clone, Debug)]
 pub(super) struct Run {
-    /// The session to which its end is reported; `None` once that session is over.
+    /// The session to which its end is reported; `None` once that session has ended.
     pub(super) session: Option<SessionId>,
     /// Order of arrival in this process.
     pub(super) sequence: u64,
@@ -265,8 +265,8 @@
         now: Timestamp,
     ) -> StopStep {
         let proof = match self.state {
-            RunState::Waiting { .. } => return StopStep::IsOver,
-            RunState::Stopping(_) => return StopStep::IsStopping,
+            RunState::Waiting { .. } => return StopStep::EndNow,
+            RunState::Stopping(_) => return StopStep::AlreadyStopping,
             RunState::Starting(start) => EndProof::StartExpired(start.deadline),
             RunState::Running { .. } => EndProof::ListedAfterStop,
         };
--- a/crates/leased/cloverfold_lease/src/runner/session.rs
+++ b/crates/leased/cloverfold_lease/src/runner/session.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns whether the session has expired, so that its runs must be stopped.
-    pub(super) fn is_over(&self, now: Timestamp) -> bool {
+    pub(super) fn has_expired(&self, now: Timestamp) -> bool {
         now > self.valid_until
     }
 }
--- a/crates/leased/cloverfold_lease/src/runner/sessions.rs
+++ b/crates/leased/cloverfold_lease/src/runner/sessions.rs
@@ -1,6 +1,6 @@
 //! Opening, extension and expiry of sessions with dispatchers.
 //!
-//! A dispatcher counts the runs of a session as over a fixed time after its last echo, see [`Timings`](crate::Timings). That is correct
+//! A dispatcher considers the runs of a session ended a fixed time after its last echo, see [`Timings`](crate::Timings). That is correct
 //! only because a session ends [`Timings::session_timeout`](crate::Timings::session_timeout) after the runner's own clock reading that was
 //! echoed.
 
@@ -42,7 +42,7 @@
         self.runs.values().filter(is_of_session).count()
     }
 
-    /// Extends a session from the echoed clock reading; a reading in the future counts as now.
+    /// Extends a session from the echoed clock reading; a reading in the future is clamped to `now`.
     pub(super) fn receive_echo(&mut self, session: SessionId, clock: Timestamp, now: Timestamp) {
         let span = self.timings.session_timeout;
         if let Some(session) = self.sessions.get_mut(&session) {
@@ -55,13 +55,13 @@
         if self.catch_up.is_active(now) {
             return;
         }
-        let over: Vec<SessionId> = self
+        let expired: Vec<SessionId> = self
             .sessions
             .iter()
-            .filter(|(_, session)| session.is_over(now))
+            .filter(|(_, session)| session.has_expired(now))
             .map(|(id, _)| *id)
             .collect();
-        for session in over {
+        for session in expired {
             self.counts.expired_sessions += 1;
             self.actions.push(RunnerAction::CloseSession(session));
             self.close_session(session, now);
--- a/crates/leased/cloverfold_lease/src/runner/starts.rs
+++ b/crates/leased/cloverfold_lease/src/runner/starts.rs
@@ -111,7 +111,7 @@
                 // A start with a later deadline would be a new start in an evacuated data hall.
                 self.end_run(task, RunOutcome::NotStarted(RunRefusal::Evacuated), now);
             }
-            RefusedStartStep::Replace if self.is_held() => {
+            RefusedStartStep::Replace if self.is_target_held() => {
                 // A run that starts now would be lost when the box goes down.
                 self.end_run(task, RunOutcome::NotStarted(RunRefusal::Draining), now);
             }
--- a/crates/leased/cloverfold_lease/src/runner/stops.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stops.rs
@@ -30,8 +30,8 @@
         };
         let number = run.number;
         match run.begin_stop(outcome_if_never_started, now) {
-            StopStep::IsOver => self.end_run(task, outcome_if_never_started, now),
-            StopStep::IsStopping => {}
+            StopStep::EndNow => self.end_run(task, outcome_if_never_started, now),
+            StopStep::AlreadyStopping => {}
             StopStep::SendStop => {
                 self.counts.stopped += 1;
                 self.send_stop(task.clone(), number);
--- a/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/src/runner/stuck_runs.rs
@@ -1,6 +1,6 @@
 //! Stops stuck runs and pauses their target.
 //!
-//! `progress` judges one run, `performance` judges the target.
+//! `progress` detects stuck runs, and `performance` decides on the pause.
 
 use cloverfold_base::Timestamp;
 
@@ -10,7 +10,7 @@
 impl Runner {
     /// Stops stuck runs, and pauses the target if there are too many of them.
     ///
-    /// A target whose runs were never seen to advance is not judged, since it may not report progress.
+    /// A target whose runs were never seen to advance is not checked, since it may not report progress.
     pub(super) fn stop_stuck_runs(&mut self, now: Timestamp) {
         let target = self.target.as_ref();
         if !target.is_some_and(|target| target.performance.reports_progress()) {
--- a/crates/leased/cloverfold_lease/src/runner/suspension.rs
+++ b/crates/leased/cloverfold_lease/src/runner/suspension.rs
@@ -2,7 +2,7 @@
 //!
 //! Timestamps about the target's clock and leases that lie before the suspension move forward by its length, or by a lower bound of it.
 //!
-//! The runner's clock keeps running during a suspension, but the steady clock on which the target keeps its leases may have stopped.
+//! The runner's clock keeps running during a suspension, but the monotonic clock on which the target keeps its leases may have stopped.
 //! Without the shift a lease could be extended too far or count as lapsed too early. If the target was not suspended, a lease counts as
 //! lapsed too late, until the next answer corrects the clock reading.
 //!
--- a/crates/leased/cloverfold_lease/src/runner/target.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target.rs
@@ -22,7 +22,7 @@
         now: Timestamp,
     ) -> RegistrationVerdict {
         self.first_registration_at.get_or_insert(now);
-        let verdict = self.judge_registration(&registration);
+        let verdict = self.classify_registration(&registration);
         self.counts.registrations.record(verdict);
         match verdict {
             RegistrationVerdict::Outdated
@@ -47,7 +47,7 @@
     ///
     /// Sequence numbers are compared only within an incarnation: a restarted target starts them again, and otherwise its registrations,
     /// even those that say that it drains, would count as late ones of the previous incarnation.
-    fn judge_registration(&self, registration: &TargetRegistration) -> RegistrationVerdict {
+    fn classify_registration(&self, registration: &TargetRegistration) -> RegistrationVerdict {
         let incarnation = &registration.incarnation;
         if self.ended_incarnations.contains(incarnation) {
             return RegistrationVerdict::IncarnationEnded;
@@ -55,7 +55,11 @@
         let Some(target) = &self.target else {
             return RegistrationVerdict::Accepted;
         };
-        if target.registration.incarnation.matches_untimed(incarnation) {
+        if target
+            .registration
+            .incarnation
+            .matches_without_start_time(incarnation)
+        {
             return RegistrationVerdict::MissingStartTime;
         }
         if target.registration.incarnation != *incarnation {
@@ -102,10 +106,10 @@
     /// Removes the target or candidate that reports its own end, and ends its runs; returns whether the report was accepted.
     ///
     /// A target that reports start times drains before it ends. A report without a start time while the current incarnation does not drain
-    /// is therefore a late one of an earlier incarnation and is ignored; if the target is gone after all, it becomes unresponsive.
+    /// is therefore a late one of an earlier incarnation and is ignored; if the target has ended after all, it becomes unresponsive.
     pub fn unregister(&mut self, incarnation: &IncarnationId, now: Timestamp) -> bool {
         if self.candidates.remove(incarnation).is_some() {
-            self.remember_as_ended(incarnation.clone());
+            self.record_ended_incarnation(incarnation.clone());
             return true;
         }
         let Some(target) = &self.target else {
@@ -113,7 +117,7 @@
         };
         let current = &target.registration.incarnation;
         let is_match = current == incarnation
-            || (current.matches_untimed(incarnation) && target.is_draining());
+            || (current.matches_without_start_time(incarnation) && target.is_draining());
         if is_match {
             self.end_target_incarnation(now);
             self.announce_target();
@@ -154,13 +158,13 @@
     /// Ends the current incarnation, if any, and all its runs.
     fn end_target_incarnation(&mut self, now: Timestamp) {
         if let Some(target) = self.target.take() {
-            self.remember_as_ended(target.registration.incarnation);
+            self.record_ended_incarnation(target.registration.incarnation);
         }
         self.end_all_runs(now);
     }
 
     /// Remembers an incarnation as ended, so that its late registrations are ignored.
-    pub(super) fn remember_as_ended(&mut self, incarnation: IncarnationId) {
+    pub(super) fn record_ended_incarnation(&mut self, incarnation: IncarnationId) {
         self.ended_incarnations.push_back(incarnation);
         if self.ended_incarnations.len() > MAX_ENDED_INCARNATIONS {
             self.ended_incarnations.pop_front();
@@ -168,7 +172,7 @@
     }
 
     /// Checks whether the target is unresponsive: it has answered no renewal for
-    /// [`Timings::unresponsive_timeout`](crate::Timings::unresponsive_timeout) plus the wait of a renewal.
+    /// [`Timings::unresponsive_timeout`](crate::Timings::unresponsive_timeout) plus the poll timeout of a renewal.
     ///
     /// An unresponsive target gets no new work. Its runs may go on until its lease has lapsed; then they are lost.
     pub(super) fn check_responsiveness(&mut self, now: Timestamp) {
--- a/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_incarnation.rs
@@ -42,7 +42,7 @@
 }
 
 impl UnavailableReason {
-    /// Returns its name in logs and answers, which is part of the external interface.
+    /// Returns the stable name that is used in logs and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoTarget => "NoTarget",
@@ -264,7 +264,7 @@
         Some(deadline)
     }
 
-    /// Returns whether every lease that the target may have is certainly over, so that nothing runs there.
+    /// Returns whether every lease that the target may have has certainly lapsed, so that nothing runs there.
     ///
     /// The latest deadline lies `left` after the newest reading of the target's clock. That clock may be slow, so `left` lasts up to
     /// [`Timings::max_real_duration`] here; then the target has [`Timings::stop_timeout`] to end its runs. A later reading past that point
--- a/crates/leased/cloverfold_lease/src/runner/target_restart.rs
+++ b/crates/leased/cloverfold_lease/src/runner/target_restart.rs
@@ -6,8 +6,8 @@
 //! | of the previous incarnation | behaviour |
 //! |---|---|
 //! | waiting runs | refused |
-//! | started runs | stopped; over once a list that was requested with a higher fencing token leaves them out |
-//! | its lease | over at most one longest lease and a stop after the new incarnation has answered with the higher token |
+//! | started runs | stopped; ended once a list that was requested with a higher fencing token leaves them out |
+//! | its lease | lapsed at most one longest lease and a stop after the new incarnation has answered with the higher token |
 //! | registration and end numbers, clock, draining, responsiveness, pauses, speeds, a hold for upkeep | discarded |
 //!
 //! From the higher token on, the new incarnation refuses orders to the previous one. The bound on the lease is
@@ -43,7 +43,7 @@
                 .record_target(&target.registration);
         }
         self.target = Some(target);
-        self.remember_as_ended(predecessor.registration.incarnation);
+        self.record_ended_incarnation(predecessor.registration.incarnation);
         self.refuse_waiting(RunRefusal::NoTarget, now);
         self.stop_predecessor_runs(now);
         self.announce_target();
--- a/crates/leased/cloverfold_lease/src/runner/unlisted.rs
+++ b/crates/leased/cloverfold_lease/src/runner/unlisted.rs
@@ -1,4 +1,4 @@
-//! Decides whether a run that the target does not list is over, and with which outcome.
+//! Decides whether a run that the target does not list has ended, and with which outcome.
 //!
 //! This is the only rule that ends a run without an end reported by the target.
 
@@ -23,7 +23,7 @@
 ///
 /// - Waiting: nothing was sent, so no list can contain it.
 /// - Starting: the target refuses a start after its deadline. Once the target's clock is past it, the run never ran.
-/// - Running: it was confirmed before the list was requested, so it was there and is gone: lost. A list that was requested before the
+/// - Running: it was confirmed before the list was requested, so the target had it and has lost it. A list that was requested before the
 ///   confirmation may be older than the run.
 /// - Stopping: see [`outcome_of_unlisted_stop`].
 pub(super) fn outcome_of_unlisted_run(state: &RunState, list: ListContext) -> Option<RunOutcome> {
@@ -43,8 +43,8 @@
 /// Returns the outcome of an unlisted run whose stop was sent.
 ///
 /// If its start was not acknowledged, the target may still execute it after the stop, until the start's deadline. A confirmed run is
-/// stopped once a list requested after the stop leaves it out. A run of an earlier incarnation is over once the current incarnation refuses
-/// the orders to that one; their deadlines are on another clock.
+/// stopped once a list requested after the stop leaves it out. A run of an earlier incarnation has ended once the current incarnation
+/// refuses the orders to that one; their deadlines are on another clock.
 fn outcome_of_unlisted_stop(stop: &PendingStop, list: ListContext) -> Option<RunOutcome> {
     match stop.proof {
         EndProof::StartExpired(deadline) => {
--- a/crates/leased/cloverfold_lease/src/runner/upkeep.rs
+++ b/crates/leased/cloverfold_lease/src/runner/upkeep.rs
@@ -18,11 +18,11 @@
 use crate::runner::Runner;
 use crate::runner::incarnation_id::IncarnationId;
 
-/// A target that is not offered for a limited time.
+/// A hold of the target before upkeep: the target is not offered for a limited time.
 #[derive(Clone, Debug)]
-pub(super) struct HeldTarget {
-    /// The number of its incarnation in this process.
-    number: u64,
+pub(super) struct UpkeepHold {
+    /// Number of the held incarnation in this process.
+    incarnation: u64,
     until: Timestamp,
 }
 
@@ -36,10 +36,10 @@
         };
         let number = target.number();
         if span.is_zero() {
-            self.held = None;
+            self.upkeep_hold = None;
         } else {
-            self.held = Some(HeldTarget {
-                number,
+            self.upkeep_hold = Some(UpkeepHold {
+                incarnation: number,
                 until: now + span,
             });
             self.refuse_waiting(RunRefusal::Draining, now);
@@ -48,10 +48,10 @@
     }
 
     /// Returns whether the target is held before upkeep.
-    pub fn is_held(&self) -> bool {
+    pub fn is_target_held(&self) -> bool {
         let target = self.target.as_ref();
-        let held = self.held.as_ref();
-        held.is_some_and(|held| target.is_some_and(|target| target.number() == held.number))
+        let hold = self.upkeep_hold.as_ref();
+        hold.is_some_and(|hold| target.is_some_and(|target| target.number() == hold.incarnation))
     }
 
     /// Returns the current incarnation of the target; `None` while there is none.
@@ -74,8 +74,8 @@
     }
 
     /// Offers the target again after the hold has expired.
-    pub(super) fn end_hold(&mut self, now: Timestamp) {
-        if self.held.take_if(|held| now >= held.until).is_some() {
+    pub(super) fn expire_hold(&mut self, now: Timestamp) {
+        if self.upkeep_hold.take_if(|hold| now >= hold.until).is_some() {
             self.announce_target();
         }
     }
--- a/crates/leased/cloverfold_lease/src/runner/usual_speed.rs
+++ b/crates/leased/cloverfold_lease/src/runner/usual_speed.rs
@@ -3,10 +3,10 @@
 //! Boxes of one installation differ in speed. A run on a permanently slow box should be given time, while one on a box with a temporary
 //! problem should move elsewhere.
 //!
-//! The usual slowness is the mean of run time over estimate of the completed runs: a plain mean of the first [`AVERAGED_RUNS`], then a
-//! moving mean, since single estimates are often wrong by half. After [`MIN_RUNS`], a run that takes more than [`OUTLIER_FACTOR`] times the
-//! usual time is discarded: it indicates a temporary problem or a wrong estimate. A target with another service, capacity or set of labels
-//! starts a new estimate; a restart of the same target does not.
+//! The usual slowness is the mean ratio of run time to estimate of the completed runs: a plain mean of the first [`AVERAGED_RUNS`], then an
+//! exponential moving average, since single estimates are often wrong by half. After [`MIN_RUNS`], a run that takes more than
+//! [`OUTLIER_FACTOR`] times the usual time is discarded: it indicates a temporary problem or a wrong estimate. A target with another
+//! service, capacity or set of labels starts a new estimate; a restart of the same target does not.
 //!
 //! The estimate is a hint that is lost when the process restarts.
 
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 pub(super) struct UsualSpeedEstimator {
     profile: Option<TargetProfile>,
-    /// Mean run time over estimate.
+    /// Mean ratio of run time to estimate.
     slowness: f64,
     runs: u32,
 }
--- a/crates/leased/cloverfold_lease/src/runner/waiting.rs
+++ b/crates/leased/cloverfold_lease/src/runner/waiting.rs
@@ -31,13 +31,13 @@
     /// Refuses the runs that have waited as long as their assignment allows
     /// ([`Assignment::wait_ms`](crate::Assignment::wait_ms), set by the dispatcher).
     pub(super) fn expire_waiting(&mut self, now: Timestamp) {
-        let late: Vec<TaskId> = self
+        let expired: Vec<TaskId> = self
             .runs
             .iter()
             .filter(|(_, run)| run.has_waited_too_long(now))
             .map(|(task, _)| task.clone())
             .collect();
-        for task in late {
+        for task in expired {
             self.end_run(&task, RunOutcome::NotStarted(RunRefusal::NoCapacity), now);
         }
     }
--- a/crates/leased/cloverfold_lease/tests/runner/incarnations.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/incarnations.rs
@@ -477,13 +477,13 @@
 fn a_hold_for_upkeep_ends_with_the_held_incarnation() {
     let mut runner = ready_with(first_incarnation());
     runner.hold_target("incarnation-1", ms(5_000), at(101));
-    assert!(runner.is_held());
+    assert!(runner.is_target_held());
 
     runner.register(second_incarnation(), at(102));
     renew(&mut runner, at(103), listed(20, vec![], &[]));
     renew(&mut runner, at(105), listed(22, vec![], &[]));
 
-    assert!(!runner.is_held());
+    assert!(!runner.is_target_held());
     assert!(runner.has_ready_target());
 }
 
--- a/crates/leased/cloverfold_lease/tests/runner/upkeep.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/upkeep.rs
@@ -72,14 +72,14 @@
     runner.take_actions();
 
     runner.tick(at(159));
-    assert!(runner.is_held());
+    assert!(runner.is_target_held());
     let name = runner.target_incarnation_id().unwrap().name.clone();
     runner.hold_target(&name, HOLD_DURATION, at(159));
     runner.tick(at(208));
-    assert!(runner.is_held());
+    assert!(runner.is_target_held());
     runner.tick(at(209));
 
-    assert!(!runner.is_held());
+    assert!(!runner.is_target_held());
     assert_eq!(offers(&runner.take_actions()), [true]);
 }
 
@@ -111,7 +111,7 @@
 
     hold(&mut runner, Duration::ZERO);
 
-    assert!(!runner.is_held());
+    assert!(!runner.is_target_held());
     assert_eq!(offers(&runner.take_actions()), [true]);
 }
 
@@ -121,7 +121,7 @@
 
     runner.hold_target("another", HOLD_DURATION, at(110));
 
-    assert!(!runner.is_held());
+    assert!(!runner.is_target_held());
     assert_eq!(offers(&runner.take_actions()), [] as [bool; 0]);
 }
 
