--- a/crates/leased/cloverfold_lease/tests/runner/any_order.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/any_order.rs
@@ -23,10 +23,10 @@
     Register,
     /// It begins to drain.
     Drain,
-    /// A registration in flight arrives; with `keeps_copy` it arrives again later.
+    /// A registration in flight arrives; if duplicated, it stays in flight and can arrive again.
     Deliver {
-        which: prop::sample::Index,
-        keeps_copy: bool,
+        selector: prop::sample::Index,
+        is_duplicated: bool,
     },
     /// A renewal or probe is sent, and answered or not.
     Renew { is_answered: bool },
@@ -40,7 +40,7 @@
         4 => Just(Event::Register),
         1 => Just(Event::Drain),
         5 => (any::<prop::sample::Index>(), any::<bool>())
-            .prop_map(|(which, keeps_copy)| Event::Deliver { which, keeps_copy }),
+            .prop_map(|(selector, is_duplicated)| Event::Deliver { selector, is_duplicated }),
         6 => prop::bool::weighted(0.8).prop_map(|is_answered| Event::Renew { is_answered }),
         1 => Just(Event::RestartRunner),
     ]
@@ -96,10 +96,13 @@
             }
             Event::Drain => self.is_draining = true,
             Event::Deliver { .. } if self.in_flight.is_empty() => {}
-            Event::Deliver { which, keeps_copy } => {
-                let index = which.index(self.in_flight.len());
+            Event::Deliver {
+                selector,
+                is_duplicated,
+            } => {
+                let index = selector.index(self.in_flight.len());
                 let registration = self.in_flight[index].clone();
-                if !keeps_copy {
+                if !is_duplicated {
                     self.in_flight.remove(index);
                 }
                 self.deliver(registration);
--- a/crates/leased/cloverfold_lease/tests/runner/evacuation.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/evacuation.rs
@@ -6,7 +6,8 @@
 };
 
 use crate::fixture::{
-    SESSION, assign, at, ends, list, ready, renew, row, start_run, stops, take_ends, take_starts,
+    SESSION, assign, at, ends, list, listed_run, ready, renew, start_run, stops, take_ends,
+    take_starts,
 };
 
 const REFUSED: RunOutcome = RunOutcome::NotStarted(RunRefusal::Evacuated);
@@ -64,7 +65,11 @@
 
     runner.set_evacuated(true, at(110));
     runner.tick(at(120));
-    renew(&mut runner, at(130), list(50_040, vec![row(1, None)], &[]));
+    renew(
+        &mut runner,
+        at(130),
+        list(50_040, vec![listed_run(1, None)], &[]),
+    );
 
     assert_eq!(stops(&runner.take_actions()), []);
     let done = list(50_900, vec![], &[(1, 1, EndCause::Done)]);
--- a/crates/leased/cloverfold_lease/tests/runner/fixture.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/fixture.rs
@@ -85,7 +85,7 @@
     DispatcherMessage::Echo { clock }
 }
 
-pub fn row(index: u32, progress: Option<u8>) -> ListedRun {
+pub fn listed_run(index: u32, progress: Option<u8>) -> ListedRun {
     ListedRun {
         task: task(index),
         run: RUN,
--- a/crates/leased/cloverfold_lease/tests/runner/incarnations.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/incarnations.rs
@@ -8,8 +8,8 @@
 };
 
 use crate::fixture::{
-    SESSION, answered_by, assign, at, echo, incarnation_id, list, ms, ready_with, registered,
-    registration, renew, row, start_run, stops, take_ends, take_starts, task,
+    SESSION, answered_by, assign, at, echo, incarnation_id, list, listed_run, ms, ready_with,
+    registered, registration, renew, start_run, stops, take_ends, take_starts, task,
 };
 
 /// Start time of the first incarnation.
@@ -71,7 +71,12 @@
     runner
 }
 
-fn listed(clock: u64, running: Vec<ListedRun>, ended: &[(u64, u32, EndCause)]) -> RenewalAnswer {
+/// Returns an answer of the second incarnation, see [`list`].
+fn second_list(
+    clock: u64,
+    running: Vec<ListedRun>,
+    ended: &[(u64, u32, EndCause)],
+) -> RenewalAnswer {
     answered_by(SECOND_START_TIME, list(clock, running, ended))
 }
 
@@ -116,8 +121,8 @@
         },
         at(102),
     );
-    renew(&mut runner, at(103), listed(20, vec![], &[]));
-    renew(&mut runner, at(105), listed(22, vec![], &[]));
+    renew(&mut runner, at(103), second_list(20, vec![], &[]));
+    renew(&mut runner, at(105), second_list(22, vec![], &[]));
 
     assert_not_ready(&runner, UnavailableReason::Draining);
 }
@@ -134,8 +139,8 @@
     );
 
     runner.register(second_incarnation(), at(102));
-    renew(&mut runner, at(103), listed(20, vec![], &[]));
-    renew(&mut runner, at(105), listed(22, vec![], &[]));
+    renew(&mut runner, at(103), second_list(20, vec![], &[]));
+    renew(&mut runner, at(105), second_list(22, vec![], &[]));
 
     assert!(runner.has_ready_target());
 }
@@ -176,12 +181,16 @@
 #[test]
 fn a_late_registration_of_an_unknown_incarnation_is_probed_and_then_ignored() {
     let mut runner = registered(second_incarnation(), at(90));
-    renew(&mut runner, at(95), listed(20, vec![], &[]));
+    renew(&mut runner, at(95), second_list(20, vec![], &[]));
     runner.open_session(SESSION, at(100));
     start_run(&mut runner, 1, at(110));
 
     let verdict = runner.register(late_first_incarnation(), at(120));
-    renew(&mut runner, at(121), listed(46, vec![row(1, None)], &[]));
+    renew(
+        &mut runner,
+        at(121),
+        second_list(46, vec![listed_run(1, None)], &[]),
+    );
     let again = runner.register(late_first_incarnation(), at(130));
 
     assert_eq!(verdict, RegistrationVerdict::Candidate);
@@ -221,8 +230,8 @@
 #[test]
 fn an_unregistered_incarnation_found_by_a_list_gets_no_work_until_it_registers() {
     let mut runner = ready_with(first_incarnation());
-    renew(&mut runner, at(110), listed(5, vec![], &[]));
-    renew(&mut runner, at(115), listed(10, vec![], &[]));
+    renew(&mut runner, at(110), second_list(5, vec![], &[]));
+    renew(&mut runner, at(115), second_list(10, vec![], &[]));
     let before = runner.find_unavailable_reason();
 
     runner.register(second_incarnation(), at(120));
@@ -238,15 +247,15 @@
     let many_ends = list(50_060, vec![], &[(HIGH_NUMBER, 1, EndCause::Done)]);
     renew(&mut runner, at(130), many_ends);
     runner.register(second_incarnation(), at(140));
-    renew(&mut runner, at(141), listed(20, vec![], &[]));
-    renew(&mut runner, at(143), listed(22, vec![], &[]));
+    renew(&mut runner, at(141), second_list(20, vec![], &[]));
+    renew(&mut runner, at(143), second_list(22, vec![], &[]));
     runner.take_actions();
     start_run(&mut runner, 2, at(150));
 
     renew(
         &mut runner,
         at(210),
-        listed(80, vec![], &[(1, 2, EndCause::Done)]),
+        second_list(80, vec![], &[(1, 2, EndCause::Done)]),
     );
 
     assert_eq!(take_ends(&mut runner), [(2, RunOutcome::Done)]);
@@ -284,7 +293,11 @@
     let mut runner = ready_with(first_incarnation());
     start_run(&mut runner, 1, at(110));
     runner.register(second_incarnation(), at(125));
-    renew(&mut runner, at(130), listed(20, vec![row(1, None)], &[]));
+    renew(
+        &mut runner,
+        at(130),
+        second_list(20, vec![listed_run(1, None)], &[]),
+    );
     runner
 }
 
@@ -293,13 +306,17 @@
     let mut runner = restarted_with_run();
     let found = runner.take_actions();
     let fencing = runner.plan_renewal(at(132)).unwrap();
-    runner.receive_renewal_answer(&fencing, listed(25, vec![row(1, None)], &[]), at(133));
+    runner.receive_renewal_answer(
+        &fencing,
+        second_list(25, vec![listed_run(1, None)], &[]),
+        at(133),
+    );
     let while_listed = take_ends(&mut runner);
 
     renew(
         &mut runner,
         at(150),
-        listed(40, vec![], &[(1, 1, EndCause::Stopped)]),
+        second_list(40, vec![], &[(1, 1, EndCause::Stopped)]),
     );
 
     assert_eq!(
@@ -318,7 +335,7 @@
     let mut runner = restarted_with_run();
     let before = take_ends(&mut runner);
 
-    renew(&mut runner, at(132), listed(25, vec![], &[]));
+    renew(&mut runner, at(132), second_list(25, vec![], &[]));
 
     assert_eq!(before, [], "the start may still be in flight");
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Lost)]);
@@ -329,9 +346,9 @@
     let mut runner = ready_with(first_incarnation());
     start_run(&mut runner, 1, at(110));
     let old = runner.plan_renewal(at(120)).unwrap();
-    runner.receive_renewal_answer(&old, listed(20, vec![], &[]), at(130));
+    runner.receive_renewal_answer(&old, second_list(20, vec![], &[]), at(130));
 
-    runner.receive_renewal_answer(&old, listed(21, vec![], &[]), at(131));
+    runner.receive_renewal_answer(&old, second_list(21, vec![], &[]), at(131));
 
     assert_eq!(take_ends(&mut runner), []);
 }
@@ -344,7 +361,7 @@
     renew(
         &mut runner,
         at(132),
-        listed(25, vec![], &[(1, 1, EndCause::Done)]),
+        second_list(25, vec![], &[(1, 1, EndCause::Done)]),
     );
 
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Done)]);
@@ -356,8 +373,8 @@
     runner.receive(SESSION, assign(1, at(510)), at(110));
     let start = take_starts(&mut runner).remove(0);
     runner.register(second_incarnation(), at(125));
-    renew(&mut runner, at(130), listed(20, vec![], &[]));
-    renew(&mut runner, at(132), listed(22, vec![], &[]));
+    renew(&mut runner, at(130), second_list(20, vec![], &[]));
+    renew(&mut runner, at(132), second_list(22, vec![], &[]));
 
     runner.receive_start_answer(&start, StartAnswer::Started { clock: 50_040 }, at(140));
 
@@ -374,7 +391,7 @@
     runner.register(second_incarnation(), at(125));
     runner.take_actions();
 
-    renew(&mut runner, at(130), listed(20, vec![], &[]));
+    renew(&mut runner, at(130), second_list(20, vec![], &[]));
 
     let ends = take_ends(&mut runner);
     assert!(
@@ -480,8 +497,8 @@
     assert!(runner.is_target_held());
 
     runner.register(second_incarnation(), at(102));
-    renew(&mut runner, at(103), listed(20, vec![], &[]));
-    renew(&mut runner, at(105), listed(22, vec![], &[]));
+    renew(&mut runner, at(103), second_list(20, vec![], &[]));
+    renew(&mut runner, at(105), second_list(22, vec![], &[]));
 
     assert!(!runner.is_target_held());
     assert!(runner.has_ready_target());
@@ -490,8 +507,8 @@
 #[test]
 fn a_restarted_runner_finds_the_live_incarnation_after_a_registration_of_the_dead_one() {
     let mut runner = registered(late_first_incarnation(), at(90));
-    renew(&mut runner, at(91), listed(20, vec![], &[]));
-    renew(&mut runner, at(93), listed(22, vec![], &[]));
+    renew(&mut runner, at(91), second_list(20, vec![], &[]));
+    renew(&mut runner, at(93), second_list(22, vec![], &[]));
 
     let live = runner.register(second_incarnation(), at(100));
     let dead = runner.register(late_first_incarnation(), at(110));
@@ -535,7 +552,7 @@
     runner.register(second_incarnation(), at(102));
     runner.take_actions();
 
-    renew(&mut runner, at(103), listed(20, vec![], &[]));
+    renew(&mut runner, at(103), second_list(20, vec![], &[]));
 
     let actions = runner.take_actions();
     let is_report = |action: &&RunnerAction| {
--- a/crates/leased/cloverfold_lease/tests/runner/kept_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/kept_runs.rs
@@ -8,8 +8,8 @@
 };
 
 use crate::fixture::{
-    RUN, SESSION, assign, assignment, at, echo, ends, incarnation_id, list, ms, ready, registered,
-    registration, renew, row, start_run, take_ends, take_starts, task,
+    RUN, SESSION, assign, assignment, at, echo, ends, incarnation_id, list, listed_run, ms, ready,
+    registered, registration, renew, start_run, take_ends, take_starts, task,
 };
 
 const EPOCH: u64 = 3;
@@ -163,7 +163,7 @@
     runner.receive_end_decision(&end, EndDecision::Fenced, at(170));
     runner.receive(SESSION, echo(at(600)), at(600));
 
-    let running = vec![row(3, None)];
+    let running = vec![listed_run(3, None)];
     renew(&mut runner, at(700), list(50_610, running, &[]));
     assert_eq!(take_ends(&mut runner), []);
     let lapsed = [(3, 3, EndCause::Lapsed)];
@@ -182,7 +182,11 @@
         run: RUN,
     };
     runner.receive(SESSION, withdraw, at(150));
-    renew(&mut runner, at(380), list(50_290, vec![row(1, None)], &[]));
+    renew(
+        &mut runner,
+        at(380),
+        list(50_290, vec![listed_run(1, None)], &[]),
+    );
 
     runner.tick(at(399));
     let before = runner.plan_renewal(at(399)).unwrap();
@@ -195,10 +199,10 @@
     let ended = [(1, 1, EndCause::Stopped)];
     runner.receive_renewal_answer(&after, list(50_310, vec![], &ended), at(402));
     runner.tick(at(403));
-    let gone = runner.plan_renewal(at(404)).unwrap();
+    let after_end = runner.plan_renewal(at(404)).unwrap();
     assert!(
-        gone.deadline.is_some(),
-        "the lease is extended once the run is gone"
+        after_end.deadline.is_some(),
+        "the lease is extended once the run has ended"
     );
 }
 
@@ -212,7 +216,11 @@
         run: RUN,
     };
     runner.receive(SESSION, withdraw, at(150));
-    renew(&mut runner, at(430), list(50_340, vec![row(1, None)], &[]));
+    renew(
+        &mut runner,
+        at(430),
+        list(50_340, vec![listed_run(1, None)], &[]),
+    );
 
     runner.tick(at(450));
 
--- a/crates/leased/cloverfold_lease/tests/runner/leftover_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/leftover_runs.rs
@@ -3,8 +3,8 @@
 use cloverfold_lease::{RunnerAction, StartAnswer, TargetRegistration};
 
 use crate::fixture::{
-    SESSION, assign, at, list, ready, registered, registration, renew, row, start_run, stops,
-    take_starts,
+    SESSION, assign, at, list, listed_run, ready, registered, registration, renew, start_run,
+    stops, take_starts,
 };
 
 fn withdraw(index: u32) -> cloverfold_lease::DispatcherMessage {
@@ -30,7 +30,11 @@
     assert_eq!(stops(&runner.take_actions()), [1]);
 
     runner.receive_start_answer(&start, StartAnswer::Unanswered, at(130));
-    renew(&mut runner, at(300), list(50_200, vec![row(1, None)], &[]));
+    renew(
+        &mut runner,
+        at(300),
+        list(50_200, vec![listed_run(1, None)], &[]),
+    );
     runner.tick(at(310));
 
     let actions = runner.take_actions();
@@ -50,7 +54,7 @@
         renew(
             &mut runner,
             at(sent_at),
-            list(50_000 + sent_at, vec![row(9, None)], &[]),
+            list(50_000 + sent_at, vec![listed_run(9, None)], &[]),
         );
 
         assert_eq!(stops(&runner.take_actions()), [9]);
--- a/crates/leased/cloverfold_lease/tests/runner/own_stall.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/own_stall.rs
@@ -3,7 +3,7 @@
 use cloverfold_lease::{Runner, RunnerAction, RunnerMessage, UnavailableReason};
 
 use crate::fixture::{
-    SESSION, assign, at, echo, list, ms, ready, renew, row, start_run, stops, take_starts,
+    SESSION, assign, at, echo, list, listed_run, ms, ready, renew, start_run, stops, take_starts,
 };
 
 /// End of the stall. The session's last echo is of 200 ms, so it has expired by then.
@@ -13,7 +13,11 @@
 fn stalled() -> Runner {
     let mut runner = ready();
     start_run(&mut runner, 1, at(110));
-    renew(&mut runner, at(200), list(50_100, vec![row(1, None)], &[]));
+    renew(
+        &mut runner,
+        at(200),
+        list(50_100, vec![listed_run(1, None)], &[]),
+    );
     runner.receive(SESSION, echo(at(200)), at(210));
     runner.take_actions();
     runner.allow_for_stall(ms(STALL_END_MS - 210), at(STALL_END_MS));
--- a/crates/leased/cloverfold_lease/tests/runner/renewal_pace.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/renewal_pace.rs
@@ -11,7 +11,7 @@
 
 use crate::fixture::{RUN, SESSION, assignment, at, echo, list, ms, ready, take_starts};
 
-/// Renewals of an idle target per second: each waits 25 ms.
+/// Renewals of an idle target per second, with a poll timeout of 25 ms.
 const IDLE_RENEWALS: usize = 40;
 /// Round trip to the target, in milliseconds.
 const ROUND_TRIP_MS: u64 = 1;
@@ -84,7 +84,7 @@
     let longest = sent.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap();
     assert!(
         longest <= 26,
-        "a renewal each {longest} ms, the lease lasts 650"
+        "up to {longest} ms between renewals of a lease of 650 ms"
     );
     assert!(runner.has_ready_target());
     let order = runner.plan_renewal(at(3_160)).unwrap();
--- a/crates/leased/cloverfold_lease/tests/runner/stuck_runs.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/stuck_runs.rs
@@ -9,8 +9,8 @@
 };
 
 use crate::fixture::{
-    SESSION, TARGET_CLOCK, assignment, at, echo, ends, list, ms, registered, registration, row,
-    stops,
+    SESSION, TARGET_CLOCK, assignment, at, echo, ends, list, listed_run, ms, registered,
+    registration, stops,
 };
 
 const CAPACITY: Resources = Resources {
@@ -60,9 +60,9 @@
 
     /// Renews the lease with a list of runs with their progress and of ends, then ticks.
     fn list(&mut self, running: &[(u32, u8)], ended: &[(u64, u32, EndCause)]) {
-        let rows = running.iter();
-        let rows = rows.map(|&(index, percent)| row(index, Some(percent)));
-        self.renew(rows.collect(), ended);
+        let runs = running.iter();
+        let runs = runs.map(|&(index, percent)| listed_run(index, Some(percent)));
+        self.renew(runs.collect(), ended);
         self.runner.tick(self.now);
         self.runner.receive(SESSION, echo(self.now), self.now);
         self.actions.extend(self.runner.take_actions());
@@ -158,7 +158,7 @@
 
     for _ in 0..10 {
         harness.now += ms(40);
-        harness.renew(vec![row(1, None)], &[]);
+        harness.renew(vec![listed_run(1, None)], &[]);
     }
 
     assert_eq!(harness.runner.counts().stuck, 0);
@@ -234,8 +234,8 @@
     // A run of 1,000 ms advances by 4 % in 40 ms; these are five times slower. Whole percents over 80 ms measure half to twice the speed.
     for percent in [0, 1, 2, 2, 3, 4, 5, 6, 6, 7] {
         harness.now += ms(40);
-        let rows: Vec<(u32, u8)> = runs.iter().map(|index| (*index, percent)).collect();
-        harness.list(&rows, &[]);
+        let running: Vec<(u32, u8)> = runs.iter().map(|index| (*index, percent)).collect();
+        harness.list(&running, &[]);
     }
 
     let slowness = free_capacity(&harness).unwrap().slowness_permille;
@@ -251,9 +251,9 @@
 
     for step in 0..10_u8 {
         harness.now += ms(40);
-        let row = |index: u32| (index, if index == 1 { step / 2 } else { step * 4 });
-        let rows: Vec<(u32, u8)> = (1..=6).map(row).collect();
-        harness.list(&rows, &[]);
+        let progress = |index: u32| (index, if index == 1 { step / 2 } else { step * 4 });
+        let running: Vec<(u32, u8)> = (1..=6).map(progress).collect();
+        harness.list(&running, &[]);
     }
 
     let slowness = free_capacity(&harness).unwrap().slowness_permille;
--- a/crates/leased/cloverfold_lease/tests/runner/suspension.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/suspension.rs
@@ -3,7 +3,7 @@
 use cloverfold_lease::RunnerAction;
 
 use crate::fixture::{
-    SESSION, assign, at, ends, list, ms, ready, renew, row, start_run, stops, take_starts,
+    SESSION, assign, at, ends, list, listed_run, ms, ready, renew, start_run, stops, take_starts,
 };
 
 const SUSPENDED_MS: u64 = 3_000;
@@ -93,7 +93,7 @@
     renew(
         &mut runner,
         at(resumed_ms),
-        list(target_clock, vec![row(1, None)], &[]),
+        list(target_clock, vec![listed_run(1, None)], &[]),
     );
 
     let next = runner.plan_renewal(at(resumed_ms + 11)).unwrap();
--- a/crates/leased/cloverfold_lease/tests/runner/target.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/target.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::fixture::{
-    SESSION, assign, at, echo, list, ready, registered, registration, renew, row, start_run,
+    SESSION, assign, at, echo, list, listed_run, ready, registered, registration, renew, start_run,
     take_ends, take_starts, task,
 };
 
@@ -19,7 +19,7 @@
         "no lease for runs of an earlier process"
     );
 
-    runner.receive_renewal_answer(&first, list(50_001, vec![row(3, None)], &[]), at(92));
+    runner.receive_renewal_answer(&first, list(50_001, vec![listed_run(3, None)], &[]), at(92));
 
     assert!(!runner.has_ready_target());
     let actions = runner.take_actions();
@@ -247,7 +247,11 @@
     renew_without_answers(&mut runner, 120, 500);
     let while_unresponsive = runner.plan_renewal(at(500)).unwrap();
 
-    renew(&mut runner, at(510), list(50_420, vec![row(1, None)], &[]));
+    renew(
+        &mut runner,
+        at(510),
+        list(50_420, vec![listed_run(1, None)], &[]),
+    );
     runner.tick(at(515));
 
     let next = runner.plan_renewal(at(520)).unwrap();
--- a/crates/leased/cloverfold_lease/tests/runner/upkeep.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/upkeep.rs
@@ -8,7 +8,8 @@
 };
 
 use crate::fixture::{
-    SESSION, assign, at, ends, list, ready, renew, row, start_run, stops, take_ends, take_starts,
+    SESSION, assign, at, ends, list, listed_run, ready, renew, start_run, stops, take_ends,
+    take_starts,
 };
 
 const REFUSED: RunOutcome = RunOutcome::NotStarted(RunRefusal::Draining);
@@ -53,14 +54,14 @@
     hold(&mut runner, HOLD_DURATION);
 
     assert_eq!(take_ends(&mut runner), [(3, REFUSED)]);
-    let rows = vec![row(1, None), row(2, None)];
-    renew(&mut runner, at(130), list(50_040, rows, &[]));
+    let running = vec![listed_run(1, None), listed_run(2, None)];
+    renew(&mut runner, at(130), list(50_040, running, &[]));
     assert_eq!(stops(&runner.take_actions()), []);
     let ended = [(1, 1, EndCause::Done)];
     renew(
         &mut runner,
         at(140),
-        list(50_050, vec![row(2, None)], &ended),
+        list(50_050, vec![listed_run(2, None)], &ended),
     );
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Done)]);
 }
