--- a/crates/leased/cloverfold_lease/tests/overlap.rs
+++ b/crates/leased/cloverfold_lease/tests/overlap.rs
@@ -137,8 +137,8 @@
 
 /// Clocks that continue during a suspension of their box, as in production.
 const CONTINUING_CLOCKS: SuspendedClocks = SuspendedClocks {
-    of_runners: SuspendedClock::Continues,
-    of_dispatchers: SuspendedClock::Continues,
+    runners: SuspendedClock::Continues,
+    dispatchers: SuspendedClock::Continues,
 };
 
 #[test]
@@ -167,7 +167,7 @@
 #[test]
 fn the_checker_detects_runners_whose_clock_stops_during_a_suspension() {
     let clocks = SuspendedClocks {
-        of_runners: SuspendedClock::Stops,
+        runners: SuspendedClock::Stops,
         ..CONTINUING_CLOCKS
     };
     assert!(is_clock_fault_detected(clocks));
@@ -176,7 +176,7 @@
 #[test]
 fn the_checker_detects_dispatchers_whose_clock_stops_during_a_suspension() {
     let clocks = SuspendedClocks {
-        of_dispatchers: SuspendedClock::Stops,
+        dispatchers: SuspendedClock::Stops,
         ..CONTINUING_CLOCKS
     };
     assert!(is_clock_fault_detected(clocks));
--- a/crates/leased/cloverfold_lease/tests/world/clients.rs
+++ b/crates/leased/cloverfold_lease/tests/world/clients.rs
@@ -18,7 +18,7 @@
 
 impl World {
     pub(super) fn submit_jobs(&mut self) {
-        if self.now < self.jobs_until && self.draw(0.06) {
+        if self.now < self.submissions_until && self.random_bool(0.06) {
             let id = format!("{:016x}", self.next_job);
             self.next_job += 1;
             self.submit(id);
--- a/crates/leased/cloverfold_lease/tests/world/evacuations.rs
+++ b/crates/leased/cloverfold_lease/tests/world/evacuations.rs
@@ -21,7 +21,7 @@
 pub(super) struct Evacuations {
     rng: SmallRng,
     /// When each evacuated hall was evacuated.
-    since: [Option<u64>; HALLS],
+    evacuated_since: [Option<u64>; HALLS],
     next_change_at: u64,
     /// Notifications in flight to each runner, with their times of arrival.
     notifications: [VecDeque<(u64, bool)>; RUNNERS],
@@ -31,7 +31,7 @@
     pub(super) fn new(seed: u64) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(seed),
-            since: [None; HALLS],
+            evacuated_since: [None; HALLS],
             next_change_at: 500,
             notifications: [const { VecDeque::new() }; RUNNERS],
         }
@@ -40,14 +40,14 @@
     /// Begins or ends the evacuation of a random hall and notifies its runners.
     fn toggle_evacuation(&mut self, now: u64) {
         let hall = self.rng.random_range(0..HALLS);
-        self.since[hall] = match self.since[hall] {
+        self.evacuated_since[hall] = match self.evacuated_since[hall] {
             None => Some(now),
             Some(_) => None,
         };
         for runner in (0..RUNNERS).filter(|runner| runner % HALLS == hall) {
             let arrives_at = now + self.rng.random_range(0..=MAX_NOTIFICATION_DELAY_MS);
             let last = self.notifications[runner].back().map_or(0, |(at, _)| *at);
-            let notification = (arrives_at.max(last), self.since[hall].is_some());
+            let notification = (arrives_at.max(last), self.evacuated_since[hall].is_some());
             self.notifications[runner].push_back(notification);
         }
         self.next_change_at = now + self.rng.random_range(500..4_000);
@@ -82,7 +82,7 @@
         if let Some(evacuations) = &self.evacuations
             && let Some(runner) = &mut self.runners[index].runner
         {
-            let is_evacuated = evacuations.since[index % HALLS].is_some();
+            let is_evacuated = evacuations.evacuated_since[index % HALLS].is_some();
             runner.set_evacuated(is_evacuated, at(self.now));
         }
     }
@@ -92,7 +92,7 @@
         let Some(evacuations) = &self.evacuations else {
             return;
         };
-        if let Some(since) = evacuations.since[index % HALLS]
+        if let Some(since) = evacuations.evacuated_since[index % HALLS]
             && starts > 0
         {
             let latest_start_at = since + MAX_START_DELAY_MS;
--- a/crates/leased/cloverfold_lease/tests/world/faults.rs
+++ b/crates/leased/cloverfold_lease/tests/world/faults.rs
@@ -10,15 +10,15 @@
 impl World {
     pub(super) fn inject_faults(&mut self) {
         for index in 0..RUNNERS {
-            if self.draw(0.0004) {
+            if self.random_bool(0.0004) {
                 self.runners[index].runner = None;
                 self.runners[index].starts_at = self.now + self.rng.random_range(100..2_000);
                 self.close_links(|key| key.1 == index);
             }
-            if self.draw(0.0004) {
+            if self.random_bool(0.0004) {
                 self.runners[index].frozen_until = self.now + self.rng.random_range(200..4_000);
             }
-            if self.draw(0.0003) {
+            if self.random_bool(0.0003) {
                 let downtime = self.rng.random_range(100..1_500);
                 let keeps_name = self.rng.random_bool(0.5);
                 let arrives_at = self.now + downtime + self.rng.random_range(0..3_000);
@@ -27,30 +27,30 @@
                 node.late_registrations.push((arrives_at, last));
                 node.target.crash(self.now, downtime, keeps_name);
             }
-            if self.draw(0.0003) {
+            if self.random_bool(0.0003) {
                 self.runners[index].target.disconnected_until =
                     self.now + self.rng.random_range(200..3_000);
             }
         }
         for index in 0..DISPATCHERS {
-            if self.draw(0.0004) {
+            if self.random_bool(0.0004) {
                 self.kill_dispatcher(index);
             }
-            if self.draw(0.0004) {
+            if self.random_bool(0.0004) {
                 self.dispatchers[index].frozen_until = self.now + self.rng.random_range(200..4_000);
             }
         }
         let keys: Vec<_> = self.links.keys().copied().collect();
         for key in keys {
             let is_partitioned = self.links[&key].is_partitioned;
-            if self.draw(if is_partitioned { 0.004 } else { 0.0004 }) {
+            if self.random_bool(if is_partitioned { 0.004 } else { 0.0004 }) {
                 self.links.get_mut(&key).unwrap().is_partitioned = !is_partitioned;
             }
         }
     }
 
     pub(super) fn kill_dispatcher(&mut self, index: usize) {
-        let is_unnoticed = self.draw(0.4);
+        let is_unnoticed = self.random_bool(0.4);
         let node = &mut self.dispatchers[index];
         node.dispatcher = None;
         node.starts_at = self.now + self.rng.random_range(100..2_000);
@@ -68,7 +68,7 @@
         }
         if is_unnoticed {
             for (_, link) in self.links.iter_mut().filter(|(key, _)| key.0 == index) {
-                link.dispatcher_open = false;
+                link.is_open_at_dispatcher = false;
                 link.is_partitioned = true;
             }
         } else {
--- a/crates/leased/cloverfold_lease/tests/world/kept.rs
+++ b/crates/leased/cloverfold_lease/tests/world/kept.rs
@@ -1,7 +1,8 @@
 //! Kept jobs in the simulation: one job group without replicas, drivers in the dispatchers, and recorders in the runners.
 //!
-//! The group loses and delays calls and replies and is sometimes unreachable. It reassigns a job once the lease of its driver is over and
-//! the driver's runs have had time to end. The simulation panics if a task starts after the target was told to forget its end `Done`.
+//! The group loses and delays calls and replies and is sometimes unreachable. It reassigns a job once the lease of its driver has
+//! expired and the driver's runs have had time to end. The simulation panics if a task starts after the target was told to forget its end
+//! `Done`.
 
 use std::collections::BTreeMap;
 
@@ -67,7 +68,7 @@
 pub(super) struct KeptJobWorld {
     faults: KeptJobFaults,
     table: JobTable,
-    known: BTreeMap<DriverId, KnownDriver>,
+    known_drivers: BTreeMap<DriverId, KnownDriver>,
     drivers: Vec<DriverNode>,
     recorders: Vec<RecorderNode>,
     calls: Vec<(u64, Sender, JobCallMessage)>,
@@ -95,7 +96,7 @@
         Self {
             faults,
             table: JobTable::default(),
-            known: BTreeMap::new(),
+            known_drivers: BTreeMap::new(),
             drivers: drivers.collect(),
             recorders: recorders.collect(),
             calls: Vec::new(),
@@ -136,9 +137,9 @@
         self.acknowledged.insert(task, ended_at);
     }
 
-    /// Returns whether a driver is over, so that its jobs may be reassigned.
-    fn is_driver_over(&self, driver: DriverId, now: u64) -> bool {
-        let Some(known) = self.known.get(&driver) else {
+    /// Returns whether a driver has ended, so that its jobs may be reassigned.
+    fn has_driver_ended(&self, driver: DriverId, now: u64) -> bool {
+        let Some(known) = self.known_drivers.get(&driver) else {
             return false;
         };
         let until = if known.is_replaced {
@@ -149,30 +150,32 @@
         now >= until + self.faults.reassign_after_ms
     }
 
-    /// Reassigns the jobs whose driver is over.
+    /// Reassigns released jobs and the jobs whose driver has ended.
     fn reassign_jobs(&mut self, now: u64) {
         let is_live =
             |known: &KnownDriver| !known.is_replaced && now < known.seen_at + DRIVER_LEASE_MS / 2;
-        let live = self.known.iter().find(|(_, known)| is_live(known));
+        let live = self.known_drivers.iter().find(|(_, known)| is_live(known));
         let Some(driver) = live.map(|(driver, _)| *driver) else {
             return;
         };
         let open = self.table.open().iter();
         let is_released = |id: &JobId, job: &OpenJob| {
             let mut released = self.released.iter();
-            released.any(|(of, epoch, due)| of == id && *epoch == job.epoch() && *due <= now)
+            released.any(|(released_job, epoch, due)| {
+                released_job == id && *epoch == job.epoch() && *due <= now
+            })
         };
-        let over =
-            open.filter(|(id, job)| self.is_driver_over(job.driver(), now) || is_released(id, job));
-        let assignees: Vec<JobReassignment> = over
+        let reassignable = open
+            .filter(|(id, job)| self.has_driver_ended(job.driver(), now) || is_released(id, job));
+        let reassignments: Vec<JobReassignment> = reassignable
             .map(|(id, job)| JobReassignment {
                 job: id.clone(),
                 after: job.epoch(),
                 driver,
             })
             .collect();
-        self.reassigned += assignees.len() as u64;
-        self.table.apply(JobCommand::Assign(assignees));
+        self.reassigned += reassignments.len() as u64;
+        self.table.apply(JobCommand::Assign(reassignments));
         self.released.retain(|(_, _, due)| now <= *due);
     }
 
@@ -203,9 +206,9 @@
     }
 
     fn renew(&mut self, renewal: &Renewal, now: u64) -> JobReply {
-        let is_new = !self.known.contains_key(&renewal.driver);
+        let is_new = !self.known_drivers.contains_key(&renewal.driver);
         if is_new {
-            for known in self.known.values_mut() {
+            for known in self.known_drivers.values_mut() {
                 if known.entry == renewal.entry && !known.is_replaced {
                     known.is_replaced = true;
                     known.seen_at = now;
@@ -213,11 +216,14 @@
             }
         }
         let entry = renewal.entry.clone();
-        let known = self.known.entry(renewal.driver).or_insert(KnownDriver {
-            entry,
-            seen_at: now,
-            is_replaced: false,
-        });
+        let known = self
+            .known_drivers
+            .entry(renewal.driver)
+            .or_insert(KnownDriver {
+                entry,
+                seen_at: now,
+                is_replaced: false,
+            });
         if !known.is_replaced {
             known.seen_at = now;
         }
@@ -264,7 +270,7 @@
         if self.faults.has_faults && self.rng.random_bool(0.0005) {
             kept.unreachable_until = now + self.rng.random_range(200..3_000);
         }
-        self.follow_restarts(&mut kept);
+        self.restart_drivers_and_recorders(&mut kept);
         self.submit_kept_job(&mut kept);
         self.deliver_calls(&mut kept);
         self.deliver_replies(&mut kept);
@@ -283,8 +289,8 @@
         self.kept = Some(kept);
     }
 
-    /// Starts and ends drivers and recorders with their processes.
-    fn follow_restarts(&mut self, kept: &mut KeptJobWorld) {
+    /// Starts and stops drivers and recorders together with their processes.
+    fn restart_drivers_and_recorders(&mut self, kept: &mut KeptJobWorld) {
         for (index, node) in kept.drivers.iter_mut().enumerate() {
             let is_alive = self.dispatchers[index].dispatcher.is_some();
             if is_alive && node.driver.is_none() {
@@ -313,7 +319,7 @@
     }
 
     fn submit_kept_job(&mut self, kept: &mut KeptJobWorld) {
-        if self.now >= self.jobs_until || !self.rng.random_bool(0.04) {
+        if self.now >= self.submissions_until || !self.rng.random_bool(0.04) {
             return;
         }
         let index = self.rng.random_range(0..DISPATCHERS);
--- a/crates/leased/cloverfold_lease/tests/world/links.rs
+++ b/crates/leased/cloverfold_lease/tests/world/links.rs
@@ -14,8 +14,8 @@
 #[derive(Default)]
 pub(super) struct Link {
     pub(super) id: u64,
-    pub(super) dispatcher_open: bool,
-    pub(super) runner_open: bool,
+    pub(super) is_open_at_dispatcher: bool,
+    pub(super) is_open_at_runner: bool,
     pub(super) to_dispatcher: VecDeque<(u64, RunnerMessage)>,
     pub(super) to_runner: VecDeque<(u64, DispatcherMessage)>,
     pub(super) is_partitioned: bool,
@@ -68,7 +68,8 @@
                     && self.now >= self.runners[runner].frozen_until
                     && self.now >= self.dispatchers[dispatcher].frozen_until;
                 let link = self.links.get(&key);
-                let is_open = link.is_some_and(|link| link.dispatcher_open && link.runner_open);
+                let is_open =
+                    link.is_some_and(|link| link.is_open_at_dispatcher && link.is_open_at_runner);
                 let is_partitioned = link.is_some_and(|link| link.is_partitioned);
                 if is_open || is_partitioned || !is_alive {
                     continue;
@@ -83,8 +84,8 @@
                 self.next_link += 1;
                 let open = Link {
                     id,
-                    dispatcher_open: true,
-                    runner_open: true,
+                    is_open_at_dispatcher: true,
+                    is_open_at_runner: true,
                     ..Link::default()
                 };
                 self.links.insert(key, open);
@@ -104,13 +105,13 @@
         let now = self.now;
         let keys: Vec<_> = self.links.keys().copied().collect();
         for key in keys {
-            let is_departing = self.faults.has_faults && self.draw(0.0005);
+            let is_departing = self.faults.has_faults && self.random_bool(0.0005);
             let link = self.links.get_mut(&key).unwrap();
             let node = &mut self.runners[key.1];
             let Some(runner) = &mut node.runner else {
                 continue;
             };
-            if now < node.frozen_until || !link.runner_open {
+            if now < node.frozen_until || !link.is_open_at_runner {
                 continue;
             }
             match link.retired_at {
@@ -143,7 +144,7 @@
                 let node = &mut self.dispatchers[dispatcher];
                 if !is_due
                     || link.is_partitioned
-                    || !link.dispatcher_open
+                    || !link.is_open_at_dispatcher
                     || now < node.frozen_until
                 {
                     break;
@@ -158,7 +159,11 @@
             while let Some(link) = self.links.get_mut(&key) {
                 let is_due = link.to_runner.front().is_some_and(|(at, _)| *at <= now);
                 let node = &mut self.runners[runner];
-                if !is_due || link.is_partitioned || !link.runner_open || now < node.frozen_until {
+                if !is_due
+                    || link.is_partitioned
+                    || !link.is_open_at_runner
+                    || now < node.frozen_until
+                {
                     break;
                 }
                 let (_, message) = link.to_runner.pop_front().unwrap();
@@ -177,23 +182,24 @@
         session: u64,
         message: RunnerMessage,
     ) {
-        let at = self.now + self.rng.random_range(1..12);
+        let arrives_at = self.now + self.rng.random_range(1..12);
         let link = self
             .links
             .iter_mut()
             .find(|(key, link)| key.1 == index && link.id == session);
         if let Some((_, link)) = link {
             let last = link.to_dispatcher.back().map_or(0, |(at, _)| *at);
-            link.to_dispatcher.push_back((at.max(last), message));
+            link.to_dispatcher
+                .push_back((arrives_at.max(last), message));
         }
     }
 
     pub(super) fn close_endpoint(&mut self, session: u64, is_dispatcher: bool) {
         if let Some((_, link)) = self.links.iter_mut().find(|(_, link)| link.id == session) {
             if is_dispatcher {
-                link.dispatcher_open = false;
+                link.is_open_at_dispatcher = false;
             } else {
-                link.runner_open = false;
+                link.is_open_at_runner = false;
             }
         }
     }
--- a/crates/leased/cloverfold_lease/tests/world/mod.rs
+++ b/crates/leased/cloverfold_lease/tests/world/mod.rs
@@ -152,7 +152,7 @@
     links: BTreeMap<(usize, usize), Link>,
     next_link: u64,
     next_job: u64,
-    jobs_until: u64,
+    submissions_until: u64,
     resends: Vec<(u64, String)>,
     evacuations: Option<Evacuations>,
     kept: Option<KeptJobWorld>,
@@ -209,7 +209,7 @@
             links: BTreeMap::new(),
             next_link: 1,
             next_job: 1,
-            jobs_until: 0,
+            submissions_until: 0,
             resends: Vec::new(),
             kept: faults.kept.map(KeptJobWorld::new),
             evacuations: faults.has_evacuations.then(|| Evacuations::new(seed)),
@@ -224,7 +224,7 @@
 
     /// Simulates `span_ms`; clients submit jobs until `SETTLE_MS` before the end.
     pub fn simulate(&mut self, span_ms: u64) {
-        self.jobs_until = span_ms - SETTLE_MS;
+        self.submissions_until = span_ms - SETTLE_MS;
         while self.now < span_ms {
             self.now += STEP_MS;
             if self.faults.has_faults {
@@ -253,8 +253,8 @@
         }
     }
 
-    fn draw(&mut self, chance: f64) -> bool {
-        self.rng.random_bool(chance)
+    fn random_bool(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
 
     fn check_overlaps(&self) {
--- a/crates/leased/cloverfold_lease/tests/world/processes.rs
+++ b/crates/leased/cloverfold_lease/tests/world/processes.rs
@@ -110,12 +110,12 @@
         for action in dispatcher.take_actions() {
             match action {
                 DispatcherAction::Send(session, message) => {
-                    let at = self.now + self.rng.random_range(1..12);
+                    let arrives_at = self.now + self.rng.random_range(1..12);
                     let mut links = self.links.iter_mut();
                     let link = links.find(|(key, link)| key.0 == index && link.id == session);
                     if let Some((_, link)) = link {
                         let last = link.to_runner.back().map_or(0, |(at, _)| *at);
-                        link.to_runner.push_back((at.max(last), message));
+                        link.to_runner.push_back((arrives_at.max(last), message));
                     }
                 }
                 DispatcherAction::CloseSession(session) => self.close_endpoint(session, true),
--- a/crates/leased/cloverfold_lease/tests/world/stalls.rs
+++ b/crates/leased/cloverfold_lease/tests/world/stalls.rs
@@ -16,7 +16,7 @@
     /// Stalls all processes at once at random; their targets keep running.
     pub(super) fn stall_all_processes(&mut self) {
         let pauses_until = self.dispatchers[0].frozen_until + GLOBAL_STALL_PAUSE_MS;
-        if !self.faults.has_global_stalls || self.now < pauses_until || !self.draw(0.01) {
+        if !self.faults.has_global_stalls || self.now < pauses_until || !self.random_bool(0.01) {
             return;
         }
         let until = self.now + self.rng.random_range(GLOBAL_STALL_MS);
--- a/crates/leased/cloverfold_lease/tests/world/suspensions.rs
+++ b/crates/leased/cloverfold_lease/tests/world/suspensions.rs
@@ -19,8 +19,8 @@
 /// The clocks of runners and dispatchers.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspendedClocks {
-    pub of_runners: SuspendedClock,
-    pub of_dispatchers: SuspendedClock,
+    pub runners: SuspendedClock,
+    pub dispatchers: SuspendedClock,
 }
 
 /// The clock of one box.
@@ -54,13 +54,13 @@
             return;
         };
         for index in 0..RUNNERS {
-            let begins_suspension = self.draw(0.0006);
+            let begins_suspension = self.random_bool(0.0006);
             let span = self.rng.random_range(50..5_000);
             let node = &mut self.runners[index];
             if self.now >= node.frozen_until {
-                let resumed = node.clock.resume(self.now, clocks.of_runners);
+                let resumed = node.clock.resume(self.now, clocks.runners);
                 if let (Some(span), Some(runner)) = (resumed, &mut node.runner)
-                    && clocks.of_runners == SuspendedClock::Continues
+                    && clocks.runners == SuspendedClock::Continues
                 {
                     runner.allow_for_suspension(span);
                     // A suspension must not also be handled as a stall.
@@ -74,11 +74,11 @@
             }
         }
         for index in 0..DISPATCHERS {
-            let begins_suspension = self.draw(0.0006);
+            let begins_suspension = self.random_bool(0.0006);
             let span = self.rng.random_range(50..5_000);
             let node = &mut self.dispatchers[index];
             if self.now >= node.frozen_until {
-                node.clock.resume(self.now, clocks.of_dispatchers);
+                node.clock.resume(self.now, clocks.dispatchers);
                 if begins_suspension {
                     node.clock.suspended_since = Some(self.now);
                     node.frozen_until = self.now + span;
--- a/crates/leased/cloverfold_lease/tests/world/target.rs
+++ b/crates/leased/cloverfold_lease/tests/world/target.rs
@@ -9,10 +9,10 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-const CAPACITY: i64 = 16_000;
-const DEMAND: i64 = 1_600;
-/// Longest lease that the target grants, in milliseconds of its clock.
-const MAX_LEASE: u64 = 1_000;
+const CAPACITY_CPU_MILLI: i64 = 16_000;
+const DEMAND_CPU_MILLI: i64 = 1_600;
+/// Longest lease that the target grants, on its clock.
+const MAX_LEASE_MS: u64 = 1_000;
 
 enum DelayedOrder {
     Start(StartOrder),
@@ -21,16 +21,19 @@
 
 pub struct Target {
     index: usize,
-    rate: f64,
+    /// Speed of its clock, where 1 is real time.
+    clock_rate: f64,
     /// Number of its current name; several incarnations may share a name.
     name_number: u64,
     /// Number of its current incarnation.
     incarnation: u64,
     started_at: u64,
     pub disconnected_until: u64,
-    lease: u64,
+    /// End of its lease, on its clock.
+    lease_deadline: u64,
     fencing_token: u64,
     sequence: u64,
+    /// Number and end time of each running run.
     running: BTreeMap<TaskId, (u64, u64)>,
     ended: Vec<EndedRun>,
     last_end: u64,
@@ -50,15 +53,15 @@
 }
 
 impl Target {
-    pub fn new(index: usize, rate: f64) -> Self {
+    pub fn new(index: usize, clock_rate: f64) -> Self {
         Self {
             index,
-            rate,
+            clock_rate,
             name_number: 1,
             incarnation: 1,
             started_at: 0,
             disconnected_until: 0,
-            lease: 0,
+            lease_deadline: 0,
             fencing_token: 0,
             sequence: 0,
             running: BTreeMap::new(),
@@ -77,7 +80,7 @@
     }
 
     fn clock(&self, now: u64) -> u64 {
-        1_000 + (now.saturating_sub(self.started_at) as f64 * self.rate) as u64
+        1_000 + (now.saturating_sub(self.started_at) as f64 * self.clock_rate) as u64
     }
 
     pub fn is_up(&self, now: u64) -> bool {
@@ -105,7 +108,7 @@
         self.highest_run.clear();
         self.done_ends.clear();
         self.last_end = 0;
-        self.lease = 0;
+        self.lease_deadline = 0;
         self.fencing_token = 0;
     }
 
@@ -123,7 +126,7 @@
             service: "service".into(),
             address: "127.0.0.1:1".into(),
             capacity: Resources {
-                cpu_milli: CAPACITY,
+                cpu_milli: CAPACITY_CPU_MILLI,
                 memory_mb: 32_000,
                 accelerators: 0,
             },
@@ -165,7 +168,7 @@
             .iter()
             .map(|(task, (_, ends_at))| (task.clone(), *ends_at))
             .collect();
-        let has_lapsed = self.clock(now) > self.lease;
+        let has_lapsed = self.clock(now) > self.lease_deadline;
         for (task, ends_at) in tasks {
             if ends_at <= now {
                 *self.done.entry(task.job.clone()).or_default() += 1;
@@ -189,7 +192,7 @@
         )
     }
 
-    fn is_reached(&self, incarnation: &IncarnationId, now: u64) -> bool {
+    fn is_reachable_as(&self, incarnation: &IncarnationId, now: u64) -> bool {
         self.is_up(now) && incarnation.name == self.name()
     }
 
@@ -200,12 +203,13 @@
         is_delayed: bool,
         rng: &mut SmallRng,
     ) -> StartAnswer {
-        if !self.is_reached(&order.incarnation, now) {
+        if !self.is_reachable_as(&order.incarnation, now) {
             return StartAnswer::Unanswered;
         }
         if is_delayed {
-            let at = now + rng.random_range(200..12_000);
-            self.delayed.push((at, DelayedOrder::Start(order.clone())));
+            let executes_at = now + rng.random_range(200..12_000);
+            self.delayed
+                .push((executes_at, DelayedOrder::Start(order.clone())));
             return StartAnswer::Unanswered;
         }
         self.execute_start(order, now)
@@ -221,7 +225,9 @@
         if order.deadline <= clock {
             return refused(StartRefusal::Late);
         }
-        self.lease = self.lease.max(order.deadline.min(clock + MAX_LEASE));
+        self.lease_deadline = self
+            .lease_deadline
+            .max(order.deadline.min(clock + MAX_LEASE_MS));
         if self
             .running
             .get(&order.task)
@@ -236,7 +242,7 @@
         {
             return refused(StartRefusal::Stale);
         }
-        if (self.running.len() as i64 + 1) * DEMAND > CAPACITY {
+        if (self.running.len() as i64 + 1) * DEMAND_CPU_MILLI > CAPACITY_CPU_MILLI {
             return refused(StartRefusal::NoCapacity);
         }
         self.started_tasks.push(order.task.clone());
@@ -249,12 +255,13 @@
     }
 
     pub fn stop(&mut self, order: &StopOrder, now: u64, is_delayed: bool, rng: &mut SmallRng) {
-        if !self.is_reached(&order.incarnation, now) {
+        if !self.is_reachable_as(&order.incarnation, now) {
             return;
         }
         if is_delayed {
-            let at = now + rng.random_range(200..12_000);
-            self.delayed.push((at, DelayedOrder::Stop(order.clone())));
+            let executes_at = now + rng.random_range(200..12_000);
+            self.delayed
+                .push((executes_at, DelayedOrder::Stop(order.clone())));
             return;
         }
         self.execute_stop(order);
@@ -295,7 +302,9 @@
         self.ended
             .retain(|end| end.number > order.last_acknowledged_end);
         if let Some(deadline) = order.deadline {
-            self.lease = self.lease.max(deadline.min(self.clock(now) + MAX_LEASE));
+            self.lease_deadline = self
+                .lease_deadline
+                .max(deadline.min(self.clock(now) + MAX_LEASE_MS));
         }
         let running = self.running.iter();
         RenewalAnswer::Listed {
