--- a/crates/leased/cloverfold_lease/tests/runner/upkeep.rs
+++ b/crates/leased/cloverfold_lease/tests/runner/upkeep.rs
@@ -8,7 +8,8 @@
 };
 
 use crate::fixture::{
-    SESSION, assign, at, ends, list, ready, renew, row, start_run, stops, take_ends, take_starts,
+    SESSION, assign, at, ends, list, listed_run, ready, renew, start_run, stops, take_ends,
+    take_starts,
 };
 
 const REFUSED: RunOutcome = RunOutcome::NotStarted(RunRefusal::Draining);
@@ -53,14 +54,14 @@
     hold(&mut runner, HOLD_DURATION);
 
     assert_eq!(take_ends(&mut runner), [(3, REFUSED)]);
-    let rows = vec![row(1, None), row(2, None)];
-    renew(&mut runner, at(130), list(50_040, rows, &[]));
+    let running = vec![listed_run(1, None), listed_run(2, None)];
+    renew(&mut runner, at(130), list(50_040, running, &[]));
     assert_eq!(stops(&runner.take_actions()), []);
     let ended = [(1, 1, EndCause::Done)];
     renew(
         &mut runner,
         at(140),
-        list(50_050, vec![row(2, None)], &ended),
+        list(50_050, vec![listed_run(2, None)], &ended),
     );
     assert_eq!(take_ends(&mut runner), [(1, RunOutcome::Done)]);
 }
@@ -72,14 +73,14 @@
     runner.take_actions();
 
     runner.tick(at(159));
-    assert!(runner.is_held());
+    assert!(runner.is_target_held());
     let name = runner.target_incarnation_id().unwrap().name.clone();
     runner.hold_target(&name, HOLD_DURATION, at(159));
     runner.tick(at(208));
-    assert!(runner.is_held());
+    assert!(runner.is_target_held());
     runner.tick(at(209));
 
-    assert!(!runner.is_held());
+    assert!(!runner.is_target_held());
     assert_eq!(offers(&runner.take_actions()), [true]);
 }
 
@@ -111,7 +112,7 @@
 
     hold(&mut runner, Duration::ZERO);
 
-    assert!(!runner.is_held());
+    assert!(!runner.is_target_held());
     assert_eq!(offers(&runner.take_actions()), [true]);
 }
 
@@ -121,7 +122,7 @@
 
     runner.hold_target("another", HOLD_DURATION, at(110));
 
-    assert!(!runner.is_held());
+    assert!(!runner.is_target_held());
     assert_eq!(offers(&runner.take_actions()), [] as [bool; 0]);
 }
 
