--- a/crates/leased/cloverfold_evacuation/src/hall_names.rs
+++ b/crates/leased/cloverfold_evacuation/src/hall_names.rs
@@ -7,7 +7,7 @@
 
 use crate::evacuated_halls::DataHall;
 
-/// Longest name of a data hall, in bytes.
+/// Maximum length of a data hall's name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
 /// The reason why a name is refused.
@@ -35,7 +35,7 @@
 }
 
 impl HallNames {
-    /// Returns the given names, as listed in the settings.
+    /// Returns the halls that the settings list.
     pub fn new(known: impl IntoIterator<Item = DataHall>) -> Self {
         Self {
             known: known.into_iter().collect(),
--- a/crates/leased/cloverfold_evacuation/src/order.rs
+++ b/crates/leased/cloverfold_evacuation/src/order.rs
@@ -8,8 +8,8 @@
 //!
 //! The last order that was taken determines the state. An order that was delayed between processes must not undo a later one, so it
 //! carries the revision that its receiver knew, and is outdated if the hall has changed since. The receiver then submits it again with the
-//! current revision, as long as the operator waits for the answer. An operator who repeats an old order after the opposite one was taken
-//! gives a new order; the two cases cannot be told apart.
+//! current revision, as long as the operator waits for the answer. An order that an operator repeats after the opposite one was taken
+//! counts as a new order, since the two cannot be told apart.
 
 use cloverfold_base::UnixTime;
 use serde::{Deserialize, Serialize};
--- a/crates/leased/cloverfold_evacuation/src/state.rs
+++ b/crates/leased/cloverfold_evacuation/src/state.rs
@@ -10,7 +10,7 @@
 use crate::evacuated_halls::{DataHall, EvacuatedHalls, EvacuationRevision};
 use crate::order::{EvacuationOrder, HallChange, OrderId, OrderOutcome, decide_outcome};
 
-/// Largest number of audit records; older ones are dropped.
+/// Maximum number of audit records; older ones are dropped.
 const MAX_AUDIT_RECORDS: usize = 1_024;
 
 /// A current evacuation. The order of the fields is part of the disk format.
@@ -119,13 +119,13 @@
         let changed_at = self.changed_at.get(&order.hall).copied().unwrap_or(0);
         let outcome = decide_outcome(&order, is_evacuated, changed_at);
         if outcome == OrderOutcome::Taken {
-            self.change_hall(&order, index);
+            self.apply_change(&order, index);
         }
-        self.record(order, outcome, index);
+        self.add_audit_record(order, outcome, index);
         outcome
     }
 
-    fn change_hall(&mut self, order: &EvacuationOrder, index: u64) {
+    fn apply_change(&mut self, order: &EvacuationOrder, index: u64) {
         self.revision += 1;
         self.changed_at.insert(order.hall.clone(), self.revision);
         match order.change {
@@ -143,7 +143,7 @@
         }
     }
 
-    fn record(&mut self, order: EvacuationOrder, outcome: OrderOutcome, index: u64) {
+    fn add_audit_record(&mut self, order: EvacuationOrder, outcome: OrderOutcome, index: u64) {
         self.audit.push_back(EvacuationRecord {
             order: order.id,
             hall: order.hall,
--- a/crates/leased/cloverfold_evacuation/tests/orders.rs
+++ b/crates/leased/cloverfold_evacuation/tests/orders.rs
@@ -82,7 +82,10 @@
     let resent = state.apply(evacuate(3, 2), 12);
 
     assert_eq!(resent, OrderOutcome::Taken);
-    let outcomes: Vec<_> = state.audit().map(|r| (r.order, r.outcome)).collect();
+    let outcomes: Vec<_> = state
+        .audit()
+        .map(|record| (record.order, record.outcome))
+        .collect();
     assert_eq!(
         outcomes,
         [1, 2, 3].map(|order| (order, OrderOutcome::Taken))
@@ -146,9 +149,10 @@
 
 fn any_orders() -> impl Strategy<Value = Vec<EvacuationOrder>> {
     let change = prop_oneof![Just(HallChange::Evacuate), Just(HallChange::TakeBack)];
-    let one = (0_u64..12, 0_usize..3, change, 0_u64..8);
-    let one = one.prop_map(|(id, hall, change, based_on)| order(id, HALLS[hall], change, based_on));
-    prop::collection::vec(one, 0..40)
+    let fields = (0_u64..12, 0_usize..3, change, 0_u64..8);
+    let any_order =
+        fields.prop_map(|(id, hall, change, based_on)| order(id, HALLS[hall], change, based_on));
+    prop::collection::vec(any_order, 0..40)
 }
 
 proptest! {
