--- a/compatibility/tests/leased_messages.rs
+++ b/compatibility/tests/leased_messages.rs
@@ -30,7 +30,7 @@
 };
 use cloverfold_link::{decode_frame, encode_frame};
 use cloverfold_peer::{Directory, Hello, PeerDetails, PeerMessage, PeerRole, Trailing};
-use cloverfold_upkeep::{HeldTarget, UpkeepCommand, WaveOrder};
+use cloverfold_upkeep::{TargetHold, UpkeepCommand, WaveOrder};
 
 use crate::samples::{Sample, each_variant, one, several, wrap};
 use crate::support::{assert_recorded, fixture_path, read_or_record};
@@ -520,7 +520,7 @@
         PeerMessage::JobReply(_) => job_replies(),
         PeerMessage::JobConsensus { .. } => one("job-consensus", PeerMessage::JobConsensus { group: 84, message: consensus_messages().remove(0).1 }),
         PeerMessage::UpkeepCommand(_) => upkeep_commands(),
-        PeerMessage::HoldTarget(_) => one("hold-target", PeerMessage::HoldTarget(HeldTarget { incarnation: "target-85".into(), for_ms: 86_000 })),
+        PeerMessage::HoldTarget(_) => one("hold-target", PeerMessage::HoldTarget(TargetHold { incarnation: "target-85".into(), for_ms: 86_000 })),
         PeerMessage::RememberedSpeed(_) => one("remembered-speed", PeerMessage::RememberedSpeed(UsualSpeed { slowness_permille: 87_000, runs: 88 })),
         PeerMessage::FetchSince { .. } => one("fetch-since", PeerMessage::FetchSince { known: 98 }),
         PeerMessage::ConfigurationChange(_) => one("configuration-change", PeerMessage::ConfigurationChange(configuration_change())),
--- a/crates/leased/cloverfold_control/src/state/upkeep_targets.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep_targets.rs
@@ -7,7 +7,7 @@
 use cloverfold_lease::{FreeCapacity, Resources, TargetDescription};
 use cloverfold_link::LinkId;
 use cloverfold_peer::PeerMessage;
-use cloverfold_upkeep::{HeldTarget, TargetLoad, TargetLoads};
+use cloverfold_upkeep::{TargetHold, TargetLoad, TargetLoads};
 
 use super::ControlState;
 
@@ -64,7 +64,7 @@
         let mut peers = self.links.identified();
         let link = peers.find(|(_, hello)| hello.address == *guard && hello.supports_kept_jobs());
         if let Some((link, _)) = link {
-            let held = HeldTarget {
+            let held = TargetHold {
                 incarnation: incarnation.into(),
                 for_ms: span.as_millis() as u32,
             };
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -10,7 +10,7 @@
 use cloverfold_lease::{RunnerMessage, TargetDescription};
 use cloverfold_link::{LinkEvent, LinkId};
 use cloverfold_peer::{Directory, Hello, LinkDrainStep, PeerMessage, PeerRole};
-use cloverfold_upkeep::HeldTarget;
+use cloverfold_upkeep::TargetHold;
 
 use super::GuardState;
 
@@ -64,7 +64,7 @@
     }
 
     /// Drains the target for upkeep, and reports its free capacity to the control process.
-    fn receive_hold(&mut self, link: LinkId, held: &HeldTarget, now: Timestamp) {
+    fn receive_hold(&mut self, link: LinkId, held: &TargetHold, now: Timestamp) {
         let span = Duration::from_millis(held.for_ms.into());
         self.runner.hold_target(&held.incarnation, span, now);
         let incarnation = self.runner.target_incarnation_id();
--- a/crates/leased/cloverfold_peer/src/messages.rs
+++ b/crates/leased/cloverfold_peer/src/messages.rs
@@ -11,7 +11,7 @@
 use cloverfold_evacuation::{DataHall, EvacuatedHalls, EvacuationOrder};
 use cloverfold_kept_jobs::{GroupId, JobCallMessage, JobGroups, JobReplyMessage};
 use cloverfold_lease::{DispatcherMessage, RunnerMessage, UsualSpeed};
-use cloverfold_upkeep::{HeldTarget, UpkeepCommand};
+use cloverfold_upkeep::{TargetHold, UpkeepCommand};
 use serde::{Deserialize, Serialize};
 
 use crate::trailing::Trailing;
@@ -194,7 +194,7 @@
     /// From a control process to the leader: a command about upkeep waves to append to the log. There is no reply.
     UpkeepCommand(UpkeepCommand),
     /// From a control process to a guard: drain the target before the upkeep of its box.
-    HoldTarget(HeldTarget),
+    HoldTarget(TargetHold),
     /// From a control process to a guard that has just connected: the target speed that the guard reported before it restarted.
     RememberedSpeed(UsualSpeed),
     /// Like [`Self::Fetch`], from a process that has an older configuration: the reply may be a delta from that version.
--- a/crates/leased/cloverfold_upkeep/src/lib.rs
+++ b/crates/leased/cloverfold_upkeep/src/lib.rs
@@ -38,5 +38,5 @@
     WaveBox,
 };
 pub use state::{BoxPhase, UpkeepState, Wave, WaveOutcome, WaveRecord};
-pub use wave::{BoxName, HeldTarget, UpkeepCommand, WaveNumber, WaveOrder};
+pub use wave::{BoxName, TargetHold, UpkeepCommand, WaveNumber, WaveOrder};
 pub use wave_status::{WaitReason, WaveStatus};
--- a/crates/leased/cloverfold_upkeep/src/wave.rs
+++ b/crates/leased/cloverfold_upkeep/src/wave.rs
@@ -82,7 +82,7 @@
 
 /// Tells a guard to stop offering its target for a while. The hold expires unless the message is repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldTarget {
+pub struct TargetHold {
     /// Incarnation of the target to hold.
     pub incarnation: String,
     /// Duration of the hold from the arrival of the message, in milliseconds; 0 ends the hold.
