--- a/crates/leased/cloverfold_control/src/job_counts.rs
+++ b/crates/leased/cloverfold_control/src/job_counts.rs
@@ -46,8 +46,8 @@
         counts.map(|(name, count)| (*name, *count)).collect()
     }
 
-    fn count(&mut self, name: &'static str, more: u64) {
-        *self.counts.entry(name).or_default() += more;
+    fn count(&mut self, name: &'static str, amount: u64) {
+        *self.counts.entry(name).or_default() += amount;
     }
 }
 
--- a/crates/leased/cloverfold_control/src/job_groups/apply.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/apply.rs
@@ -54,8 +54,8 @@
         if self.leader_state.is_none() {
             return;
         }
-        for open in &before {
-            self.notify_if_ended(open);
+        for prior in &before {
+            self.notify_if_ended(prior);
         }
         match (command, outcome) {
             (JobCommand::Submit(job), CommandOutcome::Submit(outcome)) => {
@@ -108,28 +108,28 @@
         open.collect()
     }
 
-    fn notify_if_ended(&mut self, open: &PriorAssignment) {
-        let Some(ended) = self.table.ended(&open.job) else {
+    fn notify_if_ended(&mut self, prior: &PriorAssignment) {
+        let Some(ended) = self.table.ended(&prior.job) else {
             return;
         };
         if let Some(leader_state) = &mut self.leader_state {
-            leader_state.open_since.remove(&open.job);
+            leader_state.open_since.remove(&prior.job);
         }
         let level = match ended.how {
             TerminalState::Completed => ROUTINE_LEVEL,
             TerminalState::Failed | TerminalState::Cancelled => Level::Info,
         };
         log::log!(
-            level, job = open.job.as_str(), how:? = ended.how, epoch = open.epoch, group = self.id;
+            level, job = prior.job.as_str(), how:? = ended.how, epoch = prior.epoch, group = self.id;
             "kept job ended"
         );
         let reply = RenewalReply {
-            driver: open.driver,
+            driver: prior.driver,
             drive: Vec::new(),
-            drop: vec![(open.job.clone(), open.epoch)],
+            drop: vec![(prior.job.clone(), prior.epoch)],
         };
         self.push_to_driver(reply);
-        self.answer_watches(&open.job);
+        self.answer_watches(&prior.job);
     }
 
     /// Replies to a submission. A driver without a lease from this leader is not told that it drives the job, because the job may be
--- a/crates/leased/cloverfold_control/src/job_groups/group.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/group.rs
@@ -114,7 +114,7 @@
     fn step_down_if_disk_hangs(&mut self, now: Timestamp) {
         let is_stuck = self.host.is_disk_stuck(LEADER_DISK_TIMEOUT, now);
         if self.leader_state.is_some() && is_stuck && self.host.replica.is_disk_behind() {
-            log::warn!(group = self.id; "the disk hangs; stepping down as leader of the group");
+            log::warn!(group = self.id; "the disk has not synced a write in time; stepping down as leader of the group");
             self.host.replica.step_down(now);
         }
     }
--- a/crates/leased/cloverfold_control/src/job_groups/leader.rs
+++ b/crates/leased/cloverfold_control/src/job_groups/leader.rs
@@ -60,7 +60,7 @@
             && !self.batches.push(&JobCommand::Expire(end), None)
         {
             // The next removal includes these jobs.
-            log::warn!(end; "the queue is full; ended jobs are removed later");
+            log::warn!(end; "the command queue is full; ended jobs are removed later");
         }
     }
 
--- a/crates/leased/cloverfold_control/src/operators/audit.rs
+++ b/crates/leased/cloverfold_control/src/operators/audit.rs
@@ -7,14 +7,18 @@
 use http::StatusCode;
 use serde_json::{Value, json};
 
-use super::Operators;
+use super::OperatorApi;
 
-impl Operators {
+impl OperatorApi {
     pub(super) fn show_audit(&self) -> Response {
         let state = self.state.lock();
-        let records: Vec<Value> = state.audit().iter().map(describe_decision).collect();
+        let records: Vec<Value> = state.audit().iter().map(describe_proposal).collect();
         let mut body = json!({ "audit": records });
-        let orders: Vec<Value> = state.evacuations().audit().map(describe_order).collect();
+        let orders: Vec<Value> = state
+            .evacuations()
+            .audit()
+            .map(describe_evacuation_order)
+            .collect();
         // Absent before the first order, as in older builds without evacuations.
         if !orders.is_empty() {
             body["evacuations"] = json!(orders);
@@ -23,7 +27,7 @@
             .upkeep()
             .audit()
             .into_iter()
-            .map(describe_wave_record)
+            .map(describe_wave_order)
             .collect();
         if !waves.is_empty() {
             body["waves"] = json!(waves);
@@ -32,7 +36,7 @@
     }
 }
 
-fn describe_decision(record: &AuditRecord) -> Value {
+fn describe_proposal(record: &AuditRecord) -> Value {
     let digest: String = record
         .digest
         .iter()
@@ -50,7 +54,7 @@
     })
 }
 
-fn describe_order(record: &EvacuationRecord) -> Value {
+fn describe_evacuation_order(record: &EvacuationRecord) -> Value {
     json!({
         "hall": record.hall,
         "change": record.change.as_str(),
@@ -62,7 +66,7 @@
     })
 }
 
-fn describe_wave_record(record: &WaveRecord) -> Value {
+fn describe_wave_order(record: &WaveRecord) -> Value {
     json!({
         "wave": record.wave,
         "outcome": record.outcome.as_str().to_lowercase(),
--- a/crates/leased/cloverfold_control/src/operators/configurations.rs
+++ b/crates/leased/cloverfold_control/src/operators/configurations.rs
@@ -12,10 +12,10 @@
 use serde_json::json;
 use tokio::time::timeout;
 
-use super::Operators;
+use super::OperatorApi;
 use super::replies::{PROPOSAL_RESEND_INTERVAL, PROPOSAL_TIMEOUT, answer_unavailable};
 
-impl Operators {
+impl OperatorApi {
     /// Puts a configuration in force and responds once the outcome is known.
     pub(super) async fn put_configuration(&self, request: &Request) -> Response {
         let text = &request.body;
--- a/crates/leased/cloverfold_control/src/operators/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/operators/evacuations.rs
@@ -12,11 +12,11 @@
 use serde_json::json;
 use tokio::time::timeout;
 
-use super::Operators;
+use super::OperatorApi;
 use super::replies::{PROPOSAL_TIMEOUT, answer_unavailable};
 use crate::state::ControlState;
 
-impl Operators {
+impl OperatorApi {
     /// Evacuates a data hall or ends its evacuation, and responds once the outcome is known.
     pub(super) async fn change_hall(
         &self,
@@ -31,7 +31,11 @@
             let error = "an order for a data hall has no body";
             return reject_order(hall, StatusCode::BAD_REQUEST, error);
         }
-        let decided = timeout(PROPOSAL_TIMEOUT, self.decide_order(hall, change)).await;
+        let decided = timeout(
+            PROPOSAL_TIMEOUT,
+            self.submit_order_until_decided(hall, change),
+        )
+        .await;
         let is_taken = decided.is_ok();
         log::info!(hall = hall.as_str(), change = change.as_str(), is_taken; "an operator submitted an evacuation order");
         if is_taken {
@@ -50,7 +54,7 @@
     }
 
     /// Submits an order until it is decided; replaces it with a new one if it was outdated.
-    async fn decide_order(&self, hall: &DataHall, change: HallChange) {
+    async fn submit_order_until_decided(&self, hall: &DataHall, change: HallChange) {
         loop {
             let order = self.state.lock().create_order(hall, change);
             let submit = |state: &mut ControlState| state.submit_order(&order);
--- a/crates/leased/cloverfold_control/src/operators/jobs.rs
+++ b/crates/leased/cloverfold_control/src/operators/jobs.rs
@@ -10,17 +10,16 @@
 use serde_json::{Value, json};
 use tokio::time::{sleep, timeout};
 
-use super::Operators;
+use super::OperatorApi;
 use super::calls::JobsCall;
 use super::replies::{PROPOSAL_RESEND_INTERVAL, PROPOSAL_TIMEOUT, answer_unavailable};
 use crate::job_groups::GroupHost;
-
 use crate::state::format_id;
 
 /// Maximum number of open jobs that a list shows per group, about 100 kB.
 const MAX_LISTED_JOBS: usize = 1_000;
 
-impl Operators {
+impl OperatorApi {
     pub(super) async fn answer_jobs(&self, call: JobsCall) -> Response {
         match call {
             JobsCall::List => self.list_jobs(),
--- a/crates/leased/cloverfold_control/src/operators/mod.rs
+++ b/crates/leased/cloverfold_control/src/operators/mod.rs
@@ -32,7 +32,7 @@
 
 pub use self::calls::{CallFormat, JobsCall, OperatorCall, OperatorInterface};
 
-pub(crate) struct Operators {
+pub(crate) struct OperatorApi {
     state: Shared<ControlState>,
     interface: Arc<dyn OperatorInterface>,
     name: String,
@@ -41,7 +41,7 @@
     upkeep: Option<UpkeepSettings>,
 }
 
-impl Operators {
+impl OperatorApi {
     pub(crate) fn new(
         state: Shared<ControlState>,
         interface: Arc<dyn OperatorInterface>,
--- a/crates/leased/cloverfold_control/src/operators/read_barrier.rs
+++ b/crates/leased/cloverfold_control/src/operators/read_barrier.rs
@@ -4,14 +4,14 @@
 
 use tokio::time::{sleep, timeout};
 
-use super::Operators;
+use super::OperatorApi;
 
 /// How long a call waits for the read barrier.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
 /// Delay before a failed read is retried; half the heartbeat interval of the log.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-impl Operators {
+impl OperatorApi {
     /// Waits until the local state includes all entries committed before this call. Returns `false` after a timeout, when no leader could
     /// confirm its leadership.
     pub(super) async fn is_up_to_date(&self) -> bool {
--- a/crates/leased/cloverfold_control/src/operators/submission.rs
+++ b/crates/leased/cloverfold_control/src/operators/submission.rs
@@ -5,11 +5,11 @@
 
 use tokio::time::timeout;
 
-use super::Operators;
+use super::OperatorApi;
 use super::replies::PROPOSAL_RESEND_INTERVAL;
 use crate::state::ControlState;
 
-impl Operators {
+impl OperatorApi {
     /// Submits an order repeatedly until `find_outcome` returns its outcome. The caller must set a timeout.
     pub(super) async fn submit_until_decided<T>(
         &self,
--- a/crates/leased/cloverfold_control/src/operators/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/operators/upkeep.rs
@@ -24,7 +24,7 @@
 use serde_json::{Value, json};
 use tokio::time::timeout;
 
-use super::Operators;
+use super::OperatorApi;
 use super::calls::CallFormat;
 use super::replies::{PROPOSAL_TIMEOUT, answer_unavailable};
 use crate::state::ControlState;
@@ -44,7 +44,7 @@
     most_down: u32,
 }
 
-impl Operators {
+impl OperatorApi {
     /// Starts a wave and responds once the outcome is known.
     pub(super) async fn start_wave(&self, format: CallFormat, request: &Request) -> Response {
         let wave = match self.decode_wave(format, &request.body) {
@@ -64,7 +64,7 @@
         if let Some(name) = self.find_unknown_box(&order).await {
             return reject_wave(number, &[WaveRequestError::UnknownBox(name)]);
         }
-        let decided = timeout(PROPOSAL_TIMEOUT, self.decide_wave(&order)).await;
+        let decided = timeout(PROPOSAL_TIMEOUT, self.submit_wave_until_decided(&order)).await;
         match decided {
             Ok(WaveOutcome::Conflicting) => {
                 reject_wave(number, &[WaveRequestError::Conflicting(number)])
@@ -119,7 +119,7 @@
     }
 
     /// Submits an order repeatedly until its outcome is known.
-    async fn decide_wave(&self, order: &WaveOrder) -> WaveOutcome {
+    async fn submit_wave_until_decided(&self, order: &WaveOrder) -> WaveOutcome {
         let submit = |state: &mut ControlState| state.submit_wave(order);
         let find_outcome = |state: &ControlState| state.upkeep().order_outcome(order);
         self.submit_until_decided(submit, find_outcome).await
--- a/crates/leased/cloverfold_control/src/pending_writes.rs
+++ b/crates/leased/cloverfold_control/src/pending_writes.rs
@@ -61,7 +61,7 @@
         for (batch, write) in &mut self.writes {
             if now > write.since + SLOW_WRITE_THRESHOLD {
                 let waited = now.saturating_duration_since(write.since);
-                log::warn!(batch, waited_ms = waited.as_millis() as u64; "the disk is slow");
+                log::warn!(batch, waited_ms = waited.as_millis() as u64; "a write to the log is not synced yet");
                 write.since = now;
             }
         }
--- a/crates/leased/cloverfold_control/src/process.rs
+++ b/crates/leased/cloverfold_control/src/process.rs
@@ -23,7 +23,7 @@
 use crate::error::ControlError;
 use crate::job_groups::GroupSettings;
 use crate::metrics::ControlMetrics;
-use crate::operators::{OperatorInterface, Operators};
+use crate::operators::{OperatorApi, OperatorInterface};
 use crate::peer_file::PeerFile;
 use crate::replica_host::ReplicaHost;
 use crate::state::{Bootstrap, ControlState, HostedJobs, JobGroupsConfig, PeerStore, format_id};
@@ -194,7 +194,7 @@
     let address = settings.operator_address;
     let name = settings.peer.name.clone();
     let halls = HallNames::new(settings.halls.iter().cloned());
-    let operators = Arc::new(Operators::new(
+    let operators = Arc::new(OperatorApi::new(
         state.clone(),
         interface,
         name,
--- a/crates/leased/cloverfold_control/src/replica_host.rs
+++ b/crates/leased/cloverfold_control/src/replica_host.rs
@@ -48,7 +48,7 @@
                 self.writes.finish(*batch).collect()
             }
             DiskEvent::Failing => {
-                log::warn!("the disk rejects writes");
+                log::warn!("writes to the log fail and are retried");
                 self.is_failing = true;
                 Vec::new()
             }
@@ -63,8 +63,8 @@
         let mut ready = self.replica.take_ready();
         if let Some(batch) = ready.batch {
             let messages = std::mem::take(&mut ready.messages);
-            let (waiting, free) = messages.into_iter().partition(|m| m.after_sync);
-            ready.messages = free;
+            let (waiting, immediate) = messages.into_iter().partition(|m| m.after_sync);
+            ready.messages = immediate;
             self.writes.add(batch, waiting, now);
             self.disk.write(batch, std::mem::take(&mut ready.records));
         }
--- a/crates/leased/cloverfold_control/src/state/directories.rs
+++ b/crates/leased/cloverfold_control/src/state/directories.rs
@@ -58,7 +58,7 @@
 
 /// A link to an entry or guard, and the peer address of that process.
 #[derive(Clone, Copy, Debug)]
-struct AttachedPeer {
+struct DirectoryReceiver {
     link: LinkId,
     address: SocketAddr,
 }
@@ -71,7 +71,7 @@
             return;
         }
         let pending = std::mem::take(&mut self.directories.pending);
-        let mut receivers = self.list_attached();
+        let mut receivers = self.list_directory_receivers();
         receivers.retain(|peer| is_update_due || pending.contains(&peer.link));
         if is_update_due {
             self.directories.outdated_since = None;
@@ -115,15 +115,15 @@
         guards.map(|guard| (guard, describe(guard))).collect()
     }
 
-    fn list_attached(&self) -> Vec<AttachedPeer> {
+    fn list_directory_receivers(&self) -> Vec<DirectoryReceiver> {
         let peers = self.links.identified();
-        let attached =
+        let receivers =
             peers.filter(|(_, hello)| matches!(hello.role, PeerRole::Entry | PeerRole::Guard));
-        let peers = attached.map(|(link, hello)| AttachedPeer {
+        let receivers = receivers.map(|(link, hello)| DirectoryReceiver {
             link,
             address: hello.address,
         });
-        peers.collect()
+        receivers.collect()
     }
 
     fn send_changed_directory(&mut self, link: LinkId, directory: Directory) {
--- a/crates/leased/cloverfold_control/src/state/evacuations.rs
+++ b/crates/leased/cloverfold_control/src/state/evacuations.rs
@@ -79,9 +79,12 @@
     }
 
     /// Returns the name of a connected control process whose build lacks a feature.
-    pub(super) fn find_incompatible_control(&self, knows: impl Fn(&Hello) -> bool) -> Option<&str> {
+    pub(super) fn find_incompatible_control(
+        &self,
+        has_feature: impl Fn(&Hello) -> bool,
+    ) -> Option<&str> {
         let is_incompatible =
-            |peer: &&Hello| matches!(peer.role, PeerRole::Control { .. }) && !knows(peer);
+            |peer: &&Hello| matches!(peer.role, PeerRole::Control { .. }) && !has_feature(peer);
         let older = self.links.peers().find(is_incompatible)?;
         Some(older.name.as_str())
     }
@@ -111,9 +114,9 @@
         if self.evacuations().revision() == 0 {
             return;
         }
-        let is_attached = |role| matches!(role, PeerRole::Entry | PeerRole::Guard);
+        let is_entry_or_guard = |role| matches!(role, PeerRole::Entry | PeerRole::Guard);
         let halls = self.evacuations().halls();
-        self.links.send_evacuations(&halls, is_attached);
+        self.links.send_evacuations(&halls, is_entry_or_guard);
     }
 
     /// Sends the evacuated halls to one entry or guard, unless it has acknowledged them.
--- a/crates/leased/cloverfold_control/src/state/founding.rs
+++ b/crates/leased/cloverfold_control/src/state/founding.rs
@@ -48,7 +48,7 @@
     fn find_founders(&self) -> Option<Vec<Founder>> {
         let members = self.host.replica.committed_members()?;
         let is_complete = members.voters.len() >= self.jobs.config.groups.voters;
-        if !is_complete && !self.include_all_seeds(members) {
+        if !is_complete && !self.includes_all_seeds(members) {
             return None;
         }
         let mut others = members.voters.iter().filter(|v| v.id != self.replica_id);
@@ -68,7 +68,7 @@
         Some(founders.collect())
     }
 
-    fn include_all_seeds(&self, members: &Members) -> bool {
+    fn includes_all_seeds(&self, members: &Members) -> bool {
         let voters: BTreeSet<_> = members.voters.iter().map(|v| v.address).collect();
         let mut seeds = self.jobs.config.seeds.iter();
         seeds.all(|seed| voters.contains(seed))
--- a/crates/leased/cloverfold_control/src/state/notices.rs
+++ b/crates/leased/cloverfold_control/src/state/notices.rs
@@ -34,7 +34,7 @@
             sent_at: self.clock.now(),
             had_quorum: self.has_quorum(),
         };
-        self.send_to_attached(&self.notice());
+        self.send_to_entries_and_guards(&self.notice());
         self.send_evacuations();
     }
 
@@ -47,9 +47,9 @@
         self.links.send(link, &self.notice());
     }
 
-    fn send_to_attached(&self, message: &PeerMessage) {
-        let is_attached = |role| matches!(role, PeerRole::Entry | PeerRole::Guard);
-        self.links.send_to_roles(is_attached, message);
+    fn send_to_entries_and_guards(&self, message: &PeerMessage) {
+        let is_entry_or_guard = |role| matches!(role, PeerRole::Entry | PeerRole::Guard);
+        self.links.send_to_roles(is_entry_or_guard, message);
     }
 
     fn notice(&self) -> PeerMessage {
--- a/crates/leased/cloverfold_control/src/state/peer_store.rs
+++ b/crates/leased/cloverfold_control/src/state/peer_store.rs
@@ -45,12 +45,12 @@
         for entry in stored.entries {
             self.entries.restore(entry, now);
         }
-        for (guard, traits) in stored.guards {
+        for (guard, attributes) in stored.guards {
             self.guards.restore(guard, now);
-            if let Some(service) = traits.service {
+            if let Some(service) = attributes.service {
                 self.services.insert(guard, service);
             }
-            if let Some(hall) = traits.data_hall {
+            if let Some(hall) = attributes.data_hall {
                 self.halls.insert(guard, hall);
             }
         }
--- a/crates/leased/cloverfold_control/src/state/peers.rs
+++ b/crates/leased/cloverfold_control/src/state/peers.rs
@@ -75,7 +75,7 @@
             | PeerMessage::JobGroups(_)
             | PeerMessage::HoldTarget(_)
             | PeerMessage::RememberedSpeed(_)
-            | PeerMessage::Goodbye => {} // Not served yet.
+            | PeerMessage::Goodbye => {}
         }
     }
 
@@ -118,20 +118,20 @@
             }
             PeerRole::Entry => {
                 let is_new = self.entries.connected(address);
-                self.attached_connected(link, is_new);
+                self.entry_or_guard_connected(link, is_new);
             }
             PeerRole::Guard => {
                 let is_new = self.guards.connected(address);
                 if let Some(hall) = hall {
                     self.halls.insert(address, hall);
                 }
-                self.attached_connected(link, is_new);
+                self.entry_or_guard_connected(link, is_new);
             }
         }
     }
 
     /// Initializes a newly connected entry or guard. One that was unknown before changes the directories of others.
-    fn attached_connected(&mut self, link: LinkId, is_new: bool) {
+    fn entry_or_guard_connected(&mut self, link: LinkId, is_new: bool) {
         if is_new {
             self.directories.mark_outdated(self.clock.now());
         }
--- a/crates/leased/cloverfold_control/src/state/status.rs
+++ b/crates/leased/cloverfold_control/src/state/status.rs
@@ -80,8 +80,8 @@
     /// Describes a process. For an entry or guard, includes the known revision of the evacuations once there was an order.
     fn describe_process(&self, link: LinkId, hello: &Hello) -> Value {
         let mut described = describe_hello(hello);
-        let is_attached = matches!(hello.role, PeerRole::Entry | PeerRole::Guard);
-        if is_attached && self.evacuations().revision() > 0 {
+        let is_entry_or_guard = matches!(hello.role, PeerRole::Entry | PeerRole::Guard);
+        if is_entry_or_guard && self.evacuations().revision() > 0 {
             described["evacuations"] = json!(self.links.known_evacuations(link));
         }
         described
--- a/crates/leased/cloverfold_control/src/state/upkeep.rs
+++ b/crates/leased/cloverfold_control/src/state/upkeep.rs
@@ -167,7 +167,7 @@
     pub(crate) fn take_upkeep_actions(&mut self) -> Vec<SchedulerAction> {
         let evacuated = self.evacuations().halls().halls;
         let loads = self.list_loads();
-        let moment = SchedulerInput {
+        let input = SchedulerInput {
             now: self.clock.now(),
             wall: unix_now(),
             evacuated: &evacuated,
@@ -176,16 +176,16 @@
         let Some((_, scheduler)) = &mut self.upkeep_runtime.scheduler else {
             return Vec::new();
         };
-        let actions = scheduler.next_actions(&self.state.upkeep, &moment);
+        let actions = scheduler.next_actions(&self.state.upkeep, &input);
         self.log_late_waves();
         let mut calls = Vec::new();
         for action in actions {
             match action {
                 SchedulerAction::BoxChosen((wave, name)) => {
-                    log::info!(wave, name = name.as_str(); "selected the next box for upkeep; emptying it");
+                    log::info!(wave, name = name.as_str(); "selected the next box for upkeep; draining it");
                 }
                 SchedulerAction::Propose(command) => {
-                    log_emptied(&command);
+                    log_drained(&command);
                     // The scheduler proposes the command again if it was not appended.
                     let _ = self.append_upkeep(command);
                 }
@@ -206,8 +206,8 @@
         let (wave, name) = (key.0, key.1.as_str());
         log::info!(wave, name, outcome = outcome.as_str(), term; "upkeep call ended");
         let now = self.clock.now();
-        if let Some((held, scheduler)) = &mut self.upkeep_runtime.scheduler
-            && *held == term
+        if let Some((running_term, scheduler)) = &mut self.upkeep_runtime.scheduler
+            && *running_term == term
         {
             scheduler.record_call_outcome(key, outcome, now, random_u64());
         }
@@ -221,10 +221,10 @@
         began_at: cloverfold_base::Timestamp,
     ) {
         let now = self.clock.now();
-        let Some((held, scheduler)) = &mut self.upkeep_runtime.scheduler else {
+        let Some((running_term, scheduler)) = &mut self.upkeep_runtime.scheduler else {
             return;
         };
-        if *held != term {
+        if *running_term != term {
             return;
         }
         match boxes {
@@ -265,10 +265,10 @@
     }
 }
 
-/// Logs that a box is empty, or was held for long enough, before its call is announced.
-fn log_emptied(command: &UpkeepCommand) {
+/// Logs that a box is drained before its call is announced.
+fn log_drained(command: &UpkeepCommand) {
     if let UpkeepCommand::Call { wave, name } = command {
-        log::info!(wave = *wave, name = name.as_str(); "finished emptying a box");
+        log::info!(wave = *wave, name = name.as_str(); "finished draining a box");
     }
 }
 
