--- a/crates/leased/cloverfold_leased_guard/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_guard/src/event_log.rs
@@ -50,7 +50,7 @@
 }
 
 /// Logs the decision of a group on the end of a kept run, unless the group has recorded the end.
-pub(crate) fn log_decision(end: &TaskEnd, decision: EndDecision) {
+pub(crate) fn log_end_decision(end: &TaskEnd, decision: EndDecision) {
     let (job, task, run, epoch) = (end.job.as_str(), end.task, end.run, end.epoch);
     match decision {
         EndDecision::Recorded => {}
@@ -99,6 +99,6 @@
     if is_alive {
         log::info!(target, born; "target replaced by a new incarnation");
     } else {
-        log::info!(target, born; "ignoring late registration of a dead incarnation");
+        log::info!(target, born; "ignoring late registration of an ended incarnation");
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -25,7 +25,7 @@
 use crate::target_orders::{TargetOrder, send_orders};
 
 /// Interval between ticks of the state.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval between checks whether a draining guard has runs left.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -104,7 +104,7 @@
     let mut tasks = JoinSet::new();
     tasks.spawn(send_orders(state.clone(), orders_rx, interface.clone()));
     tasks.spawn(renew_lease(state.clone(), interface, renew_now));
-    port.run(state.clone(), TICK, &mut tasks);
+    port.run(state.clone(), TICK_INTERVAL, &mut tasks);
     Ok(LeasedGuard {
         state,
         registrations,
@@ -120,7 +120,7 @@
     orders: mpsc::UnboundedSender<TargetOrder>,
     renew_now: Arc<Notify>,
 ) -> GuardState {
-    let own = Hello {
+    let own_hello = Hello {
         name: settings.peer.name.clone(),
         role: PeerRole::Guard,
         address: settings.peer.address(),
@@ -133,7 +133,7 @@
     let runner = Runner::new(timings, fencing_token);
     let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dialed_peers());
     GuardState::new(
-        own,
+        own_hello,
         runner,
         controls,
         port.dialed_peers(),
--- a/crates/leased/cloverfold_leased_guard/src/renewals.rs
+++ b/crates/leased/cloverfold_leased_guard/src/renewals.rs
@@ -14,7 +14,7 @@
 use crate::state::GuardState;
 
 /// Interval between checks for a target while there is none, unless the state sends a notification earlier.
-const NO_TARGET_PAUSE: Duration = Duration::from_millis(200);
+const TARGET_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Renews the lease for as long as the future is polled; `renew_now` ends the wait for a target and pauses beyond their minimum.
 pub(crate) async fn renew_lease(
@@ -26,17 +26,16 @@
         let order = state.lock().plan_renewal();
         let Some(order) = order else {
             // The result is ignored: both a notification and a timeout lead to the next check.
-            let _ = timeout(NO_TARGET_PAUSE, renew_now.notified()).await;
+            let _ = timeout(TARGET_CHECK_INTERVAL, renew_now.notified()).await;
             continue;
         };
         let answer = interface.renew(order.clone()).await;
         let pause = state.lock().receive_renewal_answer(&order, answer);
-        wait(pause, &renew_now).await;
+        wait_for_next_renewal(pause, &renew_now).await;
     }
 }
 
-/// Waits between two renewals.
-async fn wait(pause: RenewalPause, renew_now: &Notify) {
+async fn wait_for_next_renewal(pause: RenewalPause, renew_now: &Notify) {
     if pause.longest.is_zero() {
         return;
     }
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -23,8 +23,8 @@
                 sender,
                 ..
             } => {
-                self.own.version = self.configuration.version();
-                self.links.open(link, dialed, sender, &self.own);
+                self.own_hello.version = self.configuration.version();
+                self.links.open(link, dialed, sender, &self.own_hello);
             }
             LinkEvent::Received { link, message } => self.receive(link, message),
             LinkEvent::Closed { link } => self.close_link(link),
@@ -65,8 +65,8 @@
 
     /// Drains the target for upkeep, and reports its free capacity to the control process.
     fn receive_hold(&mut self, link: LinkId, held: &HeldTarget, now: Timestamp) {
-        let span = Duration::from_millis(held.for_ms.into());
-        self.runner.hold_target(&held.incarnation, span, now);
+        let duration = Duration::from_millis(held.for_ms.into());
+        self.runner.hold_target(&held.incarnation, duration, now);
         let incarnation = self.runner.target_incarnation_id();
         let is_current =
             incarnation.is_some_and(|incarnation| incarnation.name == held.incarnation);
@@ -160,7 +160,7 @@
         if !self.evacuations.receive(halls, link, &mut self.links) {
             return;
         }
-        let own_hall = self.own.data_hall();
+        let own_hall = self.own_hello.data_hall();
         let is_evacuated = own_hall.is_some_and(|hall| self.evacuations.halls().contains(hall));
         let now = self.now();
         self.runner.set_evacuated(is_evacuated, now);
@@ -178,20 +178,20 @@
         self.assigned_entries
             .set_assignment(link, directory.entries);
         for entry in self.assigned_entries.entries() {
-            self.entries.add(*entry);
+            self.dialed_entries.add(*entry);
         }
         self.controls.set_controls(directory.controls);
     }
 
     fn receive_invitation(&mut self, entry: SocketAddr) {
         if self.assigned_entries.accepts_invitation(entry) {
-            self.entries.add(entry);
+            self.dialed_entries.add(entry);
         }
     }
 
     /// Drains and closes the links to entries that no control process assigns any more.
     pub(super) fn drain_unassigned_entries(&mut self, now: Timestamp) {
-        let dialed: Vec<SocketAddr> = self.entries.addresses().collect();
+        let dialed: Vec<SocketAddr> = self.dialed_entries.addresses().collect();
         let entries = self.links.dialed_peers();
         let entries = entries.filter(|peer| peer.role == PeerRole::Entry);
         let connected = entries.map(|peer| peer.address).collect();
@@ -205,7 +205,7 @@
             let is_dropped = dropped.contains(&entry);
             match self.links.find_dialed(entry) {
                 Some(link) => self.advance_link_drain(entry, link, is_dropped, now),
-                None if is_dropped => self.entries.remove(entry),
+                None if is_dropped => self.dialed_entries.remove(entry),
                 None => {}
             }
         }
@@ -225,11 +225,11 @@
             LinkDrainStep::StopOffering => self.runner.retire_session(link, true),
             LinkDrainStep::ResumeOffering => self.runner.retire_session(link, false),
             LinkDrainStep::SendGoodbye => {
-                log::info!(entry = entry.to_string().as_str(), link; "leaving unassigned entry");
+                log::info!(entry = entry.to_string().as_str(), link; "closing the link to an unassigned entry");
                 // An entry that misses the message keeps inviting this guard for a while, which is harmless.
                 self.links.send(link, &PeerMessage::Goodbye);
             }
-            LinkDrainStep::Close => self.entries.remove(entry),
+            LinkDrainStep::Close => self.dialed_entries.remove(entry),
         }
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::configuration::ConfigurationCopy;
 use crate::event_log::{
-    log_decision, log_deregistration, log_end, log_incarnation, log_registration,
+    log_deregistration, log_end, log_end_decision, log_incarnation, log_registration,
     log_unacknowledged_start,
 };
 use crate::interface::RegistrationCall;
@@ -34,13 +34,13 @@
     clock: ProcessClock,
     suspensions: SuspensionMonitor,
     stalls: StallMonitor,
-    own: Hello,
+    own_hello: Hello,
     runner: Runner,
     configuration: ConfigurationCopy,
     evacuations: KnownEvacuations,
     links: PeerLinks,
     controls: ControlLinks,
-    entries: DialedPeers,
+    dialed_entries: DialedPeers,
     assigned_entries: AssignedEntries,
     link_drains: LinkDrains,
     recorder: Recorder,
@@ -82,10 +82,10 @@
 
 impl GuardState {
     pub(crate) fn new(
-        own: Hello,
+        own_hello: Hello,
         runner: Runner,
         controls: ControlLinks,
-        entries: DialedPeers,
+        dialed_entries: DialedPeers,
         orders: mpsc::UnboundedSender<TargetOrder>,
         renew_now: Arc<Notify>,
     ) -> Self {
@@ -93,13 +93,13 @@
             clock: ProcessClock::default(),
             suspensions: SuspensionMonitor::default(),
             stalls: StallMonitor::default(),
-            own,
+            own_hello,
             runner,
             configuration: ConfigurationCopy::default(),
             evacuations: KnownEvacuations::default(),
             links: PeerLinks::default(),
             controls,
-            entries,
+            dialed_entries,
             assigned_entries: AssignedEntries::default(),
             link_drains: LinkDrains::default(),
             recorder: Recorder::default(),
@@ -131,14 +131,14 @@
         &self.suspensions
     }
 
-    /// Returns the current time, after reporting a suspension of the box, which may have suspended the target too, or else a stall of
-    /// this process to the runner.
+    /// Returns the current time, after reporting to the runner a suspension of the box, which may have suspended the target too, or else a
+    /// stall of this process.
     fn now(&mut self) -> Timestamp {
         let suspension = self.suspensions.poll();
         let now = self.clock.now();
         let stall = self.stalls.poll(now);
-        if let Some(span) = suspension {
-            self.runner.allow_for_suspension(span);
+        if let Some(duration) = suspension {
+            self.runner.allow_for_suspension(duration);
         } else if let Some(stall) = stall {
             self.runner.allow_for_stall(stall, now);
         }
@@ -251,14 +251,14 @@
     fn advance(&mut self) {
         loop {
             let actions = self.runner.take_actions();
-            let recorded = self.recorder.take_actions();
-            if actions.is_empty() && recorded.is_empty() {
+            let recorder_actions = self.recorder.take_actions();
+            if actions.is_empty() && recorder_actions.is_empty() {
                 break;
             }
             for action in actions {
                 self.execute(action);
             }
-            for action in recorded {
+            for action in recorder_actions {
                 self.execute_recorder_action(action);
             }
         }
@@ -274,7 +274,7 @@
                 send_group_call(&self.links, &route, call);
             }
             RecorderAction::Decided(end, decision) => {
-                log_decision(&end, decision);
+                log_end_decision(&end, decision);
                 let now = self.now();
                 self.runner.receive_end_decision(&end, decision, now);
             }
@@ -298,8 +298,8 @@
                 log::warn!(link = session; "entry session timed out; stopping its runs");
                 self.close_link(session);
             }
-            RunnerAction::Start(order) => self.order(TargetOrder::Start(order)),
-            RunnerAction::Stop(order) => self.order(TargetOrder::Stop(order)),
+            RunnerAction::Start(order) => self.queue_order(TargetOrder::Start(order)),
+            RunnerAction::Stop(order) => self.queue_order(TargetOrder::Stop(order)),
             RunnerAction::RecordEnd(end) => {
                 let now = self.now();
                 self.recorder.record(end, now);
@@ -330,7 +330,7 @@
     }
 
     /// Queues an order for the target.
-    fn order(&self, order: TargetOrder) {
+    fn queue_order(&self, order: TargetOrder) {
         // Cannot fail: the receiver lives as long as the process.
         let _ = self.orders.send(order);
     }
