--- a/crates/cloverfold/tests/control_processes.rs
+++ b/crates/cloverfold/tests/control_processes.rs
@@ -74,6 +74,12 @@
         self.running[index].as_ref().unwrap().signal(signal);
     }
 
+    /// Waits until a process has the log of a group of kept jobs, which may be created after the first acknowledged configuration.
+    fn wait_for_kept_jobs(&self, index: usize) {
+        let process = self.running[index].as_ref().unwrap();
+        process.wait_for_line("bootstrapping a group of kept jobs");
+    }
+
     /// Sends a configuration to one process until the process acknowledges it.
     fn restore_until_acknowledged(&self, index: usize, version: u64) {
         let file = self.folder.path().join(format!("version-{version}.json"));
@@ -255,6 +261,7 @@
     let mut group = Group::start();
     group.restore_until_acknowledged(0, 3);
     let leader = group.find_leader();
+    group.wait_for_kept_jobs(leader);
     group.kill(leader);
     let file_count = append_partial_records(&group.data_folder(leader));
     assert!(
