--- a/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
@@ -26,10 +26,10 @@
 use http::StatusCode;
 
 use crate::callers::Callers;
-use crate::kept_body::KeptBody;
 use crate::protocol::JobState;
 use crate::responses::{job_state_response, no_such_job_response, refusal_response};
 use crate::state::GroupAnswer;
+use crate::stored_job::StoredJob;
 
 /// Timeout for a group to accept a job; long enough for an election and two retries.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -177,7 +177,7 @@
         id: id.into(),
         queue: route.name.clone(),
         digest: hash_parts(&[route.name.as_bytes(), &request.body]),
-        body: KeptBody::new(route, &request.body).encode(),
+        body: StoredJob::new(route, &request.body).encode(),
         tasks: job.steps.iter().map(|step| step.count).sum(),
         max_attempts: route.max_attempts,
     }
--- a/crates/leased/cloverfold_leased_entry/src/lib.rs
+++ b/crates/leased/cloverfold_leased_entry/src/lib.rs
@@ -16,7 +16,6 @@
 mod driven_jobs;
 mod event_log;
 mod job_counts;
-mod kept_body;
 mod kept_callers;
 mod known_guards;
 mod metrics;
@@ -26,8 +25,9 @@
 mod responses;
 mod run_numbers;
 mod state;
+mod stored_job;
 mod submission;
 
-pub use kept_body::KeptBody;
 pub use process::{LeasedEntry, start_leased_entry};
 pub use protocol::{JobProtocol, JobState, MalformedJob, ParsedJob, QueueCall};
+pub use stored_job::StoredJob;
--- a/crates/leased/cloverfold_leased_entry/src/state/kept.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/kept.rs
@@ -16,8 +16,8 @@
 use super::EntryState;
 use crate::driven_jobs::DrivenJob;
 use crate::event_log::{log_driving, log_stopped_driving, log_unreadable_job};
-use crate::kept_body::KeptBody;
 use crate::protocol::ParsedJob;
+use crate::stored_job::StoredJob;
 
 /// Channel for the reply of a group.
 pub(crate) type GroupAnswer = oneshot::Receiver<CallAnswer>;
@@ -198,10 +198,10 @@
 
     /// Parses a stored job with the current attributes of its queue.
     fn parse_stored_job(&self, order: &JobAssignment) -> Result<JobRequest, String> {
-        let body = KeptBody::decode(&order.body).map_err(|fault| fault.to_string())?;
+        let stored = StoredJob::decode(&order.body).map_err(|fault| fault.to_string())?;
         let configuration = self.configuration();
-        let route = body.route(configuration.as_deref());
-        match self.protocol.parse_job(&order.job, &route, &body.text) {
+        let route = stored.route(configuration.as_deref());
+        match self.protocol.parse_job(&order.job, &route, &stored.text) {
             Ok(ParsedJob::Kept(request)) => Ok(request),
             Ok(ParsedJob::Repeatable(_)) => Err("it need not be kept".into()),
             Ok(ParsedJob::Unsupported(what)) => Err(what.into()),
--- a/crates/leased/cloverfold_leased_entry/src/kept_body.rs
+++ b/crates/leased/cloverfold_leased_entry/src/stored_job.rs
@@ -1,11 +1,11 @@
 //! The stored form of a kept job, from which any entry can drive it later.
 //!
-//! The body holds the request as the caller sent it, and the attributes of its queue at submission. If the configuration in force has a
-//! queue of that name, its current attributes apply, because an operator who moves a queue to another service means its jobs as well.
+//! It holds the request as the caller sent it, and the attributes of its queue at submission. If the configuration in force has a
+//! queue of that name, its current attributes apply, because moving a queue to another service also moves its jobs.
 //! Otherwise the stored ones apply, so that an accepted job can run after its queue was removed. The maximum number of attempts is always
 //! the stored one, because the group counts failures against it.
 //!
-//! The body is encoded with postcard, so the order of the fields must not change.
+//! It is encoded with postcard, so the order of the fields must not change.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 /// The stored form of a kept job. The order of the fields is the format on disk and on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptBody {
+pub struct StoredJob {
     /// Name of the queue.
     pub queue: String,
     /// Service of the queue.
@@ -31,7 +31,7 @@
     pub text: Vec<u8>,
 }
 
-impl KeptBody {
+impl StoredJob {
     /// Returns the stored form of a job that was submitted to a queue.
     pub fn new(route: &Route, text: &[u8]) -> Self {
         Self {
@@ -45,20 +45,20 @@
         }
     }
 
-    /// Encodes the body.
+    /// Encodes the job.
     ///
     /// # Panics
     ///
-    /// Never panics: every body can be encoded.
+    /// Never panics: every job can be encoded.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("a body in memory can be encoded")
+        postcard::to_stdvec(self).expect("a job in memory can be encoded")
     }
 
-    /// Decodes a stored body.
+    /// Decodes a stored job.
     ///
     /// # Errors
     ///
-    /// Returns the decoder's error if the bytes are not a valid body.
+    /// Returns the decoder's error if the bytes are not a valid stored job.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
