--- a/crates/leased/cloverfold_leased_entry/src/configuration.rs
+++ b/crates/leased/cloverfold_leased_entry/src/configuration.rs
@@ -67,16 +67,16 @@
 
 /// A fetch in flight.
 #[derive(Clone, Copy)]
-struct OpenFetch {
+struct PendingFetch {
     /// Version of the configuration at the peer.
     version: Version,
-    asked_at: Timestamp,
+    started_at: Timestamp,
 }
 
 /// Limits fetches of the configuration: many peers announce a new version at once, and one fetch is enough.
 #[derive(Default)]
 pub(crate) struct FetchLimiter {
-    open: Option<OpenFetch>,
+    pending: Option<PendingFetch>,
 }
 
 impl FetchLimiter {
@@ -87,20 +87,21 @@
         in_force: Version,
         now: Timestamp,
     ) -> bool {
-        let is_asked =
-            |open: OpenFetch| open.version >= version && now < open.asked_at + FETCH_TIMEOUT;
-        if version <= in_force || self.open.is_some_and(is_asked) {
+        let is_in_flight = |fetch: PendingFetch| {
+            fetch.version >= version && now < fetch.started_at + FETCH_TIMEOUT
+        };
+        if version <= in_force || self.pending.is_some_and(is_in_flight) {
             return false;
         }
-        self.open = Some(OpenFetch {
+        self.pending = Some(PendingFetch {
             version,
-            asked_at: now,
+            started_at: now,
         });
         true
     }
 
     /// Records that the fetch has completed.
     pub(crate) fn finish(&mut self) {
-        self.open = None;
+        self.pending = None;
     }
 }
--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -18,7 +18,7 @@
         DispatcherEvent::StragglerWithdrawn { .. } => log_straggler_withdrawn(event),
         DispatcherEvent::SessionLost { .. } => log_session_lost(event),
         DispatcherEvent::TargetPaused { runner } => {
-            log::warn!(runner = runner.as_str(); "no work is placed on the target for a while");
+            log::warn!(runner = runner.as_str(); "target paused after repeated failures; assigning it no tasks until the pause ends");
         }
     }
 }
--- a/crates/leased/cloverfold_leased_entry/src/known_guards.rs
+++ b/crates/leased/cloverfold_leased_entry/src/guard_invitations.rs
@@ -22,12 +22,12 @@
 
 /// The guards known to an entry, by the address on which they accept links.
 #[derive(Default)]
-pub(crate) struct KnownGuards {
+pub(crate) struct GuardInvitations {
     guards: BTreeMap<SocketAddr, KnownGuard>,
     last_invited_at: Timestamp,
 }
 
-impl KnownGuards {
+impl GuardInvitations {
     /// Records a new link to a guard.
     pub(crate) fn add_link(&mut self, address: SocketAddr, now: Timestamp) {
         let guard = self.guards.entry(address).or_insert(KnownGuard {
@@ -65,7 +65,7 @@
         self.last_invited_at = now;
         self.guards
             .retain(|_, guard| guard.links > 0 || now < guard.last_change_at + GUARD_RETENTION);
-        let away = self.guards.iter().filter(|(_, guard)| guard.links == 0);
-        away.map(|(address, _)| *address).collect()
+        let disconnected = self.guards.iter().filter(|(_, guard)| guard.links == 0);
+        disconnected.map(|(address, _)| *address).collect()
     }
 }
--- a/crates/leased/cloverfold_leased_entry/src/kept_callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/kept_requests.rs
@@ -25,8 +25,8 @@
 use cloverfold_lease::{JobRefusal, JobRequest, RETRY_AFTER};
 use http::StatusCode;
 
-use crate::callers::Callers;
 use crate::protocol::JobState;
+use crate::request_handler::RequestHandler;
 use crate::responses::{job_state_response, no_such_job_response, refusal_response};
 use crate::state::GroupAnswer;
 use crate::stored_job::StoredJob;
@@ -38,9 +38,9 @@
 /// Timeout for a group to cancel a job; long enough for an election and two retries.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Fraction of the caller's timeout within which the entry responds.
-const CALLER_TIMEOUT_SHARE: f64 = 0.9;
+const CALLER_TIMEOUT_FRACTION: f64 = 0.9;
 
-impl Callers {
+impl RequestHandler {
     /// Submits a kept job and waits until its group has stored it.
     pub(crate) async fn submit_kept(
         &self,
@@ -49,7 +49,7 @@
         request: &Request,
         job: &JobRequest,
     ) -> Response {
-        let began = self.now();
+        let started_at = self.now();
         let timeout = self.call_timeout(request, SUBMIT_TIMEOUT);
         let refusal = self.lock().find_kept_refusal(job);
         if let Some(cause) = refusal
@@ -63,7 +63,7 @@
         if is_refused_by_reachable_group(answer) && self.is_known(id, timeout).await {
             answer = CallAnswer::Unknown;
         }
-        let took = self.now().saturating_duration_since(began);
+        let took = self.now().saturating_duration_since(started_at);
         self.answer_submission(id, route, answer, took)
     }
 
@@ -98,7 +98,7 @@
             }
             CallAnswer::Conflict => {
                 self.metrics.count_answer("kept_conflict");
-                log::info!(job = id, route; "a different kept job has this ID");
+                log::info!(job = id, route; "submission refused; a different kept job has this ID");
                 conflict_response()
             }
             CallAnswer::Refused(cause) => {
@@ -121,7 +121,7 @@
         let answer = self.lock().show_kept(id, timeout);
         match receive(answer).await {
             CallAnswer::Shown(Some(phase)) => {
-                job_state_response(self.protocol.as_ref(), state_of(phase))
+                job_state_response(self.protocol.as_ref(), to_job_state(phase))
             }
             CallAnswer::Shown(None) => no_such_job_response(),
             other => unavailable_response(id, "cannot show kept job", other),
@@ -148,7 +148,7 @@
         if let Some(count) = self.pending.find_fresh(queue, self.now()) {
             return Some(count);
         }
-        let asked_at = self.now();
+        let queried_at = self.now();
         let timeout = self.call_timeout(request, QUERY_TIMEOUT);
         let answers = self.lock().count_kept(queue, timeout);
         let mut count = 0;
@@ -158,14 +158,16 @@
             };
             count += pending as usize;
         }
-        self.pending.record(queue, count, asked_at);
+        self.pending.record(queue, count, queried_at);
         Some(count)
     }
 
     /// Returns the timeout of a call to a group: `max_timeout`, or less if the caller's own timeout is shorter.
     fn call_timeout(&self, request: &Request, max_timeout: Duration) -> Duration {
         match self.protocol.read_caller_timeout(&request.headers) {
-            Some(caller_timeout) => max_timeout.min(caller_timeout.mul_f64(CALLER_TIMEOUT_SHARE)),
+            Some(caller_timeout) => {
+                max_timeout.min(caller_timeout.mul_f64(CALLER_TIMEOUT_FRACTION))
+            }
             None => max_timeout,
         }
     }
@@ -202,7 +204,7 @@
     }
 }
 
-fn state_of(phase: JobPhase) -> JobState {
+fn to_job_state(phase: JobPhase) -> JobState {
     match phase {
         JobPhase::Queued => JobState::Queued,
         JobPhase::Running => JobState::Running,
--- a/crates/leased/cloverfold_leased_entry/src/lib.rs
+++ b/crates/leased/cloverfold_leased_entry/src/lib.rs
@@ -11,17 +11,17 @@
 
 #![warn(clippy::disallowed_methods)]
 
-mod callers;
 mod configuration;
 mod driven_jobs;
 mod event_log;
+mod guard_invitations;
 mod job_counts;
-mod kept_callers;
-mod known_guards;
+mod kept_requests;
 mod metrics;
 mod pending_counts;
 mod process;
 mod protocol;
+mod request_handler;
 mod responses;
 mod run_numbers;
 mod state;
--- a/crates/leased/cloverfold_leased_entry/src/metrics.rs
+++ b/crates/leased/cloverfold_leased_entry/src/metrics.rs
@@ -14,11 +14,11 @@
 use crate::state::EntryState;
 
 /// Upper bound of the first histogram bucket, in seconds.
-const FIRST_BUCKET: f64 = 0.005;
+const FIRST_BUCKET_SECONDS: f64 = 0.005;
 /// Ratio of the upper bounds of consecutive buckets.
-const BUCKET_GROWTH: f64 = 2.0;
+const BUCKET_FACTOR: f64 = 2.0;
 /// Number of buckets; the last one ends at 10.24 s.
-const BUCKETS: u16 = 12;
+const BUCKET_COUNT: u16 = 12;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct OutcomeLabel {
@@ -48,11 +48,17 @@
         let mut metrics = MetricsBuilder::new("cloverfold_entry");
         let answers = Family::default();
         let answers = metrics.add("answers", "Submissions by outcome", answers);
-        let answer_seconds =
-            Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_GROWTH, BUCKETS));
+        let answer_seconds = Histogram::new(exponential_buckets(
+            FIRST_BUCKET_SECONDS,
+            BUCKET_FACTOR,
+            BUCKET_COUNT,
+        ));
         let answer_seconds = metrics.add("answer_seconds", "Time to the answer", answer_seconds);
-        let acceptance_seconds =
-            Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_GROWTH, BUCKETS));
+        let acceptance_seconds = Histogram::new(exponential_buckets(
+            FIRST_BUCKET_SECONDS,
+            BUCKET_FACTOR,
+            BUCKET_COUNT,
+        ));
         let help = "Time until a kept job was accepted";
         let acceptance_seconds = metrics.add("acceptance_seconds", help, acceptance_seconds);
         let jobs = JobCounts::default();
--- a/crates/leased/cloverfold_leased_entry/src/pending_counts.rs
+++ b/crates/leased/cloverfold_leased_entry/src/pending_counts.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingCount {
     count: usize,
-    asked_at: Timestamp,
+    queried_at: Timestamp,
 }
 
 /// Recent counts by queue.
@@ -39,17 +39,17 @@
         self.find(queue, USABLE_AGE, now)
     }
 
-    pub(crate) fn record(&self, queue: &str, count: usize, asked_at: Timestamp) {
+    pub(crate) fn record(&self, queue: &str, count: usize, queried_at: Timestamp) {
         let mut by_queue = self.lock();
         if by_queue.len() >= MAX_QUEUES {
             by_queue.clear();
         }
-        by_queue.insert(queue.into(), PendingCount { count, asked_at });
+        by_queue.insert(queue.into(), PendingCount { count, queried_at });
     }
 
     fn find(&self, queue: &str, oldest: Duration, now: Timestamp) -> Option<usize> {
         let known = self.lock().get(queue).copied()?;
-        let age = now.saturating_duration_since(known.asked_at);
+        let age = now.saturating_duration_since(known.queried_at);
         (age <= oldest).then_some(known.count)
     }
 
--- a/crates/leased/cloverfold_leased_entry/src/process.rs
+++ b/crates/leased/cloverfold_leased_entry/src/process.rs
@@ -17,20 +17,20 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-use crate::callers::Callers;
 use crate::protocol::JobProtocol;
+use crate::request_handler::RequestHandler;
 use crate::state::EntryState;
 
 /// Interval between ticks of the state.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long before the drain timeout the entry releases kept jobs that still have runs. Leaves a group enough time to elect a leader and
 /// reply.
-const RELEASE_TIME: Duration = Duration::from_secs(1);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running entry; dropping it stops the process without draining.
 pub struct LeasedEntry {
-    callers: Arc<Callers>,
+    handler: Arc<RequestHandler>,
     clients: ServerHandle,
     readiness: ServerHandle,
     /// Serves until dropped.
@@ -55,7 +55,7 @@
     /// Applies the settings that can change at run time: the seeds. Other changes apply at the next start.
     pub fn reload(&self, settings: &LeasedEntrySettings) {
         let seeds = settings.peer.seed_addresses();
-        self.callers.lock().set_seeds(seeds);
+        self.handler.lock().set_seeds(seeds);
     }
 
     /// Stops gracefully. The entry becomes not ready, but accepts jobs for the linger time. Then it accepts no new jobs, releases
@@ -72,44 +72,47 @@
     /// Makes the entry not ready and asks clients to reconnect elsewhere; the entry still accepts jobs.
     fn begin_draining(&self) {
         log::info!("draining");
-        self.callers.lock().begin_draining();
+        self.handler.lock().begin_draining();
         self.clients.advance(ShutdownPhase::Draining);
     }
 
     /// Refuses new jobs and client connections; open connections close once they are idle.
     fn stop_accepting_jobs(&self) {
-        self.callers.lock().stop_accepting_jobs();
+        self.handler.lock().stop_accepting_jobs();
         self.clients.advance(ShutdownPhase::Closing);
     }
 
     /// Waits until all open jobs are answered; returns whether that was before the drain timeout.
     async fn wait_until_answered(&self) -> bool {
-        let left = self.drain_timeout.saturating_sub(self.linger);
-        timeout(left, self.clients.wait_closed()).await.is_ok()
+        let remaining = self.drain_timeout.saturating_sub(self.linger);
+        timeout(remaining, self.clients.wait_closed()).await.is_ok()
     }
 }
 
 impl LeasedEntry {
-    /// Waits until this entry drives no kept job; releases the remaining ones [`RELEASE_TIME`] before the drain timeout.
+    /// Waits until this entry drives no kept job; releases the remaining ones [`RELEASE_TIMEOUT`] before the drain timeout.
     async fn release_jobs(&self) {
-        let left = self.drain_timeout.saturating_sub(self.linger);
-        let last = RELEASE_TIME.min(left / 2);
-        if timeout(left - last, self.wait_until_released())
+        let remaining = self.drain_timeout.saturating_sub(self.linger);
+        let release_timeout = RELEASE_TIMEOUT.min(remaining / 2);
+        if timeout(remaining - release_timeout, self.wait_until_released())
             .await
             .is_ok()
         {
             return;
         }
-        self.callers.lock().release_all_jobs();
-        if timeout(last, self.wait_until_released()).await.is_err() {
-            let jobs = self.callers.lock().driven_jobs();
+        self.handler.lock().release_all_jobs();
+        if timeout(release_timeout, self.wait_until_released())
+            .await
+            .is_err()
+        {
+            let jobs = self.handler.lock().driven_jobs();
             log::warn!(jobs; "some kept jobs were not released; they are reassigned after the lease of this entry expires");
         }
     }
 
     async fn wait_until_released(&self) {
-        while !self.callers.lock().has_released_jobs() {
-            sleep(TICK).await;
+        while !self.handler.lock().has_released_jobs() {
+            sleep(TICK_INTERVAL).await;
         }
     }
 }
@@ -129,13 +132,13 @@
 ) -> Result<LeasedEntry, ListenError> {
     let port = PeerPort::new(settings.peer.address(), settings.peer.listen_address());
     let state = Shared::new(build_state(settings, &port, protocol.clone()));
-    let callers = Arc::new(Callers::new(state.clone(), protocol));
+    let handler = Arc::new(RequestHandler::new(state.clone(), protocol));
     log::info!(name = settings.peer.name.as_str(); "starting entry");
 
     let port = port.listen()?;
-    let clients = serve_clients(settings.client_address, &callers)?;
-    let readiness = serve_readiness(settings.ready_address, &callers)?;
-    let metrics = callers.metrics.clone();
+    let clients = serve_clients(settings.client_address, &handler)?;
+    let readiness = serve_readiness(settings.ready_address, &handler)?;
+    let metrics = handler.metrics.clone();
     let operations = serve_state_operations(
         settings.peer.metrics_address(),
         &state,
@@ -143,9 +146,9 @@
         EntryState::not_ready_reason,
     )?;
     let mut tasks = JoinSet::new();
-    port.run(state, TICK, &mut tasks);
+    port.run(state, TICK_INTERVAL, &mut tasks);
     Ok(LeasedEntry {
-        callers,
+        handler,
         clients,
         readiness,
         _operations: operations,
@@ -160,7 +163,7 @@
     port: &PeerPort,
     protocol: Arc<dyn JobProtocol>,
 ) -> EntryState {
-    let own = Hello {
+    let own_hello = Hello {
         name: settings.peer.name.clone(),
         role: PeerRole::Entry,
         address: settings.peer.address(),
@@ -170,25 +173,28 @@
     let timings = settings.lease.timings();
     let dispatcher = Dispatcher::new(timings, HealthLimits::default(), random_u64());
     let controls = ControlLinks::new(settings.peer.seed_addresses(), port.dialed_peers());
-    EntryState::new(own, protocol, dispatcher, controls)
+    EntryState::new(own_hello, protocol, dispatcher, controls)
 }
 
-fn serve_clients(address: SocketAddr, callers: &Arc<Callers>) -> Result<ServerHandle, ListenError> {
+fn serve_clients(
+    address: SocketAddr,
+    handler: &Arc<RequestHandler>,
+) -> Result<ServerHandle, ListenError> {
     let limits = {
-        let callers = callers.clone();
-        move || read_limits(&callers)
+        let handler = handler.clone();
+        move || read_limits(&handler)
     };
-    let callers = callers.clone();
-    let handler = move |request: Request| {
-        let callers = callers.clone();
-        async move { callers.handle(request).await }
+    let handler = handler.clone();
+    let respond = move |request: Request| {
+        let handler = handler.clone();
+        async move { handler.handle(request).await }
     };
-    serve_at("client_address", address, limits, handler)
+    serve_at("client_address", address, limits, respond)
 }
 
 /// Returns the limits of the configuration in force, or the default ones if there is none.
-fn read_limits(callers: &Callers) -> HttpLimits {
-    let configuration = callers.lock().configuration();
+fn read_limits(handler: &RequestHandler) -> HttpLimits {
+    let configuration = handler.lock().configuration();
     let Some(configuration) = configuration else {
         return HttpLimits::default();
     };
@@ -203,23 +209,23 @@
 
 fn serve_readiness(
     address: SocketAddr,
-    callers: &Arc<Callers>,
+    handler: &Arc<RequestHandler>,
 ) -> Result<ServerHandle, ListenError> {
-    let callers = callers.clone();
-    let handler = move |request: Request| {
-        let response = handle_readiness(&callers, &request);
+    let handler = handler.clone();
+    let respond = move |request: Request| {
+        let response = handle_readiness(&handler, &request);
         async move { response }
     };
-    serve_at("ready_address", address, HttpLimits::default, handler)
+    serve_at("ready_address", address, HttpLimits::default, respond)
 }
 
 /// Responds to the load balancer: 200 if ready, otherwise 503 with the reason.
-fn handle_readiness(callers: &Callers, request: &Request) -> Response {
+fn handle_readiness(handler: &RequestHandler, request: &Request) -> Response {
     let path = request.uri.path();
-    if !callers.protocol.is_readiness_request(&request.method, path) {
+    if !handler.protocol.is_readiness_request(&request.method, path) {
         return plain_response(StatusCode::NOT_FOUND, "no such call\n");
     }
-    match callers.lock().not_ready_reason() {
+    match handler.lock().not_ready_reason() {
         None => json_response(StatusCode::OK, "{}"),
         Some(reason) => plain_response(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n")),
     }
--- a/crates/leased/cloverfold_leased_entry/src/callers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/request_handler.rs
@@ -17,14 +17,14 @@
 use crate::state::EntryState;
 
 /// Handles the requests of callers.
-pub(crate) struct Callers {
+pub(crate) struct RequestHandler {
     state: Shared<EntryState>,
     pub(crate) protocol: Arc<dyn JobProtocol>,
     pub(crate) metrics: Arc<EntryMetrics>,
     pub(crate) pending: PendingCounts,
 }
 
-impl Callers {
+impl RequestHandler {
     pub(crate) fn new(state: Shared<EntryState>, protocol: Arc<dyn JobProtocol>) -> Self {
         Self {
             state,
--- a/crates/leased/cloverfold_leased_entry/src/run_numbers.rs
+++ b/crates/leased/cloverfold_leased_entry/src/run_numbers.rs
@@ -7,11 +7,11 @@
 
 /// Epoch of the run numbers: 2026-01-01 00:00 UTC, as a duration since the Unix epoch.
 const RUN_EPOCH: Duration = Duration::from_secs(1_767_225_600);
-/// Duration of one number, in milliseconds; far below the 1.3 s after which a caller resends its job.
-const RUN_UNIT_MS: u128 = 100;
+/// Interval between consecutive run numbers, in milliseconds; far below the 1.3 s after which a caller resends its job.
+const RUN_NUMBER_INTERVAL_MS: u128 = 100;
 
 /// Returns the number of the first run of a job that is submitted now.
 pub(crate) fn first_run_number(unix_now: Duration) -> u64 {
     let since_epoch = unix_now.saturating_sub(RUN_EPOCH).as_millis();
-    (since_epoch / RUN_UNIT_MS) as u64 + 1
+    (since_epoch / RUN_NUMBER_INTERVAL_MS) as u64 + 1
 }
--- a/crates/leased/cloverfold_leased_entry/src/state/kept.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/kept.rs
@@ -121,7 +121,7 @@
 
     fn await_group(&mut self, token: CallToken) -> GroupAnswer {
         let (tx, rx) = oneshot::channel();
-        self.group_callers.insert(token, tx);
+        self.group_replies.insert(token, tx);
         self.advance();
         rx
     }
@@ -161,7 +161,7 @@
                     self.stop_driving(&job, epoch, cause);
                 }
                 DriverAction::Answer(token, answer) => {
-                    if let Some(caller) = self.group_callers.remove(&token) {
+                    if let Some(caller) = self.group_replies.remove(&token) {
                         // Fails if the caller has disconnected, which is harmless.
                         let _ = caller.send(answer);
                     }
--- a/crates/leased/cloverfold_leased_entry/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/links.rs
@@ -17,8 +17,8 @@
                 sender,
                 ..
             } => {
-                self.own.version = self.version();
-                self.links.open(link, dialed, sender, &self.own);
+                self.own_hello.version = self.version();
+                self.links.open(link, dialed, sender, &self.own_hello);
             }
             LinkEvent::Received { link, message } => self.receive(link, message),
             LinkEvent::Closed { link } => self.close_link(link),
@@ -37,7 +37,7 @@
             PeerMessage::Directory(directory) => self.controls.set_controls(directory.controls),
             PeerMessage::DialControls(controls) => self.controls.accept_invitation(controls),
             PeerMessage::Evacuations(halls) => self.receive_evacuations(link, halls),
-            PeerMessage::Goodbye => self.release_guard(link),
+            PeerMessage::Goodbye => self.remove_guard(link),
             // These messages are never sent to an entry.
             PeerMessage::ToRunner(_)
             | PeerMessage::Invite { .. }
@@ -88,7 +88,7 @@
     }
 
     /// Closes the link to a guard that has said goodbye, and stops inviting it.
-    fn release_guard(&mut self, link: LinkId) {
+    fn remove_guard(&mut self, link: LinkId) {
         let Some(guard) = self.links.hello(link).map(|hello| hello.address) else {
             return;
         };
@@ -149,7 +149,7 @@
         if self.is_draining {
             return;
         }
-        let entry = self.own.address;
+        let entry = self.own_hello.address;
         for guard in self.guards.take_due_invitations(now) {
             tokio::spawn(async move {
                 // A failure is harmless: the entry invites the guard again until it is connected.
--- a/crates/leased/cloverfold_leased_entry/src/state/mod.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/mod.rs
@@ -26,7 +26,7 @@
 use crate::configuration::{ConfigurationInForce, FetchLimiter};
 use crate::driven_jobs::DrivenJobs;
 use crate::event_log::log_event;
-use crate::known_guards::KnownGuards;
+use crate::guard_invitations::GuardInvitations;
 use crate::protocol::JobProtocol;
 use crate::run_numbers::first_run_number;
 pub(crate) use kept::GroupAnswer;
@@ -35,7 +35,7 @@
     clock: ProcessClock,
     suspensions: SuspensionMonitor,
     stalls: StallMonitor,
-    own: Hello,
+    own_hello: Hello,
     protocol: Arc<dyn JobProtocol>,
     dispatcher: Dispatcher,
     configuration: ConfigurationInForce,
@@ -43,14 +43,14 @@
     evacuations: KnownEvacuations,
     links: PeerLinks,
     controls: ControlLinks,
-    guards: KnownGuards,
+    guards: GuardInvitations,
     /// Channels for the answers to open jobs.
     answers: HashMap<JobNumber, oneshot::Sender<JobAnswer>>,
     /// Calls to groups, and the kept jobs that this entry drives.
     driver: Driver,
     driven: DrivenJobs,
     /// Channels for the replies of groups.
-    group_callers: HashMap<CallToken, oneshot::Sender<CallAnswer>>,
+    group_replies: HashMap<CallToken, oneshot::Sender<CallAnswer>>,
     /// Whether a configuration is in force; requests wait on it for the first one.
     is_configured: watch::Sender<bool>,
     /// Time of the last tick; a long gap means that the process was stalled.
@@ -72,7 +72,7 @@
     }
 
     fn tick(&mut self) {
-        // Logs and counts a suspension. The reaction to it follows from the gap in time.
+        // Logs and counts a suspension; `read_clock` reports the gap in time to the dispatcher.
         self.suspensions.poll();
         let now = self.read_clock();
         self.ticked_at = now;
@@ -87,17 +87,17 @@
 
 impl EntryState {
     pub(crate) fn new(
-        own: Hello,
+        own_hello: Hello,
         protocol: Arc<dyn JobProtocol>,
         dispatcher: Dispatcher,
         controls: ControlLinks,
     ) -> Self {
-        let driver = Driver::new(&own.name, KeptJobTimings::default(), random_u64());
+        let driver = Driver::new(&own_hello.name, KeptJobTimings::default(), random_u64());
         Self {
             clock: ProcessClock::default(),
             suspensions: SuspensionMonitor::default(),
             stalls: StallMonitor::default(),
-            own,
+            own_hello,
             protocol,
             dispatcher,
             configuration: ConfigurationInForce::default(),
@@ -105,11 +105,11 @@
             evacuations: KnownEvacuations::default(),
             links: PeerLinks::default(),
             controls,
-            guards: KnownGuards::default(),
+            guards: GuardInvitations::default(),
             answers: HashMap::new(),
             driver,
             driven: DrivenJobs::default(),
-            group_callers: HashMap::new(),
+            group_replies: HashMap::new(),
             is_configured: watch::Sender::new(false),
             ticked_at: Timestamp::ZERO,
             is_draining: false,
--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -7,10 +7,10 @@
 use cloverfold_lease::{JobAnswer, JobNumber, JobRequest, RETRY_AFTER};
 use http::StatusCode;
 
-use crate::callers::Callers;
 use crate::job_counts::JobOutcome;
-use crate::kept_callers::conflict_response;
+use crate::kept_requests::conflict_response;
 use crate::protocol::{MalformedJob, ParsedJob};
+use crate::request_handler::RequestHandler;
 use crate::responses::{answer_response, refusal_response};
 
 /// A job that can run.
@@ -28,7 +28,7 @@
 
 /// Cancels a job when its request is dropped before the answer, which means that the caller has disconnected.
 struct CancelOnDrop<'a> {
-    callers: &'a Callers,
+    handler: &'a RequestHandler,
     job: &'a str,
     /// `None` once the job is answered.
     number: Option<JobNumber>,
@@ -38,13 +38,13 @@
     fn drop(&mut self) {
         if let Some(number) = self.number {
             log::info!(job = self.job, number; "caller disconnected; cancelling its job");
-            self.callers.metrics.count_answer("caller_left");
-            self.callers.lock().cancel(number);
+            self.handler.metrics.count_answer("caller_left");
+            self.handler.lock().cancel(number);
         }
     }
 }
 
-impl Callers {
+impl RequestHandler {
     /// Submits the job in the body of a request and waits for its answer.
     pub(crate) async fn submit(&self, id: &str, route: &Route, request: &Request) -> Response {
         let job = match self.parse_job(id, route, request) {
@@ -90,7 +90,7 @@
     async fn run_job(&self, id: &str, job: JobRequest) -> JobAnswer {
         let (number, answer) = self.lock().submit(job);
         let mut cancel = CancelOnDrop {
-            callers: self,
+            handler: self,
             job: id,
             number,
         };
@@ -104,7 +104,7 @@
     fn record_answer(&self, id: &str, route: &Route, answer: JobAnswer, took: Duration) {
         let took_ms = took.as_millis() as u64;
         let route = route.name.as_str();
-        let outcome = name_outcome(answer);
+        let outcome = outcome_name(answer);
         self.metrics.count_answer(outcome);
         self.metrics.observe_answer_time(took);
         match answer {
@@ -112,7 +112,7 @@
             // Logged already: by the dispatcher with its reasons, or by the state after a stall.
             JobAnswer::Refused { .. } => {}
             JobAnswer::Failed | JobAnswer::GivenUp => {
-                log::info!(job = id, route, took_ms, outcome; "job answered");
+                log::info!(job = id, route, took_ms, outcome; "job ended without success");
             }
         }
     }
@@ -134,7 +134,7 @@
 }
 
 /// Returns the name of an answer in metrics and log lines.
-fn name_outcome(answer: JobAnswer) -> &'static str {
+fn outcome_name(answer: JobAnswer) -> &'static str {
     match answer {
         JobAnswer::Completed => "completed",
         JobAnswer::Failed => "failed",
