--- a/crates/common/cloverfold_http/src/client.rs
+++ b/crates/common/cloverfold_http/src/client.rs
@@ -97,12 +97,12 @@
 /// Idle connections to all addresses.
 #[derive(Debug, Default)]
 struct ConnectionPool {
-    peers: Mutex<HashMap<SocketAddr, Peer>>,
+    addresses: Mutex<HashMap<SocketAddr, AddressState>>,
 }
 
 /// State of one address.
 #[derive(Debug, Default)]
-struct Peer {
+struct AddressState {
     idle: Vec<Connection>,
     /// Number of timeouts since the last response.
     consecutive_timeouts: u32,
@@ -112,18 +112,20 @@
     /// Records a timeout; returns whether to wait for a late response. After too many consecutive timeouts the idle connections count as
     /// half-open and are closed.
     fn record_timeout(&self, address: SocketAddr) -> bool {
-        let mut peers = self.lock_peers();
-        let peer = peers.entry(address).or_default();
-        peer.consecutive_timeouts += 1;
-        let is_half_open = peer.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS;
+        let mut addresses = self.lock_addresses();
+        let state = addresses.entry(address).or_default();
+        state.consecutive_timeouts += 1;
+        let is_half_open = state.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS;
         if is_half_open {
-            peer.idle.clear();
+            state.idle.clear();
         }
         !is_half_open
     }
 
-    fn lock_peers(&self) -> MutexGuard<'_, HashMap<SocketAddr, Peer>> {
-        self.peers.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_addresses(&self) -> MutexGuard<'_, HashMap<SocketAddr, AddressState>> {
+        self.addresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns an idle connection that is still open, or opens one.
@@ -152,16 +154,16 @@
 
     /// Takes the most recently used idle connection to an address.
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
-        self.lock_peers().get_mut(&address)?.idle.pop()
+        self.lock_addresses().get_mut(&address)?.idle.pop()
     }
 
     /// Returns a connection to the pool after a response, unless there are [`MAX_IDLE_CONNECTIONS`].
     fn release(&self, address: SocketAddr, connection: Connection) {
-        let mut peers = self.lock_peers();
-        let peer = peers.entry(address).or_default();
-        peer.consecutive_timeouts = 0;
-        if peer.idle.len() < MAX_IDLE_CONNECTIONS && !connection.is_closed() {
-            peer.idle.push(connection);
+        let mut addresses = self.lock_addresses();
+        let state = addresses.entry(address).or_default();
+        state.consecutive_timeouts = 0;
+        if state.idle.len() < MAX_IDLE_CONNECTIONS && !connection.is_closed() {
+            state.idle.push(connection);
         }
     }
 }
--- a/crates/leased/cloverfold_leased_entry/src/configuration.rs
+++ b/crates/leased/cloverfold_leased_entry/src/configuration.rs
@@ -54,8 +54,8 @@
                 self.newest = Some(DecodedConfiguration { stored, decoded });
                 true
             }
-            Err(fault) => {
-                log::error!(version = stored.version, before; "cannot decode configuration: {fault}");
+            Err(error) => {
+                log::error!(version = stored.version, before; "cannot decode configuration: {error}");
                 false
             }
         }
--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -146,12 +146,12 @@
 }
 
 /// Logs that a stored job cannot be decoded and is released.
-pub(crate) fn log_unreadable_job(order: &JobAssignment, fault: &str) {
+pub(crate) fn log_unreadable_job(order: &JobAssignment, error: &str) {
     let (job, epoch) = (order.job.as_str(), order.epoch);
-    log::error!(job, epoch, fault; "cannot read a stored kept job; releasing it");
+    log::error!(job, epoch, fault = error; "cannot read a stored kept job; releasing it");
 }
 
 /// Returns a duration in whole milliseconds, the unit of all keys that end in `_ms`.
-fn millis(span: &Duration) -> u64 {
-    span.as_millis() as u64
+fn millis(duration: &Duration) -> u64 {
+    duration.as_millis() as u64
 }
--- a/crates/leased/cloverfold_leased_entry/src/state/kept.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/kept.rs
@@ -176,8 +176,8 @@
         let now = self.clock.now();
         let request = match self.parse_stored_job(&order) {
             Ok(request) => request,
-            Err(fault) => {
-                log_unreadable_job(&order, &fault);
+            Err(error) => {
+                log_unreadable_job(&order, &error);
                 self.driver.release(&[(order.job, true)], now);
                 return;
             }
@@ -198,14 +198,14 @@
 
     /// Parses a stored job with the current attributes of its queue.
     fn parse_stored_job(&self, order: &JobAssignment) -> Result<JobRequest, String> {
-        let stored = StoredJob::decode(&order.body).map_err(|fault| fault.to_string())?;
+        let stored = StoredJob::decode(&order.body).map_err(|error| error.to_string())?;
         let configuration = self.configuration();
         let route = stored.route(configuration.as_deref());
         match self.protocol.parse_job(&order.job, &route, &stored.text) {
             Ok(ParsedJob::Kept(request)) => Ok(request),
             Ok(ParsedJob::Repeatable(_)) => Err("it need not be kept".into()),
             Ok(ParsedJob::Unsupported(what)) => Err(what.into()),
-            Err(fault) => Err(fault.to_string()),
+            Err(error) => Err(error.to_string()),
         }
     }
 
--- a/crates/leased/cloverfold_leased_entry/src/submission.rs
+++ b/crates/leased/cloverfold_leased_entry/src/submission.rs
@@ -82,7 +82,7 @@
             }
             Ok(ParsedJob::Kept(job)) => Ok(RunnableJob::Kept(job)),
             Ok(ParsedJob::Unsupported(what)) => Err(UnrunnableJob::Unsupported(what)),
-            Err(fault) => Err(UnrunnableJob::Malformed(fault)),
+            Err(error) => Err(UnrunnableJob::Malformed(error)),
         }
     }
 
@@ -126,9 +126,9 @@
             log::warn!(job = id, route, what; "the job needs an unsupported feature");
             refusal_response(&format!("not carried: {what}\n"), RETRY_AFTER)
         }
-        UnrunnableJob::Malformed(fault) => {
-            log::warn!(job = id, route; "cannot parse job: {fault}");
-            plain_response(StatusCode::BAD_REQUEST, format!("{fault}\n"))
+        UnrunnableJob::Malformed(error) => {
+            log::warn!(job = id, route; "cannot parse job: {error}");
+            plain_response(StatusCode::BAD_REQUEST, format!("{error}\n"))
         }
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/process.rs
+++ b/crates/leased/cloverfold_leased_guard/src/process.rs
@@ -175,10 +175,10 @@
         Err(RegistrationRefusal::Unknown) => {
             plain_response(StatusCode::NOT_FOUND, "no such call\n")
         }
-        Err(RegistrationRefusal::Malformed(fault)) => {
+        Err(RegistrationRefusal::Malformed(error)) => {
             state.lock().count_unreadable_registration();
-            log::warn!("cannot parse registration: {fault}");
-            plain_response(StatusCode::BAD_REQUEST, format!("{fault}\n"))
+            log::warn!("cannot parse registration: {error}");
+            plain_response(StatusCode::BAD_REQUEST, format!("{error}\n"))
         }
     }
 }
--- a/crates/leased/cloverfold_leased_guard/src/state/links.rs
+++ b/crates/leased/cloverfold_leased_guard/src/state/links.rs
@@ -44,7 +44,7 @@
             PeerMessage::DialControls(controls) => self.controls.accept_invitation(controls),
             PeerMessage::Evacuations(halls) => self.receive_evacuations(link, halls),
             PeerMessage::Invite { entry } => self.receive_invitation(entry),
-            PeerMessage::HoldTarget(held) => self.receive_hold(link, &held, now),
+            PeerMessage::HoldTarget(hold) => self.receive_hold(link, &hold, now),
             // These messages are never sent to a guard.
             PeerMessage::Goodbye
             | PeerMessage::ToDispatcher(_)
@@ -64,12 +64,12 @@
     }
 
     /// Drains the target for upkeep, and reports its free capacity to the control process.
-    fn receive_hold(&mut self, link: LinkId, held: &HeldTarget, now: Timestamp) {
-        let duration = Duration::from_millis(held.for_ms.into());
-        self.runner.hold_target(&held.incarnation, duration, now);
+    fn receive_hold(&mut self, link: LinkId, hold: &HeldTarget, now: Timestamp) {
+        let duration = Duration::from_millis(hold.for_ms.into());
+        self.runner.hold_target(&hold.incarnation, duration, now);
         let incarnation = self.runner.target_incarnation_id();
         let is_current =
-            incarnation.is_some_and(|incarnation| incarnation.name == held.incarnation);
+            incarnation.is_some_and(|incarnation| incarnation.name == hold.incarnation);
         if let Some(free) = self.runner.unreserved_capacity(now).filter(|_| is_current) {
             let message = PeerMessage::ToDispatcher(RunnerMessage::FreeCapacity(free));
             self.links.send(link, &message);
--- a/crates/leased/cloverfold_leased_process/src/settings_watch.rs
+++ b/crates/leased/cloverfold_leased_process/src/settings_watch.rs
@@ -73,7 +73,7 @@
                 log::info!(file = file.as_str(); "settings reloaded");
                 apply(settings);
             }
-            Err(fault) => log::error!("changed settings rejected: {fault}"),
+            Err(error) => log::error!("changed settings rejected: {error}"),
         }
     }
 }
--- a/crates/leased/cloverfold_peer/src/links.rs
+++ b/crates/leased/cloverfold_peer/src/links.rs
@@ -58,16 +58,16 @@
 }
 
 impl PeerLinks {
-    /// Adds a link that has just opened, and sends `own` to the peer.
+    /// Adds a link that has just opened, and sends `own_hello` to the peer.
     pub fn open(
         &mut self,
         link: LinkId,
         is_dialed: bool,
         sender: LinkSender<PeerMessage>,
-        own: &Hello,
+        own_hello: &Hello,
     ) {
         // The result is ignored: a link that closes at once reports that with an event.
-        self.queue(&sender, &PeerMessage::Hello(own.clone()));
+        self.queue(&sender, &PeerMessage::Hello(own_hello.clone()));
         let opened = PeerLink {
             sender,
             is_dialed,
--- a/crates/leased/cloverfold_peer/tests/entry_subsets.rs
+++ b/crates/leased/cloverfold_peer/tests/entry_subsets.rs
@@ -222,12 +222,12 @@
         prop_assert!(subsets.values().all(|subset| subset.len() == size));
         for (hall, count) in counts.iter().enumerate() {
             let seen = guards_by_entry(&subsets_in_hall(&subsets, &guards, hall), &entries);
-            let least = count * size / entry_count;
-            prop_assert!(seen.iter().all(|seen| (least..=least + 1).contains(seen)), "{seen:?}");
+            let min = count * size / entry_count;
+            prop_assert!(seen.iter().all(|seen| (min..=min + 1).contains(seen)), "{seen:?}");
         }
         let seen = guards_by_entry(&subsets, &entries);
-        let (least, most) = (*seen.iter().min().unwrap(), *seen.iter().max().unwrap());
-        prop_assert!(most - least <= 1, "{seen:?}");
+        let (min, max) = (*seen.iter().min().unwrap(), *seen.iter().max().unwrap());
+        prop_assert!(max - min <= 1, "{seen:?}");
     }
 
     #[test]
@@ -242,8 +242,8 @@
         prop_assert!(size >= entry_count.min(4));
         let counts = guards_by_entry(&subsets, &entries);
         let fair_share = (guard_count * size).div_ceil(entry_count);
-        let (least, most) = (*counts.iter().min().unwrap(), *counts.iter().max().unwrap());
-        prop_assert!(most <= fair_share, "{most} guards, fair share {fair_share}");
-        prop_assert!(least + 1 >= fair_share, "{least} guards, fair share {fair_share}");
+        let (min, max) = (*counts.iter().min().unwrap(), *counts.iter().max().unwrap());
+        prop_assert!(max <= fair_share, "{max} guards, fair share {fair_share}");
+        prop_assert!(min + 1 >= fair_share, "{min} guards, fair share {fair_share}");
     }
 }
--- a/crates/leased/cloverfold_peer/tests/links.rs
+++ b/crates/leased/cloverfold_peer/tests/links.rs
@@ -17,15 +17,15 @@
 
 /// One end of the connection: its links, and the events that are not handled yet.
 struct End {
-    own: Hello,
+    own_hello: Hello,
     links: PeerLinks,
     events: mpsc::Receiver<LinkEvent<PeerMessage>>,
 }
 
 impl End {
-    fn new(own: Hello, events: mpsc::Receiver<LinkEvent<PeerMessage>>) -> Self {
+    fn new(own_hello: Hello, events: mpsc::Receiver<LinkEvent<PeerMessage>>) -> Self {
         Self {
-            own,
+            own_hello,
             links: PeerLinks::default(),
             events,
         }
@@ -49,7 +49,7 @@
         else {
             panic!("expected a link to open");
         };
-        self.links.open(link, dialed, sender, &self.own);
+        self.links.open(link, dialed, sender, &self.own_hello);
         let PeerMessage::Hello(hello) = self.receive().await else {
             panic!("expected a Hello");
         };
@@ -100,8 +100,8 @@
 async fn both_ends_of_a_link_know_each_other_and_who_dialed() {
     let (entry, entry_link, guard, guard_link, _dialer) = connect().await;
 
-    assert_eq!(entry.links.hello(entry_link), Some(&guard.own));
-    assert_eq!(guard.links.hello(guard_link), Some(&entry.own));
+    assert_eq!(entry.links.hello(entry_link), Some(&guard.own_hello));
+    assert_eq!(guard.links.hello(guard_link), Some(&entry.own_hello));
     assert!(guard.links.is_dialed(guard_link));
     assert!(!entry.links.is_dialed(entry_link));
 }
@@ -110,7 +110,7 @@
 async fn a_message_to_a_role_reaches_only_peers_of_that_role() {
     let (entry, entry_link, mut guard, _, _dialer) = connect().await;
     let invite = PeerMessage::Invite {
-        entry: entry.own.address,
+        entry: entry.own_hello.address,
     };
 
     let is_entry = |role| role == PeerRole::Entry;
@@ -137,10 +137,14 @@
 async fn closing_a_link_closes_it_for_the_peer_and_for_later_calls() {
     let (mut entry, entry_link, mut guard, guard_link, _dialer) = connect().await;
 
-    assert_eq!(entry.links.close(entry_link), Some(guard.own.clone()));
+    assert_eq!(entry.links.close(entry_link), Some(guard.own_hello.clone()));
 
     assert_eq!(entry.links.close(entry_link), None);
-    assert!(!entry.links.record_hello(entry_link, guard.own.clone()));
+    assert!(
+        !entry
+            .links
+            .record_hello(entry_link, guard.own_hello.clone())
+    );
     assert!(!entry.links.send(entry_link, &PeerMessage::Fetch));
     assert_eq!(entry.links.peers().count(), 0);
     assert!(matches!(guard.next().await, LinkEvent::Closed { link } if link == guard_link));
@@ -220,7 +224,7 @@
     let (mut entry, entry_link, mut guard, _, _dialer) = connect().await;
     let old = Hello {
         details: Trailing(None),
-        ..guard.own.clone()
+        ..guard.own_hello.clone()
     };
     entry.links.record_hello(entry_link, old);
 
