--- a/crates/leased/cloverfold_leased_entry/src/event_log.rs
+++ b/crates/leased/cloverfold_leased_entry/src/event_log.rs
@@ -18,7 +18,7 @@
         DispatcherEvent::StragglerWithdrawn { .. } => log_straggler_withdrawn(event),
         DispatcherEvent::SessionLost { .. } => log_session_lost(event),
         DispatcherEvent::TargetPaused { runner } => {
-            log::warn!(runner = runner.as_str(); "no work is placed on the target for a while");
+            log::warn!(runner = runner.as_str(); "target paused after repeated failures; assigning it no tasks until the pause ends");
         }
     }
 }
@@ -146,12 +146,12 @@
 }
 
 /// Logs that a stored job cannot be decoded and is released.
-pub(crate) fn log_unreadable_job(order: &JobAssignment, fault: &str) {
+pub(crate) fn log_unreadable_job(order: &JobAssignment, error: &str) {
     let (job, epoch) = (order.job.as_str(), order.epoch);
-    log::error!(job, epoch, fault; "cannot read a stored kept job; releasing it");
+    log::error!(job, epoch, fault = error; "cannot read a stored kept job; releasing it");
 }
 
 /// Returns a duration in whole milliseconds, the unit of all keys that end in `_ms`.
-fn millis(span: &Duration) -> u64 {
-    span.as_millis() as u64
+fn millis(duration: &Duration) -> u64 {
+    duration.as_millis() as u64
 }
--- a/crates/leased/cloverfold_leased_entry/src/lib.rs
+++ b/crates/leased/cloverfold_leased_entry/src/lib.rs
@@ -11,23 +11,23 @@
 
 #![warn(clippy::disallowed_methods)]
 
-mod callers;
 mod configuration;
 mod driven_jobs;
 mod event_log;
+mod guard_invitations;
 mod job_counts;
-mod kept_body;
-mod kept_callers;
-mod known_guards;
+mod kept_requests;
 mod metrics;
 mod pending_counts;
 mod process;
 mod protocol;
+mod request_handler;
 mod responses;
 mod run_numbers;
 mod state;
+mod stored_job;
 mod submission;
 
-pub use kept_body::KeptBody;
 pub use process::{LeasedEntry, start_leased_entry};
 pub use protocol::{JobProtocol, JobState, MalformedJob, ParsedJob, QueueCall};
+pub use stored_job::StoredJob;
--- a/crates/leased/cloverfold_leased_entry/src/state/kept.rs
+++ b/crates/leased/cloverfold_leased_entry/src/state/kept.rs
@@ -16,8 +16,8 @@
 use super::EntryState;
 use crate::driven_jobs::DrivenJob;
 use crate::event_log::{log_driving, log_stopped_driving, log_unreadable_job};
-use crate::kept_body::KeptBody;
 use crate::protocol::ParsedJob;
+use crate::stored_job::StoredJob;
 
 /// Channel for the reply of a group.
 pub(crate) type GroupAnswer = oneshot::Receiver<CallAnswer>;
@@ -121,7 +121,7 @@
 
     fn await_group(&mut self, token: CallToken) -> GroupAnswer {
         let (tx, rx) = oneshot::channel();
-        self.group_callers.insert(token, tx);
+        self.group_replies.insert(token, tx);
         self.advance();
         rx
     }
@@ -161,7 +161,7 @@
                     self.stop_driving(&job, epoch, cause);
                 }
                 DriverAction::Answer(token, answer) => {
-                    if let Some(caller) = self.group_callers.remove(&token) {
+                    if let Some(caller) = self.group_replies.remove(&token) {
                         // Fails if the caller has disconnected, which is harmless.
                         let _ = caller.send(answer);
                     }
@@ -176,8 +176,8 @@
         let now = self.clock.now();
         let request = match self.parse_stored_job(&order) {
             Ok(request) => request,
-            Err(fault) => {
-                log_unreadable_job(&order, &fault);
+            Err(error) => {
+                log_unreadable_job(&order, &error);
                 self.driver.release(&[(order.job, true)], now);
                 return;
             }
@@ -198,14 +198,14 @@
 
     /// Parses a stored job with the current attributes of its queue.
     fn parse_stored_job(&self, order: &JobAssignment) -> Result<JobRequest, String> {
-        let body = KeptBody::decode(&order.body).map_err(|fault| fault.to_string())?;
+        let stored = StoredJob::decode(&order.body).map_err(|error| error.to_string())?;
         let configuration = self.configuration();
-        let route = body.route(configuration.as_deref());
-        match self.protocol.parse_job(&order.job, &route, &body.text) {
+        let route = stored.route(configuration.as_deref());
+        match self.protocol.parse_job(&order.job, &route, &stored.text) {
             Ok(ParsedJob::Kept(request)) => Ok(request),
             Ok(ParsedJob::Repeatable(_)) => Err("it need not be kept".into()),
             Ok(ParsedJob::Unsupported(what)) => Err(what.into()),
-            Err(fault) => Err(fault.to_string()),
+            Err(error) => Err(error.to_string()),
         }
     }
 
