--- a/crates/tools/cloverfold_soak/src/checker/answers.rs
+++ b/crates/tools/cloverfold_soak/src/checker/answers.rs
@@ -40,7 +40,7 @@
             );
             Some(Violation::new(Guarantee::TrueFailure, at, description))
         }
-        Outcome::Garbled => {
+        Outcome::ProtocolViolation => {
             let description = format!("job {job} has an answer outside the protocol");
             Some(Violation::new(Guarantee::KnownAnswer, at, description))
         }
--- a/crates/tools/cloverfold_soak/src/checker/configurations.rs
+++ b/crates/tools/cloverfold_soak/src/checker/configurations.rs
@@ -50,7 +50,7 @@
 
 fn check_read(history: &History, read: &ConfigurationRead) -> Vec<Violation> {
     let mut violations = Vec::new();
-    let acknowledged = find_newest_acknowledged(history, read.asked_at);
+    let acknowledged = find_newest_acknowledged(history, read.requested_at);
     if let Some((version, at)) = acknowledged.filter(|(version, _)| *version > read.version) {
         let description = format!(
             "control-{} returned version {}, but version {version} was acknowledged at {:.3} s",
@@ -60,7 +60,7 @@
         );
         violations.push(Violation::new(
             Guarantee::NewestIsRead,
-            read.asked_at,
+            read.requested_at,
             description,
         ));
     }
@@ -71,7 +71,7 @@
         );
         violations.push(Violation::new(
             Guarantee::ShownAsSent,
-            read.asked_at,
+            read.requested_at,
             description,
         ));
     }
@@ -90,7 +90,7 @@
     if probe.is_known || may_lack_queue(history, probe) {
         return None;
     }
-    let before = probe.asked_at.checked_sub(bounds.apply)?;
+    let before = probe.requested_at.checked_sub(bounds.apply)?;
     let (version, at) = find_newest_acknowledged(history, before)?;
     let since = before.saturating_sub(bounds.quiet_period);
     let entry = Process::Entry(probe.entry);
@@ -101,7 +101,7 @@
             probe.version,
             at.as_secs_f64()
         );
-        Violation::new(Guarantee::InForceInTime, probe.asked_at, description)
+        Violation::new(Guarantee::InForceInTime, probe.requested_at, description)
     })
 }
 
@@ -111,8 +111,8 @@
         return None;
     }
     let earlier = history.probes.iter().find(|earlier| {
-        let is_same = earlier.entry == probe.entry && earlier.life == probe.life;
-        let is_before = earlier.answered_at < probe.asked_at;
+        let is_same = earlier.entry == probe.entry && earlier.incarnation == probe.incarnation;
+        let is_before = earlier.answered_at < probe.requested_at;
         is_same && is_before && earlier.is_known && earlier.version == probe.version
     })?;
     let description = format!(
@@ -123,7 +123,7 @@
     );
     Some(Violation::new(
         Guarantee::NeverReverts,
-        probe.asked_at,
+        probe.requested_at,
         description,
     ))
 }
--- a/crates/tools/cloverfold_soak/src/checker/evacuations.rs
+++ b/crates/tools/cloverfold_soak/src/checker/evacuations.rs
@@ -58,7 +58,7 @@
     let since = run
         .started_at
         .saturating_sub(bounds.quiet_period + bounds.apply);
-    acknowledged.order.wish == HallAction::Evacuate
+    acknowledged.order.action == HallAction::Evacuate
         && is_in_hall
         && is_due
         && !run.is_late
@@ -66,9 +66,9 @@
 }
 
 fn contradicts_order(read: &HallRead, acknowledged: &AcknowledgedOrder) -> bool {
-    let is_within = read.asked_at > acknowledged.from && read.answered_at < acknowledged.until;
+    let is_within = read.requested_at > acknowledged.from && read.answered_at < acknowledged.until;
     let is_listed = read.halls.contains(&acknowledged.order.hall);
-    is_within && is_listed != (acknowledged.order.wish == HallAction::Evacuate)
+    is_within && is_listed != (acknowledged.order.action == HallAction::Evacuate)
 }
 
 fn report_run(run: &Run, acknowledged: &AcknowledgedOrder) -> Violation {
@@ -88,9 +88,9 @@
         "control-{} listed {:?}, but {:?} of {} was acknowledged at {:.3} s",
         read.control,
         read.halls,
-        acknowledged.order.wish,
+        acknowledged.order.action,
         acknowledged.order.hall,
         acknowledged.from.as_secs_f64()
     );
-    Violation::new(Guarantee::HallsAsOrdered, read.asked_at, description)
+    Violation::new(Guarantee::HallsAsOrdered, read.requested_at, description)
 }
--- a/crates/tools/cloverfold_soak/src/checker/mod.rs
+++ b/crates/tools/cloverfold_soak/src/checker/mod.rs
@@ -103,23 +103,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
     /// The guarantee.
-    pub promise: Guarantee,
+    #[serde(rename = "promise")]
+    pub guarantee: Guarantee,
     /// When it was violated.
     pub at: Elapsed,
     /// The observation that violates it.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 impl Violation {
-    fn new(promise: Guarantee, at: Elapsed, what: String) -> Self {
-        Self { promise, at, what }
+    fn new(guarantee: Guarantee, at: Elapsed, description: String) -> Self {
+        Self {
+            guarantee,
+            at,
+            description,
+        }
     }
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let at = self.at.as_secs_f64();
-        write!(f, "{at:.3} s, {:?}: {}", self.promise, self.what)
+        write!(f, "{at:.3} s, {:?}: {}", self.guarantee, self.description)
     }
 }
 
--- a/crates/tools/cloverfold_soak/src/checker/planned_stops.rs
+++ b/crates/tools/cloverfold_soak/src/checker/planned_stops.rs
@@ -24,7 +24,7 @@
         Process::Control(_) => Vec::new(),
     });
     interruptions
-        .chain(history.own_ends.iter().map(report_unexpected_exit))
+        .chain(history.unexpected_exits.iter().map(report_unexpected_exit))
         .collect()
 }
 
@@ -36,8 +36,8 @@
     window: Duration,
 ) -> Option<(Elapsed, Elapsed)> {
     let until = stop.exited_at? + window;
-    let since = stop.asked_at.saturating_sub(bounds.quiet_period);
-    is_fault_free(history, since, until).then_some((stop.asked_at, until))
+    let since = stop.requested_at.saturating_sub(bounds.quiet_period);
+    is_fault_free(history, since, until).then_some((stop.requested_at, until))
 }
 
 fn find_interrupted_requests(
@@ -54,7 +54,7 @@
         .filter(|attempt| attempt.entry == entry)
         .filter_map(|attempt| {
             let (at, outcome) = attempt.outcome?;
-            let is_interrupted = outcome == Outcome::Broken && from <= at && at <= until;
+            let is_interrupted = outcome == Outcome::ConnectionLost && from <= at && at <= until;
             (is_interrupted && was_read(history, bounds, attempt, at)).then(|| {
                 let description = format!(
                     "job {} lost its connection to {}, which received its stop request at {:.3} s",
@@ -88,7 +88,7 @@
     let exited_at = stop.exited_at.unwrap_or(until);
     let own_runs = history.runs.iter().filter(|run| run.target == guard);
     own_runs.filter_map(|run| {
-        let how = describe_interruption(run, stop.asked_at, exited_at, until)?;
+        let how = describe_interruption(run, stop.requested_at, exited_at, until)?;
         let description = format!(
             "job {} task {} {how} at target {}, whose guard received its stop request at {:.3} s",
             run.job,
@@ -105,15 +105,15 @@
 /// drain timeout.
 fn describe_interruption(
     run: &Run,
-    asked_at: Elapsed,
+    requested_at: Elapsed,
     exited_at: Elapsed,
     until: Elapsed,
 ) -> Option<&'static str> {
-    if matches!(run.end, Some((at, RunEnd::Lapsed)) if asked_at <= at && at <= until) {
+    if matches!(run.end, Some((at, RunEnd::Lapsed)) if requested_at <= at && at <= until) {
         return Some("lapsed");
     }
     let is_active = run.started_at < exited_at && run.end.is_none_or(|(at, _)| at > exited_at);
-    (is_active && exited_at < asked_at + GUARD_DRAIN_TIMEOUT).then_some("was abandoned")
+    (is_active && exited_at < requested_at + GUARD_DRAIN_TIMEOUT).then_some("was abandoned")
 }
 
 fn report_unexpected_exit(end: &UnexpectedExit) -> Violation {
--- a/crates/tools/cloverfold_soak/src/checker/recovery.rs
+++ b/crates/tools/cloverfold_soak/src/checker/recovery.rs
@@ -35,7 +35,7 @@
         .attempts
         .iter()
         .filter(|attempt| attempt.sent_at > due)
-        .filter(|attempt| !matches!(attempt.outcome, None | Some((_, Outcome::Left))))
+        .filter(|attempt| !matches!(attempt.outcome, None | Some((_, Outcome::Disconnected))))
         .collect();
     let is_served = |attempt: &&&Attempt| {
         matches!(
@@ -59,7 +59,7 @@
     let (version, _) = find_newest_acknowledged(history, due)?;
     let mut reads = history.configuration_reads.iter();
     // `configurations` checks the version of every read.
-    let is_read = reads.any(|read| read.asked_at > due);
+    let is_read = reads.any(|read| read.requested_at > due);
     (!is_read && history.now > due).then(|| {
         let description = format!(
             "no control process returned a configuration, but version {version} was acknowledged"
--- a/crates/tools/cloverfold_soak/src/main.rs
+++ b/crates/tools/cloverfold_soak/src/main.rs
@@ -21,39 +21,39 @@
 /// Default length of a soak, in seconds.
 const DEFAULT_SECONDS: u64 = 60;
 
-/// Real programs under faults drawn from a seed; ends with 0 if all promises held, 1 if one broke, 2 if the soak could not run.
+/// Run the real programs under faults generated from a seed; exits with 0 if all guarantees held, 1 if one was violated, 2 if the soak could not run.
 #[derive(FromArgs)]
 struct Arguments {
-    /// kind of the installation; only `leased` is built
+    /// kind of the installation; only `leased` is supported
     #[argh(option)]
     installation: String,
-    /// seed of the plan; drawn from the time if it is left out
+    /// seed of the plan; derived from the time if omitted
     #[argh(option)]
     seed: Option<u64>,
-    /// how long the soak lasts, 24 to 600; 60 if it is left out
+    /// duration of the soak in seconds, 24 to 600; 60 if omitted
     #[argh(option)]
     seconds: Option<u64>,
-    /// file of a plan to play instead of a seed's
+    /// file with a plan to run instead of generating one
     #[argh(option)]
     plan: Option<PathBuf>,
-    /// file of seeds to play one after the other, one a line: the seed, the seconds, and what it once showed
+    /// file of seeds to run one after the other, one per line: the seed, the length in seconds, and a comment after a hash
     #[argh(option)]
     seeds: Option<PathBuf>,
-    /// folder of the programs; left out, they are built and taken from beside this one
+    /// folder of the programs; if omitted, they are built in the folder of this program
     #[argh(option)]
     programs: Option<PathBuf>,
-    /// folder for settings, logs and findings; a new one for temporary files if it is left out
+    /// folder for settings, logs and findings; a new temporary folder if omitted
     #[argh(option)]
     folder: Option<PathBuf>,
-    /// whether to print JSON lines instead of text
+    /// print JSON lines instead of text
     #[argh(switch)]
     json: bool,
 }
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let arguments = match Arguments::from_args(&["cloverfold_soak"], &words) {
+    let raw_arguments: Vec<String> = std::env::args().skip(1).collect();
+    let raw_arguments: Vec<&str> = raw_arguments.iter().map(String::as_str).collect();
+    let arguments = match Arguments::from_args(&["cloverfold_soak"], &raw_arguments) {
         Ok(arguments) => arguments,
         Err(early_exit) => return print_early_exit(&early_exit),
     };
@@ -81,7 +81,7 @@
 fn run(arguments: &Arguments) -> Result<bool> {
     if arguments.installation != "leased" {
         bail!(
-            "--installation {}: only leased is built",
+            "--installation {}: only `leased` is supported",
             arguments.installation
         );
     }
@@ -101,7 +101,7 @@
 fn list_plans(arguments: &Arguments) -> Result<Vec<Plan>> {
     let seconds = arguments.seconds.unwrap_or(DEFAULT_SECONDS);
     match (&arguments.plan, &arguments.seeds) {
-        (Some(_), Some(_)) => bail!("--plan and --seeds exclude each other"),
+        (Some(_), Some(_)) => bail!("--plan and --seeds cannot be combined"),
         (Some(file), None) => Ok(vec![read_plan(file)?]),
         (None, Some(file)) => {
             let text = std::fs::read_to_string(file).wrap_err(file.display().to_string())?;
@@ -110,7 +110,7 @@
                 .filter_map(read_seed_line)
                 .collect::<Result<_>>()?;
             if plans.is_empty() {
-                bail!("{}: it holds no seed", file.display());
+                bail!("{}: contains no seeds", file.display());
             }
             Ok(plans)
         }
@@ -148,7 +148,7 @@
     let program = std::env::current_exe()?;
     let build_folder = program
         .parent()
-        .ok_or_else(|| eyre!("no folder of its own"))?;
+        .ok_or_else(|| eyre!("the path of this program has no parent folder"))?;
     if folder.is_none() {
         build_programs(build_folder)?;
     }
@@ -160,7 +160,7 @@
     for program in [&programs.cloverfold, &programs.guard] {
         if !program.is_file() {
             bail!(
-                "{}: there is no such program; build it, or name --programs",
+                "{}: program not found; build it or set --programs",
                 program.display()
             );
         }
@@ -187,7 +187,7 @@
 
 /// Runs one plan; returns whether there was no violation.
 async fn run_one(plan: &Plan, programs: &Programs, arguments: &Arguments) -> Result<bool> {
-    // The process id keeps apart runs of the same seed.
+    // The process ID separates the folders of runs of the same seed.
     let own = format!("{}-{}", plan.seed, std::process::id());
     let run_folder = match &arguments.folder {
         Some(folder) => folder.join(own),
@@ -276,7 +276,7 @@
 
 fn describe_verdict(violations: &[Violation], folder: &str) -> String {
     match violations.len() {
-        0 => "all promises held".into(),
-        count => format!("{count} times a promise broke, see {folder}"),
+        0 => "all guarantees held".into(),
+        count => format!("{count} violations of guarantees, see {folder}"),
     }
 }
--- a/crates/tools/cloverfold_soak/src/plan/file.rs
+++ b/crates/tools/cloverfold_soak/src/plan/file.rs
@@ -46,13 +46,13 @@
         Fault::Stop { process, .. }
         | Fault::Kill { process, .. }
         | Fault::Pause { process, .. }
-        | Fault::CutOff { process, .. }
+        | Fault::ExternalPartition { process, .. }
         | Fault::Delay { process, .. }
         | Fault::Reset { process }
-        | Fault::Silence { process } => exists(process),
+        | Fault::Blackhole { process } => exists(process),
         Fault::LoseDisk { control, .. } => *control < CONTROL_COUNT,
         Fault::KillAll { lost_disk, .. } => lost_disk.is_none_or(|control| control < CONTROL_COUNT),
-        Fault::Cut { side, other, .. } => side.iter().chain(other).all(exists),
+        Fault::Partition { side, other, .. } => side.iter().chain(other).all(exists),
         Fault::Target { target, .. } => *target < GUARD_COUNT,
     };
     if !plan.faults.iter().all(|planned| is_valid(&planned.fault)) {
--- a/crates/tools/cloverfold_soak/src/plan/generate.rs
+++ b/crates/tools/cloverfold_soak/src/plan/generate.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 
 use super::{
-    CONTROL_COUNT, ENTRY_COUNT, Fault, GUARD_COUNT, HALLS, Manner, Millis, Order, Plan,
+    CONTROL_COUNT, CallerBehavior, ENTRY_COUNT, Fault, GUARD_COUNT, HALLS, Millis, Order, Plan,
     PlannedFault, PlannedJob, PlannedOrder, TargetFault,
 };
 use crate::records::Process;
@@ -61,12 +61,24 @@
     for at in [500, 1_500] {
         generator.add_order(at, Order::Race);
     }
-    generator.add_order(2_000, Order::Unsound);
+    generator.add_order(2_000, Order::Invalid);
     let hall = HALLS[2].to_owned();
-    generator.add_order(1_000, Order::Evacuate { hall, lasts: 4_000 });
+    generator.add_order(
+        1_000,
+        Order::Evacuate {
+            hall,
+            duration: 4_000,
+        },
+    );
     let processes = [Process::Entry(0), Process::Guard(0), Process::Control(0)];
     for process in processes {
-        generator.add_fault(3_500, Fault::Stop { process, away: 300 });
+        generator.add_fault(
+            3_500,
+            Fault::Stop {
+                process,
+                downtime: 300,
+            },
+        );
     }
     generator.finish()
 }
@@ -124,15 +136,15 @@
     }
 
     fn generate_job(&mut self, at: Millis) -> PlannedJob {
-        let manner = match self.rng.random_range(0..100) {
-            0..10 => Manner::Leaves {
+        let behavior = match self.rng.random_range(0..100) {
+            0..10 => CallerBehavior::Disconnects {
                 after: self.rng.random_range(5..600),
             },
-            10..30 => Manner::Insistent,
-            _ => Manner::Patient,
+            10..30 => CallerBehavior::Insistent,
+            _ => CallerBehavior::Patient,
         };
         // Some tasks outlast every session and lease, so that a run that should have ended may overlap the next run.
-        let (tasks, work) = if self.rng.random_bool(0.12) {
+        let (tasks, task_duration) = if self.rng.random_bool(0.12) {
             (1..3, 1_000..2_500)
         } else {
             (1..6, 30..500)
@@ -141,8 +153,8 @@
             at,
             entry: self.rng.random_range(0..ENTRY_COUNT),
             tasks: self.rng.random_range(tasks),
-            work: self.rng.random_range(work),
-            manner,
+            task_duration: self.rng.random_range(task_duration),
+            behavior,
         }
     }
 
@@ -153,11 +165,11 @@
                 0..45 => Order::Configure,
                 45..65 => Order::Race,
                 65..75 => Order::Repeat,
-                75..83 => Order::Unsound,
-                83..90 => Order::Unreadable,
+                75..83 => Order::Invalid,
+                83..90 => Order::Malformed,
                 _ => Order::Evacuate {
                     hall: HALLS[self.rng.random_range(0..HALLS.len())].to_owned(),
-                    lasts: self.rng.random_range(3_000..7_000),
+                    duration: self.rng.random_range(3_000..7_000),
                 },
             };
             self.add_order(at, order);
@@ -191,22 +203,22 @@
         if first + 2_000 > until {
             return;
         }
-        let works = self.rng.random_range(1..4);
-        for _ in 0..works {
+        let operation_count = self.rng.random_range(1..4);
+        for _ in 0..operation_count {
             let at = first + self.rng.random_range(0..1_000);
-            let work = if self.rng.random_bool(0.25) {
+            let operation = if self.rng.random_bool(0.25) {
                 Fault::Target {
                     target: self.rng.random_range(0..GUARD_COUNT),
-                    fault: TargetFault::Leave,
-                    lasts: self.rng.random_range(300..1_500),
+                    fault: TargetFault::PlannedRestart,
+                    duration: self.rng.random_range(300..1_500),
                 }
             } else {
                 Fault::Stop {
                     process: self.choose_process(),
-                    away: self.rng.random_range(0..1_000),
+                    downtime: self.rng.random_range(0..1_000),
                 }
             };
-            self.add_fault(at, work);
+            self.add_fault(at, operation);
         }
     }
 }
--- a/crates/tools/cloverfold_soak/src/plan/generate_faults.rs
+++ b/crates/tools/cloverfold_soak/src/plan/generate_faults.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 use super::generate::PlanGenerator;
-use super::{CONTROL_COUNT, Fault, GUARD_COUNT, Millis, TargetFault, Way, list_processes};
+use super::{CONTROL_COUNT, Direction, Fault, GUARD_COUNT, Millis, TargetFault, list_processes};
 use crate::records::Process;
 
 /// Minimum time between two disk losses, so that the first replica has recovered before the second loss.
@@ -41,41 +41,41 @@
         processes[self.rng.random_range(0..processes.len())]
     }
 
-    fn choose_direction(&mut self) -> Way {
+    fn choose_direction(&mut self) -> Direction {
         match self.rng.random_range(0..3) {
-            0 => Way::Both,
-            1 => Way::Outwards,
-            _ => Way::Inwards,
+            0 => Direction::Both,
+            1 => Direction::Outbound,
+            _ => Direction::Inbound,
         }
     }
 
     fn generate_fault(&mut self, at: Millis, longest: Millis) -> Fault {
-        let lasts = self.rng.random_range(50..longest);
-        let away = self.rng.random_range(0..longest.min(2_500));
+        let duration = self.rng.random_range(50..longest);
+        let downtime = self.rng.random_range(0..longest.min(2_500));
         let process = self.choose_process();
         match self.rng.random_range(0..100) {
-            0..5 => Fault::Stop { process, away },
-            5..17 => Fault::Kill { process, away },
-            17..31 => Fault::Pause { process, lasts },
-            31..35 => self.generate_disk_loss(at, away),
-            35..38 => self.generate_kill_all(at, away),
-            38..51 => self.generate_cut(lasts),
-            51..56 => Fault::CutOff {
+            0..5 => Fault::Stop { process, downtime },
+            5..17 => Fault::Kill { process, downtime },
+            17..31 => Fault::Pause { process, duration },
+            31..35 => self.generate_disk_loss(at, downtime),
+            35..38 => self.generate_kill_all(at, downtime),
+            38..51 => self.generate_partition(duration),
+            51..56 => Fault::ExternalPartition {
                 process,
-                way: self.choose_direction(),
-                lasts,
+                direction: self.choose_direction(),
+                duration,
             },
             56..61 => Fault::Delay {
                 process,
-                by: self.rng.random_range(5..400),
-                lasts,
+                delay: self.rng.random_range(5..400),
+                duration,
             },
             61..66 => Fault::Reset { process },
-            66..71 => Fault::Silence { process },
+            66..71 => Fault::Blackhole { process },
             _ => Fault::Target {
                 target: self.rng.random_range(0..GUARD_COUNT),
                 fault: self.generate_target_fault(),
-                lasts,
+                duration,
             },
         }
     }
@@ -91,26 +91,26 @@
         is_allowed
     }
 
-    fn generate_disk_loss(&mut self, at: Millis, away: Millis) -> Fault {
+    fn generate_disk_loss(&mut self, at: Millis, downtime: Millis) -> Fault {
         let control = self.rng.random_range(0..CONTROL_COUNT);
         if self.try_lose_disk(at) {
-            Fault::LoseDisk { control, away }
+            Fault::LoseDisk { control, downtime }
         } else {
             let process = Process::Control(control);
-            Fault::Kill { process, away }
+            Fault::Kill { process, downtime }
         }
     }
 
-    fn generate_kill_all(&mut self, at: Millis, away: Millis) -> Fault {
+    fn generate_kill_all(&mut self, at: Millis, downtime: Millis) -> Fault {
         let control = self.rng.random_range(0..CONTROL_COUNT);
         let is_lost = self.rng.random_bool(0.3) && self.try_lose_disk(at);
         Fault::KillAll {
-            away,
+            downtime,
             lost_disk: is_lost.then_some(control),
         }
     }
 
-    fn generate_cut(&mut self, lasts: Millis) -> Fault {
+    fn generate_partition(&mut self, duration: Millis) -> Fault {
         let all = list_processes();
         let kind = self.rng.random_range(0..3);
         let side_flags: Vec<bool> = all
@@ -141,11 +141,11 @@
                 other.push(process);
             }
         }
-        Fault::Cut {
+        Fault::Partition {
             side,
             other,
-            way: self.choose_direction(),
-            lasts,
+            direction: self.choose_direction(),
+            duration,
         }
     }
 
@@ -160,9 +160,9 @@
             4 => TargetFault::Hang,
             5 => TargetFault::Fail,
             6 | 7 => TargetFault::Late {
-                by: self.rng.random_range(20..1_200),
+                delay: self.rng.random_range(20..1_200),
             },
-            8 => TargetFault::Unanswering,
+            8 => TargetFault::DropAnswers,
             _ => TargetFault::Unhealthy,
         }
     }
@@ -171,16 +171,16 @@
 /// Returns the planned duration of a fault.
 fn planned_duration(fault: &Fault) -> Millis {
     match fault {
-        Fault::Stop { away, .. }
-        | Fault::Kill { away, .. }
-        | Fault::LoseDisk { away, .. }
-        | Fault::KillAll { away, .. } => *away,
-        Fault::Pause { lasts, .. }
-        | Fault::Cut { lasts, .. }
-        | Fault::CutOff { lasts, .. }
-        | Fault::Delay { lasts, .. }
-        | Fault::Target { lasts, .. } => *lasts,
-        Fault::Reset { .. } | Fault::Silence { .. } => 0,
+        Fault::Stop { downtime, .. }
+        | Fault::Kill { downtime, .. }
+        | Fault::LoseDisk { downtime, .. }
+        | Fault::KillAll { downtime, .. } => *downtime,
+        Fault::Pause { duration, .. }
+        | Fault::Partition { duration, .. }
+        | Fault::ExternalPartition { duration, .. }
+        | Fault::Delay { duration, .. }
+        | Fault::Target { duration, .. } => *duration,
+        Fault::Reset { .. } | Fault::Blackhole { .. } => 0,
     }
 }
 
--- a/crates/tools/cloverfold_soak/src/plan/mod.rs
+++ b/crates/tools/cloverfold_soak/src/plan/mod.rs
@@ -59,20 +59,23 @@
     /// Number of tasks.
     pub tasks: u32,
     /// Duration of each task.
-    pub work: Millis,
+    #[serde(rename = "work")]
+    pub task_duration: Millis,
     /// Behavior of the caller.
-    pub manner: Manner,
+    #[serde(rename = "manner")]
+    pub behavior: CallerBehavior,
 }
 
 /// How a caller behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Manner {
+pub enum CallerBehavior {
     /// Waits for the answer, and retries if there is none.
     Patient,
-    /// Like [`Manner::Patient`], and also retries after a refusal.
+    /// Like [`CallerBehavior::Patient`], and also retries after a refusal.
     Insistent,
     /// Disconnects before the answer.
-    Leaves {
+    #[serde(rename = "Leaves")]
+    Disconnects {
         /// Time until it disconnects.
         after: Millis,
     },
@@ -89,13 +92,15 @@
 
 /// The direction in which a link carries no traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Way {
+pub enum Direction {
     /// Both directions.
     Both,
     /// From the first side to the second.
-    Outwards,
+    #[serde(rename = "Outwards")]
+    Outbound,
     /// From the second side to the first.
-    Inwards,
+    #[serde(rename = "Inwards")]
+    Inbound,
 }
 
 /// A fault or planned work.
@@ -106,64 +111,77 @@
         /// The process.
         process: Process,
         /// Downtime before the restart.
-        away: Millis,
+        #[serde(rename = "away")]
+        downtime: Millis,
     },
     /// A process is killed and restarted.
     Kill {
         /// The process.
         process: Process,
         /// Downtime before the restart.
-        away: Millis,
+        #[serde(rename = "away")]
+        downtime: Millis,
     },
     /// A process is suspended.
     Pause {
         /// The process.
         process: Process,
         /// Duration of the suspension.
-        lasts: Millis,
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
     /// A control process is killed and restarted with an empty data folder.
     LoseDisk {
         /// The control process.
         control: usize,
         /// Downtime before the restart.
-        away: Millis,
+        #[serde(rename = "away")]
+        downtime: Millis,
     },
     /// All processes are killed at once and restarted.
     KillAll {
         /// Downtime before the restart.
-        away: Millis,
+        #[serde(rename = "away")]
+        downtime: Millis,
         /// The control process that loses its data folder.
         lost_disk: Option<usize>,
     },
     /// A network partition between two sets of processes.
-    Cut {
+    #[serde(rename = "Cut")]
+    Partition {
         /// One side.
         side: Vec<Process>,
         /// The other side.
         other: Vec<Process>,
         /// The blocked direction, seen from `side`.
-        way: Way,
+        #[serde(rename = "way")]
+        direction: Direction,
         /// Duration of the partition.
-        lasts: Millis,
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
     /// A partition between a process and its callers, operators or target.
-    CutOff {
+    #[serde(rename = "CutOff")]
+    ExternalPartition {
         /// The process.
         process: Process,
         /// The blocked direction, seen from the process.
-        way: Way,
+        #[serde(rename = "way")]
+        direction: Direction,
         /// Duration of the partition.
-        lasts: Millis,
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
     /// All links to a process are delayed.
     Delay {
         /// The process.
         process: Process,
         /// Added delay.
-        by: Millis,
+        #[serde(rename = "by")]
+        delay: Millis,
         /// Duration of the fault.
-        lasts: Millis,
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
     /// All open connections to a process are reset.
     Reset {
@@ -171,7 +189,8 @@
         process: Process,
     },
     /// All open connections to a process drop all further traffic; new connections work.
-    Silence {
+    #[serde(rename = "Silence")]
+    Blackhole {
         /// The process.
         process: Process,
     },
@@ -182,21 +201,22 @@
         /// The fault.
         fault: TargetFault,
         /// Duration of the fault.
-        lasts: Millis,
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
 }
 
 impl Fault {
     /// Returns whether this is planned work.
     pub fn is_planned(&self) -> bool {
-        let leaves = matches!(
+        let is_planned_restart = matches!(
             self,
             Self::Target {
-                fault: TargetFault::Leave,
+                fault: TargetFault::PlannedRestart,
                 ..
             }
         );
-        leaves || matches!(self, Self::Stop { .. })
+        is_planned_restart || matches!(self, Self::Stop { .. })
     }
 }
 
@@ -215,14 +235,17 @@
     /// Orders are executed late.
     Late {
         /// Added delay.
-        by: Millis,
+        #[serde(rename = "by")]
+        delay: Millis,
     },
     /// Orders get no answer.
-    Unanswering,
+    #[serde(rename = "Unanswering")]
+    DropAnswers,
     /// Starts are answered with 503.
     Unhealthy,
     /// A planned restart: the target announces a drain, exits, and starts a new incarnation.
-    Leave,
+    #[serde(rename = "Leave")]
+    PlannedRestart,
 }
 
 /// An order of an operator.
@@ -246,14 +269,17 @@
     /// Sends the newest acknowledged configuration again.
     Repeat,
     /// Sends a configuration whose queues name an unknown service.
-    Unsound,
+    #[serde(rename = "Unsound")]
+    Invalid,
     /// Sends a truncated configuration.
-    Unreadable,
+    #[serde(rename = "Unreadable")]
+    Malformed,
     /// Evacuates a data hall, and ends the evacuation some time after the acknowledgement.
     Evacuate {
         /// The data hall.
         hall: HallName,
         /// Time from the acknowledgement to the end of the evacuation.
-        lasts: Millis,
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
 }
--- a/crates/tools/cloverfold_soak/src/records.rs
+++ b/crates/tools/cloverfold_soak/src/records.rs
@@ -87,13 +87,16 @@
     /// The entry gave up the job, of which parts may have run.
     GivenUp,
     /// The answer is not part of the protocol.
-    Garbled,
+    #[serde(rename = "Garbled")]
+    ProtocolViolation,
     /// The connection ended before a complete answer.
-    Broken,
+    #[serde(rename = "Broken")]
+    ConnectionLost,
     /// The caller reached its timeout.
     TimedOut,
     /// The caller disconnected before the answer.
-    Left,
+    #[serde(rename = "Left")]
+    Disconnected,
 }
 
 /// One attempt of a caller to submit a job.
@@ -154,7 +157,8 @@
     /// The control process.
     pub control: usize,
     /// Time of the request.
-    pub asked_at: Elapsed,
+    #[serde(rename = "asked_at")]
+    pub requested_at: Elapsed,
     /// The returned version.
     pub version: Version,
     /// Whether the text equals that of a valid configuration that was sent with this version.
@@ -167,9 +171,11 @@
     /// The entry.
     pub entry: usize,
     /// Incarnation number of the entry's process.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Time of the request.
-    pub asked_at: Elapsed,
+    #[serde(rename = "asked_at")]
+    pub requested_at: Elapsed,
     /// Time of the answer.
     pub answered_at: Elapsed,
     /// The first version with the queue.
@@ -195,7 +201,8 @@
     /// The data hall.
     pub hall: HallName,
     /// The ordered action.
-    pub wish: HallAction,
+    #[serde(rename = "wish")]
+    pub action: HallAction,
     /// Time of the first attempt.
     pub sent_at: Elapsed,
     /// Time of the acknowledgement; `None` if there is none.
@@ -208,7 +215,8 @@
     /// The control process.
     pub control: usize,
     /// Time of the request.
-    pub asked_at: Elapsed,
+    #[serde(rename = "asked_at")]
+    pub requested_at: Elapsed,
     /// Time of the answer.
     pub answered_at: Elapsed,
     /// The data halls.
@@ -245,7 +253,8 @@
     /// The process.
     pub process: Process,
     /// Time of the stop request.
-    pub asked_at: Elapsed,
+    #[serde(rename = "asked_at")]
+    pub requested_at: Elapsed,
     /// Time of the exit; `None` while the process is stopping.
     pub exited_at: Option<Elapsed>,
 }
@@ -289,5 +298,6 @@
     /// All planned stops.
     pub stops: Vec<PlannedStop>,
     /// All unexpected exits.
-    pub own_ends: Vec<UnexpectedExit>,
+    #[serde(rename = "own_ends")]
+    pub unexpected_exits: Vec<UnexpectedExit>,
 }
--- a/crates/tools/cloverfold_soak/src/run/callers.rs
+++ b/crates/tools/cloverfold_soak/src/run/callers.rs
@@ -13,7 +13,7 @@
 use super::exchange::exchange;
 use super::installation::Installation;
 use super::layout::Side;
-use crate::plan::{Manner, PlannedJob};
+use crate::plan::{CallerBehavior, PlannedJob};
 use crate::records::{Attempt, Outcome, Process};
 
 /// How long a caller waits for an answer; also sent as the deadline of the job.
@@ -39,9 +39,9 @@
     for attempt in 0..MAX_SUBMISSIONS {
         let entry = installation.choose_entry(planned.entry + attempt);
         let outcome = attempt_once(installation, job, planned, entry).await;
-        let delay = match (outcome, planned.manner) {
-            (Outcome::Broken | Outcome::TimedOut | Outcome::GivenUp, _) => RETRY_DELAY,
-            (Outcome::Refused, Manner::Insistent) => REFUSAL_RETRY_DELAY,
+        let delay = match (outcome, planned.behavior) {
+            (Outcome::ConnectionLost | Outcome::TimedOut | Outcome::GivenUp, _) => RETRY_DELAY,
+            (Outcome::Refused, CallerBehavior::Insistent) => REFUSAL_RETRY_DELAY,
             _ => return,
         };
         sleep(delay).await;
@@ -56,7 +56,7 @@
 ) -> Outcome {
     let recorder = &installation.recorder;
     let Some(request) = write_request(job, planned) else {
-        return Outcome::Left;
+        return Outcome::Disconnected;
     };
     let number = recorder.begin_attempt(Attempt {
         job: job.to_owned(),
@@ -69,13 +69,15 @@
     let address = installation
         .layout
         .interface(Process::Entry(entry), Side::Outer);
-    let (limit, at_limit) = match planned.manner {
-        Manner::Leaves { after } => (Duration::from_millis(after), Outcome::Left),
-        Manner::Patient | Manner::Insistent => (ANSWER_TIMEOUT, Outcome::TimedOut),
+    let (limit, at_limit) = match planned.behavior {
+        CallerBehavior::Disconnects { after } => {
+            (Duration::from_millis(after), Outcome::Disconnected)
+        }
+        CallerBehavior::Patient | CallerBehavior::Insistent => (ANSWER_TIMEOUT, Outcome::TimedOut),
     };
     let outcome = match timeout(limit, exchange(address, request)).await {
         Ok(Some((status, body))) => read_answer(status, &body),
-        Ok(None) => Outcome::Broken,
+        Ok(None) => Outcome::ConnectionLost,
         Err(_elapsed) => at_limit,
     };
     recorder.end_attempt(number, outcome);
@@ -85,7 +87,7 @@
 fn write_request(job: &str, planned: &PlannedJob) -> Option<Request<Full<Bytes>>> {
     let shape = JobShape {
         tasks: planned.tasks,
-        work_ms: planned.work,
+        work_ms: planned.task_duration,
     };
     let request = Request::builder()
         .method(Method::POST)
@@ -103,6 +105,6 @@
         StatusCode::OK if is_job_state(body, "failed") => Outcome::Failed,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Outcome::Refused,
         StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => Outcome::GivenUp,
-        _ => Outcome::Garbled,
+        _ => Outcome::ProtocolViolation,
     }
 }
--- a/crates/tools/cloverfold_soak/src/run/faults.rs
+++ b/crates/tools/cloverfold_soak/src/run/faults.rs
@@ -24,50 +24,69 @@
 pub(crate) async fn execute(installation: &Installation, fault: Fault) {
     let is_planned = fault.is_planned();
     match fault {
-        Fault::Stop { process, away } => stop(installation, process, millis(away)).await,
-        Fault::Kill { process, away } => kill(installation, process, millis(away), false).await,
-        Fault::LoseDisk { control, away } => {
-            kill(installation, Process::Control(control), millis(away), true).await;
+        Fault::Stop { process, downtime } => stop(installation, process, millis(downtime)).await,
+        Fault::Kill { process, downtime } => {
+            kill(installation, process, millis(downtime), false).await;
         }
-        Fault::KillAll { away, lost_disk } => {
-            kill_all(installation, millis(away), lost_disk).await;
+        Fault::LoseDisk { control, downtime } => {
+            kill(
+                installation,
+                Process::Control(control),
+                millis(downtime),
+                true,
+            )
+            .await;
         }
-        Fault::Pause { process, lasts } => pause(installation, process, millis(lasts)).await,
+        Fault::KillAll {
+            downtime,
+            lost_disk,
+        } => {
+            kill_all(installation, millis(downtime), lost_disk).await;
+        }
+        Fault::Pause { process, duration } => pause(installation, process, millis(duration)).await,
         Fault::Target {
             target,
             fault,
-            lasts,
+            duration,
         } => {
-            target_faults::inject(installation, target, fault, millis(lasts)).await;
+            target_faults::inject(installation, target, fault, millis(duration)).await;
         }
         Fault::Reset { process } => {
             let disturbance = begin_disturbance(installation, vec![process], is_planned);
             installation.links.reset(process);
             installation.recorder.end_disturbance(disturbance);
         }
-        Fault::Silence { process } => blackhole(installation, process).await,
-        Fault::Cut {
+        Fault::Blackhole { process } => blackhole(installation, process).await,
+        Fault::Partition {
             side,
             other,
-            way,
-            lasts,
+            direction,
+            duration,
         } => {
             let processes = [side.clone(), other.clone()].concat();
-            let fault = LinkFault::Cut { side, other, way };
-            inject_link_fault(installation, processes, fault, lasts).await;
+            let fault = LinkFault::Partition {
+                side,
+                other,
+                direction,
+            };
+            inject_link_fault(installation, processes, fault, duration).await;
         }
-        Fault::CutOff {
+        Fault::ExternalPartition {
             process,
-            way,
-            lasts,
+            direction,
+            duration,
         } => {
-            let fault = LinkFault::CutOff { process, way };
-            inject_link_fault(installation, vec![process], fault, lasts).await;
+            let fault = LinkFault::ExternalPartition { process, direction };
+            inject_link_fault(installation, vec![process], fault, duration).await;
         }
-        Fault::Delay { process, by, lasts } => {
-            let by = millis(by);
-            let fault = LinkFault::Delay { process, by };
-            inject_link_fault(installation, vec![process], fault, lasts).await;
+        Fault::Delay {
+            process,
+            delay,
+            duration,
+        } => {
+            let delay = millis(delay);
+            let fault = LinkFault::Delay { process, delay };
+            inject_link_fault(installation, vec![process], fault, duration).await;
         }
     }
 }
@@ -89,11 +108,11 @@
     installation: &Installation,
     processes: Vec<Process>,
     fault: LinkFault,
-    lasts: Millis,
+    duration: Millis,
 ) {
     let disturbance = begin_disturbance(installation, processes, false);
     let fault_id = installation.links.begin_fault(fault);
-    sleep(millis(lasts)).await;
+    sleep(millis(duration)).await;
     installation.links.end_fault(fault_id);
     installation.recorder.end_disturbance(disturbance);
 }
@@ -118,7 +137,7 @@
     sleep(RECOVERY_DELAY).await;
 }
 
-async fn stop(installation: &Installation, process: Process, away: Duration) {
+async fn stop(installation: &Installation, process: Process, downtime: Duration) {
     let Some(slot) = installation.slot(process) else {
         return;
     };
@@ -135,12 +154,12 @@
         installation.recorder.end_stop(stop);
     }
     *program_slot = None;
-    sleep(away).await;
+    sleep(downtime).await;
     restart(installation, slot, &mut program_slot).await;
     installation.recorder.end_disturbance(disturbance);
 }
 
-async fn kill(installation: &Installation, process: Process, away: Duration, loses_disk: bool) {
+async fn kill(installation: &Installation, process: Process, downtime: Duration, loses_disk: bool) {
     let Some(slot) = installation.slot(process) else {
         return;
     };
@@ -152,7 +171,7 @@
     if let (true, Process::Control(index)) = (loses_disk, process) {
         remove_data_folder(installation, index);
     }
-    sleep(away).await;
+    sleep(downtime).await;
     restart(installation, slot, &mut program_slot).await;
     installation.recorder.end_disturbance(disturbance);
 }
@@ -162,7 +181,7 @@
     let _ = std::fs::remove_dir_all(installation.layout.data_folder(control));
 }
 
-async fn kill_all(installation: &Installation, away: Duration, lost_disk: Option<usize>) {
+async fn kill_all(installation: &Installation, downtime: Duration, lost_disk: Option<usize>) {
     let mut all = Vec::new();
     for slot in &installation.slots {
         all.push((slot, slot.program.lock().await));
@@ -174,7 +193,7 @@
     if let Some(control) = lost_disk {
         remove_data_folder(installation, control);
     }
-    sleep(away).await;
+    sleep(downtime).await;
     for (slot, program_slot) in &mut all {
         // As in `restart`.
         **program_slot = installation.start_program(slot).ok();
@@ -183,7 +202,7 @@
     installation.recorder.end_disturbance(disturbance);
 }
 
-async fn pause(installation: &Installation, process: Process, lasts: Duration) {
+async fn pause(installation: &Installation, process: Process, duration: Duration) {
     let Some(slot) = installation.slot(process) else {
         return;
     };
@@ -195,7 +214,7 @@
     };
     let disturbance = begin_disturbance(installation, vec![process], false);
     program.signal(Signal::STOP);
-    sleep(lasts).await;
+    sleep(duration).await;
     program.signal(Signal::CONT);
     installation.recorder.end_disturbance(disturbance);
 }
--- a/crates/tools/cloverfold_soak/src/run/links.rs
+++ b/crates/tools/cloverfold_soak/src/run/links.rs
@@ -11,31 +11,34 @@
 use cloverfold_peer::PeerMessage;
 
 use super::layout::{Layout, Side};
-use crate::plan::{GUARD_COUNT, Way, list_processes};
+use crate::plan::{Direction, GUARD_COUNT, list_processes};
 use crate::records::Process;
 
 /// A link fault with a duration.
 #[derive(Clone, Debug)]
 pub(crate) enum LinkFault {
     /// A network partition between two sets of processes.
-    Cut {
+    Partition {
         side: Vec<Process>,
         other: Vec<Process>,
-        way: Way,
+        direction: Direction,
     },
     /// A partition between a process and its callers, operators or target.
-    CutOff { process: Process, way: Way },
+    ExternalPartition {
+        process: Process,
+        direction: Direction,
+    },
     /// A delay on all links of a process.
-    Delay { process: Process, by: Duration },
+    Delay { process: Process, delay: Duration },
 }
 
-impl Way {
+impl Direction {
     fn blocks_outbound(self) -> bool {
-        self != Self::Inwards
+        self != Self::Inbound
     }
 
     fn blocks_inbound(self) -> bool {
-        self != Self::Outwards
+        self != Self::Outbound
     }
 }
 
@@ -172,34 +175,40 @@
 /// Returns the effect of a fault on connections from one process to another.
 fn peer_link_faults(fault: &LinkFault, dialer: Process, process: Process) -> LinkFaults {
     match fault {
-        LinkFault::Cut { side, other, way } => {
+        LinkFault::Partition {
+            side,
+            other,
+            direction,
+        } => {
             if side.contains(&dialer) && other.contains(&process) {
-                block(way.blocks_outbound(), way.blocks_inbound())
+                block_faults(direction.blocks_outbound(), direction.blocks_inbound())
             } else if other.contains(&dialer) && side.contains(&process) {
-                block(way.blocks_inbound(), way.blocks_outbound())
+                block_faults(direction.blocks_inbound(), direction.blocks_outbound())
             } else {
                 LinkFaults::default()
             }
         }
         LinkFault::Delay {
             process: delayed,
-            by,
-        } if *delayed == dialer || *delayed == process => delay(*by),
-        LinkFault::CutOff { .. } | LinkFault::Delay { .. } => LinkFaults::default(),
+            delay,
+        } if *delayed == dialer || *delayed == process => delay_faults(*delay),
+        LinkFault::ExternalPartition { .. } | LinkFault::Delay { .. } => LinkFaults::default(),
     }
 }
 
 /// Returns the effect of a fault on connections from a caller, an operator or a target to a process.
 fn interface_faults(fault: &LinkFault, process: Process) -> LinkFaults {
     match fault {
-        LinkFault::CutOff {
+        LinkFault::ExternalPartition {
             process: isolated,
-            way,
-        } if *isolated == process => block(way.blocks_inbound(), way.blocks_outbound()),
+            direction,
+        } if *isolated == process => {
+            block_faults(direction.blocks_inbound(), direction.blocks_outbound())
+        }
         LinkFault::Delay {
             process: delayed,
-            by,
-        } if *delayed == process => delay(*by),
+            delay,
+        } if *delayed == process => delay_faults(*delay),
         _ => LinkFaults::default(),
     }
 }
@@ -207,19 +216,21 @@
 /// Returns the effect of a fault on connections from a guard to its target.
 fn target_link_faults(fault: &LinkFault, guard: Process) -> LinkFaults {
     match fault {
-        LinkFault::CutOff {
+        LinkFault::ExternalPartition {
             process: isolated,
-            way,
-        } if *isolated == guard => block(way.blocks_outbound(), way.blocks_inbound()),
+            direction,
+        } if *isolated == guard => {
+            block_faults(direction.blocks_outbound(), direction.blocks_inbound())
+        }
         LinkFault::Delay {
             process: delayed,
-            by,
-        } if *delayed == guard => delay(*by),
+            delay,
+        } if *delayed == guard => delay_faults(*delay),
         _ => LinkFaults::default(),
     }
 }
 
-fn block(blocks_to_upstream: bool, blocks_to_dialer: bool) -> LinkFaults {
+fn block_faults(blocks_to_upstream: bool, blocks_to_dialer: bool) -> LinkFaults {
     LinkFaults {
         blocks_to_upstream,
         blocks_to_dialer,
@@ -227,9 +238,9 @@
     }
 }
 
-fn delay(by: Duration) -> LinkFaults {
+fn delay_faults(delay: Duration) -> LinkFaults {
     LinkFaults {
-        delay: by,
+        delay,
         ..LinkFaults::default()
     }
 }
--- a/crates/tools/cloverfold_soak/src/run/mod.rs
+++ b/crates/tools/cloverfold_soak/src/run/mod.rs
@@ -102,7 +102,9 @@
             sends: history.attempts.len(),
             completed: count(&|outcome| outcome == Outcome::Completed),
             refused: count(&|outcome| outcome == Outcome::Refused),
-            unanswered: count(&|outcome| matches!(outcome, Outcome::Broken | Outcome::TimedOut)),
+            unanswered: count(&|outcome| {
+                matches!(outcome, Outcome::ConnectionLost | Outcome::TimedOut)
+            }),
             runs: history.runs.len(),
             disturbances: history.disturbances.len(),
             configurations: history.configuration_orders.len(),
--- a/crates/tools/cloverfold_soak/src/run/observers.rs
+++ b/crates/tools/cloverfold_soak/src/run/observers.rs
@@ -85,8 +85,8 @@
     let Ok(request) = request else {
         return;
     };
-    let life = installation.incarnation(process);
-    let asked_at = installation.recorder.now();
+    let incarnation = installation.incarnation(process);
+    let requested_at = installation.recorder.now();
     let answer = timeout(PROBE_TIMEOUT, exchange(address, request)).await;
     let is_known = match answer {
         Ok(Some((StatusCode::OK, _))) => true,
@@ -94,13 +94,13 @@
         // No answer, or an entry without a configuration.
         _ => return,
     };
-    if installation.incarnation(process) != life {
+    if installation.incarnation(process) != incarnation {
         return;
     }
     let probe = Probe {
         entry,
-        life,
-        asked_at,
+        incarnation,
+        requested_at,
         answered_at: installation.recorder.now(),
         version,
         last_version: version + VERSION_WINDOW - 1,
@@ -118,7 +118,7 @@
 }
 
 async fn read_configuration(installation: &Installation, control: usize) {
-    let asked_at = installation.recorder.now();
+    let requested_at = installation.recorder.now();
     let address = installation.operator_address(control);
     let answer = send(address, Method::GET, "/v1/configuration", "").await;
     let Some((StatusCode::OK, text)) = answer else {
@@ -130,7 +130,7 @@
     let version = version.unwrap_or_default();
     let read = ConfigurationRead {
         control,
-        asked_at,
+        requested_at,
         version,
         is_as_sent: text == configuration(version) && installation.was_sent(version),
     };
@@ -138,7 +138,7 @@
 }
 
 async fn read_halls(installation: &Installation, control: usize) {
-    let asked_at = installation.recorder.now();
+    let requested_at = installation.recorder.now();
     let address = installation.operator_address(control);
     let answer = send(address, Method::GET, "/v1/evacuations", "").await;
     let Some((StatusCode::OK, text)) = answer else {
@@ -149,7 +149,7 @@
     let names = halls.iter().filter_map(|hall| hall["hall"].as_str());
     let read = HallRead {
         control,
-        asked_at,
+        requested_at,
         answered_at: installation.recorder.now(),
         halls: names.map(str::to_owned).collect(),
     };
@@ -163,7 +163,7 @@
         for process in installation.restart_exited() {
             let at = installation.recorder.now();
             let exit = UnexpectedExit { process, at };
-            installation.recorder.lock().own_ends.push(exit);
+            installation.recorder.lock().unexpected_exits.push(exit);
         }
     }
 }
--- a/crates/tools/cloverfold_soak/src/run/operators.rs
+++ b/crates/tools/cloverfold_soak/src/run/operators.rs
@@ -34,16 +34,22 @@
             tokio::join!(configure(installation, control), other);
         }
         Order::Repeat => repeat(installation, control).await,
-        Order::Unsound => {
+        Order::Invalid => {
             let text = invalid_configuration;
             send_invalid(installation, control, text).await;
         }
-        Order::Unreadable => {
+        Order::Malformed => {
             let text = malformed_configuration;
             send_invalid(installation, control, text).await;
         }
-        Order::Evacuate { hall, lasts } => {
-            evacuate(installation, control, hall, Duration::from_millis(*lasts)).await;
+        Order::Evacuate { hall, duration } => {
+            evacuate(
+                installation,
+                control,
+                hall,
+                Duration::from_millis(*duration),
+            )
+            .await;
         }
     }
 }
@@ -123,24 +129,24 @@
 }
 
 /// Evacuates a data hall and ends the evacuation later, unless another operator has reserved the hall.
-async fn evacuate(installation: &Installation, control: usize, hall: &str, lasts: Duration) {
+async fn evacuate(installation: &Installation, control: usize, hall: &str, duration: Duration) {
     let Some(_reservation) = installation.reserve_hall(hall) else {
         return;
     };
     order_hall(installation, control, hall, HallAction::Evacuate).await;
-    sleep(lasts).await;
+    sleep(duration).await;
     order_hall(installation, control + 1, hall, HallAction::TakeBack).await;
 }
 
-async fn order_hall(installation: &Installation, control: usize, hall: &str, wish: HallAction) {
+async fn order_hall(installation: &Installation, control: usize, hall: &str, action: HallAction) {
     let recorder = &installation.recorder;
     let number = recorder.begin_hall_order(HallOrder {
         hall: hall.to_owned(),
-        wish,
+        action,
         sent_at: recorder.now(),
         acknowledged_at: None,
     });
-    let method = match wish {
+    let method = match action {
         HallAction::Evacuate => Method::POST,
         HallAction::TakeBack => Method::DELETE,
     };
--- a/crates/tools/cloverfold_soak/src/run/recorder.rs
+++ b/crates/tools/cloverfold_soak/src/run/recorder.rs
@@ -99,11 +99,11 @@
     }
 
     pub(crate) fn begin_stop(&self, process: Process) -> usize {
-        let asked_at = self.now();
+        let requested_at = self.now();
         let mut history = self.lock();
         history.stops.push(PlannedStop {
             process,
-            asked_at,
+            requested_at,
             exited_at: None,
         });
         history.stops.len() - 1
--- a/crates/tools/cloverfold_soak/src/run/target_faults.rs
+++ b/crates/tools/cloverfold_soak/src/run/target_faults.rs
@@ -37,20 +37,20 @@
     installation: &Installation,
     index: TargetIndex,
     fault: TargetFault,
-    lasts: Duration,
+    duration: Duration,
 ) {
     let Ok(_lock) = installation.target_fault_locks[index].try_lock() else {
         return;
     };
     match fault {
-        TargetFault::Leave => drain_and_restart(installation, index).await,
+        TargetFault::PlannedRestart => drain_and_restart(installation, index).await,
         TargetFault::Crash { late_registration } => {
-            crash(installation, index, late_registration, lasts).await;
+            crash(installation, index, late_registration, duration).await;
         }
         other => {
             let disturbance = begin_disturbance(installation, index, false);
             installation.targets[index].set_faults(build_faults(other));
-            sleep(lasts).await;
+            sleep(duration).await;
             installation.targets[index].set_faults(TargetFaults::default());
             installation.recorder.end_disturbance(disturbance);
         }
@@ -67,10 +67,10 @@
     match fault {
         TargetFault::Hang => faults.hangs_runs = true,
         TargetFault::Fail => faults.fails_runs = true,
-        TargetFault::Late { by } => faults.start_delay = Some(Duration::from_millis(by)),
-        TargetFault::Unanswering => faults.drops_answers = true,
+        TargetFault::Late { delay } => faults.start_delay = Some(Duration::from_millis(delay)),
+        TargetFault::DropAnswers => faults.drops_answers = true,
         TargetFault::Unhealthy => faults.is_unhealthy = true,
-        TargetFault::Crash { .. } | TargetFault::Leave => {}
+        TargetFault::Crash { .. } | TargetFault::PlannedRestart => {}
     }
     faults
 }
@@ -79,13 +79,13 @@
     installation: &Installation,
     index: TargetIndex,
     late_registration: Option<Millis>,
-    lasts: Duration,
+    duration: Duration,
 ) {
     let disturbance = begin_disturbance(installation, index, false);
     let target = &installation.targets[index];
     let last_heartbeat = target.next_heartbeat();
     target.crash();
-    sleep(lasts.min(MAX_CRASH_DOWNTIME)).await;
+    sleep(duration.min(MAX_CRASH_DOWNTIME)).await;
     target.restart();
     if let (Some(after), Some(last_heartbeat)) = (late_registration, last_heartbeat) {
         sleep(Duration::from_millis(after)).await;
--- a/crates/tools/cloverfold_soak/tests/checker.rs
+++ b/crates/tools/cloverfold_soak/tests/checker.rs
@@ -55,7 +55,7 @@
 fn read(version: u64, asked: f64) -> ConfigurationRead {
     ConfigurationRead {
         control: 1,
-        asked_at: at(asked),
+        requested_at: at(asked),
         version,
         is_as_sent: true,
     }
@@ -64,8 +64,8 @@
 fn probe(version: u64, asked: f64, is_known: bool) -> Probe {
     Probe {
         entry: 0,
-        life: 1,
-        asked_at: at(asked),
+        incarnation: 1,
+        requested_at: at(asked),
         answered_at: at(asked + 0.01),
         version,
         last_version: version + 7,
@@ -73,10 +73,10 @@
     }
 }
 
-fn hall_order(wish: HallAction, from: f64, until: f64) -> HallOrder {
+fn hall_order(action: HallAction, from: f64, until: f64) -> HallOrder {
     HallOrder {
         hall: "hall-a".into(),
-        wish,
+        action,
         sent_at: at(from),
         acknowledged_at: Some(at(until)),
     }
@@ -85,7 +85,7 @@
 fn hall_read(asked: f64, halls: &[&str]) -> HallRead {
     HallRead {
         control: 0,
-        asked_at: at(asked),
+        requested_at: at(asked),
         answered_at: at(asked + 0.01),
         halls: halls.iter().map(|hall| (*hall).to_owned()).collect(),
     }
@@ -113,7 +113,7 @@
     let violations = find_violations(history, &Bounds::default());
     violations
         .iter()
-        .map(|violation| violation.promise)
+        .map(|violation| violation.guarantee)
         .collect()
 }
 
@@ -228,7 +228,7 @@
 #[test]
 fn answer_outside_the_protocol_is_detected() {
     let history = History {
-        attempts: vec![attempt(EARLY, 10.5, Outcome::Garbled)],
+        attempts: vec![attempt(EARLY, 10.5, Outcome::ProtocolViolation)],
         ..empty_minute()
     };
 
@@ -255,7 +255,7 @@
         runs: vec![run(0, 11.2, 11.4, RunEnd::Done)],
         attempts: vec![
             attempt(EARLY, 10.1, Outcome::Refused),
-            attempt(11.1, 11.3, Outcome::Broken),
+            attempt(11.1, 11.3, Outcome::ConnectionLost),
         ],
         ..empty_minute()
     };
@@ -296,7 +296,7 @@
     History {
         stops: vec![PlannedStop {
             process,
-            asked_at: at(20.0),
+            requested_at: at(20.0),
             exited_at: Some(at(23.0)),
         }],
         disturbances: vec![disturbance(
@@ -312,7 +312,7 @@
 #[test]
 fn request_interrupted_by_planned_stop_is_detected() {
     let history = |sent, broke| History {
-        attempts: vec![attempt(sent, broke, Outcome::Broken)],
+        attempts: vec![attempt(sent, broke, Outcome::ConnectionLost)],
         ..stopped(Process::Entry(0))
     };
 
@@ -325,7 +325,7 @@
 fn request_with_a_started_run_counts_as_read() {
     let history = History {
         runs: vec![run(0, 20.55, 20.58, RunEnd::Done)],
-        attempts: vec![attempt(20.5, 20.6, Outcome::Broken)],
+        attempts: vec![attempt(20.5, 20.6, Outcome::ConnectionLost)],
         ..stopped(Process::Entry(0))
     };
 
@@ -335,7 +335,7 @@
 #[test]
 fn interruption_near_a_fault_is_not_attributed_to_the_stop() {
     let mut history = History {
-        attempts: vec![attempt(20.5, 21.0, Outcome::Broken)],
+        attempts: vec![attempt(20.5, 21.0, Outcome::ConnectionLost)],
         ..stopped(Process::Entry(0))
     };
     history
@@ -381,7 +381,7 @@
 #[test]
 fn unexpected_exit_is_detected() {
     let history = History {
-        own_ends: vec![UnexpectedExit {
+        unexpected_exits: vec![UnexpectedExit {
             process: Process::Control(1),
             at: at(EARLY),
         }],
@@ -465,11 +465,11 @@
 
 #[test]
 fn configuration_revert_is_detected_even_when_disturbed() {
-    let history = |life| History {
+    let history = |incarnation| History {
         probes: vec![
             probe(2, EARLY, true),
             Probe {
-                life,
+                incarnation,
                 ..probe(2, 11.0, false)
             },
         ],
