--- a/compatibility/tests/claims_messages.rs
+++ b/compatibility/tests/claims_messages.rs
@@ -19,8 +19,8 @@
 };
 use cloverfold_claims_core::{
     Accepted, Ballot, Claim, ClaimReply, ClaimRequest, GuardPhase, GuardReport, Incarnations,
-    Outcome, Placement, ReasonCode, RecoveryPage, RecoveryState, ReleaseResult, Repeat,
-    ReplicaRecord, ReplicaReply, Submission, SubmissionKey, TaskEnd,
+    Outcome, Placement, ReasonCode, RecoveryPage, RecoveryState, ReleaseResult, ReplicaRecord,
+    ReplicaReply, RetryPolicy, Submission, SubmissionKey, TaskEnd,
 };
 use cloverfold_coordinate::{JobState, Query, QueryReply, Submit, SubmitReply, SubmitResult};
 use cloverfold_execute::{Assign, AssignReply, AssignedTask, Release, ReleaseReply, TaskReport};
@@ -212,10 +212,10 @@
     })
 }
 
-fn repeats() -> Vec<Sample<Repeat>> {
-    each_variant!(Repeat {
-        Repeat::Never => one("never", Repeat::Never),
-        Repeat::Allowed => one("allowed", Repeat::Allowed),
+fn retry_policies() -> Vec<Sample<RetryPolicy>> {
+    each_variant!(RetryPolicy {
+        RetryPolicy::Never => one("never", RetryPolicy::Never),
+        RetryPolicy::Allowed => one("allowed", RetryPolicy::Allowed),
     })
 }
 
@@ -588,10 +588,10 @@
         tasks,
     };
     let tasks = vec![vec![7, 0, 255], Vec::new(), b"task".to_vec()];
-    let mut all = wrap("submit-request", repeats(), |repeat| {
+    let mut all = wrap("submit-request", retry_policies(), |repeat| {
         submit(repeat, true, tasks.clone())
     });
-    let again = submit(Repeat::Never, false, Vec::new());
+    let again = submit(RetryPolicy::Never, false, Vec::new());
     all.extend(one("submit-request-not-sole-no-task", again));
     all
 }
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -7,7 +7,7 @@
 use crate::claim::Claim;
 use crate::fence::{ReleaseResult, TaskEnd};
 use crate::job_events::{EventContext, JobAction, JobEvent};
-use crate::outcome::{Outcome, ReasonCode, Repeat};
+use crate::outcome::{Outcome, ReasonCode, RetryPolicy};
 use crate::task_progress::{TaskProgress, TaskStatus};
 use crate::{Placement, TaskIndex};
 
@@ -21,7 +21,7 @@
 /// What one driver knows of a job.
 #[derive(Clone, Debug)]
 pub struct JobProgress {
-    repeat: Repeat,
+    repeat: RetryPolicy,
     tasks: Vec<TaskProgress>,
     failure: Option<Failure>,
     is_answered: bool,
@@ -29,7 +29,7 @@
 
 impl JobProgress {
     /// Starts a job from its claim; returns its state and the first assignments.
-    pub fn begin(claim: &Claim, repeat: Repeat) -> (Self, Vec<JobAction>) {
+    pub fn begin(claim: &Claim, repeat: RetryPolicy) -> (Self, Vec<JobAction>) {
         let places =
             (0..claim.tasks.len() as TaskIndex).filter_map(|task| claim.placement_of(task));
         let tasks: Vec<TaskProgress> = places.map(TaskProgress::new).collect();
@@ -211,7 +211,7 @@
     /// Returns whether the job allows retries and the guard or target was lost, as opposed to a failure of the task.
     fn can_retry(&self, reason: ReasonCode) -> bool {
         let is_placement_lost = matches!(reason, ReasonCode::GuardLost | ReasonCode::TargetLost);
-        self.repeat == Repeat::Allowed && is_placement_lost && self.failure.is_none()
+        self.repeat == RetryPolicy::Allowed && is_placement_lost && self.failure.is_none()
     }
 
     /// Records the first failure and releases every task that is still assigned.
--- a/crates/claims/cloverfold_claims_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -54,7 +54,7 @@
 pub use incarnations::Incarnations;
 pub use job::JobProgress;
 pub use job_events::{EventContext, JobAction, JobEvent};
-pub use outcome::{Outcome, ReasonCode, Repeat};
+pub use outcome::{Outcome, ReasonCode, RetryPolicy};
 pub use placement_policy::{
     Candidate, PlacementPolicy, choose_free_placement, choose_placements, rank_by_load,
 };
--- a/crates/claims/cloverfold_claims_core/src/outcome.rs
+++ b/crates/claims/cloverfold_claims_core/src/outcome.rs
@@ -9,7 +9,7 @@
 /// Whether a task may be started again after it may have started at a guard or target that was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// A task starts at most once.
     #[default]
     Never,
--- a/crates/claims/cloverfold_claims_core/tests/jobs.rs
+++ b/crates/claims/cloverfold_claims_core/tests/jobs.rs
@@ -8,7 +8,7 @@
 
 use cloverfold_claims_core::{
     AssignResult, Claim, EventContext, Fence, FenceLimits, Flow, GuardId, JobAction, JobEvent,
-    JobProgress, Outcome, Placement, QueuedTask, ReasonCode, ReleaseResult, Repeat, TaskEnd,
+    JobProgress, Outcome, Placement, QueuedTask, ReasonCode, ReleaseResult, RetryPolicy, TaskEnd,
     TaskId, TaskIndex, TaskState,
 };
 use proptest::prelude::*;
@@ -133,7 +133,7 @@
         if self.drivers.len() >= 3 {
             return;
         }
-        let (progress, actions) = JobProgress::begin(&self.claim, Repeat::Never);
+        let (progress, actions) = JobProgress::begin(&self.claim, RetryPolicy::Never);
         self.drivers.push(progress);
         self.answers.push(Vec::new());
         self.send(self.drivers.len() - 1, actions);
--- a/crates/claims/cloverfold_coordinate/src/messages.rs
+++ b/crates/claims/cloverfold_coordinate/src/messages.rs
@@ -4,7 +4,7 @@
 
 use cloverfold_base::UnixTime;
 use cloverfold_claims_core::{
-    BodyDigest, Outcome, ReasonCode, Repeat, ServiceId, Submission, SubmissionKey, WorkspaceId,
+    BodyDigest, Outcome, ReasonCode, RetryPolicy, ServiceId, Submission, SubmissionKey, WorkspaceId,
 };
 use cloverfold_net::Message;
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,7 @@
     /// No task starts at or after this time.
     pub deadline: UnixTime,
     /// Whether a task may be started again after its guard or target was lost.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// Request body of each task for the target.
     pub tasks: Vec<Vec<u8>>,
 }
--- a/crates/claims/cloverfold_entry/src/submission.rs
+++ b/crates/claims/cloverfold_entry/src/submission.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use cloverfold_base::{UnixTime, hash_parts};
-use cloverfold_claims_core::{BodyDigest, CLOCK_MARGIN, Repeat, Submission, derive_submission_key};
+use cloverfold_claims_core::{
+    BodyDigest, CLOCK_MARGIN, RetryPolicy, Submission, derive_submission_key,
+};
 use http::StatusCode;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -70,7 +72,7 @@
     /// No task starts at or after this time.
     pub deadline: UnixTime,
     /// Whether a task may be started again after its guard or target was lost.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// Request body of each task for the target.
     pub tasks: Vec<Vec<u8>>,
 }
@@ -82,7 +84,7 @@
     #[serde(borrow)]
     tasks: Vec<&'a RawValue>,
     #[serde(default)]
-    repeat: Repeat,
+    repeat: RetryPolicy,
     deadline_ms: Option<u64>,
     deadline_unix_ms: Option<u64>,
     first_submitted_unix_ms: Option<u64>,
@@ -237,10 +239,10 @@
 }
 
 /// Hashes the parts that must be equal in all submissions under one key; the deadline may differ.
-fn digest_body(service: &str, repeat: Repeat, tasks: &[Vec<u8>]) -> BodyDigest {
+fn digest_body(service: &str, repeat: RetryPolicy, tasks: &[Vec<u8>]) -> BodyDigest {
     let repeat: &[u8] = match repeat {
-        Repeat::Never => b"never",
-        Repeat::Allowed => b"allowed",
+        RetryPolicy::Never => b"never",
+        RetryPolicy::Allowed => b"allowed",
     };
     let mut parts = vec![service.as_bytes(), repeat];
     parts.extend(tasks.iter().map(Vec::as_slice));
