--- a/benches/benches/capacity.rs
+++ b/benches/benches/capacity.rs
@@ -19,25 +19,25 @@
 
 struct Load {
     name: &'static str,
-    /// Load as a share of all slots.
-    share: f64,
+    /// Mean utilization of the slots, 0 to 1.
+    utilization: f64,
     job_size: (usize, usize),
 }
 
 const LOADS: [Load; 3] = [
     Load {
         name: "idle",
-        share: 0.0,
+        utilization: 0.0,
         job_size: (1, 1),
     },
     Load {
         name: "70 %, jobs of 1-4",
-        share: 0.7,
+        utilization: 0.7,
         job_size: (1, 4),
     },
     Load {
         name: "70 %, jobs of 20-60",
-        share: 0.7,
+        utilization: 0.7,
         job_size: (20, 60),
     },
 ];
@@ -94,7 +94,7 @@
 }
 
 async fn generate_load(system: &ProcessSystem, load: &Load) -> Result<String> {
-    if load.share == 0.0 {
+    if load.utilization == 0.0 {
         sleep(RUN_LENGTH).await;
         return Ok("-      -".into());
     }
@@ -113,7 +113,7 @@
         callers: system.callers(),
         service: SERVICE.into(),
         slots: system.slots(),
-        share: load.share,
+        utilization: load.utilization,
         job_size: load.job_size,
         length: RUN_LENGTH,
         seed: 1,
--- a/crates/cloverfold/src/bin/cloverfold/solo.rs
+++ b/crates/cloverfold/src/bin/cloverfold/solo.rs
@@ -116,7 +116,7 @@
             self.placement,
         );
         let load = SoloLoad {
-            share: self.load,
+            utilization: self.load,
             overload: self.overload,
             job_size: (1, self.tasks),
             length: Duration::from_secs(self.seconds),
--- a/crates/tools/cloverfold_load/src/plan.rs
+++ b/crates/tools/cloverfold_load/src/plan.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// A load at the same rate for every workspace, sized as a share of the system's slots. Tasks take 50 to 500 ms.
+/// A load at the same rate for every workspace, sized by the mean utilization of the system's slots. Tasks take 50 to 500 ms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UniformLoad {
     /// Entries, used round-robin.
@@ -61,7 +61,7 @@
     /// Slots of the system.
     pub slots: usize,
     /// Mean utilization of the slots, 0 to 1.
-    pub share: f64,
+    pub utilization: f64,
     /// Minimum and maximum number of tasks of a job.
     pub job_size: (usize, usize),
     /// Time during which jobs arrive.
@@ -82,7 +82,8 @@
             warm_up: WARM_UP,
             seed: self.seed,
         };
-        let tasks_per_s = self.share * self.slots as f64 / plan.mean_task_duration().as_secs_f64();
+        let tasks_per_s =
+            self.utilization * self.slots as f64 / plan.mean_task_duration().as_secs_f64();
         let mean_size = (self.job_size.0 + self.job_size.1) as f64 / 2.0;
         let jobs_per_s = tasks_per_s / mean_size / self.callers.len() as f64;
         let workspaces = self.callers.into_iter().map(|caller| LoadWorkspace {
--- a/crates/tools/cloverfold_load/src/report.rs
+++ b/crates/tools/cloverfold_load/src/report.rs
@@ -168,7 +168,7 @@
 
 impl WasteReport {
     /// Creates the report from the metrics of the processes and the number of starts in the targets' journals.
-    pub fn gather(metrics: &MetricsTotals, starts: u64, useful_starts: u64) -> Self {
+    pub fn from_metrics(metrics: &MetricsTotals, starts: u64, useful_starts: u64) -> Self {
         let count = |name: &str| metrics.sum_of_name(name) as u64;
         let requests = metrics.list_series("cloverfold_peer_requests_total");
         let requests = requests.into_iter().map(|(series, value)| {
--- a/crates/tools/cloverfold_solo/src/measure.rs
+++ b/crates/tools/cloverfold_solo/src/measure.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SoloLoad {
     /// Mean utilization of the system's slots, 0 to 1, at the same rate for every workspace.
-    pub share: f64,
+    pub utilization: f64,
     /// Factor that multiplies the rate of the first workspace.
     pub overload: f64,
     /// Minimum and maximum number of tasks of a job.
@@ -52,7 +52,8 @@
     tokio::time::sleep(METRICS_DELAY).await;
     let after = read_metrics(&client, &processes).await?;
     let starts = system.count_starts() - starts_before;
-    let waste = WasteReport::gather(&after.since(&before), starts, report.total().useful_tasks);
+    let waste =
+        WasteReport::from_metrics(&after.since(&before), starts, report.total().useful_tasks);
     Ok(Measurement {
         load: report,
         waste,
@@ -67,7 +68,7 @@
         callers: callers.map(|workspace| workspace.caller.clone()).collect(),
         service: SERVICE.into(),
         slots: config.guards * config.slots,
-        share: load.share,
+        utilization: load.utilization,
         job_size: load.job_size,
         length: load.length,
         seed: load.seed,
