--- a/crates/tools/cloverfold_leased_solo/src/error.rs
+++ b/crates/tools/cloverfold_leased_solo/src/error.rs
@@ -12,7 +12,7 @@
     #[error("the installation cannot be set up: {0}")]
     System(#[from] std::io::Error),
     /// The generated settings are invalid.
-    #[error("the settings that were made cannot be read: {0}")]
+    #[error("the generated settings are invalid: {0}")]
     Settings(#[from] serde_json::Error),
     /// A control process could not start.
     #[error(transparent)]
