--- a/benches/benches/decisions.rs
+++ b/benches/benches/decisions.rs
@@ -25,7 +25,7 @@
         return;
     }
     println!(
-        "boxes   choose group us   place 1 task us   place 100 tasks us   admit 1 of 120 teams us"
+        "boxes   choose group us   place 1 task us   place 100 tasks us   admit 1 of 120 workspaces us"
     );
     for boxes in BOX_COUNTS {
         let cell = make_cell(boxes);
@@ -48,7 +48,7 @@
                 .unwrap_or_else(|_| unreachable!("the queue has no limit"));
         });
         println!(
-            "{boxes:<7} {:>15.1}   {:>15.1}   {:>18.1}   {:>23.1}",
+            "{boxes:<7} {:>15.1}   {:>15.1}   {:>18.1}   {:>28.1}",
             to_micros(group),
             to_micros(place_one),
             to_micros(place_many),
@@ -71,12 +71,12 @@
 }
 
 fn make_cell(boxes: usize) -> Cell {
-    let place = |index: usize| Location {
+    let locate = |index: usize| Location {
         guard: index as u16,
         data_hall: format!("hall-{}", index % 12),
         rack: format!("rack-{}", index / 36),
     };
-    Cell::new((0..boxes).map(place).collect(), 3)
+    Cell::new((0..boxes).map(locate).collect(), 3)
 }
 
 fn make_table(boxes: usize) -> GuardTable {
--- a/benches/benches/dispatch.rs
+++ b/benches/benches/dispatch.rs
@@ -35,16 +35,16 @@
     if std::env::args().any(|arg| arg == "--list") {
         return;
     }
-    let job = fastest(|| serve_jobs(0));
-    let job_behind_backlog = fastest(|| serve_jobs(BACKLOG));
-    let run = fastest(execute_runs);
+    let job = min_mean_micros(|| serve_jobs(0));
+    let job_behind_backlog = min_mean_micros(|| serve_jobs(BACKLOG));
+    let run = min_mean_micros(execute_runs);
     println!("dispatcher, one job of 2 tasks, {TARGETS} targets: {job:.3} us");
     println!("the same with {BACKLOG} jobs waiting: {job_behind_backlog:.3} us");
     println!("runner, one run: {run:.3} us");
 }
 
 /// Returns the shortest of several means, in microseconds.
-fn fastest(mut measure: impl FnMut() -> Duration) -> f64 {
+fn min_mean_micros(mut measure: impl FnMut() -> Duration) -> f64 {
     let times = (0..REPETITIONS).map(|_| measure().as_secs_f64() * 1e6);
     times.fold(f64::INFINITY, f64::min)
 }
--- a/benches/benches/kept_groups.rs
+++ b/benches/benches/kept_groups.rs
@@ -219,7 +219,7 @@
     for group in 0..groups {
         loop {
             token += 1;
-            let id = (0..).map(|place| format!("first-{number}-{token}-{place}"));
+            let id = (0..).map(|suffix| format!("first-{number}-{token}-{suffix}"));
             let id = { id }.find(|id| group_of(id, groups) == group);
             let id = id.unwrap_or_default();
             if let Some(JobReply::Submitted(_)) = caller.submit(token, &id, groups).await {
--- a/benches/src/lib.rs
+++ b/benches/src/lib.rs
@@ -6,8 +6,8 @@
 //! - `cargo bench -p cloverfold_benches --bench dispatch` measures the time for a best-effort job in a dispatcher and a runner.
 //! - `cargo bench -p cloverfold_benches --bench kept_groups` measures how fast groups accept kept jobs.
 //!
-//! This library starts the processes for `capacity` and reads their resource usage. The bench of the platform measures a whole leased
-//! installation.
+//! This library starts the processes for `capacity` and reads their resource usage. The platform's own benchmark program
+//! measures a whole leased installation.
 
 mod process_system;
 mod usage;
