--- a/crates/cloverfold/src/bin/cloverfold/check.rs
+++ b/crates/cloverfold/src/bin/cloverfold/check.rs
@@ -10,14 +10,14 @@
 use cloverfold_settings::{SettingsWithPaths, read_settings};
 use eyre::{Result, bail};
 
-/// Check a settings file, and the cell's file that it names.
+/// Check a settings file, and the cell's file that it refers to.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct CheckCommand {
     /// settings file, JSON with comments
     #[argh(positional)]
     file: PathBuf,
-    /// what the file is for: cell, control, entry, guard, leased-entry or leased-guard; read off its fields where left out
+    /// role of the file: cell, control, entry, guard, leased-entry or leased-guard; inferred from its fields if omitted
     #[argh(option)]
     role: Option<Role>,
 }
--- a/crates/cloverfold/src/bin/cloverfold/configuration.rs
+++ b/crates/cloverfold/src/bin/cloverfold/configuration.rs
@@ -16,11 +16,11 @@
 /// Path at which a control process serves and accepts the configuration.
 const CONFIGURATION_PATH: &str = "/v1/configuration";
 
-/// Show, save or send the configuration that the control processes keep.
+/// Show, back up or restore the configuration that the control processes store.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "configuration")]
 pub(crate) struct ConfigurationCommand {
-    /// operator address of a control process; give it again for further ones to try
+    /// operator address of a control process; repeat the option to try several in turn
     #[argh(option)]
     at: Vec<SocketAddr>,
     #[argh(subcommand)]
@@ -46,16 +46,16 @@
 #[argh(subcommand, name = "status")]
 struct Status {}
 
-/// Save the configuration in force as it was sent.
+/// Save the configuration in force to a file, byte for byte as it was sent.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "backup")]
 struct Backup {
-    /// file to write; it must not be there yet
+    /// file to write; must not exist
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// Send a saved configuration; a version that is not above the one held changes nothing.
+/// Send a saved configuration; has no effect unless its version is higher than the current one.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "restore")]
 struct Restore {
--- a/crates/cloverfold/src/bin/cloverfold/control.rs
+++ b/crates/cloverfold/src/bin/cloverfold/control.rs
@@ -14,7 +14,7 @@
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
-/// Keep the configuration, with the other control processes.
+/// Run a control process, which replicates the configuration with the other control processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "control")]
 pub(crate) struct ControlCommand {
--- a/crates/cloverfold/src/bin/cloverfold/entry.rs
+++ b/crates/cloverfold/src/bin/cloverfold/entry.rs
@@ -12,7 +12,7 @@
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
-/// Serve callers on an entry box of a claims installation.
+/// Run an entry of a claims installation, which serves callers.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "entry")]
 pub(crate) struct EntryCommand {
--- a/crates/cloverfold/src/bin/cloverfold/evacuation.rs
+++ b/crates/cloverfold/src/bin/cloverfold/evacuation.rs
@@ -11,11 +11,11 @@
 /// Path at which a control process lists evacuations and accepts orders.
 const EVACUATIONS_PATH: &str = "/v1/evacuations";
 
-/// Evacuate a data hall, take it back, or list the evacuations in force.
+/// Start or end the evacuation of a data hall, or list the evacuations in force.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "evacuation")]
 pub(crate) struct EvacuationCommand {
-    /// operator address of a control process; give it again for further ones to try
+    /// operator address of a control process; repeat the option to try several in turn
     #[argh(option)]
     at: Vec<SocketAddr>,
     #[argh(subcommand)]
@@ -30,7 +30,7 @@
     List(List),
 }
 
-/// Start no task in a data hall any more; what runs there ends in peace.
+/// Evacuate a data hall: no more tasks start there, and running tasks complete.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "start")]
 struct Start {
@@ -39,7 +39,7 @@
     hall: String,
 }
 
-/// Take a data hall back: tasks start there again.
+/// End the evacuation of a data hall: tasks start there again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "end")]
 struct End {
@@ -48,7 +48,7 @@
     hall: String,
 }
 
-/// Print the evacuations in force: the hall, who received the order, when, and where it stands in the log.
+/// Print the evacuations in force: the data hall, the process that received the order, the time, and the log index.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 struct List {}
--- a/crates/cloverfold/src/bin/cloverfold/found.rs
+++ b/crates/cloverfold/src/bin/cloverfold/found.rs
@@ -8,7 +8,7 @@
 
 use crate::operator::{default_keys, default_name, read_guards, run_as_operator};
 
-/// Found a cell: once, when all its guards have started for the first time.
+/// Bootstrap a cell: once, after all its guards have started for the first time.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "found")]
 pub(crate) struct FoundCommand {
--- a/crates/cloverfold/src/bin/cloverfold/jobs.rs
+++ b/crates/cloverfold/src/bin/cloverfold/jobs.rs
@@ -15,7 +15,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "jobs")]
 pub(crate) struct JobsCommand {
-    /// operator address of a control process; give it again for further ones to try
+    /// operator address of a control process; repeat the option to try several in turn
     #[argh(option)]
     at: Vec<SocketAddr>,
     #[argh(subcommand)]
@@ -30,12 +30,12 @@
     Cancel(Cancel),
 }
 
-/// Print the groups and their open jobs, as the process that is asked knows them.
+/// Print the groups and their open jobs, as known to the queried process.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 struct List {}
 
-/// Print how far a job is.
+/// Print the state of a job.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 struct Show {
--- a/crates/cloverfold/src/bin/cloverfold/keys.rs
+++ b/crates/cloverfold/src/bin/cloverfold/keys.rs
@@ -6,11 +6,11 @@
 use cloverfold_net::{PeerRole, make_key_set};
 use eyre::{Result, bail};
 
-/// Make certificates and private keys for the processes of a claims installation.
+/// Generate certificates and private keys for the processes of a claims installation.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "keys")]
 pub(crate) struct KeysCommand {
-    /// folder to write to; an authority that is there is used again
+    /// output folder; an existing authority in it is reused
     #[argh(option, default = "PathBuf::from(\"keys\")")]
     folder: PathBuf,
     /// names of the processes: guard-<id>, entry-<name>, operator-<name>
--- a/crates/cloverfold/src/bin/cloverfold/leased_entry.rs
+++ b/crates/cloverfold/src/bin/cloverfold/leased_entry.rs
@@ -14,7 +14,7 @@
 use cloverfold_telemetry::start_logging;
 use eyre::Result;
 
-/// Serve callers whose jobs may be repeated, on targets that lease their runs.
+/// Run an entry of a leased installation, which serves callers whose jobs may be repeated.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "leased-entry")]
 pub(crate) struct LeasedEntryCommand {
--- a/crates/cloverfold/src/bin/cloverfold/leave.rs
+++ b/crates/cloverfold/src/bin/cloverfold/leave.rs
@@ -8,7 +8,7 @@
 
 use crate::operator::{CALL_TIMEOUT, default_keys, default_name, read_guards, run_as_operator};
 
-/// Stop a guard as planned: no new work, all in flight ends, then it exits.
+/// Drain and stop a guard: it takes no new work, completes the work in flight, and exits.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "leave")]
 pub(crate) struct LeaveCommand {
--- a/crates/cloverfold/src/bin/cloverfold/solo.rs
+++ b/crates/cloverfold/src/bin/cloverfold/solo.rs
@@ -15,38 +15,38 @@
 use tokio::signal::ctrl_c;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Run every role in this process, put sample jobs on, and report.
+/// Run every role in this process, submit sample jobs, and print a report.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "solo")]
 pub(crate) struct SoloCommand {
     /// number of guards, each with a sample target of 8 slots
     #[argh(option, default = "11")]
     guards: usize,
-    /// load as a share of all slots
+    /// mean utilization of all slots, as a fraction
     #[argh(option, default = "0.7")]
     load: f64,
-    /// how long jobs arrive, in seconds
+    /// time during which jobs arrive, in seconds
     #[argh(option, default = "10")]
     seconds: u64,
-    /// most tasks of a job
+    /// maximum number of tasks of a job
     #[argh(option, default = "4")]
     tasks: usize,
     /// seed of the sample jobs
     #[argh(option, default = "1")]
     seed: u64,
-    /// placement policy; an unknown name lists them all
+    /// placement policy; an unknown name prints the list of policies
     #[argh(option, default = "String::from(\"packed\")")]
     placement: String,
-    /// spread the jobs' coordination over all guards, as a baseline
+    /// distribute the coordination of jobs over all guards, as a baseline
     #[argh(switch)]
     no_lead: bool,
-    /// how many times its part the first workspace submits
+    /// factor that multiplies the rate of the first workspace
     #[argh(option, default = "1.0")]
     overload: f64,
-    /// serve waiting work in the order of arrival, as a baseline
+    /// serve queued work in the order of arrival, as a baseline
     #[argh(switch)]
     fifo: bool,
-    /// stay up for your own requests instead
+    /// serve requests until stopped, instead of submitting sample jobs
     #[argh(switch)]
     serve: bool,
     /// with --serve: run a leased installation, with control processes and at most 200 guards
--- a/crates/cloverfold/src/bin/cloverfold/upkeep.rs
+++ b/crates/cloverfold/src/bin/cloverfold/upkeep.rs
@@ -1,4 +1,4 @@
-//! `cloverfold upkeep`: orders waves of planned maintenance (upkeep) over boxes and shows their state.
+//! `cloverfold upkeep`: orders waves of planned maintenance (upkeep) of boxes and shows their state.
 
 use std::net::SocketAddr;
 
@@ -12,11 +12,11 @@
 /// Path at which a control process shows waves and accepts orders.
 const UPKEEP_PATH: &str = "/v1/upkeep";
 
-/// Order a wave of planned upkeep over boxes, or show how far the waves are. A wave that was ordered cannot be cancelled.
+/// Order a wave of planned maintenance of boxes, or show the progress of the waves. An ordered wave cannot be cancelled.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "upkeep")]
 pub(crate) struct UpkeepCommand {
-    /// operator address of a control process; give it again for further ones to try
+    /// operator address of a control process; repeat the option to try several in turn
     #[argh(option)]
     at: Vec<SocketAddr>,
     #[argh(subcommand)]
@@ -30,17 +30,17 @@
     Status(Status),
 }
 
-/// Order that each of these boxes has its upkeep.
+/// Order planned maintenance of the given boxes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "start")]
 struct Start {
-    /// number of the wave, above 0; the same number with the same content is the same order
+    /// number of the wave, above 0; repeating an order with the same number and content has no effect
     #[argh(positional)]
     wave: u64,
-    /// how many boxes may be down at once
+    /// maximum number of boxes that are down at once
     #[argh(option)]
     most_down: u32,
-    /// within how many seconds all boxes are to begin
+    /// time within which maintenance is to begin on all boxes, in seconds
     #[argh(option)]
     span_s: u64,
     /// names of the boxes
@@ -48,11 +48,11 @@
     boxes: Vec<String>,
 }
 
-/// Print the waves: the state, how far each box is, and at the leader what is next and why it waits.
+/// Print the state of the waves, the progress of each box, and, at the leader, the next box and why it waits.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct Status {
-    /// number of a wave; all without
+    /// number of a wave; all waves if omitted
     #[argh(positional)]
     wave: Option<u64>,
 }
--- a/crates/cloverfold/tests/control_processes.rs
+++ b/crates/cloverfold/tests/control_processes.rs
@@ -197,7 +197,10 @@
     group.restore_until_acknowledged(0, 3);
     for version in 4..8 {
         let leader = group.find_leader();
-        let file = group.folder.path().join(format!("cut-{version}.json"));
+        let file = group
+            .folder
+            .path()
+            .join(format!("interrupted-{version}.json"));
         std::fs::write(&file, empty_configuration(version)).unwrap();
         let restore = Program::start(
             CLOVERFOLD,
--- a/crates/cloverfold/tests/upkeep_processes.rs
+++ b/crates/cloverfold/tests/upkeep_processes.rs
@@ -20,7 +20,7 @@
 /// Offset of the operator port from the peer port.
 const OPERATOR_OFFSET: u16 = 1;
 
-/// Addresses that no other test file uses.
+/// Block of addresses that no other test file uses.
 const ADDRESS_BLOCK: u8 = 180;
 
 struct Group {
