--- a/crates/claims/cloverfold_claims_core/src/admission.rs
+++ b/crates/claims/cloverfold_claims_core/src/admission.rs
@@ -104,10 +104,10 @@
         let shares = self.compute_shares(total);
         let active = &self.active;
         self.waiting.pop_where(|flow, ticket| {
-            let has = active.get(flow).map_or(0, |one| one.tasks);
+            let active_tasks = active.get(flow).map_or(0, |active| active.tasks);
             // Every queued flow has a share, so the default is never used.
             let share = shares.get(flow).copied().unwrap_or(0.0);
-            (has + required_slots(ticket.tasks, total)) as f64 <= share
+            (active_tasks + required_slots(ticket.tasks, total)) as f64 <= share
         })
     }
 
@@ -123,9 +123,9 @@
 
     /// Removes a queued job; returns whether it was still queued.
     pub fn cancel(&mut self, id: TicketId) -> bool {
-        let taken = self.waiting.drain_where(|ticket| ticket.id == id);
-        self.waiting_tasks -= taken.iter().map(|ticket| ticket.tasks).sum::<usize>();
-        !taken.is_empty()
+        let removed = self.waiting.drain_where(|ticket| ticket.id == id);
+        self.waiting_tasks -= removed.iter().map(|ticket| ticket.tasks).sum::<usize>();
+        !removed.is_empty()
     }
 
     /// Divides all slots by weight among the flows with active or queued tasks.
@@ -135,7 +135,7 @@
             .iter()
             .map(|(flow, active)| (flow.clone(), active.weight))
             .collect();
-        for flow in self.waiting.waiting_flows() {
+        for flow in self.waiting.backlogged_flows() {
             let weight = self.weights.get(flow).copied().unwrap_or(1.0);
             weights.insert(flow.clone(), weight);
         }
--- a/crates/claims/cloverfold_claims_core/src/cell.rs
+++ b/crates/claims/cloverfold_claims_core/src/cell.rs
@@ -94,17 +94,17 @@
 }
 
 fn choose_next_member<'a>(ranked: &[&'a Location], chosen: &[&Location]) -> Option<&'a Location> {
-    let is_free = |one: &Location| chosen.iter().all(|other| other.guard != one.guard);
+    let is_free = |next: &Location| chosen.iter().all(|other| other.guard != next.guard);
     let in_new_data_hall =
-        |one: &Location| chosen.iter().all(|other| other.data_hall != one.data_hall);
-    let in_new_rack = |one: &Location| {
+        |next: &Location| chosen.iter().all(|other| other.data_hall != next.data_hall);
+    let in_new_rack = |next: &Location| {
         let shares_rack =
-            |other: &&Location| other.data_hall == one.data_hall && other.rack == one.rack;
+            |other: &&Location| other.data_hall == next.data_hall && other.rack == next.rack;
         !chosen.iter().any(shares_rack)
     };
-    let find = |wanted: &dyn Fn(&Location) -> bool| {
+    let find = |is_preferred: &dyn Fn(&Location) -> bool| {
         let mut candidates = ranked.iter().copied();
-        candidates.find(|one| is_free(one) && wanted(one))
+        candidates.find(|next| is_free(next) && is_preferred(next))
     };
     find(&in_new_data_hall)
         .or_else(|| find(&in_new_rack))
--- a/crates/claims/cloverfold_claims_core/src/claim_records.rs
+++ b/crates/claims/cloverfold_claims_core/src/claim_records.rs
@@ -75,13 +75,13 @@
         req: ClaimRequest,
         now: UnixTime,
     ) -> ClaimReply {
-        let held = self.by_key.get(&submission.key);
-        let is_new = held.is_none() && req != ClaimRequest::Read;
+        let known = self.by_key.get(&submission.key);
+        let is_new = known.is_none() && req != ClaimRequest::Read;
         if is_new && now >= submission.submitted_at + self.record_retention.retention {
             return ClaimReply::Expired;
         }
         match req {
-            ClaimRequest::Read => ClaimReply::Value(held.and_then(|one| one.accepted.clone())),
+            ClaimRequest::Read => ClaimReply::Value(known.and_then(|known| known.accepted.clone())),
             ClaimRequest::Prepare(ballot) => self.promise(submission, ballot),
             ClaimRequest::Accept(accepted) => self.accept(submission, accepted),
         }
@@ -126,38 +126,38 @@
         }
     }
 
-    /// Returns up to `limit` records after a key whose keys match `is_wanted`, and whether more follow.
+    /// Returns up to `limit` records after a key whose keys match `filter`, and whether more follow.
     pub(crate) fn list_page(
         &self,
         after: Option<SubmissionKey>,
         limit: usize,
-        is_wanted: impl Fn(&SubmissionKey) -> bool,
+        filter: impl Fn(&SubmissionKey) -> bool,
     ) -> (Vec<(SubmissionKey, ReplicaRecord)>, bool) {
         let lower = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let mut wanted = self
+        let mut matching = self
             .by_key
             .range((lower, Bound::Unbounded))
-            .filter(|(key, _)| is_wanted(key));
-        let page = wanted
+            .filter(|(key, _)| filter(key));
+        let page = matching
             .by_ref()
             .take(limit)
             .map(|(key, record)| (*key, record.clone()))
             .collect();
-        let has_more = wanted.next().is_some();
+        let has_more = matching.next().is_some();
         (page, has_more)
     }
 
     /// Merges a record of another replica; the larger ballot wins.
     pub(crate) fn merge(&mut self, key: SubmissionKey, record: ReplicaRecord) {
-        let held = self.by_key.entry(key).or_insert_with(|| record.clone());
-        held.promised = held.promised.max(record.promised);
-        let is_newer = match (&held.accepted, &record.accepted) {
+        let existing = self.by_key.entry(key).or_insert_with(|| record.clone());
+        existing.promised = existing.promised.max(record.promised);
+        let is_newer = match (&existing.accepted, &record.accepted) {
             (Some(own), Some(other)) => other.ballot > own.ballot,
             (None, Some(_)) => true,
             _ => false,
         };
         if is_newer {
-            held.accepted = record.accepted;
+            existing.accepted = record.accepted;
         }
     }
 
--- a/crates/claims/cloverfold_claims_core/src/fair_queue.rs
+++ b/crates/claims/cloverfold_claims_core/src/fair_queue.rs
@@ -80,49 +80,52 @@
 
     /// Removes the next item in fair order.
     pub fn pop(&mut self) -> Option<T> {
-        let flow = self.order_waiting_flows().into_iter().next()?;
+        let flow = self.sort_backlogged_flows().into_iter().next()?;
         self.pop_from(&flow)
     }
 
     /// Returns the item that [`FairQueue::pop`] would remove, with its flow.
     pub fn peek(&self) -> Option<(Flow, &T)> {
-        let flow = self.order_waiting_flows().into_iter().next()?;
+        let flow = self.sort_backlogged_flows().into_iter().next()?;
         let first = self.flows.get(&flow)?.items.front()?;
         Some((flow, &first.item))
     }
 
-    /// Removes the next item in fair order among the flows' first items that match `is_wanted`.
-    pub fn pop_where(&mut self, is_wanted: impl Fn(&Flow, &T) -> bool) -> Option<T> {
-        let is_wanted_flow = |flow: &Flow| {
+    /// Removes the next item in fair order among the flows' first items that match `predicate`.
+    pub fn pop_where(&mut self, predicate: impl Fn(&Flow, &T) -> bool) -> Option<T> {
+        let has_match = |flow: &Flow| {
             let first = self.flows.get(flow).and_then(|state| state.items.front());
-            first.is_some_and(|first| is_wanted(flow, &first.item))
+            first.is_some_and(|first| predicate(flow, &first.item))
         };
-        let flow = self
-            .order_waiting_flows()
-            .into_iter()
-            .find(is_wanted_flow)?;
+        let flow = self.sort_backlogged_flows().into_iter().find(has_match)?;
         self.pop_from(&flow)
     }
 
     /// Returns the flows that have queued items.
-    pub fn waiting_flows(&self) -> impl Iterator<Item = &Flow> {
-        let waiting = self.flows.iter().filter(|(_, one)| !one.items.is_empty());
-        waiting.map(|(flow, _)| flow)
+    pub fn backlogged_flows(&self) -> impl Iterator<Item = &Flow> {
+        let backlogged = self
+            .flows
+            .iter()
+            .filter(|(_, state)| !state.items.is_empty());
+        backlogged.map(|(flow, _)| flow)
     }
 
-    fn order_waiting_flows(&self) -> Vec<Flow> {
-        let mut waiting: Vec<_> = self
+    fn sort_backlogged_flows(&self) -> Vec<Flow> {
+        let mut backlogged: Vec<_> = self
             .flows
             .iter()
-            .filter(|(_, one)| !one.items.is_empty())
+            .filter(|(_, state)| !state.items.is_empty())
             .collect();
         // Ties are broken by name, so that the order is deterministic.
-        waiting.sort_by(|(a_flow, a), (b_flow, b)| {
+        backlogged.sort_by(|(a_flow, a), (b_flow, b)| {
             a.next_tag
                 .total_cmp(&b.next_tag)
                 .then_with(|| a_flow.cmp(b_flow))
         });
-        waiting.into_iter().map(|(flow, _)| flow.clone()).collect()
+        backlogged
+            .into_iter()
+            .map(|(flow, _)| flow.clone())
+            .collect()
     }
 
     fn pop_from(&mut self, flow: &Flow) -> Option<T> {
@@ -135,18 +138,18 @@
         Some(first.item)
     }
 
-    /// Removes every item that matches `is_wanted`.
-    pub fn drain_where(&mut self, mut is_wanted: impl FnMut(&T) -> bool) -> Vec<T> {
-        let mut taken = Vec::new();
+    /// Removes every item that matches `predicate`.
+    pub fn drain_where(&mut self, mut predicate: impl FnMut(&T) -> bool) -> Vec<T> {
+        let mut drained = Vec::new();
         for state in self.flows.values_mut() {
-            let (out, kept): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut state.items)
+            let (matching, rest): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut state.items)
                 .into_iter()
-                .partition(|queued| is_wanted(&queued.item));
-            state.items = kept;
-            taken.extend(out.into_iter().map(|queued| queued.item));
+                .partition(|queued| predicate(&queued.item));
+            state.items = rest;
+            drained.extend(matching.into_iter().map(|queued| queued.item));
         }
-        self.len -= taken.len();
-        taken
+        self.len -= drained.len();
+        drained
     }
 
     fn drop_idle_flows(&mut self) {
--- a/crates/claims/cloverfold_claims_core/src/fence.rs
+++ b/crates/claims/cloverfold_claims_core/src/fence.rs
@@ -119,7 +119,7 @@
 
 /// Expiry time of the result of a task.
 #[derive(Clone, Copy, Debug)]
-struct KeptResult {
+struct ResultExpiry {
     id: TaskId,
     until: UnixTime,
 }
@@ -129,11 +129,11 @@
 pub struct Fence<P> {
     incarnation: Incarnation,
     limits: FenceLimits,
-    is_leaving: bool,
+    is_draining: bool,
     running: usize,
     queue: FairQueue<QueuedTask<P>>,
     entries: HashMap<TaskId, Entry>,
-    results: VecDeque<KeptResult>,
+    results: VecDeque<ResultExpiry>,
 }
 
 impl<P> Fence<P> {
@@ -142,7 +142,7 @@
         Self {
             incarnation,
             limits,
-            is_leaving: false,
+            is_draining: false,
             running: 0,
             queue: FairQueue::default(),
             entries: HashMap::new(),
@@ -198,12 +198,12 @@
 
     /// Returns whether a new task would start without waiting.
     pub fn can_start_now(&self) -> bool {
-        !self.is_leaving && self.running + self.queue.len() < self.limits.slots
+        !self.is_draining && self.running + self.queue.len() < self.limits.slots
     }
 
     /// Returns the reason to refuse a task, if there is one.
     fn refusal_reason(&self, task: &QueuedTask<P>, now: UnixTime) -> Option<ReasonCode> {
-        if self.is_leaving {
+        if self.is_draining {
             Some(ReasonCode::Leaving)
         } else if now >= task.deadline {
             Some(ReasonCode::DeadlinePassed)
@@ -226,7 +226,7 @@
         now: UnixTime,
         returned: &mut Vec<TaskId>,
     ) -> Option<QueuedTask<P>> {
-        while self.running < self.limits.slots && !self.is_leaving {
+        while self.running < self.limits.slots && !self.is_draining {
             let task = self.queue.pop()?;
             if now < task.deadline {
                 self.set_state(&task.id, TaskState::Running);
@@ -262,7 +262,7 @@
         }
         entry.state = TaskState::Ended(end);
         let until = now + self.limits.answer_retention;
-        self.results.push_back(KeptResult { id: *id, until });
+        self.results.push_back(ResultExpiry { id: *id, until });
     }
 
     /// Releases a task that has not started to a new placement, or abandons it with `None`.
@@ -299,26 +299,26 @@
 
     /// Stops starting tasks; removes and returns all queued tasks.
     pub fn begin_drain(&mut self) -> Vec<TaskId> {
-        self.is_leaving = true;
-        let waiting = self.queue.drain_where(|_| true);
-        for task in &waiting {
+        self.is_draining = true;
+        let queued = self.queue.drain_where(|_| true);
+        for task in &queued {
             self.entries.remove(&task.id);
         }
-        waiting.into_iter().map(|task| task.id).collect()
+        queued.into_iter().map(|task| task.id).collect()
     }
 
     /// Drops expired results and entries; the task of a dropped result stays fenced until its entry expires.
     pub fn drop_expired(&mut self, now: UnixTime) {
-        while let Some(kept) = self.results.pop_front_if(|kept| kept.until <= now) {
+        while let Some(expiry) = self.results.pop_front_if(|expiry| expiry.until <= now) {
             let dropped = TaskEnd::Failed {
                 reason: ReasonCode::AnswerDropped,
                 detail: "the task ran, but its answer is no longer kept".into(),
             };
-            self.set_state(&kept.id, TaskState::Ended(dropped));
+            self.set_state(&expiry.id, TaskState::Ended(dropped));
         }
         self.entries.retain(|_, entry| {
-            let is_over = matches!(entry.state, TaskState::Ended(_));
-            !is_over || now < entry.keep_until
+            let has_ended = matches!(entry.state, TaskState::Ended(_));
+            !has_ended || now < entry.keep_until
         });
     }
 }
--- a/crates/claims/cloverfold_claims_core/src/guard_table.rs
+++ b/crates/claims/cloverfold_claims_core/src/guard_table.rs
@@ -73,18 +73,18 @@
     /// Records a report, unless it is not newer than the known one; returns whether the guard has restarted.
     pub fn record_report(&mut self, report: GuardReport, now: Duration) -> bool {
         let guard = report.placement.guard;
-        let held = self.guards.get(&guard);
-        if held.is_some_and(|held| held.report.order() >= report.order()) {
+        let last = self.guards.get(&guard);
+        if last.is_some_and(|last| last.report.order() >= report.order()) {
             return false;
         }
         let is_new_incarnation =
-            |held: &KnownGuard| held.report.placement.incarnation != report.placement.incarnation;
-        let has_restarted = held.is_some_and(is_new_incarnation);
+            |last: &KnownGuard| last.report.placement.incarnation != report.placement.incarnation;
+        let has_restarted = last.is_some_and(is_new_incarnation);
         let reported_at = now.saturating_sub(report.age);
         // A report from before the suspicion that arrives late does not prove that the guard is reachable.
-        let suspected_at = held
+        let suspected_at = last
             .filter(|_| !has_restarted)
-            .and_then(|held| held.suspected_at)
+            .and_then(|last| last.suspected_at)
             .filter(|suspected_at| reported_at <= *suspected_at);
         let load = report.running + report.queued;
         let known = KnownGuard {
@@ -137,10 +137,10 @@
         count: usize,
         now: Duration,
         report_timeout: Duration,
-        draw: impl FnMut(usize) -> usize,
+        random_below: impl FnMut(usize) -> usize,
     ) -> Vec<Placement> {
         let mut candidates = self.list_candidates(now, report_timeout);
-        let chosen = choose_placements(policy, &mut candidates, count, draw);
+        let chosen = choose_placements(policy, &mut candidates, count, random_below);
         let places: Vec<Placement> = chosen
             .into_iter()
             .map(|index| candidates[index].placement)
@@ -168,7 +168,9 @@
     ) -> Option<GuardId> {
         let usable = self.list_candidates(now, report_timeout);
         let can_lead = |guard: &GuardId| {
-            let is_usable = usable.iter().any(|one| one.placement.guard == *guard);
+            let is_usable = usable
+                .iter()
+                .any(|candidate| candidate.placement.guard == *guard);
             is_usable && self.report_of(*guard).is_some_and(|report| report.is_whole)
         };
         order.iter().copied().find(can_lead)
@@ -192,11 +194,11 @@
                 && guard.suspected_at.is_none()
                 && now.saturating_sub(guard.reported_at) <= report_timeout
         });
-        let describe = |guard: &KnownGuard| Candidate {
+        let to_candidate = |guard: &KnownGuard| Candidate {
             placement: guard.report.placement,
             load: self.in_flight_at(guard.report.placement.guard) + guard.load_of_others,
             slots: guard.report.slots,
         };
-        usable.map(describe).collect()
+        usable.map(to_candidate).collect()
     }
 }
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -81,7 +81,7 @@
                 self.handle_release_result(task, verdict, context, actions);
             }
             JobEvent::PlacementLost { place, .. } => {
-                let detail = lost_detail(place);
+                let detail = guard_lost_detail(place);
                 self.retry_or_fail(task, ReasonCode::GuardLost, &detail, context, actions);
             }
         }
@@ -106,7 +106,7 @@
                 self.retry_or_fail(task, reason, &detail, context, actions);
             }
             TaskEnd::Returned(reason) => self.move_or_fail(task, reason, context, actions),
-            TaskEnd::Released(place) => self.follow_release(task, place, actions),
+            TaskEnd::Released(place) => self.handle_released(task, place, actions),
         }
     }
 
@@ -119,7 +119,7 @@
     ) {
         let place = self.task_mut(task).place;
         match verdict {
-            ReleaseResult::Released(to) => self.follow_release(task, to, actions),
+            ReleaseResult::Released(to) => self.handle_released(task, to, actions),
             ReleaseResult::Started if self.failure.is_some() => {
                 self.task_mut(task).status = TaskStatus::Lost;
             }
@@ -129,14 +129,14 @@
                 actions.push(progress.assign(task));
             }
             ReleaseResult::WrongIncarnation(_) => {
-                let detail = lost_detail(place);
+                let detail = guard_lost_detail(place);
                 self.retry_or_fail(task, ReasonCode::GuardLost, &detail, context, actions);
             }
         }
     }
 
     /// Assigns a released task to its next placement.
-    fn follow_release(
+    fn handle_released(
         &mut self,
         task: TaskIndex,
         to: Option<Placement>,
@@ -149,7 +149,7 @@
             self.fail_job(ReasonCode::SiblingFailed, "the job was given up", actions);
             return;
         };
-        if progress.has_visited(place) {
+        if progress.was_placed_at(place) {
             // Every placement since then has released the task to the next one, so none will ever start it.
             progress.status = TaskStatus::NeverStarted;
             self.fail_job(ReasonCode::Unavailable, "no place kept a task", actions);
@@ -177,7 +177,9 @@
         let place = progress.place;
         progress.status = TaskStatus::Releasing;
         let can_move = reason != ReasonCode::DeadlinePassed;
-        let to = progress.choose_next(&context.places).filter(|_| can_move);
+        let to = progress
+            .choose_next_placement(&context.places)
+            .filter(|_| can_move);
         if to.is_none() || self.failure.is_some() {
             self.task_mut(task).status = TaskStatus::Assigned;
             self.fail_job(reason, "a task could not be placed", actions);
@@ -196,7 +198,7 @@
         actions: &mut Vec<JobAction>,
     ) {
         if self.can_retry(reason)
-            && let Some(place) = self.task_mut(task).choose_next(&context.places)
+            && let Some(place) = self.task_mut(task).choose_next_placement(&context.places)
             && (context.take_retry)()
         {
             let progress = self.task_mut(task);
@@ -274,7 +276,7 @@
     }
 }
 
-fn lost_detail(place: Placement) -> String {
+fn guard_lost_detail(place: Placement) -> String {
     format!(
         "guard-{} was lost with a task that may have started",
         place.guard
--- a/crates/claims/cloverfold_claims_core/src/placement_policy.rs
+++ b/crates/claims/cloverfold_claims_core/src/placement_policy.rs
@@ -34,28 +34,28 @@
 
 /// Places `count` tasks in sequence, adding each to the load of its guard before it places the next.
 ///
-/// `draw(n)` returns a number below `n`. Returns the index of each task's candidate, or an empty list when there is
-/// no candidate.
+/// `random_below(n)` returns a number below `n`. Returns the index of each task's candidate, or an empty list when there
+/// is no candidate.
 pub fn choose_placements(
     policy: PlacementPolicy,
     candidates: &mut [Candidate],
     count: usize,
-    mut draw: impl FnMut(usize) -> usize,
+    mut random_below: impl FnMut(usize) -> usize,
 ) -> Vec<usize> {
     if candidates.is_empty() {
         return Vec::new();
     }
-    let first = draw(candidates.len());
+    let first = random_below(candidates.len());
     let mut chosen = Vec::with_capacity(count);
-    for turn in 0..count {
+    for task in 0..count {
         let index = match policy {
-            PlacementPolicy::Random => draw(candidates.len()),
-            PlacementPolicy::RoundRobin => (first + turn) % candidates.len(),
-            PlacementPolicy::TwoChoices => choose_of_two(candidates, &mut draw),
-            PlacementPolicy::LeastLoaded => choose_least_loaded(candidates, &mut draw),
+            PlacementPolicy::Random => random_below(candidates.len()),
+            PlacementPolicy::RoundRobin => (first + task) % candidates.len(),
+            PlacementPolicy::TwoChoices => choose_less_loaded_of_two(candidates, &mut random_below),
+            PlacementPolicy::LeastLoaded => choose_least_loaded(candidates, &mut random_below),
             PlacementPolicy::Packed => match chosen.last() {
                 Some(last) if has_free_slot(&candidates[*last]) => *last,
-                _ => choose_least_loaded(candidates, &mut draw),
+                _ => choose_least_loaded(candidates, &mut random_below),
             },
         };
         candidates[index].load += 1;
@@ -71,28 +71,28 @@
 pub fn choose_free_placement(
     candidates: &mut [Candidate],
     avoid: &[GuardId],
-    draw: impl FnOnce(usize) -> usize,
+    random_below: impl FnOnce(usize) -> usize,
 ) -> Option<Placement> {
-    let count_free = |one: &Candidate| {
-        let is_avoided = avoid.contains(&one.placement.guard);
+    let count_free = |candidate: &Candidate| {
+        let is_avoided = avoid.contains(&candidate.placement.guard);
         if is_avoided {
             0
         } else {
-            one.slots.saturating_sub(one.load) as usize
+            candidate.slots.saturating_sub(candidate.load) as usize
         }
     };
     let total: usize = candidates.iter().map(count_free).sum();
     if total == 0 {
         return None;
     }
-    let mut place = draw(total);
+    let mut position = random_below(total);
     for candidate in candidates {
         let free = count_free(candidate);
-        if place < free {
+        if position < free {
             candidate.load += 1;
             return Some(candidate.placement);
         }
-        place -= free;
+        position -= free;
     }
     None
 }
@@ -100,13 +100,16 @@
 /// Orders candidates by load per slot; ties are broken at random.
 pub fn rank_by_load(
     candidates: &mut [Candidate],
-    mut draw: impl FnMut(usize) -> usize,
+    mut random_below: impl FnMut(usize) -> usize,
 ) -> Vec<Placement> {
     for index in (1..candidates.len()).rev() {
-        candidates.swap(index, draw(index + 1));
+        candidates.swap(index, random_below(index + 1));
     }
     candidates.sort_by(compare_load);
-    candidates.iter().map(|one| one.placement).collect()
+    candidates
+        .iter()
+        .map(|candidate| candidate.placement)
+        .collect()
 }
 
 /// Compares the load per slot without a division.
@@ -120,9 +123,12 @@
     candidate.load < candidate.slots
 }
 
-fn choose_of_two(candidates: &[Candidate], draw: &mut impl FnMut(usize) -> usize) -> usize {
-    let first = draw(candidates.len());
-    let second = draw(candidates.len());
+fn choose_less_loaded_of_two(
+    candidates: &[Candidate],
+    random_below: &mut impl FnMut(usize) -> usize,
+) -> usize {
+    let first = random_below(candidates.len());
+    let second = random_below(candidates.len());
     if compare_load(&candidates[second], &candidates[first]).is_lt() {
         second
     } else {
@@ -130,10 +136,13 @@
     }
 }
 
-fn choose_least_loaded(candidates: &[Candidate], draw: &mut impl FnMut(usize) -> usize) -> usize {
+fn choose_least_loaded(
+    candidates: &[Candidate],
+    random_below: &mut impl FnMut(usize) -> usize,
+) -> usize {
     // A random start breaks ties evenly.
-    let start = draw(candidates.len());
-    let in_turn = (0..candidates.len()).map(|step| (start + step) % candidates.len());
-    let least = in_turn.min_by(|a, b| compare_load(&candidates[*a], &candidates[*b]));
+    let start = random_below(candidates.len());
+    let rotated = (0..candidates.len()).map(|step| (start + step) % candidates.len());
+    let least = rotated.min_by(|a, b| compare_load(&candidates[*a], &candidates[*b]));
     least.unwrap_or(start)
 }
--- a/crates/claims/cloverfold_claims_core/src/proposer.rs
+++ b/crates/claims/cloverfold_claims_core/src/proposer.rs
@@ -108,8 +108,8 @@
     }
 
     fn count_vote(&mut self, reply: ReplicaReply) -> ProposerStep {
-        let held = self.replies.get(&reply.from.guard);
-        if held.is_none_or(|held| held.from.incarnation <= reply.from.incarnation) {
+        let earlier = self.replies.get(&reply.from.guard);
+        if earlier.is_none_or(|earlier| earlier.from.incarnation <= reply.from.incarnation) {
             self.replies.insert(reply.from.guard, reply);
         }
         let valid = list_current_replies(&self.replies);
--- a/crates/claims/cloverfold_claims_core/src/replica.rs
+++ b/crates/claims/cloverfold_claims_core/src/replica.rs
@@ -89,8 +89,10 @@
     /// Marks the records as complete if this incarnation is one of those with which the operator bootstraps the cell.
     ///
     /// Returns whether the records are complete afterwards.
-    pub fn bootstrap(&mut self, first: &[Placement]) -> bool {
-        if first.contains(&self.own) && self.known.newest(self.own.guard) == self.own.incarnation {
+    pub fn bootstrap(&mut self, first_incarnations: &[Placement]) -> bool {
+        if first_incarnations.contains(&self.own)
+            && self.known.newest(self.own.guard) == self.own.incarnation
+        {
             self.recovery_state = RecoveryState::Whole;
         }
         self.recovery_state == RecoveryState::Whole
@@ -111,7 +113,7 @@
         }
         let covers = |member: &&GuardId| {
             let source = self.sources.get(*member);
-            source.is_some_and(|standing| standing.covers_group(**member, group))
+            source.is_some_and(|state| state.covers_group(**member, group))
         };
         group.iter().filter(covers).count() >= count_needed_sources(group.len())
     }
@@ -163,17 +165,17 @@
     /// the copy does not include.
     pub fn serve_page(
         &mut self,
-        asking: Placement,
+        requester: Placement,
         after: Option<SubmissionKey>,
         limit: usize,
         cell: &Cell,
     ) -> RecoveryPage {
-        self.known.record(asking.guard, asking.incarnation);
+        self.known.record(requester.guard, requester.incarnation);
         let is_shared =
-            |key: &SubmissionKey| cell.choose_replica_group(key).contains(&asking.guard);
+            |key: &SubmissionKey| cell.choose_replica_group(key).contains(&requester.guard);
         let (records, has_more) = self.records.list_page(after, limit, is_shared);
         RecoveryPage {
-            known_incarnation: self.known.newest(asking.guard),
+            known_incarnation: self.known.newest(requester.guard),
             standing: self.recovery_state.clone(),
             records,
             has_more,
--- a/crates/claims/cloverfold_claims_core/src/retry_budget.rs
+++ b/crates/claims/cloverfold_claims_core/src/retry_budget.rs
@@ -9,11 +9,11 @@
 }
 
 impl RetryBudget {
-    /// Builds a full budget of `capacity` retries that earns `share` retries per success.
-    pub fn new(share: f64, capacity: f64) -> Self {
+    /// Builds a full budget of `capacity` retries that earns `earned_per_success` retries per success.
+    pub fn new(earned_per_success: f64, capacity: f64) -> Self {
         Self {
             tokens: capacity,
-            earned_per_success: share,
+            earned_per_success,
             capacity,
         }
     }
--- a/crates/claims/cloverfold_claims_core/src/task_progress.rs
+++ b/crates/claims/cloverfold_claims_core/src/task_progress.rs
@@ -29,7 +29,7 @@
     pub(crate) place: Placement,
     pub(crate) status: TaskStatus,
     /// Earlier placements of the task.
-    previous_places: Vec<Placement>,
+    previous_placements: Vec<Placement>,
 }
 
 impl TaskProgress {
@@ -38,7 +38,7 @@
         Self {
             place,
             status: TaskStatus::Assigned,
-            previous_places: Vec::new(),
+            previous_placements: Vec::new(),
         }
     }
 
@@ -48,8 +48,8 @@
     }
 
     /// Returns whether a placement has or had the task.
-    pub(crate) fn has_visited(&self, place: Placement) -> bool {
-        self.place == place || self.previous_places.contains(&place)
+    pub(crate) fn was_placed_at(&self, place: Placement) -> bool {
+        self.place == place || self.previous_placements.contains(&place)
     }
 
     /// Returns the assignment to the current placement, which may forward the task while its moves are within the limit.
@@ -58,27 +58,27 @@
             task,
             place: self.place,
             previous_guards: self
-                .previous_places
+                .previous_placements
                 .iter()
-                .map(|place| place.guard)
+                .map(|placement| placement.guard)
                 .collect(),
-            may_pass_on: self.previous_places.len() < MAX_MOVES,
+            may_pass_on: self.previous_placements.len() < MAX_MOVES,
         }
     }
 
     /// Moves the task to a new placement.
     pub(crate) fn move_to(&mut self, place: Placement, status: TaskStatus) {
-        self.previous_places.push(self.place);
+        self.previous_placements.push(self.place);
         self.place = place;
         self.status = status;
     }
 
     /// Returns the first placement that has not had the task, or `None` after [`MAX_MOVES`] moves.
-    pub(crate) fn choose_next(&self, places: &[Placement]) -> Option<Placement> {
-        if self.previous_places.len() >= MAX_MOVES {
+    pub(crate) fn choose_next_placement(&self, places: &[Placement]) -> Option<Placement> {
+        if self.previous_placements.len() >= MAX_MOVES {
             return None;
         }
-        let is_new = |place: &&Placement| !self.has_visited(**place);
+        let is_new = |place: &&Placement| !self.was_placed_at(**place);
         places.iter().find(is_new).copied()
     }
 }
--- a/crates/claims/cloverfold_claims_core/tests/jobs.rs
+++ b/crates/claims/cloverfold_claims_core/tests/jobs.rs
@@ -27,7 +27,7 @@
 
 #[derive(Clone, Debug)]
 enum Action {
-    Drive,
+    AddDriver,
     Deliver(usize),
     Repeat(usize),
     Drop(usize),
@@ -98,7 +98,7 @@
 impl World {
     fn run(&mut self, action: &Action) {
         match action {
-            Action::Drive => self.drive(),
+            Action::AddDriver => self.add_driver(),
             Action::Deliver(number) => {
                 if let Some(index) = self.pick(*number) {
                     let packet = self.packets.swap_remove(index);
@@ -117,7 +117,7 @@
                 }
             }
             Action::Start(guard) => self.start(guard % GUARDS),
-            Action::Finish(guard, is_good) => self.finish(guard % GUARDS, *is_good),
+            Action::Finish(guard, is_success) => self.finish(guard % GUARDS, *is_success),
             Action::Crash(guard) => self.crash(guard % GUARDS),
             Action::Drain(guard) => self.drain(guard % GUARDS),
             Action::ReportLost(number) => self.report_lost(*number),
@@ -129,7 +129,7 @@
         (!self.packets.is_empty()).then(|| number % self.packets.len())
     }
 
-    fn drive(&mut self) {
+    fn add_driver(&mut self) {
         if self.drivers.len() >= 3 {
             return;
         }
@@ -260,11 +260,11 @@
         }
     }
 
-    fn finish(&mut self, guard: usize, is_good: bool) {
+    fn finish(&mut self, guard: usize, is_success: bool) {
         let Some(id) = self.running[guard].pop() else {
             return;
         };
-        let end = if is_good {
+        let end = if is_success {
             TaskEnd::Done(vec![id.index as u8])
         } else {
             let reason = ReasonCode::TargetFailed;
@@ -314,7 +314,7 @@
     }
 
     /// Delivers all packets and runs all tasks to completion.
-    fn settle(&mut self) {
+    fn run_to_completion(&mut self) {
         for round in 0..200 {
             while !self.packets.is_empty() {
                 self.run(&Action::Deliver(round));
@@ -329,13 +329,13 @@
 
 fn any_action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        1 => Just(Action::Drive),
+        1 => Just(Action::AddDriver),
         14 => any::<usize>().prop_map(Action::Deliver),
         2 => any::<usize>().prop_map(Action::Repeat),
         1 => any::<usize>().prop_map(Action::Drop),
         4 => (0..GUARDS).prop_map(Action::Start),
         3 => (0..GUARDS, prop::bool::weighted(0.9))
-            .prop_map(|(guard, is_good)| Action::Finish(guard, is_good)),
+            .prop_map(|(guard, is_success)| Action::Finish(guard, is_success)),
         1 => (0..GUARDS).prop_map(Action::Crash),
         1 => (0..GUARDS).prop_map(Action::Drain),
         1 => any::<usize>().prop_map(Action::ReportLost),
@@ -361,12 +361,12 @@
         actions in prop::collection::vec(any_action(), 1..140),
     ) {
         let mut world = make_world();
-        world.drive();
+        world.add_driver();
 
         for action in &actions {
             world.run(action);
         }
-        world.settle();
+        world.run_to_completion();
 
         for (task, count) in &world.starts {
             prop_assert!(*count <= 1, "task {} started {} times", task, count);
@@ -389,13 +389,13 @@
     #[test]
     fn a_job_without_faults_completes(order in prop::collection::vec(any::<usize>(), 0..60)) {
         let mut world = make_world();
-        world.drive();
+        world.add_driver();
 
         for number in order {
             world.run(&Action::Deliver(number));
             world.run(&Action::Start(number));
         }
-        world.settle();
+        world.run_to_completion();
 
         let is_complete = matches!(world.answers[0].as_slice(), [Outcome::Complete { .. }]);
         prop_assert!(is_complete, "{:?}", world.answers[0]);
@@ -408,9 +408,9 @@
     for guard in 0..GUARDS {
         world.drain(guard);
     }
-    world.drive();
+    world.add_driver();
 
-    world.settle();
+    world.run_to_completion();
 
     let is_refused = matches!(world.answers[0].as_slice(), [Outcome::NotRun { .. }]);
     assert!(is_refused, "{:?}", world.answers[0]);
--- a/crates/claims/cloverfold_claims_core/tests/queueing.rs
+++ b/crates/claims/cloverfold_claims_core/tests/queueing.rs
@@ -75,8 +75,8 @@
         let mut tasks = vec![0_f64; sizes.len()];
         while tasks.iter().sum::<f64>() < ADMITTED_TASKS as f64 {
             let ticket = admission.admit_next(capacity).expect("slots are free");
-            let workspace = (0..sizes.len()).find(|one| flow(*one) == ticket.flow);
-            let workspace = workspace.expect("the flow is one of ours");
+            let workspace = (0..sizes.len()).find(|index| flow(*index) == ticket.flow);
+            let workspace = workspace.expect("the flow is known");
             tasks[workspace] += ticket.tasks as f64;
             admission.record_ended(&ticket.flow, ticket.tasks);
             push(&mut admission, workspace);
@@ -136,7 +136,7 @@
     #[test]
     fn a_group_spreads_over_data_halls_and_changes_only_with_its_members(
         key in any::<[u8; 16]>(),
-        lost in 0..11_usize,
+        removed in 0..11_usize,
     ) {
         let place = |index: usize| Location {
             guard: index as u16,
@@ -145,7 +145,7 @@
         };
         let all: Vec<Location> = (0..11).map(place).collect();
         let mut fewer = all.clone();
-        fewer.remove(lost);
+        fewer.remove(removed);
 
         let group = Cell::new(all.clone(), 3).choose_replica_group(&key);
         let without = Cell::new(fewer, 3).choose_replica_group(&key);
@@ -154,7 +154,7 @@
         data_halls.sort();
         data_halls.dedup();
         prop_assert_eq!(data_halls.len(), 3);
-        if !group.contains(&(lost as u16)) {
+        if !group.contains(&(removed as u16)) {
             prop_assert_eq!(group, without);
         }
     }
@@ -187,17 +187,17 @@
     }
 
     #[test]
-    fn retries_stay_within_the_budget(successes in 0..500_u32, wanted in 0..500_u32) {
+    fn retries_stay_within_the_budget(successes in 0..500_u32, attempts in 0..500_u32) {
         const SHARE: f64 = 0.1;
         const CAPACITY: f64 = 20.0;
         let mut budget = RetryBudget::new(SHARE, CAPACITY);
 
         let mut retries = 0;
-        for turn in 0..successes.max(wanted) {
+        for turn in 0..successes.max(attempts) {
             if turn < successes {
                 budget.record_success();
             }
-            if turn < wanted && budget.take_retry() {
+            if turn < attempts && budget.take_retry() {
                 retries += 1;
             }
         }
