--- a/crates/claims/cloverfold_claim/src/bootstrap.rs
+++ b/crates/claims/cloverfold_claim/src/bootstrap.rs
@@ -29,7 +29,7 @@
         "the cell was founded before ({0} is whole); a restarted guard recovers by itself, and after \
          the loss of a majority the cell serves again when the retention has passed"
     )]
-    FoundedBefore(String),
+    AlreadyBootstrapped(String),
     /// A guard restarted during the bootstrap.
     #[error("{0} restarted meanwhile and will recover by itself from the others")]
     Restarted(String),
@@ -48,7 +48,7 @@
     let reports = read_recovery_states(network, guards).await?;
     for (guard, report) in guards.iter().zip(&reports) {
         if report.standing == RecoveryState::Whole {
-            return Err(BootstrapError::FoundedBefore(guard.name.clone()));
+            return Err(BootstrapError::AlreadyBootstrapped(guard.name.clone()));
         }
     }
     let incarnations: Vec<_> = reports.iter().map(|report| report.own).collect();
--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -84,19 +84,23 @@
     ///
     /// Returns [`ClaimError::Expired`] if the key is past its retention, and [`ClaimError::NoQuorum`] if no majority
     /// answered in time; the claim may be chosen nevertheless.
-    pub async fn agree(&self, submission: Submission, wanted: Claim) -> Result<Claim, ClaimError> {
+    pub async fn agree(
+        &self,
+        submission: Submission,
+        proposed: Claim,
+    ) -> Result<Claim, ClaimError> {
         let group = self.group_of(&submission.key);
-        let mut proposer = self.first_proposer(&submission, &group, &wanted).await;
+        let mut proposer = self.first_proposer(&submission, &group, &proposed).await;
         let mut round = 1;
         for attempt in 0..MAX_ATTEMPTS {
-            match self.run_attempt(submission, &group, proposer).await {
+            match self.run_proposal(submission, &group, proposer).await {
                 ProposalEnd::Chosen(claim) => return Ok(claim),
                 ProposalEnd::Expired => return Err(ClaimError::Expired),
                 ProposalEnd::Preempted { round: next } => round = round.max(next),
                 ProposalEnd::NoQuorum => {}
             }
-            sleep(draw_backoff(attempt)).await;
-            proposer = self.prepared_proposer(&group, round, wanted.clone());
+            sleep(random_backoff(attempt)).await;
+            proposer = self.prepared_proposer(&group, round, proposed.clone());
             round += 1;
         }
         Err(ClaimError::NoQuorum)
@@ -130,22 +134,22 @@
         &self,
         submission: &Submission,
         group: &[GuardId],
-        wanted: &Claim,
+        proposed: &Claim,
     ) -> Proposer {
         let fast = {
-            let (submission, group, claim) = (*submission, group.to_vec(), wanted.clone());
+            let (submission, group, claim) = (*submission, group.to_vec(), proposed.clone());
             let (attempt, now) = (self.next_attempt(), unix_now());
             let propose = move |replica: &mut ClaimReplica| {
                 replica.propose_fast(&submission, &group, attempt, claim, now)
             };
             self.inner.replica.with(propose).await
         };
-        fast.unwrap_or_else(|| self.prepared_proposer(group, 1, wanted.clone()))
+        fast.unwrap_or_else(|| self.prepared_proposer(group, 1, proposed.clone()))
     }
 
-    fn prepared_proposer(&self, group: &[GuardId], round: u32, wanted: Claim) -> Proposer {
+    fn prepared_proposer(&self, group: &[GuardId], round: u32, proposed: Claim) -> Proposer {
         let attempt = self.next_attempt();
-        Proposer::with_prepare_phase(group.to_vec(), self.inner.own, round, attempt, wanted)
+        Proposer::with_prepare_phase(group.to_vec(), self.inner.own, round, attempt, proposed)
     }
 
     fn next_attempt(&self) -> u64 {
@@ -153,7 +157,7 @@
     }
 
     /// Runs the phases of one proposal.
-    async fn run_attempt(
+    async fn run_proposal(
         &self,
         submission: Submission,
         group: &[GuardId],
@@ -246,7 +250,7 @@
 }
 
 /// Returns the random backoff after an attempt, counted from 0.
-fn draw_backoff(attempt: u32) -> Duration {
+fn random_backoff(attempt: u32) -> Duration {
     let ceiling = BACKOFF_BASE.as_millis() as u64 * (1 << attempt.min(MAX_DOUBLINGS));
     MIN_BACKOFF + Duration::from_millis(random_u64() % ceiling)
 }
--- a/crates/claims/cloverfold_claim/src/lib.rs
+++ b/crates/claims/cloverfold_claim/src/lib.rs
@@ -6,9 +6,9 @@
 //!
 //! ```no_run
 //! # async fn show(claims: cloverfold_claim::Claims, submission: cloverfold_claims_core::Submission,
-//! #     wanted: cloverfold_claims_core::Claim) -> Result<(), cloverfold_claim::ClaimError> {
-//! let agreed = claims.agree(submission, wanted).await?;
-//! println!("{} tasks are placed", agreed.tasks.len());
+//! #     proposed: cloverfold_claims_core::Claim) -> Result<(), cloverfold_claim::ClaimError> {
+//! let chosen = claims.agree(submission, proposed).await?;
+//! println!("{} tasks are placed", chosen.tasks.len());
 //! # Ok(())
 //! # }
 //! ```
--- a/crates/claims/cloverfold_claim/src/plugin.rs
+++ b/crates/claims/cloverfold_claim/src/plugin.rs
@@ -45,8 +45,8 @@
         };
         app.insert_resource(claims.clone());
         register_handlers(app, &claims);
-        register_operators_handlers(app, &claims);
-        register_state(app, &claims)?;
+        register_operator_handlers(app, &claims);
+        register_readiness(app, &claims)?;
         app.add_task(claims.clone().recover(app.lifecycle()));
         app.add_task(claims.purge());
         Ok(())
@@ -76,7 +76,7 @@
         });
 }
 
-fn register_operators_handlers(app: &mut App, claims: &Claims) {
+fn register_operator_handlers(app: &mut App, claims: &Claims) {
     let served = claims.clone();
     app.router().register(
         &[PeerRole::Operator],
@@ -111,7 +111,7 @@
 }
 
 /// Registers the readiness check and the gauge, and the task that updates them.
-fn register_state(app: &mut App, claims: &Claims) -> Result<(), BuildError> {
+fn register_readiness(app: &mut App, claims: &Claims) -> Result<(), BuildError> {
     let local_state = app.resource::<LocalState>()?;
     let records = Gauge::<i64>::default();
     app.registry().register(
--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -105,7 +105,7 @@
                 // Peers ignore the votes of an incarnation older than the newest one they know.
                 log::error!(
                     guard = self.inner.own.guard;
-                    "peers know a later incarnation of this guard because its clock went back; restart it later"
+                    "peers know a newer incarnation of this guard because its clock went backwards; restart it once the clock has caught up"
                 );
                 return Ok(());
             }
--- a/crates/claims/cloverfold_coordinate/src/admitter.rs
+++ b/crates/claims/cloverfold_coordinate/src/admitter.rs
@@ -69,7 +69,7 @@
     queue: ThreadState<JobQueue>,
     membership: Membership,
     policy: PlacementPolicy,
-    arrived: Arc<Notify>,
+    job_queued: Arc<Notify>,
     /// Number of queued jobs, so that an empty queue needs no call to the control thread.
     waiting: Arc<AtomicUsize>,
     next_ticket: Arc<AtomicU64>,
@@ -85,7 +85,7 @@
             queue,
             membership,
             policy,
-            arrived: Arc::default(),
+            job_queued: Arc::default(),
             waiting: Arc::default(),
             next_ticket: Arc::default(),
         }
@@ -111,7 +111,7 @@
             tasks,
         };
         let mut rx = self.push(ticket).await?;
-        self.arrived.notify_one();
+        self.job_queued.notify_one();
         let remaining = deadline.saturating_sub(unix_now());
         if let Ok(Ok(grant)) = timeout(remaining, &mut rx).await {
             return Ok(grant);
@@ -151,7 +151,7 @@
     pub(crate) async fn run(self) {
         loop {
             tokio::select! {
-                () = self.arrived.notified() => {}
+                () = self.job_queued.notified() => {}
                 () = self.membership.wait_for_change() => {}
                 () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -25,9 +25,9 @@
 /// Shortest backoff before a repeated assignment or release; up to as much is added at random.
 const BACKOFF: Duration = Duration::from_millis(60);
 
-/// Context that the assignments and releases of one job share.
+/// Sends the assignments and releases of one job, and reports their results as events.
 #[derive(Clone)]
-pub(crate) struct JobLink {
+pub(crate) struct TaskDispatch {
     /// Whether this guard leads the cell and therefore knows where slots are free.
     pub(crate) is_lead: bool,
     pub(crate) context: Arc<JobContext>,
@@ -57,18 +57,18 @@
     Broken(String),
 }
 
-impl JobLink {
+impl TaskDispatch {
     /// Assigns tasks to a placement and reports how each ends.
     pub(crate) async fn run_assignment(self, place: Placement, tasks: Vec<PlacedTask>) {
         let mut open: OpenTasks = tasks.into_iter().map(|task| (task.index, task)).collect();
-        let mut reached_at = Instant::now();
+        let mut last_reply_at = Instant::now();
         let mut is_first = true;
         while !open.is_empty() {
             if !is_first {
                 self.context.metrics.repeated_assigns.inc();
             }
             is_first = false;
-            let attempt = self.follow_assignment(place, &mut open, &mut reached_at);
+            let attempt = self.send_assignment(place, &mut open, &mut last_reply_at);
             let interruption = tokio::select! {
                 interruption = attempt => interruption,
                 () = self.context.membership.wait_for_restart(place) => Some(Interruption::Superseded),
@@ -81,10 +81,10 @@
                 Some(Interruption::Broken(cause)) => {
                     self.context.membership.suspect(place.guard);
                     log::debug!(guard = place.guard; "an assignment was interrupted: {cause}");
-                    if reached_at.elapsed() > UNREACHABLE_TIMEOUT {
+                    if last_reply_at.elapsed() > UNREACHABLE_TIMEOUT {
                         break;
                     }
-                    sleep(draw_backoff()).await;
+                    sleep(random_backoff()).await;
                 }
             }
         }
@@ -94,11 +94,11 @@
     }
 
     /// Sends the assignment once and reads its replies; returns `None` when every task has ended.
-    async fn follow_assignment(
+    async fn send_assignment(
         &self,
         place: Placement,
         open: &mut OpenTasks,
-        reached_at: &mut Instant,
+        last_reply_at: &mut Instant,
     ) -> Option<Interruption> {
         let assign = self.build_assign(place, open);
         let Some(address) = self.context.directory.address_of(place.guard) else {
@@ -121,7 +121,7 @@
                     reports,
                     guard_report,
                 })) => {
-                    *reached_at = Instant::now();
+                    *last_reply_at = Instant::now();
                     self.context.membership.record_reports(guard_report);
                     for report in reports {
                         open.remove(&report.index);
@@ -178,7 +178,7 @@
             to,
             keep_until: self.context.keep_until(&self.submit.submission),
         };
-        let since = Instant::now();
+        let started_at = Instant::now();
         let Some(address) = self.context.directory.address_of(place.guard) else {
             return self.send(JobEvent::PlacementLost { task, place }).await;
         };
@@ -197,10 +197,10 @@
                 }
                 Err(cause) => log::debug!(guard = place.guard; "a release failed: {cause}"),
             }
-            if since.elapsed() > UNREACHABLE_TIMEOUT {
+            if started_at.elapsed() > UNREACHABLE_TIMEOUT {
                 return self.send(JobEvent::PlacementLost { task, place }).await;
             }
-            sleep(draw_backoff()).await;
+            sleep(random_backoff()).await;
         }
     }
 }
@@ -209,6 +209,6 @@
     Interruption::Broken(cause.to_string())
 }
 
-fn draw_backoff() -> Duration {
+fn random_backoff() -> Duration {
     BACKOFF + Duration::from_millis(random_u64() % BACKOFF.as_millis() as u64)
 }
--- a/crates/claims/cloverfold_coordinate/src/coordinator.rs
+++ b/crates/claims/cloverfold_coordinate/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! Handles submissions and queries, and keeps the answers of jobs ([`Jobs`], on the control thread).
+//! Handles submissions and queries, and stores the answers of jobs ([`Jobs`], on the control thread).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -81,11 +81,11 @@
         let answer = drive_job(self.context.clone(), submit).await;
         self.context.metrics.count_job(&answer.outcome);
         log_answer(&key, &answer.outcome);
-        let kept = answer.clone();
+        let stored = answer.clone();
         let retention = self.context.cell.answer_retention;
         let now = unix_now();
         self.jobs
-            .with(move |jobs| jobs.finish(key, &kept, now, retention))
+            .with(move |jobs| jobs.finish(key, &stored, now, retention))
             .await;
         // All callers may be gone; later requests get the stored answer.
         tx.send_replace(Some(Arc::new(answer)));
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -1,6 +1,6 @@
 //! Runs one job: proposes its claim, executes the actions of [`JobProgress`], and returns its answer.
 //!
-//! Assignments and releases run as separate async tasks ([`JobLink`]) and report events to the [`Driver`].
+//! Assignments and releases run as separate async tasks ([`TaskDispatch`]) and report events to the [`Driver`].
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 
 use crate::admitter::{FlowUsage, Grant};
-use crate::assignment::{JobLink, PlacedTask};
+use crate::assignment::{PlacedTask, TaskDispatch};
 use crate::job_context::JobContext;
 use crate::job_plan::{JobPlan, plan_job};
 use crate::jobs::JobAnswer;
@@ -30,27 +30,27 @@
 /// Runs a job to its answer.
 pub(crate) async fn drive_job(context: Arc<JobContext>, submit: Submit) -> JobAnswer {
     let is_sole_attempt = submit.is_sole_attempt;
-    let JobPlan { wanted, grant } = plan_job(&context, &submit).await;
-    if is_sole_attempt && let Some(reason) = wanted.refusal {
+    let JobPlan { proposed, grant } = plan_job(&context, &submit).await;
+    if is_sole_attempt && let Some(reason) = proposed.refusal {
         // No other guard has the submission, so a refusal needs no claim.
-        return JobAnswer::for_sole_attempt(refuse(reason));
+        return JobAnswer::for_sole_attempt(refusal(reason));
     }
-    match context.claims.agree(submit.submission, wanted).await {
+    match context.claims.agree(submit.submission, proposed).await {
         Ok(claim) if claim.digest != submit.digest => {
-            JobAnswer::unconditional(refuse(ReasonCode::KeyConflict))
+            JobAnswer::unconditional(refusal(ReasonCode::KeyConflict))
         }
         Ok(claim) => JobAnswer::unconditional(match claim.refusal {
-            Some(reason) => refuse(reason),
+            Some(reason) => refusal(reason),
             None => drive_claim(context, submit, &claim, grant).await,
         }),
         // Without a claim this guard assigned no task, and no other guard has the submission.
-        Err(_) if is_sole_attempt => JobAnswer::for_sole_attempt(refuse(ReasonCode::NoQuorum)),
+        Err(_) if is_sole_attempt => JobAnswer::for_sole_attempt(refusal(ReasonCode::NoQuorum)),
         Err(cause) => JobAnswer::unconditional(unknown_claim(cause)),
     }
 }
 
 /// Returns the outcome of a job that is refused before any task was assigned.
-fn refuse(reason: ReasonCode) -> Outcome {
+fn refusal(reason: ReasonCode) -> Outcome {
     let (detail, retry_after) = match reason {
         ReasonCode::KeyConflict => (
             "the idempotency key was used before with another body; use a new key",
@@ -87,14 +87,14 @@
         None => (Vec::new(), None),
     };
     let (tx, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
-    let link = JobLink {
+    let dispatch = TaskDispatch {
         is_lead: context.is_acting_lead().await,
         context,
         submit: Arc::new(submit),
         events: tx,
     };
     let driver = Driver {
-        link,
+        dispatch,
         progress,
         events,
         flow_usage,
@@ -119,7 +119,7 @@
 
 /// Runs one job whose claim is chosen.
 struct Driver {
-    link: JobLink,
+    dispatch: TaskDispatch,
     progress: JobProgress,
     events: mpsc::Receiver<JobEvent>,
     /// Slots of the job in its flow, if this guard admitted the job.
@@ -151,7 +151,7 @@
         } else {
             self.list_next_placements().await
         };
-        let context = self.link.context.clone();
+        let context = self.dispatch.context.clone();
         let mut take_retry = || context.take_retry();
         let mut event_context = EventContext {
             places,
@@ -164,12 +164,12 @@
         if let Some(flow_usage) = &mut self.flow_usage {
             flow_usage.release_one();
         }
-        self.link.context.record_success();
+        self.dispatch.context.record_success();
     }
 
     /// Returns the placements for a task that has to move, best first.
     async fn list_next_placements(&self) -> Vec<Placement> {
-        let mut candidates = self.link.context.membership.list_candidates().await;
+        let mut candidates = self.dispatch.context.membership.list_candidates().await;
         rank_by_load(&mut candidates, random_below)
     }
 
@@ -179,7 +179,7 @@
         actions: Vec<JobAction>,
         planned: &mut PlannedTasks,
     ) -> Option<Outcome> {
-        let link = &self.link;
+        let dispatch = &self.dispatch;
         let mut batches: BTreeMap<Placement, Vec<PlacedTask>> = BTreeMap::new();
         let mut answer = None;
         for action in actions {
@@ -191,21 +191,21 @@
                     may_pass_on,
                 } => {
                     if !previous_guards.is_empty() {
-                        link.context.metrics.moves.inc();
+                        dispatch.context.metrics.moves.inc();
                     }
                     let planned = planned.take(task, place);
                     let placed = PlacedTask {
                         _in_flight: planned
-                            .unwrap_or_else(|| link.context.membership.track_in_flight(place)),
+                            .unwrap_or_else(|| dispatch.context.membership.track_in_flight(place)),
                         index: task,
                         previous_guards,
-                        may_pass_on: may_pass_on && !link.is_lead,
+                        may_pass_on: may_pass_on && !dispatch.is_lead,
                     };
                     batches.entry(place).or_default().push(placed);
                 }
                 JobAction::Release { task, place, to } => {
-                    link.context.metrics.releases.inc();
-                    tokio::spawn(link.clone().run_release(task, place, to));
+                    dispatch.context.metrics.releases.inc();
+                    tokio::spawn(dispatch.clone().run_release(task, place, to));
                 }
                 JobAction::Answer(outcome) => answer = Some(outcome),
             }
@@ -218,7 +218,7 @@
 
     fn start_assignments(&self, batches: BTreeMap<Placement, Vec<PlacedTask>>) {
         for (place, tasks) in batches {
-            tokio::spawn(self.link.clone().run_assignment(place, tasks));
+            tokio::spawn(self.dispatch.clone().run_assignment(place, tasks));
         }
     }
 }
--- a/crates/claims/cloverfold_coordinate/src/job_plan.rs
+++ b/crates/claims/cloverfold_coordinate/src/job_plan.rs
@@ -15,14 +15,14 @@
 /// A claim for this guard to propose, with the slots of its tasks.
 pub(crate) struct JobPlan {
     /// The claim to propose; it contains a refusal if the job was not admitted.
-    pub(crate) wanted: Claim,
+    pub(crate) proposed: Claim,
     /// The slots, or `None` for a refusal.
     pub(crate) grant: Option<Grant>,
 }
 
 /// Waits for slots and chooses where each task runs, or plans a refusal.
 pub(crate) async fn plan_job(context: &JobContext, submit: &Submit) -> JobPlan {
-    let mut wanted = Claim {
+    let mut proposed = Claim {
         digest: submit.digest,
         submitted_at: submit.submission.submitted_at,
         placements: Vec::new(),
@@ -31,16 +31,16 @@
     };
     match admit_job(context, submit).await {
         Ok(grant) => {
-            fill_placements(&mut wanted, &grant.in_flight);
+            fill_placements(&mut proposed, &grant.in_flight);
             JobPlan {
-                wanted,
+                proposed,
                 grant: Some(grant),
             }
         }
         Err(reason) => {
-            wanted.refusal = Some(reason);
+            proposed.refusal = Some(reason);
             JobPlan {
-                wanted,
+                proposed,
                 grant: None,
             }
         }
--- a/crates/claims/cloverfold_coordinate/src/jobs.rs
+++ b/crates/claims/cloverfold_coordinate/src/jobs.rs
@@ -9,9 +9,9 @@
 use tokio::sync::watch;
 
 /// Memory limit of the stored answers, in bytes.
-const ANSWER_MEMORY_LIMIT: usize = 8 * 1024 * 1024;
+const ANSWER_MEMORY_LIMIT_BYTES: usize = 8 * 1024 * 1024;
 /// Bytes that a stored answer counts beyond its results.
-const ANSWER_OVERHEAD: usize = 256;
+const ANSWER_OVERHEAD_BYTES: usize = 256;
 
 /// Receives the answer of a job.
 pub(crate) type AnswerReceiver = watch::Receiver<Option<Arc<JobAnswer>>>;
@@ -48,20 +48,20 @@
 /// Jobs and stored answers by key.
 #[derive(Debug, Default)]
 pub(crate) struct Jobs {
-    slots: HashMap<SubmissionKey, JobSlot>,
-    kept: VecDeque<KeptAnswer>,
-    kept_len: usize,
+    by_key: HashMap<SubmissionKey, JobEntry>,
+    stored: VecDeque<StoredAnswer>,
+    stored_len: usize,
     running: usize,
 }
 
 #[derive(Debug)]
-struct JobSlot {
+struct JobEntry {
     digest: BodyDigest,
     rx: AnswerReceiver,
 }
 
 #[derive(Debug)]
-struct KeptAnswer {
+struct StoredAnswer {
     key: SubmissionKey,
     until: UnixTime,
     len: usize,
@@ -85,10 +85,10 @@
         digest: BodyDigest,
         may_start: bool,
     ) -> Option<JoinResult> {
-        if let Some(slot) = self.slots.get(&key) {
-            let is_same = slot.digest == digest;
+        if let Some(entry) = self.by_key.get(&key) {
+            let is_same = entry.digest == digest;
             return Some(if is_same {
-                JoinResult::Joined(slot.rx.clone())
+                JoinResult::Joined(entry.rx.clone())
             } else {
                 JoinResult::Conflict
             });
@@ -97,14 +97,14 @@
             return None;
         }
         let (tx, rx) = watch::channel(None);
-        self.slots.insert(key, JobSlot { digest, rx });
+        self.by_key.insert(key, JobEntry { digest, rx });
         self.running += 1;
         Some(JoinResult::Started(tx))
     }
 
     /// Returns the receiver of a job's answer, if the job is running or its answer is stored.
     pub(crate) fn find(&self, key: &SubmissionKey) -> Option<AnswerReceiver> {
-        self.slots.get(key).map(|slot| slot.rx.clone())
+        self.by_key.get(key).map(|entry| entry.rx.clone())
     }
 
     /// Returns the number of jobs without an answer.
@@ -123,32 +123,32 @@
         self.running -= 1;
         let outcome = &answer.outcome;
         if answer.assumes_sole_attempt || matches!(outcome, Outcome::Unknown { .. }) {
-            self.slots.remove(&key);
+            self.by_key.remove(&key);
             return;
         }
         let len = stored_size(outcome);
         let until = now + retention;
-        self.kept.push_back(KeptAnswer { key, until, len });
-        self.kept_len += len;
+        self.stored.push_back(StoredAnswer { key, until, len });
+        self.stored_len += len;
         self.drop_expired(now);
     }
 
     /// Drops expired answers, and the oldest ones beyond the memory limit.
     pub(crate) fn drop_expired(&mut self, now: UnixTime) {
-        let is_expired = |kept: &mut KeptAnswer| kept.until <= now;
-        while let Some(kept) = self.kept.pop_front_if(is_expired) {
-            self.drop_answer(&kept);
+        let is_expired = |stored: &mut StoredAnswer| stored.until <= now;
+        while let Some(stored) = self.stored.pop_front_if(is_expired) {
+            self.drop_answer(&stored);
         }
-        while self.kept_len > ANSWER_MEMORY_LIMIT
-            && let Some(kept) = self.kept.pop_front()
+        while self.stored_len > ANSWER_MEMORY_LIMIT_BYTES
+            && let Some(stored) = self.stored.pop_front()
         {
-            self.drop_answer(&kept);
+            self.drop_answer(&stored);
         }
     }
 
-    fn drop_answer(&mut self, kept: &KeptAnswer) {
-        self.kept_len -= kept.len;
-        self.slots.remove(&kept.key);
+    fn drop_answer(&mut self, stored: &StoredAnswer) {
+        self.stored_len -= stored.len;
+        self.by_key.remove(&stored.key);
     }
 }
 
@@ -158,5 +158,5 @@
         Outcome::Complete { results } => results.iter().map(Vec::len).sum(),
         _ => 0,
     };
-    ANSWER_OVERHEAD + results
+    ANSWER_OVERHEAD_BYTES + results
 }
--- a/crates/claims/cloverfold_coordinate/src/plugin.rs
+++ b/crates/claims/cloverfold_coordinate/src/plugin.rs
@@ -17,7 +17,7 @@
 use crate::metrics::CoordinateMetrics;
 
 /// Retries that one success earns.
-const RETRY_SHARE: f64 = 0.1;
+const RETRIES_PER_SUCCESS: f64 = 0.1;
 /// Retries that the budget can accumulate.
 const RETRY_CAPACITY: f64 = 20.0;
 
@@ -53,7 +53,7 @@
         directory: app.resource::<Directory>()?,
         network: app.network(),
         cell,
-        retry_budget: Mutex::new(RetryBudget::new(RETRY_SHARE, RETRY_CAPACITY)),
+        retry_budget: Mutex::new(RetryBudget::new(RETRIES_PER_SUCCESS, RETRY_CAPACITY)),
         metrics,
     })
 }
