--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -105,7 +105,8 @@
                 // Peers ignore the votes of an incarnation older than the newest one they know.
                 log::error!(
                     guard = self.inner.own.guard;
-                    "peers know a newer incarnation of this guard because its clock went backwards; restart it once the clock has caught up"
+                    "peers know a newer incarnation of this guard because its clock went backwards; \
+                     restart it once the clock has caught up"
                 );
                 return Ok(());
             }
--- a/crates/claims/cloverfold_claims_core/src/placement_policy.rs
+++ b/crates/claims/cloverfold_claims_core/src/placement_policy.rs
@@ -34,8 +34,8 @@
 
 /// Places `count` tasks in sequence, adding each to the load of its guard before it places the next.
 ///
-/// `random_below(n)` returns a number below `n`. Returns the index of each task's candidate, or an empty list when there
-/// is no candidate.
+/// `random_below(n)` returns a number below `n`. Returns the index of each task's candidate, or an empty list when
+/// there is no candidate.
 pub fn choose_placements(
     policy: PlacementPolicy,
     candidates: &mut [Candidate],
