--- a/crates/claims/cloverfold_membership/src/directory.rs
+++ b/crates/claims/cloverfold_membership/src/directory.rs
@@ -19,12 +19,12 @@
 impl Directory {
     /// Builds the directory from the cell's settings.
     pub fn new(cell: &CellSettings) -> Self {
-        let addresses = cell.guards.iter().map(|place| {
+        let addresses = cell.guards.iter().map(|guard| {
             let address = PeerAddress {
-                name: format!("guard-{}", place.id),
-                address: place.address,
+                name: format!("guard-{}", guard.id),
+                address: guard.address,
             };
-            (place.id, address)
+            (guard.id, address)
         });
         Self {
             lead_order: cell.list_lead_order(),
--- a/crates/claims/cloverfold_membership/src/gossip.rs
+++ b/crates/claims/cloverfold_membership/src/gossip.rs
@@ -42,7 +42,7 @@
     /// Sends heartbeats until the process has stopped.
     pub(crate) async fn run(self, lifecycle: Lifecycle) {
         self.clone().announce_phase().await;
-        let mut turn = 0_u32;
+        let mut round = 0_u32;
         let mut was_whole = false;
         while lifecycle.phase() != Phase::Stopped {
             let is_whole = self.state.is_whole();
@@ -51,10 +51,10 @@
                 self.clone().announce_phase().await;
             }
             was_whole = is_whole;
-            for guard in self.choose_peers(turn).await {
-                tokio::spawn(self.clone().exchange(guard));
+            for guard in self.choose_peers(round).await {
+                tokio::spawn(self.clone().exchange_reports(guard));
             }
-            turn = turn.wrapping_add(1);
+            round = round.wrapping_add(1);
             sleep(HEARTBEAT_INTERVAL).await;
             self.update_metrics().await;
         }
@@ -68,14 +68,14 @@
     }
 
     /// Returns the guards that get the next heartbeat: the acting lead, or random ones while no lead is known.
-    async fn choose_peers(&self, turn: u32) -> Vec<GuardId> {
-        let random_count = usize::from(turn.is_multiple_of(RANDOM_PEER_INTERVAL));
+    async fn choose_peers(&self, round: u32) -> Vec<GuardId> {
+        let random_count = usize::from(round.is_multiple_of(RANDOM_PEER_INTERVAL));
         let lead = self.membership.find_acting_lead().await;
         match lead {
-            None => self.draw_peers(FANOUT),
-            Some(lead) if Some(lead) == self.own => self.draw_peers(random_count),
+            None => self.choose_random_peers(FANOUT),
+            Some(lead) if Some(lead) == self.own => self.choose_random_peers(random_count),
             Some(lead) => {
-                let mut peers = self.draw_peers(random_count);
+                let mut peers = self.choose_random_peers(random_count);
                 peers.retain(|peer| *peer != lead);
                 peers.push(lead);
                 peers
@@ -90,7 +90,9 @@
             return;
         }
         let peers = self.list_peers();
-        let exchanges = peers.into_iter().map(|guard| self.clone().exchange(guard));
+        let exchanges = peers
+            .into_iter()
+            .map(|guard| self.clone().exchange_reports(guard));
         let mut set = tokio::task::JoinSet::new();
         for exchange in exchanges {
             set.spawn(exchange);
@@ -103,17 +105,17 @@
         others.filter(|guard| Some(*guard) != self.own).collect()
     }
 
-    fn draw_peers(&self, count: usize) -> Vec<GuardId> {
+    fn choose_random_peers(&self, count: usize) -> Vec<GuardId> {
         let mut peers = self.list_peers();
-        let mut drawn = Vec::with_capacity(count);
-        while drawn.len() < count && !peers.is_empty() {
+        let mut chosen = Vec::with_capacity(count);
+        while chosen.len() < count && !peers.is_empty() {
             let index = random_below(peers.len());
-            drawn.push(peers.swap_remove(index));
+            chosen.push(peers.swap_remove(index));
         }
-        drawn
+        chosen
     }
 
-    async fn exchange(self, guard: GuardId) {
+    async fn exchange_reports(self, guard: GuardId) {
         let Some(address) = self.directory.address_of(guard) else {
             return;
         };
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -99,7 +99,7 @@
                 if table.record_report(report, now)
                     && let Some(address) = directory.address_of(guard)
                 {
-                    network.forget_connection(address);
+                    network.close_connection(address);
                     restarts.send_replace(());
                 }
             }
@@ -107,7 +107,7 @@
     }
 
     /// Records a new report of this guard and runs a closure on the table.
-    async fn with_table<R, F>(&self, decide: F) -> R
+    async fn with_table<R, F>(&self, f: F) -> R
     where
         R: Send + 'static,
         F: FnOnce(&mut GuardTable, Duration) -> R + Send + 'static,
@@ -119,7 +119,7 @@
                 if let Some(own) = own {
                     table.record_report(own, now);
                 }
-                decide(table, now)
+                f(table, now)
             })
             .await
     }
@@ -205,7 +205,7 @@
     pub async fn filter_usable(&self, guards: Vec<GuardId>) -> Vec<GuardId> {
         let candidates = self.list_candidates().await;
         let is_usable =
-            |guard: &GuardId| candidates.iter().any(|one| one.placement.guard == *guard);
+            |guard: &GuardId| candidates.iter().any(|peer| peer.placement.guard == *guard);
         guards.into_iter().filter(is_usable).collect()
     }
 }
--- a/crates/claims/cloverfold_net/src/connections.rs
+++ b/crates/claims/cloverfold_net/src/connections.rs
@@ -14,14 +14,14 @@
 
 /// A connection to a peer, or the handshake for which callers wait.
 #[derive(Clone)]
-pub(crate) struct ConnectionCell {
+pub(crate) struct PooledConnection {
     pub(crate) connection: Arc<OnceCell<Connection>>,
     used_at: Instant,
     /// Cloned by each request that waits for replies.
     pub(crate) in_use: Arc<()>,
 }
 
-impl Default for ConnectionCell {
+impl Default for PooledConnection {
     fn default() -> Self {
         Self {
             connection: Arc::default(),
@@ -31,7 +31,7 @@
     }
 }
 
-impl ConnectionCell {
+impl PooledConnection {
     fn is_closed(&self) -> bool {
         let connection = self.connection.get();
         connection.is_some_and(|connection| connection.close_reason().is_some())
@@ -51,41 +51,41 @@
 /// Connections by peer.
 #[derive(Default)]
 pub(crate) struct Connections {
-    by_peer: Mutex<HashMap<PeerAddress, ConnectionCell>>,
+    by_peer: Mutex<HashMap<PeerAddress, PooledConnection>>,
 }
 
 impl Connections {
-    /// Returns the cell of the peer's connection, in which concurrent callers share one handshake.
-    pub(crate) fn cell_of(&self, peer: &PeerAddress) -> ConnectionCell {
+    /// Returns the entry of a peer; its concurrent callers share one handshake.
+    pub(crate) fn get_or_insert(&self, peer: &PeerAddress) -> PooledConnection {
         let mut by_peer = self.lock();
-        let cell = by_peer.entry(peer.clone()).or_default();
-        if cell.is_closed() {
-            *cell = ConnectionCell::default();
+        let pooled = by_peer.entry(peer.clone()).or_default();
+        if pooled.is_closed() {
+            *pooled = PooledConnection::default();
         }
-        cell.used_at = Instant::now();
-        cell.clone()
+        pooled.used_at = Instant::now();
+        pooled.clone()
     }
 
     /// Closes and removes the connection to a peer, if there is one.
     pub(crate) fn close(&self, peer: &PeerAddress, reason: &[u8]) {
-        let cell = self.lock().remove(peer);
-        if let Some(cell) = cell {
-            cell.close(reason);
+        let pooled = self.lock().remove(peer);
+        if let Some(pooled) = pooled {
+            pooled.close(reason);
         }
     }
 
     /// Closes and removes the connections that no request has used for longer than `limit`.
     pub(crate) fn close_unused(&self, limit: Duration) {
-        self.lock().retain(|_, cell| {
-            let is_unused = cell.is_unused(limit);
+        self.lock().retain(|_, pooled| {
+            let is_unused = pooled.is_unused(limit);
             if is_unused {
-                cell.close(b"unused");
+                pooled.close(b"unused");
             }
             !is_unused
         });
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<PeerAddress, ConnectionCell>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<PeerAddress, PooledConnection>> {
         // A panic leaves the map consistent, so a poisoned lock is still usable.
         self.by_peer.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/claims/cloverfold_net/src/network.rs
+++ b/crates/claims/cloverfold_net/src/network.rs
@@ -118,7 +118,7 @@
     }
 
     /// Closes the connection to a peer that has restarted, so that no request waits for a reply on it.
-    pub fn forget_connection(&self, peer: &PeerAddress) {
+    pub fn close_connection(&self, peer: &PeerAddress) {
         self.inner.connections.close(peer, b"the peer restarted");
     }
 
@@ -177,8 +177,8 @@
         message: &M,
     ) -> Result<Replies<M>, CallError> {
         let buf = encode_request(M::KIND, message).map_err(|e| CallError::not_sent(peer, &e))?;
-        let cell = self.inner.connections.cell_of(peer);
-        let connection = cell
+        let pooled = self.inner.connections.get_or_insert(peer);
+        let connection = pooled
             .connection
             .get_or_try_init(|| self.handshake(peer))
             .await
@@ -193,7 +193,7 @@
             .map_err(|e| CallError::lost(peer, &e))?;
         // An error means that the stream is closed, which reading the replies reports.
         let _ = tx.finish();
-        Ok(Replies::new(rx, peer.clone(), cell.in_use))
+        Ok(Replies::new(rx, peer.clone(), pooled.in_use))
     }
 
     /// Periodically closes connections that no request has used for `unused_timeout`.
--- a/crates/claims/cloverfold_net/src/replies.rs
+++ b/crates/claims/cloverfold_net/src/replies.rs
@@ -14,7 +14,7 @@
 pub struct Replies<M> {
     rx: RecvStream,
     peer: PeerAddress,
-    is_open: bool,
+    has_read_status: bool,
     /// Prevents the connection from being closed as unused.
     _in_use: Arc<()>,
     reply: PhantomData<fn() -> M>,
@@ -26,7 +26,7 @@
         Self {
             rx,
             peer,
-            is_open: false,
+            has_read_status: false,
             _in_use: in_use,
             reply: PhantomData,
         }
@@ -38,9 +38,9 @@
     ///
     /// Returns [`CallError::Refused`] if the peer refused the request, and [`CallError::Lost`] if the stream broke.
     pub async fn next(&mut self) -> Result<Option<M::Reply>, CallError> {
-        if !self.is_open {
+        if !self.has_read_status {
             self.read_status().await?;
-            self.is_open = true;
+            self.has_read_status = true;
         }
         let reply = read_reply(&mut self.rx).await;
         reply.map_err(|cause| CallError::lost(&self.peer, &cause))
--- a/crates/claims/cloverfold_net/src/router.rs
+++ b/crates/claims/cloverfold_net/src/router.rs
@@ -146,7 +146,7 @@
 
     /// Runs the handler of a request, or refuses it.
     pub(crate) async fn dispatch(&self, peer: Peer, frame: RequestFrame<'_>, sink: ReplySink) {
-        let started = match self.routes.get(&frame.kind) {
+        let dispatched = match self.routes.get(&frame.kind) {
             None => Err(Refusal {
                 status: Status::UnknownKind,
                 sink,
@@ -157,7 +157,7 @@
             }),
             Some(route) => (route.handler)(peer, frame.body, sink),
         };
-        match started {
+        match dispatched {
             Ok(run) => run.await,
             Err(refusal) => refuse(refusal.status, refusal.sink).await,
         }
--- a/crates/claims/cloverfold_net/src/serving.rs
+++ b/crates/claims/cloverfold_net/src/serving.rs
@@ -43,7 +43,7 @@
     let buf = match rx.read_to_end(MAX_MESSAGE_LEN).await {
         Ok(buf) => buf,
         Err(cause) => {
-            log::debug!("a request from {} broke off: {cause}", peer.name);
+            log::debug!("a request from {} was interrupted: {cause}", peer.name);
             return;
         }
     };
--- a/crates/claims/cloverfold_net/tests/requests.rs
+++ b/crates/claims/cloverfold_net/tests/requests.rs
@@ -39,7 +39,7 @@
 
 impl Message for Unregistered {
     const KIND: u16 = 3;
-    const NAME: &'static str = "unheard";
+    const NAME: &'static str = "unregistered";
     type Reply = ();
 }
 
@@ -49,7 +49,7 @@
 
 impl Message for Malformed {
     const KIND: u16 = 1;
-    const NAME: &'static str = "garbled";
+    const NAME: &'static str = "malformed";
     type Reply = u32;
 }
 
@@ -122,9 +122,11 @@
     let folder = tempfile::tempdir().unwrap();
     let other_folder = tempfile::tempdir().unwrap();
     let (_server, address) = serve(folder.path());
-    let stranger = bind(other_folder.path(), "entry-1");
+    let foreign_client = bind(other_folder.path(), "entry-1");
 
-    let reply = stranger.call(&address, &Count { to: 1 }, TIMEOUT).await;
+    let reply = foreign_client
+        .call(&address, &Count { to: 1 }, TIMEOUT)
+        .await;
 
     assert!(matches!(reply, Err(CallError::NotSent { .. })), "{reply:?}");
 }
