--- a/crates/claims/cloverfold_claims_settings/src/cell.rs
+++ b/crates/claims/cloverfold_claims_settings/src/cell.rs
@@ -130,12 +130,12 @@
 impl CellSettings {
     /// Builds the [`Cell`] of these settings.
     pub fn build_cell(&self) -> Cell {
-        let locate = |place: &GuardPlace| Location {
-            guard: place.id,
-            data_hall: place.data_hall.clone(),
-            rack: place.rack.clone(),
+        let to_location = |guard: &GuardPlace| Location {
+            guard: guard.id,
+            data_hall: guard.data_hall.clone(),
+            rack: guard.rack.clone(),
         };
-        let cell = Cell::new(self.guards.iter().map(locate).collect(), self.replicas);
+        let cell = Cell::new(self.guards.iter().map(to_location).collect(), self.replicas);
         match self.find_lead() {
             Some(lead) => cell.with_lead(lead),
             None => cell,
@@ -144,7 +144,7 @@
 
     /// Returns the guard that coordinates all jobs while it is available, if the cell has one.
     pub fn find_lead(&self) -> Option<GuardId> {
-        let first = self.guards.first().map(|place| place.id);
+        let first = self.guards.first().map(|guard| guard.id);
         self.lead.or(first).filter(|_| self.has_lead)
     }
 
@@ -153,7 +153,7 @@
         let Some(lead) = self.find_lead() else {
             return Vec::new();
         };
-        let others = self.guards.iter().map(|place| place.id);
+        let others = self.guards.iter().map(|guard| guard.id);
         let others = others.filter(|guard| *guard != lead);
         std::iter::once(lead).chain(others).collect()
     }
@@ -178,30 +178,32 @@
         match self.queueing {
             Queueing::Fair => self
                 .find_workspace(workspace)
-                .map_or(DEFAULT_WEIGHT, |one| one.weight),
+                .map_or(DEFAULT_WEIGHT, |workspace| workspace.weight),
             Queueing::Fifo => DEFAULT_WEIGHT,
         }
     }
 
     /// Returns the workspace of a name.
     pub fn find_workspace(&self, name: &str) -> Option<&WorkspaceSettings> {
-        self.workspaces.iter().find(|one| one.name == name)
+        self.workspaces
+            .iter()
+            .find(|workspace| workspace.name == name)
     }
 
     /// Returns the service of a name.
     pub fn find_service(&self, name: &str) -> Option<&ServiceSettings> {
-        self.services.iter().find(|one| one.name == name)
+        self.services.iter().find(|service| service.name == name)
     }
 }
 
 impl Validate for CellSettings {
-    fn validate(&self, faults: &mut ValidationErrors) {
-        faults.add_if(
+    fn validate(&self, errors: &mut ValidationErrors) {
+        errors.add_if(
             !ALLOWED_REPLICAS.contains(&self.replicas),
             "replicas",
             "must be 1, 3 or 5",
         );
-        faults.add_if(
+        errors.add_if(
             self.guards.len() < self.replicas,
             "guards",
             format!(
@@ -209,73 +211,73 @@
                 self.replicas
             ),
         );
-        faults.add_if(
+        errors.add_if(
             self.retention < MIN_RETENTION,
             "retention_ms",
             "must be at least 1000",
         );
-        faults.add_if(
+        errors.add_if(
             self.answer_retention > self.retention,
             "answer_retention_ms",
             "must not be over retention_ms",
         );
-        let is_guard = |lead| self.guards.iter().any(|place| place.id == lead);
-        faults.add_if(
+        let is_guard = |lead| self.guards.iter().any(|guard| guard.id == lead);
+        errors.add_if(
             self.lead.is_some_and(|lead| !is_guard(lead)),
             "lead",
             "must be the id of one of the guards",
         );
-        self.check_guards(faults);
-        self.check_names(faults);
+        self.check_guards(errors);
+        self.check_names(errors);
         for (index, workspace) in self.workspaces.iter().enumerate() {
-            workspace.check(&format!("customers[{index}]"), faults);
+            workspace.check(&format!("customers[{index}]"), errors);
         }
     }
 }
 
 impl CellSettings {
-    fn check_guards(&self, faults: &mut ValidationErrors) {
+    fn check_guards(&self, errors: &mut ValidationErrors) {
         let mut ids = BTreeSet::new();
         let mut addresses = BTreeSet::new();
         for (index, guard) in self.guards.iter().enumerate() {
             let field = |name: &str| format!("guards[{index}].{name}");
-            let is_known = !ids.insert(guard.id);
-            faults.add_if(is_known, field("id"), "is used by another guard");
-            let is_known = !addresses.insert(guard.address);
-            faults.add_if(is_known, field("address"), "is used by another guard");
-            faults.add_if(
+            let is_duplicate = !ids.insert(guard.id);
+            errors.add_if(is_duplicate, field("id"), "is used by another guard");
+            let is_duplicate = !addresses.insert(guard.address);
+            errors.add_if(is_duplicate, field("address"), "is used by another guard");
+            errors.add_if(
                 guard.data_hall.is_empty(),
                 field("hall"),
                 "must name a hall",
             );
-            faults.add_if(guard.rack.is_empty(), field("rack"), "must name a rack");
+            errors.add_if(guard.rack.is_empty(), field("rack"), "must name a rack");
         }
     }
 
-    fn check_names(&self, faults: &mut ValidationErrors) {
+    fn check_names(&self, errors: &mut ValidationErrors) {
         let mut names = BTreeSet::new();
         for (index, service) in self.services.iter().enumerate() {
-            let is_wrong = service.name.is_empty() || !names.insert(service.name.as_str());
+            let is_invalid = service.name.is_empty() || !names.insert(service.name.as_str());
             let field = format!("services[{index}].name");
-            faults.add_if(is_wrong, field, "must be unique and not empty");
+            errors.add_if(is_invalid, field, "must be unique and not empty");
         }
         let mut names = BTreeSet::new();
         for (index, workspace) in self.workspaces.iter().enumerate() {
-            let is_wrong = workspace.name.is_empty() || !names.insert(workspace.name.as_str());
+            let is_invalid = workspace.name.is_empty() || !names.insert(workspace.name.as_str());
             let field = format!("customers[{index}].name");
-            faults.add_if(is_wrong, field, "must be unique and not empty");
+            errors.add_if(is_invalid, field, "must be unique and not empty");
         }
     }
 }
 
 impl WorkspaceSettings {
-    fn check(&self, field: &str, faults: &mut ValidationErrors) {
-        faults.add_if(
+    fn check(&self, field: &str, errors: &mut ValidationErrors) {
+        errors.add_if(
             decode_key_hash(&self.key_sha256).is_none(),
             format!("{field}.key_sha256"),
             "must be 64 hexadecimal digits, as `cloverfold hash-key` prints them",
         );
-        faults.add_if(
+        errors.add_if(
             !(self.weight.is_finite() && self.weight > 0.0),
             format!("{field}.weight"),
             "must be a number above 0",
--- a/crates/claims/cloverfold_claims_settings/src/entry.rs
+++ b/crates/claims/cloverfold_claims_settings/src/entry.rs
@@ -116,20 +116,20 @@
 }
 
 impl Validate for EntrySettings {
-    fn validate(&self, faults: &mut ValidationErrors) {
-        faults.add_if(
+    fn validate(&self, errors: &mut ValidationErrors) {
+        errors.add_if(
             !self.name.starts_with("entry-"),
             "name",
             "must begin with `entry-`, as the certificate's name does",
         );
-        faults.add_if(self.max_body == 0, "max_body", "must be above 0");
-        faults.add_if(self.in_flight == 0, "in_flight", "must be above 0");
-        faults.add_if(
+        errors.add_if(self.max_body == 0, "max_body", "must be above 0");
+        errors.add_if(self.in_flight == 0, "in_flight", "must be above 0");
+        errors.add_if(
             self.read_timeout.is_zero(),
             "read_timeout_ms",
             "must be above 0",
         );
-        faults.add_if(
+        errors.add_if(
             self.default_deadline.is_zero() || self.default_deadline > self.max_deadline,
             "default_deadline_ms",
             "must be above 0 and not over max_deadline_ms",
--- a/crates/claims/cloverfold_claims_settings/src/guard.rs
+++ b/crates/claims/cloverfold_claims_settings/src/guard.rs
@@ -104,19 +104,19 @@
 }
 
 impl Validate for GuardSettings {
-    fn validate(&self, faults: &mut ValidationErrors) {
+    fn validate(&self, errors: &mut ValidationErrors) {
         let target = &self.target;
-        faults.add_if(target.slots == 0, "target.slots", "must be at least 1");
-        faults.add_if(
+        errors.add_if(target.slots == 0, "target.slots", "must be at least 1");
+        errors.add_if(
             target.connections < target.slots,
             "target.connections",
             "must be at least target.slots, since each running task holds a connection",
         );
-        faults.add_if(
+        errors.add_if(
             target.task_timeout.is_zero(),
             "target.task_timeout_ms",
             "must be above 0",
         );
-        faults.add_if(self.queue_limit == 0, "queue_limit", "must be at least 1");
+        errors.add_if(self.queue_limit == 0, "queue_limit", "must be at least 1");
     }
 }
--- a/crates/claims/cloverfold_claims_settings/src/lib.rs
+++ b/crates/claims/cloverfold_claims_settings/src/lib.rs
@@ -7,8 +7,8 @@
 //! use cloverfold_settings::parse_settings;
 //!
 //! let text = r#"{ "guards": [], "services": [], "customers": [], "replicas": 2 }"#;
-//! let refused = parse_settings::<CellSettings>("cell.jsonc".as_ref(), text).unwrap_err();
-//! assert!(refused.to_string().contains("cell.jsonc:1: replicas: must be 1, 3 or 5"));
+//! let error = parse_settings::<CellSettings>("cell.jsonc".as_ref(), text).unwrap_err();
+//! assert!(error.to_string().contains("cell.jsonc:1: replicas: must be 1, 3 or 5"));
 //! ```
 
 mod cell;
