--- a/crates/claims/cloverfold_app/src/app.rs
+++ b/crates/claims/cloverfold_app/src/app.rs
@@ -55,7 +55,7 @@
         let mut registry = Registry::with_prefix("cloverfold");
         network.metrics().register(&mut registry);
         let gauges = TrafficGauges::register(&mut registry);
-        let tasks: Vec<BoxedFuture> = vec![Box::pin(gauges.follow(network.clone()))];
+        let tasks: Vec<BoxedFuture> = vec![Box::pin(gauges.run(network.clone()))];
         Ok(Self {
             name: name.into(),
             network,
@@ -125,8 +125,8 @@
 
     /// Adds HTTP routes.
     pub fn add_http_routes(&mut self, routes: HttpRouter) {
-        let held = std::mem::take(&mut self.http_routes);
-        self.http_routes = held.merge(routes);
+        let existing = std::mem::take(&mut self.http_routes);
+        self.http_routes = existing.merge(routes);
     }
 
     /// Adds a readiness check, which returns the reason if the process is not ready.
--- a/crates/claims/cloverfold_app/src/control.rs
+++ b/crates/claims/cloverfold_app/src/control.rs
@@ -7,12 +7,12 @@
 
 use tokio::sync::oneshot;
 
-type Job = Box<dyn FnOnce() + Send>;
+type Closure = Box<dyn FnOnce() + Send>;
 
 /// Handle to the control thread.
 #[derive(Clone)]
 pub struct ControlThread {
-    tx: mpsc::Sender<Job>,
+    tx: mpsc::Sender<Closure>,
 }
 
 /// State that only the control thread accesses.
@@ -49,12 +49,12 @@
     ///
     /// Returns the operating system's error if the thread cannot be started.
     pub fn start(process: &str) -> std::io::Result<Self> {
-        let (tx, rx) = mpsc::channel::<Job>();
+        let (tx, rx) = mpsc::channel::<Closure>();
         let builder = thread::Builder::new().name(format!("{process}-control"));
         builder.spawn(move || {
             let _guard = AbortOnPanic;
-            for job in rx {
-                job();
+            for closure in rx {
+                closure();
             }
         })?;
         Ok(Self { tx })
@@ -94,11 +94,11 @@
         F: FnOnce(&mut S) + Send + 'static,
     {
         let state = self.state.clone();
-        let job = Box::new(move || {
+        let closure = Box::new(move || {
             let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
             f(&mut state);
         });
         // This cannot fail, because the thread ends only with the last handle and `self` has one.
-        let _ = self.control.tx.send(job);
+        let _ = self.control.tx.send(closure);
     }
 }
--- a/crates/claims/cloverfold_app/src/lifecycle.rs
+++ b/crates/claims/cloverfold_app/src/lifecycle.rs
@@ -35,9 +35,9 @@
 
     /// Advances to a phase; an earlier phase has no effect.
     pub fn advance_to(&self, phase: Phase) {
-        self.tx.send_if_modified(|held| {
-            let is_later = phase > *held;
-            *held = (*held).max(phase);
+        self.tx.send_if_modified(|current| {
+            let is_later = phase > *current;
+            *current = (*current).max(phase);
             is_later
         });
     }
@@ -46,6 +46,6 @@
     pub async fn wait_for(&self, phase: Phase) {
         let mut rx = self.tx.subscribe();
         // `self` keeps the sender alive, so this cannot fail.
-        let _ = rx.wait_for(|held| *held >= phase).await;
+        let _ = rx.wait_for(|current| *current >= phase).await;
     }
 }
--- a/crates/claims/cloverfold_app/src/ops_http.rs
+++ b/crates/claims/cloverfold_app/src/ops_http.rs
@@ -52,7 +52,7 @@
     fn answer_readiness(&self) -> (StatusCode, String) {
         match self.unready_reason() {
             None => (StatusCode::OK, "ready\n".to_owned()),
-            Some(why) => (StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
+            Some(reason) => (StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n")),
         }
     }
 
@@ -116,12 +116,12 @@
 
     /// Serves routes until the process has stopped.
     pub(crate) async fn serve(self, routes: Router, lifecycle: Lifecycle) {
-        let hook = lifecycle.clone();
+        let shutdown = lifecycle.clone();
         let server = Server::new(routes)
             .http1_only()
             // Without a hook `volo` stops at the first SIGTERM, but the server must run until the process has drained.
             .register_shutdown_hook(move || {
-                Box::pin(async move { hook.wait_for(Phase::Stopped).await })
+                Box::pin(async move { shutdown.wait_for(Phase::Stopped).await })
             });
         let serving = server.run(DefaultIncoming::from(self.listener));
         tokio::select! {
--- a/crates/claims/cloverfold_app/src/traffic.rs
+++ b/crates/claims/cloverfold_app/src/traffic.rs
@@ -35,7 +35,7 @@
     }
 
     /// Updates the gauges until the task is aborted.
-    pub(crate) async fn follow(self, network: Network) {
+    pub(crate) async fn run(self, network: Network) {
         loop {
             let traffic = network.count_traffic();
             self.sent.set(traffic.sent as i64);
--- a/crates/claims/cloverfold_claims_process/src/guard.rs
+++ b/crates/claims/cloverfold_claims_process/src/guard.rs
@@ -21,7 +21,7 @@
 /// settings, the network endpoint or a plugin.
 pub async fn start_guard(settings: GuardSettings) -> Result<RunningApp, ProcessError> {
     let cell: CellSettings = read_settings(&settings.cell)?;
-    if !cell.guards.iter().any(|place| place.id == settings.id) {
+    if !cell.guards.iter().any(|guard| guard.id == settings.id) {
         return Err(ProcessError::UnknownGuard(settings.id));
     }
     let placement = Placement {
--- a/crates/claims/cloverfold_claims_process/src/operator.rs
+++ b/crates/claims/cloverfold_claims_process/src/operator.rs
@@ -24,9 +24,9 @@
 pub fn list_guard_addresses(cell: &CellSettings) -> Vec<PeerAddress> {
     let guards = cell.guards.iter();
     guards
-        .map(|place| PeerAddress {
-            name: format!("guard-{}", place.id),
-            address: place.address,
+        .map(|guard| PeerAddress {
+            name: format!("guard-{}", guard.id),
+            address: guard.address,
         })
         .collect()
 }
