--- a/crates/claims/cloverfold_execute/src/target_client.rs
+++ b/crates/claims/cloverfold_execute/src/target_client.rs
@@ -155,27 +155,27 @@
             .await
             .map_err(|e| TargetError::Connection(e.to_string()))?;
         let status = response.status();
-        let is_marked_unstarted = response.headers().contains_key(NOT_STARTED_HEADER);
+        let has_not_started_header = response.headers().contains_key(NOT_STARTED_HEADER);
         let body = Limited::new(response.into_body(), MAX_RESULT_LEN).collect();
         let body = body.await.map_err(|e| TargetError::Result(e.to_string()))?;
         Ok(classify_answer(
             status,
-            is_marked_unstarted,
+            has_not_started_header,
             &body.to_bytes(),
         ))
     }
 }
 
 /// Classifies an answer by its status and headers.
-fn classify_answer(status: StatusCode, is_marked_unstarted: bool, body: &Bytes) -> TargetAnswer {
+fn classify_answer(status: StatusCode, has_not_started_header: bool, body: &Bytes) -> TargetAnswer {
     /// Bytes of the body that the message of a failed answer contains.
-    const SHOWN_LEN: usize = 200;
+    const MAX_SHOWN_LEN: usize = 200;
     if status.is_success() {
         TargetAnswer::Done(body.to_vec())
-    } else if is_marked_unstarted && status == StatusCode::SERVICE_UNAVAILABLE {
+    } else if has_not_started_header && status == StatusCode::SERVICE_UNAVAILABLE {
         TargetAnswer::NotStarted
     } else {
-        let shown = &body[..body.len().min(SHOWN_LEN)];
+        let shown = &body[..body.len().min(MAX_SHOWN_LEN)];
         let shown = String::from_utf8_lossy(shown);
         TargetAnswer::Failed(format!("the target answered {status}: {shown}"))
     }
