--- a/crates/claims/cloverfold_entry/src/answer.rs
+++ b/crates/claims/cloverfold_entry/src/answer.rs
@@ -69,7 +69,7 @@
         let status = choose_status(&outcome);
         match outcome {
             Outcome::Complete { results } => {
-                let results = results.iter().map(|one| wrap_result(one)).collect();
+                let results = results.iter().map(|result| wrap_result(result)).collect();
                 let mut answer = Self::new(status, kind, Some(key), None);
                 answer.body.results = Some(results);
                 answer
@@ -146,7 +146,7 @@
         code: reason.as_str(),
         message: detail,
         field: None,
-        retry_after_ms: retry_after.map(|span| span.as_millis() as u64),
+        retry_after_ms: retry_after.map(|delay| delay.as_millis() as u64),
     }
 }
 
--- a/crates/claims/cloverfold_entry/src/api.rs
+++ b/crates/claims/cloverfold_entry/src/api.rs
@@ -94,9 +94,9 @@
             default_deadline: self.settings.default_deadline,
             max_deadline: self.settings.max_deadline,
         };
-        let fresh = self.routing.generate_key(&workspace.name).await;
+        let generated = self.routing.generate_key(&workspace.name).await;
         let now = unix_now();
-        let checked = check_submission(&workspace.name, &headers, &body, fresh, limits, now)?;
+        let checked = check_submission(&workspace.name, &headers, &body, generated, limits, now)?;
         if self.cell.find_service(&checked.service).is_none() {
             let message = format!("no service is named {:?}", checked.service);
             return Err(Refusal::of_field("unknown_service", "service", message));
@@ -180,7 +180,7 @@
     Submit {
         submission: checked.submission,
         attempt: random_u64(),
-        is_sole_attempt: checked.is_fresh_key,
+        is_sole_attempt: checked.is_generated_key,
         workspace: workspace.to_owned(),
         service: checked.service,
         digest: checked.digest,
@@ -198,7 +198,7 @@
         field: None,
         retry_after_ms: Some(BUSY_RETRY_MS),
     };
-    let outcome = if checked.is_fresh_key {
+    let outcome = if checked.is_generated_key {
         "not_run"
     } else {
         "unknown"
@@ -209,7 +209,7 @@
 
 /// Returns the answer that shows the state of a job.
 fn describe_state(state: JobState, key: String) -> Answer {
-    let show = |word| Answer::new(StatusCode::OK, word, Some(key.clone()), None);
+    let show = |outcome| Answer::new(StatusCode::OK, outcome, Some(key.clone()), None);
     match state {
         JobState::Answered(outcome) => {
             let mut answer = Answer::from_outcome(outcome, key);
--- a/crates/claims/cloverfold_entry/src/auth.rs
+++ b/crates/claims/cloverfold_entry/src/auth.rs
@@ -18,21 +18,21 @@
     headers: &HeaderMap,
 ) -> Result<&'a WorkspaceSettings, Refusal> {
     let name = read_header(headers, WORKSPACE_HEADER);
-    let key = read_header(headers, "authorization").and_then(|one| one.strip_prefix("Bearer "));
+    let key = read_header(headers, "authorization").and_then(|value| value.strip_prefix("Bearer "));
     let (Some(name), Some(key)) = (name, key) else {
         return Err(unauthorized(
             "name the customer in Cloverfold-Customer and its key in Authorization: Bearer …",
         ));
     };
     // The message is the same for an unknown name and a wrong key, so that callers cannot enumerate names.
-    let wrong = "the customer or its key is wrong";
+    let message = "the customer or its key is wrong";
     let workspace = cell
         .find_workspace(name)
-        .ok_or_else(|| unauthorized(wrong))?;
+        .ok_or_else(|| unauthorized(message))?;
     if verify_caller_key(workspace, key) {
         Ok(workspace)
     } else {
-        Err(unauthorized(wrong))
+        Err(unauthorized(message))
     }
 }
 
--- a/crates/claims/cloverfold_entry/src/routing.rs
+++ b/crates/claims/cloverfold_entry/src/routing.rs
@@ -59,7 +59,7 @@
         let mut is_first = true;
         for round in 0..MAX_ROUNDS {
             if round > 0 {
-                sleep(draw_backoff(round)).await;
+                sleep(random_backoff(round)).await;
             }
             for guard in self.order_coordinators(&key).await {
                 if !is_first {
@@ -73,15 +73,15 @@
                 }
             }
         }
-        conclude_without_answer(!submit.is_sole_attempt)
+        outcome_without_answer(!submit.is_sole_attempt)
     }
 
     /// Generates a key for a caller without one, if possible one whose replica group entirely accepts work.
     pub(crate) async fn generate_key(&self, workspace: &str) -> String {
         /// Attempts to generate a better key.
-        const MAX_DRAWS: usize = 8;
-        let mut key = draw_key();
-        for _ in 0..MAX_DRAWS {
+        const MAX_ATTEMPTS: usize = 8;
+        let mut key = random_key();
+        for _ in 0..MAX_ATTEMPTS {
             let group = self
                 .cell
                 .choose_replica_group(&derive_submission_key(workspace, &key));
@@ -89,7 +89,7 @@
             if usable.len() == group.len() {
                 break;
             }
-            key = draw_key();
+            key = random_key();
         }
         key
     }
@@ -163,7 +163,7 @@
     }
 }
 
-fn draw_key() -> String {
+fn random_key() -> String {
     format!("{:016x}{:016x}", random_u64(), random_u64())
 }
 
@@ -173,7 +173,7 @@
 }
 
 /// Returns the outcome when no guard answered: unknown if one of them may be running the job.
-fn conclude_without_answer(may_have_run: bool) -> Outcome {
+fn outcome_without_answer(may_have_run: bool) -> Outcome {
     let detail = "no guard that holds the key gave an answer";
     if may_have_run {
         Outcome::unknown(ReasonCode::Unavailable, detail)
@@ -183,7 +183,7 @@
 }
 
 /// Returns the random backoff before a round, counted from 0.
-fn draw_backoff(round: u32) -> Duration {
+fn random_backoff(round: u32) -> Duration {
     let base = BACKOFF_BASE.as_millis() as u64 * (1 << round.min(MAX_DOUBLINGS));
     Duration::from_millis(base / 2 + random_u64() % base)
 }
--- a/crates/claims/cloverfold_entry/src/submission.rs
+++ b/crates/claims/cloverfold_entry/src/submission.rs
@@ -62,7 +62,7 @@
     /// Idempotency key in the answer to the caller.
     pub caller_key: String,
     /// Whether the entry generated the key.
-    pub is_fresh_key: bool,
+    pub is_generated_key: bool,
     /// Hashed key and time of the submission.
     pub submission: Submission,
     /// Service that runs the tasks.
@@ -92,7 +92,7 @@
 
 /// Validates the headers and the body of a submission.
 ///
-/// `fresh_key` is the key of a submission without one.
+/// `generated_key` is the key of a submission without one.
 ///
 /// # Errors
 ///
@@ -101,19 +101,19 @@
     workspace: &str,
     headers: &RequestHeaders,
     body: &[u8],
-    fresh_key: String,
+    generated_key: String,
     limits: SubmissionLimits,
     now: UnixTime,
 ) -> Result<CheckedSubmission, Refusal> {
     let body = parse_body(body)?;
     check_tasks(&body)?;
-    let is_fresh_key = headers.idempotency_key.is_none();
+    let is_generated_key = headers.idempotency_key.is_none();
     let caller_key = match &headers.idempotency_key {
-        None => fresh_key,
+        None => generated_key,
         Some(key) => check_key(key)?,
     };
-    let submitted_at = find_submitted_at(&body, is_fresh_key, now)?;
-    let deadline = find_deadline(&body, limits, now)?;
+    let submitted_at = resolve_submitted_at(&body, is_generated_key, now)?;
+    let deadline = resolve_deadline(&body, limits, now)?;
     let tasks: Vec<Vec<u8>> = body
         .tasks
         .iter()
@@ -125,7 +125,7 @@
             submitted_at,
         },
         caller_key,
-        is_fresh_key,
+        is_generated_key,
         digest: digest_body(&body.service, body.repeat, &tasks),
         service: body.service,
         deadline,
@@ -140,7 +140,7 @@
         serde_path_to_error::deserialize(&mut deserializer).map_err(|e| Refusal {
             status: StatusCode::BAD_REQUEST,
             code: "bad_body",
-            field: name_field(e.path()),
+            field: field_path(e.path()),
             message: format!("the body is not a job: {}", e.inner()),
         })?;
     deserializer.end().map_err(|e| Refusal {
@@ -153,7 +153,7 @@
 }
 
 /// Returns the path of the invalid field, or `None` if the error concerns the whole body.
-fn name_field(path: &serde_path_to_error::Path) -> Option<String> {
+fn field_path(path: &serde_path_to_error::Path) -> Option<String> {
     const NO_FIELD: [&str; 2] = [".", "?"];
     let name = path.to_string();
     (!NO_FIELD.contains(&name.as_str())).then_some(name)
@@ -183,15 +183,15 @@
 }
 
 /// Returns the time of the first submission, from which the key's retention counts; required with a caller's key.
-fn find_submitted_at(
+fn resolve_submitted_at(
     body: &JobBody<'_>,
-    is_fresh_key: bool,
+    is_generated_key: bool,
     now: UnixTime,
 ) -> Result<UnixTime, Refusal> {
     const FIELD: &str = "first_submitted_unix_ms";
     const CODE: &str = "bad_first_submitted";
     let Some(given) = body.first_submitted_unix_ms else {
-        if is_fresh_key {
+        if is_generated_key {
             return Ok(now);
         }
         let message = "is required with an Idempotency-Key: the time of the first submission under \
@@ -207,7 +207,7 @@
 }
 
 /// Returns the deadline from the body, or the default one.
-fn find_deadline(
+fn resolve_deadline(
     body: &JobBody<'_>,
     limits: SubmissionLimits,
     now: UnixTime,
@@ -223,8 +223,8 @@
             let message = "must be above 0";
             return Err(Refusal::of_field(CODE, "deadline_ms", message));
         }
-        (Some(span), None) => (
-            now.saturating_add(Duration::from_millis(span)),
+        (Some(millis), None) => (
+            now.saturating_add(Duration::from_millis(millis)),
             "deadline_ms",
         ),
         (None, Some(at)) => (Duration::from_millis(at), "deadline_unix_ms"),
