--- a/crates/claims/cloverfold_app/src/ops_http.rs
+++ b/crates/claims/cloverfold_app/src/ops_http.rs
@@ -20,7 +20,6 @@
 /// Readiness check, which returns the reason if the process is not ready.
 pub(crate) type ReadyCheck = Box<dyn Fn() -> Result<(), String> + Send + Sync>;
 
-/// State of the operations routes.
 pub(crate) struct OpsState {
     lifecycle: Lifecycle,
     registry: Registry,
@@ -28,7 +27,6 @@
 }
 
 impl OpsState {
-    /// Creates the state from the parts of a process.
     pub(crate) fn new(
         lifecycle: Lifecycle,
         registry: Registry,
--- a/crates/claims/cloverfold_app/src/resources.rs
+++ b/crates/claims/cloverfold_app/src/resources.rs
@@ -16,7 +16,6 @@
         self.values.insert(TypeId::of::<T>(), value);
     }
 
-    /// Returns the value of a type.
     pub(crate) fn get<T: Send + Sync + 'static>(&self) -> Option<Arc<T>> {
         let value = self.values.get(&TypeId::of::<T>())?;
         value.clone().downcast::<T>().ok()
--- a/crates/claims/cloverfold_app/src/traffic.rs
+++ b/crates/claims/cloverfold_app/src/traffic.rs
@@ -18,7 +18,6 @@
 }
 
 impl TrafficGauges {
-    /// Adds the gauges to a process's metrics.
     pub(crate) fn register(registry: &mut Registry) -> Self {
         let gauges = Self::default();
         registry.register(
--- a/crates/claims/cloverfold_claim/src/claims.rs
+++ b/crates/claims/cloverfold_claim/src/claims.rs
@@ -49,7 +49,6 @@
     pub(crate) attempts: AtomicU64,
 }
 
-/// End of one proposal.
 enum ProposalEnd {
     Chosen(Claim),
     Preempted { round: u32 },
@@ -156,7 +155,6 @@
         self.inner.attempts.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Runs the phases of one proposal.
     async fn run_proposal(
         &self,
         submission: Submission,
--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -12,7 +12,6 @@
 use crate::claims::Claims;
 use crate::messages::RecoverCall;
 
-/// Timeout of one page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Backoff after the first round of copying; it doubles with each round.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
--- a/crates/claims/cloverfold_claims_core/src/claim_records.rs
+++ b/crates/claims/cloverfold_claims_core/src/claim_records.rs
@@ -48,7 +48,6 @@
 }
 
 impl Records {
-    /// Creates an empty collection.
     pub(crate) fn new(record_retention: RecordRetention) -> Self {
         Self {
             record_retention,
@@ -56,12 +55,10 @@
         }
     }
 
-    /// Returns the number of records.
     pub(crate) fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Returns whether there is a record of the key.
     pub(crate) fn contains(&self, key: &SubmissionKey) -> bool {
         self.by_key.contains_key(key)
     }
--- a/crates/claims/cloverfold_coordinate/src/assignment.rs
+++ b/crates/claims/cloverfold_coordinate/src/assignment.rs
@@ -20,7 +20,6 @@
 
 /// A placement that is unreachable for this long counts as lost.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Timeout of one release.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Shortest backoff before a repeated assignment or release; up to as much is added at random.
 const BACKOFF: Duration = Duration::from_millis(60);
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -27,7 +27,6 @@
 /// When a caller should retry after a refusal because no target was free.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Runs a job to its answer.
 pub(crate) async fn drive_job(context: Arc<JobContext>, submit: Submit) -> JobAnswer {
     let is_sole_attempt = submit.is_sole_attempt;
     let JobPlan { proposed, grant } = plan_job(&context, &submit).await;
--- a/crates/claims/cloverfold_coordinate/src/job_plan.rs
+++ b/crates/claims/cloverfold_coordinate/src/job_plan.rs
@@ -64,7 +64,6 @@
     Ok(grant)
 }
 
-/// Sets the placement of each task in a claim.
 fn fill_placements(claim: &mut Claim, in_flight: &[InFlightTask]) {
     let mut index_of = BTreeMap::new();
     for task in in_flight {
--- a/crates/claims/cloverfold_coordinate/src/metrics.rs
+++ b/crates/claims/cloverfold_coordinate/src/metrics.rs
@@ -29,13 +29,11 @@
 }
 
 impl CoordinateMetrics {
-    /// Counts an answered job.
     pub(crate) fn count_job(&self, outcome: &Outcome) {
         let outcome = outcome.kind();
         self.jobs.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// Adds the metrics to a process's registry.
     pub(crate) fn register(app: &mut App) -> Self {
         let metrics = Self::default();
         let registry = app.registry();
--- a/crates/claims/cloverfold_entry/src/metrics.rs
+++ b/crates/claims/cloverfold_entry/src/metrics.rs
@@ -36,7 +36,6 @@
 }
 
 impl EntryMetrics {
-    /// Adds the metrics to a process's registry.
     pub(crate) fn register(app: &mut App) -> Self {
         let metrics = Self {
             answers: Family::default(),
@@ -68,7 +67,6 @@
         metrics
     }
 
-    /// Records an answer and its latency.
     pub(crate) fn record_answer(&self, outcome: &'static str, elapsed: Duration) {
         self.answers.get_or_create(&AnswerLabel { outcome }).inc();
         self.seconds.observe(elapsed.as_secs_f64());
--- a/crates/claims/cloverfold_execute/src/metrics.rs
+++ b/crates/claims/cloverfold_execute/src/metrics.rs
@@ -16,7 +16,6 @@
 }
 
 impl ExecuteMetrics {
-    /// Adds the metrics to a process's registry.
     pub(crate) fn register(app: &mut App) -> Self {
         let metrics = Self::default();
         let registry = app.registry();
--- a/crates/claims/cloverfold_execute/src/target_client.rs
+++ b/crates/claims/cloverfold_execute/src/target_client.rs
@@ -18,11 +18,8 @@
 const MAX_RESULT_LEN: usize = 1024 * 1024;
 /// Idle connections are closed after this time, which is shorter than the idle timeout of most servers.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Timeout of a cancellation.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeout of a usage report.
 const USAGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest usage report, in bytes.
 const MAX_USAGE_LEN: usize = 64 * 1024;
--- a/crates/claims/cloverfold_membership/src/local_state.rs
+++ b/crates/claims/cloverfold_membership/src/local_state.rs
@@ -44,7 +44,6 @@
 }
 
 impl LocalGuard {
-    /// Returns a new report.
     pub(crate) fn report(&self) -> GuardReport {
         let phase = match self.lifecycle.phase() {
             Phase::Serving => GuardPhase::Live,
--- a/crates/claims/cloverfold_membership/src/metrics.rs
+++ b/crates/claims/cloverfold_membership/src/metrics.rs
@@ -13,7 +13,6 @@
 }
 
 impl MembershipMetrics {
-    /// Adds the metrics to a process's registry.
     pub(crate) fn register(app: &mut App) -> Self {
         let metrics = Self::default();
         let registry = app.registry();
--- a/crates/claims/cloverfold_net/src/connections.rs
+++ b/crates/claims/cloverfold_net/src/connections.rs
@@ -48,7 +48,6 @@
     }
 }
 
-/// Connections by peer.
 #[derive(Default)]
 pub(crate) struct Connections {
     by_peer: Mutex<HashMap<PeerAddress, PooledConnection>>,
--- a/crates/claims/cloverfold_net/src/error.rs
+++ b/crates/claims/cloverfold_net/src/error.rs
@@ -38,7 +38,6 @@
 }
 
 impl CallError {
-    /// Builds a [`CallError::NotSent`].
     pub(crate) fn not_sent(peer: &PeerAddress, cause: &dyn Display) -> Self {
         Self::NotSent {
             peer: peer.name.clone(),
@@ -46,7 +45,6 @@
         }
     }
 
-    /// Builds a [`CallError::Lost`].
     pub(crate) fn lost(peer: &PeerAddress, cause: &dyn Display) -> Self {
         Self::Lost {
             peer: peer.name.clone(),
--- a/crates/claims/cloverfold_net/src/frame.rs
+++ b/crates/claims/cloverfold_net/src/frame.rs
@@ -49,7 +49,6 @@
     }
 }
 
-/// Header and body of a request.
 pub(crate) struct RequestFrame<'a> {
     /// Number of the message.
     pub(crate) kind: u16,
@@ -57,7 +56,6 @@
     pub(crate) body: &'a [u8],
 }
 
-/// Encodes a request with its header.
 pub(crate) fn encode_request<T: Serialize>(kind: u16, body: &T) -> Result<Vec<u8>, String> {
     let mut buf = vec![PROTOCOL_VERSION];
     buf.extend_from_slice(&kind.to_le_bytes());
@@ -71,7 +69,6 @@
     Ok(buf)
 }
 
-/// Splits a request into its parts.
 pub(crate) fn split_request(buf: &[u8]) -> Result<RequestFrame<'_>, Status> {
     let (header, body) = buf.split_at_checked(HEADER_LEN).ok_or(Status::BadBody)?;
     if header[0] != PROTOCOL_VERSION {
--- a/crates/claims/cloverfold_net/src/metrics.rs
+++ b/crates/claims/cloverfold_net/src/metrics.rs
@@ -67,7 +67,6 @@
         self.lost.get_or_create(&label).inc();
     }
 
-    /// Counts a handshake that was started.
     pub(crate) fn count_handshake(&self) {
         self.handshakes.inc();
     }
--- a/crates/claims/cloverfold_net/src/network.rs
+++ b/crates/claims/cloverfold_net/src/network.rs
@@ -207,7 +207,6 @@
         }
     }
 
-    /// Opens a connection to a peer.
     async fn handshake(&self, peer: &PeerAddress) -> Result<Connection, String> {
         self.inner.metrics.count_handshake();
         let connecting = self
--- a/crates/claims/cloverfold_net/src/replies.rs
+++ b/crates/claims/cloverfold_net/src/replies.rs
@@ -21,7 +21,6 @@
 }
 
 impl<M: Message> Replies<M> {
-    /// Creates the stream of replies on a receive stream.
     pub(crate) fn new(rx: RecvStream, peer: PeerAddress, in_use: Arc<()>) -> Self {
         Self {
             rx,
--- a/crates/claims/cloverfold_net/src/serving.rs
+++ b/crates/claims/cloverfold_net/src/serving.rs
@@ -38,7 +38,6 @@
     }
 }
 
-/// Reads one request and runs its handler.
 async fn serve_request(router: &Router, peer: Peer, mut rx: RecvStream, sink: ReplySink) {
     let buf = match rx.read_to_end(MAX_MESSAGE_LEN).await {
         Ok(buf) => buf,
--- a/crates/claims/cloverfold_net/src/tls.rs
+++ b/crates/claims/cloverfold_net/src/tls.rs
@@ -18,7 +18,6 @@
 /// ALPN protocol name; a handshake with another one fails.
 const APPLICATION_PROTOCOL: &[u8] = b"cloverfold/1";
 
-/// TLS configurations of an endpoint.
 pub(crate) struct TlsConfigs {
     pub(crate) server: QuicServerConfig,
     pub(crate) client: QuicClientConfig,
--- a/crates/claims/cloverfold_net/src/traffic.rs
+++ b/crates/claims/cloverfold_net/src/traffic.rs
@@ -35,7 +35,6 @@
 }
 
 impl TrafficCounter {
-    /// Adds a new connection to the count.
     pub(crate) fn track(&self, connection: Connection) {
         self.lock().open.push(connection);
     }
