--- a/crates/claims/cloverfold_claims_process/src/operator.rs
+++ b/crates/claims/cloverfold_claims_process/src/operator.rs
@@ -14,10 +14,10 @@
 ///
 /// Returns the error of the key files or of the endpoint.
 pub fn open_operator_network(folder: &Path, name: &str) -> Result<Network, ProcessError> {
-    let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+    let any_port = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
     let keys = KeyFiles::in_folder(folder, name);
     let config = NetworkConfig::default();
-    Ok(Network::bind(any, &keys, config, Default::default())?)
+    Ok(Network::bind(any_port, &keys, config, Default::default())?)
 }
 
 /// Returns the names and addresses of a cell's guards.
--- a/crates/claims/cloverfold_claims_settings/src/cell.rs
+++ b/crates/claims/cloverfold_claims_settings/src/cell.rs
@@ -15,9 +15,9 @@
 /// Allowed sizes of a replica group; an even size tolerates no more losses than the next smaller odd one.
 const ALLOWED_REPLICAS: [usize; 3] = [1, 3, 5];
 /// Default size of a replica group, the smallest that tolerates the loss of one guard.
-const REPLICAS: usize = 3;
+const DEFAULT_REPLICAS: usize = 3;
 /// Default retention of keys and answers.
-const RETENTION: Duration = Duration::from_secs(600);
+const DEFAULT_RETENTION: Duration = Duration::from_secs(600);
 /// Shortest retention of keys.
 const MIN_RETENTION: Duration = Duration::from_secs(1);
 /// Weight of a workspace without one.
@@ -112,11 +112,11 @@
 }
 
 fn default_replicas() -> usize {
-    REPLICAS
+    DEFAULT_REPLICAS
 }
 
 fn default_retention() -> Duration {
-    RETENTION
+    DEFAULT_RETENTION
 }
 
 fn default_has_lead() -> bool {
--- a/crates/claims/cloverfold_claims_settings/src/entry.rs
+++ b/crates/claims/cloverfold_claims_settings/src/entry.rs
@@ -12,17 +12,17 @@
 use crate::guard::default_drain_timeout;
 
 /// Default longest body of a submission, in bytes.
-const MAX_BODY: usize = 4 * 1024 * 1024;
+const DEFAULT_MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Default timeout of receiving a body.
-const READ_TIMEOUT: Duration = Duration::from_secs(5);
+const DEFAULT_READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Deadline of a submission without one, counted from its arrival.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 /// Default longest deadline of a submission, counted from its arrival.
-const MAX_DEADLINE: Duration = Duration::from_secs(120);
+const DEFAULT_MAX_DEADLINE: Duration = Duration::from_secs(120);
 /// Default limit of submissions in flight at an entry.
-const IN_FLIGHT: usize = 4_096;
+const DEFAULT_IN_FLIGHT: usize = 4_096;
 /// Default time for which a draining entry keeps serving.
-const LINGER: Duration = Duration::from_secs(1);
+const DEFAULT_LINGER: Duration = Duration::from_secs(1);
 
 /// Settings of one `cloverfold entry`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -85,11 +85,11 @@
 }
 
 fn default_max_body() -> usize {
-    MAX_BODY
+    DEFAULT_MAX_BODY_BYTES
 }
 
 fn default_read_timeout() -> Duration {
-    READ_TIMEOUT
+    DEFAULT_READ_TIMEOUT
 }
 
 fn default_deadline() -> Duration {
@@ -97,15 +97,15 @@
 }
 
 fn default_max_deadline() -> Duration {
-    MAX_DEADLINE
+    DEFAULT_MAX_DEADLINE
 }
 
 fn default_in_flight() -> usize {
-    IN_FLIGHT
+    DEFAULT_IN_FLIGHT
 }
 
 fn default_linger() -> Duration {
-    LINGER
+    DEFAULT_LINGER
 }
 
 impl SettingsWithPaths for EntrySettings {
--- a/crates/claims/cloverfold_claims_settings/src/guard.rs
+++ b/crates/claims/cloverfold_claims_settings/src/guard.rs
@@ -11,15 +11,15 @@
 use serde::Deserialize;
 
 /// Default limit of queued tasks at a guard.
-const QUEUE_LIMIT: usize = 512;
+const DEFAULT_QUEUE_LIMIT: usize = 512;
 /// Default timeout of a drain.
-const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
+const DEFAULT_DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 /// Default number of tasks that may run at a target concurrently.
-const SLOTS: usize = 8;
+const DEFAULT_SLOTS: usize = 8;
 /// Default limit of connections to a target.
-const CONNECTIONS: usize = 64;
+const DEFAULT_CONNECTIONS: usize = 64;
 /// Default timeout of a task, after which it counts as lost.
-const TASK_TIMEOUT: Duration = Duration::from_secs(30);
+const DEFAULT_TASK_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Settings of one `cloverfold-guard`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -77,23 +77,23 @@
 }
 
 fn default_queue_limit() -> usize {
-    QUEUE_LIMIT
+    DEFAULT_QUEUE_LIMIT
 }
 
 pub(crate) fn default_drain_timeout() -> Duration {
-    DRAIN_TIMEOUT
+    DEFAULT_DRAIN_TIMEOUT
 }
 
 fn default_slots() -> usize {
-    SLOTS
+    DEFAULT_SLOTS
 }
 
 fn default_connections() -> usize {
-    CONNECTIONS
+    DEFAULT_CONNECTIONS
 }
 
 fn default_task_timeout() -> Duration {
-    TASK_TIMEOUT
+    DEFAULT_TASK_TIMEOUT
 }
 
 impl SettingsWithPaths for GuardSettings {
--- a/crates/claims/cloverfold_net/src/config.rs
+++ b/crates/claims/cloverfold_net/src/config.rs
@@ -9,17 +9,17 @@
 use crate::error::NetError;
 
 /// Bounds the detection time of a dead lead.
-const IDLE_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// A third of [`IDLE_TIMEOUT`].
-const KEEP_ALIVE: Duration = Duration::from_millis(600);
-const UNUSED_TIMEOUT: Duration = Duration::from_secs(5);
-const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// A third of [`DEFAULT_IDLE_TIMEOUT`].
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(600);
+const DEFAULT_UNUSED_TIMEOUT: Duration = Duration::from_secs(5);
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Below the library's default, because a lost first packet delays a handshake by three times this.
-const INITIAL_RTT: Duration = Duration::from_millis(20);
-const STREAMS_PER_PEER: u32 = 1_024;
-const REQUESTS: usize = 16_384;
+const DEFAULT_INITIAL_RTT: Duration = Duration::from_millis(20);
+const DEFAULT_STREAMS_PER_PEER: u32 = 1_024;
+const DEFAULT_REQUESTS: usize = 16_384;
 /// Bytes of one stream that a peer may send before they are read.
-const STREAM_WINDOW: u32 = 1024 * 1024;
+const STREAM_WINDOW_BYTES: u32 = 1024 * 1024;
 
 /// Limits and timeouts of the connections between processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,13 +43,13 @@
 impl Default for NetworkConfig {
     fn default() -> Self {
         Self {
-            idle_timeout: IDLE_TIMEOUT,
-            keep_alive: KEEP_ALIVE,
-            unused_timeout: UNUSED_TIMEOUT,
-            connect_timeout: CONNECT_TIMEOUT,
-            initial_rtt: INITIAL_RTT,
-            streams_per_peer: STREAMS_PER_PEER,
-            requests: REQUESTS,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
+            keep_alive: DEFAULT_KEEP_ALIVE,
+            unused_timeout: DEFAULT_UNUSED_TIMEOUT,
+            connect_timeout: DEFAULT_CONNECT_TIMEOUT,
+            initial_rtt: DEFAULT_INITIAL_RTT,
+            streams_per_peer: DEFAULT_STREAMS_PER_PEER,
+            requests: DEFAULT_REQUESTS,
         }
     }
 }
@@ -69,7 +69,7 @@
         transport.initial_rtt(self.initial_rtt);
         transport.max_concurrent_bidi_streams(VarInt::from_u32(self.streams_per_peer));
         transport.max_concurrent_uni_streams(VarInt::from_u32(0));
-        transport.stream_receive_window(VarInt::from_u32(STREAM_WINDOW));
+        transport.stream_receive_window(VarInt::from_u32(STREAM_WINDOW_BYTES));
         Ok(transport)
     }
 }
--- a/crates/claims/cloverfold_net/tests/requests.rs
+++ b/crates/claims/cloverfold_net/tests/requests.rs
@@ -71,9 +71,9 @@
 fn bind(folder: &Path, name: &str) -> Network {
     make_key_set(folder, &[name.into()]).unwrap();
     let keys = KeyFiles::in_folder(folder, name);
-    let any = "127.0.0.1:0".parse().unwrap();
+    let any_port = "127.0.0.1:0".parse().unwrap();
     let config = NetworkConfig::default();
-    Network::bind(any, &keys, config, Default::default()).unwrap()
+    Network::bind(any_port, &keys, config, Default::default()).unwrap()
 }
 
 /// Starts a serving guard and returns it with its address.
