--- a/crates/claims/cloverfold_claims_core/src/guard_table.rs
+++ b/crates/claims/cloverfold_claims_core/src/guard_table.rs
@@ -141,14 +141,14 @@
     ) -> Vec<Placement> {
         let mut candidates = self.list_candidates(now, report_timeout);
         let chosen = choose_placements(policy, &mut candidates, count, random_below);
-        let places: Vec<Placement> = chosen
+        let placements: Vec<Placement> = chosen
             .into_iter()
             .map(|index| candidates[index].placement)
             .collect();
-        for place in &places {
-            self.add_in_flight(place.guard);
+        for placement in &placements {
+            self.add_in_flight(placement.guard);
         }
-        places
+        placements
     }
 
     /// Excludes an unreachable guard from new work until a report that it made after `now` arrives.
--- a/crates/claims/cloverfold_claims_core/src/job.rs
+++ b/crates/claims/cloverfold_claims_core/src/job.rs
@@ -30,9 +30,9 @@
 impl JobProgress {
     /// Starts a job from its claim; returns its state and the first assignments.
     pub fn begin(claim: &Claim, repeat: RetryPolicy) -> (Self, Vec<JobAction>) {
-        let places =
+        let placements =
             (0..claim.tasks.len() as TaskIndex).filter_map(|task| claim.placement_of(task));
-        let tasks: Vec<TaskProgress> = places.map(TaskProgress::new).collect();
+        let tasks: Vec<TaskProgress> = placements.map(TaskProgress::new).collect();
         let assign = |(task, progress): (usize, &TaskProgress)| progress.assign(task as TaskIndex);
         let actions = tasks.iter().enumerate().map(assign).collect();
         let progress = Self {
@@ -178,7 +178,7 @@
         progress.status = TaskStatus::Releasing;
         let can_move = reason != ReasonCode::DeadlinePassed;
         let to = progress
-            .choose_next_placement(&context.places)
+            .choose_next_placement(&context.next_placements)
             .filter(|_| can_move);
         if to.is_none() || self.failure.is_some() {
             self.task_mut(task).status = TaskStatus::Assigned;
@@ -198,7 +198,9 @@
         actions: &mut Vec<JobAction>,
     ) {
         if self.can_retry(reason)
-            && let Some(place) = self.task_mut(task).choose_next_placement(&context.places)
+            && let Some(place) = self
+                .task_mut(task)
+                .choose_next_placement(&context.next_placements)
             && (context.take_retry)()
         {
             let progress = self.task_mut(task);
--- a/crates/claims/cloverfold_claims_core/src/job_events.rs
+++ b/crates/claims/cloverfold_claims_core/src/job_events.rs
@@ -77,7 +77,7 @@
 /// What [`crate::JobProgress`] needs to handle an event.
 pub struct EventContext<'a> {
     /// Placements for a task that has to move, best first.
-    pub places: Vec<Placement>,
+    pub next_placements: Vec<Placement>,
     /// Spends one retry of the process's retry budget; returns whether the budget allows it.
     pub take_retry: &'a mut dyn FnMut() -> bool,
 }
--- a/crates/claims/cloverfold_claims_core/src/lib.rs
+++ b/crates/claims/cloverfold_claims_core/src/lib.rs
@@ -11,8 +11,8 @@
 //! ```
 //! use cloverfold_claims_core::{Cell, Location, derive_submission_key};
 //!
-//! let place = |guard: u16, data_hall: &str| Location { guard, data_hall: data_hall.into(), rack: "r1".into() };
-//! let cell = Cell::new(vec![place(1, "a"), place(2, "b"), place(3, "b"), place(4, "c")], 3);
+//! let location = |guard: u16, data_hall: &str| Location { guard, data_hall: data_hall.into(), rack: "r1".into() };
+//! let cell = Cell::new(vec![location(1, "a"), location(2, "b"), location(3, "b"), location(4, "c")], 3);
 //! let key = derive_submission_key("pharmacy-7", "order-1");
 //! assert_eq!(cell.choose_replica_group(&key).len(), 3);
 //! ```
--- a/crates/claims/cloverfold_claims_core/src/task_progress.rs
+++ b/crates/claims/cloverfold_claims_core/src/task_progress.rs
@@ -74,11 +74,11 @@
     }
 
     /// Returns the first placement that has not had the task, or `None` after [`MAX_MOVES`] moves.
-    pub(crate) fn choose_next_placement(&self, places: &[Placement]) -> Option<Placement> {
+    pub(crate) fn choose_next_placement(&self, placements: &[Placement]) -> Option<Placement> {
         if self.previous_placements.len() >= MAX_MOVES {
             return None;
         }
         let is_new = |place: &&Placement| !self.was_placed_at(**place);
-        places.iter().find(is_new).copied()
+        placements.iter().find(is_new).copied()
     }
 }
--- a/crates/claims/cloverfold_claims_core/tests/jobs.rs
+++ b/crates/claims/cloverfold_claims_core/tests/jobs.rs
@@ -152,11 +152,11 @@
         match packet {
             Packet::Event { driver, event } => {
                 self.turn += 1;
-                let mut places = self.placements.clone();
-                places.rotate_left(self.turn % GUARDS);
+                let mut next_placements = self.placements.clone();
+                next_placements.rotate_left(self.turn % GUARDS);
                 let mut take_retry = || true;
                 let mut context = EventContext {
-                    places,
+                    next_placements,
                     take_retry: &mut take_retry,
                 };
                 let actions = self.drivers[driver].handle_event(event, &mut context);
--- a/crates/claims/cloverfold_claims_core/tests/queueing.rs
+++ b/crates/claims/cloverfold_claims_core/tests/queueing.rs
@@ -138,12 +138,12 @@
         key in any::<[u8; 16]>(),
         removed in 0..11_usize,
     ) {
-        let place = |index: usize| Location {
+        let location = |index: usize| Location {
             guard: index as u16,
             data_hall: format!("hall-{}", index % 3),
             rack: format!("rack-{}", index / 9),
         };
-        let all: Vec<Location> = (0..11).map(place).collect();
+        let all: Vec<Location> = (0..11).map(location).collect();
         let mut fewer = all.clone();
         fewer.remove(removed);
 
--- a/crates/claims/cloverfold_coordinate/src/driver.rs
+++ b/crates/claims/cloverfold_coordinate/src/driver.rs
@@ -144,7 +144,7 @@
     }
 
     async fn handle_event(&mut self, event: JobEvent) -> Vec<JobAction> {
-        let places = if is_done(&event) {
+        let next_placements = if is_done(&event) {
             self.record_done();
             Vec::new()
         } else {
@@ -153,7 +153,7 @@
         let context = self.dispatch.context.clone();
         let mut take_retry = || context.take_retry();
         let mut event_context = EventContext {
-            places,
+            next_placements,
             take_retry: &mut take_retry,
         };
         self.progress.handle_event(event, &mut event_context)
--- a/crates/claims/cloverfold_membership/src/membership.rs
+++ b/crates/claims/cloverfold_membership/src/membership.rs
@@ -151,13 +151,13 @@
         let place = move |table: &mut GuardTable, now| {
             table.place_tasks(policy, count, now, REPORT_TIMEOUT, random_below)
         };
-        let places = self.with_table(place).await;
+        let placements = self.with_table(place).await;
         let track = |place| InFlightTask {
             place,
             table: self.table.clone(),
             changed: self.changed.clone(),
         };
-        places.into_iter().map(track).collect()
+        placements.into_iter().map(track).collect()
     }
 
     /// Counts a task as in flight at a placement until the returned value is dropped.
