--- a/crates/claims/cloverfold_app/src/ops_http.rs
+++ b/crates/claims/cloverfold_app/src/ops_http.rs
@@ -20,7 +20,6 @@
 /// Readiness check, which returns the reason if the process is not ready.
 pub(crate) type ReadyCheck = Box<dyn Fn() -> Result<(), String> + Send + Sync>;
 
-/// State of the operations routes.
 pub(crate) struct OpsState {
     lifecycle: Lifecycle,
     registry: Registry,
@@ -28,7 +27,6 @@
 }
 
 impl OpsState {
-    /// Creates the state from the parts of a process.
     pub(crate) fn new(
         lifecycle: Lifecycle,
         registry: Registry,
@@ -52,7 +50,7 @@
     fn answer_readiness(&self) -> (StatusCode, String) {
         match self.unready_reason() {
             None => (StatusCode::OK, "ready\n".to_owned()),
-            Some(why) => (StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
+            Some(reason) => (StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n")),
         }
     }
 
@@ -116,12 +114,12 @@
 
     /// Serves routes until the process has stopped.
     pub(crate) async fn serve(self, routes: Router, lifecycle: Lifecycle) {
-        let hook = lifecycle.clone();
+        let shutdown = lifecycle.clone();
         let server = Server::new(routes)
             .http1_only()
             // Without a hook `volo` stops at the first SIGTERM, but the server must run until the process has drained.
             .register_shutdown_hook(move || {
-                Box::pin(async move { hook.wait_for(Phase::Stopped).await })
+                Box::pin(async move { shutdown.wait_for(Phase::Stopped).await })
             });
         let serving = server.run(DefaultIncoming::from(self.listener));
         tokio::select! {
--- a/crates/claims/cloverfold_app/src/traffic.rs
+++ b/crates/claims/cloverfold_app/src/traffic.rs
@@ -18,7 +18,6 @@
 }
 
 impl TrafficGauges {
-    /// Adds the gauges to a process's metrics.
     pub(crate) fn register(registry: &mut Registry) -> Self {
         let gauges = Self::default();
         registry.register(
@@ -35,7 +34,7 @@
     }
 
     /// Updates the gauges until the task is aborted.
-    pub(crate) async fn follow(self, network: Network) {
+    pub(crate) async fn run(self, network: Network) {
         loop {
             let traffic = network.count_traffic();
             self.sent.set(traffic.sent as i64);
--- a/crates/claims/cloverfold_claim/src/recovery.rs
+++ b/crates/claims/cloverfold_claim/src/recovery.rs
@@ -12,7 +12,6 @@
 use crate::claims::Claims;
 use crate::messages::RecoverCall;
 
-/// Timeout of one page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Backoff after the first round of copying; it doubles with each round.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
@@ -105,7 +104,8 @@
                 // Peers ignore the votes of an incarnation older than the newest one they know.
                 log::error!(
                     guard = self.inner.own.guard;
-                    "peers know a later incarnation of this guard because its clock went back; restart it later"
+                    "peers know a newer incarnation of this guard because its clock went backwards; \
+                     restart it once the clock has caught up"
                 );
                 return Ok(());
             }
--- a/crates/claims/cloverfold_claims_process/src/operator.rs
+++ b/crates/claims/cloverfold_claims_process/src/operator.rs
@@ -14,19 +14,19 @@
 ///
 /// Returns the error of the key files or of the endpoint.
 pub fn open_operator_network(folder: &Path, name: &str) -> Result<Network, ProcessError> {
-    let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+    let any_port = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
     let keys = KeyFiles::in_folder(folder, name);
     let config = NetworkConfig::default();
-    Ok(Network::bind(any, &keys, config, Default::default())?)
+    Ok(Network::bind(any_port, &keys, config, Default::default())?)
 }
 
 /// Returns the names and addresses of a cell's guards.
 pub fn list_guard_addresses(cell: &CellSettings) -> Vec<PeerAddress> {
     let guards = cell.guards.iter();
     guards
-        .map(|place| PeerAddress {
-            name: format!("guard-{}", place.id),
-            address: place.address,
+        .map(|guard| PeerAddress {
+            name: format!("guard-{}", guard.id),
+            address: guard.address,
         })
         .collect()
 }
--- a/crates/claims/cloverfold_net/src/serving.rs
+++ b/crates/claims/cloverfold_net/src/serving.rs
@@ -38,12 +38,11 @@
     }
 }
 
-/// Reads one request and runs its handler.
 async fn serve_request(router: &Router, peer: Peer, mut rx: RecvStream, sink: ReplySink) {
     let buf = match rx.read_to_end(MAX_MESSAGE_LEN).await {
         Ok(buf) => buf,
         Err(cause) => {
-            log::debug!("a request from {} broke off: {cause}", peer.name);
+            log::debug!("a request from {} was interrupted: {cause}", peer.name);
             return;
         }
     };
--- a/crates/claims/cloverfold_net/tests/requests.rs
+++ b/crates/claims/cloverfold_net/tests/requests.rs
@@ -39,7 +39,7 @@
 
 impl Message for Unregistered {
     const KIND: u16 = 3;
-    const NAME: &'static str = "unheard";
+    const NAME: &'static str = "unregistered";
     type Reply = ();
 }
 
@@ -49,7 +49,7 @@
 
 impl Message for Malformed {
     const KIND: u16 = 1;
-    const NAME: &'static str = "garbled";
+    const NAME: &'static str = "malformed";
     type Reply = u32;
 }
 
@@ -71,9 +71,9 @@
 fn bind(folder: &Path, name: &str) -> Network {
     make_key_set(folder, &[name.into()]).unwrap();
     let keys = KeyFiles::in_folder(folder, name);
-    let any = "127.0.0.1:0".parse().unwrap();
+    let any_port = "127.0.0.1:0".parse().unwrap();
     let config = NetworkConfig::default();
-    Network::bind(any, &keys, config, Default::default()).unwrap()
+    Network::bind(any_port, &keys, config, Default::default()).unwrap()
 }
 
 /// Starts a serving guard and returns it with its address.
@@ -122,9 +122,11 @@
     let folder = tempfile::tempdir().unwrap();
     let other_folder = tempfile::tempdir().unwrap();
     let (_server, address) = serve(folder.path());
-    let stranger = bind(other_folder.path(), "entry-1");
+    let foreign_client = bind(other_folder.path(), "entry-1");
 
-    let reply = stranger.call(&address, &Count { to: 1 }, TIMEOUT).await;
+    let reply = foreign_client
+        .call(&address, &Count { to: 1 }, TIMEOUT)
+        .await;
 
     assert!(matches!(reply, Err(CallError::NotSent { .. })), "{reply:?}");
 }
